--- a/internal/proxy/answerstream.go
+++ b/internal/proxy/answerstream.go
@@ -7,49 +7,49 @@
 	"time"
 )
 
-// answerStream is the rest of a long answer, on its way from a server to a client.
+// answerStream is the remainder of a long answer that is being copied from a server to a client.
 type answerStream struct {
 	link       *link
 	resp       *http.Response
 	serverConn *serverConn
 	upstream   *upstream
 	length     int64
-	stopAt     time.Time
-	detach     func() bool // from the client: see attach
+	deadline   time.Time
+	detach     func() bool // returned by closeOnDisconnect
 }
 
-func (p *answerStream) drop() {
-	p.detach()
-	p.serverConn.Close()
+func (s *answerStream) abort() {
+	s.detach()
+	s.serverConn.Close()
 }
 
-// copy passes the rest on. Its error tells that the answer is not whole.
-func (p *answerStream) copy(to net.Conn) error {
+// copyTo copies the remainder to the client. It returns an error if the answer is incomplete.
+func (s *answerStream) copyTo(to net.Conn) error {
 	buf := make([]byte, 16<<10)
 	total := int64(0)
-	body := p.link.body(p.resp.Body, p.length)
+	body := s.link.body(s.resp.Body, s.length)
 	for {
-		p.serverConn.SetReadDeadline(p.stopAt)
+		s.serverConn.SetReadDeadline(s.deadline)
 		n, err := body.Read(buf)
 		if n > 0 {
-			to.SetWriteDeadline(time.Now().Add(writeWithin))
-			p.link.piece(p.link.out, n)
+			to.SetWriteDeadline(time.Now().Add(writeTimeout))
+			s.link.waitForPiece(s.link.out, n)
 			if _, werr := to.Write(buf[:n]); werr != nil {
-				p.drop()
+				s.abort()
 				return werr
 			}
 			total += int64(n)
 		}
-		if err == io.EOF && total == p.length {
-			if p.detach() && !p.resp.Close && p.serverConn.in.Buffered() == 0 {
-				p.upstream.put(p.serverConn)
+		if err == io.EOF && total == s.length {
+			if s.detach() && !s.resp.Close && s.serverConn.in.Buffered() == 0 {
+				s.upstream.putIdle(s.serverConn)
 			} else {
-				p.serverConn.Close()
+				s.serverConn.Close()
 			}
 			return nil
 		}
 		if err != nil {
-			p.drop()
+			s.abort()
 			if err == io.EOF {
 				err = io.ErrUnexpectedEOF
 			}
--- a/internal/proxy/asks.go
+++ b/internal/proxy/asks.go
@@ -14,51 +14,51 @@
 	"example.org/madderdrum/traffic/quotaloan"
 )
 
-// Where a tenant's ceiling divided by all limiters comes to less than a few requests, no part
-// is of use: its parts are gathered at a few limiters, its keepers, and the others ask one of
-// them for each request. Where parts are of use but small, a limiter whose part is short at the
-// moment asks another of its region for a single token, as requests come in clusters. Whoever is
-// asked answers at once, out of its part, and nobody waits for a token: a request that none of
-// them has one for is refused.
+// When a tenant's ceiling divided by the number of limiters is less than a few requests, the parts are too small
+// to be useful. They are gathered at a few limiters, the keepers, and the other limiters ask a keeper for every
+// request. When parts are small but useful, a limiter whose part is used up at the moment asks another limiter of
+// its region for a single token, because requests arrive in bursts. A limiter that is asked replies at once from
+// its own part; nothing queues for a token. A request for which no limiter has a token is rejected.
 
-// tokenAsk asks another limiter to pay for one request.
-type tokenAsk struct {
+// tokenRequest asks another limiter to pay for one request.
+type tokenRequest struct {
 	Serial  uint64 `cbor:"1,keyasint"`
 	Account uint64 `cbor:"2,keyasint"`
 	Route   string `cbor:"3,keyasint"`
 	Service string `cbor:"4,keyasint"`
 }
 
-// tokenAnswer is its answer.
-type tokenAnswer struct {
+// tokenReply is the reply to a tokenRequest.
+type tokenReply struct {
 	Serial uint64  `cbor:"1,keyasint"`
 	OK     bool    `cbor:"2,keyasint,omitempty"`
 	WaitMs float64 `cbor:"3,keyasint,omitempty"`
 	Why    string  `cbor:"4,keyasint,omitempty"`
 }
 
-// token asks others for one token of a call's tenant until one pays for it.
-func (y *Proxy) token(c *call) (ok bool, waitMs float64, why string) {
-	y.mu.Lock()
-	all, near := c.e.holding.Askees(account(c.tenant.Name), c.e.places, func(name string) bool { return y.unreachable[name] }, rand.Shuffle)
-	y.mu.Unlock()
-	q, answers := quotaloan.Enquire(all, near), make(chan tokenAnswer, len(all))
+// requestToken asks other limiters in turn for one token of the call's tenant until one of them grants it.
+func (proxy *Proxy) requestToken(c *call) (ok bool, waitMs float64, reason string) {
+	proxy.mu.Lock()
+	candidates, nearCount := c.assignedEngine.quota.Askees(accountID(c.tenant.Name), c.assignedEngine.places,
+		func(name string) bool { return proxy.unreachable[name] }, rand.Shuffle)
+	proxy.mu.Unlock()
+	enquiry, replies := quotaloan.Enquire(candidates, nearCount), make(chan tokenReply, len(candidates))
 	for {
-		place, within, more := q.Next(ms(time.Until(c.stopAt)))
-		if !more {
-			return false, cmp.Or(q.WaitMs, advice), "keepers_" + cmp.Or(q.Why, "silent")
+		place, replyWithinMs, found := enquiry.Next(ms(time.Until(c.deadline)))
+		if !found {
+			return false, cmp.Or(enquiry.WaitMs, defaultRetryAfterMs), "keepers_" + cmp.Or(enquiry.Why, "silent")
 		}
-		serial := y.askToken(c, place, answers)
-		defer y.endAsk(serial)
-		late := time.After(time.Duration(within * float64(time.Millisecond)))
+		serial := proxy.sendTokenRequest(c, place, replies)
+		defer proxy.dropTokenRequest(serial)
+		timeout := time.After(time.Duration(replyWithinMs * float64(time.Millisecond)))
 		for waiting := true; waiting; {
 			select {
-			case a := <-answers:
-				if a.OK {
+			case reply := <-replies:
+				if reply.OK {
 					return true, 0, ""
 				}
-				waiting = !q.Refused(a.WaitMs, a.Why)
-			case <-late:
+				waiting = !enquiry.Refused(reply.WaitMs, reply.Why)
+			case <-timeout:
 				waiting = false
 			case <-c.client.Done():
 				return false, 0, "client left"
@@ -67,85 +67,88 @@
 	}
 }
 
-// askToken asks a limiter for a token. Its answer, if one comes, is put into answers.
-func (y *Proxy) askToken(c *call, place int, answers chan tokenAnswer) (serial uint64) {
-	y.mu.Lock()
-	y.serial++
-	serial = y.serial
-	y.asks[serial] = answers
-	ip := y.reg.Places[place].IP
-	y.mu.Unlock()
-	y.tell(y.set.Internal(ip, nodesettings.ProxyPort), datagramAsk, rpc.Encode(tokenAsk{serial, account(c.tenant.Name), c.route.Name, c.service}))
-	return serial
+// sendTokenRequest asks the limiter in a place for a token. Its reply, if there is one, is sent to replies.
+func (proxy *Proxy) sendTokenRequest(c *call, place int, replies chan tokenReply) (tokenSerial uint64) {
+	proxy.mu.Lock()
+	proxy.tokenSerial++
+	tokenSerial = proxy.tokenSerial
+	proxy.pendingTokenRequests[tokenSerial] = replies
+	ip := proxy.register.Places[place].IP
+	proxy.mu.Unlock()
+	proxy.sendDatagram(proxy.settings.Internal(ip, nodesettings.ProxyPort), datagramTokenRequest,
+		rpc.Encode(tokenRequest{tokenSerial, accountID(c.tenant.Name), c.route.Name, c.service}))
+	return tokenSerial
 }
 
-// endAsk has an answer that is still to come be let go.
-func (y *Proxy) endAsk(serial uint64) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	delete(y.asks, serial)
+// dropTokenRequest makes a later reply to the request be ignored.
+func (proxy *Proxy) dropTokenRequest(serial uint64) {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	delete(proxy.pendingTokenRequests, serial)
 }
 
-// answered hands an answer to the call that waits for it, once. The mutex is held.
-func (y *Proxy) answered(a tokenAnswer) {
-	if answers := y.asks[a.Serial]; answers != nil {
-		delete(y.asks, a.Serial)
-		answers <- a // it has room for one answer to each ask
+// deliverTokenReply passes a reply to the waiting call, at most once per request. The mutex is held.
+func (proxy *Proxy) deliverTokenReply(reply tokenReply) {
+	if replies := proxy.pendingTokenRequests[reply.Serial]; replies != nil {
+		delete(proxy.pendingTokenRequests, reply.Serial)
+		replies <- reply // buffered for one reply per request
 	}
 }
 
-// shortOf has a call whose tenant's part is short here ask others for a token, unless they had
-// none a moment ago.
-func (y *Proxy) shortOf(c *call) (ok bool, waitMs float64) {
-	id := account(c.tenant.Name)
-	y.mu.Lock()
-	asks := y.asking[id]
-	if asks == nil {
-		asks = &allowance.Asks{}
-		y.asking[id] = asks
+// requestTokenThrottled asks other limiters for a token when this limiter's part of the tenant's ceiling is used
+// up, unless they have just refused one.
+func (proxy *Proxy) requestTokenThrottled(c *call) (ok bool, waitMs float64) {
+	id := accountID(c.tenant.Name)
+	proxy.mu.Lock()
+	throttle := proxy.tokenThrottles[id]
+	if throttle == nil {
+		throttle = &allowance.Asks{}
+		proxy.tokenThrottles[id] = throttle
 	}
-	due := asks.Due(y.now())
-	y.mu.Unlock()
+	due := throttle.Due(proxy.now())
+	proxy.mu.Unlock()
 	if !due {
 		return false, 0
 	}
-	ok, waitMs, _ = y.token(c)
-	y.mu.Lock()
-	defer y.mu.Unlock()
+	ok, waitMs, _ = proxy.requestToken(c)
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
 	if ok {
-		asks.Paid()
+		throttle.Paid()
 	} else {
-		asks.Refused(y.now())
+		throttle.Refused(proxy.now())
 	}
 	return ok, waitMs
 }
 
-// asked answers another limiter's ask out of this one's part. The mutex is held.
-func (e *engine) asked(m tokenAsk) tokenAnswer {
-	y := e.y
-	a := tokenAnswer{Serial: m.Serial}
-	v := y.view.Load()
-	if v == nil {
-		return a
+// answerTokenRequest answers another limiter's request from this limiter's part. The mutex is held.
+func (e *engine) answerTokenRequest(request tokenRequest) tokenReply {
+	proxy := e.proxy
+	reply := tokenReply{Serial: request.Serial}
+	config := proxy.configSnapshot.Load()
+	if config == nil {
+		return reply
 	}
 	var route *configuration.Route
-	for i := range v.table.Routes {
-		if v.table.Routes[i].Name == m.Route {
-			route = &v.table.Routes[i]
+	for i := range config.table.Routes {
+		if config.table.Routes[i].Name == request.Route {
+			route = &config.table.Routes[i]
 		}
 	}
-	plan, known := e.planOf[m.Account]
+	plan, known := e.planByAccount[request.Account]
 	if route == nil || !known {
-		return a
+		return reply
 	}
-	e.names++
-	e.ask = &a
-	e.partsDue()
-	e.handle(limiter.Ask{Submit: limiter.Submit{ID: asksID + strconv.Itoa(e.names), ExpiresMs: stretch * ms(route.Timeout), Units: 1,
-		Class: e.classes[route.Name], Plan: plan, Customer: m.Account, Spread: e.size, Pool: e.poolOf(m.Service, route, nil)}})
-	e.ask = nil
-	return a
+	e.requestCount++
+	e.pendingReply = &reply
+	e.applyDueParts()
+	e.handle(limiter.Ask{Submit: limiter.Submit{ID: tokenRequestPrefix + strconv.Itoa(e.requestCount),
+		ExpiresMs: deadlineStretch * ms(route.Timeout), Units: 1,
+		Class: e.classIndex[route.Name], Plan: plan, Customer: request.Account, Spread: e.slotCount,
+		Pool: e.poolID(request.Service, route, nil)}})
+	e.pendingReply = nil
+	return reply
 }
 
-// asksID begins the ids of what other limiters ask: no request has such a one.
-const asksID = "ask/"
+// tokenRequestPrefix starts the IDs under which token requests are decided. Request IDs never start with it.
+const tokenRequestPrefix = "ask/"
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -12,173 +12,175 @@
 	"example.org/madderdrum/traffic/allowance"
 )
 
-// call is a request in hand.
+// call is one client request that is being served.
 type call struct {
-	y      *Proxy
-	e      *engine
-	client *disconnect // of the connection that it came on
-	id     string      // of the decisions: ids of clients may come twice
+	proxy          *Proxy
+	assignedEngine *engine
+	client         *clientContext // of the connection that the request came on
+	id             string         // unique in the engine, because clients may reuse attempt IDs
 	*clientRequest
-	route   *configuration.Route
-	tenant  *configuration.Tenant
-	service string
-	stopAt  time.Time
-	most    int // servers that it may be sent to
-	steps   chan step
+	route       *configuration.Route
+	tenant      *configuration.Tenant
+	service     string
+	deadline    time.Time
+	maxAttempts int // number of servers that the request may be sent to
+	steps       chan step
 
-	// The proxy's mutex guards these.
-	tries   int
-	arrived int // at servers
-	over    bool
+	// Guarded by the proxy's mutex.
+	attempts int
+	arrivals int // attempts that a server has received
+	finished bool
 
-	bound  bool // paid out of this limiter's part of a ceiling: sent only while it holds one
-	lapsed bool // the lease had ended when it was to be sent
+	needsShare  bool // paid from this limiter's part of a ceiling, so it is sent only while the limiter holds a share
+	leaseLapsed bool // the lease had ended when the request was about to be sent
 
-	ran  bool    // some attempt may have run
-	last *answer // a server's own answer that is of no use, for want of a better one
+	mayHaveRun   bool    // a server may have executed the request
+	serverAnswer *answer // latest unsuccessful answer of a server, returned if no other attempt succeeds
 }
 
-// step is what a call is to do next.
+// step is the next action of a call.
 type step struct {
 	upstream *upstream
-	server   uint64
-	try      int
-	refuse   *limiter.Refuse
-	fail     bool
+	serverID uint64
+	attempt  int
+	refusal  *limiter.Refuse
+	failed   bool
 }
 
-// next hands a call its next step; it takes one at a time.
-func (c *call) next(s step) {
+// setNextStep passes a call its next step. The previous step must have been taken.
+func (c *call) setNextStep(s step) {
 	select {
 	case c.steps <- s:
 	default:
-		panic("proxy: a call has two steps to do") // a broken invariant
+		panic("proxy: the call already has a pending step") // an invariant is broken
 	}
 }
 
-func fnv64(text string) uint64 {
+func hash64(text string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(text))
 	return h.Sum64()
 }
 
-// serve gives a request of a client its final answer.
-func (y *Proxy) serve(client *disconnect, r *clientRequest) *answer {
+// serve processes a client request and returns its final answer.
+func (proxy *Proxy) serve(client *clientContext, r *clientRequest) *answer {
 	arrived := time.Now()
-	v := y.view.Load()
-	if v == nil {
-		return &answer{status: 503, retryAfter: 300, why: "no configuration yet"}
+	config := proxy.configSnapshot.Load()
+	if config == nil {
+		return &answer{status: 503, retryAfterMs: 300, reason: "no configuration yet"}
 	}
-	route := v.table.Find(r.Host, r.URL.EscapedPath())
+	route := config.table.Find(r.Host, r.URL.EscapedPath())
 	if route == nil {
-		return &answer{status: 404, why: "no route takes this"}
+		return &answer{status: 404, reason: "no route takes this"}
 	}
 	var tenant *configuration.Tenant
-	if v.table.Guarded() && !route.Open {
+	if config.table.Guarded() && !route.Open {
 		keys := r.Header[headerCredential]
 		if len(keys) == 1 {
-			tenant = v.table.TenantOf(keys[0])
+			tenant = config.table.TenantOf(keys[0])
 		}
 		if tenant == nil {
-			return &answer{status: 401, why: "key is missing or not known"}
+			return &answer{status: 401, reason: "key is missing or not known"}
 		}
 	}
 	id := r.Header.Get(headerAttempt)
 	if id == "" || len(r.Header[headerAttempt]) > 1 {
-		return &answer{status: 400, why: "attempt id is missing or doubled"}
+		return &answer{status: 400, reason: "attempt id is missing or doubled"}
 	}
-	within := route.Timeout
+	timeout := route.Timeout
 	if text := r.Header.Get(headerDeadline); text != "" {
 		n, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || n < 0 || n > 1<<40 {
-			return &answer{status: 400, why: "deadline is not a number of milliseconds"}
+			return &answer{status: 400, reason: "deadline is not a number of milliseconds"}
 		}
-		within = min(within, time.Duration(n)*time.Millisecond)
+		timeout = min(timeout, time.Duration(n)*time.Millisecond)
 	}
-	patience := within - min(margin, within/8)
-	c := &call{y: y, client: client, clientRequest: r, route: route, tenant: tenant, stopAt: arrived.Add(patience),
-		most: max(1, route.Attempts), steps: make(chan step, 1)}
-	y.mu.Lock()
-	if y.engine == nil || tenant != nil && !y.vouched() || y.inHand.Load() > requestsMost {
-		y.mu.Unlock()
-		return &answer{status: 503, retryAfter: 300, why: "not vouched"}
+	timeLeft := timeout - min(answerMargin, timeout/8)
+	c := &call{proxy: proxy, client: client, clientRequest: r, route: route, tenant: tenant,
+		deadline:    arrived.Add(timeLeft),
+		maxAttempts: max(1, route.Attempts), steps: make(chan step, 1)}
+	proxy.mu.Lock()
+	if proxy.engine == nil || tenant != nil && !proxy.keysTrusted() || proxy.inFlight.Load() > maxInFlight {
+		proxy.mu.Unlock()
+		return &answer{status: 503, retryAfterMs: 300, reason: "not vouched"}
 	}
-	c.e = y.engine
-	c.service = share(route, rand.Float64())
-	c.e.names++
-	c.id = strconv.Itoa(c.e.names) + "/" + id
-	b := y.budget[c.service]
-	if b == nil {
-		b = &allowance.Tries{}
-		if y.set.Bootstrap {
-			b = y.rules.First(y.limiters)
+	c.assignedEngine = proxy.engine
+	c.service = pickService(route, rand.Float64())
+	c.assignedEngine.requestCount++
+	c.id = strconv.Itoa(c.assignedEngine.requestCount) + "/" + id
+	retryBudget := proxy.retryBudgets[c.service]
+	if retryBudget == nil {
+		retryBudget = &allowance.Tries{}
+		if proxy.settings.Bootstrap {
+			retryBudget = proxy.rules.First(proxy.limiterCount)
 		}
-		y.budget[c.service] = b
+		proxy.retryBudgets[c.service] = retryBudget
 	}
-	b.Earn(y.rules, y.limiters)
-	gathered, keeps := false, false
+	retryBudget.Earn(proxy.rules, proxy.limiterCount)
+	gathered, isKeeper := false, false
 	if tenant != nil {
-		c.bound = c.e.holding.Ceilings[account(tenant.Name)].Rate > 0
-		gathered, keeps = c.e.holding.Keeps(account(tenant.Name))
+		c.needsShare = c.assignedEngine.quota.Ceilings[accountID(tenant.Name)].Rate > 0
+		gathered, isKeeper = c.assignedEngine.quota.Keeps(accountID(tenant.Name))
 	}
-	if gathered && !keeps {
-		y.mu.Unlock()
-		ok, wait, why := y.token(c)
+	if gathered && !isKeeper {
+		proxy.mu.Unlock()
+		ok, waitMs, reason := proxy.requestToken(c)
 		if !ok {
-			return &answer{status: 429, retryAfter: wait, why: why}
+			return &answer{status: 429, retryAfterMs: waitMs, reason: reason}
 		}
-		y.mu.Lock()
+		proxy.mu.Lock()
 	}
 	if c.clientLeft() {
-		y.mu.Unlock()
-		return unheard()
+		proxy.mu.Unlock()
+		return clientLeftAnswer()
 	}
-	return c.submit(patience, gathered && !keeps, keeps)
+	return c.submit(timeLeft, gathered && !isKeeper, isKeeper)
 }
 
-// submit has the decisions decide on a call, and gives it its answer. The mutex is held at
-// first. paid tells that a keeper has taken the token. keeps tells that this limiter is a keeper
-// of the tenant itself: where its part is short another may have a token.
-func (c *call) submit(patience time.Duration, paid, keeps bool) *answer {
-	y, route, tenant := c.y, c.route, c.tenant
-	c.e.calls[c.id] = c
-	ev := limiter.Submit{ID: c.id, ExpiresMs: stretch * ms(patience), Units: 1, Class: c.e.classes[route.Name], Spread: c.e.size,
-		Pool: c.e.poolOf(c.service, route, tenant)}
+// submit lets the engine decide on the call and returns the call's answer. The mutex is held on entry and is
+// released. prepaid says that a keeper has granted the token. isKeeper says that this limiter is itself a keeper
+// of the tenant: when its part is used up, another limiter may still have a token.
+func (c *call) submit(timeLeft time.Duration, prepaid, isKeeper bool) *answer {
+	proxy, route, tenant := c.proxy, c.route, c.tenant
+	c.assignedEngine.calls[c.id] = c
+	ev := limiter.Submit{ID: c.id, ExpiresMs: deadlineStretch * ms(timeLeft), Units: 1,
+		Class: c.assignedEngine.classIndex[route.Name], Spread: c.assignedEngine.slotCount,
+		Pool: c.assignedEngine.poolID(c.service, route, tenant)}
 	if tenant != nil {
-		ev.Plan, ev.Customer = c.e.plans[tenant.Name], account(tenant.Name)
+		ev.Plan, ev.Customer = c.assignedEngine.planIndex[tenant.Name], accountID(tenant.Name)
 	}
-	if paid {
-		ev.Leased, c.bound = 1, false
+	if prepaid {
+		ev.Leased, c.needsShare = 1, false
 	}
-	c.e.partsDue()
-	c.e.handle(ev)
-	y.mu.Unlock()
+	c.assignedEngine.applyDueParts()
+	c.assignedEngine.handle(ev)
+	proxy.mu.Unlock()
 	a := c.run()
-	if a.status == 429 && (keeps || tenant != nil && !paid && a.short) {
-		if ok, wait := y.shortOf(c); ok {
-			ev.Leased, c.bound = 1, false
-			c.e.dispatch(ev)
+	if a.status == 429 && (isKeeper || tenant != nil && !prepaid && a.shareShort) {
+		if ok, wait := proxy.requestTokenThrottled(c); ok {
+			ev.Leased, c.needsShare = 1, false
+			c.assignedEngine.lockAndHandle(ev)
 			a = c.run()
 		} else if wait > 0 {
-			a.retryAfter = wait
+			a.retryAfterMs = wait
 		}
 	}
-	y.mu.Lock()
-	c.over = true
-	delete(c.e.calls, c.id)
-	y.mu.Unlock()
+	proxy.mu.Lock()
+	c.finished = true
+	delete(c.assignedEngine.calls, c.id)
+	proxy.mu.Unlock()
 	return a
 }
 
-// count notes how a request ended.
-func (y *Proxy) count(a *answer) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.ended[ending{a.status, strings.ReplaceAll(a.why, " ", "_")}]++
+// countAnswer counts how a request ended.
+func (proxy *Proxy) countAnswer(a *answer) {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	proxy.answerCounts[ending{a.status, strings.ReplaceAll(a.reason, " ", "_")}]++
 }
 
-// share draws a service of a route by their weights.
-func share(r *configuration.Route, x float64) string {
+// pickService picks one of a route's services by weight; x is a random number in [0, 1).
+func pickService(r *configuration.Route, x float64) string {
 	if len(r.To) == 1 {
 		return r.To[0].Service
 	}
@@ -195,88 +197,90 @@
 	return r.To[len(r.To)-1].Service
 }
 
-// run carries out the steps of a call until it has its answer.
+// run executes the steps of a call until it has an answer.
 func (c *call) run() *answer {
 	for {
 		s := <-c.steps
 		switch {
-		case s.refuse != nil:
-			return c.refused(s.refuse)
-		case s.fail:
-			return c.failed()
+		case s.refusal != nil:
+			return c.refusalAnswer(s.refusal)
+		case s.failed:
+			return c.failureAnswer()
 		}
-		rep := c.y.try(c, s.upstream)
-		if rep.abandoned {
-			c.withdraw(s, rep.spentMs)
-			return unheard()
+		outcome := c.proxy.attempt(c, s.upstream)
+		if outcome.abandoned {
+			c.abandon(s, outcome.spentMs)
+			return clientLeftAnswer()
 		}
-		done := rep.result == limiter.Pass
-		if rep.answer != nil && !done {
-			c.last = rep.answer
+		final := outcome.result == limiter.Pass
+		if outcome.answer != nil && !final {
+			c.serverAnswer = outcome.answer
 		}
-		if !unrun(rep.result) {
-			c.ran = true
+		if !notExecuted(outcome.result) {
+			c.mayHaveRun = true
 		}
-		if !c.ran {
-			c.handOff.takeBack()
+		if !c.mayHaveRun {
+			c.handOff.markNotExecuted()
 		}
-		if failure(rep.result) {
-			c.saw(s.server)
+		if serverFailure(outcome.result) {
+			c.reportFailure(s.serverID)
 		}
-		// What a client's connection has given once can't be had again.
-		done = done || c.clientLeft() || c.lapsed || !time.Now().Before(c.stopAt) || c.rest != nil && c.rest.begun
-		c.y.mu.Lock()
-		c.e.ends(s.upstream, s.server, rep.result, rep.spentMs)
-		c.e.handle(limiter.Outcome{ID: c.id, Try: s.try, Server: s.server, Result: rep.result, SpentMs: rep.spentMs, Done: done,
+		// Body bytes already read from the client's connection cannot be read again for another attempt.
+		final = final || c.clientLeft() || c.leaseLapsed || !time.Now().Before(c.deadline) || c.rest != nil &&
+			c.rest.started
+		c.proxy.mu.Lock()
+		c.assignedEngine.attemptEnded(s.upstream, s.serverID, outcome.result, outcome.spentMs)
+		c.assignedEngine.handle(limiter.Outcome{ID: c.id, Try: s.attempt, Server: s.serverID, Result: outcome.result,
+			SpentMs: outcome.spentMs, Done: final,
 			Load: limiter.Load{Busy: -1, Pending: -1, ServiceMs: -1}})
-		c.y.mu.Unlock()
-		if rep.result == limiter.Pass {
-			return rep.answer
+		c.proxy.mu.Unlock()
+		if outcome.result == limiter.Pass {
+			return outcome.answer
 		}
-		if done {
-			return c.failed()
+		if final {
+			return c.failureAnswer()
 		}
 	}
 }
 
-// withdraw ends a call whose client has left before the attempt of a step was over. Nothing is learnt of
-// the server.
-func (c *call) withdraw(s step, spentMs float64) {
-	c.y.mu.Lock()
-	defer c.y.mu.Unlock()
-	c.e.ends(s.upstream, s.server, limiter.Undone, spentMs)
-	c.e.handle(limiter.Aborted{ID: c.id})
+// abandon ends a call whose client disconnected before the attempt was over. The outcome says nothing about the
+// server.
+func (c *call) abandon(s step, spentMs float64) {
+	c.proxy.mu.Lock()
+	defer c.proxy.mu.Unlock()
+	c.assignedEngine.attemptEnded(s.upstream, s.serverID, limiter.Undone, spentMs)
+	c.assignedEngine.handle(limiter.Aborted{ID: c.id})
 }
 
-// unrun tells that a result proves that nothing ran.
-func unrun(r limiter.Result) bool {
+// notExecuted reports whether a result proves that the server did not execute the request.
+func notExecuted(r limiter.Result) bool {
 	return r == limiter.NoRoom || r == limiter.NoRoute || r == limiter.StaleSend
 }
 
-// failure tells that a result speaks against its server.
-func failure(r limiter.Result) bool {
+// serverFailure reports whether a result counts as a failure of the server.
+func serverFailure(r limiter.Result) bool {
 	return r == limiter.Fault || r == limiter.Cut || r == limiter.TooSlow
 }
 
-// failed is the answer of a request that servers did not serve.
-func (c *call) failed() *answer {
+// failureAnswer returns the answer to a request that no server served successfully.
+func (c *call) failureAnswer() *answer {
 	switch {
-	case c.rest != nil && c.rest.long:
-		return &answer{status: 413, why: errBodyTooLong.Error()}
-	case c.last != nil:
-		return c.last
-	case !c.ran:
-		return &answer{status: 503, retryAfter: advice, why: "unrun"}
-	case !time.Now().Before(c.stopAt):
-		return &answer{status: 504, why: "deadline"}
+	case c.rest != nil && c.rest.tooLong:
+		return &answer{status: 413, reason: errBodyTooLong.Error()}
+	case c.serverAnswer != nil:
+		return c.serverAnswer
+	case !c.mayHaveRun:
+		return &answer{status: 503, retryAfterMs: defaultRetryAfterMs, reason: "unrun"}
+	case !time.Now().Before(c.deadline):
+		return &answer{status: 504, reason: "deadline"}
 	}
-	return &answer{status: 502, why: "broken"}
+	return &answer{status: 502, reason: "broken"}
 }
 
-// refused is the answer of a request that the decisions turn away.
-func (c *call) refused(r *limiter.Refuse) *answer {
-	if c.ran || c.last != nil {
-		return c.failed()
+// refusalAnswer returns the answer to a request that the engine refused.
+func (c *call) refusalAnswer(r *limiter.Refuse) *answer {
+	if c.mayHaveRun || c.serverAnswer != nil {
+		return c.failureAnswer()
 	}
 	status := 503
 	switch r.Why {
@@ -285,7 +289,8 @@
 	}
 	wait := r.WaitMs
 	if wait <= 0 {
-		wait = advice
+		wait = defaultRetryAfterMs
 	}
-	return &answer{status: status, retryAfter: wait, why: r.Why.String(), short: r.Why == limiter.CeilingShort}
+	return &answer{status: status, retryAfterMs: wait, reason: r.Why.String(),
+		shareShort: r.Why == limiter.CeilingShort}
 }
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -8,161 +8,162 @@
 )
 
 const (
-	headerAttempt    = "X-Madderdrum-Attempt-Id"
-	headerDeadline   = "X-Madderdrum-Deadline-Ms"
-	headerCredential = "X-Madderdrum-Credential"
-	headerTenant     = "X-Madderdrum-Tenant"
-	headerTarget     = "X-Madderdrum-Target-Instance"
-	headerSeal       = "X-Madderdrum-Server-Seal"
-	headerUnrun      = "X-Madderdrum-Not-Executed"
+	headerAttempt     = "X-Madderdrum-Attempt-Id"
+	headerDeadline    = "X-Madderdrum-Deadline-Ms"
+	headerCredential  = "X-Madderdrum-Credential"
+	headerTenant      = "X-Madderdrum-Tenant"
+	headerTarget      = "X-Madderdrum-Target-Instance"
+	headerSeal        = "X-Madderdrum-Server-Seal"
+	headerNotExecuted = "X-Madderdrum-Not-Executed"
 
-	pipelineMost = 8 // requests of one connection in hand
-	headMost     = 64 << 10
-	bodyMost     = 64 << 20 // where the configuration names no limit
-	headWithin   = 5 * time.Second
-	idleWithin   = 60 * time.Second
-	bodyWithin   = 20 * time.Second
-	writeWithin  = 10 * time.Second
-	hangUpWithin = time.Second
+	maxPipelined  = 8 // requests in flight on one connection
+	maxHeadBytes  = 64 << 10
+	maxBodyBytes  = 64 << 20 // if the configuration has no limit
+	headTimeout   = 5 * time.Second
+	idleTimeout   = 60 * time.Second
+	bodyTimeout   = 20 * time.Second
+	writeTimeout  = 10 * time.Second
+	lingerTimeout = time.Second
 
-	leavingRetryAfter = 10.0 // ms: other limiters can have the request at once
+	leavingRetryAfterMs = 10.0 // short: other limiters can take the request at once
 )
 
-// answer is a final answer.
+// answer is the final answer to a client's request.
 type answer struct {
-	status     int
-	retryAfter float64 // ms
-	head       http.Header
-	body       []byte
-	stream     *answerStream // the rest of a long body
-	why        string
-	short      bool // only this limiter's part of a ceiling is
+	status       int
+	retryAfterMs float64 // 0: no Retry-After header
+	head         http.Header
+	body         []byte
+	stream       *answerStream // remainder of a long body; nil: body is complete
+	reason       string
+	shareShort   bool // the tenant is within its ceiling, but this limiter's part of it is used up
 }
 
-// serveConnection serves one connection: requests are read as they come and answered in their order. What
-// is in hand when the client leaves ends with it, but for what can't be repeated and is at a server.
-func (y *Proxy) serveConnection(c net.Conn) {
-	l := newPipeline(c)
-	y.clients.add(l)
-	defer y.clients.remove(l)
-	if y.intakeIsOver() { // it was stopped before this connection was known
-		l.stopIntake()
-	}
-	defer l.client.end()
+// serveConnection serves one client connection. It reads requests as they arrive and answers them in order. When
+// the client disconnects, its requests in flight are abandoned, except those that are not repeatable and have
+// already reached a server.
+func (proxy *Proxy) serveConnection(c net.Conn) {
+	pipe := newPipeline(c)
+	proxy.clients.add(pipe)
+	defer proxy.clients.remove(pipe)
+	if proxy.intakeEnded() { // intake ended before the connection was registered
+		pipe.stopIntake()
+	}
+	defer pipe.client.end()
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		y.writeAnswers(c, l)
-		l.answered()
+		proxy.writeAnswers(c, pipe)
+		pipe.markAllWritten()
 	}()
-	end := y.readRequests(l)
-	close(l.slots)
-	if end == readsNoMore {
-		end = l.watch()
+	end := proxy.readRequests(pipe)
+	close(pipe.queue)
+	if end == readingStopped {
+		end = pipe.watchClient()
 	}
 	if end == clientGone {
-		y.countDisconnect(l.inHand())
-		l.client.mark()
+		proxy.countDisconnect(pipe.inFlight())
+		pipe.client.markLeft()
 		c.Close()
 	}
 	<-written
-	if l.unread || l.hungUp() {
+	if pipe.unreadInput || pipe.isClosing() {
 		linger(c)
 	}
 	c.Close()
 }
 
-// warn logs bad input at a bounded rate.
-func (y *Proxy) warn(text, id, why string) {
-	y.mu.Lock()
-	due := time.Since(y.logged) > time.Second
+// warnLimited logs a warning about bad input, at most one per second.
+func (proxy *Proxy) warnLimited(text, id, reason string) {
+	proxy.mu.Lock()
+	due := time.Since(proxy.lastWarning) > time.Second
 	if due {
-		y.logged = time.Now()
+		proxy.lastWarning = time.Now()
 	}
-	y.mu.Unlock()
+	proxy.mu.Unlock()
 	if due {
-		y.log.WithField("id", id).WithField("why", why).Warn(text)
+		proxy.log.WithField("id", id).WithField("why", reason).Warn(text)
 	}
 }
 
-// writeAnswers answers the requests of a connection in their order.
-func (y *Proxy) writeAnswers(c net.Conn, l *pipeline) {
-	over := false
-	for s := range l.slots {
-		a := y.awaitAnswer(s)
-		if after, left := l.client.since(); left {
-			y.countRanOn(after)
-			over = true
+// writeAnswers writes the answers of a connection in the order of its requests.
+func (proxy *Proxy) writeAnswers(c net.Conn, pipe *pipeline) {
+	stopped := false
+	for req := range pipe.queue {
+		a := proxy.awaitAnswer(req)
+		if ago, left := pipe.client.sinceLeft(); left {
+			proxy.countOverrun(ago)
+			stopped = true
 		}
-		end := l.last(s, y.leaving.Load())
+		last := pipe.startAnswer(req, proxy.leaving.Load())
 		switch {
-		case over && a.stream != nil:
-			a.stream.drop()
-		case over:
-		case !y.write(c, s, a, end):
-			over = true
+		case stopped && a.stream != nil:
+			a.stream.abort()
+		case stopped:
+		case !proxy.writeAnswer(c, req, a, last):
+			stopped = true
 			c.Close()
-		case end:
-			over = true
-			hangUp(c)
+		case last:
+			stopped = true
+			closeWrite(c)
 		}
-		y.inHand.Add(-1)
-		l.freePlace()
+		proxy.inFlight.Add(-1)
+		pipe.releasePermit()
 	}
 }
 
-// awaitAnswer waits for a request's answer. At the end of the process it is one that tells so.
-func (y *Proxy) awaitAnswer(s *slot) *answer {
+// awaitAnswer waits for the answer to a request. If the process exits first, it returns an answer that says so.
+func (proxy *Proxy) awaitAnswer(req *pendingRequest) *answer {
 	select {
-	case a := <-s.done:
+	case a := <-req.done:
 		return a
-	case <-y.exiting:
+	case <-proxy.exiting:
 	}
 	select {
-	case a := <-s.done:
+	case a := <-req.done:
 		return a
 	default:
 	}
-	if s.handOff == nil {
-		return <-s.done // it was answered at once
+	if req.handOff == nil {
+		return <-req.done // rejected without being served: its answer is already there
 	}
-	a := s.handOff.answerAtExit()
-	y.countCutOff(a)
+	a := req.handOff.answerAtExit()
+	proxy.countCutOff(a)
 	return a
 }
 
-// hangUp tells a client that nothing more comes. What it sends behind that is taken in for a while: closing
-// with bytes unread would take the answer with it.
-func hangUp(c net.Conn) {
+// closeWrite closes the sending side of the connection. The caller then reads for a while what the client still
+// sends: closing with unread bytes would reset the connection and lose the last answer.
+func closeWrite(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.CloseWrite()
 	}
 }
 
-// write writes one answer and tells that the connection can go on.
-func (y *Proxy) write(c net.Conn, s *slot, a *answer, end bool) bool {
+// writeAnswer writes one answer and reports whether the connection can still be used.
+func (proxy *Proxy) writeAnswer(c net.Conn, req *pendingRequest, a *answer, closing bool) bool {
 	out := make([]byte, 0, 512+min(len(a.body), 64<<10))
 	out = append(out, "HTTP/1.1 "...)
 	out = strconv.AppendInt(out, int64(a.status), 10)
 	out = append(out, ' ')
 	out = append(out, http.StatusText(a.status)...)
 	out = append(out, "\r\n"...)
-	if s.id != "" && a.head == nil {
-		out = appendHeader(out, headerAttempt, s.id)
+	if req.id != "" && a.head == nil {
+		out = appendHeader(out, headerAttempt, req.id)
 	}
 	for k, vs := range a.head {
 		for _, v := range vs {
 			out = appendHeader(out, k, v)
 		}
 	}
-	if a.retryAfter > 0 {
-		out = appendHeader(out, "Retry-After", strconv.FormatFloat(a.retryAfter/1000, 'f', 3, 64))
+	if a.retryAfterMs > 0 {
+		out = appendHeader(out, "Retry-After", strconv.FormatFloat(a.retryAfterMs/1000, 'f', 3, 64))
 	}
-	if end {
+	if closing {
 		out = appendHeader(out, "Connection", "close")
 	}
-	if a.head == nil && a.body == nil && a.why != "" {
-		a.body = []byte(a.why + "\n")
+	if a.head == nil && a.body == nil && a.reason != "" {
+		a.body = []byte(a.reason + "\n")
 		out = appendHeader(out, "Content-Type", "text/plain; charset=utf-8")
 	}
 	length := int64(len(a.body))
@@ -171,13 +172,13 @@
 	}
 	out = appendHeader(out, "Content-Length", strconv.FormatInt(length, 10))
 	out = append(append(out, "\r\n"...), a.body...)
-	c.SetWriteDeadline(time.Now().Add(writeWithin))
-	err := y.link.write(c, out)
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
+	err := proxy.link.writeAnswer(c, out)
 	if a.stream != nil {
 		if err != nil {
-			a.stream.drop()
-		} else if err = a.stream.copy(c); err != nil {
-			c.Close() // before the end that was announced
+			a.stream.abort()
+		} else if err = a.stream.copyTo(c); err != nil {
+			c.Close() // the client sees fewer bytes than Content-Length announced
 		}
 	}
 	return err == nil
--- a/internal/proxy/connections.go
+++ b/internal/proxy/connections.go
@@ -2,39 +2,39 @@
 
 import "sync"
 
-// connections are the open connections of clients. The zero value is ready for use.
+// connections is the set of open client connections. Its zero value is empty and ready to use.
 type connections struct {
 	mu   sync.Mutex
 	open map[*pipeline]struct{}
 }
 
-func (s *connections) add(l *pipeline) {
+func (s *connections) add(pipe *pipeline) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.open == nil {
 		s.open = map[*pipeline]struct{}{}
 	}
-	s.open[l] = struct{}{}
+	s.open[pipe] = struct{}{}
 }
 
-func (s *connections) remove(l *pipeline) {
+func (s *connections) remove(pipe *pipeline) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, l)
+	delete(s.open, pipe)
 }
 
-// count is how many are open.
+// count returns the number of open connections.
 func (s *connections) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.open)
 }
 
-// each calls a function for every open connection.
+// each calls do for every open connection, with the set locked.
 func (s *connections) each(do func(*pipeline)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for l := range s.open {
-		do(l)
+	for pipe := range s.open {
+		do(pipe)
 	}
 }
--- a/internal/proxy/departure.go
+++ b/internal/proxy/departure.go
@@ -12,171 +12,182 @@
 	"example.org/madderdrum/traffic/shutdown"
 )
 
-// departureStep is how often a limiter that leaves looks at how far it has come.
-const departureStep = 20 * time.Millisecond
-
-// cutLinesMost is how many requests that the process's end finds in hand are logged one by one.
-const cutLinesMost = 20
-
-// departureFigures tell what a limiter does between SIGTERM and the end of its process.
-type departureFigures struct {
-	begun  time.Time     // from when SIGTERM is counted; zero: it has not come
-	taken  int           // requests that were read since
-	onKept int           // those of them on connections that were open at SIGTERM
-	latest time.Duration // how long after SIGTERM the latest one had been read
-	told   time.Time     // when what was in hand at the end was answered; zero: it has not been
-	late   time.Duration // how long before it was heard SIGTERM may have been sent
-	// What was in hand at the end, and answered as it stood.
-	unrun, unknown int // no server had it; one may have run it
+// shutdownPollInterval is how often a limiter that is shutting down checks its progress.
+const shutdownPollInterval = 20 * time.Millisecond
+
+// maxCutOffLogLines bounds how many of the requests still unanswered at exit are logged individually.
+const maxCutOffLogLines = 20
+
+// shutdownStats describes what happens between SIGTERM and the end of the process.
+type shutdownStats struct {
+	sigtermAt          time.Time     // when SIGTERM was sent, as far as known; zero: no SIGTERM yet
+	accepted           int           // requests read since sigtermAt
+	acceptedOnOldConns int           // of these, requests on connections opened before sigtermAt
+	lastAcceptedAfter  time.Duration // time from sigtermAt until the latest of them had been read
+	answeredAt         time.Time     // when the remaining requests were answered at exit; zero: not yet
+	signalDelay        time.Duration // time by which SIGTERM may have been sent before it was received
+	// Requests that were still unanswered at exit.
+	cutNotExecuted, cutUnknown int // not sent to any server; possibly executed by one
 }
 
-// line tells the figures to an operator who asks how the limiter stands.
-func (f *departureFigures) line(connections int) string {
-	if f.begun.IsZero() {
+// statusLine returns the statistics as a line of key=value pairs for the status call.
+func (stats *shutdownStats) statusLine(connections int) string {
+	if stats.sigtermAt.IsZero() {
 		return fmt.Sprintf("clients connections=%d", connections)
 	}
 	return fmt.Sprintf("clients connections=%d leaving_for=%s heard_late_ms=%d taken_since=%d on_kept=%d latest_ms=%d cut_unrun=%d cut_unknown=%d",
-		connections, time.Since(f.begun).Round(time.Millisecond), f.late.Milliseconds(), f.taken, f.onKept, f.latest.Milliseconds(), f.unrun, f.unknown)
+		connections, time.Since(stats.sigtermAt).Round(time.Millisecond), stats.signalDelay.Milliseconds(),
+		stats.accepted, stats.acceptedOnOldConns, stats.lastAcceptedAfter.Milliseconds(), stats.cutNotExecuted,
+		stats.cutUnknown)
 }
 
-func (f *departureFigures) figures() []metrics.Figure {
+func (stats *shutdownStats) metricValues() []metrics.Figure {
 	return []metrics.Figure{
-		metrics.One("madderdrum_proxy_requests_taken_while_leaving_total", "Requests that were read after SIGTERM.", metrics.Counter, float64(f.taken)),
-		metrics.One("madderdrum_proxy_latest_taken_while_leaving_seconds", "How long after SIGTERM the latest of them had been read.", metrics.Gauge, f.latest.Seconds()),
-		metrics.One("madderdrum_proxy_requests_cut_at_exit_total", "Requests that the end of the process found in hand and answered as they stood.", metrics.Counter, float64(f.unrun+f.unknown)),
+		metrics.One("madderdrum_proxy_requests_taken_while_leaving_total", "Requests that were read after SIGTERM.",
+			metrics.Counter, float64(stats.accepted)),
+		metrics.One("madderdrum_proxy_latest_taken_while_leaving_seconds",
+			"How long after SIGTERM the latest of them had been read.", metrics.Gauge,
+			stats.lastAcceptedAfter.Seconds()),
+		metrics.One("madderdrum_proxy_requests_cut_at_exit_total",
+			"Requests that the end of the process found in hand and answered as they stood.", metrics.Counter,
+			float64(stats.cutNotExecuted+stats.cutUnknown)),
 	}
 }
 
-// leave ends in order, as package shutdown decides: the limiter is out of the directory and not ready at
-// once; after a while it takes no further request, and what it has taken is answered; then its place is
-// given back.
-func (y *Proxy) leave(front net.Listener) {
-	heard := time.Now()
-	begun := y.stalls.sentFrom(heard)
-	plan := shutdown.NewPlan(y.set.Bounds.Grace, ttl)
-	y.noteSIGTERM(begun, heard)
-	y.intakeEnds.Store(int64(begun.Add(plan.IntakeEnd()).Sub(y.begun)))
-	y.leaving.Store(true)
-	y.stopLending()
-	y.poke()
-	y.log.WithFields(logrus.Fields{"connections": y.clients.count(), "heard_late_ms": heard.Sub(begun).Milliseconds()}).Info("leaves")
+// shutDown runs the shutdown that package shutdown plans. The limiter leaves the directory and stops being ready
+// at once. After a while it stops accepting requests, answers those it has accepted, and returns its place.
+func (proxy *Proxy) shutDown(frontend net.Listener) {
+	receivedAt := time.Now()
+	base := proxy.stalls.earliestSent(receivedAt) // the grace period starts when SIGTERM was sent
+	plan := shutdown.NewPlan(proxy.settings.Bounds.Grace, directoryTTL)
+	proxy.noteSIGTERM(base, receivedAt)
+	proxy.intakeEndsAt.Store(int64(base.Add(plan.IntakeEnd()).Sub(proxy.base)))
+	proxy.leaving.Store(true)
+	proxy.stopLending()
+	proxy.wakePull()
+	proxy.log.WithFields(logrus.Fields{"connections": proxy.clients.count(),
+		"heard_late_ms": receivedAt.Sub(base).Milliseconds()}).Info("leaves")
 	intakeStopped := false
-	for at := y.progress(begun); !plan.MayExit(at); at = y.progress(begun) {
-		if !plan.TakesRequests(at) && !intakeStopped {
+	for progress := proxy.shutdownProgress(base); !plan.MayExit(progress); progress = proxy.shutdownProgress(base) {
+		if !plan.TakesRequests(progress) && !intakeStopped {
 			intakeStopped = true
-			front.Close()
-			y.stopIntake()
+			frontend.Close()
+			proxy.stopIntake()
 		}
-		if plan.MustAnswer(at) {
-			y.answerAtExit()
+		if plan.MustAnswer(progress) {
+			proxy.answerAllAtExit()
 		}
-		if plan.Drained(at) {
-			y.giveBack()
+		if plan.Drained(progress) {
+			proxy.returnPlace()
 		}
-		time.Sleep(plan.LookAgain(at, departureStep))
+		time.Sleep(plan.LookAgain(progress, shutdownPollInterval))
 	}
-	y.logEnd()
+	proxy.logExit()
 }
 
-// progress is how far the shutdown that began then has come.
-func (y *Proxy) progress(begun time.Time) shutdown.Progress {
-	y.mu.Lock()
-	told := y.departure.told
-	y.mu.Unlock()
-	return shutdown.Progress{Since: time.Since(begun), Requests: int(y.inHand.Load()), Connections: y.clients.count(), PlaceReturned: y.placeReturned(),
-		Answered: !told.IsZero(), AnsweredFor: time.Since(told)}
+// shutdownProgress returns the progress of a shutdown that started at sigtermAt.
+func (proxy *Proxy) shutdownProgress(sigtermAt time.Time) shutdown.Progress {
+	proxy.mu.Lock()
+	answeredAt := proxy.departure.answeredAt
+	proxy.mu.Unlock()
+	return shutdown.Progress{Since: time.Since(sigtermAt), Requests: int(proxy.inFlight.Load()),
+		Connections: proxy.clients.count(), PlaceReturned: proxy.placeReturned(),
+		Answered: !answeredAt.IsZero(), AnsweredFor: time.Since(answeredAt)}
 }
 
-// stopIntake has no further request read. Connections on which nothing is in hand are closed, the others
-// behind their last answer.
-func (y *Proxy) stopIntake() {
-	connections, inHand := y.clients.count(), y.inHand.Load()
-	y.clients.each((*pipeline).stopIntake)
-	y.log.WithFields(logrus.Fields{"connections": connections, "in_hand": inHand}).Info("takes no further requests")
+// stopIntake stops reading further requests. Connections without a request in flight are closed at once, the
+// others after their last answer.
+func (proxy *Proxy) stopIntake() {
+	connections, inFlight := proxy.clients.count(), proxy.inFlight.Load()
+	proxy.clients.each((*pipeline).stopIntake)
+	proxy.log.WithFields(logrus.Fields{"connections": connections,
+		"in_hand": inFlight}).Info("takes no further requests")
 }
 
-// intakeIsOver tells that no further request is taken. It goes by the time, and not by what the loop of leave has
-// come to: a process that stands still across the end of its intake may read requests before that loop runs again.
-func (y *Proxy) intakeIsOver() bool {
-	ends := y.intakeEnds.Load()
-	return ends != 0 && int64(time.Since(y.begun)) >= ends
+// intakeEnded reports whether further requests are refused. It compares times instead of relying on the loop in
+// shutDown: a process that was stopped across the end of its intake may read requests before that loop runs again.
+func (proxy *Proxy) intakeEnded() bool {
+	ends := proxy.intakeEndsAt.Load()
+	return ends != 0 && int64(time.Since(proxy.base)) >= ends
 }
 
-// answerAtExit has whatever is in hand answered as it stands, shortly before the process ends. The answers go before
-// the log, as its lines may have to wait.
-func (y *Proxy) answerAtExit() {
-	y.mu.Lock()
-	again := !y.departure.told.IsZero()
-	if !again {
-		y.departure.told = time.Now()
+// answerAllAtExit gives every unanswered request its final answer shortly before the process ends. The answers are
+// written before the log lines, because logging may block.
+func (proxy *Proxy) answerAllAtExit() {
+	proxy.mu.Lock()
+	alreadyAnswered := !proxy.departure.answeredAt.IsZero()
+	if !alreadyAnswered {
+		proxy.departure.answeredAt = time.Now()
 	}
-	y.mu.Unlock()
-	if again {
+	proxy.mu.Unlock()
+	if alreadyAnswered {
 		return
 	}
-	lines := y.unanswered()
-	close(y.exiting)
+	lines := proxy.unanswered()
+	close(proxy.exiting)
 	for _, fields := range lines {
-		y.log.WithFields(fields).Warn("request is cut off by the end of the process")
+		proxy.log.WithFields(fields).Warn("request is cut off by the end of the process")
 	}
 }
 
-// countCutOff counts a request that was answered as it stood.
-func (y *Proxy) countCutOff(a *answer) {
-	y.mu.Lock()
+// countCutOff counts a request that was still unanswered at exit.
+func (proxy *Proxy) countCutOff(a *answer) {
+	proxy.mu.Lock()
 	if a.status == http.StatusServiceUnavailable {
-		y.departure.unrun++
+		proxy.departure.cutNotExecuted++
 	} else {
-		y.departure.unknown++
+		proxy.departure.cutUnknown++
 	}
-	y.mu.Unlock()
-	y.count(a)
+	proxy.mu.Unlock()
+	proxy.countAnswer(a)
 }
 
-// noteSIGTERM notes from when SIGTERM is counted, and when it was heard.
-func (y *Proxy) noteSIGTERM(begun, heard time.Time) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.departure.begun, y.departure.late = begun, heard.Sub(begun)
+// noteSIGTERM records when SIGTERM was sent, as far as known, and when it was received.
+func (proxy *Proxy) noteSIGTERM(sigtermAt, receivedAt time.Time) {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	proxy.departure.sigtermAt, proxy.departure.signalDelay = sigtermAt, receivedAt.Sub(sigtermAt)
 }
 
-// countTaken counts a request that was taken in after SIGTERM.
-func (y *Proxy) countTaken(l *pipeline, s *slot) {
-	if !y.leaving.Load() {
+// countAccepted counts a request that was accepted after SIGTERM.
+func (proxy *Proxy) countAccepted(pipe *pipeline, req *pendingRequest) {
+	if !proxy.leaving.Load() {
 		return
 	}
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	f := &y.departure
-	f.taken++
-	if l.opened.Before(f.begun) {
-		f.onKept++
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	stats := &proxy.departure
+	stats.accepted++
+	if pipe.openedAt.Before(stats.sigtermAt) {
+		stats.acceptedOnOldConns++
 	}
-	f.latest = max(f.latest, s.read.Sub(f.begun))
+	stats.lastAcceptedAfter = max(stats.lastAcceptedAfter, req.readAt.Sub(stats.sigtermAt))
 }
 
-// unanswered tells of the requests in hand that are not answered yet, of cutLinesMost at most.
-func (y *Proxy) unanswered() (lines []logrus.Fields) {
-	y.mu.Lock()
-	begun := y.departure.begun
-	y.mu.Unlock()
-	y.clients.each(func(l *pipeline) {
-		for _, s := range l.unanswered() {
-			if s.handOff == nil || len(lines) == cutLinesMost {
+// unanswered returns log fields for the requests without an answer, at most maxCutOffLogLines of them.
+func (proxy *Proxy) unanswered() (lines []logrus.Fields) {
+	proxy.mu.Lock()
+	sigtermAt := proxy.departure.sigtermAt
+	proxy.mu.Unlock()
+	proxy.clients.each(func(pipe *pipeline) {
+		for _, req := range pipe.unanswered() {
+			if req.handOff == nil || len(lines) == maxCutOffLogLines {
 				continue
 			}
-			lines = append(lines, logrus.Fields{"id": s.id, "read_after_ms": s.read.Sub(begun).Milliseconds(),
-				"age_ms": time.Since(s.read).Milliseconds(), "kept": l.opened.Before(begun)})
+			lines = append(lines, logrus.Fields{"id": req.id, "read_after_ms": req.readAt.Sub(sigtermAt).Milliseconds(),
+				"age_ms": time.Since(req.readAt).Milliseconds(), "kept": pipe.openedAt.Before(sigtermAt)})
 		}
 	})
 	return lines
 }
 
-// logEnd logs what the end of the process finds.
-func (y *Proxy) logEnd() {
-	y.mu.Lock()
-	f := y.departure
-	y.mu.Unlock()
-	y.log.WithFields(logrus.Fields{"in_hand": y.inHand.Load(), "connections": y.clients.count(), "taken": f.taken,
-		"on_kept": f.onKept, "latest_ms": f.latest.Milliseconds(), "cut_unrun": f.unrun, "cut_unknown": f.unknown}).Info("ends")
+// logExit logs the state at the end of the process.
+func (proxy *Proxy) logExit() {
+	proxy.mu.Lock()
+	stats := proxy.departure
+	proxy.mu.Unlock()
+	proxy.log.WithFields(logrus.Fields{"in_hand": proxy.inFlight.Load(), "connections": proxy.clients.count(),
+		"taken":   stats.accepted,
+		"on_kept": stats.acceptedOnOldConns, "latest_ms": stats.lastAcceptedAfter.Milliseconds(),
+		"cut_unrun": stats.cutNotExecuted, "cut_unknown": stats.cutUnknown}).Info("ends")
 }
--- a/internal/proxy/departure_test.go
+++ b/internal/proxy/departure_test.go
@@ -16,56 +16,56 @@
 )
 
 const (
-	// departGrace is between SIGTERM and SIGKILL in these tests.
-	departGrace = 6 * time.Second
-	// promptWithin is how long after SIGTERM clients that send at once expect to be served.
-	promptWithin = 3 * time.Second
-	// departWork is how long a server is at work on a request: longer than the time between the former
-	// last moment at which requests were read and the end of the process.
-	departWork = 1500 * time.Millisecond
-	// renewEvery is how often the limiter hears of its server and has its lease renewed.
-	renewEvery = 300 * time.Millisecond
+	// gracePeriod is the time between SIGTERM and SIGKILL in these tests.
+	gracePeriod = 6 * time.Second
+	// promptWindow is how long after SIGTERM a request may still be accepted.
+	promptWindow = 3 * time.Second
+	// serverWorkTime is how long a server works on a request. It exceeds the time that an earlier version left
+	// between the end of its intake and the end of the process.
+	serverWorkTime = 1500 * time.Millisecond
+	// renewInterval is how often the limiter receives its server's heartbeat and has its lease renewed.
+	renewInterval = 300 * time.Millisecond
 )
 
-// departure is a limiter that gets SIGTERM under clients that go on using their connections. It judges
-// what becomes of their requests.
+// departure is a limiter that receives SIGTERM while clients keep using their connections, and checks what happens
+// to their requests.
 type departure struct {
 	*testProxy
-	front  net.Listener   // of the limiter, for clients
-	server catalog.Record // that all requests go to
+	frontend net.Listener   // accepts client connections
+	server   catalog.Record // receives all requests
 
 	mu       sync.Mutex
 	sigterm  time.Time
-	requests map[string]*departRequest
-	stopped  bool // clients begin nothing more
+	requests map[string]*sentRequest
+	stopped  bool // clients send no further requests
 }
 
-// departRequest is a request of a client.
-type departRequest struct {
+// sentRequest is a request sent by a client.
+type sentRequest struct {
 	sent    time.Time
-	reached time.Time // a server; zero: it has not
-	ended   time.Time // the answer was read, or the connection had ended
+	reached time.Time // when a server received it; zero: none has
+	ended   time.Time // when the answer was read or the connection ended
 	status  int       // 0: no answer
 }
 
 func newDeparture(t *testing.T) *departure {
-	y := newTestProxy(t)
-	y.set.Bounds.Grace = departGrace
-	y.usePatientRoutes()
-	front, err := net.Listen("tcp", "127.0.0.1:0")
+	proxy := newTestProxy(t)
+	proxy.settings.Bounds.Grace = gracePeriod
+	proxy.useLongTimeoutRoutes()
+	frontend, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { front.Close() })
-	go sockets.Accept(context.Background(), front, y.Proxy.serveConnection)
-	d := &departure{testProxy: y, front: front, requests: map[string]*departRequest{}}
-	d.server = catalog.Record{ID: "i-1", Service: "s", Address: listen(t, d.serveAtWork), Zone: "z", Slots: 100}
+	t.Cleanup(func() { frontend.Close() })
+	go sockets.Accept(context.Background(), frontend, proxy.Proxy.serveConnection)
+	d := &departure{testProxy: proxy, frontend: frontend, requests: map[string]*sentRequest{}}
+	d.server = catalog.Record{ID: "i-1", Service: "s", Address: listen(t, d.serveSlowly), Zone: "z", Slots: 100}
 	d.renew()
 	renewed := make(chan struct{})
 	stop := make(chan struct{})
 	go func() {
 		defer close(renewed)
-		d.keepRenewing(stop)
+		d.renewPeriodically(stop)
 	}()
 	t.Cleanup(func() {
 		close(stop)
@@ -74,15 +74,15 @@
 	return d
 }
 
-// renew has the server's beat and the proof of the lease heard, as pulls do.
+// renew delivers the server's heartbeat and a proof that renews the lease, as pulls do.
 func (d *departure) renew() {
 	d.server.Sequence++
-	d.testProxy.book.Beat(d.now(), d.server)
-	d.tell(nil)
+	d.testProxy.records.Beat(d.now(), d.server)
+	d.deliver(nil)
 }
 
-func (d *departure) keepRenewing(stop <-chan struct{}) {
-	tick := time.NewTicker(renewEvery)
+func (d *departure) renewPeriodically(stop <-chan struct{}) {
+	tick := time.NewTicker(renewInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -94,11 +94,11 @@
 	}
 }
 
-// serveAtWork is a server that is at work on each request for a while.
-func (d *departure) serveAtWork(c net.Conn) {
-	eachRequest(c, func(_ *bufio.Reader, r *http.Request, _ []byte) (goesOn bool) {
+// serveSlowly is a server that works on each request for serverWorkTime.
+func (d *departure) serveSlowly(c net.Conn) {
+	serveRequests(c, func(_ *bufio.Reader, r *http.Request, _ []byte) (goesOn bool) {
 		if r.URL.Path == "/health" {
-			io.WriteString(c, healthy(d.server.ID))
+			io.WriteString(c, healthResponse(d.server.ID))
 			return true
 		}
 		id := r.Header.Get(headerAttempt)
@@ -107,28 +107,29 @@
 			sent.reached = time.Now()
 		}
 		d.mu.Unlock()
-		time.Sleep(departWork)
-		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: 1\r\nContent-Length: 2\r\n\r\nok", headerAttempt, id, headerSeal)
+		time.Sleep(serverWorkTime)
+		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: 1\r\nContent-Length: 2\r\n\r\nok", headerAttempt,
+			id, headerSeal)
 		return err == nil
 	})
 }
 
-// send writes a request and notes it. It returns nil when clients begin nothing more.
-func (d *departure) send(c net.Conn, id string) (*departRequest, error) {
+// send writes and records a request. It returns nil once clients send no further requests.
+func (d *departure) send(c net.Conn, id string) (*sentRequest, error) {
 	d.mu.Lock()
 	if d.stopped {
 		d.mu.Unlock()
 		return nil, net.ErrClosed
 	}
-	sent := &departRequest{sent: time.Now()}
+	sent := &sentRequest{sent: time.Now()}
 	d.requests[id] = sent
 	d.mu.Unlock()
-	_, err := io.WriteString(c, patient("GET", "/read/1", id, "", ""))
+	_, err := io.WriteString(c, longTimeoutRequest("GET", "/read/1", id, "", ""))
 	return sent, err
 }
 
-// receive reads the answer to a request, and tells whether the connection goes on behind it.
-func (d *departure) receive(in *bufio.Reader, sent *departRequest) bool {
+// receive reads the answer to a request and reports whether the connection stays open.
+func (d *departure) receive(in *bufio.Reader, sent *sentRequest) bool {
 	r, err := http.ReadResponse(in, nil)
 	if err == nil {
 		_, err = io.Copy(io.Discard, r.Body)
@@ -144,22 +145,22 @@
 }
 
 func (d *departure) dial() (net.Conn, *bufio.Reader, bool) {
-	c, err := net.Dial("tcp", d.front.Addr().String())
+	c, err := net.Dial("tcp", d.frontend.Addr().String())
 	if err != nil {
 		return nil, nil, false
 	}
 	return c, bufio.NewReader(c), true
 }
 
-// kept sends one request after the other on one connection, and opens the next one when it ends.
-func (d *departure) kept(name string, pause time.Duration) {
-	for k := 0; ; k++ {
+// sendSequentially sends one request after another on a connection, and opens a new one when it ends.
+func (d *departure) sendSequentially(name string, pause time.Duration) {
+	for connection := 0; ; connection++ {
 		c, in, ok := d.dial()
 		if !ok {
 			return
 		}
 		for n := 0; ; n++ {
-			sent, err := d.send(c, fmt.Sprintf("%s-%d-%d", name, k, n))
+			sent, err := d.send(c, fmt.Sprintf("%s-%d-%d", name, connection, n))
 			if sent == nil {
 				c.Close()
 				return
@@ -173,56 +174,56 @@
 	}
 }
 
-// pipelined always has some requests on its way on one connection, and opens the next one when it ends.
-func (d *departure) pipelined(name string, atOnce int, gap time.Duration) {
-	for k := 0; ; k++ {
+// sendPipelined keeps several requests in flight on a connection, and opens a new one when it ends.
+func (d *departure) sendPipelined(name string, atOnce int, gap time.Duration) {
+	for connection := 0; ; connection++ {
 		c, in, ok := d.dial()
 		if !ok {
 			return
 		}
-		under := make(chan *departRequest, 1000)
-		places := make(chan struct{}, atOnce)
-		over := make(chan struct{})
+		unanswered := make(chan *sentRequest, 1000)
+		permits := make(chan struct{}, atOnce)
+		closed := make(chan struct{})
 		go func() {
-			defer close(under)
+			defer close(unanswered)
 			for n := 0; ; n++ {
 				select {
-				case places <- struct{}{}:
-				case <-over:
+				case permits <- struct{}{}:
+				case <-closed:
 					return
 				}
-				sent, err := d.send(c, fmt.Sprintf("%s-%d-%d", name, k, n))
+				sent, err := d.send(c, fmt.Sprintf("%s-%d-%d", name, connection, n))
 				if sent == nil {
 					return
 				}
-				under <- sent
+				unanswered <- sent
 				if err != nil {
 					return
 				}
 				time.Sleep(gap)
 			}
 		}()
-		goesOn := true
-		for sent := range under {
-			if goesOn {
-				if goesOn = d.receive(in, sent); !goesOn {
-					close(over)
+		keepOpen := true
+		for sent := range unanswered {
+			if keepOpen {
+				if keepOpen = d.receive(in, sent); !keepOpen {
+					close(closed)
 				}
-				<-places
+				<-permits
 			}
 		}
 		c.Close()
 		d.mu.Lock()
 		stopped := d.stopped
 		d.mu.Unlock()
-		if stopped || goesOn {
+		if stopped || keepOpen {
 			return
 		}
 	}
 }
 
-// quiet opens a connection, and sends its second request so long after SIGTERM.
-func (d *departure) quiet(name string, after time.Duration) {
+// sendLate opens a connection and sends its second request a given time after SIGTERM.
+func (d *departure) sendLate(name string, after time.Duration) {
 	c, in, ok := d.dial()
 	if !ok {
 		return
@@ -238,28 +239,29 @@
 	}
 }
 
-// leaves has the limiter get SIGTERM, and its process end when it is through.
-func (d *departure) leaves() (took time.Duration) {
-	d.leave(d.front)
-	took = time.Since(d.sigterm)
+// terminate runs the limiter's shutdown as on SIGTERM and then closes all connections.
+func (d *departure) terminate() (elapsed time.Duration) {
+	d.shutDown(d.frontend)
+	elapsed = time.Since(d.sigterm)
 	d.mu.Lock()
 	d.stopped = true
 	d.mu.Unlock()
-	d.clients.each(func(l *pipeline) { l.conn.Close() }) // as the end of a process does
-	return took
+	d.clients.each(func(pipe *pipeline) { pipe.conn.Close() }) // as the end of the process would
+	return elapsed
 }
 
-// judge looks at each request: one that has reached a server is answered, unless it was sent early and its
-// server was still at work in the last sixth of the grace period; none that was sent late reaches a server.
-func (d *departure) judge() {
+// check examines each request. A request that reached a server must be answered, unless it was sent early and the
+// server still worked on it in the last sixth of the grace period. A request that was sent late must not reach a
+// server.
+func (d *departure) check() {
 	d.t.Helper()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	reached, answered, lost, late := 0, 0, 0, 0
-	var latest time.Duration
+	var lastAcceptedAfter time.Duration
 	for id, r := range d.requests {
-		if r.status != 0 && r.status != 200 && r.status != 429 && r.status != 503 { // the latter two promise that nothing ran
-			d.t.Errorf("%s got %d", id, r.status)
+		if r.status != 0 && r.status != 200 && r.status != 429 && r.status != 503 { // 429 and 503: not executed
+			d.t.Errorf("%s: status %d", id, r.status)
 		}
 		if r.status != 0 {
 			answered++
@@ -269,43 +271,46 @@
 		}
 		reached++
 		after := r.sent.Sub(d.sigterm)
-		if after > promptWithin {
+		if after > promptWindow {
 			late++
-			latest = max(latest, after)
+			lastAcceptedAfter = max(lastAcceptedAfter, after)
 		}
-		excused := after <= promptWithin && r.ended.Sub(d.sigterm) >= departGrace*5/6
+		excused := after <= promptWindow && r.ended.Sub(d.sigterm) >= gracePeriod*5/6
 		if r.status != 200 && !excused {
 			lost++
 		}
 	}
-	d.t.Logf("%d requests, %d answered, %d at a server", len(d.requests), answered, reached)
+	d.t.Logf("%d requests, %d answered, %d reached a server", len(d.requests), answered, reached)
 	if lost > 0 {
-		d.t.Errorf("%d requests had reached a server and were not answered", lost)
+		d.t.Errorf("%d requests reached a server and were not answered", lost)
 	}
 	if late > 0 {
-		d.t.Errorf("%d requests that were sent over %v after SIGTERM were taken, the latest %v after it", late, promptWithin, latest.Round(time.Millisecond))
+		d.t.Errorf("%d requests sent more than %v after SIGTERM reached a server, the latest %v after it", late,
+			promptWindow, lastAcceptedAfter.Round(time.Millisecond))
 	}
-	if taken := d.departure.latest; taken > promptWithin {
-		d.t.Errorf("a request was taken %v after SIGTERM, %v at most", taken.Round(time.Millisecond), promptWithin)
+	if taken := d.departure.lastAcceptedAfter; taken > promptWindow {
+		d.t.Errorf("a request was accepted %v after SIGTERM, want at most %v", taken.Round(time.Millisecond),
+			promptWindow)
 	}
 	if reached == 0 {
 		d.t.Error("no request reached the server")
 	}
 }
 
-// A limiter that gets SIGTERM answers whatever it takes, however long clients go on using their connections.
+// A limiter that receives SIGTERM answers all requests that it accepts, even if clients keep using their
+// connections for long.
 func TestLeavingLimiterAnswersWhatItTakes(t *testing.T) {
 	for name, client := range map[string]func(*departure, string){
-		"one request after the other": func(d *departure, name string) { d.kept(name, 100*time.Millisecond) },
-		"pipelined without a pause":   func(d *departure, name string) { d.pipelined(name, 3, 30*time.Millisecond) },
-		"at rest until 3.3 s":         func(d *departure, name string) { d.quiet(name, 3300*time.Millisecond) },
-		"at rest until 4.7 s":         func(d *departure, name string) { d.quiet(name, 4700*time.Millisecond) },
-		"at rest until 5.2 s":         func(d *departure, name string) { d.quiet(name, 5200*time.Millisecond) },
+		"sequential requests": func(d *departure, name string) { d.sendSequentially(name, 100*time.Millisecond) },
+		"pipelined requests":  func(d *departure, name string) { d.sendPipelined(name, 3, 30*time.Millisecond) },
+		"idle until 3.3 s":    func(d *departure, name string) { d.sendLate(name, 3300*time.Millisecond) },
+		"idle until 4.7 s":    func(d *departure, name string) { d.sendLate(name, 4700*time.Millisecond) },
+		"idle until 5.2 s":    func(d *departure, name string) { d.sendLate(name, 5200*time.Millisecond) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := newDeparture(t)
-			d.sigterm = time.Now().Add(departWork + 200*time.Millisecond)
+			d.sigterm = time.Now().Add(serverWorkTime + 200*time.Millisecond)
 			var clients sync.WaitGroup
 			for i := range 6 {
 				clients.Add(1)
@@ -316,42 +321,42 @@
 				}()
 			}
 			time.Sleep(time.Until(d.sigterm))
-			if took := d.leaves(); took > departGrace-100*time.Millisecond {
-				t.Errorf("the process ends %v after SIGTERM", took)
+			if elapsed := d.terminate(); elapsed > gracePeriod-100*time.Millisecond {
+				t.Errorf("the process exited %v after SIGTERM", elapsed)
 			}
 			clients.Wait()
-			d.judge()
+			d.check()
 		})
 	}
 }
 
-// What clients leave half-sent does not hold a limiter up beyond its time.
+// Requests that clients leave half-sent do not delay the end of the process.
 func TestLeavingLimiterDoesNotWaitForHalfRequests(t *testing.T) {
 	t.Parallel()
 	d := newDeparture(t)
 	d.sigterm = time.Now().Add(100 * time.Millisecond)
 	c, in, _ := d.dial()
 	defer c.Close()
-	whole := patient("GET", "/read/1", "half", "", "")
+	whole := longTimeoutRequest("GET", "/read/1", "half", "", "")
 	io.WriteString(c, whole[:len(whole)/2])
-	d.requests["half"] = &departRequest{sent: time.Now().Add(promptWithin + time.Second)}
+	d.requests["half"] = &sentRequest{sent: time.Now().Add(promptWindow + time.Second)}
 	time.Sleep(time.Until(d.sigterm))
 	go func() {
-		time.Sleep(time.Until(d.sigterm.Add(promptWithin + 500*time.Millisecond)))
+		time.Sleep(time.Until(d.sigterm.Add(promptWindow + 500*time.Millisecond)))
 		io.WriteString(c, whole[len(whole)/2:])
 	}()
 	ended := make(chan time.Duration, 1)
-	go func() { ended <- d.leaves() }()
+	go func() { ended <- d.terminate() }()
 	r, err := http.ReadResponse(in, nil)
 	d.mu.Lock()
 	if !d.requests["half"].reached.IsZero() {
-		t.Error("a request that was whole 3.5 s after SIGTERM was sent to a server")
+		t.Error("a request completed 3.5 s after SIGTERM reached a server")
 	}
 	d.mu.Unlock()
 	if err == nil && (r.StatusCode != 503 || !r.Close || r.Header.Get("Retry-After") == "") {
-		t.Errorf("it got %d %v", r.StatusCode, r.Header)
+		t.Errorf("got status %d, header %v", r.StatusCode, r.Header)
 	}
-	if took := <-ended; took > departGrace-100*time.Millisecond {
-		t.Errorf("the process ends %v after SIGTERM", took)
+	if elapsed := <-ended; elapsed > gracePeriod-100*time.Millisecond {
+		t.Errorf("the process exited %v after SIGTERM", elapsed)
 	}
 }
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -11,75 +11,75 @@
 	"github.com/sirupsen/logrus"
 )
 
-// ranOnAfter is how long after its client has left a request may still be in hand without being counted
-// as one that ran on.
-const ranOnAfter = 500 * time.Millisecond
+// overrunAfter is how long a request may stay in flight after its client has disconnected before it counts as an
+// overrun.
+const overrunAfter = 500 * time.Millisecond
 
-// crossesWithin is how shortly after a client was seen to leave a request may go out that was begun before.
-const crossesWithin = 10 * time.Millisecond
+// disconnectRaceWindow is how shortly after a disconnect an attempt may still go out because it was started
+// before.
+const disconnectRaceWindow = 10 * time.Millisecond
 
-// disconnect is the end of a client's connection as its client brings it about. Its context ends when
-// the client is known to have closed the connection, or the connection to have broken.
-type disconnect struct {
+// clientContext is a context that is canceled when the client has closed its connection or the connection has
+// broken. It also records when that was seen.
+type clientContext struct {
 	context.Context
 	end context.CancelFunc
 
-	mu sync.Mutex
-	at time.Time // zero: the client is there, as far as is known
+	mu     sync.Mutex
+	leftAt time.Time // zero: not known to have left
 }
 
-func newDisconnect() *disconnect {
+func newClientContext() *clientContext {
 	ctx, end := context.WithCancel(context.Background())
-	return &disconnect{Context: ctx, end: end}
+	return &clientContext{Context: ctx, end: end}
 }
 
-// mark notes that the client has left. Only the first call counts.
-func (d *disconnect) mark() {
+// markLeft records that the client has disconnected. Only the first call has an effect.
+func (d *clientContext) markLeft() {
 	d.mu.Lock()
-	if d.at.IsZero() {
-		d.at = time.Now()
+	if d.leftAt.IsZero() {
+		d.leftAt = time.Now()
 	}
 	d.mu.Unlock()
 	d.end()
 }
 
-// since is how long ago the client left; ok is false while it is there.
-func (d *disconnect) since() (ago time.Duration, ok bool) {
+// sinceLeft returns how long ago the client disconnected; ok is false while it is connected.
+func (d *clientContext) sinceLeft() (ago time.Duration, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.at.IsZero() {
+	if d.leftAt.IsZero() {
 		return 0, false
 	}
-	return time.Since(d.at), true
+	return time.Since(d.leftAt), true
 }
 
-// statusClientClosed stands for the answer that no client gets, as it has left. It is counted, and not sent.
+// statusClientClosed is the status under which requests of disconnected clients are counted. It is never sent.
 const statusClientClosed = 499
 
-// unheard is the answer of a request whose client has left.
-func unheard() *answer { return &answer{status: statusClientClosed, why: "client left"} }
+// clientLeftAnswer returns the answer to a request whose client has disconnected.
+func clientLeftAnswer() *answer { return &answer{status: statusClientClosed, reason: "client left"} }
 
-// clientLeft tells that nobody waits for the call's answer any more.
+// clientLeft reports whether the call's client has disconnected.
 func (c *call) clientLeft() bool { return c.client.Err() != nil }
 
-// attach has a server's connection closed when the client leaves, until detach is called, which tells
-// whether that has not happened. What can't be repeated is left to end at its server: it may have had its
-// effect there, and its client can't tell.
-func (c *call) attach(to *serverConn) (detach func() bool) {
+// closeOnDisconnect closes a server connection when the client disconnects, until detach is called. detach reports
+// whether it was called before that. Requests that are not repeatable are left to finish at their server: they may
+// already have taken effect, and the client cannot know.
+func (c *call) closeOnDisconnect(conn *serverConn) (detach func() bool) {
 	if !c.route.Kind.Repeatable() {
 		return func() bool { return true }
 	}
 	return context.AfterFunc(c.client, func() {
-		to.Close()
-		c.y.mu.Lock()
-		defer c.y.mu.Unlock()
-		c.y.disconnects.brokenOff++
+		conn.Close()
+		c.proxy.mu.Lock()
+		defer c.proxy.mu.Unlock()
+		c.proxy.disconnects.abortedAttempts++
 	})
 }
 
-// isDisconnect tells that an error of reading from a client means that the client has closed the
-// connection or that the connection has broken, and not that its time was up or that what it sent
-// can't be read.
+// isDisconnect reports whether an error from reading a client's connection means that the client closed it or that
+// it broke, rather than a timeout or unreadable input.
 func isDisconnect(err error) bool {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.ErrClosedPipe) {
 		return true
@@ -88,51 +88,53 @@
 	return errors.As(err, &network) && !network.Timeout()
 }
 
-// disconnectFigures counts, since the process began, what became of requests whose clients left while
-// these were in hand.
-type disconnectFigures struct {
-	connections int           // that were closed with requests in hand
-	requests    int           // those requests
-	sentAfter   int           // attempts that were sent to a server after their client had left
-	brokenOff   int           // attempts that were ended at their server because their client had left
-	ranOn       int           // requests that were in hand for longer than ranOnAfter behind it
-	longest     time.Duration // that one was
+// disconnectStats counts, since the process started, the effects of clients that disconnected with requests in
+// flight.
+type disconnectStats struct {
+	connections         int           // closed by the client with requests in flight
+	requests            int           // requests in flight on these connections
+	sentAfterDisconnect int           // attempts sent to a server after the client had disconnected
+	abortedAttempts     int           // attempts aborted at their server because the client had disconnected
+	overruns            int           // requests in flight for longer than overrunAfter after the disconnect
+	longestOverrun      time.Duration // longest time that a request stayed in flight after the disconnect
 }
 
-// fields are the figures for a log line.
-func (f *disconnectFigures) fields() logrus.Fields {
-	return logrus.Fields{"connections": f.connections, "requests": f.requests, "sent_after": f.sentAfter,
-		"broken_off": f.brokenOff, "ran_on": f.ranOn, "longest_ms": f.longest.Milliseconds()}
+// logFields returns the counters as log fields.
+func (stats *disconnectStats) logFields() logrus.Fields {
+	return logrus.Fields{"connections": stats.connections, "requests": stats.requests,
+		"sent_after": stats.sentAfterDisconnect,
+		"broken_off": stats.abortedAttempts, "ran_on": stats.overruns,
+		"longest_ms": stats.longestOverrun.Milliseconds()}
 }
 
-// countDisconnect counts a client that has left with requests in hand.
-func (y *Proxy) countDisconnect(requests int) {
+// countDisconnect counts a client that disconnected with requests in flight.
+func (proxy *Proxy) countDisconnect(requests int) {
 	if requests == 0 {
 		return
 	}
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.disconnects.connections++
-	y.disconnects.requests += requests
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	proxy.disconnects.connections++
+	proxy.disconnects.requests += requests
 }
 
-// countRanOn counts a request that ends so long after its client has left.
-func (y *Proxy) countRanOn(after time.Duration) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	f := &y.disconnects
-	f.longest = max(f.longest, after)
-	if after > ranOnAfter {
-		f.ranOn++
+// countOverrun records a request that ended a time ago after its client disconnected.
+func (proxy *Proxy) countOverrun(ago time.Duration) {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	stats := &proxy.disconnects
+	stats.longestOverrun = max(stats.longestOverrun, ago)
+	if ago > overrunAfter {
+		stats.overruns++
 	}
 }
 
-// countSentAfter counts an attempt that is sent though its client has left.
-func (c *call) countSentAfter() {
-	if ago, left := c.client.since(); !left || ago < crossesWithin {
+// countSentAfterDisconnect counts an attempt that is sent although its client has disconnected.
+func (c *call) countSentAfterDisconnect() {
+	if ago, left := c.client.sinceLeft(); !left || ago < disconnectRaceWindow {
 		return
 	}
-	c.y.mu.Lock()
-	defer c.y.mu.Unlock()
-	c.y.disconnects.sentAfter++
+	c.proxy.mu.Lock()
+	defer c.proxy.mu.Unlock()
+	c.proxy.disconnects.sentAfterDisconnect++
 }
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -17,480 +17,498 @@
 	"example.org/madderdrum/traffic/quotaloan"
 )
 
-// engine drives the decisions of one limiter.Limiter: as many limiters stand in its set as
-// have places. Where their number changes another engine takes the requests that come, and
-// this one ends those that it has. The proxy's mutex guards it.
+// engine drives one limiter.Limiter, configured for a fixed number of slots (the entries of the place table). When
+// that number or this limiter's slot changes, a new engine takes the new requests and the old one finishes those
+// that it has. The proxy's mutex guards it.
 type engine struct {
-	y       *Proxy
-	lim     *limiter.Limiter
-	size    int // limiters of the set
-	place   int // this one's among them
-	queue   []limiter.Event
-	working bool
-	calls   map[string]*call
-	classes map[string]int // by route
-	plans   map[string]int // by tenant
-	pools   map[poolKey]*pool
-	ids     map[member]uint64 // of servers
-	servers map[uint64]*entry
-	members map[uint32][]uint64       // numbers of a life in the pools
-	inHand  map[uint64]int            // attempts out, by member of a pool
-	slots   map[uint32]float64        // of a life
-	beside  map[uint64]limiter.InHand // what else is in hand there, as the decisions were told
-	names   int
-	places  []allowance.Place  // by slot, in the newest table
-	holding *quotaloan.Holding // of tenants' ceilings
-	planOf  map[uint64]int     // plans by account
-	classOf map[uint64]int     // classes by the number that limiters tell each other for a route
-	ask     *tokenAnswer       // of another limiter, while it is decided on
+	proxy             *Proxy
+	decider           *limiter.Limiter
+	slotCount         int // slots of the place table
+	slot              int // this limiter's slot
+	events            []limiter.Event
+	handlingEvents    bool
+	calls             map[string]*call
+	classIndex        map[string]int // by route name
+	planIndex         map[string]int // by tenant name
+	pools             map[poolKey]*pool
+	memberIDs         map[poolMember]uint64 // IDs that the limiter.Limiter knows servers by
+	servers           map[uint64]*serverEntry
+	membersByInstance map[uint32][]uint64       // by instance hash; one member ID for each pool that the server is in
+	inFlight          map[uint64]int            // attempts in flight, by member ID
+	capacity          map[uint32]float64        // concurrent requests that an instance works on, by instance hash
+	othersInFlight    map[uint64]limiter.InHand // by member ID; load from other limiters and pools, as last passed on
+	requestCount      int
+	places            []allowance.Place  // by slot, in the newest table
+	quota             *quotaloan.Holding // this limiter's parts of the tenants' ceilings
+	planByAccount     map[uint64]int     // plan index by account ID
+	classByRouteID    map[uint64]int     // class index by the route ID used between limiters
+	pendingReply      *tokenReply        // reply under construction, while a token request is decided
 }
 
-// poolKey says which servers of a service may take the same requests.
+// poolKey identifies a set of servers that can serve the same requests.
 type poolKey struct {
-	service  string
-	homes    string // regions that they stand in, sorted, where bound
-	bound    bool
-	download bool // for large answers
+	service     string
+	regionList  string // sorted and joined by spaces; only if regionBound
+	regionBound bool
+	download    bool // for large answers
 }
 
-// pool is those servers.
+// pool is the set of servers for a poolKey.
 type pool struct {
 	poolKey
 	id      uint64
-	regions []string // homes
+	regions []string // where its servers may be; only if regionBound
 }
 
-// member is a life of a server in a pool.
-type member struct {
-	pool uint64
-	life string
+// poolMember is one server instance in a pool.
+type poolMember struct {
+	poolID     uint64
+	instanceID string
 }
 
-// entry is a server in one pool.
-type entry struct {
-	life string
-	pool uint64
-	info limiter.ServerInfo
+// serverEntry is a server instance in one pool, as listed to the limiter.Limiter.
+type serverEntry struct {
+	instanceID string
+	pool       uint64
+	info       limiter.ServerInfo
 }
 
 const (
-	// The decisions expect a server to take headroom, a quarter, of the time left at most:
-	// they were made for work that is short against its aim. Times handed to them are
-	// stretched so that an answer is expected within three quarters of the aim.
-	stretch = 3.0
-	// Messages a second that a limiter takes in about tenants' spending: a few.
-	peerInPerS = 3.0
-	advice     = 150.0 // ms to stay away where the decisions give none
-	// A server that fails a class anew each time that it is used again is kept off so long at most.
-	illMostMs = 16_000.0
-	// By how much more answers from afar count as they take. What crosses regions is paid for,
-	// most of all downloads.
-	farZone     = 0.3
-	farRegion   = 1.5
-	farDownload = 4.0
+	// limiter.Limiter plans for an answer within a quarter (its headroom) of the remaining time, which suits work
+	// that is short compared to its target latency. Times passed to it are stretched so that an answer is expected
+	// within three quarters of the target.
+	deadlineStretch = 3.0
+	// Datagrams about tenants' spending that a limiter accepts per second: a few.
+	peerMessagesPerSecond = 3.0
+	defaultRetryAfterMs   = 150.0 // used if the limiter.Limiter gives no time
+	// Longest exclusion of a server from a class that it fails again each time it is retried.
+	maxExclusionMs = 16_000.0
+	// Extra cost of answers from a distance, relative to their latency: 1 counts as twice the latency. Traffic
+	// between regions is billed, and downloads cost the most.
+	otherZonePenalty           = 0.3
+	otherRegionPenalty         = 1.5
+	otherRegionDownloadPenalty = 4.0
 )
 
-// settings are those of the decisions for a table.
-func (e *engine) settings(t *configuration.Table, position int) (s limiter.Settings, classes, plans map[string]int) {
-	s = limiter.Settings{Position: position, Balancers: e.size, Zone: 0, PeerInPerS: peerInPerS, IllMostMs: illMostMs,
-		Caps:  limiter.Caps{Attempts: 8, Peers: e.size > 1, Probes: true, RetryAfter: true, MaxWaitMs: 1000, ConnectMs: 300},
+// limiterSettings returns the limiter.Settings for a configuration, and the indices of classes by route and of
+// plans by tenant.
+func (e *engine) limiterSettings(table *configuration.Table, slot int) (settings limiter.Settings, classIndex,
+	planIndex map[string]int) {
+	settings = limiter.Settings{Position: slot, Balancers: e.slotCount, Zone: 0, PeerInPerS: peerMessagesPerSecond,
+		IllMostMs: maxExclusionMs,
+		Caps: limiter.Caps{Attempts: 8, Peers: e.slotCount > 1, Probes: true, RetryAfter: true, MaxWaitMs: 1000,
+			ConnectMs: 300},
 		Rules: limiter.Rules{FallMs: 1000}}
-	classes, plans = map[string]int{}, map[string]int{}
-	e.classOf = map[uint64]int{}
-	for i := range t.Routes {
-		r := &t.Routes[i]
+	classIndex, planIndex = map[string]int{}, map[string]int{}
+	e.classByRouteID = map[uint64]int{}
+	for i := range table.Routes {
+		route := &table.Routes[i]
 		repeat := limiter.Safe
-		if !r.Kind.Repeatable() {
+		if !route.Kind.Repeatable() {
 			repeat = limiter.Unsafe
 		}
-		classes[r.Name] = len(s.Classes)
-		e.classOf[routeID(r.Name)] = len(s.Classes)
-		aim := r.Aim
+		classIndex[route.Name] = len(settings.Classes)
+		e.classByRouteID[routeID(route.Name)] = len(settings.Classes)
+		aim := route.Aim
 		if aim == 0 {
-			aim = r.Timeout
+			aim = route.Timeout
 		}
-		// How long ago a client began is not guessed from the time it has left: a try that is
-		// too late for the aim still earns something, and counts as served.
-		s.Classes = append(s.Classes, limiter.Class{Repeat: repeat, AimMs: stretch * ms(aim), DeadlineMs: 1, Worth: 1, LateShare: 0.3})
+		// The age of a request is not inferred from the time that the client has left: an attempt that misses the
+		// target latency still earns part of the worth and counts as served.
+		settings.Classes = append(settings.Classes, limiter.Class{Repeat: repeat, AimMs: deadlineStretch * ms(aim),
+			DeadlineMs: 1, Worth: 1, LateShare: 0.3})
 	}
-	if len(s.Classes) == 0 {
-		s.Classes = []limiter.Class{{AimMs: 1000, DeadlineMs: 1000, Worth: 1}}
+	if len(settings.Classes) == 0 {
+		settings.Classes = []limiter.Class{{AimMs: 1000, DeadlineMs: 1000, Worth: 1}}
 	}
-	s.Plans = []limiter.Plan{{Price: 1}} // of requests without a tenant
-	h := e.holding
-	h.Clear()
-	e.planOf = map[uint64]int{}
-	sets := e.y.sets()
-	e.places = sets[len(sets)-1]
-	for i := range t.Tenants {
-		tn := &t.Tenants[i]
-		plans[tn.Name] = len(s.Plans)
-		// The bucket draws what is heard of others' spending; the ceiling binds whoever is out of
-		// touch, as each limiter owns a part of it.
-		c := e.y.rules.Ceiling(tn.Rate, tn.Burst)
-		p := limiter.Plan{Price: 1, Rate: c.Rate, Burst: c.Burst, CeilingRate: c.Rate, CeilingBurst: c.Burst}
-		e.planOf[account(tn.Name)] = len(s.Plans)
-		s.Plans = append(s.Plans, p)
-		h.Ceilings[account(tn.Name)] = c
-		h.Gather(account(tn.Name), allowance.KeeperShares(tn.Name, c, sets))
+	settings.Plans = []limiter.Plan{{Price: 1}} // index 0: requests without a tenant
+	held := e.quota
+	held.Clear()
+	e.planByAccount = map[uint64]int{}
+	placeSets := e.proxy.placeSets()
+	e.places = placeSets[len(placeSets)-1]
+	for i := range table.Tenants {
+		tenant := &table.Tenants[i]
+		planIndex[tenant.Name] = len(settings.Plans)
+		// The bucket subtracts what other limiters report as spent. The ceiling holds even when limiters cannot
+		// reach each other, because each limiter owns a part of it.
+		ceiling := e.proxy.rules.Ceiling(tenant.Rate, tenant.Burst)
+		plan := limiter.Plan{Price: 1, Rate: ceiling.Rate, Burst: ceiling.Burst, CeilingRate: ceiling.Rate,
+			CeilingBurst: ceiling.Burst}
+		e.planByAccount[accountID(tenant.Name)] = len(settings.Plans)
+		settings.Plans = append(settings.Plans, plan)
+		held.Ceilings[accountID(tenant.Name)] = ceiling
+		held.Gather(accountID(tenant.Name), allowance.KeeperShares(tenant.Name, ceiling, placeSets))
 	}
-	return s, classes, plans
+	return settings, classIndex, planIndex
 }
 
-// leave is what this engine has left of accounts, when another takes its place: it gets no
-// further requests. The mutex is held.
-func (e *engine) leave() map[uint64]limiter.AccountMemory {
-	left := map[uint64]limiter.AccountMemory{}
-	e.lim.HandOver(e.y.now())
+// exportAccounts returns the accounts' remaining balances when another engine replaces this one, which gets no new
+// requests from then on. The mutex is held.
+func (e *engine) exportAccounts() map[uint64]limiter.AccountMemory {
+	accounts := map[uint64]limiter.AccountMemory{}
+	e.decider.HandOver(e.proxy.now())
 	for more := true; more; {
-		var told []limiter.AccountMemory
-		told, more = e.lim.Leave(e.y.now(), 1<<10)
-		for _, a := range told {
-			left[a.ID] = a
+		var batch []limiter.AccountMemory
+		batch, more = e.decider.Leave(e.proxy.now(), 1<<10)
+		for _, account := range batch {
+			accounts[account.ID] = account
 		}
 	}
-	return left
+	return accounts
 }
 
-// endow gives accounts what this limiter begins with of their ceilings: what another engine has left
-// where the number of slots has changed while it runs, as what was spent stays spent, and nothing where
-// its place is new: the others have that. The mutex is held.
-func (e *engine) endow(s limiter.Settings, position int, left map[uint64]limiter.AccountMemory) {
-	from := &limiter.Handover{Position: position, Balancers: e.size, Plans: s.Plans, HeadMs: 1e-6}
-	for tenant, i := range e.plans {
-		c := e.holding.Ceilings[account(tenant)]
-		if c.Rate <= 0 {
+// importAccounts sets the accounts' initial balances. If the previous engine of this process left some, they carry
+// over, so that what was spent stays spent. If this process has newly joined, its part starts empty, because the
+// other limiters hold it. The mutex is held.
+func (e *engine) importAccounts(settings limiter.Settings, slot int, previous map[uint64]limiter.AccountMemory) {
+	handover := &limiter.Handover{Position: slot, Balancers: e.slotCount, Plans: settings.Plans, HeadMs: 1e-6}
+	for tenant, i := range e.planIndex {
+		ceiling := e.quota.Ceilings[accountID(tenant)]
+		if ceiling.Rate <= 0 {
 			continue
 		}
-		a := limiter.AccountMemory{ID: account(tenant), Plan: i, Spread: e.size, Balance: c.Burst, Share: e.holding.Begins(e.y.rules, account(tenant))}
-		if old, ok := left[a.ID]; ok {
-			a.Balance, a.Share, a.Flow = min(c.Burst, old.Balance), old.Share, old.Flow
-		} else if e.y.reg.Places[position].Life == e.y.self {
-			a.Share = 0
+		account := limiter.AccountMemory{ID: accountID(tenant), Plan: i, Spread: e.slotCount, Balance: ceiling.Burst,
+			Share: e.quota.Begins(e.proxy.rules, accountID(tenant))}
+		if old, ok := previous[account.ID]; ok {
+			account.Balance, account.Share, account.Flow = min(ceiling.Burst, old.Balance), old.Share, old.Flow
+		} else if e.proxy.register.Places[slot].Life == e.proxy.instanceID {
+			account.Share = 0
 		}
-		from.Accounts = append(from.Accounts, a)
+		handover.Accounts = append(handover.Accounts, account)
 	}
-	e.handle(limiter.Recall{Memory: &limiter.Memory{Handover: from}})
-	// Accounts are opened at once: one that is opened after the next configuration would begin
-	// with nothing.
-	for tenant, i := range e.plans {
-		e.handle(limiter.Ask{Submit: limiter.Submit{ID: opens, ExpiresMs: 1, Plan: i, Customer: account(tenant), Spread: e.size}})
+	e.handle(limiter.Recall{Memory: &limiter.Memory{Handover: handover}})
+	// Open all accounts now: an account opened after the next configuration would start empty.
+	for tenant, i := range e.planIndex {
+		e.handle(limiter.Ask{Submit: limiter.Submit{ID: openAccountID, ExpiresMs: 1, Plan: i,
+			Customer: accountID(tenant), Spread: e.slotCount}})
 	}
 }
 
-// opens is the id of what opens accounts: no request has it.
-const opens = "opens"
+// openAccountID is the ID of the submissions that open accounts. No request has it.
+const openAccountID = "opens"
 
-// account is the number of a tenant's account, the same at all limiters.
-func account(tenant string) uint64 { return fnv64(tenant) >> 1 }
+// accountID returns the number of a tenant's account, the same at all limiters.
+func accountID(tenant string) uint64 { return hash64(tenant) >> 1 }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// updateEngine has the decisions go by the register that is in force, once this limiter has its
-// place. The mutex is held.
-func (y *Proxy) updateEngine(t *configuration.Table) {
-	if t == nil {
+// updateEngine applies the register in force to the engine, creating one once this limiter has a place. The mutex
+// is held.
+func (proxy *Proxy) updateEngine(table *configuration.Table) {
+	if table == nil {
 		return
 	}
-	position, size := y.slot(), len(y.reg.Places)
-	e := y.engine
-	if e == nil && position < 0 {
+	newSlot, slotCount := proxy.ownSlot(), len(proxy.register.Places)
+	e := proxy.engine
+	if e == nil && newSlot < 0 {
 		return
 	}
-	if e == nil || position >= 0 && (e.size != size || e.place != position) {
-		var left map[uint64]limiter.AccountMemory
+	if e == nil || newSlot >= 0 && (e.slotCount != slotCount || e.slot != newSlot) {
+		var accounts map[uint64]limiter.AccountMemory
 		if e != nil {
-			left = e.leave()
+			accounts = e.exportAccounts()
 		}
-		y.openDesk(position, size)
-		e = &engine{y: y, size: size, place: position, holding: quotaloan.Hold(y.desk, position, size), calls: map[string]*call{}, pools: map[poolKey]*pool{}, ids: map[member]uint64{}, servers: map[uint64]*entry{},
-			inHand: map[uint64]int{}}
-		e.name(t)
-		s, classes, plans := e.settings(t, position)
-		lim, err := limiter.New(s, uint64(time.Now().UnixNano()))
+		proxy.openLoans(newSlot, slotCount)
+		e = &engine{proxy: proxy, slotCount: slotCount, slot: newSlot,
+			quota: quotaloan.Hold(proxy.loans, newSlot, slotCount), calls: map[string]*call{},
+			pools: map[poolKey]*pool{}, memberIDs: map[poolMember]uint64{}, servers: map[uint64]*serverEntry{},
+			inFlight: map[uint64]int{}}
+		e.label(table)
+		settings, classIndex, planIndex := e.limiterSettings(table, newSlot)
+		decider, err := limiter.New(settings, uint64(time.Now().UnixNano()))
 		if err != nil {
-			y.log.WithField("err", err).Error("configuration can't be decided by")
+			proxy.log.WithField("err", err).Error("cannot configure the engine")
 			return
 		}
-		e.lim, e.classes, e.plans = lim, classes, plans
-		y.engine = e
-		y.holdShare()
-		e.parts()
-		e.endow(s, position, left)
-		e.lookAtLoans()
-		y.log.WithFields(logrus.Fields{"place": position, "limiters": size}).Info("decisions begin")
+		e.decider, e.classIndex, e.planIndex = decider, classIndex, planIndex
+		proxy.engine = e
+		proxy.applyShare()
+		e.applyParts()
+		e.importAccounts(settings, newSlot, accounts)
+		e.updateLoans()
+		proxy.log.WithFields(logrus.Fields{"place": newSlot, "limiters": slotCount}).Info("engine started")
 		return
 	}
-	y.holdShare()
-	e.name(t)
-	s, classes, plans := e.settings(t, e.place)
-	from := func(old, now map[string]int, n int) []int {
-		at := slices.Repeat([]int{-1}, n)
-		for name, i := range old {
-			if k, ok := now[name]; ok {
-				at[i] = k
+	proxy.applyShare()
+	e.label(table)
+	settings, classIndex, planIndex := e.limiterSettings(table, e.slot)
+	indexMap := func(old, now map[string]int, n int) []int {
+		indices := slices.Repeat([]int{-1}, n)
+		for label, i := range old {
+			if k, ok := now[label]; ok {
+				indices[i] = k
 			}
 		}
-		return at
+		return indices
 	}
-	planAt := from(e.plans, plans, len(e.plans)+1)
+	planAt := indexMap(e.planIndex, planIndex, len(e.planIndex)+1)
 	planAt[0] = 0
-	classAt := from(e.classes, classes, max(1, len(e.classes)))
-	e.handle(limiter.Reconfigure{Settings: s, Classes: classAt, Plans: planAt})
-	e.classes, e.plans = classes, plans
-	e.parts()
+	classAt := indexMap(e.classIndex, classIndex, max(1, len(e.classIndex)))
+	e.handle(limiter.Reconfigure{Settings: settings, Classes: classAt, Plans: planAt})
+	e.classIndex, e.planIndex = classIndex, planIndex
+	e.applyParts()
 }
 
-// name gives the services and homes of a table their pools.
-func (e *engine) name(t *configuration.Table) {
-	for i := range t.Routes {
-		r := &t.Routes[i]
-		for _, to := range r.To {
-			e.poolOf(to.Service, r, nil)
-			for k := range t.Tenants {
-				if len(t.Tenants[k].Homes) > 0 {
-					e.poolOf(to.Service, r, &t.Tenants[k])
+// label assigns IDs to the pools for the services and home regions of a configuration.
+func (e *engine) label(table *configuration.Table) {
+	for i := range table.Routes {
+		route := &table.Routes[i]
+		for _, target := range route.To {
+			e.poolID(target.Service, route, nil)
+			for k := range table.Tenants {
+				if len(table.Tenants[k].Homes) > 0 {
+					e.poolID(target.Service, route, &table.Tenants[k])
 				}
 			}
 		}
 	}
 }
 
-// poolOf is the pool of a service's servers in the regions where a request may be served.
-func (e *engine) poolOf(service string, r *configuration.Route, t *configuration.Tenant) uint64 {
-	homes, all := configuration.Homes(r, t)
-	homes = slices.Sorted(slices.Values(homes))
-	key := poolKey{service, strings.Join(homes, " "), !all, r.Kind == configuration.Download}
-	p := e.pools[key]
-	if p == nil {
-		p = &pool{key, uint64(len(e.pools) + 1), homes}
-		e.pools[key] = p
+// poolID returns the pool of a service's servers in the regions where a request may be served.
+func (e *engine) poolID(service string, route *configuration.Route, tenant *configuration.Tenant) uint64 {
+	regions, anyRegion := configuration.Homes(route, tenant)
+	regions = slices.Sorted(slices.Values(regions))
+	key := poolKey{service, strings.Join(regions, " "), !anyRegion, route.Kind == configuration.Download}
+	existing := e.pools[key]
+	if existing == nil {
+		existing = &pool{key, uint64(len(e.pools) + 1), regions}
+		e.pools[key] = existing
 	}
-	return p.id
+	return existing.id
 }
 
-// relist hands the decisions the servers that may be used now. The mutex is held.
-func (y *Proxy) relist() {
-	e := y.engine
-	if e == nil || y.view.Load() == nil {
+// updateServers passes the limiter.Limiter the servers that may be used now. The mutex is held.
+func (proxy *Proxy) updateServers() {
+	e := proxy.engine
+	if e == nil || proxy.configSnapshot.Load() == nil {
 		return
 	}
 	pools := map[string][]*pool{}
-	for _, p := range e.pools {
-		pools[p.service] = append(pools[p.service], p)
+	for _, candidate := range e.pools {
+		pools[candidate.service] = append(pools[candidate.service], candidate)
 	}
 	now := time.Now()
-	var list []limiter.ServerInfo
-	e.members = map[uint32][]uint64{}
-	e.slots = map[uint32]float64{}
+	var listed []limiter.ServerInfo
+	e.membersByInstance = map[uint32][]uint64{}
+	e.capacity = map[uint32]float64{}
 	serving := map[uint32]loadreports.Server{}
-	y.book.Each(y.now(), func(r catalog.Record) {
-		of := pools[r.Service]
-		if len(of) == 0 {
+	proxy.records.Each(proxy.now(), func(r catalog.Record) {
+		servicePools := pools[r.Service]
+		if len(servicePools) == 0 {
 			return
 		}
-		st := y.upstream(&r)
-		st.usable = r.State == catalog.Available && !y.evacuate[r.Zone] && !y.gone[r.ID]
+		server := proxy.upstream(&r)
+		server.usable = r.State == catalog.Available && !proxy.evacuatedZones[r.Zone] && !proxy.replacedInstances[r.ID]
 		phase := limiter.Draining
-		if st.usable {
-			x := loadreports.Server{Service: r.Service, Slots: max(1, r.Slots), Zone: r.Zone, Near: r.Zone == y.set.Zone}
-			serving[st.number], e.slots[st.number] = x, float64(x.Slots)
-			y.noteWarmup(st, &r, now)
-			if !st.cold(now) || r.Zone == y.set.Zone && !now.Before(st.nextAt) {
+		if server.usable {
+			loadServer := loadreports.Server{Service: r.Service, Slots: max(1, r.Slots), Zone: r.Zone,
+				Near: r.Zone == proxy.settings.Zone}
+			serving[server.instanceHash], e.capacity[server.instanceHash] = loadServer, float64(loadServer.Slots)
+			proxy.updateWarmup(server, &r, now)
+			if !server.cold(now) || r.Zone == proxy.settings.Zone && !now.Before(server.nextColdRequestAt) {
 				phase = limiter.Up
 			}
 		}
-		for _, p := range of {
-			if p.bound && !slices.Contains(p.regions, y.set.Zones[r.Zone]) {
+		for _, candidate := range servicePools {
+			if candidate.regionBound && !slices.Contains(candidate.regions, proxy.settings.Zones[r.Zone]) {
 				continue
 			}
-			at := member{p.id, r.ID}
-			n, ok := e.ids[at]
+			member := poolMember{candidate.id, r.ID}
+			number, ok := e.memberIDs[member]
 			if !ok {
-				n = memberID(p, r.ID)
-				e.ids[at] = n
+				number = memberID(candidate, r.ID)
+				e.memberIDs[member] = number
 			}
-			info := limiter.ServerInfo{ID: n, Pool: p.id, Phase: phase, Far: y.far(r.Zone, p.download)}
-			e.servers[n] = &entry{life: r.ID, pool: p.id, info: info}
-			e.members[st.number] = append(e.members[st.number], n)
-			list = append(list, info)
+			info := limiter.ServerInfo{ID: number, Pool: candidate.id, Phase: phase,
+				Far: proxy.distancePenalty(r.Zone, candidate.download)}
+			e.servers[number] = &serverEntry{instanceID: r.ID, pool: candidate.id, info: info}
+			e.membersByInstance[server.instanceHash] = append(e.membersByInstance[server.instanceHash], number)
+			listed = append(listed, info)
 		}
 	})
-	y.loads.Serve(serving)
-	e.handle(limiter.Endpoints{Scope: limiter.Complete, Servers: list})
+	proxy.loadReports.Serve(serving)
+	e.handle(limiter.Endpoints{Scope: limiter.Complete, Servers: listed})
 }
 
-// memberID is a server's number for the decisions, the same at all limiters: they tell each other
-// by it at which ones requests fail.
-func memberID(p *pool, life string) uint64 {
-	return fnv64(p.service+"\x00"+p.homes+"\x00"+life+"\x00"+strconv.FormatBool(p.download)+strconv.FormatBool(p.bound)) >> 1
+// memberID returns a server's ID within a pool. It is the same at all limiters, because failure reports refer to
+// it.
+func memberID(in *pool, instanceID string) uint64 {
+	return hash64(in.service+"\x00"+in.regionList+"\x00"+instanceID+"\x00"+
+		strconv.FormatBool(in.download)+strconv.FormatBool(in.regionBound)) >> 1
 }
 
-// routeID is the number by which limiters tell each other of a route's class.
-func routeID(name string) uint64 { return fnv64(name) >> 32 }
+// routeID returns the number that identifies a route's class in messages between limiters.
+func routeID(name string) uint64 { return hash64(name) >> 32 }
 
-// far is by how much more an answer from a zone counts.
-func (y *Proxy) far(zone string, download bool) float64 {
+// distancePenalty returns the extra cost of answers from a zone, relative to their latency.
+func (proxy *Proxy) distancePenalty(zone string, download bool) float64 {
 	switch {
-	case zone == y.set.Zone:
+	case zone == proxy.settings.Zone:
 		return 0
-	case y.set.Zones[zone] == y.set.Region:
-		return farZone
+	case proxy.settings.Zones[zone] == proxy.settings.Region:
+		return otherZonePenalty
 	case download:
-		return farDownload
+		return otherRegionDownloadPenalty
 	}
-	return farRegion
+	return otherRegionPenalty
 }
 
-// noteWarmup notes until when a server is cold, and has the list made anew then.
-func (y *Proxy) noteWarmup(st *upstream, r *catalog.Record, now time.Time) {
-	until := now.Add(time.Duration(r.WarmMs) * time.Millisecond)
-	if to := y.coldTo[r.ID]; to.After(until) {
-		until = to
+// updateWarmup records until when a server is cold and schedules a server update for that time.
+func (proxy *Proxy) updateWarmup(server *upstream, record *catalog.Record, now time.Time) {
+	until := now.Add(time.Duration(record.WarmMs) * time.Millisecond)
+	if assumed := proxy.coldUntil[record.ID]; assumed.After(until) {
+		until = assumed
 	}
 	if !until.After(now) {
 		return
 	}
-	if until.Sub(st.coldTo).Abs() > 20*time.Millisecond || !st.coldTo.After(now) {
-		st.coldTo = until
-		st.pause = y.coldPause(r.Service)
-		if st.nextAt.Before(now) {
-			st.nextAt = now.Add(st.pause / 2)
+	if until.Sub(server.coldUntil).Abs() > 20*time.Millisecond || !server.coldUntil.After(now) {
+		server.coldUntil = until
+		server.coldInterval = proxy.minColdInterval(record.Service)
+		if server.nextColdRequestAt.Before(now) {
+			server.nextColdRequestAt = now.Add(server.coldInterval / 2)
 		}
-		y.later(until.Sub(now) + time.Millisecond)
+		proxy.scheduleServerUpdate(until.Sub(now) + time.Millisecond)
 	}
-	if st.nextAt.After(now) {
-		y.later(st.nextAt.Sub(now) + time.Millisecond)
+	if server.nextColdRequestAt.After(now) {
+		proxy.scheduleServerUpdate(server.nextColdRequestAt.Sub(now) + time.Millisecond)
 	}
 }
 
-// later makes the list of servers anew after a while. Only the earliest of what is due waits:
-// whatever else is due is seen when the list is made. The mutex is held.
-func (y *Proxy) later(d time.Duration) {
-	at := time.Now().Add(d)
-	if !y.listAt.IsZero() && !at.Before(y.listAt) {
+// scheduleServerUpdate runs updateServers after a delay. Only the earliest scheduled update is kept; each update
+// schedules what else it finds due. The mutex is held.
+func (proxy *Proxy) scheduleServerUpdate(delay time.Duration) {
+	at := time.Now().Add(delay)
+	if !proxy.serverUpdateAt.IsZero() && !at.Before(proxy.serverUpdateAt) {
 		return
 	}
-	y.listAt = at
-	if y.listing != nil {
-		y.listing.Stop()
+	proxy.serverUpdateAt = at
+	if proxy.serverUpdateTimer != nil {
+		proxy.serverUpdateTimer.Stop()
 	}
-	y.listing = time.AfterFunc(d, func() {
-		y.mu.Lock()
-		defer y.mu.Unlock()
-		y.listAt = time.Time{}
-		y.relist()
+	proxy.serverUpdateTimer = time.AfterFunc(delay, func() {
+		proxy.mu.Lock()
+		defer proxy.mu.Unlock()
+		proxy.serverUpdateAt = time.Time{}
+		proxy.updateServers()
 	})
 }
 
-// coldPause is the least time between two requests of this limiter to one cold server of its
-// zone.
-func (y *Proxy) coldPause(service string) time.Duration {
-	s := y.view.Load().table.Services[service]
+// minColdInterval returns the minimum time between two requests of this limiter to one cold server of its zone.
+func (proxy *Proxy) minColdInterval(service string) time.Duration {
+	s := proxy.configSnapshot.Load().table.Services[service]
 	if s == nil {
 		return time.Hour
 	}
-	return y.rules.ColdPause(s.ColdPerS, y.near)
+	return proxy.rules.ColdPause(s.ColdPerS, proxy.zoneLimiterCount)
 }
 
-// handle gives the decisions an event and carries out what they return. The mutex is held.
+// handle passes an event to the limiter.Limiter and executes the resulting actions. Events that arise meanwhile
+// are queued. The mutex is held.
 func (e *engine) handle(ev limiter.Event) {
-	e.queue = append(e.queue, ev)
-	if e.working {
+	e.events = append(e.events, ev)
+	if e.handlingEvents {
 		return
 	}
-	e.working = true
-	for i := 0; i < len(e.queue); i++ {
-		for _, a := range e.lim.Handle(e.y.now(), e.queue[i]) {
-			e.do(a)
+	e.handlingEvents = true
+	for i := 0; i < len(e.events); i++ {
+		for _, a := range e.decider.Handle(e.proxy.now(), e.events[i]) {
+			e.execute(a)
 		}
 	}
-	clear(e.queue)
-	e.queue = e.queue[:0]
-	e.working = false
+	clear(e.events)
+	e.events = e.events[:0]
+	e.handlingEvents = false
 }
 
-// dispatch is handle without the mutex.
-func (e *engine) dispatch(ev limiter.Event) {
-	e.y.mu.Lock()
-	defer e.y.mu.Unlock()
+// lockAndHandle acquires the mutex and calls handle.
+func (e *engine) lockAndHandle(ev limiter.Event) {
+	e.proxy.mu.Lock()
+	defer e.proxy.mu.Unlock()
 	e.handle(ev)
 }
 
-func (e *engine) do(a limiter.Action) {
-	y := e.y
+func (e *engine) execute(a limiter.Action) {
+	proxy := e.proxy
 	switch a := a.(type) {
 	case limiter.PassOn:
 		if c := e.calls[a.ID]; c != nil {
-			e.passOn(c, a)
+			e.sendAttempt(c, a)
 		}
 	case limiter.Grant:
-		if e.ask != nil {
-			e.ask.OK = true
+		if e.pendingReply != nil {
+			e.pendingReply.OK = true
 		}
 	case limiter.Refuse:
-		if e.ask != nil && strings.HasPrefix(a.ID, asksID) {
-			e.ask.WaitMs, e.ask.Why = a.WaitMs, a.Why.String()
+		if e.pendingReply != nil && strings.HasPrefix(a.ID, tokenRequestPrefix) {
+			e.pendingReply.WaitMs, e.pendingReply.Why = a.WaitMs, a.Why.String()
 			return
 		}
 		if c := e.calls[a.ID]; c != nil {
-			c.next(step{refuse: &a})
+			c.setNextStep(step{refusal: &a})
 		}
 	case limiter.Fail:
 		if c := e.calls[a.ID]; c != nil {
-			c.next(step{fail: true})
+			c.setNextStep(step{failed: true})
 		}
 	case limiter.Timer:
-		if y.engine != e && y.engine != nil && len(e.calls) == 0 {
-			return // another has taken its place
+		if proxy.engine != e && proxy.engine != nil && len(e.calls) == 0 {
+			return // another engine has replaced this one
 		}
-		time.AfterFunc(time.Duration(max(0, a.At-y.now())*float64(time.Millisecond)), func() { e.dispatch(limiter.Alarm{Handle: a.Handle}) })
+		time.AfterFunc(time.Duration(max(0, a.At-proxy.now())*float64(time.Millisecond)),
+			func() { e.lockAndHandle(limiter.Alarm{Handle: a.Handle}) })
 	case limiter.Probe:
 		e.probe(a.Server)
 	case limiter.Tell:
-		if a.To >= 0 && a.To < len(y.reg.Places) && y.reg.Places[a.To].Held() {
-			y.tell(y.set.Internal(y.reg.Places[a.To].IP, nodesettings.ProxyPort), datagramSpending, a.Data)
+		if a.To >= 0 && a.To < len(proxy.register.Places) && proxy.register.Places[a.To].Held() {
+			proxy.sendDatagram(proxy.settings.Internal(proxy.register.Places[a.To].IP, nodesettings.ProxyPort),
+				datagramSpending, a.Data)
 		}
 	case limiter.Log:
-		log := y.log
-		if text, ok := strings.CutPrefix(a.Line, "server "); ok { // which goes by its number
+		log := proxy.log
+		if text, ok := strings.CutPrefix(a.Line, "server "); ok { // the line names the server by member ID
 			id, _, _ := strings.Cut(text, " ")
 			if n, err := strconv.ParseUint(strings.TrimSuffix(id, ":"), 10, 64); err == nil && e.servers[n] != nil {
-				log = log.WithField("instance", e.servers[n].life)
+				log = log.WithField("instance", e.servers[n].instanceID)
 			}
 		}
 		log.Info(a.Line)
 	}
 }
 
-// passOn has an attempt go out, unless the budget of further arrivals is used up: the
-// decisions are then told that nothing went out.
-func (e *engine) passOn(c *call, a limiter.PassOn) {
-	y := e.y
-	s := e.servers[a.Server]
-	try := c.tries
-	c.tries++
-	if s == nil || c.over {
-		e.queue = append(e.queue, limiter.Outcome{ID: a.ID, Try: try, Server: a.Server, Result: limiter.StaleSend, Done: c.over})
+// sendAttempt starts an attempt, unless the retry budget is used up or the server can no longer be used. In that
+// case the limiter.Limiter is told that nothing was sent.
+func (e *engine) sendAttempt(c *call, action limiter.PassOn) {
+	proxy := e.proxy
+	entry := e.servers[action.Server]
+	attempt := c.attempts
+	c.attempts++
+	if entry == nil || c.finished {
+		e.events = append(e.events, limiter.Outcome{ID: action.ID, Try: attempt, Server: action.Server,
+			Result: limiter.StaleSend, Done: c.finished})
 		return
 	}
-	st := y.upstreams[s.life]
-	if st == nil || !st.usable || c.arrived > 0 && (c.arrived >= c.most || !y.holds() || !y.budget[c.service].Take()) {
-		e.queue = append(e.queue, limiter.Outcome{ID: a.ID, Try: try, Server: a.Server, Result: limiter.StaleSend})
+	server := proxy.upstreams[entry.instanceID]
+	if server == nil || !server.usable || c.arrivals > 0 && (c.arrivals >= c.maxAttempts || !proxy.holdsShare() ||
+		!proxy.retryBudgets[c.service].Take()) {
+		e.events = append(e.events, limiter.Outcome{ID: action.ID, Try: attempt, Server: action.Server,
+			Result: limiter.StaleSend})
 		return
 	}
 	now := time.Now()
-	if st.cold(now) && !y.holds() {
-		e.queue = append(e.queue, limiter.Outcome{ID: a.ID, Try: try, Server: a.Server, Result: limiter.StaleSend})
+	if server.cold(now) && !proxy.holdsShare() {
+		e.events = append(e.events, limiter.Outcome{ID: action.ID, Try: attempt, Server: action.Server,
+			Result: limiter.StaleSend})
 		return
 	}
-	if st.cold(now) {
-		st.nextAt = now.Add(st.pause)
-		info := s.info
+	if server.cold(now) {
+		server.nextColdRequestAt = now.Add(server.coldInterval)
+		info := entry.info
 		info.Phase = limiter.Draining
-		e.queue = append(e.queue, limiter.Endpoints{Scope: limiter.Partial, Servers: []limiter.ServerInfo{info}})
-		y.later(st.pause + time.Millisecond)
+		e.events = append(e.events, limiter.Endpoints{Scope: limiter.Partial, Servers: []limiter.ServerInfo{info}})
+		proxy.scheduleServerUpdate(server.coldInterval + time.Millisecond)
 	}
-	e.begins(st, a.Server)
-	c.next(step{upstream: st, server: a.Server, try: try})
+	e.attemptStarted(server, action.Server)
+	c.setNextStep(step{upstream: server, serverID: action.Server, attempt: attempt})
 }
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -12,93 +12,94 @@
 	"example.org/madderdrum/limiter"
 )
 
-// reply is what came of an attempt.
-type reply struct {
+// attemptResult is the outcome of one attempt.
+type attemptResult struct {
 	result  limiter.Result
 	answer  *answer
 	spentMs float64
-	// abandoned tells that the attempt was given up, or not begun, as the client has left.
+	// abandoned is set if the attempt was aborted or not started because the client has disconnected.
 	abandoned bool
 }
 
-// try carries out one attempt of a call at a server.
-func (y *Proxy) try(c *call, st *upstream) (rep reply) {
-	begun := time.Now()
-	defer func() { rep.spentMs = ms(time.Since(begun)) }()
-	most := idleMost
+// attempt sends a call to a server once and returns the outcome. Stale idle connections are skipped.
+func (proxy *Proxy) attempt(c *call, server *upstream) (outcome attemptResult) {
+	startedAt := time.Now()
+	defer func() { outcome.spentMs = ms(time.Since(startedAt)) }()
+	maxIdle := defaultServerIdle
 	if !c.route.Kind.Repeatable() {
-		most = idleUnsafe
+		maxIdle = unsafeServerIdle
 	}
 	for {
 		if c.clientLeft() {
-			return reply{abandoned: true}
+			return attemptResult{abandoned: true}
 		}
-		r := st.take(most)
-		if r == nil {
+		conn := server.takeIdle(maxIdle)
+		if conn == nil {
 			var err error
-			if r, err = st.connect(c.stopAt); err != nil {
-				st.drop()
-				return reply{result: limiter.NoRoute}
+			if conn, err = server.connect(c.deadline); err != nil {
+				server.closeIdle()
+				return attemptResult{result: limiter.NoRoute}
 			}
 		}
-		y.mu.Lock()
-		off := !st.usable
-		if !off {
-			c.arrived++
+		proxy.mu.Lock()
+		draining := !server.usable
+		if !draining {
+			c.arrivals++
 		}
-		y.mu.Unlock()
-		if off { // it has begun to drain meanwhile
-			st.put(r)
-			return reply{result: limiter.StaleSend}
+		proxy.mu.Unlock()
+		if draining { // the server started draining in the meantime
+			server.putIdle(conn)
+			return attemptResult{result: limiter.StaleSend}
 		}
-		rep, stale := c.exchange(r, st)
+		outcome, stale := c.exchange(conn, server)
 		if stale {
-			y.mu.Lock()
-			c.arrived--
-			y.mu.Unlock()
+			proxy.mu.Lock()
+			c.arrivals--
+			proxy.mu.Unlock()
 			continue
 		}
-		if rep.result == limiter.NoRoute && rep.answer != nil { // another server has the address
-			rep.answer = nil
-			st.drop()
-			y.mu.Lock()
-			y.gone[st.life] = true
-			y.relist()
-			y.mu.Unlock()
+		if outcome.result == limiter.NoRoute && outcome.answer != nil { // another server has taken over the address
+			outcome.answer = nil
+			server.closeIdle()
+			proxy.mu.Lock()
+			proxy.replacedInstances[server.instanceID] = true
+			proxy.updateServers()
+			proxy.mu.Unlock()
 		}
-		return rep
+		return outcome
 	}
 }
 
-// dropped are headers that concern one connection, or that the system writes itself.
-var dropped = map[string]bool{
-	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true,
-	"Upgrade": true, "Content-Length": true, "Host": true, "Expect": true,
+// unforwardedHeaders are hop-by-hop headers and headers that this system sets itself.
+var unforwardedHeaders = map[string]bool{
+	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
+	"Transfer-Encoding": true,
+	"Upgrade":           true, "Content-Length": true, "Host": true, "Expect": true,
 	http.CanonicalHeaderKey(headerCredential): true, http.CanonicalHeaderKey(headerTenant): true,
 	http.CanonicalHeaderKey(headerTarget): true, http.CanonicalHeaderKey(headerDeadline): true,
 }
 
-// request writes the request as a server gets it.
-func (c *call) request(st *upstream, left time.Duration) []byte {
+// encodeRequest returns the request as it is sent to a server.
+func (c *call) encodeRequest(server *upstream, timeLeft time.Duration) []byte {
 	out := make([]byte, 0, 512+len(c.body))
 	out = append(append(append(append(out, c.Method...), ' '), c.RequestURI...), " HTTP/1.1\r\n"...)
 	out = appendHeader(out, "Host", c.Host)
-	named := map[string]bool{}
+	connectionHeaders := map[string]bool{}
 	for _, v := range c.Header["Connection"] {
 		for name := range strings.SplitSeq(v, ",") {
-			named[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
+			connectionHeaders[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
 	for k, vs := range c.Header {
-		if dropped[k] || named[k] && k != headerAttempt {
+		if unforwardedHeaders[k] || connectionHeaders[k] && k != headerAttempt {
 			continue
 		}
 		for _, v := range vs {
 			out = appendHeader(out, k, v)
 		}
 	}
-	out = appendHeader(out, headerDeadline, strconv.FormatInt(max(1, left.Milliseconds()), 10))
-	out = appendHeader(out, headerTarget, st.life)
+	out = appendHeader(out, headerDeadline, strconv.FormatInt(max(1, timeLeft.Milliseconds()), 10))
+	out = appendHeader(out, headerTarget, server.instanceID)
 	if c.tenant != nil {
 		out = appendHeader(out, headerTenant, c.tenant.Name)
 	}
@@ -115,111 +116,111 @@
 	return append(append(out, "\r\n"...), c.body...)
 }
 
-// exchange writes the request on a connection and reads its answer, as long as the client is there. It is
-// stale if the connection turned out to be of no use before anything was written.
-func (c *call) exchange(r *serverConn, st *upstream) (rep reply, stale bool) {
-	if r.used && !r.quiet() {
-		r.Close()
-		return rep, true
+// exchange sends the request on a connection and reads the answer, unless the client disconnects. stale is set if
+// the connection turned out to be unusable before anything was written.
+func (c *call) exchange(conn *serverConn, server *upstream) (outcome attemptResult, stale bool) {
+	if conn.used && !conn.isQuiet() {
+		conn.Close()
+		return outcome, true
 	}
-	// The last moment at which the lease of what pays for the request can be looked at: this process may
-	// have stood still since it was admitted. Past stopAt nothing is written either.
-	if c.lapsed = c.bound && !c.y.holds(); c.lapsed {
-		st.put(r)
-		return reply{result: limiter.StaleSend}, false
+	// Last check of the lease that pays for the request: the process may have been stopped since the request was
+	// admitted. Nothing is written after the deadline either.
+	if c.leaseLapsed = c.needsShare && !c.proxy.holdsShare(); c.leaseLapsed {
+		server.putIdle(conn)
+		return attemptResult{result: limiter.StaleSend}, false
 	}
 	if c.clientLeft() {
-		st.put(r)
-		return reply{abandoned: true}, false
+		server.putIdle(conn)
+		return attemptResult{abandoned: true}, false
 	}
-	if !c.handOff.send() {
-		st.put(r)
-		return reply{abandoned: true}, false
+	if !c.handOff.beginSend() {
+		server.putIdle(conn)
+		return attemptResult{abandoned: true}, false
 	}
-	detach := c.attach(r)
-	rep, keep := c.converse(r, st)
-	if rep.answer != nil && rep.answer.stream != nil {
-		rep.answer.stream.upstream, rep.answer.stream.detach = st, detach
-		return rep, false
+	detach := c.closeOnDisconnect(conn)
+	outcome, reuse := c.roundTrip(conn, server)
+	if outcome.answer != nil && outcome.answer.stream != nil {
+		outcome.answer.stream.upstream, outcome.answer.stream.detach = server, detach
+		return outcome, false
 	}
 	attached := detach()
-	if keep && attached {
-		st.put(r)
+	if reuse && attached {
+		server.putIdle(conn)
 	} else {
-		r.Close()
+		conn.Close()
 	}
-	if !attached && rep.result != limiter.Pass {
-		return reply{abandoned: true}, false
+	if !attached && outcome.result != limiter.Pass {
+		return attemptResult{abandoned: true}, false
 	}
-	return rep, false
+	return outcome, false
 }
 
-// converse writes the request on a connection and reads its answer. keep tells that the connection can be
-// used again.
-func (c *call) converse(r *serverConn, st *upstream) (rep reply, keep bool) {
-	r.SetDeadline(c.stopAt)
-	r.used, r.lim.left = true, answerHead
-	c.countSentAfter()
-	if _, err := r.Write(c.request(st, time.Until(c.stopAt))); err != nil {
-		return reply{result: limiter.NoRoute}, false
+// roundTrip writes the request to a connection and reads the answer. reuse says that the connection can be reused.
+func (c *call) roundTrip(conn *serverConn, server *upstream) (outcome attemptResult, reuse bool) {
+	conn.SetDeadline(c.deadline)
+	conn.used, conn.limited.remaining = true, maxAnswerHead
+	c.countSentAfterDisconnect()
+	if _, err := conn.Write(c.encodeRequest(server, time.Until(c.deadline))); err != nil {
+		return attemptResult{result: limiter.NoRoute}, false
 	}
 	if c.rest != nil {
-		if err := c.rest.pass(r, c.y.link, c.stopAt); err != nil {
-			return c.broke(r, err), false
+		if err := c.rest.forward(conn, c.proxy.link, c.deadline); err != nil {
+			return c.errorResult(conn, err), false
 		}
 	}
-	resp, err := http.ReadResponse(r.in, c.Request)
+	resp, err := http.ReadResponse(conn.in, c.Request)
 	for err == nil && resp.StatusCode < 200 {
-		resp, err = http.ReadResponse(r.in, c.Request)
+		resp, err = http.ReadResponse(conn.in, c.Request)
 	}
 	if err != nil {
-		return c.broke(r, err), false
+		return c.errorResult(conn, err), false
 	}
 	h := resp.Header
 	if id := h.Get(headerAttempt); id != "" && id != c.Header.Get(headerAttempt) {
-		return reply{result: limiter.Spoilt}, false
+		return attemptResult{result: limiter.Spoilt}, false
 	}
-	a := &answer{status: resp.StatusCode, head: forwarded(h)}
-	r.lim.left = wholeMost + wholeMost/8
-	if resp.ContentLength > wholeMost {
+	a := &answer{status: resp.StatusCode, head: forwardedHeaders(h)}
+	conn.limited.remaining = maxBufferedAnswer + maxBufferedAnswer/8
+	if resp.ContentLength > maxBufferedAnswer {
 		if resp.StatusCode/100 != 2 || h.Get(headerSeal) == "" {
-			return reply{result: limiter.Spoilt}, false
+			return attemptResult{result: limiter.Spoilt}, false
 		}
-		r.lim.left = resp.ContentLength + 64<<10
-		a.stream = &answerStream{link: c.y.link, resp: resp, serverConn: r, length: resp.ContentLength, stopAt: c.stopAt}
-		return reply{result: limiter.Pass, answer: a}, false
+		conn.limited.remaining = resp.ContentLength + 64<<10
+		a.stream = &answerStream{link: c.proxy.link, resp: resp, serverConn: conn, length: resp.ContentLength,
+			deadline: c.deadline}
+		return attemptResult{result: limiter.Pass, answer: a}, false
 	}
 	if resp.ContentLength >= 0 {
 		a.body = make([]byte, resp.ContentLength)
-		_, err = io.ReadFull(c.y.link.body(resp.Body, resp.ContentLength), a.body)
+		_, err = io.ReadFull(c.proxy.link.body(resp.Body, resp.ContentLength), a.body)
 	} else {
 		a.body, err = io.ReadAll(resp.Body)
 	}
 	if err != nil {
-		return c.broke(r, err), false
+		return c.errorResult(conn, err), false
 	}
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.StatusCode/100 == 2 {
-		// Its end is the connection's end: a whole one can't be told from one cut short.
-		return reply{result: limiter.Spoilt}, false
+		// The body ends with the connection, so a truncated body looks complete.
+		return attemptResult{result: limiter.Spoilt}, false
 	}
-	if keep = !resp.Close && r.in.Buffered() == 0; keep {
-		r.keep = keepAlive(h.Get("Keep-Alive"))
+	if reuse = !resp.Close && conn.in.Buffered() == 0; reuse {
+		conn.reuse = parseKeepAlive(h.Get("Keep-Alive"))
 	}
-	rep.result = resultOf(resp)
-	if rep.result != limiter.NoRoom && rep.result != limiter.Spoilt {
-		rep.answer = a
+	outcome.result = classifyResponse(resp)
+	if outcome.result != limiter.NoRoom && outcome.result != limiter.Spoilt {
+		outcome.answer = a
 	}
-	return rep, keep
+	return outcome, reuse
 }
 
-// resultOf is what a whole answer of a server tells.
-func resultOf(resp *http.Response) limiter.Result {
+// classifyResponse returns the result that a complete response of a server stands for.
+func classifyResponse(resp *http.Response) limiter.Result {
 	h := resp.Header
 	sealed := h.Get(headerSeal) != ""
 	switch {
 	case resp.StatusCode == http.StatusMisdirectedRequest:
 		return limiter.NoRoute
-	case h.Get(headerUnrun) != "" && !sealed:
+	case h.Get(headerNotExecuted) != "" && !sealed:
 		return limiter.NoRoom
 	case resp.StatusCode/100 == 2 && sealed && h.Get("Content-Encoding") == "":
 		return limiter.Pass
@@ -231,39 +232,39 @@
 	return limiter.Fault
 }
 
-// broke is what an answer that did not come whole tells.
-func (c *call) broke(r *serverConn, err error) reply {
+// errorResult returns the result of an attempt that failed with err before the answer was complete.
+func (c *call) errorResult(conn *serverConn, err error) attemptResult {
 	var body *clientBodyError
 	switch {
 	case errors.As(err, &body):
-		return reply{result: limiter.Spoilt}
-	case r.died:
-		return reply{result: limiter.Cut}
+		return attemptResult{result: limiter.Spoilt}
+	case conn.broken:
+		return attemptResult{result: limiter.Cut}
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return reply{result: limiter.TooSlow}
+		return attemptResult{result: limiter.TooSlow}
 	}
-	return reply{result: limiter.Spoilt}
+	return attemptResult{result: limiter.Spoilt}
 }
 
-// forwarded are the headers of a server's answer that its client gets.
-func forwarded(h http.Header) http.Header {
+// forwardedHeaders returns the response headers that are passed on to the client.
+func forwardedHeaders(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for k, vs := range h {
-		if !dropped[k] {
+		if !unforwardedHeaders[k] {
 			out[k] = vs
 		}
 	}
 	return out
 }
 
-// keepAlive is how long a connection may be idle, by the server's word.
-func keepAlive(text string) time.Duration {
+// parseKeepAlive returns how long a connection may be idle, by the server's Keep-Alive header.
+func parseKeepAlive(text string) time.Duration {
 	for part := range strings.SplitSeq(text, ",") {
 		if value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
 			if n, err := strconv.Atoi(value); err == nil && n >= 0 {
-				return max(0, time.Duration(n)*time.Second-idleMargin)
+				return max(0, time.Duration(n)*time.Second-serverIdleMargin)
 			}
 		}
 	}
-	return idleMost
+	return defaultServerIdle
 }
--- a/internal/proxy/exit_test.go
+++ b/internal/proxy/exit_test.go
@@ -13,12 +13,12 @@
 	"example.org/madderdrum/traffic/shutdown"
 )
 
-// unansweringServer takes requests, tells of each, and answers none but health checks.
+// unansweringServer accepts requests, reports each to reached, and answers only health checks.
 func unansweringServer(id string, reached func(attempt string)) func(net.Conn) {
 	return func(c net.Conn) {
-		eachRequest(c, func(in *bufio.Reader, r *http.Request, _ []byte) (goesOn bool) {
+		serveRequests(c, func(in *bufio.Reader, r *http.Request, _ []byte) (goesOn bool) {
 			if r.URL.Path == "/health" {
-				io.WriteString(c, healthy(id))
+				io.WriteString(c, healthResponse(id))
 				return true
 			}
 			reached(r.Header.Get(headerAttempt))
@@ -28,12 +28,12 @@
 	}
 }
 
-// Requests in hand at the end of a leaving limiter got no answer: their connections closed 5.7 s after SIGTERM, also
-// those of requests that no server had. The process ended with whatever it had in hand. Evidence: the operators'
-// record of a request that was cut so, and the soak of processes, in which nearly all seeds had some.
+// Requests in flight when a leaving limiter exited got no answer: their connections were closed 5.7 s after
+// SIGTERM, including those of requests that no server had received. The operators recorded such a request, and
+// nearly all seeds of the process soak test had some.
 //
-// Here a server is silent for good: a request that can be repeated, one that can't, and those that are pipelined
-// behind the first one all are answered, no sooner than in the last sixth of the grace period, and before its end.
+// Here a server never answers. A repeatable request, one that is not repeatable, and requests pipelined after the
+// first one must all be answered within the last sixth of the grace period.
 func TestRequestsInHandAtTheEndAreAnswered(t *testing.T) {
 	t.Parallel()
 	d := newDeparture(t)
@@ -46,10 +46,11 @@
 	}))
 	d.renew()
 	d.sigterm = time.Now().Add(200 * time.Millisecond)
-	texts := map[string][]string{"r": {}, "w": {patient("POST", "/send/1", "w-0", "", "body")}}
+	texts := map[string][]string{"r": {}, "w": {longTimeoutRequest("POST", "/send/1", "w-0", "", "body")}}
 	ids := map[string][]string{"w": {"w-0"}}
 	for _, id := range []string{"r-0", "r-1", "r-2"} {
-		texts["r"], ids["r"] = append(texts["r"], patient("GET", "/read/1", id, "", "")), append(ids["r"], id)
+		texts["r"], ids["r"] = append(texts["r"], longTimeoutRequest("GET", "/read/1", id, "", "")),
+			append(ids["r"], id)
 	}
 	var clients sync.WaitGroup
 	for name := range texts {
@@ -72,104 +73,105 @@
 				ran := reached[id]
 				mu.Unlock()
 				want := map[bool]int{true: http.StatusGatewayTimeout, false: http.StatusServiceUnavailable}[ran]
-				if r.StatusCode != want || after < departGrace*5/6 || after > departGrace {
-					t.Errorf("%s got %d %v after SIGTERM, at a server %v", id, r.StatusCode, after, ran)
+				if r.StatusCode != want || after < gracePeriod*5/6 || after > gracePeriod {
+					t.Errorf("%s: status %d %v after SIGTERM; reached a server: %v", id, r.StatusCode, after, ran)
 				}
 			}
 		})
 	}
 	time.Sleep(time.Until(d.sigterm))
-	if took := d.leaves(); took > departGrace-100*time.Millisecond {
-		t.Errorf("the process ends %v after SIGTERM", took)
+	if elapsed := d.terminate(); elapsed > gracePeriod-100*time.Millisecond {
+		t.Errorf("the process exited %v after SIGTERM", elapsed)
 	}
 	clients.Wait()
 	if mu.Lock(); !reached["w-0"] || !reached["r-0"] {
-		t.Errorf("at the server: %v", reached)
+		t.Errorf("requests that reached the server: %v", reached)
 	}
 }
 
-// A process that stands still over the end of its intake, and goes on, took what had come meanwhile: the intake ended
-// when a loop had looked at the time, and readers were faster. Evidence: the soak of processes, when limiters get
-// SIGSTOP and SIGCONT while they leave.
+// A process that was stopped across the end of its intake accepted requests after it resumed: the intake ended
+// only when a loop looked at the time, and the readers ran first. The process soak test saw this when limiters
+// received SIGSTOP and SIGCONT while shutting down.
 func TestIntakeEndsByTheTime(t *testing.T) {
 	t.Parallel()
 	d := newDeparture(t)
 	c, in, _ := d.dial()
 	defer c.Close()
-	time.Sleep(50 * time.Millisecond)                    // its reader waits
-	d.leaving.Store(true)                                // SIGTERM was heard, and the loop that ends the intake
-	d.intakeEnds.Store(int64(time.Since(d.Proxy.begun))) // has not run since
-	io.WriteString(c, patient("GET", "/read/1", "late", "", ""))
+	time.Sleep(50 * time.Millisecond)                     // until the reader waits for a request
+	d.leaving.Store(true)                                 // SIGTERM was received, but the loop that ends the intake
+	d.intakeEndsAt.Store(int64(time.Since(d.Proxy.base))) // has not run since the intake ended
+	io.WriteString(c, longTimeoutRequest("GET", "/read/1", "late", "", ""))
 	d.expectRefused(in)
 }
 
-// expectRefused reads an answer that tells that the request was not taken.
+// expectRefused reads an answer and checks that the request was refused.
 func (d *departure) expectRefused(in *bufio.Reader) {
 	d.t.Helper()
 	r, err := http.ReadResponse(in, nil)
 	if err != nil || r.StatusCode != http.StatusServiceUnavailable || !r.Close {
-		d.t.Errorf("a request that came late got %v %v", r, err)
+		d.t.Errorf("a late request got %v, error %v", r, err)
 	}
 }
 
-// A process that stands still when SIGTERM is sent hears it when it goes on. It counted its grace period from there: it
-// took requests for 2.5 s more, and was killed with them in hand. Evidence: as above.
+// A process that is stopped when SIGTERM is sent receives it only when it resumes. It used to count its grace
+// period from then: it accepted requests for 2.5 s more and was killed with them in flight. The process soak test
+// saw this as well.
 func TestSIGTERMDuringStall(t *testing.T) {
 	t.Parallel()
 	d := newDeparture(t)
 	c, in, _ := d.dial()
 	defer c.Close()
 	time.Sleep(50 * time.Millisecond)
-	const stood = 3500 * time.Millisecond
+	const stall = 3500 * time.Millisecond
 	now := time.Now()
-	d.stalls.tick(now.Add(-stood - 100*time.Millisecond))
-	d.stalls.tick(now.Add(-stood))
-	d.sigterm = now.Add(-stood)
+	d.stalls.tick(now.Add(-stall - 100*time.Millisecond))
+	d.stalls.tick(now.Add(-stall))
+	d.sigterm = now.Add(-stall)
 	left := make(chan time.Duration, 1)
-	var heard atomic.Bool
-	time.AfterFunc(shutdown.SettleWithin/2, func() { // the signal is on its way through the process
-		heard.Store(true)
-		left <- d.leaves()
+	var received atomic.Bool
+	time.AfterFunc(shutdown.SettleWithin/2, func() { // the signal arrives some time after the process has resumed
+		received.Store(true)
+		left <- d.terminate()
 	})
-	io.WriteString(c, patient("GET", "/read/1", "late", "", ""))
+	io.WriteString(c, longTimeoutRequest("GET", "/read/1", "late", "", ""))
 	d.expectRefused(in)
-	if !heard.Load() {
-		t.Error("the request was answered before the process could hear SIGTERM")
+	if !received.Load() {
+		t.Error("the request was answered before the process could receive SIGTERM")
 	}
-	if took := <-left; took > departGrace {
-		t.Errorf("the process ends %v after SIGTERM", took)
+	if elapsed := <-left; elapsed > gracePeriod {
+		t.Errorf("the process exited %v after SIGTERM", elapsed)
 	}
 }
 
-// A request that no server had when it was revoked is sent to none.
+// A request that no server had received when it was revoked is not sent.
 func TestRevokedRequestIsNotSent(t *testing.T) {
 	var h handOff
-	if !h.send() {
-		t.Fatal("a request that waits can't be sent")
+	if !h.beginSend() {
+		t.Fatal("a waiting request cannot be sent")
 	}
-	h.takeBack()
+	h.markNotExecuted()
 	if h.revoke() {
-		t.Error("a request that a server turned away counts as one that may have run")
+		t.Error("a request that a server rejected counts as possibly executed")
 	}
-	if h.send() {
+	if h.beginSend() {
 		t.Error("a revoked request can be sent")
 	}
 	var sent handOff
-	sent.send()
-	if !sent.revoke() || sent.send() {
-		t.Error("a request at a server does not count as one that may have run, or is sent once more")
+	sent.beginSend()
+	if !sent.revoke() || sent.beginSend() {
+		t.Error("a request at a server does not count as possibly executed, or can be sent again")
 	}
 	for range 2000 {
 		var h handOff
 		var sent bool
 		done := make(chan struct{})
 		go func() {
-			sent = h.send()
+			sent = h.beginSend()
 			close(done)
 		}()
 		mayHaveRun := h.revoke()
 		if <-done; sent != mayHaveRun {
-			t.Fatalf("sent %v, may have run %v", sent, mayHaveRun)
+			t.Fatalf("sent: %v, may have run: %v", sent, mayHaveRun)
 		}
 	}
 }
--- a/internal/proxy/handoff.go
+++ b/internal/proxy/handoff.go
@@ -5,38 +5,40 @@
 	"sync/atomic"
 )
 
-// Where a request in hand is.
+// States of a handOff.
 const (
-	handOffWaiting  int32 = iota // in the proxy; no server has it
-	handOffAtServer              // some server may have it, or has run it
-	handOffRevoked               // it has had its answer: no server gets it any more
+	handOffWaiting  int32 = iota // only the proxy has the request
+	handOffAtServer              // a server may have received or executed the request
+	handOffRevoked               // the request has been answered at exit and must not be sent
 )
 
-// handOff says whether a server may have a request, and settles who is first: an attempt that is about to be sent, or
-// the end of the process, which answers what is in hand. The zero value is a request that waits.
+// handOff records whether a server may have received a request. It resolves the race between an attempt about to
+// be sent and the end of the process, which answers the remaining requests. Its zero value is a request that has
+// not been sent.
 type handOff struct{ state atomic.Int32 }
 
-// send tells that the request may be sent to a server, which may have it from then on.
-func (h *handOff) send() bool {
+// beginSend reports whether the request may be sent to a server. If so, the request counts as received from then
+// on.
+func (h *handOff) beginSend() bool {
 	return h.state.CompareAndSwap(handOffWaiting, handOffAtServer) || h.state.Load() == handOffAtServer
 }
 
-// takeBack notes that no server has run the request, though it was sent.
-func (h *handOff) takeBack() { h.state.CompareAndSwap(handOffAtServer, handOffWaiting) }
+// markNotExecuted records that no server has executed the request, although it was sent.
+func (h *handOff) markNotExecuted() { h.state.CompareAndSwap(handOffAtServer, handOffWaiting) }
 
-// revoke has the request sent to no further server, and tells whether one may have run it.
+// revoke prevents further sends and reports whether a server may have executed the request.
 func (h *handOff) revoke() (mayHaveRun bool) {
 	return h.state.Swap(handOffRevoked) == handOffAtServer
 }
 
-// revoked tells that the request has had its answer at the end of the process.
+// revoked reports whether the request was answered at exit.
 func (h *handOff) revoked() bool { return h.state.Load() == handOffRevoked }
 
-// answerAtExit is the answer of a request that the end of the process finds in hand. One that has not run can be
-// served elsewhere at once; of another its client learns that the outcome is not known.
+// answerAtExit returns the answer to a request that is unanswered at exit. A request that was not executed can be
+// retried elsewhere at once; otherwise the client learns that the outcome is unknown.
 func (h *handOff) answerAtExit() *answer {
 	if h.revoke() {
-		return &answer{status: http.StatusGatewayTimeout, why: "the limiter ends"}
+		return &answer{status: http.StatusGatewayTimeout, reason: "the limiter ends"}
 	}
-	return &answer{status: http.StatusServiceUnavailable, retryAfter: leavingRetryAfter, why: "the limiter ends"}
+	return &answer{status: http.StatusServiceUnavailable, retryAfterMs: leavingRetryAfterMs, reason: "the limiter ends"}
 }
--- a/internal/proxy/lease.go
+++ b/internal/proxy/lease.go
@@ -9,105 +9,107 @@
 	"example.org/madderdrum/traffic/allowance"
 )
 
-// A limiter's place in the register is a lease (see package places): it stands as long as there is young
-// proof that the register is current, and what it may use follows from all places that somebody may
-// still go by.
+// A limiter's place in the register is a lease (see package places). It is valid while there is recent proof that
+// the register is current. The share that it grants is the smallest one in all place tables that any limiter may
+// still use.
 
-// renewed has what stands by the place go by a lease that was renewed. ended tells that it had ended
-// before. The mutex is held.
-func (y *Proxy) renewed(ended bool) {
-	y.holdShare()
-	if e := y.engine; ended && e != nil && y.lease.Valid(time.Since(y.begun)) {
-		e.parts()
+// leaseRenewed applies a renewed lease to quotas and loans. hadEnded says that the lease had expired before. The
+// mutex is held.
+func (proxy *Proxy) leaseRenewed(hadEnded bool) {
+	proxy.applyShare()
+	if e := proxy.engine; hadEnded && e != nil && proxy.lease.Valid(time.Since(proxy.base)) {
+		e.applyParts()
 	}
 }
 
-// endLease has nothing that stands by the place used any more. The mutex is held.
-func (y *Proxy) endLease() {
-	y.lease = places.Lease{}
-	y.holdShare()
-	if e := y.engine; e != nil {
-		e.parts()
+// dropLease gives up the lease and stops the use of everything that depends on it. The mutex is held.
+func (proxy *Proxy) dropLease() {
+	proxy.lease = places.Lease{}
+	proxy.applyShare()
+	if e := proxy.engine; e != nil {
+		e.applyParts()
 	}
 }
 
-// holds tells that this limiter has a part, and may use it now. It needs no mutex.
-func (y *Proxy) holds() bool { return int64(time.Since(y.begun)) < y.holdsUntil.Load() }
+// holdsShare reports whether this limiter has a share of the quotas and a valid lease on it. It needs no lock.
+func (proxy *Proxy) holdsShare() bool { return int64(time.Since(proxy.base)) < proxy.shareEnds.Load() }
 
-// slot is this limiter's in the register, or -1. The mutex is held.
-func (y *Proxy) slot() int {
-	t := y.reg.PlaceTable()
-	return t.SlotOf(y.set.Node, y.set.IP)
+// ownSlot returns this limiter's slot in the register, or -1. The mutex is held.
+func (proxy *Proxy) ownSlot() int {
+	t := proxy.register.PlaceTable()
+	return t.SlotOf(proxy.settings.Node, proxy.settings.IP)
 }
 
-// takePlaces works out what the places of the register in force give to this limiter. The mutex is held.
-func (y *Proxy) takePlaces() {
-	t := y.reg.PlaceTable()
+// updateShare computes this limiter's share from the places of the register in force. The mutex is held.
+func (proxy *Proxy) updateShare() {
+	t := proxy.register.PlaceTable()
 	sets := t.Sets()
-	y.limiters = 1
-	for _, set := range sets {
-		y.limiters = max(y.limiters, len(set))
+	proxy.limiterCount = 1
+	for _, settings := range sets {
+		proxy.limiterCount = max(proxy.limiterCount, len(settings))
 	}
-	y.near = t.InZone(y.set.Zone)
-	share := places.Share(sets, y.slot())
-	if share != y.share {
-		y.log.WithFields(logrus.Fields{"share": share, "limiters": t.Count(), "settled": t.Settled}).Info("part of all ceilings changes")
+	proxy.zoneLimiterCount = t.InZone(proxy.settings.Zone)
+	share := places.Share(sets, proxy.ownSlot())
+	if share != proxy.share {
+		proxy.log.WithFields(logrus.Fields{"share": share, "limiters": t.Count(),
+			"settled": t.Settled}).Info("part of all ceilings changes")
 	}
-	y.share = share
+	proxy.share = share
 }
 
-// holdShare has what is sent and lent here go by this limiter's part and lease. The mutex is held.
-func (y *Proxy) holdShare() {
-	e := y.engine
+// applyShare applies this limiter's share and the end of its lease to sending and lending. The mutex is held.
+func (proxy *Proxy) applyShare() {
+	e := proxy.engine
 	if e == nil {
 		return
 	}
-	slot := y.slot()
-	if y.done || slot != e.place {
-		slot = -1
+	ownSlot := proxy.ownSlot()
+	if proxy.returningPlace || ownSlot != e.slot {
+		ownSlot = -1
 	}
-	share, until := y.lease.Use(y.reg.PlaceTable(), slot)
-	y.holdsUntil.Store(int64(until))
-	y.desk.Hold(share*float64(e.size), ms(until))
-	if y.holds() {
-		y.serving = true
+	share, until := proxy.lease.Use(proxy.register.PlaceTable(), ownSlot)
+	proxy.shareEnds.Store(int64(until))
+	proxy.loans.Hold(share*float64(e.slotCount), ms(until))
+	if proxy.holdsShare() {
+		proxy.hasHeldShare = true
 	}
 }
 
-// sets are the places of limiters by slot, in each set that somebody may still go by, the newest last.
-// The mutex is held.
-func (y *Proxy) sets() [][]allowance.Place {
-	return allowance.PlacesOf(y.reg.PlaceTable(), func(zone string) string { return y.set.Zones[zone] })
+// placeSets returns the places of limiters by slot, in each set that any limiter may still use, newest last. The
+// mutex is held.
+func (proxy *Proxy) placeSets() [][]allowance.Place {
+	return allowance.PlacesOf(proxy.register.PlaceTable(),
+		func(zone string) string { return proxy.settings.Zones[zone] })
 }
 
-// stopLending has nothing lent any more: what is lent would outlive this process.
-func (y *Proxy) stopLending() {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	if y.desk != nil {
-		y.desk.StopLending()
+// stopLending stops new loans: they would outlast this process.
+func (proxy *Proxy) stopLending() {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	if proxy.loans != nil {
+		proxy.loans.StopLending()
 	}
 }
 
-// giveBack has this limiter's place given back, after the last request.
-func (y *Proxy) giveBack() {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	if y.done || y.slot() < 0 {
+// returnPlace gives up this limiter's place. It is called after the last request.
+func (proxy *Proxy) returnPlace() {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	if proxy.returningPlace || proxy.ownSlot() < 0 {
 		return
 	}
-	y.done = true
-	y.holdShare()
-	if e := y.engine; e != nil {
-		e.parts()
+	proxy.returningPlace = true
+	proxy.applyShare()
+	if e := proxy.engine; e != nil {
+		e.applyParts()
 	}
-	y.poke()
+	proxy.wakePull()
 }
 
-// placeReturned tells that this limiter has had no place, or that the core machines know that it goes by
-// registers without the one that it gave back.
-func (y *Proxy) placeReturned() bool {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return y.givenBack || !y.done && y.slot() < 0
+// placeReturned reports whether this limiter never had a place, or the core machines know that it uses a register
+// without the place it gave up.
+func (proxy *Proxy) placeReturned() bool {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	return proxy.placeReturnConfirmed || !proxy.returningPlace && proxy.ownSlot() < 0
 }
--- a/internal/proxy/lease_test.go
+++ b/internal/proxy/lease_test.go
@@ -12,145 +12,151 @@
 	"example.org/madderdrum/internal/rpc"
 )
 
-// placed is a register with places of its own, so many settled.
-func placed(seq, settled uint64, all ...places.Place) *controlstate.Register {
+// registerWithPlaces returns a register with the given places and the number up to which they are settled.
+func registerWithPlaces(seq, settled uint64, all ...places.Place) *controlstate.Register {
 	return &controlstate.Register{Seq: seq, Version: 1, Places: all, PlacesSettled: settled}
 }
 
-func own(p places.Place) places.Place {
-	p.Name, p.IP, p.Zone = "e1", "127.0.0.1", "z"
-	return p
+func ownPlace(place places.Place) places.Place {
+	place.Name, place.IP, place.Zone = "e1", "127.0.0.1", "z"
+	return place
 }
 
-func other(name string, from uint64) places.Place {
+func otherPlace(name string, from uint64) places.Place {
 	return places.Place{Name: name, IP: "127.0.0.9", Zone: "z", From: from}
 }
 
-// served is the status of one request within its quota.
-func (y *testProxy) served(id string) int {
-	got, _ := y.client(request("GET", "/read/1", id, "", ""), 1)
+// requestStatus returns the status of the answer to one request within the quota.
+func (proxy *testProxy) requestStatus(id string) int {
+	got, _ := proxy.client(request("GET", "/read/1", id, "", ""), 1)
 	return got[0].StatusCode
 }
 
-// A limiter whose place is taken away refuses what a ceiling binds, and serves again once it has it back.
+// A limiter whose place is taken away refuses requests of tenants with a ceiling, and serves them again once it
+// has its place back.
 func TestPlaceIsTakenAway(t *testing.T) {
-	y := newTestProxy(t)
-	y.server("i-1", 0, "ok")
-	y.tell(nil)
-	if got := y.served("id-1"); got != 200 {
-		t.Fatalf("%d with a place", got)
-	}
-	y.tell(placed(2, 0, own(places.Place{To: 2})))
-	if got := y.served("id-2"); got != 429 {
-		t.Errorf("%d without a place", got)
-	}
-	if answer, err := y.Proxy.status(t.Context()); err != nil || !slices.ContainsFunc(answer.(rpc.Status).Lines, func(line string) bool {
-		return strings.HasPrefix(line, "place=-1 share=0.0000 ")
-	}) {
-		t.Errorf("its status is %v, %v", answer, err)
-	}
-	y.tell(placed(3, 0, own(places.Place{Left: 2, Back: 3})))
-	// What had been saved up is gone with the place: it fills up again.
-	for until := time.Now().Add(2 * time.Second); y.served("id-3") != 200; {
+	proxy := newTestProxy(t)
+	proxy.server("i-1", 0, "ok")
+	proxy.deliver(nil)
+	if got := proxy.requestStatus("id-1"); got != 200 {
+		t.Fatalf("status %d with a place", got)
+	}
+	proxy.deliver(registerWithPlaces(2, 0, ownPlace(places.Place{To: 2})))
+	if got := proxy.requestStatus("id-2"); got != 429 {
+		t.Errorf("status %d without a place", got)
+	}
+	if answer, err := proxy.Proxy.status(t.Context()); err != nil ||
+		!slices.ContainsFunc(answer.(rpc.Status).Lines, func(line string) bool {
+			return strings.HasPrefix(line, "place=-1 share=0.0000 ")
+		}) {
+		t.Errorf("status call returned %v, error %v", answer, err)
+	}
+	proxy.deliver(registerWithPlaces(3, 0, ownPlace(places.Place{Left: 2, Back: 3})))
+	// The saved-up balance was lost with the place and has to refill.
+	for until := time.Now().Add(2 * time.Second); proxy.requestStatus("id-3") != 200; {
 		if time.Now().After(until) {
-			t.Fatal("it refuses with the place that was given back")
+			t.Fatal("requests are still refused after the place was restored")
 		}
 	}
 }
 
-// A limiter that joins others is not ready, and uses nothing, until its place is settled.
+// A joining limiter is not ready and uses no quota until its place is settled.
 func TestJoinerWaits(t *testing.T) {
-	y := newTestProxy(t)
-	y.Proxy.serving, y.Proxy.engine, y.Proxy.desk = false, nil, nil // as at its beginning
-	y.tell(placed(2, 1, other("e2", 1), own(places.Place{From: 2, Life: y.self})))
-	y.mu.Lock()
-	of, rest, _ := y.engine.holding.Desk.Parts(y.now())
-	y.mu.Unlock()
-	if y.ready() || rest != 0 || len(of) != 0 {
-		t.Errorf("ready %v, parts %v, %g of the rest before it is settled", y.ready(), of, rest)
-	}
-	y.tell(placed(3, 2, other("e2", 1), own(places.Place{From: 2, Life: y.self})))
-	y.mu.Lock()
-	_, rest, _ = y.engine.holding.Desk.Parts(y.now())
-	y.mu.Unlock()
-	if !y.ready() || rest != 1 {
-		t.Errorf("ready %v, %g of an equal part once it is settled", y.ready(), rest)
+	proxy := newTestProxy(t)
+	proxy.Proxy.hasHeldShare, proxy.Proxy.engine, proxy.Proxy.loans = false, nil, nil // as after a start of the process
+	proxy.deliver(registerWithPlaces(2, 1, otherPlace("e2", 1),
+		ownPlace(places.Place{From: 2, Life: proxy.instanceID})))
+	proxy.mu.Lock()
+	of, rest, _ := proxy.engine.quota.Desk.Parts(proxy.now())
+	proxy.mu.Unlock()
+	if proxy.ready() || rest != 0 || len(of) != 0 {
+		t.Errorf("before the place is settled: ready %v, parts %v, default part %g", proxy.ready(), of, rest)
+	}
+	proxy.deliver(registerWithPlaces(3, 2, otherPlace("e2", 1),
+		ownPlace(places.Place{From: 2, Life: proxy.instanceID})))
+	proxy.mu.Lock()
+	_, rest, _ = proxy.engine.quota.Desk.Parts(proxy.now())
+	proxy.mu.Unlock()
+	if !proxy.ready() || rest != 1 {
+		t.Errorf("after the place is settled: ready %v, default part %g", proxy.ready(), rest)
 	}
 }
 
-// What was admitted before the process stood still is not sent once the lease has ended, and the client hears
-// that it has not run. Further tries and requests to cold servers are over with the lease too.
+// A request that was admitted before the process was stopped is not sent after the lease has ended, and its answer
+// says that it was not executed. Retries and requests to cold servers end with the lease as well.
 func TestNothingIsSentOnAnEndedLease(t *testing.T) {
-	y := newTestProxy(t)
-	s := y.server("i-1", 0, "ok")
-	y.tell(nil)
-	y.holdsUntil.Store(1) // the decisions have not heard of it: they admit
-	got, _ := y.client(request("POST", "/send/1", "id-1", "", "x"), 1)
-	if got[0].StatusCode != 503 || len(s.ran) > 0 {
-		t.Errorf("%d, and the server ran %v", got[0].StatusCode, s.ran)
-	}
-	y.mu.Lock()
-	y.endLease()
-	y.mu.Unlock()
-	if got := y.served("id-2"); got != 429 {
-		t.Errorf("%d on an ended lease", got)
-	}
-	y.tell(nil) // further proof renews it
-	for until := time.Now().Add(2 * time.Second); y.served("id-3") != 200; {
+	proxy := newTestProxy(t)
+	s := proxy.server("i-1", 0, "ok")
+	proxy.deliver(nil)
+	proxy.shareEnds.Store(1) // the engine does not know of it and still admits requests
+	got, _ := proxy.client(request("POST", "/send/1", "id-1", "", "x"), 1)
+	if got[0].StatusCode != 503 || len(s.executed) > 0 {
+		t.Errorf("status %d, the server executed %v", got[0].StatusCode, s.executed)
+	}
+	proxy.mu.Lock()
+	proxy.dropLease()
+	proxy.mu.Unlock()
+	if got := proxy.requestStatus("id-2"); got != 429 {
+		t.Errorf("status %d after the lease ended", got)
+	}
+	proxy.deliver(nil) // a new proof renews the lease
+	for until := time.Now().Add(2 * time.Second); proxy.requestStatus("id-3") != 200; {
 		if time.Now().After(until) {
-			t.Fatal("it refuses on a renewed lease")
+			t.Fatal("requests are still refused after the lease was renewed")
 		}
 	}
 }
 
-// Proof of an older register than the one that a limiter has renews its lease no further than it reaches, and
-// none at all renews nothing.
+// A proof for an older register renews the lease only as far as the proof's age allows. Without a proof the lease
+// is not renewed.
 func TestLeaseGoesByTheProof(t *testing.T) {
-	y := newTestProxy(t)
-	y.begun = y.begun.Add(-time.Hour)
-	y.mu.Lock()
-	y.endLease()
-	y.mu.Unlock()
-	y.take(time.Now(), &registry.Pulled{})
-	if y.holds() {
+	proxy := newTestProxy(t)
+	proxy.base = proxy.base.Add(-time.Hour)
+	proxy.mu.Lock()
+	proxy.dropLease()
+	proxy.mu.Unlock()
+	proxy.applyPulled(time.Now(), &registry.Pulled{})
+	if proxy.holdsShare() {
 		t.Error("an answer without proof renews the lease")
 	}
-	y.take(time.Now(), &registry.Pulled{Proven: true, ProofMs: uint64((places.LeaseLength + time.Second) / time.Millisecond)})
-	if y.holds() {
-		t.Error("proof that is older than a lease renews it")
+	proxy.applyPulled(time.Now(), &registry.Pulled{Proven: true,
+		ProofMs: uint64((places.LeaseLength + time.Second) / time.Millisecond)})
+	if proxy.holdsShare() {
+		t.Error("a proof older than the lease length renews the lease")
 	}
-	y.take(time.Now(), &registry.Pulled{Proven: true, ProofMs: uint64((places.LeaseLength - time.Second) / time.Millisecond)})
-	y.mu.Lock()
-	left := y.lease.End() - time.Since(y.begun)
-	y.mu.Unlock()
+	proxy.applyPulled(time.Now(), &registry.Pulled{Proven: true,
+		ProofMs: uint64((places.LeaseLength - time.Second) / time.Millisecond)})
+	proxy.mu.Lock()
+	left := proxy.lease.End() - time.Since(proxy.base)
+	proxy.mu.Unlock()
 	if left > time.Second || left < 0 {
-		t.Errorf("by a proof one second from its end the lease lasts %v", left)
+		t.Errorf("after a proof that is valid for one more second, the lease is valid for %v", left)
 	}
 }
 
-// A limiter that leaves gives its place back after the last request: it uses nothing from then on, and
-// is not through until a core machine has heard that it goes by a register without it.
+// A leaving limiter returns its place after the last request. It uses no quota from then on, and does not exit
+// before a core machine knows that it uses a register without the place.
 func TestPlaceIsGivenBack(t *testing.T) {
-	y := newTestProxy(t)
-	y.leaving.Store(true)
-	y.stopLending()
-	if y.giveBack(); y.placeReturned() {
-		t.Error("given back before anybody has heard of it")
-	}
-	y.mu.Lock()
-	_, rest, _ := y.engine.holding.Desk.Parts(y.now())
-	y.mu.Unlock()
-	if rest != 0 || y.holds() {
-		t.Errorf("%g of a part is used on", rest)
-	}
-	y.tell(placed(2, 0, own(places.Place{To: 2})))
-	if y.giveBack(); y.placeReturned() {
-		t.Error("given back before the core machines know that this limiter has heard of it")
-	}
-	y.mu.Lock()
-	y.givenBack = true // as the next pull is answered
-	y.mu.Unlock()
-	if y.giveBack(); !y.placeReturned() {
-		t.Error("not given back")
+	proxy := newTestProxy(t)
+	proxy.leaving.Store(true)
+	proxy.stopLending()
+	if proxy.returnPlace(); proxy.placeReturned() {
+		t.Error("place returned before any core machine knows of it")
+	}
+	proxy.mu.Lock()
+	_, rest, _ := proxy.engine.quota.Desk.Parts(proxy.now())
+	proxy.mu.Unlock()
+	if rest != 0 || proxy.holdsShare() {
+		t.Errorf("a part of %g is still used", rest)
+	}
+	proxy.deliver(registerWithPlaces(2, 0, ownPlace(places.Place{To: 2})))
+	if proxy.returnPlace(); proxy.placeReturned() {
+		t.Error("place returned before the core machines know that this limiter uses the new register")
+	}
+	proxy.mu.Lock()
+	proxy.placeReturnConfirmed = true // as when the next pull is answered
+	proxy.mu.Unlock()
+	if proxy.returnPlace(); !proxy.placeReturned() {
+		t.Error("place not returned")
 	}
 }
--- a/internal/proxy/link.go
+++ b/internal/proxy/link.go
@@ -9,28 +9,28 @@
 	"example.org/madderdrum/traffic/pacing"
 )
 
-// link is the limiter's own link, on which long bodies keep a distance: see package pacing.
+// link paces long bodies on the limiter's own network link (see package pacing).
 type link struct {
-	mu      sync.Mutex
-	in, out *pacing.Line
-	begun   time.Time
+	mu        sync.Mutex
+	in, out   *pacing.Line
+	startedAt time.Time
 }
 
 func newLink(mbps float64) *link {
-	return &link{in: pacing.New(mbps), out: pacing.New(mbps), begun: time.Now()}
+	return &link{in: pacing.New(mbps), out: pacing.New(mbps), startedAt: time.Now()}
 }
 
-func (l *link) now() float64 { return ms(time.Since(l.begun)) }
+func (l *link) now() float64 { return ms(time.Since(l.startedAt)) }
 
-// short books bytes that do not wait.
-func (l *link) short(line *pacing.Line, n int) {
+// bookShort accounts for bytes that are sent without waiting.
+func (l *link) bookShort(line *pacing.Line, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	line.Short(l.now(), n)
 }
 
-// piece waits until the next piece of a long body is due.
-func (l *link) piece(line *pacing.Line, n int) {
+// waitForPiece waits until the next piece of a long body may be sent.
+func (l *link) waitForPiece(line *pacing.Line, n int) {
 	l.mu.Lock()
 	wait := line.Next(l.now(), n)
 	l.mu.Unlock()
@@ -39,40 +39,40 @@
 	}
 }
 
-// paced reads a long body in pieces.
-type paced struct {
+// pacedReader reads a long body in paced pieces.
+type pacedReader struct {
 	from io.Reader
 	link *link
 }
 
-func (p paced) Read(b []byte) (int, error) {
-	if n := p.link.in.Piece(); len(b) > n {
+func (r pacedReader) Read(b []byte) (int, error) {
+	if n := r.link.in.Piece(); len(b) > n {
 		b = b[:n]
 	}
-	p.link.piece(p.link.in, len(b))
-	return p.from.Read(b)
+	r.link.waitForPiece(r.link.in, len(b))
+	return r.from.Read(b)
 }
 
-// body is a reader of a body of so many bytes; less than none: not known.
+// body returns a reader of a body of the given length; a negative length is unknown.
 func (l *link) body(from io.Reader, length int64) io.Reader {
 	if l.in.Long(length) {
-		return paced{from, l}
+		return pacedReader{from, l}
 	}
-	l.short(l.in, int(max(0, length)))
+	l.bookShort(l.in, int(max(0, length)))
 	return from
 }
 
-// write writes an answer, a long one in pieces.
-func (l *link) write(c net.Conn, out []byte) error {
+// writeAnswer writes an answer. Long answers are written in paced pieces.
+func (l *link) writeAnswer(c net.Conn, out []byte) error {
 	if !l.out.Long(int64(len(out))) {
-		l.short(l.out, len(out))
+		l.bookShort(l.out, len(out))
 		_, err := c.Write(out)
 		return err
 	}
 	for len(out) > 0 {
 		n := min(len(out), l.out.Piece())
-		l.piece(l.out, n)
-		c.SetWriteDeadline(time.Now().Add(writeWithin))
+		l.waitForPiece(l.out, n)
+		c.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := c.Write(out[:n]); err != nil {
 			return err
 		}
--- a/internal/proxy/load.go
+++ b/internal/proxy/load.go
@@ -14,123 +14,126 @@
 )
 
 const (
-	loadEvery = 50 * time.Millisecond
-	// Limiters tell those of their zone; where these are fewer than neighboursLeast, others of the
-	// region too.
-	neighboursLeast = 6
-	neighboursMost  = 16
+	loadReportInterval = 50 * time.Millisecond
+	// Limiters report to those of their zone and, if these are fewer than minNeighbours, to others of the region
+	// as well.
+	minNeighbours = 6
+	maxNeighbours = 16
 )
 
-// tellLoad tells neighbours what this limiter has in hand, and the decisions what they have.
-func (y *Proxy) tellLoad() {
-	y.mu.Lock()
-	var to []string
-	for _, p := range y.neighbours {
-		if !y.unreachable[p.Name] {
-			to = append(to, p.IP)
+// sendLoadReport sends neighbours the number of requests this limiter has in flight, and passes the neighbours'
+// numbers to the engine.
+func (proxy *Proxy) sendLoadReport() {
+	proxy.mu.Lock()
+	var addresses []string
+	for _, place := range proxy.neighbours {
+		if !proxy.unreachable[place.Name] {
+			addresses = append(addresses, place.IP)
 		}
 	}
-	y.loads.Expect(max(len(to), y.nearOnes()))
-	y.believe()
-	word, due := y.loads.Next(y.now())
-	y.mu.Unlock()
+	proxy.loadReports.Expect(max(len(addresses), proxy.countReachableInZone()))
+	proxy.updateOthersInFlight()
+	report, due := proxy.loadReports.Next(proxy.now())
+	proxy.mu.Unlock()
 	if !due {
 		return
 	}
-	data := rpc.Encode(word)
-	for _, ip := range to {
-		y.tell(y.set.Internal(ip, nodesettings.ProxyPort), datagramLoad, data)
+	data := rpc.Encode(report)
+	for _, ip := range addresses {
+		proxy.sendDatagram(proxy.settings.Internal(ip, nodesettings.ProxyPort), datagramLoad, data)
 	}
 }
 
-// nearOnes is how many other limiters of this zone are in reach, whether they are told or not. The
-// mutex is held.
-func (y *Proxy) nearOnes() (n int) {
-	for _, p := range y.reg.Places {
-		if p.Held() && p.Zone == y.set.Zone && p.Name != y.set.Node && !y.unreachable[p.Name] {
+// countReachableInZone returns the number of reachable other limiters in this zone, whether or not they are
+// neighbours. The mutex is held.
+func (proxy *Proxy) countReachableInZone() (n int) {
+	for _, place := range proxy.register.Places {
+		if place.Held() && place.Zone == proxy.settings.Zone && place.Name != proxy.settings.Node &&
+			!proxy.unreachable[place.Name] {
 			n++
 		}
 	}
 	return n
 }
 
-// believe has the decisions go by what is in hand at servers beside their own requests. The mutex
-// is held.
-func (y *Proxy) believe() {
-	others := y.loads.Others(y.now())
-	for _, s := range y.loads.Steps() {
-		y.log.WithFields(logrus.Fields{"service": s.Service, "share": float64(int(s.Share*100)) / 100, "pressed": s.Pressed}).Info("load of a service changes")
+// updateOthersInFlight passes the engine the load at servers that is not its own. The mutex is held.
+func (proxy *Proxy) updateOthersInFlight() {
+	others := proxy.loadReports.Others(proxy.now())
+	for _, step := range proxy.loadReports.Steps() {
+		proxy.log.WithFields(logrus.Fields{"service": step.Service, "share": float64(int(step.Share*100)) / 100,
+			"pressed": step.Pressed}).Info("load of a service changes")
 	}
-	e := y.engine
+	e := proxy.engine
 	if e == nil {
 		return
 	}
-	beside := map[uint64]limiter.InHand{}
+	othersInFlight := map[uint64]limiter.InHand{}
 	for server, n := range others {
-		for _, b := range e.members[server] {
-			beside[b] = limiter.InHand{Server: b, Others: n + float64(y.loads.Own(server)-e.inHand[b]), Slots: e.slots[server]}
+		for _, member := range e.membersByInstance[server] {
+			othersInFlight[member] = limiter.InHand{Server: member,
+				Others: n + float64(proxy.loadReports.Own(server)-e.inFlight[member]), Slots: e.capacity[server]}
 		}
 	}
-	var news []limiter.InHand
-	for b, x := range beside {
-		if e.beside[b] != x {
-			news = append(news, x)
+	var changed []limiter.InHand
+	for member, load := range othersInFlight {
+		if e.othersInFlight[member] != load {
+			changed = append(changed, load)
 		}
 	}
-	for b := range e.beside {
-		if _, still := beside[b]; !still {
-			news = append(news, limiter.InHand{Server: b})
+	for member := range e.othersInFlight {
+		if _, still := othersInFlight[member]; !still {
+			changed = append(changed, limiter.InHand{Server: member})
 		}
 	}
-	if e.beside = beside; len(news) > 0 {
-		e.handle(limiter.Occupied{Servers: news})
+	if e.othersInFlight = othersInFlight; len(changed) > 0 {
+		e.handle(limiter.Occupied{Servers: changed})
 	}
 }
 
-// begins notes that an attempt goes out, ends that it is over. The mutex is held.
-func (e *engine) begins(st *upstream, member uint64) {
-	e.inHand[member]++
-	e.y.loads.Began(st.number)
+// attemptStarted counts an attempt as in flight until attemptEnded. The mutex is held.
+func (e *engine) attemptStarted(server *upstream, member uint64) {
+	e.inFlight[member]++
+	e.proxy.loadReports.Began(server.instanceHash)
 }
 
-func (e *engine) ends(st *upstream, member uint64, result limiter.Result, spentMs float64) {
-	if e.inHand[member]--; e.inHand[member] <= 0 {
-		delete(e.inHand, member)
+func (e *engine) attemptEnded(server *upstream, member uint64, result limiter.Result, spentMs float64) {
+	if e.inFlight[member]--; e.inFlight[member] <= 0 {
+		delete(e.inFlight, member)
 	}
-	e.y.loads.Ended(st.number, result == limiter.Pass || result == limiter.TooSlow, spentMs)
+	e.proxy.loadReports.Ended(server.instanceHash, result == limiter.Pass || result == limiter.TooSlow, spentMs)
 }
 
-// neighboursOf are the limiters that one tells what it has in hand: those of its zone, and as many
-// of the region as are lacking. Where they are more than may be each tells others, by the names of
-// both.
-func neighboursOf(posts []places.Place, node, zone, region string, zones map[string]string) []places.Place {
+// selectNeighbours returns the limiters that a node reports its load to: those of its zone and, if these are too
+// few, some of the region. If there are more than maxNeighbours, a hash of both names selects a different subset
+// for each node.
+func selectNeighbours(limiters []places.Place, node, zone, region string, zones map[string]string) []places.Place {
 	var near, far []places.Place
-	for _, p := range posts {
+	for _, place := range limiters {
 		switch {
-		case p.Name == node || !p.Held():
-		case p.Zone == zone:
-			near = append(near, p)
-		case zones[p.Zone] == region:
-			far = append(far, p)
+		case place.Name == node || !place.Held():
+		case place.Zone == zone:
+			near = append(near, place)
+		case zones[place.Zone] == region:
+			far = append(far, place)
 		}
 	}
-	for _, all := range [][]places.Place{near, far} {
-		slices.SortFunc(all, func(a, b places.Place) int {
-			return int(int64(pairing(node, a.Name)>>33) - int64(pairing(node, b.Name)>>33))
+	for _, group := range [][]places.Place{near, far} {
+		slices.SortFunc(group, func(a, b places.Place) int {
+			return int(int64(pairHash(node, a.Name)>>33) - int64(pairHash(node, b.Name)>>33))
 		})
 	}
-	near = near[:min(len(near), neighboursMost)]
-	return append(near, far[:min(len(far), max(0, neighboursLeast-len(near)))]...)
+	near = near[:min(len(near), maxNeighbours)]
+	return append(near, far[:min(len(far), max(0, minNeighbours-len(near)))]...)
 }
 
-// pairing is a number of two names, whichever comes first.
-func pairing(a, b string) uint64 {
-	h := fnv64(min(a, b) + "\x00" + max(a, b))
-	return (h ^ h>>29) * 0x9e3779b97f4a7c15 // names that differ at their ends alone scatter too
+// pairHash returns a hash of two names that does not depend on their order.
+func pairHash(a, b string) uint64 {
+	h := hash64(min(a, b) + "\x00" + max(a, b))
+	return (h ^ h>>29) * 0x9e3779b97f4a7c15 // spreads names that differ only in their last characters
 }
 
-// shortNumber is the number by which limiters tell each other of a server's life or a service.
-func shortNumber(name string) uint32 {
+// hash32 returns the number that identifies a server instance or a service in messages between limiters.
+func hash32(name string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	return h.Sum32()
--- a/internal/proxy/loans.go
+++ b/internal/proxy/loans.go
@@ -13,154 +13,158 @@
 	"example.org/madderdrum/traffic/quotaloan"
 )
 
-// Datagrams between limiters begin with what they are.
+// Datagrams between limiters start with a byte for their type.
 const (
-	datagramSpending byte = 1 // of package limiter
-	datagramLoans    byte = 2 // of package quotaloan, in CBOR
-	datagramAsk      byte = 3 // a tokenAsk, in CBOR
-	datagramAnswer   byte = 4 // a tokenAnswer, in CBOR
-	datagramProbe    byte = 5 // a probeMessage, in CBOR
-	datagramLoad     byte = 6 // a loadreports.Word, in CBOR
+	datagramSpending     byte = 1 // a message of package limiter
+	datagramLoans        byte = 2 // a quotaloan.Message, in CBOR
+	datagramTokenRequest byte = 3 // a tokenRequest, in CBOR
+	datagramTokenReply   byte = 4 // a tokenReply, in CBOR
+	datagramProbe        byte = 5 // a probeMessage, in CBOR
+	datagramLoad         byte = 6 // a loadreports.Word, in CBOR
 )
 
-const loansEvery = 400 * time.Millisecond
+const loanInterval = 400 * time.Millisecond
 
-// openDesk has loans of parts dealt in from a slot among so many. What is lent and borrowed goes on where
-// that has changed while this process runs. The mutex is held.
-func (y *Proxy) openDesk(position, size int) {
+// openLoans prepares lending and borrowing for a slot of a table with slotCount slots. If this limiter already has
+// loans, they continue with the new numbers. The mutex is held.
+func (proxy *Proxy) openLoans(slot, slotCount int) {
 	var near, region []int
-	for i, p := range y.reg.Places {
+	for i, place := range proxy.register.Places {
 		switch {
-		case i == position || !p.Held():
-		case p.Zone == y.set.Zone:
+		case i == slot || !place.Held():
+		case place.Zone == proxy.settings.Zone:
 			near = append(near, i)
-		case y.set.Zones[p.Zone] == y.set.Region:
+		case proxy.settings.Zones[place.Zone] == proxy.settings.Region:
 			region = append(region, i)
 		}
 	}
 	near = append(near, region...)
-	if y.desk != nil {
-		y.desk.Resize(position, size, near)
+	if proxy.loans != nil {
+		proxy.loans.Resize(slot, slotCount, near)
 		return
 	}
-	y.desk = quotaloan.New(y.now(), position, size, near, rand.Uint64())
-	if y.reg.Places[position].Life == y.self {
-		y.desk.First()
+	proxy.loans = quotaloan.New(proxy.now(), slot, slotCount, near, rand.Uint64())
+	if proxy.register.Places[slot].Life == proxy.instanceID {
+		proxy.loans.First()
 	}
 }
 
-// lookAtLoans asks for what is short here, again and again. The mutex is held.
-func (e *engine) lookAtLoans() {
-	y := e.y
-	if y.engine != e {
-		return // another has taken its place
+// updateLoans requests loans for accounts whose parts are too small, and repeats at loanInterval. The mutex is
+// held.
+func (e *engine) updateLoans() {
+	proxy := e.proxy
+	if proxy.engine != e {
+		return // another engine has replaced this one
 	}
 	var demands []quotaloan.Demand
-	for _, d := range e.lim.Demands() {
+	for _, d := range e.decider.Demands() {
 		demands = append(demands, quotaloan.Demand{ID: d.Account, Asked: d.Asked})
 	}
-	for _, l := range e.holding.Look(y.now(), demands) {
-		e.write(l)
+	for _, l := range e.quota.Look(proxy.now(), demands) {
+		e.sendLoanMessage(l)
 	}
-	e.parts()
-	time.AfterFunc(loansEvery, func() {
-		y.mu.Lock()
-		defer y.mu.Unlock()
-		e.lookAtLoans()
+	e.applyParts()
+	time.AfterFunc(loanInterval, func() {
+		proxy.mu.Lock()
+		defer proxy.mu.Unlock()
+		e.updateLoans()
 	})
 }
 
-func (e *engine) write(l quotaloan.Letter) {
-	if l.To < len(e.y.reg.Places) && e.y.reg.Places[l.To].IP != "" {
-		e.y.tell(e.y.set.Internal(e.y.reg.Places[l.To].IP, nodesettings.ProxyPort), datagramLoans, rpc.Encode(l.Message))
+func (e *engine) sendLoanMessage(letter quotaloan.Letter) {
+	if letter.To < len(e.proxy.register.Places) && e.proxy.register.Places[letter.To].IP != "" {
+		e.proxy.sendDatagram(e.proxy.settings.Internal(e.proxy.register.Places[letter.To].IP, nodesettings.ProxyPort),
+			datagramLoans, rpc.Encode(letter.Message))
 	}
 }
 
-// parts has the parts that are held now be in force. The mutex is held.
-func (e *engine) parts() {
-	if e.y.engine != e { // another one has them
+// applyParts passes the engine the parts of ceilings that are held now. The mutex is held.
+func (e *engine) applyParts() {
+	if e.proxy.engine != e { // the parts belong to another engine
 		return
 	}
-	if of, rest, changed := e.holding.Parts(e.y.now()); changed {
+	if of, rest, changed := e.quota.Parts(e.proxy.now()); changed {
 		e.handle(limiter.Parts{Of: of, Rest: rest})
 	}
 }
 
-// partsDue is parts, where some have ended. The mutex is held.
-func (e *engine) partsDue() {
-	if e.y.engine == e && e.holding.Due(e.y.now()) {
-		e.parts()
+// applyDueParts calls applyParts if some part has expired. The mutex is held.
+func (e *engine) applyDueParts() {
+	if e.proxy.engine == e && e.quota.Due(e.proxy.now()) {
+		e.applyParts()
 	}
 }
 
-// tell sends a datagram to another limiter.
-func (y *Proxy) tell(to string, kind byte, data []byte) {
+// sendDatagram sends a datagram to another limiter. Errors are ignored.
+func (proxy *Proxy) sendDatagram(to string, kind byte, data []byte) {
 	addr, err := resolveUDP(to)
 	if err != nil {
 		return
 	}
-	y.peers.WriteTo(append([]byte{kind}, data...), addr)
+	proxy.peerConn.WriteTo(append([]byte{kind}, data...), addr)
 }
 
-// hear takes in datagrams of other limiters.
-func (y *Proxy) hear() {
+// receiveDatagrams handles datagrams of other limiters until the socket is closed.
+func (proxy *Proxy) receiveDatagrams() {
 	buf := make([]byte, 64<<10)
 	for {
-		n, from, err := y.peers.ReadFrom(buf)
+		n, from, err := proxy.peerConn.ReadFrom(buf)
 		if err != nil {
 			return
 		}
 		if n > 1 {
-			y.heard(nodesettings.HostOf(from.String()), buf[0], slices.Clone(buf[1:n]))
+			proxy.handleDatagram(nodesettings.HostOf(from.String()), buf[0], slices.Clone(buf[1:n]))
 		}
 	}
 }
 
-func (y *Proxy) heard(ip string, kind byte, data []byte) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
+func (proxy *Proxy) handleDatagram(ip string, kind byte, data []byte) {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
 	if kind == datagramProbe {
-		y.hearProbe(ip, data)
+		proxy.handleProbe(ip, data)
 		return
 	}
-	e := y.engine
+	e := proxy.engine
 	if e == nil {
 		return
 	}
 	if kind == datagramLoad {
-		var w loadreports.Word
-		if slices.ContainsFunc(y.reg.Places, func(p places.Place) bool { return p.Held() && p.IP == ip }) && rpc.Decode(data, &w) == nil {
-			y.loads.Hear(y.now(), w)
+		var report loadreports.Word
+		if slices.ContainsFunc(proxy.register.Places,
+			func(place places.Place) bool { return place.Held() && place.IP == ip }) && rpc.Decode(data, &report) == nil {
+			proxy.loadReports.Hear(proxy.now(), report)
 		}
 		return
 	}
-	for i, p := range y.reg.Places {
-		if p.IP != ip || i >= e.size || !p.Held() {
+	for i, place := range proxy.register.Places {
+		if place.IP != ip || i >= e.slotCount || !place.Held() {
 			continue
 		}
 		switch kind {
 		case datagramSpending:
 			e.handle(limiter.PeerMessage{From: i, Data: data})
-		case datagramAsk:
-			var m tokenAsk
+		case datagramTokenRequest:
+			var m tokenRequest
 			if rpc.Decode(data, &m) == nil {
-				y.tell(y.set.Internal(ip, nodesettings.ProxyPort), datagramAnswer, rpc.Encode(e.asked(m)))
+				proxy.sendDatagram(proxy.settings.Internal(ip, nodesettings.ProxyPort), datagramTokenReply,
+					rpc.Encode(e.answerTokenRequest(m)))
 			}
-		case datagramAnswer:
-			var a tokenAnswer
+		case datagramTokenReply:
+			var a tokenReply
 			if rpc.Decode(data, &a) == nil {
-				y.answered(a)
+				proxy.deliverTokenReply(a)
 			}
 		case datagramLoans:
 			var m quotaloan.Message
 			if rpc.Decode(data, &m) != nil {
 				return
 			}
-			if l, ok := e.holding.Desk.Hear(y.now(), i, m); ok {
-				e.parts() // what is lent is given up before the borrower hears of it
-				e.write(l)
-			} else if m.Answer { // more is held, or it is known what was lent
-				e.parts()
+			if l, ok := e.quota.Desk.Hear(proxy.now(), i, m); ok {
+				e.applyParts() // give up what is lent before the borrower learns of it
+				e.sendLoanMessage(l)
+			} else if m.Answer { // more is held, or a loan is confirmed
+				e.applyParts()
 			}
 		}
 		return
--- a/internal/proxy/membership.go
+++ b/internal/proxy/membership.go
@@ -17,10 +17,10 @@
 	"example.org/madderdrum/traffic/membership"
 )
 
-const probeEvery = 100 * time.Millisecond
+const probeInterval = 100 * time.Millisecond
 
-// again does something at intervals until the context ends.
-func again(ctx context.Context, every time.Duration, do func()) {
+// runEvery calls do at intervals until the context ends.
+func runEvery(ctx context.Context, every time.Duration, do func()) {
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for {
@@ -33,127 +33,128 @@
 	}
 }
 
-// probeMembers sends the probes that are due. A limiter that leaves sends none: the others answer
-// only members that the catalog names.
-func (y *Proxy) probeMembers() {
-	if y.leaving.Load() {
+// probeMembers sends the probes that are due. A limiter that is shutting down sends none: the others reply only to
+// members listed in the catalog.
+func (proxy *Proxy) probeMembers() {
+	if proxy.leaving.Load() {
 		return
 	}
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.sendProbes(y.members.Tick(y.now()))
-	y.noteUnreachable()
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	proxy.sendProbes(proxy.members.Tick(proxy.now()))
+	proxy.updateUnreachable()
 }
 
-// probeMessage is a message of the membership, and what else it carries.
+// probeMessage is a membership message together with the reports that are piggybacked on it.
 type probeMessage struct {
-	Line membership.Message        `cbor:"1,keyasint"`
-	Seen []failurereports.Sighting `cbor:"2,keyasint,omitempty"`
-	Wait []serviceWait             `cbor:"3,keyasint,omitempty"`
-	Sure bool                      `cbor:"4,keyasint,omitempty"` // Wait is known
+	Membership membership.Message        `cbor:"1,keyasint"`
+	Failures   []failurereports.Sighting `cbor:"2,keyasint,omitempty"`
+	Waits      []serviceWait             `cbor:"3,keyasint,omitempty"`
+	WaitsKnown bool                      `cbor:"4,keyasint,omitempty"` // Waits is meaningful even if it is empty
 }
 
-// serviceWait tells how full a service's servers of the sender's zone are.
+// serviceWait is the mean waiting time at the servers of a service in the sender's zone.
 type serviceWait struct {
-	Service uint32 `cbor:"1,keyasint"` // by a number that follows from its name
+	Service uint32 `cbor:"1,keyasint"` // hash32 of the name
 	Percent uint16 `cbor:"2,keyasint,omitempty"`
 }
 
-// waits are those of this limiter's zone.
-func (y *Proxy) waits() (all []serviceWait, known bool) {
-	waits, known := y.loads.Waits()
-	for _, w := range waits {
-		all = append(all, serviceWait{shortNumber(w.Service), uint16(math.Round(100 * w.Of))})
+// zoneWaits returns the waiting times in this limiter's zone.
+func (proxy *Proxy) zoneWaits() (all []serviceWait, known bool) {
+	zoneWaits, known := proxy.loadReports.Waits()
+	for _, w := range zoneWaits {
+		all = append(all, serviceWait{hash32(w.Service), uint16(math.Round(100 * w.Of))})
 	}
 	return all, known
 }
 
-// hearWaits takes in those of another zone.
-func (y *Proxy) hearWaits(from string, all []serviceWait) {
-	v := y.view.Load()
-	if r, known := y.book.Get(y.now(), from); known && v != nil && r.Zone != y.set.Zone {
+// recordZoneWaits records the waiting times that a limiter of another zone reports.
+func (proxy *Proxy) recordZoneWaits(sender string, reported []serviceWait) {
+	config := proxy.configSnapshot.Load()
+	if r, known := proxy.records.Get(proxy.now(), sender); known && config != nil && r.Zone != proxy.settings.Zone {
 		var waits []loadreports.Wait
-		for name := range v.table.Services {
-			for _, w := range all {
-				if w.Service == shortNumber(name) {
+		for name := range config.table.Services {
+			for _, w := range reported {
+				if w.Service == hash32(name) {
 					waits = append(waits, loadreports.Wait{Service: name, Of: float64(w.Percent) / 100})
 				}
 			}
 		}
-		y.loads.Zone(y.now(), r.Zone, waits)
+		proxy.loadReports.Zone(proxy.now(), r.Zone, waits)
 	}
 }
 
-// sendProbes sends what the membership has to say, and with it where requests fail. The mutex is held.
-func (y *Proxy) sendProbes(out []membership.Letter) {
-	for _, l := range out {
-		if ip := y.memberIPs[l.To]; ip != "" {
-			m := probeMessage{Line: l.Message, Seen: y.failures.Next(y.now())}
-			m.Wait, m.Sure = y.waits()
-			y.tell(y.set.Internal(ip, nodesettings.ProxyPort), datagramProbe, rpc.Encode(m))
+// sendProbes sends membership messages together with recent request failures and waiting times. The mutex is held.
+func (proxy *Proxy) sendProbes(messages []membership.Letter) {
+	for _, l := range messages {
+		if ip := proxy.memberIPs[l.To]; ip != "" {
+			m := probeMessage{Membership: l.Message, Failures: proxy.failureReports.Next(proxy.now())}
+			m.Waits, m.WaitsKnown = proxy.zoneWaits()
+			proxy.sendDatagram(proxy.settings.Internal(ip, nodesettings.ProxyPort), datagramProbe, rpc.Encode(m))
 		}
 	}
 }
 
-// hearProbe takes in a message of the membership. The mutex is held.
-func (y *Proxy) hearProbe(ip string, data []byte) {
+// handleProbe processes a membership message. The mutex is held.
+func (proxy *Proxy) handleProbe(ip string, data []byte) {
 	var m probeMessage
-	if rpc.Decode(data, &m) != nil || y.memberIPs[m.Line.From] != ip {
+	if rpc.Decode(data, &m) != nil || proxy.memberIPs[m.Membership.From] != ip {
 		return
 	}
-	for _, s := range y.failures.Hear(y.now(), m.Seen) {
-		if e := y.engine; e != nil {
-			if class, known := e.classOf[s.Class]; known {
+	for _, s := range proxy.failureReports.Hear(proxy.now(), m.Failures) {
+		if e := proxy.engine; e != nil {
+			if class, known := e.classByRouteID[s.Class]; known {
 				e.handle(limiter.Sighting{Server: s.Server, Class: class})
 			}
 		}
 	}
-	if m.Sure {
-		y.hearWaits(m.Line.From, m.Wait)
+	if m.WaitsKnown {
+		proxy.recordZoneWaits(m.Membership.From, m.Waits)
 	}
-	y.sendProbes(y.members.Hear(y.now(), m.Line))
-	y.noteUnreachable()
+	proxy.sendProbes(proxy.members.Hear(proxy.now(), m.Membership))
+	proxy.updateUnreachable()
 }
 
-// saw notes that the call failed at a server, for the others of the region.
-func (c *call) saw(server uint64) {
-	c.y.mu.Lock()
-	defer c.y.mu.Unlock()
-	c.y.failures.Saw(c.y.now(), server, routeID(c.route.Name))
+// reportFailure records a failure of the call at a server, to be reported to the limiters of the region.
+func (c *call) reportFailure(server uint64) {
+	c.proxy.mu.Lock()
+	defer c.proxy.mu.Unlock()
+	c.proxy.failureReports.Saw(c.proxy.now(), server, routeID(c.route.Name))
 }
 
-// setMembers says which limiters of the region are members, by the catalog. The mutex is held.
-func (y *Proxy) setMembers() {
-	clear(y.memberIPs)
-	zones := map[string]string{y.self: y.set.Zone}
-	y.book.Each(y.now(), func(r catalog.Record) {
-		if r.Service == catalog.Limiters && r.State == catalog.Available && y.set.Zones[r.Zone] == y.set.Region {
+// updateMembers sets the members of the region from the catalog. The mutex is held.
+func (proxy *Proxy) updateMembers() {
+	clear(proxy.memberIPs)
+	zones := map[string]string{proxy.instanceID: proxy.settings.Zone}
+	proxy.records.Each(proxy.now(), func(r catalog.Record) {
+		if r.Service == catalog.Limiters && r.State == catalog.Available &&
+			proxy.settings.Zones[r.Zone] == proxy.settings.Region {
 			zones[r.ID] = r.Zone
-			y.memberIPs[r.ID] = nodesettings.HostOf(r.Address)
+			proxy.memberIPs[r.ID] = nodesettings.HostOf(r.Address)
 		}
 	})
-	y.members.Set(zones)
+	proxy.members.Set(zones)
 }
 
-// noteUnreachable notes who is out of reach. The mutex is held.
-func (y *Proxy) noteUnreachable() {
-	if !y.members.Changed() {
+// updateUnreachable recomputes which limiters are unreachable and logs changes. The mutex is held.
+func (proxy *Proxy) updateUnreachable() {
+	if !proxy.members.Changed() {
 		return
 	}
-	now := map[string]bool{}
-	for id := range y.memberIPs {
-		if y.members.State(id) == membership.Out {
+	current := map[string]bool{}
+	for id := range proxy.memberIPs {
+		if proxy.members.State(id) == membership.Out {
 			name, _, _ := strings.Cut(id, "#")
-			now[name] = true
-			if !y.unreachable[name] {
-				y.log.WithFields(logrus.Fields{"limiter": name}).Info("limiter is out of reach")
+			current[name] = true
+			if !proxy.unreachable[name] {
+				proxy.log.WithFields(logrus.Fields{"limiter": name}).Info("limiter is out of reach")
 			}
 		}
 	}
-	for name := range y.unreachable {
-		if !now[name] {
-			y.log.WithFields(logrus.Fields{"limiter": name}).Info("limiter is in reach again")
+	for name := range proxy.unreachable {
+		if !current[name] {
+			proxy.log.WithFields(logrus.Fields{"limiter": name}).Info("limiter is in reach again")
 		}
 	}
-	y.unreachable = now
+	proxy.unreachable = current
 }
--- a/internal/proxy/pipeline.go
+++ b/internal/proxy/pipeline.go
@@ -9,135 +9,136 @@
 	"time"
 )
 
-// readAheadMost is how much of what a client sends behind as many requests as may be in hand is read,
-// to see it leave.
-const readAheadMost = 16 << 10
+// maxReadAhead is how many bytes are read ahead once a connection has maxPipelined requests in flight, in order to
+// notice a disconnect.
+const maxReadAhead = 16 << 10
 
-// watchPiece is how much is read at once of what belongs to no request, in bytes: mostly nothing comes.
-const watchPiece = 512
+// watchReadSize is the size in bytes of reads that only watch for a disconnect. Normally nothing arrives.
+const watchReadSize = 512
 
-// longPast is a deadline that ends a read at once.
+// longPast is a read deadline that ends a blocked read at once.
 var longPast = time.Unix(1, 0)
 
-// slot is the place of a request in the order of its connection.
-type slot struct {
-	done chan *answer
-	end  bool // the connection closes behind it
-	id   string
-	read time.Time // when the request had been read whole
-	// handOff is the request's; nil: it is answered at once.
+// pendingRequest is a request in the answer queue of its connection.
+type pendingRequest struct {
+	done   chan *answer
+	end    bool // the connection closes after the answer
+	id     string
+	readAt time.Time // when the complete request had been read
+	// handOff belongs to the request; nil: the request is rejected without being served.
 	handOff *handOff
 }
 
-// pipeline is the order of a connection's requests. An answer that says that the connection closes
-// is its last: what is read behind it is not begun, and its client sends it again.
+// pipeline keeps the order of a connection's requests. An answer with "Connection: close" is the last: requests
+// read after it are not started, and the client must send them again.
 type pipeline struct {
-	conn   net.Conn
-	opened time.Time
-	client *disconnect
-	slots  chan *slot
-	places chan struct{} // one for each request in hand
+	conn     net.Conn
+	openedAt time.Time
+	client   *clientContext
+	queue    chan *pendingRequest
+	permits  chan struct{} // one for each request in flight
 
-	// What follows is the reader's.
-	upload *upload // the long body that the connection ends with; nil: none
-	unread bool    // what stands behind the last answer was left in the middle of a request
+	// Used only by the reader.
+	upload      *upload // long body that ends the connection; nil: none
+	unreadInput bool    // unread input remains after the last answer, in the middle of a request
 
-	mu         sync.Mutex // round what follows
-	due        []*slot    // of requests that were taken in and whose answers are still to be begun, in their order
-	ended      bool
-	waiting    bool // the reader waits for a place: its read is to end when there is one
-	written    bool // all answers are
-	intakeOver bool // no further request is read
-	awaiting   bool // the reader waits for a request
+	mu               sync.Mutex        // guards the fields below
+	pending          []*pendingRequest // requests whose answers have not been started, in order
+	closing          bool              // the connection's last answer has been started
+	waitingForPermit bool              // the reader waits for a permit; releasePermit interrupts its read
+	allWritten       bool              // all answers are written
+	intakeStopped    bool              // no further request is read
+	awaitingRequest  bool              // the reader waits for the next request
 }
 
 func newPipeline(c net.Conn) *pipeline {
-	return &pipeline{conn: c, opened: time.Now(), client: newDisconnect(), slots: make(chan *slot, pipelineMost+1), places: make(chan struct{}, pipelineMost)}
+	return &pipeline{conn: c, openedAt: time.Now(), client: newClientContext(),
+		queue: make(chan *pendingRequest, maxPipelined+1), permits: make(chan struct{}, maxPipelined)}
 }
 
-// enter takes a request in, unless the connection's last answer has been begun.
-func (l *pipeline) enter(s *slot) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.ended {
+// enqueue appends a request to the queue. It returns false if the connection's last answer has been started.
+func (pipe *pipeline) enqueue(req *pendingRequest) bool {
+	pipe.mu.Lock()
+	defer pipe.mu.Unlock()
+	if pipe.closing {
 		return false
 	}
-	l.due = append(l.due, s)
-	l.slots <- s // it has room for one more than there are places
+	pipe.pending = append(pipe.pending, req)
+	pipe.queue <- req // never blocks: the capacity exceeds the number of permits by one
 	return true
 }
 
-// inHand is how many requests were taken in and have no answer yet.
-func (l *pipeline) inHand() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.due)
+// inFlight returns the number of requests whose answers have not been started.
+func (pipe *pipeline) inFlight() int {
+	pipe.mu.Lock()
+	defer pipe.mu.Unlock()
+	return len(pipe.pending)
 }
 
-// unanswered are the requests that were taken in and have no answer yet, in their order.
-func (l *pipeline) unanswered() []*slot {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return slices.Clone(l.due)
+// unanswered returns the requests whose answers have not been started, in order.
+func (pipe *pipeline) unanswered() []*pendingRequest {
+	pipe.mu.Lock()
+	defer pipe.mu.Unlock()
+	return slices.Clone(pipe.pending)
 }
 
-// last tells, when an answer is begun, whether it is the connection's last: with closing it is
-// when no other is due.
-func (l *pipeline) last(s *slot, closing bool) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.due = slices.DeleteFunc(l.due, func(other *slot) bool { return other == s })
-	l.ended = l.ended || s.end || closing && len(l.due) == 0
-	if l.ended && l.awaiting {
-		l.conn.SetReadDeadline(longPast)
+// startAnswer marks the answer to a request as started and reports whether it is the connection's last. If closing
+// is set, it is the last one when no other request is pending.
+func (pipe *pipeline) startAnswer(req *pendingRequest, leaving bool) bool {
+	pipe.mu.Lock()
+	defer pipe.mu.Unlock()
+	pipe.pending = slices.DeleteFunc(pipe.pending, func(other *pendingRequest) bool { return other == req })
+	pipe.closing = pipe.closing || req.end || leaving && len(pipe.pending) == 0
+	if pipe.closing && pipe.awaitingRequest {
+		pipe.conn.SetReadDeadline(longPast)
 	}
-	return l.ended
+	return pipe.closing
 }
 
-// hungUp tells that the connection's last answer has been begun.
-func (l *pipeline) hungUp() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.ended
+// isClosing reports whether the connection's last answer has been started.
+func (pipe *pipeline) isClosing() bool {
+	pipe.mu.Lock()
+	defer pipe.mu.Unlock()
+	return pipe.closing
 }
 
-// stopIntake has no further request read. A reader that waits for one ends at once.
-func (l *pipeline) stopIntake() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.intakeOver = true
-	if l.awaiting {
-		l.conn.SetReadDeadline(longPast)
+// stopIntake stops reading further requests and interrupts a reader that waits for one.
+func (pipe *pipeline) stopIntake() {
+	pipe.mu.Lock()
+	defer pipe.mu.Unlock()
+	pipe.intakeStopped = true
+	if pipe.awaitingRequest {
+		pipe.conn.SetReadDeadline(longPast)
 	}
 }
 
-// beginAwait has the reader wait for a request until then, and tells whether there is one to wait for.
-func (l *pipeline) beginAwait(until time.Time) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.intakeOver || l.ended {
+// beginAwait sets the reader's deadline for the next request. It returns false if no further request is read.
+func (pipe *pipeline) beginAwait(until time.Time) bool {
+	pipe.mu.Lock()
+	defer pipe.mu.Unlock()
+	if pipe.intakeStopped || pipe.closing {
 		return false
 	}
-	l.awaiting = true
-	l.conn.SetReadDeadline(until)
+	pipe.awaitingRequest = true
+	pipe.conn.SetReadDeadline(until)
 	return true
 }
 
-// endAwait tells that the reader does not wait for a request any more.
-func (l *pipeline) endAwait() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.awaiting = false
+// endAwait marks that the reader no longer waits for a request.
+func (pipe *pipeline) endAwait() {
+	pipe.mu.Lock()
+	defer pipe.mu.Unlock()
+	pipe.awaitingRequest = false
 }
 
-// takePlace waits until fewer requests are in hand than may be. Meanwhile it reads ahead, up to
-// readAheadMost, so that the client is seen to leave; the reader that it returns goes on behind that.
-// Its error is that of reading from the client.
-func (l *pipeline) takePlace(in *bufio.Reader) (*bufio.Reader, error) {
-	for !l.tryPlace() {
+// acquirePermit waits until the connection has fewer than maxPipelined requests in flight. Meanwhile it reads
+// ahead up to maxReadAhead bytes in order to notice a disconnect; the returned reader continues after them. The
+// error is that of reading from the client.
+func (pipe *pipeline) acquirePermit(in *bufio.Reader) (*bufio.Reader, error) {
+	for !pipe.tryAcquirePermit() {
 		if in.Buffered() == in.Size() {
-			if in.Size() >= readAheadMost {
-				l.places <- struct{}{}
+			if in.Size() >= maxReadAhead {
+				pipe.permits <- struct{}{}
 				return in, nil
 			}
 			in = bufio.NewReaderSize(in, 2*in.Size())
@@ -151,63 +152,63 @@
 	return in, nil
 }
 
-// tryPlace takes a place if there is one. If not, the next read of the connection ends when one is free.
-func (l *pipeline) tryPlace() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// tryAcquirePermit takes a permit if one is free. Otherwise the next read is interrupted when one is released.
+func (pipe *pipeline) tryAcquirePermit() bool {
+	pipe.mu.Lock()
+	defer pipe.mu.Unlock()
 	select {
-	case l.places <- struct{}{}:
-		l.waiting = false
+	case pipe.permits <- struct{}{}:
+		pipe.waitingForPermit = false
 		return true
 	default:
 	}
-	l.waiting = true
-	l.conn.SetReadDeadline(time.Time{})
+	pipe.waitingForPermit = true
+	pipe.conn.SetReadDeadline(time.Time{})
 	return false
 }
 
-// freePlace frees the place of a request that has its answer.
-func (l *pipeline) freePlace() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	<-l.places
-	if l.waiting {
-		l.waiting = false
-		l.conn.SetReadDeadline(longPast)
+// releasePermit releases the permit of an answered request.
+func (pipe *pipeline) releasePermit() {
+	pipe.mu.Lock()
+	defer pipe.mu.Unlock()
+	<-pipe.permits
+	if pipe.waitingForPermit {
+		pipe.waitingForPermit = false
+		pipe.conn.SetReadDeadline(longPast)
 	}
 }
 
-// answered tells that all answers are written: whoever watches the client ends.
-func (l *pipeline) answered() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.written = true
-	l.conn.SetReadDeadline(longPast)
+// markAllWritten marks all answers as written and interrupts watchClient.
+func (pipe *pipeline) markAllWritten() {
+	pipe.mu.Lock()
+	defer pipe.mu.Unlock()
+	pipe.allWritten = true
+	pipe.conn.SetReadDeadline(longPast)
 }
 
-// beginWatch has reads wait until all answers are written, and tells whether they are already.
-func (l *pipeline) beginWatch() (written bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.written {
-		l.conn.SetReadDeadline(time.Time{})
+// beginWatch removes the read deadline until all answers are written, and reports whether they are already.
+func (pipe *pipeline) beginWatch() (allWritten bool) {
+	pipe.mu.Lock()
+	defer pipe.mu.Unlock()
+	if !pipe.allWritten {
+		pipe.conn.SetReadDeadline(time.Time{})
 	}
-	return l.written
+	return pipe.allWritten
 }
 
-// watch reads on behind a connection's last request, to see the client leave before it has its answers.
-// What the client sends there belongs to no request that is answered.
-func (l *pipeline) watch() readEnd {
-	if l.upload != nil {
-		<-l.upload.finished
+// watchClient keeps reading after a connection's last request in order to notice a disconnect before the answers
+// are written. What it reads is discarded.
+func (pipe *pipeline) watchClient() readEnd {
+	if pipe.upload != nil {
+		<-pipe.upload.finished
 	}
-	if l.beginWatch() {
-		return readsNoMore
+	if pipe.beginWatch() {
+		return readingStopped
 	}
-	ignored := make([]byte, watchPiece)
+	ignored := make([]byte, watchReadSize)
 	for {
-		if _, err := l.conn.Read(ignored); err != nil {
-			return endOf(err)
+		if _, err := pipe.conn.Read(ignored); err != nil {
+			return readEndFor(err)
 		}
 	}
 }
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -7,46 +7,47 @@
 	"example.org/madderdrum/limiter"
 )
 
-// probe asks a server for its health. The proxy's mutex is held.
+// probe checks a server's health asynchronously. The proxy's mutex is held.
 func (e *engine) probe(id uint64) {
-	y := e.y
-	s := e.servers[id]
-	v := y.view.Load()
-	if s == nil || v == nil || y.upstreams[s.life] == nil {
+	proxy := e.proxy
+	entry := e.servers[id]
+	config := proxy.configSnapshot.Load()
+	if entry == nil || config == nil || proxy.upstreams[entry.instanceID] == nil {
 		return
 	}
-	st := y.upstreams[s.life]
+	server := proxy.upstreams[entry.instanceID]
 	path := "/health"
-	if svc := v.table.Services[st.service]; svc != nil && svc.HealthPath != "" {
+	if svc := config.table.Services[server.service]; svc != nil && svc.HealthPath != "" {
 		path = svc.HealthPath
 	}
 	go func() {
-		begun := time.Now()
-		ev := limiter.Probed{Server: id, Result: limiter.NoRoute, Load: limiter.Load{Busy: -1, Pending: -1, ServiceMs: -1}}
-		if r, err := st.connect(begun.Add(probeWithin)); err == nil {
-			ev.Result = r.health(st, path, begun.Add(probeWithin))
-			r.Close()
+		startedAt := time.Now()
+		ev := limiter.Probed{Server: id, Result: limiter.NoRoute,
+			Load: limiter.Load{Busy: -1, Pending: -1, ServiceMs: -1}}
+		if conn, err := server.connect(startedAt.Add(probeTimeout)); err == nil {
+			ev.Result = conn.checkHealth(server, path, startedAt.Add(probeTimeout))
+			conn.Close()
 		}
-		ev.SpentMs = ms(time.Since(begun))
-		e.dispatch(ev)
+		ev.SpentMs = ms(time.Since(startedAt))
+		e.lockAndHandle(ev)
 	}()
 }
 
-// health asks for a server's health on a connection of its own.
-func (r *serverConn) health(st *upstream, path string, until time.Time) limiter.Result {
-	r.SetDeadline(until)
-	r.lim.left = answerHead
-	out := appendHeader([]byte("GET "+path+" HTTP/1.1\r\n"), "Host", st.address)
-	if _, err := r.Write(append(out, "Connection: close\r\n\r\n"...)); err != nil {
+// checkHealth sends a health check on a new connection and returns its result.
+func (conn *serverConn) checkHealth(server *upstream, path string, until time.Time) limiter.Result {
+	conn.SetDeadline(until)
+	conn.limited.remaining = maxAnswerHead
+	out := appendHeader([]byte("GET "+path+" HTTP/1.1\r\n"), "Host", server.address)
+	if _, err := conn.Write(append(out, "Connection: close\r\n\r\n"...)); err != nil {
 		return limiter.NoRoute
 	}
-	resp, err := http.ReadResponse(r.in, nil)
+	resp, err := http.ReadResponse(conn.in, nil)
 	switch {
-	case err != nil && r.died:
+	case err != nil && conn.broken:
 		return limiter.Cut
 	case err != nil:
 		return limiter.TooSlow
-	case resp.StatusCode != 200 || resp.Header.Get("X-Madderdrum-Instance-Id") != st.life:
+	case resp.StatusCode != 200 || resp.Header.Get("X-Madderdrum-Instance-Id") != server.instanceID:
 		return limiter.Fault
 	}
 	return limiter.Pass
