--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,6 +1,6 @@
-// Package proxy is the host of the proxy: it takes clients' requests, has the decisions
-// of package limiter say which pass and which server gets them, and passes them on. It learns
-// of servers, limiters and configurations by pulls from the core machines.
+// Package proxy implements the proxy program. It accepts client requests, lets package limiter decide which of
+// them are admitted and which server gets them, and forwards them to that server. It learns about servers, other
+// limiters and configurations by pulling from the core machines.
 package proxy
 
 import (
@@ -30,193 +30,200 @@
 	"example.org/madderdrum/traffic/quotaloan"
 )
 
-// Proxy is one limiter of the system.
+// Proxy is one limiter of the system: the listeners, connections and timers around the decisions of package
+// limiter.
 type Proxy struct {
-	set       *nodesettings.Settings
-	rules     allowance.Rules
-	log       logrus.FieldLogger
-	caller    *rpc.Caller
-	begun     time.Time
-	self      string   // id of this life
-	seeds     []string // core machines that the settings name
-	cores     []string // those to ask
-	darkCores []string // those to ask when no other one answers
-	peers     net.PacketConn
-	link      *link
-	stalls    stallWatch
-
-	leaving    atomic.Bool   // SIGTERM has come
-	intakeEnds atomic.Int64  // in ns since the beginning: no further request is taken then; 0: SIGTERM has not come
-	exiting    chan struct{} // closed when what is in hand is answered as it stands
-	inHand     atomic.Int64  // requests
-	clients    connections   // of clients, that are open
-	nudge      chan struct{} // ends a pull that is held
-
-	view       atomic.Pointer[view]
-	holdsUntil atomic.Int64 // in ns since the beginning: what is held here may be used until then
-
-	mu          sync.Mutex // round what follows
-	book        *catalog.Book
-	reg         *controlstate.Register
-	sequence    uint64 // of this limiter's own word
-	proved      time.Time
-	wantsWhole  bool // a difference did not fit: the next pull asks for the whole configuration
-	evacuate    map[string]bool
-	coldTo      map[string]time.Time // servers that are held for cold, by life, beyond what their beats tell
-	gone        map[string]bool      // lives whose address another server answered at
-	engine      *engine
-	upstreams   map[string]*upstream
-	budget      map[string]*allowance.Tries // of further arrivals, by service
-	logged      time.Time
-	members     *membership.Line     // the other limiters of the region
-	failures    *failurereports.Desk // where requests fail, of the region
-	loads       *loadreports.Desk    // what neighbours have in hand at servers
-	neighbours  []places.Place
-	lease       places.Lease
-	desk        *quotaloan.Desk             // loans of parts
-	share       float64                     // of what binds all limiters together, by the places that are known
-	limiters    int                         // that share it, at most
-	near        int                         // of them in this zone
-	serving     bool                        // it has held a part in this life
-	done        bool                        // nothing is sent any more: the place can be given back
-	givenBack   bool                        // the core machines know that it was
-	memberIPs   map[string]string           // of their lives
-	unreachable map[string]bool             // those out of reach, by name
-	asks        map[uint64]chan tokenAnswer // that wait for an answer
-	asking      map[uint64]*allowance.Asks  // of single tokens, by account
-	serial      uint64                      // of the latest
-	listing     *time.Timer                 // makes the list of servers anew
-	listAt      time.Time                   // when; zero: not due
-	disconnects disconnectFigures           // of clients, with requests in hand
-	departure   departureFigures            // of what is done after SIGTERM
-	ended       map[ending]int              // answers since the process began
+	settings   *nodesettings.Settings
+	rules      allowance.Rules
+	log        logrus.FieldLogger
+	caller     *rpc.Caller
+	base       time.Time // start of the process; time 0 of now
+	instanceID string    // unique to this run of the process
+	seeds      []string  // core machines named in the settings
+	cores      []string  // core machines to pull from
+	downCores  []string  // core machines believed down; tried only when all of cores have failed
+	peerConn   net.PacketConn
+	link       *link
+	stalls     stallWatch
+
+	leaving      atomic.Bool   // SIGTERM has been received
+	intakeEndsAt atomic.Int64  // ns since base; from then on no further request is accepted; 0: no SIGTERM yet
+	exiting      chan struct{} // closed when every unanswered request gets its final answer before the process exits
+	inFlight     atomic.Int64  // requests that have been read and not yet answered
+	clients      connections   // open client connections
+	pullNow      chan struct{} // interrupts a long poll so that the next pull starts at once
+
+	configSnapshot atomic.Pointer[configSnapshot]
+	shareEnds      atomic.Int64 // ns since base; until then this limiter may use its share
+
+	mu                   sync.Mutex // guards the fields below
+	records              *catalog.Book
+	register             *controlstate.Register
+	recordSequence       uint64 // of this limiter's own catalog record; increases with each pull
+	provenAt             time.Time
+	needsWholeRegister   bool // a delta could not be applied: the next pull asks for the whole register
+	evacuatedZones       map[string]bool
+	coldUntil            map[string]time.Time // by instance ID; servers treated as cold beyond what their heartbeats say
+	replacedInstances    map[string]bool      // by instance ID; another server answered at the instance's address
+	engine               *engine
+	upstreams            map[string]*upstream
+	retryBudgets         map[string]*allowance.Tries // by service; attempts beyond the first of a request
+	lastWarning          time.Time
+	members              *membership.Line     // reachability of the other limiters of the region
+	failureReports       *failurereports.Desk // recent request failures, exchanged within the region
+	loadReports          *loadreports.Desk    // requests that neighbouring limiters have in flight at servers
+	neighbours           []places.Place
+	lease                places.Lease
+	loans                *quotaloan.Desk            // quota parts lent to and borrowed from other limiters
+	share                float64                    // this limiter's fraction of all quotas, by the place table in force
+	limiterCount         int                        // largest number of limiters that may share the quotas
+	zoneLimiterCount     int                        // limiters in this zone
+	hasHeldShare         bool                       // this process has held a share at some time
+	returningPlace       bool                       // no more requests are sent, so the place may be given up
+	placeReturnConfirmed bool                       // the core machines know that the place was returned
+	memberIPs            map[string]string          // IP address by instance ID
+	unreachable          map[string]bool            // by name; limiters that cannot be reached
+	pendingTokenRequests map[uint64]chan tokenReply // by serial number; where to deliver the reply
+	tokenThrottles       map[uint64]*allowance.Asks // by account; limits how often single tokens are requested
+	tokenSerial          uint64                     // serial number of the latest token request
+	serverUpdateTimer    *time.Timer                // runs updateServers
+	serverUpdateAt       time.Time                  // when serverUpdateTimer fires; zero: not scheduled
+	disconnects          disconnectStats            // clients that disconnected with requests in flight
+	departure            shutdownStats              // progress after SIGTERM
+	answerCounts         map[ending]int             // since the process started
 }
 
-// view is what a request needs of a version; it does not change.
-type view struct {
+// configSnapshot is the part of a configuration version that requests need. It is immutable.
+type configSnapshot struct {
 	table *configuration.Table
 	seq   uint64
 }
 
 const (
-	requestsMost = 700
-	ttl          = 2 * time.Second
-	margin       = 12 * time.Millisecond // so long before the client gives up its answer is written
+	maxInFlight  = 700                   // further requests are refused
+	directoryTTL = 2 * time.Second       // how long clients may cache directory answers
+	answerMargin = 12 * time.Millisecond // how long before the client's deadline its answer is written
 )
 
-// Run serves until the context ends, which is a SIGTERM, and a while beyond.
-func Run(ctx context.Context, set *nodesettings.Settings, log logrus.FieldLogger) error {
-	y := newProxy(set, log)
-	front, err := net.Listen("tcp", set.Listen["frontend"])
+// Run serves requests until ctx is canceled (SIGTERM), then shuts down in order and returns.
+func Run(ctx context.Context, settings *nodesettings.Settings, log logrus.FieldLogger) error {
+	proxy := newProxy(settings, log)
+	frontend, err := net.Listen("tcp", settings.Listen["frontend"])
 	if err != nil {
 		return fmt.Errorf("proxy: listen for clients: %w", err)
 	}
-	if y.peers, err = net.ListenPacket("udp", set.Internal(set.IP, nodesettings.ProxyPort)); err != nil {
+	if proxy.peerConn, err = net.ListenPacket("udp", settings.Internal(settings.IP,
+		nodesettings.ProxyPort)); err != nil {
 		return fmt.Errorf("proxy: listen for other limiters: %w", err)
 	}
-	life, end := context.WithCancel(context.Background()) // outlives SIGTERM
-	defer end()
-	if err := y.listen(life); err != nil {
+	serveCtx, cancel := context.WithCancel(context.Background()) // not canceled by SIGTERM: the shutdown still needs it
+	defer cancel()
+	if err := proxy.listen(serveCtx); err != nil {
 		return err
 	}
-	go y.hear()
-	go y.pulls(life)
-	go y.sweep(life)
-	go sockets.Accept(life, front, y.serveConnection)
-	go y.tally(life)
-	go again(life, probeEvery, y.probeMembers)
-	go again(life, loadEvery, func() {
-		y.tickStalls()
-		y.tellLoad()
+	go proxy.receiveDatagrams()
+	go proxy.pullLoop(serveCtx)
+	go proxy.sweepUpstreams(serveCtx)
+	go sockets.Accept(serveCtx, frontend, proxy.serveConnection)
+	go proxy.logAnswerCounts(serveCtx)
+	go runEvery(serveCtx, probeInterval, proxy.probeMembers)
+	go runEvery(serveCtx, loadReportInterval, func() {
+		proxy.tickStalls()
+		proxy.sendLoadReport()
 	})
-	go set.Follow(life, func(next *nodesettings.Settings) {
-		log.WithField("seeds", len(next.Seeds)).Info("settings have changed")
-		y.mu.Lock()
-		defer y.mu.Unlock()
-		y.seeds = next.Cores()
-		y.meet()
-	}, func(err error) { log.WithField("err", err).Warn("settings can't be used") })
-	metrics.Offer(life, set.MetricsAddress(), log, y.figures)
-	log.WithFields(logrus.Fields{"cores": len(y.cores), "life": y.self}).Info("begins")
+	go settings.Follow(serveCtx, func(next *nodesettings.Settings) {
+		log.WithField("seeds", len(next.Seeds)).Info("settings changed")
+		proxy.mu.Lock()
+		defer proxy.mu.Unlock()
+		proxy.seeds = next.Cores()
+		proxy.updateCores()
+	}, func(err error) { log.WithField("err", err).Warn("cannot use changed settings") })
+	metrics.Offer(serveCtx, settings.MetricsAddress(), log, proxy.metricValues)
+	log.WithFields(logrus.Fields{"cores": len(proxy.cores), "life": proxy.instanceID}).Info("begins")
 	<-ctx.Done()
-	y.leave(front)
+	proxy.shutDown(frontend)
 	return nil
 }
 
-// newProxy returns a limiter that knows nothing yet.
-func newProxy(set *nodesettings.Settings, log logrus.FieldLogger) *Proxy {
-	y := &Proxy{set: set, log: log, link: newLink(set.LinkMbps), caller: rpc.NewCaller(), begun: time.Now(), self: fmt.Sprintf("%s#%08x", set.Node, rand.Uint32()),
-		seeds: set.Cores(), cores: set.Cores(), nudge: make(chan struct{}, 1), exiting: make(chan struct{}), book: catalog.New(""), reg: &controlstate.Register{},
-		evacuate: map[string]bool{}, coldTo: map[string]time.Time{}, gone: map[string]bool{},
-		upstreams: map[string]*upstream{}, budget: map[string]*allowance.Tries{}, ended: map[ending]int{}, asks: map[uint64]chan tokenAnswer{}, asking: map[uint64]*allowance.Asks{},
-		memberIPs: map[string]string{}, unreachable: map[string]bool{}}
-	b := &set.Bounds
-	y.rules = allowance.Rules{QuotaWindow: b.QuotaWindow, QuotaOvershoot: b.QuotaOvershoot, QuotaSlack: b.QuotaSlack, RetryRatio: b.RetryRatio, RetrySlack: b.RetrySlack,
-		WarmupOvershoot: b.WarmupOvershoot, WarmupSlack: b.WarmupSlack}
-	y.members = membership.New(y.self, rand.Uint64())
-	y.failures = failurereports.New(rand.Uint32() | 1)
-	y.loads = loadreports.New(rand.Uint32() | 1)
-	return y
+// newProxy returns a limiter that knows no servers and holds no share yet.
+func newProxy(settings *nodesettings.Settings, log logrus.FieldLogger) *Proxy {
+	proxy := &Proxy{settings: settings, log: log, link: newLink(settings.LinkMbps), caller: rpc.NewCaller(),
+		base: time.Now(), instanceID: fmt.Sprintf("%s#%08x", settings.Node, rand.Uint32()),
+		seeds: settings.Cores(), cores: settings.Cores(), pullNow: make(chan struct{}, 1),
+		exiting: make(chan struct{}), records: catalog.New(""), register: &controlstate.Register{},
+		evacuatedZones: map[string]bool{}, coldUntil: map[string]time.Time{}, replacedInstances: map[string]bool{},
+		upstreams: map[string]*upstream{}, retryBudgets: map[string]*allowance.Tries{},
+		answerCounts: map[ending]int{}, pendingTokenRequests: map[uint64]chan tokenReply{},
+		tokenThrottles: map[uint64]*allowance.Asks{},
+		memberIPs:      map[string]string{}, unreachable: map[string]bool{}}
+	bounds := &settings.Bounds
+	proxy.rules = allowance.Rules{QuotaWindow: bounds.QuotaWindow, QuotaOvershoot: bounds.QuotaOvershoot,
+		QuotaSlack: bounds.QuotaSlack, RetryRatio: bounds.RetryRatio, RetrySlack: bounds.RetrySlack,
+		WarmupOvershoot: bounds.WarmupOvershoot, WarmupSlack: bounds.WarmupSlack}
+	proxy.members = membership.New(proxy.instanceID, rand.Uint64())
+	proxy.failureReports = failurereports.New(rand.Uint32() | 1)
+	proxy.loadReports = loadreports.New(rand.Uint32() | 1)
+	return proxy
 }
 
-// tallyEvery is how often a line tells how requests ended, where any did.
-const tallyEvery = 10 * time.Second
+// answerLogInterval is how often answer counts are logged, if there were any answers.
+const answerLogInterval = 10 * time.Second
 
-// tally logs how requests ended, and what became of those whose clients left.
-func (y *Proxy) tally(ctx context.Context) {
-	var told disconnectFigures
-	before := map[ending]int{}
+// logAnswerCounts periodically logs the outcomes of requests and the effects of client disconnects.
+func (proxy *Proxy) logAnswerCounts(ctx context.Context) {
+	var lastLogged disconnectStats
+	previous := map[ending]int{}
 	for ctx.Err() == nil {
-		wait.Sleep(ctx, tallyEvery)
-		y.mu.Lock()
-		fields := logrus.Fields{}
-		for k, n := range y.ended {
-			if n > before[k] {
-				fields[k.field()] = n - before[k]
+		wait.Sleep(ctx, answerLogInterval)
+		proxy.mu.Lock()
+		logFields := logrus.Fields{}
+		for k, n := range proxy.answerCounts {
+			if n > previous[k] {
+				logFields[k.logField()] = n - previous[k]
 			}
-			before[k] = n
+			previous[k] = n
 		}
-		disconnects := y.disconnects
-		y.mu.Unlock()
-		if len(fields) > 0 {
-			y.log.WithFields(fields).Info("requests ended")
+		disconnects := proxy.disconnects
+		proxy.mu.Unlock()
+		if len(logFields) > 0 {
+			proxy.log.WithFields(logFields).Info("requests ended")
 		}
-		if disconnects != told {
-			y.log.WithFields(disconnects.fields()).Info("clients have left with requests in hand")
-			told = disconnects
+		if disconnects != lastLogged {
+			proxy.log.WithFields(disconnects.logFields()).Info("clients have left with requests in hand")
+			lastLogged = disconnects
 		}
 	}
 }
 
-func (y *Proxy) poke() {
+func (proxy *Proxy) wakePull() {
 	select {
-	case y.nudge <- struct{}{}:
+	case proxy.pullNow <- struct{}{}:
 	default:
 	}
 }
 
-// now is the time in ms on the clock of the decisions.
-func (y *Proxy) now() float64 { return float64(time.Since(y.begun)) / float64(time.Millisecond) }
+// now returns the time in ms on the clock that is passed to the decision packages.
+func (proxy *Proxy) now() float64 { return float64(time.Since(proxy.base)) / float64(time.Millisecond) }
 
-// ready tells that requests can be served here.
-func (y *Proxy) ready() bool {
-	if y.leaving.Load() || y.view.Load() == nil {
+// ready reports whether this limiter can serve requests.
+func (proxy *Proxy) ready() bool {
+	if proxy.leaving.Load() || proxy.configSnapshot.Load() == nil {
 		return false
 	}
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return y.engine != nil && y.serving && y.vouched()
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	return proxy.engine != nil && proxy.hasHeldShare && proxy.keysTrusted()
 }
 
-// vouched tells that keys may be honoured: nothing newer can have been acknowledged for as
-// long as the rule on keys that are taken away allows. The mutex is held.
-func (y *Proxy) vouched() bool {
-	b := &y.set.Bounds
+// keysTrusted reports whether API keys may be accepted: the proof that this limiter has seen the latest register
+// must be younger than the bound on key revocation. The mutex is held.
+func (proxy *Proxy) keysTrusted() bool {
+	b := &proxy.settings.Bounds
 	if !b.RevocationStrict || b.Revoke == 0 {
 		return true
 	}
-	return time.Since(y.proved) < b.Revoke-revokeMargin
+	return time.Since(proxy.provenAt) < b.Revoke-revokeMargin
 }
 
-// revokeMargin is for what was sent before and runs later.
+// revokeMargin covers requests that were sent before the bound ran out and execute later.
 const revokeMargin = 500 * time.Millisecond
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -31,11 +31,11 @@
 	"example.org/madderdrum/traffic/quotaloan"
 )
 
-// testProxy is a limiter without its listeners, told directly what a core machine would tell.
+// testProxy is a limiter without listeners. Tests pass it the answers of a core machine directly.
 type testProxy struct {
 	*Proxy
-	t    testing.TB
-	book *catalog.Book
+	t       testing.TB
+	records *catalog.Book
 }
 
 const routes = `{"config_version":"r1","base_revision":0,"limits":{"max_header_bytes":16384,"max_body_bytes":100000,"idle_timeout":"15s"},
@@ -48,36 +48,41 @@
 func newTestProxy(t testing.TB) *testProxy {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	peers, err := net.ListenPacket("udp", "127.0.0.1:0")
+	peerConn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { peers.Close() })
-	set := &nodesettings.Settings{Node: "e1", IP: "127.0.0.1", Zone: "z", Region: "r", Zones: map[string]string{"z": "r"}, Ports: [2]int{7460, 7475},
-		Bounds: nodesettings.Bounds{RetryRatio: 0.2, QuotaWindow: 5 * time.Second, QuotaOvershoot: 0.1, QuotaSlack: 20, WarmupOvershoot: 1.5, WarmupSlack: 5}}
-	y := &testProxy{t: t, book: catalog.New("core"), Proxy: newProxy(set, log)}
-	y.Proxy.peers = peers
-	y.tell(&controlstate.Register{Seq: 1, Version: 1, Config: []byte(routes), Places: []places.Place{{Name: "e1", IP: "127.0.0.1", Zone: "z"}}})
-	return y
-}
-
-// tell has the limiter hear what is new in the core's book, and a register.
-func (y *testProxy) tell(reg *controlstate.Register) {
-	y.take(time.Now(), &registry.Pulled{Register: reg, Records: y.book.Since(0, y.Proxy.book.Vector()), Vector: y.book.Vector(), Proven: true, ProofMs: 1})
-}
-
-// earnTries gives the service so many requests' worth of further tries.
-func (y *testProxy) earnTries(requests int) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
+	t.Cleanup(func() { peerConn.Close() })
+	set := &nodesettings.Settings{Node: "e1", IP: "127.0.0.1", Zone: "z", Region: "r",
+		Zones: map[string]string{"z": "r"}, Ports: [2]int{7460, 7475},
+		Bounds: nodesettings.Bounds{RetryRatio: 0.2, QuotaWindow: 5 * time.Second, QuotaOvershoot: 0.1,
+			QuotaSlack: 20, WarmupOvershoot: 1.5, WarmupSlack: 5}}
+	proxy := &testProxy{t: t, records: catalog.New("core"), Proxy: newProxy(set, log)}
+	proxy.Proxy.peerConn = peerConn
+	proxy.deliver(&controlstate.Register{Seq: 1, Version: 1, Config: []byte(routes),
+		Places: []places.Place{{Name: "e1", IP: "127.0.0.1", Zone: "z"}}})
+	return proxy
+}
+
+// deliver passes the limiter new records of the core machine's catalog and a register.
+func (proxy *testProxy) deliver(reg *controlstate.Register) {
+	proxy.applyPulled(time.Now(), &registry.Pulled{Register: reg,
+		Records: proxy.records.Since(0, proxy.Proxy.records.Vector()), Vector: proxy.records.Vector(), Proven: true,
+		ProofMs: 1})
+}
+
+// earnRetries gives the service the retry budget that a number of requests earn.
+func (proxy *testProxy) earnRetries(requests int) {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
 	tries := &allowance.Tries{}
 	for range requests {
-		tries.Earn(y.rules, 1)
+		tries.Earn(proxy.rules, 1)
 	}
-	y.budget["s"] = tries
+	proxy.retryBudgets["s"] = tries
 }
 
-// listen has each connection to an address of its own served, in a goroutine of its own, until the test ends.
+// listen opens a listener whose connections are each served in a goroutine, until the test ends.
 func listen(t testing.TB, serve func(net.Conn)) (address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -89,45 +94,49 @@
 	return l.Addr().String()
 }
 
-// server is a stand-in that answers each request with the next of its ways, the last for good.
+// server is a test server that answers each request with its next behaviour. The last one repeats.
 type server struct {
 	id, address string
 	mu          sync.Mutex
-	ways        []string
-	ran         []string // attempt ids
+	behaviours  []string
+	executed    []string // attempt IDs
 }
 
-func (y *testProxy) server(id string, warmMs uint64, ways ...string) *server {
-	s := &server{id: id, ways: ways}
-	s.address = listen(y.t, s.conn)
-	y.book.Beat(0, catalog.Record{ID: id, Service: "s", Address: s.address, Zone: "z", Sequence: 1, WarmMs: warmMs})
+func (proxy *testProxy) server(id string, warmMs uint64, behaviours ...string) *server {
+	s := &server{id: id, behaviours: behaviours}
+	s.address = listen(proxy.t, s.serveConn)
+	proxy.records.Beat(0, catalog.Record{ID: id, Service: "s", Address: s.address, Zone: "z", Sequence: 1,
+		WarmMs: warmMs})
 	return s
 }
 
-// conn serves one connection. A way is: ok, shed, misdirected, fail, cut (runs and closes), half (half
-// an answer), other (the answer of another request), twice (a second answer behind the first).
-func (s *server) conn(c net.Conn) {
-	eachRequest(c, func(_ *bufio.Reader, r *http.Request, body []byte) (goesOn bool) {
+// serveConn serves one connection. The behaviours are ok, shed, misdirected, fail, cut (executes the request and
+// closes the connection), half (sends half an answer), other (sends the answer to another request) and twice
+// (sends a second answer after the first).
+func (s *server) serveConn(c net.Conn) {
+	serveRequests(c, func(_ *bufio.Reader, r *http.Request, body []byte) (keepOpen bool) {
 		id := r.Header.Get(headerAttempt)
 		s.mu.Lock()
-		way := s.ways[0]
-		if len(s.ways) > 1 {
-			s.ways = s.ways[1:]
+		behaviour := s.behaviours[0]
+		if len(s.behaviours) > 1 {
+			s.behaviours = s.behaviours[1:]
 		}
-		if way != "shed" && way != "misdirected" {
-			s.ran = append(s.ran, id)
+		if behaviour != "shed" && behaviour != "misdirected" {
+			s.executed = append(s.executed, id)
 		}
 		s.mu.Unlock()
 		answer := func(status int, id, extra, body string) string {
-			return fmt.Sprintf("HTTP/1.1 %d x\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, headerAttempt, id, extra, len(body), body)
+			return fmt.Sprintf("HTTP/1.1 %d x\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, headerAttempt, id,
+				extra, len(body), body)
 		}
 		seal := headerSeal + ": 1\r\n"
-		whole := answer(200, id, seal, s.id+" "+string(body)+" "+r.Header.Get(headerTenant)+r.Header.Get(headerCredential))
-		switch way {
+		complete := answer(200, id, seal,
+			s.id+" "+string(body)+" "+r.Header.Get(headerTenant)+r.Header.Get(headerCredential))
+		switch behaviour {
 		case "ok":
-			io.WriteString(c, whole)
+			io.WriteString(c, complete)
 		case "shed":
-			io.WriteString(c, answer(503, id, headerUnrun+": 1\r\n", ""))
+			io.WriteString(c, answer(503, id, headerNotExecuted+": 1\r\n", ""))
 		case "misdirected":
 			io.WriteString(c, answer(421, id, "", ""))
 		case "fail":
@@ -135,20 +144,20 @@
 		case "cut":
 			return false
 		case "half":
-			io.WriteString(c, whole[:len(whole)-3])
+			io.WriteString(c, complete[:len(complete)-3])
 			return false
 		case "other":
 			io.WriteString(c, answer(200, "another", seal, "another's"))
 		case "twice":
-			io.WriteString(c, whole+whole)
+			io.WriteString(c, complete+complete)
 		}
 		return true
 	})
 }
 
-// eachRequest has a stand-in server answer what comes on a connection, which it closes when answer says that
-// it does not go on, or nothing more comes.
-func eachRequest(c net.Conn, answer func(in *bufio.Reader, r *http.Request, body []byte) (goesOn bool)) {
+// serveRequests calls respond for each request on a connection. It closes the connection when respond returns
+// false or no further request arrives.
+func serveRequests(c net.Conn, respond func(in *bufio.Reader, r *http.Request, body []byte) (keepOpen bool)) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -157,279 +166,290 @@
 			return
 		}
 		body, err := io.ReadAll(r.Body)
-		if err != nil || !answer(in, r, body) {
+		if err != nil || !respond(in, r, body) {
 			return
 		}
 	}
 }
 
-// healthy is what a server answers when its health is asked for.
-func healthy(id string) string {
+// healthResponse returns a server's response to a health check.
+func healthResponse(id string) string {
 	return "HTTP/1.1 200 OK\r\nX-Madderdrum-Instance-Id: " + id + "\r\nContent-Length: 0\r\n\r\n"
 }
 
-// client sends bytes on one connection and reads that many answers.
-func (y *testProxy) client(text string, n int) (all []*http.Response, bodies []string) {
-	y.t.Helper()
+// client sends bytes on one connection and reads n answers.
+func (proxy *testProxy) client(text string, n int) (all []*http.Response, bodies []string) {
+	proxy.t.Helper()
 	a, b := net.Pipe()
 	defer a.Close()
-	go y.Proxy.serveConnection(b)
+	go proxy.Proxy.serveConnection(b)
 	go io.WriteString(a, text)
 	a.SetReadDeadline(time.Now().Add(5 * time.Second))
 	in := bufio.NewReader(a)
 	for range n {
 		r, err := http.ReadResponse(in, nil)
 		if err != nil {
-			y.t.Fatalf("answer %d to %.60q: %v", len(all)+1, text, err)
+			proxy.t.Fatalf("answer %d to %.60q: %v", len(all)+1, text, err)
 		}
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
-			y.t.Fatal(err)
+			proxy.t.Fatal(err)
 		}
 		all, bodies = append(all, r), append(bodies, string(body))
 	}
 	return all, bodies
 }
 
-func request(method, path, id, more, body string) string {
-	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\n%s: %s\r\n%s: 1000\r\n%s: k1\r\n%s", method, path, headerAttempt, id, headerDeadline, headerCredential, more)
+func request(method, path, id, headers, body string) string {
+	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\n%s: %s\r\n%s: 1000\r\n%s: k1\r\n%s", method, path,
+		headerAttempt, id, headerDeadline, headerCredential, headers)
 	if body != "" {
 		text += fmt.Sprintf("Content-Length: %d\r\n", len(body))
 	}
 	return text + "\r\n" + body
 }
 
-// What a request of each kind gets, and how often it runs, when its first server behaves in
-// each way: what can't be repeated runs once, and only what has not run gets a promise.
-func TestKindsAndWays(t *testing.T) {
-	for _, x := range []struct {
-		way        string
-		read, send int // status
-		runs       int // of the send
+// Checks the answer to requests of each route kind, and how often they are executed, for each behaviour of the
+// first server. A request that is not repeatable runs once, and only a request that was not executed is answered
+// as such.
+func TestRouteKindsAndServerBehaviours(t *testing.T) {
+	for _, test := range []struct {
+		behaviour  string
+		read, send int // expected status
+		runs       int // executions of the non-repeatable request
 	}{
-		{"ok", 200, 200, 1}, {"shed", 200, 200, 1}, {"misdirected", 200, 200, 1}, {"fail", 200, 500, 1}, {"cut", 200, 502, 1},
+		{"ok", 200, 200, 1}, {"shed", 200, 200, 1}, {"misdirected", 200, 200, 1}, {"fail", 200, 500, 1},
+		{"cut", 200, 502, 1},
 		{"half", 200, 502, 1}, {"other", 200, 502, 1}, {"twice", 200, 200, 1},
 	} {
 		for _, send := range []bool{false, true} {
-			y := newTestProxy(t)
-			var all []*server
+			proxy := newTestProxy(t)
+			var servers []*server
 			for i := range 2 {
-				// Whichever is chosen first behaves so; the other one is well by then.
-				all = append(all, y.server(fmt.Sprintf("i-%d", i), 0, x.way, "ok"))
+				// Whichever server is chosen first behaves this way, and the other one answers normally from its
+				// second request on.
+				servers = append(servers, proxy.server(fmt.Sprintf("i-%d", i), 0, test.behaviour, "ok"))
 			}
-			y.tell(nil)
-			y.earnTries(10)
-			method, path, want := "GET", "/read/1", x.read
+			proxy.deliver(nil)
+			proxy.earnRetries(10)
+			method, path, want := "GET", "/read/1", test.read
 			if send {
-				method, path, want = "POST", "/send/1", x.send
+				method, path, want = "POST", "/send/1", test.send
 			}
-			if x.way != "ok" && !send { // the second is well at once
-				all[1].mu.Lock()
-				all[1].ways = []string{"ok"}
-				all[1].mu.Unlock()
-				all[0].mu.Lock()
-				all[0].ways = []string{x.way, "ok"}
-				all[0].mu.Unlock()
+			if test.behaviour != "ok" && !send { // the second server answers normally at once
+				servers[1].mu.Lock()
+				servers[1].behaviours = []string{"ok"}
+				servers[1].mu.Unlock()
+				servers[0].mu.Lock()
+				servers[0].behaviours = []string{test.behaviour, "ok"}
+				servers[0].mu.Unlock()
 			}
-			if send && (x.way == "shed" || x.way == "misdirected") {
-				all[1].mu.Lock()
-				all[1].ways = []string{"ok"}
-				all[1].mu.Unlock()
+			if send && (test.behaviour == "shed" || test.behaviour == "misdirected") {
+				servers[1].mu.Lock()
+				servers[1].behaviours = []string{"ok"}
+				servers[1].mu.Unlock()
 			}
 			body := ""
 			if send {
 				body = "payload"
 			}
-			got, bodies := y.client(request(method, path, "id-1", "", body), 1)
+			got, bodies := proxy.client(request(method, path, "id-1", "", body), 1)
 			if got[0].StatusCode != want {
-				t.Errorf("%s, send %v: %d, %d wanted", x.way, send, got[0].StatusCode, want)
+				t.Errorf("%s, non-repeatable %v: status %d, want %d", test.behaviour, send, got[0].StatusCode, want)
 			}
 			if want == 200 && (!strings.Contains(bodies[0], "t1") || strings.Contains(bodies[0], "k1")) {
-				t.Errorf("%s: the server has seen %q: the tenant's name, and not the key", x.way, bodies[0])
+				t.Errorf("%s: the server received %q, want the tenant's name and not the key", test.behaviour,
+					bodies[0])
 			}
 			runs := 0
-			for _, s := range all {
+			for _, s := range servers {
 				s.mu.Lock()
-				runs += len(s.ran)
+				runs += len(s.executed)
 				s.mu.Unlock()
 			}
-			if send && runs != x.runs {
-				t.Errorf("%s: what can't be repeated ran %d times", x.way, runs)
+			if send && runs != test.runs {
+				t.Errorf("%s: the non-repeatable request ran %d times", test.behaviour, runs)
 			}
 		}
 	}
 }
 
-// The test of the one above: a request that is taken for repeatable does run twice where its first
-// server runs it and then cuts the connection.
+// Validates the test above: a repeatable request does run twice if its first server executes it and then cuts the
+// connection.
 func TestResentAfterACut(t *testing.T) {
-	y := newTestProxy(t)
-	servers := []*server{y.server("i-0", 0, "cut", "ok"), y.server("i-1", 0, "cut", "ok")}
-	y.tell(nil)
-	y.earnTries(10)
-	y.client(request("GET", "/read/1", "id-1", "", ""), 1)
+	proxy := newTestProxy(t)
+	servers := []*server{proxy.server("i-0", 0, "cut", "ok"), proxy.server("i-1", 0, "cut", "ok")}
+	proxy.deliver(nil)
+	proxy.earnRetries(10)
+	proxy.client(request("GET", "/read/1", "id-1", "", ""), 1)
 	runs := 0
 	for _, s := range servers {
 		s.mu.Lock()
-		runs += len(s.ran)
+		runs += len(s.executed)
 		s.mu.Unlock()
 	}
 	if runs < 2 {
-		t.Errorf("it ran %d times: a second run would not be seen", runs)
+		t.Errorf("the request ran %d times: the test above would not detect a second run", runs)
 	}
 }
 
-// Requests that come at once on one connection are answered in their order, also where a later
-// one is ready first; what comes behind a late second answer belongs to nobody.
+// Pipelined requests on one connection are answered in order, even if a later one is ready first. A surplus second
+// answer of a server is discarded.
 func TestPipeline(t *testing.T) {
-	y := newTestProxy(t)
-	y.server("i-1", 0, "twice", "ok")
-	y.tell(nil)
+	proxy := newTestProxy(t)
+	proxy.server("i-1", 0, "twice", "ok")
+	proxy.deliver(nil)
 	text := ""
 	for i := range 6 {
 		text += request("GET", "/read/1", fmt.Sprintf("id-%d", i), "", "")
 	}
-	got, _ := y.client(text, 6)
+	got, _ := proxy.client(text, 6)
 	for i, r := range got {
 		if id := r.Header.Get(headerAttempt); id != fmt.Sprintf("id-%d", i) || r.StatusCode != 200 {
-			t.Errorf("answer %d is %d of %s", i, r.StatusCode, id)
+			t.Errorf("answer %d has status %d and ID %s", i, r.StatusCode, id)
 		}
 	}
 }
 
 func TestTurnedAway(t *testing.T) {
-	y := newTestProxy(t)
-	y.server("i-1", 0, "ok")
-	y.tell(nil)
-	for name, x := range map[string]struct {
+	proxy := newTestProxy(t)
+	proxy.server("i-1", 0, "ok")
+	proxy.deliver(nil)
+	for name, test := range map[string]struct {
 		text   string
 		status int
 	}{
-		"no route":         {request("GET", "/none/", "a", "", ""), 404},
-		"unknown key":      {strings.Replace(request("GET", "/read/1", "a", "", ""), "k1", "k9", 1), 401},
-		"two keys":         {request("GET", "/read/1", "a", headerCredential+": k9\r\n", ""), 401},
-		"no id":            {strings.Replace(request("GET", "/read/1", "a", "", ""), headerAttempt, "X-Other", 1), 400},
-		"odd deadline":     {strings.Replace(request("GET", "/read/1", "a", "", ""), "1000", "soon", 1), 400},
-		"long head":        {request("GET", "/read/1", "a", "X-Long: "+strings.Repeat("x", 40000)+"\r\n", ""), 431},
-		"long body":        {request("POST", "/send/1", "a", "Content-Length: 200000\r\n", ""), 413},
-		"two lengths":      {request("POST", "/send/1", "a", "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n", ""), 400},
+		"no route":     {request("GET", "/none/", "a", "", ""), 404},
+		"unknown key":  {strings.Replace(request("GET", "/read/1", "a", "", ""), "k1", "k9", 1), 401},
+		"two keys":     {request("GET", "/read/1", "a", headerCredential+": k9\r\n", ""), 401},
+		"no id":        {strings.Replace(request("GET", "/read/1", "a", "", ""), headerAttempt, "X-Other", 1), 400},
+		"odd deadline": {strings.Replace(request("GET", "/read/1", "a", "", ""), "1000", "soon", 1), 400},
+		"long head":    {request("GET", "/read/1", "a", "X-Long: "+strings.Repeat("x", 40000)+"\r\n", ""), 431},
+		"long body":    {request("POST", "/send/1", "a", "Content-Length: 200000\r\n", ""), 413},
+		"two lengths": {request("POST", "/send/1", "a", "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n",
+			""), 400},
 		"no HTTP":          {"what is this\r\n\r\n", 400},
 		"whole, of HTTP/1": {strings.Replace(request("GET", "/read/1", "a", "", ""), "HTTP/1.1", "HTTP/1.0", 1), 400},
 		"a forged tenant":  {request("GET", "/read/1", "a", headerTenant+": someone\r\n", ""), 200},
-		"a chunked body":   {request("POST", "/send/1", "a", "Transfer-Encoding: chunked\r\n", "") + "3\r\nabc\r\n0\r\n\r\n", 200},
+		"a chunked body": {request("POST", "/send/1", "a", "Transfer-Encoding: chunked\r\n",
+			"") + "3\r\nabc\r\n0\r\n\r\n", 200},
 	} {
-		got, bodies := y.client(x.text, 1)
-		if got[0].StatusCode != x.status {
-			t.Errorf("%s: %d, %d wanted", name, got[0].StatusCode, x.status)
+		got, bodies := proxy.client(test.text, 1)
+		if got[0].StatusCode != test.status {
+			t.Errorf("%s: status %d, want %d", name, got[0].StatusCode, test.status)
 		}
 		if name == "a forged tenant" && strings.Contains(bodies[0], "someone") {
-			t.Errorf("the server has seen a tenant that the client named: %q", bodies[0])
+			t.Errorf("the server received a tenant set by the client: %q", bodies[0])
 		}
 		if name == "a chunked body" && !strings.Contains(bodies[0], "abc") {
-			t.Errorf("the server has seen %q", bodies[0])
+			t.Errorf("the server received %q", bodies[0])
 		}
 	}
 }
 
-// A body that is longer than what is held is passed on while it comes, once: its request is never
-// sent to a second server. One that is longer than may be gets 413.
+// A body longer than maxHeldBody is forwarded as it arrives, once: its request is never sent to a second server. A
+// body over the limit gets 413.
 func TestLongBodies(t *testing.T) {
-	long := strings.Repeat("0123456789abcdef", bodyHeld/8)
-	chunked := fmt.Sprintf("%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", len(long)/2, long[:len(long)/2], len(long)-len(long)/2, long[len(long)/2:])
+	long := strings.Repeat("0123456789abcdef", maxHeldBody/8)
+	chunked := fmt.Sprintf("%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", len(long)/2, long[:len(long)/2],
+		len(long)-len(long)/2, long[len(long)/2:])
 	for name, x := range map[string]struct {
-		ways   []string
-		text   string
-		most   int64
-		status int
-		ran    int
+		behaviours []string
+		text       string
+		limit      int64
+		status     int
+		executed   int
 	}{
-		"length":           {[]string{"ok"}, request("POST", "/send/1", "a", "", long), 8 << 20, 200, 1},
-		"chunks":           {[]string{"ok"}, request("POST", "/send/1", "a", "Transfer-Encoding: chunked\r\n", "") + chunked, 8 << 20, 200, 1},
+		"length": {[]string{"ok"}, request("POST", "/send/1", "a", "", long), 8 << 20, 200, 1},
+		"chunks": {[]string{"ok"}, request("POST", "/send/1", "a", "Transfer-Encoding: chunked\r\n",
+			"") + chunked, 8 << 20, 200, 1},
 		"repeatable, cut":  {[]string{"cut", "ok"}, request("PUT", "/read/1", "a", "", long), 8 << 20, 502, 1},
 		"turned away":      {[]string{"shed", "ok"}, request("POST", "/send/1", "a", "", long), 8 << 20, 503, 0},
 		"too long, length": {[]string{"ok"}, request("POST", "/send/1", "a", "", long), 1 << 20, 413, 0},
-		"too long, chunks": {[]string{"ok"}, request("POST", "/send/1", "a", "Transfer-Encoding: chunked\r\n", "") + chunked, bodyHeld + 1000, 413, 0},
+		"too long, chunks": {[]string{"ok"}, request("POST", "/send/1", "a", "Transfer-Encoding: chunked\r\n",
+			"") + chunked, maxHeldBody + 1000, 413, 0},
 	} {
-		y := newTestProxy(t)
-		v := *y.view.Load()
+		proxy := newTestProxy(t)
+		v := *proxy.configSnapshot.Load()
 		table := *v.table
-		table.Limits.Body = x.most
+		table.Limits.Body = x.limit
 		v.table = &table
-		y.view.Store(&v)
-		s := y.server("i-1", 0, x.ways...)
-		y.tell(nil)
-		got, bodies := y.client(x.text, 1)
+		proxy.configSnapshot.Store(&v)
+		s := proxy.server("i-1", 0, x.behaviours...)
+		proxy.deliver(nil)
+		got, bodies := proxy.client(x.text, 1)
 		s.mu.Lock()
-		ran := len(s.ran)
+		executed := len(s.executed)
 		s.mu.Unlock()
-		if got[0].StatusCode != x.status || ran != x.ran {
-			t.Errorf("%s: %d, run %d times; %d and %d wanted", name, got[0].StatusCode, ran, x.status, x.ran)
+		if got[0].StatusCode != x.status || executed != x.executed {
+			t.Errorf("%s: status %d, ran %d times; want %d and %d", name, got[0].StatusCode, executed, x.status,
+				x.executed)
 		}
 		if x.status == 200 && !strings.Contains(bodies[0], long) {
-			t.Errorf("%s: the server has seen another body of %d bytes", name, len(bodies[0]))
+			t.Errorf("%s: the server received a different body; its answer has %d bytes", name, len(bodies[0]))
 		}
 		if !got[0].Close {
-			t.Errorf("%s: the connection goes on behind it", name)
+			t.Errorf("%s: the connection stays open", name)
 		}
 	}
 }
 
-// However often the list of servers is made while many are cold, one timer waits.
-func TestOneTimerForTheList(t *testing.T) {
-	y := newTestProxy(t)
+// Only one timer is pending, however often the server list is updated while many servers are cold.
+func TestOneTimerForServerUpdates(t *testing.T) {
+	proxy := newTestProxy(t)
 	for i := range 8 {
-		y.server(fmt.Sprintf("i-%d", i), 3000, "ok")
+		proxy.server(fmt.Sprintf("i-%d", i), 3000, "ok")
 	}
-	y.tell(nil)
-	y.mu.Lock()
-	defer y.mu.Unlock()
+	proxy.deliver(nil)
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
 	timers := map[*time.Timer]bool{}
 	for range 50 {
-		y.relist()
-		timers[y.listing] = true
+		proxy.updateServers()
+		timers[proxy.serverUpdateTimer] = true
 	}
 	if len(timers) > 25 {
-		t.Errorf("%d timers were set for one list", len(timers))
+		t.Errorf("%d timers were created", len(timers))
 	}
 }
 
-// A cold server gets no more than its allowance from this limiter, however much is asked.
+// A cold server receives no more than its allowance from this limiter, however many requests arrive.
 func TestColdAllowance(t *testing.T) {
-	y := newTestProxy(t)
-	s := y.server("i-1", 60000, "ok")
-	y.tell(nil)
+	proxy := newTestProxy(t)
+	s := proxy.server("i-1", 60000, "ok")
+	proxy.deliver(nil)
 	for i := range 40 {
-		y.client(request("GET", "/read/1", fmt.Sprintf("id-%d", i), "", ""), 1)
+		proxy.client(request("GET", "/read/1", fmt.Sprintf("id-%d", i), "", ""), 1)
 	}
-	// One limiter of the zone and one that may join: 10.4 a second, less a tenth, over two.
+	// One limiter in the zone and one that may join: 10.4 per second, less a tenth, divided by two.
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.ran) > 5 {
-		t.Errorf("a cold server got %d requests within a moment, 5 at most", len(s.ran))
+	if len(s.executed) > 5 {
+		t.Errorf("a cold server received %d requests in quick succession, want at most 5", len(s.executed))
 	}
 }
 
-// Where keys that are taken away bind strictly, none is honoured without a young proof.
+// When key revocation is strict, no key is accepted without a recent proof.
 func TestNoProofNoKeys(t *testing.T) {
-	y := newTestProxy(t)
-	y.set.Bounds.RevocationStrict, y.set.Bounds.Revoke = true, 5*time.Second
-	y.server("i-1", 0, "ok")
-	y.tell(nil)
-	if got, _ := y.client(request("GET", "/read/1", "a", "", ""), 1); got[0].StatusCode != 200 {
-		t.Errorf("%d with a young proof", got[0].StatusCode)
-	}
-	y.mu.Lock()
-	y.proved = time.Now().Add(-4600 * time.Millisecond)
-	y.mu.Unlock()
-	got, _ := y.client(request("GET", "/read/1", "a", "", ""), 1)
+	proxy := newTestProxy(t)
+	proxy.settings.Bounds.RevocationStrict, proxy.settings.Bounds.Revoke = true, 5*time.Second
+	proxy.server("i-1", 0, "ok")
+	proxy.deliver(nil)
+	if got, _ := proxy.client(request("GET", "/read/1", "a", "", ""), 1); got[0].StatusCode != 200 {
+		t.Errorf("status %d with a recent proof", got[0].StatusCode)
+	}
+	proxy.mu.Lock()
+	proxy.provenAt = time.Now().Add(-4600 * time.Millisecond)
+	proxy.mu.Unlock()
+	got, _ := proxy.client(request("GET", "/read/1", "a", "", ""), 1)
 	if got[0].StatusCode != 503 || got[0].Header.Get("Retry-After") == "" {
-		t.Errorf("%d with a proof of 4.6 s, 503 and a time to come back wanted", got[0].StatusCode)
+		t.Errorf("status %d with a proof of 4.6 s, want 503 and Retry-After", got[0].StatusCode)
 	}
 }
 
-// A pull says what this limiter lacks, and one that has news for the core goes at once.
+// A pull states what this limiter lacks. One with news for the core machine is sent at once.
 func TestPullAsksForWhatIsLacking(t *testing.T) {
-	y := newTestProxy(t)
+	proxy := newTestProxy(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -444,108 +464,113 @@
 		}
 		asks <- m
 		if m.Me.State != catalog.Draining {
-			<-ctx.Done() // held
+			<-ctx.Done() // holds the call
 		}
 		return registry.Pulled{Proven: true}, nil
 	}})
 	done := make(chan bool, 1)
-	go func() { done <- y.pull(ctx, l.Addr().String()) }()
+	go func() { done <- proxy.pull(ctx, l.Addr().String()) }()
 	if a := <-asks; a.Seq != 1 || a.Me.State != catalog.Available {
-		t.Errorf("asked with %+v", a)
+		t.Errorf("pulled with %+v", a)
 	}
-	y.leaving.Store(true)
-	y.poke()
+	proxy.leaving.Store(true)
+	proxy.wakePull()
 	if !<-done {
-		t.Error("a pull that this limiter gave up speaks against the core machine")
+		t.Error("an interrupted pull counts as a failure of the core machine")
 	}
-	y.pull(ctx, l.Addr().String())
+	proxy.pull(ctx, l.Addr().String())
 	if a := <-asks; a.Me.State != catalog.Draining {
-		t.Errorf("a limiter that leaves says %v", a.Me.State)
+		t.Errorf("a leaving limiter reports state %v", a.Me.State)
 	}
 }
 
-// A keeper pays for what another limiter asks as long as its part lasts, and then says no.
+// A keeper pays for other limiters' requests until its part is used up, and then refuses.
 func TestKeeperPaysOutOfItsPart(t *testing.T) {
-	y := newTestProxy(t)
-	y.server("i-1", 0, "ok")
-	y.tell(nil)
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	id := account("t1")
+	proxy := newTestProxy(t)
+	proxy.server("i-1", 0, "ok")
+	proxy.deliver(nil)
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	id := accountID("t1")
 	paid := 0
 	for i := range 2000 {
-		if y.engine.asked(tokenAsk{Serial: uint64(i), Account: id, Route: "read", Service: "s"}).OK {
+		if proxy.engine.answerTokenRequest(tokenRequest{Serial: uint64(i), Account: id, Route: "read",
+			Service: "s"}).OK {
 			paid++
 		}
 	}
-	if most := y.engine.holding.Ceilings[id].Burst; float64(paid) > most+100 || paid < 100 {
-		t.Errorf("%d of 2000 asks were paid for, the ceiling holds %.0f", paid, most)
+	if most := proxy.engine.quota.Ceilings[id].Burst; float64(paid) > most+100 || paid < 100 {
+		t.Errorf("%d of 2000 token requests were granted, the ceiling has a burst of %.0f", paid, most)
 	}
-	if y.engine.asked(tokenAsk{Account: id, Route: "none"}).OK || y.engine.asked(tokenAsk{Account: 1, Route: "read", Service: "s"}).OK {
-		t.Error("an ask for a route or a tenant that is not there is paid for")
+	if proxy.engine.answerTokenRequest(tokenRequest{Account: id, Route: "none"}).OK ||
+		proxy.engine.answerTokenRequest(tokenRequest{Account: 1, Route: "read", Service: "s"}).OK {
+		t.Error("a token request for an unknown route or tenant was granted")
 	}
 }
 
-// added is one more place in a slot behind those that there are.
-func added(slot int, p places.Place) *places.Delta {
-	return &places.Delta{Size: slot + 1, Changed: map[int]places.Place{slot: p}}
+// addedPlace returns a delta that adds one place after the existing ones.
+func addedPlace(slot int, place places.Place) *places.Delta {
+	return &places.Delta{Size: slot + 1, Changed: map[int]places.Place{slot: place}}
 }
 
-// A register that comes without the configuration and places that this limiter has is whole here.
+// A register that leaves out the configuration and places the limiter already has is completed from them.
 func TestRegisterInParts(t *testing.T) {
-	y := newTestProxy(t)
-	post := places.Place{Name: "e2", IP: "127.0.0.2", Zone: "z"}
-	y.take(time.Now(), &registry.Pulled{Places: added(1, post), Register: &controlstate.Register{Seq: 2, Version: 1, Evac: []string{"z"}}})
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	if len(y.reg.Places) != 2 || y.reg.Places[1] != post || len(y.reg.Config) == 0 || !y.evacuate["z"] || y.view.Load().seq != 2 || y.engine.size != 2 {
-		t.Errorf("%+v", y.reg)
-	}
-	// An older one, of another core machine, changes nothing.
-	y.mu.Unlock()
-	y.take(time.Now(), &registry.Pulled{Register: &controlstate.Register{Seq: 1, Version: 1, Config: []byte(routes)}})
-	y.mu.Lock()
-	if y.reg.Seq != 2 || !y.evacuate["z"] {
-		t.Errorf("it went back to %+v", y.reg)
-	}
-}
-
-// A limiter that leaves takes nobody for out of reach: the others don't answer it any more.
+	proxy := newTestProxy(t)
+	place := places.Place{Name: "e2", IP: "127.0.0.2", Zone: "z"}
+	proxy.applyPulled(time.Now(), &registry.Pulled{Places: addedPlace(1, place),
+		Register: &controlstate.Register{Seq: 2, Version: 1, Evac: []string{"z"}}})
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	if len(proxy.register.Places) != 2 || proxy.register.Places[1] != place || len(proxy.register.Config) == 0 ||
+		!proxy.evacuatedZones["z"] || proxy.configSnapshot.Load().seq != 2 || proxy.engine.slotCount != 2 {
+		t.Errorf("%+v", proxy.register)
+	}
+	// An older register of another core machine changes nothing.
+	proxy.mu.Unlock()
+	proxy.applyPulled(time.Now(), &registry.Pulled{Register: &controlstate.Register{Seq: 1, Version: 1,
+		Config: []byte(routes)}})
+	proxy.mu.Lock()
+	if proxy.register.Seq != 2 || !proxy.evacuatedZones["z"] {
+		t.Errorf("the limiter went back to %+v", proxy.register)
+	}
+}
+
+// A leaving limiter considers no other limiter unreachable: the others no longer reply to it.
 func TestLeaverSuspectsNobody(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
-		y := newTestProxy(t)
-		y.leaving.Store(leaves)
-		y.mu.Lock()
-		y.begun = time.Now().Add(-time.Hour)
-		y.memberIPs["e2#1"] = "127.0.0.2" // which never answers
-		y.members.Set(map[string]string{"e2#1": "z"})
-		y.mu.Unlock()
+		proxy := newTestProxy(t)
+		proxy.leaving.Store(leaves)
+		proxy.mu.Lock()
+		proxy.base = time.Now().Add(-time.Hour)
+		proxy.memberIPs["e2#1"] = "127.0.0.2" // never replies
+		proxy.members.Set(map[string]string{"e2#1": "z"})
+		proxy.mu.Unlock()
 		for range 100 {
-			y.probeMembers()
-			y.mu.Lock()
-			y.begun = y.begun.Add(-50 * time.Millisecond) // the time goes on
-			y.mu.Unlock()
+			proxy.probeMembers()
+			proxy.mu.Lock()
+			proxy.base = proxy.base.Add(-50 * time.Millisecond) // advances the clock
+			proxy.mu.Unlock()
 		}
-		if y.unreachable["e2"] == leaves {
-			t.Errorf("leaves: %v; it takes another for out of reach: %v", leaves, y.unreachable["e2"])
+		if proxy.unreachable["e2"] == leaves {
+			t.Errorf("leaving: %v; considers another limiter unreachable: %v", leaves, proxy.unreachable["e2"])
 		}
 	}
 }
 
-// All limiters give a server the same number, whatever they learnt first: they tell each other by
-// it where requests fail.
+// All limiters give a server the same ID, whatever order they learn servers in, because failure reports refer to
+// it.
 func TestServersAreKnownByOneNumber(t *testing.T) {
 	numbers := func(ids ...string) map[string]uint64 {
-		y := newTestProxy(t)
+		proxy := newTestProxy(t)
 		for _, id := range ids {
-			y.server(id, 0, "ok")
-			y.tell(nil)
+			proxy.server(id, 0, "ok")
+			proxy.deliver(nil)
 		}
-		y.mu.Lock()
-		defer y.mu.Unlock()
+		proxy.mu.Lock()
+		defer proxy.mu.Unlock()
 		all := map[string]uint64{}
-		for n, s := range y.engine.servers {
-			all[fmt.Sprint(s.life, " ", y.engine.pools[poolKey{service: "s"}].id == s.pool)] = n
+		for n, s := range proxy.engine.servers {
+			all[fmt.Sprint(s.instanceID, " ", proxy.engine.pools[poolKey{service: "s"}].id == s.pool)] = n
 		}
 		return all
 	}
@@ -554,16 +579,17 @@
 	}
 }
 
-// A limiter that joins gives nobody anew what is spent: the others go on with what they have left.
+// Joining limiters do not restore spent quota: the existing ones keep only their remaining balances.
 func TestJoinersRenewNothing(t *testing.T) {
-	y := newTestProxy(t)
-	y.server("i-1", 0, "ok")
-	y.tell(nil)
+	proxy := newTestProxy(t)
+	proxy.server("i-1", 0, "ok")
+	proxy.deliver(nil)
 	ask := func() (paid int) {
-		y.mu.Lock()
-		defer y.mu.Unlock()
+		proxy.mu.Lock()
+		defer proxy.mu.Unlock()
 		for i := range 2000 {
-			if y.engine.asked(tokenAsk{Serial: uint64(i), Account: account("t1"), Route: "read", Service: "s"}).OK {
+			if proxy.engine.answerTokenRequest(tokenRequest{Serial: uint64(i), Account: accountID("t1"),
+				Route: "read", Service: "s"}).OK {
 				paid++
 			}
 		}
@@ -572,96 +598,105 @@
 	first := ask()
 	again := 0
 	for k := range 4 {
-		post := places.Place{Name: fmt.Sprint("e", k+2), IP: fmt.Sprint("127.0.0.", k+2), Zone: "z"}
-		y.take(time.Now(), &registry.Pulled{Places: added(k+1, post), Register: &controlstate.Register{Seq: uint64(k + 2), Version: 1}})
-		y.tell(nil)
+		place := places.Place{Name: fmt.Sprint("e", k+2), IP: fmt.Sprint("127.0.0.", k+2), Zone: "z"}
+		proxy.applyPulled(time.Now(), &registry.Pulled{Places: addedPlace(k+1, place),
+			Register: &controlstate.Register{Seq: uint64(k + 2), Version: 1}})
+		proxy.deliver(nil)
 		again += ask()
 	}
 	if first < 100 || again > first/10 {
-		t.Errorf("%d requests pass at first, %d more while four limiters join", first, again)
+		t.Errorf("%d requests admitted at first, %d more while four limiters join", first, again)
 	}
 }
 
-// A limiter tells those of its zone what it has in hand, others of its region where these are few, and of
-// very many each some others.
+// A limiter reports its load to the limiters of its zone, to others of its region if these are few, and to a
+// subset that differs for each limiter if they are very many.
 func TestNeighbours(t *testing.T) {
 	zones := map[string]string{"a1": "a", "a2": "a", "b1": "b"}
-	var posts []places.Place
+	var nodes []places.Place
 	add := func(zone string, n int) {
 		for i := range n {
-			posts = append(posts, places.Place{Name: fmt.Sprintf("%s-%d", zone, i), Zone: zone})
+			nodes = append(nodes, places.Place{Name: fmt.Sprintf("%s-%d", zone, i), Zone: zone})
 		}
 	}
-	of := func(i int) []places.Place { return neighboursOf(posts, posts[i].Name, posts[i].Zone, "a", zones) }
+	neighbours := func(i int) []places.Place { return selectNeighbours(nodes, nodes[i].Name, nodes[i].Zone, "a", zones) }
 	add("a1", 3)
 	add("a2", 5)
 	add("b1", 4)
-	if all := of(0); len(all) != neighboursLeast || all[0].Zone != "a1" || all[1].Zone != "a1" || all[2].Zone != "a2" {
-		t.Errorf("of a small zone: %v", all)
+	if all := neighbours(0); len(all) != minNeighbours || all[0].Zone != "a1" || all[1].Zone != "a1" ||
+		all[2].Zone != "a2" {
+		t.Errorf("small zone: %v", all)
 	}
-	posts = nil
+	nodes = nil
 	add("a1", 10)
 	add("a2", 5)
-	if all := of(0); len(all) != 9 || slices.ContainsFunc(all, func(p places.Place) bool { return p.Zone != "a1" || p.Name == "a1-0" }) {
-		t.Errorf("of a zone that is large enough: %v", all)
+	if all := neighbours(0); len(all) != 9 || slices.ContainsFunc(all,
+		func(p places.Place) bool { return p.Zone != "a1" || p.Name == "a1-0" }) {
+		t.Errorf("large zone: %v", all)
 	}
-	posts = nil
+	nodes = nil
 	add("a1", 100)
-	heard := map[string]int{}
-	for i := range posts {
-		all := of(i)
-		if len(all) != neighboursMost {
-			t.Fatalf("of a very large zone: %d are told", len(all))
+	reports := map[string]int{}
+	for i := range nodes {
+		all := neighbours(i)
+		if len(all) != maxNeighbours {
+			t.Fatalf("very large zone: %d neighbours", len(all))
 		}
 		for _, p := range all {
-			heard[p.Name]++
+			reports[p.Name]++
 		}
 	}
-	for _, p := range posts {
-		if n := heard[p.Name]; n < neighboursMost/4 || n > 4*neighboursMost {
-			t.Errorf("%s is told by %d of 100", p.Name, n)
+	for _, p := range nodes {
+		if n := reports[p.Name]; n < maxNeighbours/4 || n > 4*maxNeighbours {
+			t.Errorf("%s is a neighbour of %d of 100", p.Name, n)
 		}
 	}
 }
 
-// No datagram makes a limiter end, or hand out more than its parts.
+// No datagram makes a limiter crash or use more than its parts.
 func FuzzDatagrams(f *testing.F) {
-	f.Add(datagramAsk, rpc.Encode(tokenAsk{1, 2, "read", "s"}))
-	f.Add(datagramAnswer, rpc.Encode(tokenAnswer{Serial: 1, OK: true}))
-	f.Add(datagramLoans, rpc.Encode(quotaloan.Message{Serial: 1, Items: []quotaloan.Item{{ID: 1, Part: -1}, {ID: 2, Part: 1e300}}}))
-	f.Add(datagramProbe, rpc.Encode(probeMessage{membership.Message{From: "e2#1", Claims: []membership.Claim{{ID: "e1", State: 200}}}, []failurereports.Sighting{{Server: 1, Class: 9, Source: 2, Serial: 3}}, []serviceWait{{1, 65000}}, true}))
-	f.Add(datagramLoad, rpc.Encode(loadreports.Word{Version: 1, Source: 3, Serial: 1, Entries: []byte{0, 0, 0, 5, 255, 255}}))
+	f.Add(datagramTokenRequest, rpc.Encode(tokenRequest{1, 2, "read", "s"}))
+	f.Add(datagramTokenReply, rpc.Encode(tokenReply{Serial: 1, OK: true}))
+	f.Add(datagramLoans, rpc.Encode(quotaloan.Message{Serial: 1,
+		Items: []quotaloan.Item{{ID: 1, Part: -1}, {ID: 2, Part: 1e300}}}))
+	f.Add(datagramProbe, rpc.Encode(probeMessage{membership.Message{From: "e2#1",
+		Claims: []membership.Claim{{ID: "e1", State: 200}}},
+		[]failurereports.Sighting{{Server: 1, Class: 9, Source: 2, Serial: 3}}, []serviceWait{{1, 65000}}, true}))
+	f.Add(datagramLoad, rpc.Encode(loadreports.Word{Version: 1, Source: 3, Serial: 1,
+		Entries: []byte{0, 0, 0, 5, 255, 255}}))
 	f.Add(datagramSpending, []byte{1, 2, 3, 4, 5, 6, 7, 8, 9})
 	f.Fuzz(func(t *testing.T, kind byte, data []byte) {
-		y := newTestProxy(t)
-		y.take(time.Now(), &registry.Pulled{Places: added(1, places.Place{Name: "e2", IP: "127.0.0.2", Zone: "z"}), Register: &controlstate.Register{Seq: 2, Version: 1}})
+		proxy := newTestProxy(t)
+		proxy.applyPulled(time.Now(), &registry.Pulled{Places: addedPlace(1,
+			places.Place{Name: "e2", IP: "127.0.0.2", Zone: "z"}),
+			Register: &controlstate.Register{Seq: 2, Version: 1}})
 		for range 3 {
-			y.heard("127.0.0.2", kind, data)
+			proxy.handleDatagram("127.0.0.2", kind, data)
 		}
-		y.mu.Lock()
-		defer y.mu.Unlock()
-		of, rest, _ := y.engine.holding.Desk.Parts(y.now())
+		proxy.mu.Lock()
+		defer proxy.mu.Unlock()
+		of, rest, _ := proxy.engine.quota.Desk.Parts(proxy.now())
 		for id, part := range of {
 			if part > 1 {
-				t.Errorf("account %d: a part of %g, and nothing was asked for", id, part)
+				t.Errorf("account %d: part %g without a loan", id, part)
 			}
 		}
 		if rest > 1 {
-			t.Errorf("a part of %g of the rest", rest)
+			t.Errorf("default part %g without a loan", rest)
 		}
 	})
 }
 
-// When a limiter leaves, the answer that says so is the last of its connection, and what is read
-// behind it does not run.
+// When a limiter is leaving, the answer with "Connection: close" is the last of its connection, and requests read
+// after it are not executed.
 func TestLastAnswerIsTheLast(t *testing.T) {
-	y := newTestProxy(t)
-	s := y.server("i-1", 0, "ok")
-	y.tell(nil)
-	y.leaving.Store(true)
+	proxy := newTestProxy(t)
+	s := proxy.server("i-1", 0, "ok")
+	proxy.deliver(nil)
+	proxy.leaving.Store(true)
 	a, b := net.Pipe()
 	defer a.Close()
-	go y.Proxy.serveConnection(b)
+	go proxy.Proxy.serveConnection(b)
 	sent := 0
 	send := func(n int) {
 		text := ""
@@ -678,7 +713,7 @@
 	for {
 		r, err := http.ReadResponse(in, nil)
 		if err != nil {
-			t.Fatalf("after %d answers, none of which was the last: %v", answered, err)
+			t.Fatalf("after %d answers, none of them the last: %v", answered, err)
 		}
 		if _, err := io.ReadAll(r.Body); err != nil {
 			t.Fatal(err)
@@ -690,17 +725,18 @@
 	}
 	send(1)
 	if r, err := http.ReadResponse(in, nil); err == nil {
-		t.Errorf("behind the last answer another one came: %d", r.StatusCode)
+		t.Errorf("received another answer after the last one: status %d", r.StatusCode)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.ran) != answered {
-		t.Errorf("%d requests ran and %d were answered", len(s.ran), answered)
+	if len(s.executed) != answered {
+		t.Errorf("%d requests ran, %d were answered", len(s.executed), answered)
 	}
 }
 
-// storm is a version of a configuration in a storm of them: fifty routes that no other one has.
-func storm(version int) []byte {
+// stormConfig returns one of many configuration versions in quick succession. Its fifty routes are in no other
+// version.
+func stormConfig(version int) []byte {
 	var all []string
 	for k := range 50 {
 		all = append(all, fmt.Sprintf(`{"name":"r-%d-%d","route_type":"idempotent","target_latency":"400ms","priority":1,"auth_exempt":true,
@@ -710,46 +746,49 @@
 "clusters":[{"name":"s","health_path":"/health","max_connections":100,"protocol":"h1","tls":false,"warmup":"3s","cold_per_s":4}]}`, version, version-1, strings.Join(all, ","))
 }
 
-// Versions that each remove fifty routes and add fifty come in a storm from core machines of which
-// some are behind, while a limiter begins in the middle: nobody goes back, what is in force is one
-// version whole, and in the end it is the newest.
+// Versions that each replace fifty routes arrive in quick succession from core machines some of which lag behind,
+// and a second limiter starts half-way. No limiter goes back to an older version, the routes in force always
+// belong to one version, and the last version wins.
 func TestStormOfVersions(t *testing.T) {
 	const versions = 30
 	for seed := range uint64(4) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		limiters := []*testProxy{newTestProxy(t)}
 		newest := make([]int, 2)
-		posts := limiters[0].reg.Places
+		places := limiters[0].register.Places
 		for v := 2; v <= versions; v++ {
 			if v == versions/2 {
 				limiters = append(limiters, newTestProxy(t))
 			}
 			for range 3 {
-				for i, y := range limiters {
-					from := max(1, v-rng.IntN(6)) // a core machine that is so far behind
+				for i, proxy := range limiters {
+					version := max(1, v-rng.IntN(6)) // a core machine that lags behind by up to five versions
 					if v == versions {
-						from = v
+						version = v
 					}
-					if from == 1 {
+					if version == 1 {
 						continue
 					}
-					y.take(time.Now(), &registry.Pulled{Proven: true, Register: &controlstate.Register{Seq: uint64(from), Version: uint64(from), Config: storm(from), Places: posts}})
-					newest[i] = max(newest[i], from)
-					table := y.view.Load().table
+					proxy.applyPulled(time.Now(), &registry.Pulled{Proven: true,
+						Register: &controlstate.Register{Seq: uint64(version), Version: uint64(version),
+							Config: stormConfig(version), Places: places}})
+					newest[i] = max(newest[i], version)
+					table := proxy.configSnapshot.Load().table
 					for x := max(1, v-6); x <= v; x++ {
 						for _, k := range []int{0, 49} {
 							have := table.Find("h", fmt.Sprintf("/v%d/%d/x", x, k)) != nil
 							if want := x == newest[i]; have != want && newest[i] > 1 {
-								t.Fatalf("seed %d: at r%d the route of r%d is there: %v", seed, newest[i], x, have)
+								t.Fatalf("seed %d: with r%d in force, a route of r%d exists: %v", seed, newest[i], x,
+									have)
 							}
 						}
 					}
 				}
 			}
 		}
-		for _, y := range limiters {
-			if y.reg.Version != versions {
-				t.Errorf("seed %d: r%d is in force in the end", seed, y.reg.Version)
+		for _, proxy := range limiters {
+			if proxy.register.Version != versions {
+				t.Errorf("seed %d: r%d is in force at the end", seed, proxy.register.Version)
 			}
 		}
 	}
--- a/internal/proxy/pull.go
+++ b/internal/proxy/pull.go
@@ -22,249 +22,256 @@
 )
 
 const (
-	pullHold  = 1000 * time.Millisecond
-	pullSlack = 450 * time.Millisecond // beyond what is held
-	mostNamed = 64                     // limiters in an answer of the directory
+	pullHoldTime         = 1000 * time.Millisecond // how long a core machine holds a pull while it has no news
+	pullTimeoutMargin    = 450 * time.Millisecond  // allowed beyond the time that the core machine holds the call
+	maxDirectoryLimiters = 64                      // in an answer of the directory
 )
 
-// pulls keeps asking a core machine for what this limiter lacks. One that does not answer, or
-// has no proof that it is up to date, is left for the next.
-func (y *Proxy) pulls(ctx context.Context) {
-	k := rand.IntN(1 << 10)
+// pullLoop pulls from core machines until the context ends. It moves on to the next machine when one does not
+// answer or has no recent proof that its register is current.
+func (proxy *Proxy) pullLoop(ctx context.Context) {
+	next := rand.IntN(1 << 10)
 	for failed := 0; ctx.Err() == nil; {
-		cores := y.coresToAsk(failed)
-		k %= len(cores)
-		to := y.set.Internal(cores[k], nodesettings.RegistryPort)
-		if y.pull(ctx, to) {
+		cores := proxy.coresToPull(failed)
+		next %= len(cores)
+		address := proxy.settings.Internal(cores[next], nodesettings.RegistryPort)
+		if proxy.pull(ctx, address) {
 			failed = 0
 			continue
 		}
-		k++
+		next++
 		if failed++; failed >= len(cores) {
 			wait.Sleep(ctx, 50*time.Millisecond+rand.N(150*time.Millisecond))
 		}
 	}
 }
 
-// coresToAsk are the core machines to ask after so many failures in a row.
-func (y *Proxy) coresToAsk(failed int) []string {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	if failed < len(y.cores) {
-		return slices.Clone(y.cores)
+// coresToPull returns the core machines to try after a number of consecutive failures.
+func (proxy *Proxy) coresToPull(failed int) []string {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	if failed < len(proxy.cores) {
+		return slices.Clone(proxy.cores)
 	}
-	return append(slices.Clone(y.cores), y.darkCores...)
+	return append(slices.Clone(proxy.cores), proxy.downCores...)
 }
 
-// meet works out which core machines to ask: those that the settings name and those that the book
-// knows to run. Machines that the book takes for dark are asked only when no other one answers. The
-// mutex is held.
-func (y *Proxy) meet() {
-	named, running, dark := map[string]bool{}, map[string]bool{}, map[string]bool{}
-	for _, ip := range y.seeds {
+// updateCores computes which core machines to pull from: those in the settings and those running according to the
+// catalog. Machines that the catalog lists as down are tried only when no other one answers. The mutex is held.
+func (proxy *Proxy) updateCores() {
+	named, running, down := map[string]bool{}, map[string]bool{}, map[string]bool{}
+	for _, ip := range proxy.seeds {
 		named[ip] = true
 	}
-	y.book.Each(y.now(), func(r catalog.Record) {
+	proxy.records.Each(proxy.now(), func(r catalog.Record) {
 		switch {
 		case r.Service != catalog.Cores:
 		case r.State == catalog.Available:
 			named[r.Address], running[r.Address] = true, true
-		default: // a life that is over
-			dark[r.Address] = true
+		default: // the machine or its previous process is down
+			down[r.Address] = true
 		}
 	})
-	y.cores, y.darkCores = nil, nil
+	proxy.cores, proxy.downCores = nil, nil
 	for _, ip := range slices.Sorted(maps.Keys(named)) {
-		if dark[ip] && !running[ip] {
-			y.darkCores = append(y.darkCores, ip)
+		if down[ip] && !running[ip] {
+			proxy.downCores = append(proxy.downCores, ip)
 		} else {
-			y.cores = append(y.cores, ip)
+			proxy.cores = append(proxy.cores, ip)
 		}
 	}
 }
 
-// pull asks once and takes in the answer. It tells whether the other may be asked again.
-func (y *Proxy) pull(ctx context.Context, to string) bool {
-	y.mu.Lock()
-	y.sequence++
-	hold := pullHold
-	me := &catalog.Record{ID: y.self, Service: catalog.Limiters, Address: y.set.Listen["frontend"], Zone: y.set.Zone, Sequence: y.sequence}
-	if y.leaving.Load() {
-		me.State = catalog.Draining
-	} else if y.engine == nil || !y.serving {
-		me.State, hold = catalog.Draining, pullHold/2 // nobody is to be led here yet
+// pull sends one pull to a core machine and applies the answer. It reports whether the same machine may be used
+// again.
+func (proxy *Proxy) pull(ctx context.Context, address string) bool {
+	proxy.mu.Lock()
+	proxy.recordSequence++
+	hold := pullHoldTime
+	record := &catalog.Record{ID: proxy.instanceID, Service: catalog.Limiters,
+		Address: proxy.settings.Listen["frontend"], Zone: proxy.settings.Zone, Sequence: proxy.recordSequence}
+	if proxy.leaving.Load() {
+		record.State = catalog.Draining
+	} else if proxy.engine == nil || !proxy.hasHeldShare {
+		record.State, hold = catalog.Draining, pullHoldTime/2 // not ready: clients must not be sent here yet
 	}
-	ask := registry.Pull{Vector: maps.Clone(y.book.Vector()), Seq: y.reg.Seq, Me: me, Version: y.reg.Version, Done: y.done}
-	if y.desk != nil {
-		ask.LoansMs = uint64(math.Ceil(y.desk.LoansEndIn(y.now())))
+	request := registry.Pull{Vector: maps.Clone(proxy.records.Vector()), Seq: proxy.register.Seq, Me: record,
+		Version: proxy.register.Version, Done: proxy.returningPlace}
+	if proxy.loans != nil {
+		request.LoansMs = uint64(math.Ceil(proxy.loans.LoansEndIn(proxy.now())))
 	}
-	if y.wantsWhole {
-		ask.Version, ask.Whole = 0, true
+	if proxy.needsWholeRegister {
+		request.Version, request.Whole = 0, true
 	}
-	givesBack := y.done && y.slot() < 0 // this call tells that the place is given back
-	if givesBack {
+	confirmsReturn := proxy.returningPlace && proxy.ownSlot() < 0 // this pull confirms the return
+	if confirmsReturn {
 		hold = 0
 	}
-	ask.HoldMs = uint64(hold / time.Millisecond)
-	y.mu.Unlock()
+	request.HoldMs = uint64(hold / time.Millisecond)
+	proxy.mu.Unlock()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	poked := make(chan struct{})
+	watcherDone := make(chan struct{})
 	go func() {
-		defer close(poked)
+		defer close(watcherDone)
 		select {
-		case <-y.nudge:
+		case <-proxy.pullNow:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
-	var a registry.Pulled
-	begun := time.Now()
-	err := y.caller.Call(ctx, to, registry.CallPull, ask, &a, hold+pullSlack)
-	asked := ctx.Err() == nil
+	var pulled registry.Pulled
+	startedAt := time.Now()
+	err := proxy.caller.Call(ctx, address, registry.CallPull, request, &pulled, hold+pullTimeoutMargin)
+	uninterrupted := ctx.Err() == nil
 	cancel()
-	<-poked
+	<-watcherDone
 	if err != nil {
-		return !asked // it was this limiter that gave up
+		return !uninterrupted // the pull was interrupted by this limiter
 	}
-	y.take(begun, &a)
-	if givesBack {
-		y.mu.Lock()
-		y.givenBack = true
-		y.mu.Unlock()
+	proxy.applyPulled(startedAt, &pulled)
+	if confirmsReturn {
+		proxy.mu.Lock()
+		proxy.placeReturnConfirmed = true
+		proxy.mu.Unlock()
 	}
-	return freshness.Source{Apart: a.Apart, Proven: a.Proven, Age: time.Duration(a.ProofMs) * time.Millisecond}.Usable()
+	return freshness.Source{Apart: pulled.Apart, Proven: pulled.Proven,
+		Age: time.Duration(pulled.ProofMs) * time.Millisecond}.Usable()
 }
 
-// take takes in what a core machine told. begun is when it was asked.
-func (y *Proxy) take(begun time.Time, a *registry.Pulled) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	news := len(y.book.Merge(y.now(), a.Records)) > 0
-	ended := !y.lease.Valid(time.Since(y.begun))
-	y.book.Know(a.Vector)
-	if a.Register != nil && a.Register.Seq > y.reg.Seq {
-		// What this limiter has is left out, as it was when it asked: nothing else changes it.
-		if !y.complete(a) {
-			return // the proof is of a register that this limiter does not have
+// applyPulled applies the answer to a pull that was sent at base.
+func (proxy *Proxy) applyPulled(base time.Time, pulled *registry.Pulled) {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	changed := len(proxy.records.Merge(proxy.now(), pulled.Records)) > 0
+	leaseHadEnded := !proxy.lease.Valid(time.Since(proxy.base))
+	proxy.records.Know(pulled.Vector)
+	if pulled.Register != nil && pulled.Register.Seq > proxy.register.Seq {
+		// The answer leaves out what this limiter had when it sent the pull. Nothing else changes that.
+		if !proxy.completeRegister(pulled) {
+			return // the proof is for a register that this limiter could not complete
 		}
-		y.prove(begun, a)
-		y.adopt(a)
-		news = true
+		proxy.recordProof(base, pulled)
+		proxy.applyRegister(pulled)
+		changed = true
 	} else {
-		y.prove(begun, a)
+		proxy.recordProof(base, pulled)
 	}
-	y.renewed(ended)
-	if news {
-		y.meet()
-		y.setMembers()
-		y.relist()
+	proxy.leaseRenewed(leaseHadEnded)
+	if changed {
+		proxy.updateCores()
+		proxy.updateMembers()
+		proxy.updateServers()
 	}
 }
 
-// prove takes in how old a core machine's proof is that the register which it told, or an older one than
+// recordProof records the age of a core machine's proof that the register in the answer, or an earlier one than
 // this limiter has, is current. The mutex is held.
-func (y *Proxy) prove(begun time.Time, a *registry.Pulled) {
-	if !a.Proven {
+func (proxy *Proxy) recordProof(base time.Time, pulled *registry.Pulled) {
+	if !pulled.Proven {
 		return
 	}
-	at := begun.Add(time.Duration(a.HeldMs)*time.Millisecond - time.Duration(a.ProofMs)*time.Millisecond)
-	if at.After(y.proved) {
-		y.proved = at
+	at := base.Add(time.Duration(pulled.HeldMs)*time.Millisecond - time.Duration(pulled.ProofMs)*time.Millisecond)
+	if at.After(proxy.provenAt) {
+		proxy.provenAt = at
 	}
-	y.lease.Renew(at.Sub(y.begun), 0)
+	proxy.lease.Renew(at.Sub(proxy.base), 0)
 }
 
-// complete puts into a register that was told what was left out of it: what this limiter had when it
-// asked, which nothing else changes. It tells whether the register is whole now. The mutex is held.
-func (y *Proxy) complete(a *registry.Pulled) bool {
-	r := a.Register
+// completeRegister fills in what the answer left out of the register because this limiter had it when it sent the
+// pull. It reports whether the register is complete. The mutex is held.
+func (proxy *Proxy) completeRegister(pulled *registry.Pulled) bool {
+	received := pulled.Register
 	switch {
-	case r.Version == y.reg.Version:
-		r.Config = y.reg.Config
-	case len(a.ConfigDelta) > 0:
-		text, err := configdelta.Apply(y.reg.Config, a.ConfigDelta)
+	case received.Version == proxy.register.Version:
+		received.Config = proxy.register.Config
+	case len(pulled.ConfigDelta) > 0:
+		text, err := configdelta.Apply(proxy.register.Config, pulled.ConfigDelta)
 		if err != nil {
-			y.log.WithField("err", err).Warn("difference of configurations does not fit: the whole is asked for")
-			y.wantsWhole = true
+			proxy.log.WithField("err", err).Warn("difference of configurations does not fit: the whole is asked for")
+			proxy.needsWholeRegister = true
 			return false
 		}
-		r.Config = text
+		received.Config = text
 	}
-	if a.Places != nil {
-		all, ok := a.Places.Apply(y.reg.Places)
+	if pulled.Places != nil {
+		all, ok := pulled.Places.Apply(proxy.register.Places)
 		if !ok {
-			y.log.Warn("difference of places does not fit: the whole is asked for")
-			y.wantsWhole = true
+			proxy.log.Warn("cannot apply the delta of places; pulling the whole register")
+			proxy.needsWholeRegister = true
 			return false
 		}
-		r.Places = all
+		received.Places = all
 	}
-	y.wantsWhole = false
+	proxy.needsWholeRegister = false
 	return true
 }
 
-// adopt has a newer register hold. The mutex is held.
-func (y *Proxy) adopt(a *registry.Pulled) {
-	reg := a.Register
-	evacuate := map[string]bool{}
-	for _, z := range reg.Evac {
-		evacuate[z] = true
+// applyRegister puts a newer register in force. The mutex is held.
+func (proxy *Proxy) applyRegister(pulled *registry.Pulled) {
+	register := pulled.Register
+	evacuatedZones := map[string]bool{}
+	for _, zone := range register.Evac {
+		evacuatedZones[zone] = true
 	}
 	var table *configuration.Table
-	if v := y.view.Load(); v != nil {
-		table = v.table
+	if config := proxy.configSnapshot.Load(); config != nil {
+		table = config.table
 	}
-	if len(reg.Config) > 0 && reg.Version != y.reg.Version {
-		t, fault := configuration.Read(reg.Config)
-		if fault != nil { // the core checks before it takes one
-			y.log.WithField("err", fault).Error("configuration can't be read")
-			y.endLease() // the proof is of a register that does not hold here
+	if len(register.Config) > 0 && register.Version != proxy.register.Version {
+		parsed, fault := configuration.Read(register.Config)
+		if fault != nil { // unexpected: the core machines validate configurations
+			proxy.log.WithField("err", fault).Error("cannot read the configuration")
+			proxy.dropLease() // the proof is for a register that is not in force here
 			return
 		}
-		table = t
+		table = parsed
 	}
 	if table != nil {
-		y.view.Store(&view{table: table, seq: reg.Seq})
+		proxy.configSnapshot.Store(&configSnapshot{table: table, seq: register.Seq})
 	}
-	for z := range y.evacuate {
-		if !evacuate[z] { // its servers may be cold, and the beats that tell are late
-			y.rest(z, table)
+	for zone := range proxy.evacuatedZones {
+		if !evacuatedZones[zone] { // its servers may be cold, and the heartbeats that say so arrive late
+			proxy.assumeCold(zone, table)
 		}
 	}
-	y.evacuate, y.reg = evacuate, reg
-	y.neighbours = neighboursOf(reg.Places, y.set.Node, y.set.Zone, y.set.Region, y.set.Zones)
-	y.takePlaces()
-	y.log.WithFields(logrus.Fields{"seq": reg.Seq, "version": reg.Version, "limiters": y.limiters, "evacuated": len(evacuate)}).Info("register is in force")
-	y.updateEngine(table)
+	proxy.evacuatedZones, proxy.register = evacuatedZones, register
+	proxy.neighbours = selectNeighbours(register.Places, proxy.settings.Node, proxy.settings.Zone,
+		proxy.settings.Region, proxy.settings.Zones)
+	proxy.updateShare()
+	proxy.log.WithFields(logrus.Fields{"seq": register.Seq, "version": register.Version,
+		"limiters": proxy.limiterCount, "evacuated": len(evacuatedZones)}).Info("register is in force")
+	proxy.updateEngine(table)
 }
 
-// rest holds the servers of a zone for cold until they can't be any more. The mutex is held.
-func (y *Proxy) rest(zone string, table *configuration.Table) {
-	y.book.Each(y.now(), func(r catalog.Record) {
+// assumeCold treats the servers of a zone as cold for the full warm-up time. The mutex is held.
+func (proxy *Proxy) assumeCold(zone string, table *configuration.Table) {
+	proxy.records.Each(proxy.now(), func(r catalog.Record) {
 		if r.Zone == zone && table != nil {
-			if s := table.Services[r.Service]; s != nil {
-				y.coldTo[r.ID] = time.Now().Add(s.Warmup)
+			if service := table.Services[r.Service]; service != nil {
+				proxy.coldUntil[r.ID] = time.Now().Add(service.Warmup)
 			}
 		}
 	})
 }
 
-// nearby lists the limiters that clients of a zone are sent to for a host, near ones first.
-func (y *Proxy) nearby(host, zone, region string) []string {
+// limiterAddresses returns the addresses of limiters for clients of a zone that ask for a host, near ones first.
+func (proxy *Proxy) limiterAddresses(host, zone, region string) []string {
 	var homes []string
-	bound := false
-	if v := y.view.Load(); v != nil && v.table != nil {
-		homes, bound = v.table.HostHomes(host)
+	restricted := false
+	if config := proxy.configSnapshot.Load(); config != nil && config.table != nil {
+		homes, restricted = config.table.HostHomes(host)
 	}
-	serves := func(region string) bool { return !bound || slices.Contains(homes, region) }
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	var all []directory.Limiter
-	y.book.Each(y.now(), func(r catalog.Record) {
-		if name, _, _ := strings.Cut(r.ID, "#"); r.Service == catalog.Limiters && r.State == catalog.Available && !y.unreachable[name] {
-			all = append(all, directory.Limiter{Address: r.Address, Zone: r.Zone, Region: y.set.Zones[r.Zone]})
+	serves := func(region string) bool { return !restricted || slices.Contains(homes, region) }
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	var limiters []directory.Limiter
+	proxy.records.Each(proxy.now(), func(r catalog.Record) {
+		if name, _, _ := strings.Cut(r.ID, "#"); r.Service == catalog.Limiters && r.State == catalog.Available &&
+			!proxy.unreachable[name] {
+			limiters = append(limiters, directory.Limiter{Address: r.Address, Zone: r.Zone,
+				Region: proxy.settings.Zones[r.Zone]})
 		}
 	})
-	return directory.Answer(all, zone, region, serves, mostNamed, rand.Shuffle)
+	return directory.Answer(limiters, zone, region, serves, maxDirectoryLimiters, rand.Shuffle)
 }
--- a/internal/proxy/requestreader.go
+++ b/internal/proxy/requestreader.go
@@ -13,254 +13,257 @@
 	"example.org/madderdrum/internal/sockets"
 )
 
-// readAheadSlack is what may be read beyond a bound, as reads come in pieces.
+// readAheadSlack is added to input limits, because reads return whole buffers.
 const readAheadSlack = 4 << 10
 
 var errHeadTooLong = errors.New("the head is too long")
 
-// limited reads no more than is left, and has what it reads of a client looked at.
-type limited struct {
-	r     io.Reader
-	left  int64
-	heads *framing.Watch // nil: of a server
+// limitedReader reads at most remaining bytes. It passes bytes read from clients to the framing check.
+type limitedReader struct {
+	r            io.Reader
+	remaining    int64
+	framingWatch *framing.Watch // nil: reads from a server
 }
 
-func (l *limited) Read(b []byte) (int, error) {
-	if l.left <= 0 {
+func (l *limitedReader) Read(b []byte) (int, error) {
+	if l.remaining <= 0 {
 		return 0, errHeadTooLong
 	}
-	n, err := l.r.Read(b[:min(int64(len(b)), l.left)])
-	l.left -= int64(n)
-	if l.heads != nil {
-		l.heads.Look(b[:n])
+	n, err := l.r.Read(b[:min(int64(len(b)), l.remaining)])
+	l.remaining -= int64(n)
+	if l.framingWatch != nil {
+		l.framingWatch.Look(b[:n])
 	}
 	return n, err
 }
 
-// idleStep is how often a reader that waits looks whether its connection is idle.
-const idleStep = 4 * time.Second
+// idlePollInterval is how often a waiting reader checks whether its connection is idle.
+const idlePollInterval = 4 * time.Second
 
-// readEnd says why no further request is read from a connection.
+// readEnd is the reason why no further request is read from a connection.
 type readEnd int
 
 const (
-	readsNoMore readEnd = iota // the limiter reads no further one
-	clientGone                 // the client has closed the connection, or it has broken
+	readingStopped readEnd = iota // the limiter reads no further request
+	clientGone                    // the client closed the connection, or it broke
 )
 
-// endOf is what an error of reading from a client means.
-func endOf(err error) readEnd {
+// readEndFor returns the reason that an error from reading a client's connection stands for.
+func readEndFor(err error) readEnd {
 	if isDisconnect(err) {
 		return clientGone
 	}
-	return readsNoMore
+	return readingStopped
 }
 
-// clientLimits bound what a client may send, in bytes, and how long it may be idle.
+// clientLimits bounds the size in bytes of what a client may send, and its idle time.
 type clientLimits struct {
 	idle       time.Duration
 	head, body int64
 }
 
-// clientLimits are those of the configuration in force.
-func (y *Proxy) clientLimits() clientLimits {
-	limits := clientLimits{idle: idleWithin, head: headMost, body: bodyMost}
-	v := y.view.Load()
-	if v == nil {
+// clientLimits returns the limits of the configuration in force.
+func (proxy *Proxy) clientLimits() clientLimits {
+	limits := clientLimits{idle: idleTimeout, head: maxHeadBytes, body: maxBodyBytes}
+	config := proxy.configSnapshot.Load()
+	if config == nil {
 		return limits
 	}
-	most := v.table.Limits
-	if most.IdleTimeout > 0 {
-		limits.idle = most.IdleTimeout + time.Second
+	configured := config.table.Limits
+	if configured.IdleTimeout > 0 {
+		limits.idle = configured.IdleTimeout + time.Second
 	}
-	if most.Header > 0 {
-		limits.head = most.Header
+	if configured.Header > 0 {
+		limits.head = configured.Header
 	}
-	if most.Body > 0 {
-		limits.body = most.Body
+	if configured.Body > 0 {
+		limits.body = configured.Body
 	}
 	return limits
 }
 
-// clientRequest is a request as it was read.
+// clientRequest is a request as read from the client.
 type clientRequest struct {
 	*http.Request
-	body []byte  // or what is held of it
-	rest *upload // the rest of a long body; nil: none
-	// handOff says whether a server may have it.
+	body []byte  // complete, or its first part if rest is set
+	rest *upload // remainder of a long body; nil: none
+	// handOff records whether a server may have received the request.
 	handOff handOff
 }
 
-// requestReader reads the requests of a connection.
+// requestReader reads the requests of one connection.
 type requestReader struct {
-	y  *Proxy
-	l  *pipeline
-	in *bufio.Reader
-	// limited is what in reads from.
-	limited *limited
+	proxy *Proxy
+	pipe  *pipeline
+	in    *bufio.Reader
+	// limited is the reader that in buffers.
+	limitedReader *limitedReader
 }
 
-// readRequests takes in the requests of a connection.
-func (y *Proxy) readRequests(l *pipeline) readEnd {
-	from := &limited{r: l.conn, heads: &framing.Watch{}}
-	q := &requestReader{y: y, l: l, in: bufio.NewReaderSize(from, 4<<10), limited: from}
+// readRequests reads and starts the requests of a connection.
+func (proxy *Proxy) readRequests(pipe *pipeline) readEnd {
+	from := &limitedReader{r: pipe.conn, framingWatch: &framing.Watch{}}
+	q := &requestReader{proxy: proxy, pipe: pipe, in: bufio.NewReaderSize(from, 4<<10), limitedReader: from}
 	for {
 		r, end := q.next()
 		if r == nil {
 			return end
 		}
-		if end, goesOn := q.begin(r); !goesOn {
+		if end, keepReading := q.start(r); !keepReading {
 			return end
 		}
 	}
 }
 
-// next reads a request. It returns nil, and why, if there is none.
+// next reads a request. It returns nil and the reason if there is none.
 func (q *requestReader) next() (*clientRequest, readEnd) {
-	y, l := q.y, q.l
-	limits := y.clientLimits()
-	q.limited.left = limits.head + readAheadSlack
+	proxy, pipe := q.proxy, q.pipe
+	limits := proxy.clientLimits()
+	q.limitedReader.remaining = limits.head + readAheadSlack
 	if q.in.Buffered() == 0 {
-		if err := awaitRequest(l, q.in, limits.idle); err != nil {
-			return nil, endOf(err)
+		if err := awaitRequest(pipe, q.in, limits.idle); err != nil {
+			return nil, readEndFor(err)
 		}
 	}
-	l.conn.SetReadDeadline(time.Now().Add(headWithin))
+	pipe.conn.SetReadDeadline(time.Now().Add(headTimeout))
 	r, err := http.ReadRequest(q.in)
 	if err != nil {
-		return nil, q.unreadable(err)
+		return nil, q.rejectUnreadable(err)
 	}
-	if bad := misframed(r, q.limited.heads); bad != "" {
-		y.turnAway(l, 400, bad)
-		return nil, readsNoMore
+	if problem := framingError(r, q.limitedReader.framingWatch); problem != "" {
+		proxy.reject(pipe, 400, problem)
+		return nil, readingStopped
 	}
 	if r.ContentLength > limits.body {
-		y.turnAway(l, 413, errBodyTooLong.Error())
-		return nil, readsNoMore
+		proxy.reject(pipe, 413, errBodyTooLong.Error())
+		return nil, readingStopped
 	}
 	if r.ContentLength == 0 {
-		return &clientRequest{Request: r}, readsNoMore
+		return &clientRequest{Request: r}, readingStopped
 	}
 	return q.readBody(r, limits.body)
 }
 
-// unreadable answers a head that can't be read, where its client is there to be answered.
-func (q *requestReader) unreadable(err error) readEnd {
+// rejectUnreadable answers a request head that cannot be parsed, unless the client is gone.
+func (q *requestReader) rejectUnreadable(err error) readEnd {
 	var network net.Error
 	switch {
 	case errors.Is(err, errHeadTooLong):
-		q.y.turnAway(q.l, 431, errHeadTooLong.Error())
+		q.proxy.reject(q.pipe, 431, errHeadTooLong.Error())
 	case isDisconnect(err), errors.As(err, &network):
 	default:
-		q.y.turnAway(q.l, 400, "the request can't be read")
+		q.proxy.reject(q.pipe, 400, "the request can't be read")
 	}
-	return endOf(err)
+	return readEndFor(err)
 }
 
-// readBody reads a request's body, or as much of it as is held.
-func (q *requestReader) readBody(r *http.Request, most int64) (*clientRequest, readEnd) {
-	q.limited.left = most + most/8 + 64<<10
-	q.l.conn.SetReadDeadline(time.Now().Add(bodyWithin))
-	held := min(bodyHeld, most)
+// readBody reads a request's body, or its first part if it is longer than maxHeldBody.
+func (q *requestReader) readBody(r *http.Request, limit int64) (*clientRequest, readEnd) {
+	q.limitedReader.remaining = limit + limit/8 + 64<<10
+	q.pipe.conn.SetReadDeadline(time.Now().Add(bodyTimeout))
+	held := min(maxHeldBody, limit)
 	body, err := io.ReadAll(io.LimitReader(r.Body, held+1))
 	switch {
 	case err != nil:
-		return nil, endOf(err)
+		return nil, readEndFor(err)
 	case int64(len(body)) <= held:
-		return &clientRequest{Request: r, body: body}, readsNoMore
-	case held == most:
-		q.y.turnAway(q.l, 413, errBodyTooLong.Error())
-		return nil, readsNoMore
+		return &clientRequest{Request: r, body: body}, readingStopped
+	case held == limit:
+		q.proxy.reject(q.pipe, 413, errBodyTooLong.Error())
+		return nil, readingStopped
 	}
-	q.l.upload = newUpload(r, q.l.conn, most-int64(len(body)))
-	return &clientRequest{Request: r, body: body, rest: q.l.upload}, readsNoMore
+	q.pipe.upload = newUpload(r, q.pipe.conn, limit-int64(len(body)))
+	return &clientRequest{Request: r, body: body, rest: q.pipe.upload}, readingStopped
 }
 
-// begin has a request served, once fewer are in hand than may be. It tells whether another one may
-// follow, and if not why.
-func (q *requestReader) begin(r *clientRequest) (end readEnd, goesOn bool) {
-	y, l := q.y, q.l
-	if err := q.takePlace(r); err != nil {
-		return endOf(err), false
+// start starts serving a request once a permit is free. It reports whether another request may follow and, if not,
+// why.
+func (q *requestReader) start(r *clientRequest) (end readEnd, keepReading bool) {
+	proxy, pipe := q.proxy, q.pipe
+	if err := q.acquirePermit(r); err != nil {
+		return readEndFor(err), false
 	}
 	if q.clientClosed(r) {
-		y.count(unheard())
+		proxy.countAnswer(clientLeftAnswer())
 		return clientGone, false
 	}
-	y.awaitSettled()
-	if y.intakeIsOver() {
-		q.refuse(r)
-		return readsNoMore, false
+	proxy.awaitSettled()
+	if proxy.intakeEnded() {
+		q.refuseLate(r)
+		return readingStopped, false
 	}
-	// Behind a long body the connection closes: how far it is read is not known when the answer is due.
-	s := &slot{done: make(chan *answer, 1), end: r.Close || r.rest != nil, id: r.Header.Get(headerAttempt), read: time.Now(), handOff: &r.handOff}
-	y.inHand.Add(1)
-	if !l.enter(s) {
-		y.inHand.Add(-1)
-		return readsNoMore, false
+	// After a long body the connection closes, because the answer may be due before the body has been read to its
+	// end.
+	req := &pendingRequest{done: make(chan *answer, 1), end: r.Close || r.rest != nil,
+		id: r.Header.Get(headerAttempt), readAt: time.Now(), handOff: &r.handOff}
+	proxy.inFlight.Add(1)
+	if !pipe.enqueue(req) {
+		proxy.inFlight.Add(-1)
+		return readingStopped, false
 	}
-	y.countTaken(l, s)
+	proxy.countAccepted(pipe, req)
 	go func() {
-		a := y.serve(l.client, r)
+		a := proxy.serve(pipe.client, r)
 		if r.rest != nil {
 			r.rest.finish()
 		}
 		if !r.handOff.revoked() {
-			y.count(a)
+			proxy.countAnswer(a)
 		}
-		s.done <- a
+		req.done <- a
 	}()
-	if s.end {
-		l.unread = r.rest != nil
+	if req.end {
+		pipe.unreadInput = r.rest != nil
 	}
-	return readsNoMore, !s.end
+	return readingStopped, !req.end
 }
 
-// takePlace waits until a request may be begun. Its error is that of reading from the client.
-func (q *requestReader) takePlace(r *clientRequest) (err error) {
+// acquirePermit waits until a request may be started. The error is that of reading from the client.
+func (q *requestReader) acquirePermit(r *clientRequest) (err error) {
 	if r.rest != nil {
-		q.l.places <- struct{}{} // what stands behind the head is the body, and is not read ahead
+		q.pipe.permits <- struct{}{} // the body follows the head, so nothing is read ahead
 		return nil
 	}
-	q.limited.left = readAheadMost + readAheadSlack
-	q.in, err = q.l.takePlace(q.in)
+	q.limitedReader.remaining = maxReadAhead + readAheadSlack
+	q.in, err = q.pipe.acquirePermit(q.in)
 	return err
 }
 
-// clientClosed tells that the client had closed the connection by the time that its request was read: nobody
-// waits for the answer. The reader would see it with its next read, by when the request may be at a server.
+// clientClosed reports whether the client had closed the connection when its request had been read, so nobody
+// waits for the answer. The reader would notice only at its next read, when the request may already be at a
+// server.
 func (q *requestReader) clientClosed(r *clientRequest) bool {
-	return r.rest == nil && q.in.Buffered() == 0 && sockets.Closed(q.l.conn)
+	return r.rest == nil && q.in.Buffered() == 0 && sockets.Closed(q.pipe.conn)
 }
 
-// refuse answers a request that has its place, but became whole after intake had ended: it has not run, and
-// its client can have it served elsewhere.
-func (q *requestReader) refuse(r *clientRequest) {
+// refuseLate answers a request that has its permit but was complete only after the end of intake. It was not
+// executed, and the client can send it to another limiter.
+func (q *requestReader) refuseLate(r *clientRequest) {
 	if r.rest != nil {
-		q.l.unread = true
+		q.pipe.unreadInput = true
 		r.rest.finish()
 	}
-	a := &answer{status: http.StatusServiceUnavailable, retryAfter: leavingRetryAfter, why: "leaving"}
-	if q.y.answerAtOnce(q.l, r.Header.Get(headerAttempt), a) {
-		q.y.count(a)
+	a := &answer{status: http.StatusServiceUnavailable, retryAfterMs: leavingRetryAfterMs, reason: "leaving"}
+	if q.proxy.answerAtOnce(q.pipe, r.Header.Get(headerAttempt), a) {
+		q.proxy.countAnswer(a)
 	}
 }
 
-// errNoFurtherRequest tells that none is waited for: intake has ended, or the connection's last answer has
-// been begun.
-var errNoFurtherRequest = errors.New("no further request is taken")
+// errNoFurtherRequest is returned when no request is awaited: intake has ended, or the connection's last answer
+// has been started.
+var errNoFurtherRequest = errors.New("no further request is accepted")
 
-// awaitRequest waits for the first byte of a request. A connection is idle while nothing is in hand. The
+// awaitRequest waits for the first byte of a request. The idle time counts only while no request is in flight. The
 // error is that of reading from the client, or errNoFurtherRequest.
-func awaitRequest(l *pipeline, in *bufio.Reader, idle time.Duration) error {
-	defer l.endAwait()
-	until := time.Now().Add(idle)
+func awaitRequest(pipe *pipeline, in *bufio.Reader, idle time.Duration) error {
+	defer pipe.endAwait()
+	idleDeadline := time.Now().Add(idle)
 	for {
-		step := time.Now().Add(idleStep)
-		if until.Before(step) {
-			step = until
+		pollDeadline := time.Now().Add(idlePollInterval)
+		if idleDeadline.Before(pollDeadline) {
+			pollDeadline = idleDeadline
 		}
-		if !l.beginAwait(step) {
+		if !pipe.beginAwait(pollDeadline) {
 			return errNoFurtherRequest
 		}
 		_, err := in.Peek(1)
@@ -271,21 +274,22 @@
 		if !errors.As(err, &network) || !network.Timeout() {
 			return err
 		}
-		if l.inHand() > 0 {
-			until = time.Now().Add(idle)
+		if pipe.inFlight() > 0 {
+			idleDeadline = time.Now().Add(idle)
 		}
-		if !time.Now().Before(until) {
+		if !time.Now().Before(idleDeadline) {
 			return err
 		}
 	}
 }
 
-// misframed tells what is wrong with a request that might be read otherwise by another.
-func misframed(r *http.Request, heads *framing.Watch) string {
+// framingError describes what is wrong with a request that another HTTP implementation might parse differently. It
+// returns "" if there is nothing.
+func framingError(r *http.Request, watch *framing.Watch) string {
 	switch {
 	case !r.ProtoAtLeast(1, 1):
 		return "HTTP/1.1 is needed"
-	case len(r.TransferEncoding) > 0 && heads.Both():
+	case len(r.TransferEncoding) > 0 && watch.Both():
 		return "Content-Length and Transfer-Encoding exclude each other"
 	case !strings.HasPrefix(r.RequestURI, "/"):
 		return "the target is not a path"
@@ -293,24 +297,24 @@
 	return ""
 }
 
-// turnAway answers what can't be read; the connection closes behind it.
-func (y *Proxy) turnAway(l *pipeline, status int, why string) {
-	l.unread = true
-	l.places <- struct{}{}
-	if y.answerAtOnce(l, "", &answer{status: status, why: why}) {
-		y.warn("request is turned away", "", why)
+// reject answers input that is not a valid request; the connection closes after the answer.
+func (proxy *Proxy) reject(pipe *pipeline, status int, reason string) {
+	pipe.unreadInput = true
+	pipe.permits <- struct{}{}
+	if proxy.answerAtOnce(pipe, "", &answer{status: status, reason: reason}) {
+		proxy.warnLimited("request is turned away", "", reason)
 	}
 }
 
-// answerAtOnce gives a request that has its place an answer without serving it; the connection closes behind
-// it. It tells whether the connection had not ended before.
-func (y *Proxy) answerAtOnce(l *pipeline, id string, a *answer) bool {
-	s := &slot{done: make(chan *answer, 1), end: true, id: id}
-	y.inHand.Add(1)
-	if !l.enter(s) {
-		y.inHand.Add(-1)
+// answerAtOnce answers a request that has its permit without serving it; the connection closes after the answer.
+// It returns false if the connection's last answer had already been started.
+func (proxy *Proxy) answerAtOnce(pipe *pipeline, id string, a *answer) bool {
+	req := &pendingRequest{done: make(chan *answer, 1), end: true, id: id}
+	proxy.inFlight.Add(1)
+	if !pipe.enqueue(req) {
+		proxy.inFlight.Add(-1)
 		return false
 	}
-	s.done <- a
+	req.done <- a
 	return true
 }
--- a/internal/proxy/stalls.go
+++ b/internal/proxy/stalls.go
@@ -8,10 +8,10 @@
 	"example.org/madderdrum/traffic/shutdown"
 )
 
-// stallWatch knows when this process stood still. The zero value has no first tick yet.
+// stallWatch detects times at which this process did not run. Its zero value has not seen a tick.
 type stallWatch struct {
 	mu       sync.Mutex
-	first    time.Time // the tick from which the detector's times are counted
+	first    time.Time // time 0 of the detector
 	detector shutdown.StallDetector
 }
 
@@ -24,15 +24,16 @@
 	w.detector.Tick(now.Sub(w.first))
 }
 
-// settling tells that the process has just gone on, and may not have heard what was sent to it meanwhile.
+// settling reports whether the process has just resumed, so that signals sent to it meanwhile may not have been
+// received yet.
 func (w *stallWatch) settling(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.first.IsZero() && w.detector.Settling(now.Sub(w.first))
 }
 
-// sentFrom is the earliest moment at which a signal that is heard now may have been sent.
-func (w *stallWatch) sentFrom(now time.Time) time.Time {
+// earliestSent returns the earliest time at which a signal received now may have been sent.
+func (w *stallWatch) earliestSent(now time.Time) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.first.IsZero() {
@@ -41,23 +42,24 @@
 	return w.first.Add(w.detector.SentFrom(now.Sub(w.first)))
 }
 
-func (w *stallWatch) figures() []metrics.Figure {
+func (w *stallWatch) metricValues() []metrics.Figure {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	count, longest := w.detector.Stalls()
 	return []metrics.Figure{
-		metrics.One("madderdrum_proxy_stalls_total", "Times at which the process stood still.", metrics.Counter, float64(count)),
+		metrics.One("madderdrum_proxy_stalls_total", "Times at which the process stood still.", metrics.Counter,
+			float64(count)),
 		metrics.One("madderdrum_proxy_longest_stall_seconds", "The longest of them.", metrics.Gauge, longest.Seconds()),
 	}
 }
 
-// tickStalls notes that the process runs.
-func (y *Proxy) tickStalls() { y.stalls.tick(time.Now()) }
+// tickStalls records that the process is running.
+func (proxy *Proxy) tickStalls() { proxy.stalls.tick(time.Now()) }
 
-// awaitSettled has the process hear what was sent to it while it stood still, before a request is begun: SIGTERM may
-// have come, and the end of the intake with it.
-func (y *Proxy) awaitSettled() {
-	if y.stalls.settling(time.Now()) {
+// awaitSettled waits, after a stall, until signals sent during it have been received, before a request is started:
+// one of them may be SIGTERM, and the intake may have ended.
+func (proxy *Proxy) awaitSettled() {
+	if proxy.stalls.settling(time.Now()) {
 		time.Sleep(shutdown.SettleWithin)
 	}
 }
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -11,63 +11,63 @@
 )
 
 const (
-	bodyHeld     = 1 << 20 // of a request's body that is held, so that it can go to another server
-	uploadPauses = 10 * time.Second
+	maxHeldBody       = 1 << 20 // bytes of a request body that are kept, so that it can be sent to another server
+	uploadReadTimeout = 10 * time.Second
 )
 
-// upload is the rest of a long request body that is still with its client. It is passed on to the
-// first server that takes it: once that has begun no other server can have the request.
+// upload is the remainder of a long request body that has not been read from the client. It is forwarded to the
+// first server that accepts the request; once that has started, the request cannot be sent to another server.
 type upload struct {
-	rest   io.Reader // what is not held, to its end
-	from   net.Conn  // whose it is
-	length int64     // of the whole body; below 0: it is not known
-	left   int64     // that may still come where the length is not known
-	begun  bool
-	long   bool // it came to more than may be
+	rest      io.Reader // body after the part that is held
+	from      net.Conn  // the client's connection
+	length    int64     // of the whole body; negative: unknown
+	remaining int64     // bytes that may still come if the length is unknown
+	started   bool
+	tooLong   bool // the body exceeded its limit
 
-	finished chan struct{} // closed once nothing more of it is read
-	finish   func()        // closes it
+	finished chan struct{} // closed when nothing more of it is read
+	finish   func()        // closes finished; may be called repeatedly
 }
 
 var errBodyTooLong = errors.New("the body is too long")
 
-// clientBodyError tells that a request's body did not come whole from its client, which says nothing of
-// the server that it was passed on to.
+// clientBodyError means that a request's body could not be read completely from the client. It says nothing about
+// the server that the body was forwarded to.
 type clientBodyError struct{ err error }
 
-func (e *clientBodyError) Error() string { return "read the request's body: " + e.err.Error() }
+func (e *clientBodyError) Error() string { return "read request body: " + e.err.Error() }
 
 func (e *clientBodyError) Unwrap() error { return e.err }
 
-// newUpload is the rest of a request's body behind what is held of it. Where its length is not known, left
-// bytes may come at most.
-func newUpload(r *http.Request, from net.Conn, left int64) *upload {
+// newUpload returns the remainder of a request's body after the held part. If its length is unknown, it may have
+// left bytes at most.
+func newUpload(r *http.Request, from net.Conn, remaining int64) *upload {
 	finished := make(chan struct{})
-	return &upload{rest: r.Body, from: from, length: r.ContentLength, left: left,
+	return &upload{rest: r.Body, from: from, length: r.ContentLength, remaining: remaining,
 		finished: finished, finish: sync.OnceFunc(func() { close(finished) })}
 }
 
-// pass hands the rest on behind what was held. An error tells that the server has not had all of
-// it.
-func (u *upload) pass(to net.Conn, l *link, stopAt time.Time) error {
-	u.begun = true
+// forward sends the remainder to a server that has received the held part. On error the server has not received
+// the whole body.
+func (u *upload) forward(to net.Conn, l *link, deadline time.Time) error {
+	u.started = true
 	defer u.finish()
 	buf := make([]byte, 16<<10)
 	for {
-		until := time.Now().Add(uploadPauses)
-		if stopAt.Before(until) {
-			until = stopAt
+		until := time.Now().Add(uploadReadTimeout)
+		if deadline.Before(until) {
+			until = deadline
 		}
 		u.from.SetReadDeadline(until)
 		n, err := u.rest.Read(buf[:min(len(buf), l.out.Piece())])
 		if u.length < 0 {
-			if u.left -= int64(n); u.left < 0 {
-				u.long = true
+			if u.remaining -= int64(n); u.remaining < 0 {
+				u.tooLong = true
 				return errBodyTooLong
 			}
 		}
 		if n > 0 {
-			l.piece(l.out, n)
+			l.waitForPiece(l.out, n)
 			out := buf[:n]
 			if u.length < 0 {
 				out = append(append(strconv.AppendInt(nil, int64(n), 16), "\r\n"...), out...)
@@ -89,9 +89,9 @@
 	}
 }
 
-// linger takes in for a while what a client still sends behind its last answer: closing with
-// bytes unread would take the answer with it.
+// linger reads for a while what a client still sends after its last answer: closing with unread bytes would reset
+// the connection and lose the answer.
 func linger(c net.Conn) {
-	c.SetReadDeadline(time.Now().Add(hangUpWithin))
+	c.SetReadDeadline(time.Now().Add(lingerTimeout))
 	io.Copy(io.Discard, io.LimitReader(c, 64<<20))
 }
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -16,153 +16,155 @@
 )
 
 const (
-	connectWithin = 400 * time.Millisecond
-	probeWithin   = 400 * time.Millisecond
-	wholeMost     = 1 << 20 // of an answer that is held whole, so that it can be had again elsewhere
-	answerHead    = 64 << 10
-	idleMost      = 8 * time.Second // of a connection to a server, where it names no time
-	idleMargin    = 1500 * time.Millisecond
-	idleUnsafe    = 3 * time.Second // for what can't be sent again
-	idleKept      = 16
+	connectTimeout    = 400 * time.Millisecond
+	probeTimeout      = 400 * time.Millisecond
+	maxBufferedAnswer = 1 << 20 // longer answers are streamed and cannot be fetched again from another server
+	maxAnswerHead     = 64 << 10
+	defaultServerIdle = 8 * time.Second // for connections whose server names no time
+	serverIdleMargin  = 1500 * time.Millisecond
+	unsafeServerIdle  = 3 * time.Second // for requests that cannot be sent again
+	maxIdleConns      = 16
 )
 
-// upstream is one life of a server, with the connections to it.
+// upstream is one instance of a server and the idle connections to it.
 type upstream struct {
-	life    string
-	address string
-	service string
-	number  uint32 // for other limiters
+	instanceID   string
+	address      string
+	service      string
+	instanceHash uint32 // identifies it to other limiters
 
-	// The proxy's mutex guards these.
-	usable bool
-	coldTo time.Time
-	nextAt time.Time // when the next request may go to it while it is cold
-	pause  time.Duration
+	// Guarded by the proxy's mutex.
+	usable            bool
+	coldUntil         time.Time
+	nextColdRequestAt time.Time // when the next request may be sent to it while it is cold
+	coldInterval      time.Duration
 
 	mu   sync.Mutex
-	idle []*serverConn // the latest used last
+	idle []*serverConn // the most recently used is last
 }
 
-func (s *upstream) cold(now time.Time) bool { return s.coldTo.After(now) }
+func (s *upstream) cold(now time.Time) bool { return s.coldUntil.After(now) }
 
-// serverConn is a connection to a server: one request at a time.
+// serverConn is a connection to a server. It carries one request at a time.
 type serverConn struct {
 	net.Conn
-	lim    *limited
-	in     *bufio.Reader
-	idleAt time.Time
-	keep   time.Duration // it may be idle so long
-	used   bool
-	died   bool
+	limited *limitedReader
+	in      *bufio.Reader
+	idleAt  time.Time
+	reuse   time.Duration // how long it may be reused after it has become idle
+	used    bool          // a request has been sent on it
+	broken  bool          // a read failed, other than by a timeout
 }
 
-func (r *serverConn) Read(b []byte) (int, error) {
-	n, err := r.Conn.Read(b)
+func (conn *serverConn) Read(b []byte) (int, error) {
+	n, err := conn.Conn.Read(b)
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		r.died = true
+		conn.broken = true
 	}
 	return n, err
 }
 
-// upstream returns that of a server's record. The proxy's mutex is held.
-func (y *Proxy) upstream(r *catalog.Record) *upstream {
-	st := y.upstreams[r.ID]
-	if st == nil || st.address != r.Address {
-		if st != nil {
-			st.drop()
+// upstream returns the upstream of a server's record, creating it if necessary. The proxy's mutex is held.
+func (proxy *Proxy) upstream(record *catalog.Record) *upstream {
+	server := proxy.upstreams[record.ID]
+	if server == nil || server.address != record.Address {
+		if server != nil {
+			server.closeIdle()
 		}
-		st = &upstream{life: r.ID, address: r.Address, service: r.Service, number: shortNumber(r.ID)}
-		y.upstreams[r.ID] = st
+		server = &upstream{instanceID: record.ID, address: record.Address, service: record.Service,
+			instanceHash: hash32(record.ID)}
+		proxy.upstreams[record.ID] = server
 	}
-	if r.State == catalog.Gone || r.State == catalog.Silent {
-		st.drop()
+	if record.State == catalog.Gone || record.State == catalog.Silent {
+		server.closeIdle()
 	}
-	return st
+	return server
 }
 
-func (s *upstream) drop() {
+func (s *upstream) closeIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, r := range s.idle {
-		r.Close()
+	for _, conn := range s.idle {
+		conn.Close()
 	}
 	s.idle = nil
 }
 
-func (s *upstream) take(most time.Duration) *serverConn {
+func (s *upstream) takeIdle(maxIdle time.Duration) *serverConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for n := len(s.idle); n > 0; n = len(s.idle) {
-		r := s.idle[n-1]
+		conn := s.idle[n-1]
 		s.idle = s.idle[:n-1]
-		if age := time.Since(r.idleAt); age < min(most, r.keep) && r.quiet() {
-			return r
+		if age := time.Since(conn.idleAt); age < min(maxIdle, conn.reuse) && conn.isQuiet() {
+			return conn
 		}
-		r.Close()
+		conn.Close()
 	}
 	return nil
 }
 
-func (s *upstream) put(r *serverConn) {
-	if r.SetDeadline(time.Time{}) != nil {
-		r.Close()
+func (s *upstream) putIdle(conn *serverConn) {
+	if conn.SetDeadline(time.Time{}) != nil {
+		conn.Close()
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.idle) >= idleKept {
-		r.Close()
+	if len(s.idle) >= maxIdleConns {
+		conn.Close()
 		return
 	}
-	r.idleAt = time.Now()
-	s.idle = append(s.idle, r)
+	conn.idleAt = time.Now()
+	s.idle = append(s.idle, conn)
 }
 
-// quiet tells that an idle connection is open and silent.
-func (r *serverConn) quiet() bool { return r.in.Buffered() == 0 && sockets.Quiet(r.Conn) }
+// isQuiet reports whether an idle connection is open and has no unread input.
+func (conn *serverConn) isQuiet() bool { return conn.in.Buffered() == 0 && sockets.Quiet(conn.Conn) }
 
-// sweep closes connections whose time is up, and forgets servers that are gone.
-func (y *Proxy) sweep(ctx context.Context) {
+// sweepUpstreams closes connections that have been idle too long and removes servers that are gone.
+func (proxy *Proxy) sweepUpstreams(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.Sleep(ctx, time.Second)
-		y.mu.Lock()
-		for life, st := range y.upstreams {
-			st.mu.Lock()
-			kept := st.idle[:0]
-			for _, r := range st.idle {
-				if time.Since(r.idleAt) < r.keep {
-					kept = append(kept, r)
+		proxy.mu.Lock()
+		for instanceID, server := range proxy.upstreams {
+			server.mu.Lock()
+			kept := server.idle[:0]
+			for _, conn := range server.idle {
+				if time.Since(conn.idleAt) < conn.reuse {
+					kept = append(kept, conn)
 				} else {
-					r.Close()
+					conn.Close()
 				}
 			}
-			clear(st.idle[len(kept):])
-			st.idle = kept
+			clear(server.idle[len(kept):])
+			server.idle = kept
 			empty := len(kept) == 0
-			st.mu.Unlock()
-			if rec, ok := y.book.Get(y.now(), life); !ok && empty || ok && rec.State == catalog.Gone && empty && rec.Since > 60_000 {
-				delete(y.upstreams, life)
+			server.mu.Unlock()
+			if rec, ok := proxy.records.Get(proxy.now(), instanceID); !ok && empty || ok &&
+				rec.State == catalog.Gone && empty && rec.Since > 60_000 {
+				delete(proxy.upstreams, instanceID)
 			}
 		}
-		y.mu.Unlock()
+		proxy.mu.Unlock()
 	}
 }
 
 func resolveUDP(to string) (*net.UDPAddr, error) { return net.ResolveUDPAddr("udp", to) }
 
-// connect opens a connection.
-func (s *upstream) connect(stopAt time.Time) (*serverConn, error) {
-	until := time.Now().Add(connectWithin)
-	if stopAt.Before(until) {
-		until = stopAt
+// connect opens a connection to the server.
+func (s *upstream) connect(deadline time.Time) (*serverConn, error) {
+	until := time.Now().Add(connectTimeout)
+	if deadline.Before(until) {
+		until = deadline
 	}
 	d := net.Dialer{Deadline: until, KeepAlive: -1, Control: rpc.Patience}
 	c, err := d.Dial("tcp", s.address)
 	if err != nil {
 		return nil, err
 	}
-	r := &serverConn{Conn: c, keep: idleMost}
-	r.lim = &limited{r: r}
-	r.in = bufio.NewReaderSize(r.lim, 4<<10)
+	r := &serverConn{Conn: c, reuse: defaultServerIdle}
+	r.limited = &limitedReader{r: r}
+	r.in = bufio.NewReaderSize(r.limited, 4<<10)
 	return r, nil
 }
