--- a/internal/proxy/departure_test.go
+++ b/internal/proxy/departure_test.go
@@ -96,7 +96,7 @@
 
 // serveSlowly is a server that works on each request for serverWorkTime.
 func (d *departure) serveSlowly(c net.Conn) {
-	serveRequests(c, func(_ *bufio.Reader, r *http.Request, _ []byte) (goesOn bool) {
+	serveRequests(c, func(_ *bufio.Reader, r *http.Request, _ []byte) (keepOpen bool) {
 		if r.URL.Path == "/health" {
 			io.WriteString(c, healthResponse(d.server.ID))
 			return true
--- a/internal/proxy/exit_test.go
+++ b/internal/proxy/exit_test.go
@@ -16,7 +16,7 @@
 // unansweringServer accepts requests, reports each to reached, and answers only health checks.
 func unansweringServer(id string, reached func(attempt string)) func(net.Conn) {
 	return func(c net.Conn) {
-		serveRequests(c, func(in *bufio.Reader, r *http.Request, _ []byte) (goesOn bool) {
+		serveRequests(c, func(in *bufio.Reader, r *http.Request, _ []byte) (keepOpen bool) {
 			if r.URL.Path == "/health" {
 				io.WriteString(c, healthResponse(id))
 				return true
--- a/internal/proxy/lease.go
+++ b/internal/proxy/lease.go
@@ -45,7 +45,7 @@
 	t := proxy.register.PlaceTable()
 	sets := t.Sets()
 	proxy.limiterCount = 1
-	for _, settings := range sets {
+	for _, settings := range sets { // the slots of one place set
 		proxy.limiterCount = max(proxy.limiterCount, len(settings))
 	}
 	proxy.zoneLimiterCount = t.InZone(proxy.settings.Zone)
--- a/internal/proxy/lives_test.go
+++ b/internal/proxy/lives_test.go
@@ -47,7 +47,7 @@
 
 // serveConn answers the requests of a connection until it ends or is cut.
 func (w *lifecycleTest) serveConn(id string, c net.Conn) {
-	serveRequests(c, func(in *bufio.Reader, r *http.Request, _ []byte) (goesOn bool) {
+	serveRequests(c, func(in *bufio.Reader, r *http.Request, _ []byte) (keepOpen bool) {
 		if r.URL.Path == "/health" {
 			io.WriteString(c, healthResponse(id))
 			return true
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -154,8 +154,8 @@
 		evacuatedZones: map[string]bool{}, coldUntil: map[string]time.Time{}, replacedInstances: map[string]bool{},
 		upstreams: map[string]*upstream{}, retryBudgets: map[string]*allowance.Tries{},
 		answerCounts: map[ending]int{}, pendingTokenRequests: map[uint64]chan tokenReply{},
-		tokenThrottles: map[uint64]*allowance.Asks{},
-		memberIPs:      map[string]string{}, unreachable: map[string]bool{}}
+		tokenThrottles: map[uint64]*allowance.Asks{}, memberIPs: map[string]string{},
+		unreachable: map[string]bool{}}
 	bounds := &settings.Bounds
 	proxy.rules = allowance.Rules{QuotaWindow: bounds.QuotaWindow, QuotaOvershoot: bounds.QuotaOvershoot,
 		QuotaSlack: bounds.QuotaSlack, RetryRatio: bounds.RetryRatio, RetrySlack: bounds.RetrySlack,
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -53,11 +53,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { peerConn.Close() })
-	set := &nodesettings.Settings{Node: "e1", IP: "127.0.0.1", Zone: "z", Region: "r",
+	settings := &nodesettings.Settings{Node: "e1", IP: "127.0.0.1", Zone: "z", Region: "r",
 		Zones: map[string]string{"z": "r"}, Ports: [2]int{7460, 7475},
 		Bounds: nodesettings.Bounds{RetryRatio: 0.2, QuotaWindow: 5 * time.Second, QuotaOvershoot: 0.1,
 			QuotaSlack: 20, WarmupOvershoot: 1.5, WarmupSlack: 5}}
-	proxy := &testProxy{t: t, records: catalog.New("core"), Proxy: newProxy(set, log)}
+	proxy := &testProxy{t: t, records: catalog.New("core"), Proxy: newProxy(settings, log)}
 	proxy.Proxy.peerConn = peerConn
 	proxy.deliver(&controlstate.Register{Seq: 1, Version: 1, Config: []byte(routes),
 		Places: []places.Place{{Name: "e1", IP: "127.0.0.1", Zone: "z"}}})
@@ -65,8 +65,8 @@
 }
 
 // deliver passes the limiter new records of the core machine's catalog and a register.
-func (proxy *testProxy) deliver(reg *controlstate.Register) {
-	proxy.applyPulled(time.Now(), &registry.Pulled{Register: reg,
+func (proxy *testProxy) deliver(register *controlstate.Register) {
+	proxy.applyPulled(time.Now(), &registry.Pulled{Register: register,
 		Records: proxy.records.Since(0, proxy.Proxy.records.Vector()), Vector: proxy.records.Vector(), Proven: true,
 		ProofMs: 1})
 }
@@ -180,12 +180,12 @@
 // client sends bytes on one connection and reads n answers.
 func (proxy *testProxy) client(text string, n int) (all []*http.Response, bodies []string) {
 	proxy.t.Helper()
-	a, b := net.Pipe()
-	defer a.Close()
-	go proxy.Proxy.serveConnection(b)
-	go io.WriteString(a, text)
-	a.SetReadDeadline(time.Now().Add(5 * time.Second))
-	in := bufio.NewReader(a)
+	clientEnd, serverEnd := net.Pipe()
+	defer clientEnd.Close()
+	go proxy.Proxy.serveConnection(serverEnd)
+	go io.WriteString(clientEnd, text)
+	clientEnd.SetReadDeadline(time.Now().Add(5 * time.Second))
+	in := bufio.NewReader(clientEnd)
 	for range n {
 		r, err := http.ReadResponse(in, nil)
 		if err != nil {
@@ -353,7 +353,7 @@
 	long := strings.Repeat("0123456789abcdef", maxHeldBody/8)
 	chunked := fmt.Sprintf("%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", len(long)/2, long[:len(long)/2],
 		len(long)-len(long)/2, long[len(long)/2:])
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		behaviours []string
 		text       string
 		limit      int64
@@ -370,22 +370,22 @@
 			"") + chunked, maxHeldBody + 1000, 413, 0},
 	} {
 		proxy := newTestProxy(t)
-		v := *proxy.configSnapshot.Load()
-		table := *v.table
-		table.Limits.Body = x.limit
-		v.table = &table
-		proxy.configSnapshot.Store(&v)
-		s := proxy.server("i-1", 0, x.behaviours...)
+		config := *proxy.configSnapshot.Load()
+		table := *config.table
+		table.Limits.Body = test.limit
+		config.table = &table
+		proxy.configSnapshot.Store(&config)
+		s := proxy.server("i-1", 0, test.behaviours...)
 		proxy.deliver(nil)
-		got, bodies := proxy.client(x.text, 1)
+		got, bodies := proxy.client(test.text, 1)
 		s.mu.Lock()
 		executed := len(s.executed)
 		s.mu.Unlock()
-		if got[0].StatusCode != x.status || executed != x.executed {
-			t.Errorf("%s: status %d, ran %d times; want %d and %d", name, got[0].StatusCode, executed, x.status,
-				x.executed)
+		if got[0].StatusCode != test.status || executed != test.executed {
+			t.Errorf("%s: status %d, ran %d times; want %d and %d", name, got[0].StatusCode, executed, test.status,
+				test.executed)
 		}
-		if x.status == 200 && !strings.Contains(bodies[0], long) {
+		if test.status == 200 && !strings.Contains(bodies[0], long) {
 			t.Errorf("%s: the server received a different body; its answer has %d bytes", name, len(bodies[0]))
 		}
 		if !got[0].Close {
@@ -454,7 +454,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	asks := make(chan registry.Pull, 4)
+	pulls := make(chan registry.Pull, 4)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go rpc.Serve(ctx, l, map[string]rpc.Handler{registry.CallPull: func(ctx context.Context, body []byte) (any, error) {
@@ -462,7 +462,7 @@
 		if err := rpc.Decode(body, &m); err != nil {
 			return nil, err
 		}
-		asks <- m
+		pulls <- m
 		if m.Me.State != catalog.Draining {
 			<-ctx.Done() // holds the call
 		}
@@ -470,7 +470,7 @@
 	}})
 	done := make(chan bool, 1)
 	go func() { done <- proxy.pull(ctx, l.Addr().String()) }()
-	if a := <-asks; a.Seq != 1 || a.Me.State != catalog.Available {
+	if a := <-pulls; a.Seq != 1 || a.Me.State != catalog.Available {
 		t.Errorf("pulled with %+v", a)
 	}
 	proxy.leaving.Store(true)
@@ -479,7 +479,7 @@
 		t.Error("an interrupted pull counts as a failure of the core machine")
 	}
 	proxy.pull(ctx, l.Addr().String())
-	if a := <-asks; a.Me.State != catalog.Draining {
+	if a := <-pulls; a.Me.State != catalog.Draining {
 		t.Errorf("a leaving limiter reports state %v", a.Me.State)
 	}
 }
@@ -694,9 +694,9 @@
 	s := proxy.server("i-1", 0, "ok")
 	proxy.deliver(nil)
 	proxy.leaving.Store(true)
-	a, b := net.Pipe()
-	defer a.Close()
-	go proxy.Proxy.serveConnection(b)
+	clientEnd, serverEnd := net.Pipe()
+	defer clientEnd.Close()
+	go proxy.Proxy.serveConnection(serverEnd)
 	sent := 0
 	send := func(n int) {
 		text := ""
@@ -704,11 +704,11 @@
 			sent++
 			text += request("GET", "/read/1", fmt.Sprintf("id-%d", sent), "", "")
 		}
-		go io.WriteString(a, text)
+		go io.WriteString(clientEnd, text)
 	}
 	send(5)
-	a.SetReadDeadline(time.Now().Add(5 * time.Second))
-	in := bufio.NewReader(a)
+	clientEnd.SetReadDeadline(time.Now().Add(5 * time.Second))
+	in := bufio.NewReader(clientEnd)
 	answered := 0
 	for {
 		r, err := http.ReadResponse(in, nil)
@@ -752,7 +752,7 @@
 func TestStormOfVersions(t *testing.T) {
 	const versions = 30
 	for seed := range uint64(4) {
-		rng := rand.New(rand.NewPCG(seed, 5))
+		random := rand.New(rand.NewPCG(seed, 5))
 		limiters := []*testProxy{newTestProxy(t)}
 		newest := make([]int, 2)
 		places := limiters[0].register.Places
@@ -762,7 +762,7 @@
 			}
 			for range 3 {
 				for i, proxy := range limiters {
-					version := max(1, v-rng.IntN(6)) // a core machine that lags behind by up to five versions
+					version := max(1, v-random.IntN(6)) // a core machine that lags behind by up to five versions
 					if v == versions {
 						version = v
 					}
