--- a/limiter/advice.go
+++ b/limiter/advice.go
@@ -14,7 +14,7 @@
 }
 
 // weighed is a worth by advice. Whatever the factor is, what comes of it is a worth.
-func (a *Advice) weighed(worth float64) float64 {
+func (a *Advice) weighted(worth float64) float64 {
 	if w := worth * a.Factor; a.Factor > 0 && !math.IsInf(w, 0) {
 		return w
 	}
--- a/limiter/advice_test.go
+++ b/limiter/advice_test.go
@@ -8,44 +8,44 @@
 // A request that a plug-in refuses is answered at once, with its time to come back as far as
 // clients heed it; nothing is sent or spent, and a lease comes back.
 func TestAdviceRefuses(t *testing.T) {
-	h := newHandler(t, poolSettings(), ServerInfo{ID: 1, Pool: 7})
+	h := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7})
 	h.submit("a", Submit{Units: 3, Customer: 4, Pool: 7, Advice: Advice{Refuse: true, WaitMs: 200}})
 	h.submit("b", Submit{Units: 3, Customer: 4, Pool: 7, Advice: Advice{Refuse: true, WaitMs: 9000}})
-	if h.end["a"] != "refused" || h.wait["a"] != 200 || h.wait["b"] != 500 || len(h.sent) > 0 {
-		t.Errorf("%v after %v, sent %v", h.end, h.wait, h.sent)
+	if h.results["a"] != "refused" || h.waitMs["a"] != 200 || h.waitMs["b"] != 500 || len(h.sent) > 0 {
+		t.Errorf("%v after %v, sent %v", h.results, h.waitMs, h.sent)
 	}
-	if c := h.l.customers[4]; c.balance != 20 || c.spent != 0 {
+	if c := h.l.accounts[4]; c.balance != 20 || c.spent != 0 {
 		t.Errorf("spent %v, left %v", c.spent, c.balance)
 	}
 	h.submit("c", Submit{Units: 100, Customer: 4, Pool: 7, Advice: Advice{Refuse: true, WaitMs: 10}})
-	if h.wait["c"] != 500 { // the quota's time is longer
-		t.Errorf("over the quota, and refused: %v", h.wait["c"])
+	if h.waitMs["c"] != 500 { // the quota's time is longer
+		t.Errorf("over the quota, and refused: %v", h.waitMs["c"])
 	}
-	h.give(Ask{Lease: true, Submit: Submit{ID: "l", ExpiresMs: 900, Units: 3, Customer: 4, Spread: 1, Pool: 7}})
-	if c := h.l.customers[4]; c.leased != 3 {
+	h.handle(Ask{Lease: true, Submit: Submit{ID: "l", ExpiresMs: 900, Units: 3, Customer: 4, Spread: 1, Pool: 7}})
+	if c := h.l.accounts[4]; c.leased != 3 {
 		t.Fatalf("leased %v", c.leased)
 	}
 	h.submit("d", Submit{Units: 3, Customer: 4, Pool: 7, Leased: 3, Advice: Advice{Refuse: true}})
-	if c := h.l.customers[4]; h.end["d"] != "refused" || c.leased != 0 || c.balance != 20 {
-		t.Errorf("%v, leased %v, left %v", h.end["d"], c.leased, c.balance)
+	if c := h.l.accounts[4]; h.results["d"] != "refused" || c.leased != 0 || c.balance != 20 {
+		t.Errorf("%v, leased %v, left %v", h.results["d"], c.leased, c.balance)
 	}
-	h.give(Ask{Submit: Submit{ID: "e", ExpiresMs: 900, Units: 3, Customer: 4, Spread: 1, Pool: 7, Advice: Advice{Refuse: true, WaitMs: 50}}})
-	if h.end["e"] != "refused" || h.wait["e"] != 50 {
-		t.Errorf("an ask: %v after %v", h.end["e"], h.wait["e"])
+	h.handle(Ask{Submit: Submit{ID: "e", ExpiresMs: 900, Units: 3, Customer: 4, Spread: 1, Pool: 7, Advice: Advice{Refuse: true, WaitMs: 50}}})
+	if h.results["e"] != "refused" || h.waitMs["e"] != 50 {
+		t.Errorf("an ask: %v after %v", h.results["e"], h.waitMs["e"])
 	}
 }
 
 // A plug-in can't have admitted what the quota refuses.
 func TestAdviceAdmitsNothing(t *testing.T) {
-	h := newHandler(t, poolSettings(), ServerInfo{ID: 1, Pool: 7})
+	h := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7})
 	for i := range 40 {
 		h.now++
 		id := fmt.Sprint("r", i)
 		h.submit(id, Submit{Units: 1, Customer: 4, Pool: 7, Advice: Advice{Factor: 10, Prefer: 1}})
 		if len(h.sent[id]) > 0 {
 			h.outcome(id, Pass)
-		} else if h.end[id] != "refused" {
-			t.Fatal(id, h.end[id])
+		} else if h.results[id] != "refused" {
+			t.Fatal(id, h.results[id])
 		}
 	}
 	if n := len(h.sent); n != 20 {
@@ -56,20 +56,20 @@
 // Under pressure the factor moves how long a request may wait, within the bounds that worth
 // has anyway; without pressure it moves nothing.
 func TestAdviceWeighs(t *testing.T) {
-	h := newHandler(t, poolSettings(), ServerInfo{ID: 1, Pool: 7})
+	h := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7})
 	p := h.l.poolOf(7)
-	weigh := func(pressure, factor float64) float64 {
-		p.pressure, p.worth, p.weighed = pressure, 1, 1e9
-		r := &request{class: 0, units: 1, customer: &customer{}, pool: p, advice: Advice{Factor: factor}}
-		h.l.weigh(r)
+	setWaitFactor := func(pressure, factor float64) float64 {
+		p.pressure, p.worth, p.weighted = pressure, 1, 1e9
+		r := &request{class: 0, units: 1, account: &account{}, pool: p, advice: Advice{Factor: factor}}
+		h.l.setWaitFactor(r)
 		return r.factor
 	}
 	for _, c := range []struct{ pressure, factor, want float64 }{
 		{0, 10, 1}, {0, 0.1, 1}, {0.5, 0, 1}, {0.5, 1, 1}, {0.5, 2, 2}, {0.5, 0.5, 0.5},
-		{0.5, 10, mostWorth}, {0.5, 1e308, mostWorth}, {0.5, 0.001, leastWorth}, {0.5, -4, 1}, {0.25, 2, 1.5},
+		{0.5, 10, maxWorthRatio}, {0.5, 1e308, maxWorthRatio}, {0.5, 0.001, minWorthRatio}, {0.5, -4, 1}, {0.25, 2, 1.5},
 	} {
-		p.work[0] = 1
-		if got := weigh(c.pressure, c.factor); got < c.want-1e-6 || got > c.want+1e-6 {
+		p.typicalMs[0] = 1
+		if got := setWaitFactor(c.pressure, c.factor); got < c.want-1e-6 || got > c.want+1e-6 {
 			t.Errorf("pressure %v, factor %v: %v, want %v", c.pressure, c.factor, got, c.want)
 		}
 	}
@@ -78,12 +78,12 @@
 // A tier that is preferred is tried first while it is well, one that is avoided last, and
 // neither advice has a request refused that would go without it.
 func TestAdviceOnTiers(t *testing.T) {
-	h := tiered(t)
+	h := newTieredHarness(t)
 	n := 0
 	at := func(a Advice) uint64 {
 		n++
 		h.now += 20
-		h.give(Alarm{Handle: "tick"})
+		h.handle(Alarm{Handle: "tick"})
 		id := fmt.Sprint("t", n)
 		h.submit(id, Submit{Units: 1, Customer: 1, Pool: 7, Advice: a})
 		if len(h.sent[id]) == 0 {
@@ -100,7 +100,7 @@
 			t.Fatal("advice on tiers is not followed")
 		}
 	}
-	h.went(200, func(s uint64) Result { // the second tier is lost
+	h.sendThroughTiers(200, func(s uint64) Result { // the second tier is lost
 		if s >= 4 {
 			return NoRoute
 		}
@@ -112,7 +112,7 @@
 	for k := uint64(4); k <= 6; k++ {
 		h.l.servers[k].down = true
 	}
-	h.give(Alarm{Handle: "tick"})
+	h.handle(Alarm{Handle: "tick"})
 	for range 30 {
 		if s := at(Advice{Prefer: 2}); !first(s) {
 			t.Fatalf("sent to %d, where the preferred tier is lost", s)
@@ -125,7 +125,7 @@
 
 // What plug-ins see of an account and a pool.
 func TestGlance(t *testing.T) {
-	h := newHandler(t, poolSettings(), ServerInfo{ID: 1, Pool: 7})
+	h := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7})
 	if b, p := h.l.Glance(h.now, 4, 0, 7); b != 20 || p != 0 {
 		t.Errorf("unknown: %v, %v", b, p)
 	}
--- a/limiter/ask_test.go
+++ b/limiter/ask_test.go
@@ -8,7 +8,7 @@
 )
 
 // asker is a limiter of one, with servers and a plan with a ceiling.
-func asker(t testing.TB, p Plan) *Limiter {
+func newAskLimiter(t testing.TB, p Plan) *Limiter {
 	t.Helper()
 	l, err := New(Settings{Balancers: 1, Classes: []Class{{Repeat: Unsafe, AimMs: 300, DeadlineMs: 750, Worth: 1}},
 		Plans: []Plan{p}, Caps: Caps{Attempts: 3, RetryAfter: true, MaxWaitMs: 500}}, 1)
@@ -20,7 +20,7 @@
 }
 
 // ask tells whether an Ask is granted, and that nothing else came of it.
-func ask(t testing.TB, l *Limiter, now, units float64, lease bool) bool {
+func askGranted(t testing.TB, l *Limiter, now, units float64, lease bool) bool {
 	t.Helper()
 	granted, answers := false, 0
 	for _, a := range l.Handle(now, Ask{Lease: lease, Submit: Submit{ID: "a", ExpiresMs: 750, Units: units, Customer: 7, Spread: 1}}) {
@@ -43,34 +43,34 @@
 	return granted
 }
 
-func submit(l *Limiter, now, units, leased float64, id string) bool {
-	return passed(l.Handle(now, Submit{ID: id, ExpiresMs: 750, Units: units, Customer: 7, Spread: 1, Leased: leased})) != 0
+func submitPassed(l *Limiter, now, units, leased float64, id string) bool {
+	return passedTo(l.Handle(now, Submit{ID: id, ExpiresMs: 750, Units: units, Customer: 7, Spread: 1, Leased: leased})) != 0
 }
 
 // Asked and carried requests draw from the same bucket.
 func TestAskSharesTheBucket(t *testing.T) {
-	l := asker(t, Plan{Rate: 1, Burst: 10, Price: 1})
+	l := newAskLimiter(t, Plan{Rate: 1, Burst: 10, Price: 1})
 	for i := range 5 {
-		if !ask(t, l, 20_000, 1, false) || !submit(l, 20_000, 1, 0, fmt.Sprint(i)) {
+		if !askGranted(t, l, 20_000, 1, false) || !submitPassed(l, 20_000, 1, 0, fmt.Sprint(i)) {
 			t.Fatalf("pair %d was refused", i)
 		}
 	}
-	if ask(t, l, 20_000, 1, false) || submit(l, 20_000, 1, 0, "x") {
+	if askGranted(t, l, 20_000, 1, false) || submitPassed(l, 20_000, 1, 0, "x") {
 		t.Error("more than the bucket holds")
 	}
-	if !ask(t, l, 21_001, 1, false) {
+	if !askGranted(t, l, 21_001, 1, false) {
 		t.Error("refused after the refill")
 	}
 }
 
 // With no server that could answer, asks are refused as carried requests are.
 func TestAskUnderPressure(t *testing.T) {
-	l := asker(t, Plan{Rate: 100, Burst: 100, Price: 1})
+	l := newAskLimiter(t, Plan{Rate: 100, Burst: 100, Price: 1})
 	l.Handle(20_000, Endpoints{Scope: Complete})
-	if ask(t, l, 20_000, 1, false) {
+	if askGranted(t, l, 20_000, 1, false) {
 		t.Error("granted with no server")
 	}
-	if l.customers[7].balance != 100 {
+	if l.accounts[7].balance != 100 {
 		t.Error("a refusal took units")
 	}
 }
@@ -78,45 +78,45 @@
 // What is leased keeps its place: an account that leases its whole store does not
 // get as much again while the leases are out.
 func TestLeasesKeepTheirPlace(t *testing.T) {
-	l := asker(t, Plan{Rate: 10, Burst: 20, CeilingRate: 10, CeilingBurst: 20, Price: 1})
+	l := newAskLimiter(t, Plan{Rate: 10, Burst: 20, CeilingRate: 10, CeilingBurst: 20, Price: 1})
 	for range 5 {
-		if !ask(t, l, 60_000, 4, true) {
+		if !askGranted(t, l, 60_000, 4, true) {
 			t.Fatal("refused with room")
 		}
 	}
 	for _, now := range []float64{60_000, 61_000, 90_000} {
-		if ask(t, l, now, 1, false) || submit(l, now, 1, 0, "m") {
+		if askGranted(t, l, now, 1, false) || submitPassed(l, now, 1, 0, "m") {
 			t.Errorf("at %g: passed beside a store that is leased whole", now)
 		}
 	}
 	l.Handle(90_000, Settle{Customer: 7, Units: 4, Back: true})
-	if !ask(t, l, 90_000, 4, false) || ask(t, l, 90_000, 1, false) {
+	if !askGranted(t, l, 90_000, 4, false) || askGranted(t, l, 90_000, 1, false) {
 		t.Error("what came back is not what was leased")
 	}
 	for range 9 { // more than was ever leased
 		l.Handle(90_000, Settle{Customer: 7, Units: 40, Back: true})
 	}
-	if c := l.customers[7]; c.leased != 0 || c.balance > 16+1e-9 || c.share > 16+1e-9 {
-		t.Errorf("leased %g, balance %g, part %g", c.leased, c.balance, c.share)
+	if c := l.accounts[7]; c.leased != 0 || c.balance > 16+1e-9 || c.ceilingBalance > 16+1e-9 {
+		t.Errorf("leased %g, balance %g, part %g", c.leased, c.balance, c.ceilingBalance)
 	}
 	l.Handle(90_000, Settle{Customer: 99, Units: 4, Back: true}) // nobody knows it
 }
 
 // A message with a lease takes nothing further, and gives it back if it is refused.
 func TestLeasedSubmit(t *testing.T) {
-	l := asker(t, Plan{Rate: 1, Burst: 10, CeilingRate: 1, CeilingBurst: 10, Price: 1})
-	if !ask(t, l, 60_000, 4, true) || !ask(t, l, 60_000, 6, true) {
+	l := newAskLimiter(t, Plan{Rate: 1, Burst: 10, CeilingRate: 1, CeilingBurst: 10, Price: 1})
+	if !askGranted(t, l, 60_000, 4, true) || !askGranted(t, l, 60_000, 6, true) {
 		t.Fatal("refused with room")
 	}
-	if !submit(l, 60_000, 4, 4, "m") {
+	if !submitPassed(l, 60_000, 4, 4, "m") {
 		t.Error("refused with a lease")
 	}
-	c := l.customers[7]
+	c := l.accounts[7]
 	if c.leased != 6 || c.balance != 0 {
 		t.Errorf("leased %g, balance %g", c.leased, c.balance)
 	}
 	l.Handle(60_000, Endpoints{Scope: Complete})
-	if submit(l, 60_000, 6, 6, "n") {
+	if submitPassed(l, 60_000, 6, 6, "n") {
 		t.Error("sent with no server")
 	}
 	if c.leased != 0 || c.balance != 6 || c.spent != 4 {
@@ -127,15 +127,15 @@
 // A message that another gateway vouches for passes a quota that is short, pays all the
 // same, and does not pass the ceiling.
 func TestVouched(t *testing.T) {
-	l := asker(t, Plan{Rate: 1, Burst: 4, CeilingRate: 1, CeilingBurst: 6, Price: 1})
+	l := newAskLimiter(t, Plan{Rate: 1, Burst: 4, CeilingRate: 1, CeilingBurst: 6, Price: 1})
 	vouched := func(id string) bool {
-		return passed(l.Handle(60_000, Submit{ID: id, ExpiresMs: 750, Units: 2, Customer: 7, Spread: 1, Vouched: true})) != 0
+		return passedTo(l.Handle(60_000, Submit{ID: id, ExpiresMs: 750, Units: 2, Customer: 7, Spread: 1, Vouched: true})) != 0
 	}
-	if !submit(l, 60_000, 4, 0, "a") || submit(l, 60_000, 2, 0, "b") {
+	if !submitPassed(l, 60_000, 4, 0, "a") || submitPassed(l, 60_000, 2, 0, "b") {
 		t.Fatal("the quota is not 4")
 	}
-	if !vouched("c") || l.customers[7].balance != -2 || vouched("d") {
-		t.Errorf("balance %g, part %g", l.customers[7].balance, l.customers[7].share)
+	if !vouched("c") || l.accounts[7].balance != -2 || vouched("d") {
+		t.Errorf("balance %g, part %g", l.accounts[7].balance, l.accounts[7].ceilingBalance)
 	}
 }
 
@@ -145,7 +145,7 @@
 	const rate, burst = 10.0, 20.0
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		l := asker(t, Plan{Rate: rate, Burst: burst, CeilingRate: rate, CeilingBurst: burst, Price: 1})
+		l := newAskLimiter(t, Plan{Rate: rate, Burst: burst, CeilingRate: rate, CeilingBurst: burst, Price: 1})
 		now := 60_000.0
 		level, at := burst, now // the ledger's bucket
 		use := func(units float64) {
@@ -162,16 +162,16 @@
 			id := fmt.Sprint(i)
 			switch k := rng.IntN(6); {
 			case k == 0:
-				if submit(l, now, units, 0, id) {
+				if submitPassed(l, now, units, 0, id) {
 					use(units)
 					l.Handle(now, Outcome{ID: id, Result: Pass, SpentMs: 5, Done: true})
 				}
 			case k == 1:
-				if ask(t, l, now, units, false) {
+				if askGranted(t, l, now, units, false) {
 					use(units)
 				}
 			case k == 2 || k == 3:
-				if ask(t, l, now, units, true) {
+				if askGranted(t, l, now, units, true) {
 					leases = append(leases, units)
 					granted++
 				} else {
@@ -180,7 +180,7 @@
 			case len(leases) > 0 && k == 4: // its message
 				u := leases[0]
 				leases = leases[1:]
-				if !submit(l, now, u, u, id) {
+				if !submitPassed(l, now, u, u, id) {
 					t.Fatalf("seed %d: refused with a lease", seed)
 				}
 				use(u)
@@ -194,7 +194,7 @@
 			for _, u := range leases {
 				out += u
 			}
-			if c := l.customers[7]; c != nil && math.Abs(c.leased-out) > 1e-6 {
+			if c := l.accounts[7]; c != nil && math.Abs(c.leased-out) > 1e-6 {
 				t.Fatalf("seed %d: %g leased, the ledger has %g", seed, c.leased, out)
 			}
 		}
@@ -208,15 +208,15 @@
 func BenchmarkAsk(b *testing.B) {
 	plan := Plan{Rate: 1e9, Burst: 1e9, Price: 1}
 	b.Run("ask", func(b *testing.B) {
-		l := asker(b, plan)
+		l := newAskLimiter(b, plan)
 		for now := 60_000.0; b.Loop(); now++ {
 			l.Handle(now, Ask{Submit: Submit{ID: "a", ExpiresMs: 750, Units: 1, Customer: 7, Spread: 1}})
 		}
 	})
 	b.Run("carried", func(b *testing.B) {
-		l := asker(b, plan)
+		l := newAskLimiter(b, plan)
 		for now := 60_000.0; b.Loop(); now++ {
-			s := passed(l.Handle(now, Submit{ID: "a", ExpiresMs: 750, Units: 1, Customer: 7, Spread: 1}))
+			s := passedTo(l.Handle(now, Submit{ID: "a", ExpiresMs: 750, Units: 1, Customer: 7, Spread: 1}))
 			l.Handle(now, Outcome{ID: "a", Server: s, Result: Pass, SpentMs: 5, Done: true})
 		}
 	})
--- a/limiter/choice_test.go
+++ b/limiter/choice_test.go
@@ -24,7 +24,7 @@
 }
 
 // passed is the server that a request was sent to; 0 if it was not.
-func passed(actions []Action) uint64 {
+func passedTo(actions []Action) uint64 {
 	for _, a := range actions {
 		if p, ok := a.(PassOn); ok {
 			return p.Server
@@ -45,7 +45,7 @@
 	for i := range 20 * n {
 		now++
 		id := fmt.Sprint("r", i)
-		s := passed(l.Handle(now, Submit{ID: id, ExpiresMs: 750, Units: 1, Customer: 1, Spread: 1}))
+		s := passedTo(l.Handle(now, Submit{ID: id, ExpiresMs: 750, Units: 1, Customer: 1, Spread: 1}))
 		if s == 0 {
 			t.Fatalf("request %d was not sent", i)
 		}
@@ -70,7 +70,7 @@
 	l.Handle(now, e)
 	for i := range 20 {
 		id := fmt.Sprint("s", i)
-		if s := passed(l.Handle(now, Submit{ID: id, ExpiresMs: 750, Units: 1, Customer: 1, Spread: 1})); s != 322 {
+		if s := passedTo(l.Handle(now, Submit{ID: id, ExpiresMs: 750, Units: 1, Customer: 1, Spread: 1})); s != 322 {
 			t.Fatalf("sent to %d with only 322 left", s)
 		}
 		l.Handle(now, Outcome{ID: id, Server: 322, Result: Pass, SpentMs: 200, Done: true})
@@ -83,8 +83,8 @@
 	l := manyServers(t, 600)
 	for i := range 50 {
 		id := fmt.Sprint("k", i)
-		first := passed(l.Handle(1000, Submit{ID: id, ExpiresMs: 750, Units: 1, Class: 1, Customer: 1, Spread: 1}))
-		second := passed(l.Handle(1010, Outcome{ID: id, Server: first, Result: Cut, SpentMs: 10}))
+		first := passedTo(l.Handle(1000, Submit{ID: id, ExpiresMs: 750, Units: 1, Class: 1, Customer: 1, Spread: 1}))
+		second := passedTo(l.Handle(1010, Outcome{ID: id, Server: first, Result: Cut, SpentMs: 10}))
 		if second == 0 && i < 5 { // until the saved-up further attempts are used
 			t.Fatalf("request %d was not sent again", i)
 		}
@@ -105,7 +105,7 @@
 		l.Handle(1000, Endpoints{Scope: Partial, Servers: []ServerInfo{info, info}})
 		there[id] = info.Phase != Removed
 		var ids []uint64
-		for _, s := range l.order {
+		for _, s := range l.serverList {
 			ids = append(ids, s.info.ID)
 			if l.servers[s.info.ID] != s {
 				t.Fatalf("server %d is not the one in the list", s.info.ID)
@@ -117,8 +117,8 @@
 				n++
 			}
 		}
-		if !slices.IsSorted(ids) || len(slices.Compact(ids)) != n || len(l.order) != n || len(l.servers) != n {
-			t.Fatalf("%d servers, %d in order, want %d: %v", len(l.servers), len(l.order), n, ids)
+		if !slices.IsSorted(ids) || len(slices.Compact(ids)) != n || len(l.serverList) != n || len(l.servers) != n {
+			t.Fatalf("%d servers, %d in order, want %d: %v", len(l.servers), len(l.serverList), n, ids)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 			now := 1000.0
 			for b.Loop() {
 				now++
-				s := passed(l.Handle(now, Submit{ID: "r", ExpiresMs: 750, Units: 1, Customer: 1, Spread: 1}))
+				s := passedTo(l.Handle(now, Submit{ID: "r", ExpiresMs: 750, Units: 1, Customer: 1, Spread: 1}))
 				l.Handle(now, Outcome{ID: "r", Server: s, Result: Pass, SpentMs: 40, Done: true})
 			}
 		})
@@ -153,18 +153,18 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				servers := fleet(n)
+				servers := makeServers(n)
 				for i := range servers {
 					servers[i].Tier = i % 2
 				}
 				l.Handle(1000, Endpoints{Scope: Persisted, Servers: servers})
 				l.Handle(1050, Alarm{Handle: "tick"})
 				if kind == "returning" {
-					for _, s := range l.order {
+					for _, s := range l.serverList {
 						s.down = s.info.Tier == 0
 					}
 					l.Handle(1100, Alarm{Handle: "tick"})
-					for _, s := range l.order {
+					for _, s := range l.serverList {
 						s.down = false
 					}
 					l.Handle(1150, Alarm{Handle: "tick"})
@@ -200,8 +200,8 @@
 // has some left changes nothing, and what is told anew replaces what was told before.
 func TestOccupiedServersWait(t *testing.T) {
 	sends := func(told ...InHand) map[uint64]int {
-		s := newScript(t, testSettings(), fleet(2)...)
-		s.do(Occupied{Servers: told})
+		s := newScript(t, testSettings(), makeServers(2)...)
+		s.handle(Occupied{Servers: told})
 		got := map[uint64]int{}
 		for range 40 {
 			id, a := s.submit(Submit{Customer: 5})
@@ -210,7 +210,7 @@
 				t.Fatalf("%#v", a)
 			}
 			got[p.Server]++
-			s.do(Outcome{ID: id, Server: p.Server, Result: Pass, SpentMs: 100, Done: true})
+			s.handle(Outcome{ID: id, Server: p.Server, Result: Pass, SpentMs: 100, Done: true})
 			s.now += 200
 		}
 		return got
--- a/limiter/cold.go
+++ b/limiter/cold.go
@@ -1,26 +1,26 @@
 package limiter
 
 const (
-	coldUse   = 0.6 // share used of a cold server's likely capacity
-	coldLeast = 3.0 // requests a window to a cold server, from all, where little is sent
+	coldLoadShare   = 0.6 // share used of a cold server's likely capacity
+	coldMinRequests = 3.0 // requests a window to a cold server, from all, where little is sent
 )
 
 // warmth is the least share of its capacity that a server can have by now.
-func (l *Limiter) warmth(now float64, s *server) float64 {
-	r, from := l.cfg.Rules, max(s.info.ReadyAt, s.backAt)
-	if from <= 0 || r.ColdMs <= 0 || r.ColdShare <= 0 {
+func (l *Limiter) warmth(now float64, srv *server) float64 {
+	rules, since := l.cfg.Rules, max(srv.info.ReadyAt, srv.recoveredAt)
+	if since <= 0 || rules.ColdMs <= 0 || rules.ColdShare <= 0 {
 		return 1
 	}
-	return min(1, r.ColdShare+(1-r.ColdShare)*max(0, now-from)/r.ColdMs)
+	return min(1, rules.ColdShare+(1-rules.ColdShare)*max(0, now-since)/rules.ColdMs)
 }
 
 // weighServers sums up what the servers of each pool that work can do, in warm ones.
-func (l *Limiter) weighServers(now float64) {
+func (l *Limiter) updateCapacity(now float64) {
 	for _, p := range l.pools {
-		p.can = 0
-		for _, s := range p.order {
-			if s.info.Phase == Up && !s.down || s.inflight > 0 {
-				p.can += l.warmth(now, s)
+		p.capacity = 0
+		for _, srv := range p.serverList {
+			if srv.info.Phase == Up && !srv.down || srv.inflight > 0 {
+				p.capacity += l.warmth(now, srv)
 			}
 		}
 	}
@@ -32,16 +32,16 @@
 // gateways add up to coldUse of a warm server's load, with no talk; where hardly anything
 // is sent, to coldLeast requests a window. Guards against allowances by the mean of all
 // servers, which fall with what the few warm ones of a replaced fleet still take.
-func (l *Limiter) coldRoom(now float64, s *server) bool {
-	w := l.warmth(now, s)
-	if w >= 1 {
+func (l *Limiter) allowsCold(now float64, srv *server) bool {
+	warmShare := l.warmth(now, srv)
+	if warmShare >= 1 {
 		return true
 	}
-	rate := s.pool.recent(now) / max(1, s.pool.can) * 2 / illMs
-	if s.pool.tiers != nil { // of late nothing may have been sent there
-		rate = max(rate, s.pool.tiers.Rate(s.pool.tierOf(s)))
+	rate := srv.pool.recentSends(now) / max(1, srv.pool.capacity) * 2 / ejectionMs
+	if srv.pool.tiers != nil { // of late nothing may have been sent there
+		rate = max(rate, srv.pool.tiers.Rate(srv.pool.tierOf(srv)))
 	}
-	rate = max(coldUse*w*rate, coldLeast/float64(l.cfg.Balancers)/max(1, l.cfg.Rules.FallMs))
-	s.cold, s.coldAt = min(1, max(0, s.cold)+rate*(now-s.coldAt)), now
-	return s.cold >= 1
+	rate = max(coldLoadShare*warmShare*rate, coldMinRequests/float64(l.cfg.Balancers)/max(1, l.cfg.Rules.FallMs))
+	srv.coldCredit, srv.coldCreditAt = min(1, max(0, srv.coldCredit)+rate*(now-srv.coldCreditAt)), now
+	return srv.coldCredit >= 1
 }
--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -19,89 +19,89 @@
 		return nil, fmt.Errorf("limiter: %w", err)
 	}
 	l := &Limiter{
-		cfg: s, rng: rand.New(rand.NewPCG(seed, 0x51)), retries: retryMax,
-		servers: map[uint64]*server{}, requests: map[string]*request{}, customers: map[uint64]*customer{},
+		cfg: s, rng: rand.New(rand.NewPCG(seed, 0x51)), retryBudget: maxRetryBudget,
+		servers: map[uint64]*server{}, requests: map[string]*request{}, accounts: map[uint64]*account{},
 		peers: make([]peer, s.Balancers),
-		pools: map[uint64]*pool{}, usual: make([]usual, len(s.Classes)),
+		pools: map[uint64]*pool{}, usualTimeout: make([]usualTimeout, len(s.Classes)),
 	}
 	l.mark = l.rng.Uint32() | 1
-	l.weighPlans()
+	l.updatePlans()
 	return l, nil
 }
 
 // Handle takes one event and returns what is to be done, valid until the next call.
 func (l *Limiter) Handle(now float64, ev Event) []Action {
-	l.out = l.out[:0]
+	l.actions = l.actions[:0]
 	if !l.started {
-		l.started, l.startedAt, l.knownFrom, l.sweptAt = true, now, now, now
-		l.hintPause = 1000 * float64(len(l.peers)) / (hintShare * max(1, l.cfg.PeerInPerS))
-		l.hintAt = now + l.hintPause*l.rng.Float64() // not all at once
+		l.started, l.startedAt, l.knownSince, l.sweptAt = true, now, now, now
+		l.hintIntervalMs = 1000 * float64(len(l.peers)) / (hintShare * max(1, l.cfg.PeerInPerS))
+		l.nextHintAt = now + l.hintIntervalMs*l.rng.Float64() // not all at once
 		if l.cfg.AskMembers {
-			l.do(Listen{})
+			l.emit(Listen{})
 		}
-		l.do(Timer{At: now + tickMs*(0.5+l.rng.Float64()/2), Handle: "tick"})
+		l.emit(Timer{At: now + tickMs*(0.5+l.rng.Float64()/2), Handle: "tick"})
 	}
-	if now-l.eventAt > stoodMs { // what was out meanwhile says nothing about servers
-		l.wokeAt = now
+	if now-l.lastEventAt > processStallMs { // what was out meanwhile says nothing about servers
+		l.resumedAt = now
 	}
-	l.eventAt = now
+	l.lastEventAt = now
 	switch e := ev.(type) {
 	case Submit:
 		l.submit(now, e)
 	case Ask:
 		l.ask(now, e)
 	case Settle:
-		if c := l.customers[e.Customer]; c != nil {
-			l.refill(now, c)
-			l.settle(c, e.Units, e.Back)
+		if acct := l.accounts[e.Customer]; acct != nil {
+			l.refill(now, acct)
+			l.settle(acct, e.Units, e.Back)
 		}
 	case Outcome:
 		l.outcome(now, e)
 	case Aborted:
-		l.drop(l.requests[e.ID])
+		l.finish(l.requests[e.ID])
 	case Progress:
 		l.progress(now, e)
 	case FirstByte:
-		if r := l.requests[e.ID]; r != nil {
-			r.stream = true
+		if req := l.requests[e.ID]; req != nil {
+			req.streaming = true
 		}
 	case Alarm:
 		switch e.Handle {
 		case "tick":
 			l.tick(now)
 		case "ask":
-			l.do(Listen{})
+			l.emit(Listen{})
 		}
 	case Endpoints:
 		l.endpoints(now, e)
 	case Probed:
 		l.probed(now, e)
 	case PeerMessage:
-		l.heard(now, e)
+		l.receive(now, e)
 	case Sighting:
-		l.sighted(now, e)
+		l.peerFailure(now, e)
 	case Occupied:
 		l.occupied(e)
 	case Recall:
 		l.recall(now, e.Memory)
 	case Parts:
-		l.moved(now, e)
+		l.setParts(now, e)
 	case Reconfigure:
 		l.reconfigure(now, e)
 	}
-	return l.out
+	return l.actions
 }
 
 func (l *Limiter) tick(now float64) {
-	l.do(Timer{At: now + tickMs, Handle: "tick"})
-	l.checkServers(now)
-	l.weighServers(now)
-	l.seeTiers(now)
+	l.emit(Timer{At: now + tickMs, Handle: "tick"})
+	l.probeServers(now)
+	l.updateCapacity(now)
+	l.updateTiers(now)
 	if l.cfg.Caps.Peers && l.cfg.PeerInPerS > 0 {
-		l.talk(now)
+		l.sendUpdates(now)
 	}
-	if now-l.sweptAt > forgetMs/10 {
+	if now-l.sweptAt > accountIdleMs/10 {
 		l.sweptAt = now
-		l.forget(now)
+		l.dropIdleAccounts(now)
 	}
 }
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -35,7 +35,7 @@
 	t   *testing.T
 	l   *Limiter
 	now float64
-	n   int
+	ids int
 }
 
 func newScript(t *testing.T, s Settings, servers ...ServerInfo) *script {
@@ -45,23 +45,23 @@
 		t.Fatal(err)
 	}
 	sc := &script{t: t, l: l, now: 1000}
-	sc.do(Endpoints{Scope: Persisted, Servers: servers})
+	sc.handle(Endpoints{Scope: Persisted, Servers: servers})
 	return sc
 }
 
-func fleet(n int) (s []ServerInfo) {
+func makeServers(n int) (s []ServerInfo) {
 	for i := range n {
 		s = append(s, ServerInfo{ID: uint64(i + 1), Cell: i % 2, Zone: i % 2, Weight: 1})
 	}
 	return s
 }
 
-func (s *script) do(e Event) []Action { return append([]Action(nil), s.l.Handle(s.now, e)...) }
+func (s *script) handle(e Event) []Action { return append([]Action(nil), s.l.Handle(s.now, e)...) }
 
 // submit hands in a request and returns its id and the answer.
 func (s *script) submit(e Submit) (string, Action) {
-	s.n++
-	e.ID = fmt.Sprint("r", s.n)
+	s.ids++
+	e.ID = fmt.Sprint("r", s.ids)
 	if e.ExpiresMs == 0 {
 		e.ExpiresMs = 1500
 	}
@@ -71,7 +71,7 @@
 	if e.Units == 0 {
 		e.Units = 1
 	}
-	return e.ID, s.answer(s.do(e))
+	return e.ID, s.answer(s.handle(e))
 }
 
 // answer returns the one action among acts that concerns a request.
@@ -91,7 +91,7 @@
 
 func (s *script) outcome(id string, try int, server uint64, r Result) Action {
 	s.t.Helper()
-	return s.answer(s.do(Outcome{ID: id, Try: try, Server: server, Result: r, SpentMs: 20, Done: r == Pass,
+	return s.answer(s.handle(Outcome{ID: id, Try: try, Server: server, Result: r, SpentMs: 20, Done: r == Pass,
 		Load: Load{Busy: -1, Pending: -1, ServiceMs: -1}}))
 }
 
@@ -138,7 +138,7 @@
 }
 
 func TestBucket(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+	s := newScript(t, testSettings(), makeServers(4)...)
 	if got := s.admit(40, Submit{}); got != 20 {
 		t.Errorf("a full bucket of 20 let %d through", got)
 	}
@@ -160,7 +160,7 @@
 }
 
 // peer encodes what a peer of this age says of customer 0.
-func peerSays(ageMs float64, seq, spentUnits uint64, flags byte, level float64) PeerMessage {
+func peerUpdate(ageMs float64, seq, spentUnits uint64, flags byte, level float64) PeerMessage {
 	m := peerMsg{flags: flags, mark: 77, seq: seq, ageMs: uint64(ageMs)}
 	m.entries = []peerEntry{{spread: 2, spent: spentUnits * unitScale, level: int64(level * unitScale)}}
 	data, _ := m.encode()
@@ -168,8 +168,8 @@
 }
 
 // peerAnswers encodes the answer of a peer of this age: levels below full.
-func peerAnswers(ageMs float64, levels ...float64) PeerMessage {
-	m := peerMsg{flags: flagNews | flagLevels, ageMs: uint64(ageMs)}
+func peerSyncReply(ageMs float64, levels ...float64) PeerMessage {
+	m := peerMsg{flags: flagLevelUpdate | flagSyncReply, ageMs: uint64(ageMs)}
 	for _, level := range levels {
 		m.entries = append(m.entries, peerEntry{level: int64(level * unitScale)})
 	}
@@ -179,26 +179,26 @@
 
 func TestPeerSpending(t *testing.T) {
 	both := Submit{Spread: 2}
-	s := newScript(t, testSettings(), fleet(4)...)
+	s := newScript(t, testSettings(), makeServers(4)...)
 	s.now += 5000 // the burst has filled meanwhile
 	s.admit(1, both)
-	s.do(peerSays(5000, 1, 30, 0, 0))
+	s.handle(peerUpdate(5000, 1, 30, 0, 0))
 	if got := s.admit(30, both); got != 0 {
 		t.Errorf("balance 20-1-30 let %d through", got)
 	}
-	s.do(peerSays(5000, 1, 30, 0, 0)) // repeated
-	s.do(peerSays(5000, 3, 31, 0, 0)) // one lost before it
-	s.do(peerSays(5000, 2, 29, 0, 0)) // late
-	s.now += 1700                     // refill repays the debt of 12, 5 are left
+	s.handle(peerUpdate(5000, 1, 30, 0, 0)) // repeated
+	s.handle(peerUpdate(5000, 3, 31, 0, 0)) // one lost before it
+	s.handle(peerUpdate(5000, 2, 29, 0, 0)) // late
+	s.now += 1700                           // refill repays the debt of 12, 5 are left
 	if got := s.admit(30, both); got != 5 {
 		t.Errorf("after the debt was repaid %d passed, want 5", got)
 	}
-	before := s.l.customers[0].balance
+	before := s.l.accounts[0].balance
 	for _, bad := range [][]byte{nil, {1, 2}, []byte("foreign message, quite long"), {peerMagic, 9, 0, 1, 1, 1, 1, 1, 1}} {
-		s.do(PeerMessage{From: 1, Data: bad})
+		s.handle(PeerMessage{From: 1, Data: bad})
 	}
-	s.do(PeerMessage{From: 9, Data: peerSays(0, 9, 50, 0, 0).Data})
-	if s.l.customers[0].balance != before {
+	s.handle(PeerMessage{From: 9, Data: peerUpdate(0, 9, 50, 0, 0).Data})
+	if s.l.accounts[0].balance != before {
 		t.Error("a message that is not sound changed the balance")
 	}
 }
@@ -208,40 +208,40 @@
 // of. Found as a loss of the cheap plans: the held part never came back.
 func TestUnseenCustomer(t *testing.T) {
 	both := Submit{Spread: 2}
-	s := newScript(t, testSettings(), fleet(4)...)
+	s := newScript(t, testSettings(), makeServers(4)...)
 	if got := s.admit(40, both); got != 10 {
 		t.Errorf("split of 20 over two let %d through", got)
 	}
-	s.do(peerAnswers(1)) // an answer that tells of nobody
+	s.handle(peerSyncReply(1)) // an answer that tells of nobody
 	if got := s.admit(40, both); got != 10 {
 		t.Errorf("after the peer's answer %d more passed, want 10", got)
 	}
-	s = newScript(t, testSettings(), fleet(4)...)
-	s.do(peerAnswers(90000, 3)) // an older peer knows the level
+	s = newScript(t, testSettings(), makeServers(4)...)
+	s.handle(peerSyncReply(90000, 3)) // an older peer knows the level
 	if got := s.admit(40, both); got != 3 {
 		t.Errorf("told a level of 3, %d passed", got)
 	}
 }
 
 func TestRestartedGatewayAsks(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+	s := newScript(t, testSettings(), makeServers(4)...)
 	var asked bool
-	for _, a := range s.do(Alarm{Handle: "tick"}) {
+	for _, a := range s.handle(Alarm{Handle: "tick"}) {
 		if tell, ok := a.(Tell); ok {
 			m, ok := decodePeer(tell.Data)
-			asked = ok && m.flags&flagAsking != 0
+			asked = ok && m.flags&flagSyncRequest != 0
 		}
 	}
 	if !asked {
 		t.Error("a starting gateway did not ask its peer")
 	}
 	s.admit(4, Submit{Spread: 2})
-	ask := peerMsg{flags: flagAsking, mark: 5, seq: 1}
+	ask := peerMsg{flags: flagSyncRequest, mark: 5, seq: 1}
 	data, _ := ask.encode()
 	var levels []peerEntry
-	for _, a := range s.do(PeerMessage{From: 1, Data: data}) {
+	for _, a := range s.handle(PeerMessage{From: 1, Data: data}) {
 		if tell, ok := a.(Tell); ok {
-			if m, ok := decodePeer(tell.Data); ok && m.flags&flagLevels != 0 {
+			if m, ok := decodePeer(tell.Data); ok && m.flags&flagSyncReply != 0 {
 				levels = m.entries
 			}
 		}
@@ -252,7 +252,7 @@
 }
 
 func TestAtOnce(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+	s := newScript(t, testSettings(), makeServers(4)...)
 	id, a := s.submit(Submit{Plan: 2})
 	s.submit(Submit{Plan: 2})
 	if _, c := s.submit(Submit{Plan: 2}); c == nil {
@@ -271,10 +271,10 @@
 func TestTrueUp(t *testing.T) {
 	cfg := testSettings()
 	cfg.TrueUp = true
-	s := newScript(t, cfg, fleet(4)...)
+	s := newScript(t, cfg, makeServers(4)...)
 	id, a := s.submit(Submit{})
-	s.do(Outcome{ID: id, Server: a.(PassOn).Server, Result: Pass, SpentMs: 10, Done: true, Cost: 25})
-	if got := s.l.customers[0].balance; math.Abs(got+5) > 1e-9 {
+	s.handle(Outcome{ID: id, Server: a.(PassOn).Server, Result: Pass, SpentMs: 10, Done: true, Cost: 25})
+	if got := s.l.accounts[0].balance; math.Abs(got+5) > 1e-9 {
 		t.Errorf("balance %g after true units of 25 of 20, want -5", got)
 	}
 }
@@ -293,7 +293,7 @@
 		{2, NoRoom, again}, {2, NoRoute, again}, {2, StaleSend, again},
 		{3, Fault, again},
 	} {
-		s := newScript(t, testSettings(), fleet(4)...)
+		s := newScript(t, testSettings(), makeServers(4)...)
 		id, a := s.submit(Submit{Class: c.class})
 		first := a.(PassOn).Server
 		got := s.outcome(id, 0, first, c.result)
@@ -306,7 +306,7 @@
 			if g.Server == first {
 				t.Errorf("%s: sent to the same server", name)
 			}
-			if c.class == 1 && !provesUnrun(c.result) && (g.Server-first)%2 != 0 {
+			if c.class == 1 && !provesNotRun(c.result) && (g.Server-first)%2 != 0 {
 				t.Errorf("%s: a keyed request left its cell", name)
 			}
 		case Refuse:
@@ -324,13 +324,13 @@
 }
 
 func TestKeyedWindowAndGroup(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+	s := newScript(t, testSettings(), makeServers(4)...)
 	id, a := s.submit(Submit{Class: 1, ExpiresMs: 1900})
 	s.now += 1001 // past the window
 	if got, ok := s.outcome(id, 0, a.(PassOn).Server, Fault).(Fail); !ok {
 		t.Errorf("a keyed request past its window: %#v, want Fail", got)
 	}
-	s = newScript(t, testSettings(), fleet(2)...) // one server a cell
+	s = newScript(t, testSettings(), makeServers(2)...) // one server a cell
 	id, a = s.submit(Submit{Class: 1})
 	if got, ok := s.outcome(id, 0, a.(PassOn).Server, Fault).(Fail); !ok {
 		t.Errorf("no other server in the cell: %#v, want Fail", got)
@@ -343,7 +343,7 @@
 }
 
 func TestDeadline(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+	s := newScript(t, testSettings(), makeServers(4)...)
 	id, a := s.submit(Submit{ExpiresMs: 300})
 	s.now += 300
 	if got, ok := s.outcome(id, 0, a.(PassOn).Server, TooSlow).(Fail); !ok {
@@ -355,8 +355,8 @@
 }
 
 func TestDrain(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(2)...)
-	s.do(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: 1, Phase: Draining}}})
+	s := newScript(t, testSettings(), makeServers(2)...)
+	s.handle(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: 1, Phase: Draining}}})
 	for range 10 {
 		if id, a := s.submit(Submit{Plan: 3}); a.(PassOn).Server != 2 {
 			t.Fatal("sent to a draining server")
@@ -364,7 +364,7 @@
 			s.pass(id, a)
 		}
 	}
-	s.do(Endpoints{Scope: Complete, Servers: []ServerInfo{{ID: 3}}})
+	s.handle(Endpoints{Scope: Complete, Servers: []ServerInfo{{ID: 3}}})
 	for range 10 {
 		if id, a := s.submit(Submit{Plan: 3}); a.(PassOn).Server != 3 {
 			t.Fatal("sent to a server missing from the whole list")
@@ -372,12 +372,12 @@
 			s.pass(id, a)
 		}
 	}
-	s.do(Endpoints{Scope: Failed})
+	s.handle(Endpoints{Scope: Failed})
 	if _, a := s.submit(Submit{Plan: 3}); a.(PassOn).Server != 3 {
 		t.Error("a failed list call changed the list")
 	}
-	s.do(Endpoints{Scope: Complete})
-	if _, a := s.submit(Submit{Plan: 3}); a != (Refuse{ID: "r22", WaitMs: fullMs, Why: NoServer}) {
+	s.handle(Endpoints{Scope: Complete})
+	if _, a := s.submit(Submit{Plan: 3}); a != (Refuse{ID: "r22", WaitMs: fullBackoffMs, Why: NoServer}) {
 		t.Errorf("with no server: %#v", a)
 	}
 }
@@ -385,7 +385,7 @@
 // A cold server gets no more than its warmth times what a warm one gets, and
 // one request a window where there is none to compare with.
 func TestColdServer(t *testing.T) {
-	f := fleet(4)
+	f := makeServers(4)
 	f[0].ReadyAt = 999
 	s := newScript(t, testSettings(), f...)
 	sent := map[uint64]int{}
@@ -415,13 +415,13 @@
 
 // The gateways' shares of a ceiling never exceed it, whatever is lost.
 func TestCeilingShare(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+	s := newScript(t, testSettings(), makeServers(4)...)
 	plan := testSettings().Plans[1]
 	start := s.now
 	s.now += 1e6
 	spent := 0
 	begin := s.now
-	s.l.customerOf(s.now, 0, 1, 2).balance = 1e9
+	s.l.accountOf(s.now, 0, 1, 2).balance = 1e9
 	s.l.cfg.Plans[1].Burst, s.l.cfg.Plans[1].Rate = 1e9, 1e9
 	for range 500 {
 		s.now += 10
@@ -430,14 +430,14 @@
 	if most := (plan.CeilingBurst + plan.CeilingRate*(s.now-begin)/1000) / 2; float64(spent) > most {
 		t.Errorf("passed %d, this gateway's half is %g", spent, most)
 	}
-	s = newScript(t, testSettings(), fleet(4)...)
+	s = newScript(t, testSettings(), makeServers(4)...)
 	if n := s.admit(10, Submit{Plan: 1, Spread: 2}); n != 0 || s.now != start {
 		t.Errorf("a gateway that just started passed %d of an empty share", n)
 	}
 }
 
 func TestIgnoresWhatIsOver(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(2)...)
+	s := newScript(t, testSettings(), makeServers(2)...)
 	id, a := s.submit(Submit{})
 	s.pass(id, a)
 	for _, e := range []Event{
@@ -445,7 +445,7 @@
 		FirstByte{ID: "no"}, Alarm{Handle: "no"}, Probed{Server: 99}, Submit{ID: "x", Class: 99}, nil,
 		PeerMessage{From: -1}, PeerMessage{From: 0},
 	} {
-		for _, act := range s.do(e) {
+		for _, act := range s.handle(e) {
 			if _, ok := act.(PassOn); ok {
 				t.Errorf("%#v led to %#v", e, act)
 			}
@@ -457,7 +457,7 @@
 // on an overloaded day, when reports that were believed left one server in ten
 // in use, and again when leaving them out served a twentieth more.
 func TestReportsShutNoServerOut(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+	s := newScript(t, testSettings(), makeServers(4)...)
 	used := map[uint64]int{}
 	for range 100 {
 		id, a := s.submit(Submit{Plan: 3})
@@ -466,7 +466,7 @@
 			t.Fatalf("refused beside idle servers: %#v", a)
 		}
 		used[p.Server]++
-		s.do(Outcome{ID: id, Server: p.Server, Result: Pass, SpentMs: 60, Done: true, Load: Load{Busy: 200 * float64(p.Server)}})
+		s.handle(Outcome{ID: id, Server: p.Server, Result: Pass, SpentMs: 60, Done: true, Load: Load{Busy: 200 * float64(p.Server)}})
 		s.now += 20
 	}
 	for id := uint64(1); id <= 4; id++ {
@@ -478,10 +478,10 @@
 
 // A gateway that has been refusing for lack of servers tries them again.
 func TestTriesAgainAfterPressure(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(2)...)
+	s := newScript(t, testSettings(), makeServers(2)...)
 	for range 50 {
 		id, a := s.submit(Submit{Plan: 3})
-		s.do(Outcome{ID: id, Server: a.(PassOn).Server, Result: Pass, SpentMs: 400, Done: true})
+		s.handle(Outcome{ID: id, Server: a.(PassOn).Server, Result: Pass, SpentMs: 400, Done: true})
 		s.now += 20
 	}
 	s.submit(Submit{Plan: 3})
@@ -509,10 +509,10 @@
 	for balancers, want := range map[int][2]int{2: {8, 8}, 16: {2, 3}} {
 		cfg := testSettings()
 		cfg.Balancers = balancers
-		s := newScript(t, cfg, fleet(8)...)
+		s := newScript(t, cfg, makeServers(8)...)
 		for range 50 {
 			id, a := s.submit(Submit{Plan: 3})
-			s.do(Outcome{ID: id, Server: a.(PassOn).Server, Result: Pass, SpentMs: 400, Done: true})
+			s.handle(Outcome{ID: id, Server: a.(PassOn).Server, Result: Pass, SpentMs: 400, Done: true})
 		}
 		out := 0
 		for range 40 {
@@ -531,16 +531,16 @@
 // Tries whose remaining time shows that their aim is over are refused and
 // spend nothing; a last try with more time than usual and time to spare passes.
 func TestLateTry(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+	s := newScript(t, testSettings(), makeServers(4)...)
 	for range 5 {
 		id, a := s.submit(Submit{ExpiresMs: 1000})
 		s.pass(id, a)
 	}
-	before := s.l.customers[0].balance
+	before := s.l.accounts[0].balance
 	if _, a := s.submit(Submit{ExpiresMs: 1400}); a != (Refuse{ID: "r6", WaitMs: 1000, Why: NoTime}) {
 		t.Errorf("600 ms after the client began, aim 500: %#v", a)
 	}
-	if s.l.customers[0].balance != before {
+	if s.l.accounts[0].balance != before {
 		t.Error("a refused try spent units")
 	}
 	if _, a := s.submit(Submit{ExpiresMs: 1800}); a != nil {
@@ -553,7 +553,7 @@
 // A server that fails fast is ejected although it looks idle, and is tried
 // again, gently, with requests that may be repeated.
 func TestFailingServerKeptOff(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+	s := newScript(t, testSettings(), makeServers(4)...)
 	serve := func() (bad int) {
 		id, a := s.submit(Submit{Plan: 3})
 		for try := 0; ; try++ {
@@ -582,13 +582,13 @@
 	for range 200 {
 		bad += serve()
 	}
-	if bad < illAfter || bad > 2*illAfter {
+	if bad < ejectAfter || bad > 2*ejectAfter {
 		t.Errorf("tried anew it got %d of 200, want a few", bad)
 	}
 }
 
 func TestSilentServerIsProbedAndLeft(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(2)...)
+	s := newScript(t, testSettings(), makeServers(2)...)
 	ids := map[string]uint64{}
 	for range 4 {
 		id, a := s.submit(Submit{Plan: 3})
@@ -601,7 +601,7 @@
 	}
 	s.now += 600
 	probed := false
-	for _, a := range s.do(Alarm{Handle: "tick"}) {
+	for _, a := range s.handle(Alarm{Handle: "tick"}) {
 		if p, ok := a.(Probe); ok && p.Server == 1 {
 			probed = true
 		}
@@ -610,7 +610,7 @@
 		t.Fatal("a server silent for long was not probed")
 	}
 	aborted := 0
-	for _, a := range s.do(Probed{Server: 1, Result: TooSlow}) {
+	for _, a := range s.handle(Probed{Server: 1, Result: TooSlow}) {
 		if _, ok := a.(AbortAttempt); ok {
 			aborted++
 		}
@@ -625,7 +625,7 @@
 			s.pass(id, a)
 		}
 	}
-	s.do(Probed{Server: 1, Result: Pass})
+	s.handle(Probed{Server: 1, Result: Pass})
 	if s.l.servers[1].down {
 		t.Error("a server that answers is still held down")
 	}
@@ -635,19 +635,19 @@
 func TestWorthUnderPressure(t *testing.T) {
 	cfg := testSettings()
 	cfg.Plans[0].Price, cfg.Plans[3].Price = 5, 0.2
-	s := newScript(t, cfg, fleet(2)...)
+	s := newScript(t, cfg, makeServers(2)...)
 	for range 60 {
 		for _, plan := range []int{0, 3} {
-			id, a := s.submit(Submit{Plan: plan, Customer: uint64(s.n)})
+			id, a := s.submit(Submit{Plan: plan, Customer: uint64(s.ids)})
 			if p, ok := a.(PassOn); ok {
-				s.do(Outcome{ID: id, Server: p.Server, Result: Pass, SpentMs: 60, Done: true, Load: Load{Busy: -1}})
+				s.handle(Outcome{ID: id, Server: p.Server, Result: Pass, SpentMs: 60, Done: true, Load: Load{Busy: -1}})
 			}
 		}
 	}
 	passed := map[int]int{}
 	for i := range 200 {
 		plan := []int{0, 3}[i%2]
-		if _, a := s.submit(Submit{Plan: plan, Customer: uint64(s.n)}); a != nil {
+		if _, a := s.submit(Submit{Plan: plan, Customer: uint64(s.ids)}); a != nil {
 			if _, ok := a.(PassOn); ok {
 				passed[plan]++
 			}
@@ -660,14 +660,14 @@
 
 // Idle customers are forgotten, and come back with a full bucket they earned.
 func TestForgetsIdleCustomers(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+	s := newScript(t, testSettings(), makeServers(4)...)
 	for c := range 500 {
 		s.admit(1, Submit{Customer: uint64(c)})
 	}
-	s.now += 2 * forgetMs
-	s.do(Alarm{Handle: "tick"})
-	if len(s.l.customers) != 0 || len(s.l.listed) != 0 || len(s.l.requests) != 0 {
-		t.Errorf("%d customers, %d listed, %d requests are still held", len(s.l.customers), len(s.l.listed), len(s.l.requests))
+	s.now += 2 * accountIdleMs
+	s.handle(Alarm{Handle: "tick"})
+	if len(s.l.accounts) != 0 || len(s.l.accountList) != 0 || len(s.l.requests) != 0 {
+		t.Errorf("%d customers, %d listed, %d requests are still held", len(s.l.accounts), len(s.l.accountList), len(s.l.requests))
 	}
 	if got := s.admit(40, Submit{Customer: 3}); got != 20 {
 		t.Errorf("a forgotten customer got %d, want its burst of 20", got)
@@ -677,13 +677,13 @@
 // Where clients mark their retries, a first try with a short time of its own has only
 // just begun and is served; a retry with it is what is left of a time mostly over.
 func TestFirstTriesInAHurry(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+	s := newScript(t, testSettings(), makeServers(4)...)
 	pass := func(e Submit) bool {
 		t.Helper()
 		id, a := s.submit(e)
 		p, ok := a.(PassOn)
 		if ok {
-			s.do(Outcome{ID: id, Server: p.Server, Result: Pass, SpentMs: 20, Done: true, Load: Load{Busy: -1}})
+			s.handle(Outcome{ID: id, Server: p.Server, Result: Pass, SpentMs: 20, Done: true, Load: Load{Busy: -1}})
 		}
 		s.now += 200
 		return ok
@@ -705,68 +705,68 @@
 // Customers that come once, here or by a peer's word, and servers that are replaced
 // leave nothing behind.
 func TestCountsReturnToTheBase(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+	s := newScript(t, testSettings(), makeServers(4)...)
 	for i := range 4000 {
 		s.now += 20
 		s.admit(1, Submit{Plan: i % 3, Customer: uint64(1000 + i), Spread: 2})
 		m := peerMsg{mark: 7, seq: uint64(i + 1), ageMs: uint64(s.now), entries: []peerEntry{
-			{customer: uint64(100000 + i), plan: uint64(i % 3), spread: 2, spent: 8, fresh: 8}}}
+			{account: uint64(100000 + i), plan: uint64(i % 3), spread: 2, spent: 8, newlySpent: 8}}}
 		data, _ := m.encode()
-		s.do(PeerMessage{From: 1, Data: data})
+		s.handle(PeerMessage{From: 1, Data: data})
 		if i%10 == 0 { // a server goes, another comes
-			s.do(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: uint64(100 + i), Weight: 1},
+			s.handle(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: uint64(100 + i), Weight: 1},
 				{ID: uint64(90 + i), Phase: Removed}}})
-			s.do(Alarm{Handle: "tick"})
+			s.handle(Alarm{Handle: "tick"})
 		}
 	}
-	if n := len(s.l.customers); n > 3000 {
+	if n := len(s.l.accounts); n > 3000 {
 		t.Errorf("%d customers are known 15 s after 80 s of new ones", n)
 	}
 	for range 3 {
-		s.now += 2 * forgetMs
-		s.do(Alarm{Handle: "tick"})
+		s.now += 2 * accountIdleMs
+		s.handle(Alarm{Handle: "tick"})
 	}
-	if len(s.l.customers)+len(s.l.listed)+len(s.l.kept)+len(s.l.dirty)+len(s.l.requests) != 0 || s.l.poolOf(0).inflight != 0 {
-		t.Errorf("%d customers, %d listed, %d kept, %d dirty, %d requests, %d out", len(s.l.customers), len(s.l.listed),
-			len(s.l.kept), len(s.l.dirty), len(s.l.requests), s.l.poolOf(0).inflight)
+	if len(s.l.accounts)+len(s.l.accountList)+len(s.l.aggregated)+len(s.l.dirty)+len(s.l.requests) != 0 || s.l.poolOf(0).inflight != 0 {
+		t.Errorf("%d customers, %d listed, %d kept, %d dirty, %d requests, %d out", len(s.l.accounts), len(s.l.accountList),
+			len(s.l.aggregated), len(s.l.dirty), len(s.l.requests), s.l.poolOf(0).inflight)
 	}
-	if len(s.l.servers) != 5 || len(s.l.order) != 5 {
-		t.Errorf("%d servers, %d in order, want 5", len(s.l.servers), len(s.l.order))
+	if len(s.l.servers) != 5 || len(s.l.serverList) != 5 {
+		t.Errorf("%d servers, %d in order, want 5", len(s.l.servers), len(s.l.serverList))
 	}
 }
 
 // One datagram can't keep a customer out for long, nor make it seem richer than its
 // plan, and a customer forgotten here is not charged with all that a peer ever passed.
 func TestBoundsAPeersWord(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+	s := newScript(t, testSettings(), makeServers(4)...)
 	s.admit(1, Submit{Customer: 5, Spread: 2})
 	tell := func(e peerEntry, seq uint64, flags byte) {
 		m := peerMsg{mark: 7, seq: seq, flags: flags, entries: []peerEntry{e}}
 		data, _ := m.encode()
-		s.do(PeerMessage{From: 1, Data: data})
+		s.handle(PeerMessage{From: 1, Data: data})
 	}
-	tell(peerEntry{customer: 5, spread: 2, spent: 1 << 40, fresh: 1 << 40}, 1, 0)
+	tell(peerEntry{account: 5, spread: 2, spent: 1 << 40, newlySpent: 1 << 40}, 1, 0)
 	s.now += 6500 // three bursts of 20 at 10 a second and a little
 	if got := s.admit(1, Submit{Customer: 5, Spread: 2}); got != 1 {
 		t.Error("kept out for longer than the gateways' bursts take")
 	}
-	tell(peerEntry{customer: 5, level: 1 << 40, margin: 1 << 40}, 2, flagNews)
-	if c := s.l.customers[5]; c.balance > 20 || c.margin > 20 {
+	tell(peerEntry{account: 5, level: 1 << 40, margin: 1 << 40}, 2, flagLevelUpdate)
+	if c := s.l.accounts[5]; c.balance > 20 || c.margin > 20 {
 		t.Errorf("balance %g, margin %g with a burst of 20", c.balance, c.margin)
 	}
-	tell(peerEntry{customer: 5, level: -1 << 40}, 3, flagNews)
-	if c := s.l.customers[5]; c.balance < -41 { // two bursts and what passed last
+	tell(peerEntry{account: 5, level: -1 << 40}, 3, flagLevelUpdate)
+	if c := s.l.accounts[5]; c.balance < -41 { // two bursts and what passed last
 		t.Errorf("balance %g", c.balance)
 	}
 	for range 5 {
-		s.now += forgetMs
-		s.do(Alarm{Handle: "tick"})
+		s.now += accountIdleMs
+		s.handle(Alarm{Handle: "tick"})
 	}
-	if len(s.l.customers) != 0 {
+	if len(s.l.accounts) != 0 {
 		t.Error("the customer is still known")
 	}
-	tell(peerEntry{customer: 5, spread: 2, spent: 1000 * unitScale, fresh: 2 * unitScale}, 4, 0)
-	if c := s.l.customers[5]; c == nil || c.balance != 18 {
+	tell(peerEntry{account: 5, spread: 2, spent: 1000 * unitScale, newlySpent: 2 * unitScale}, 4, 0)
+	if c := s.l.accounts[5]; c == nil || c.balance != 18 {
 		t.Errorf("after it was forgotten: %+v", c)
 	}
 }
--- a/limiter/lists.go
+++ b/limiter/lists.go
@@ -13,23 +13,23 @@
 }
 
 // places says for each old index which one it is now; what is not named is gone.
-func places(named []int, n int) []int {
-	all := make([]int, n)
-	for i := range all {
-		if all[i] = -1; i < len(named) {
-			all[i] = named[i]
+func newIndexes(named []int, count int) []int {
+	indexes := make([]int, count)
+	for i := range indexes {
+		if indexes[i] = -1; i < len(named) {
+			indexes[i] = named[i]
 		}
 	}
-	return all
+	return indexes
 }
 
 // remap moves what is known to its new places.
-func remap[T any](old []T, to []int, n int) []T {
-	all := make([]T, n)
+func remap[T any](old []T, indexes []int, count int) []T {
+	remapped := make([]T, count)
 	for i, v := range old {
-		if to[i] >= 0 {
-			all[to[i]] = v
+		if indexes[i] >= 0 {
+			remapped[indexes[i]] = v
 		}
 	}
-	return all
+	return remapped
 }
--- a/limiter/memory.go
+++ b/limiter/memory.go
@@ -88,98 +88,98 @@
 
 // Remember returns what is learnt by now. Nothing changes by it.
 func (l *Limiter) Remember(now float64) *Memory {
-	m := &Memory{}
-	for _, u := range l.usual {
-		m.Usual = append(m.Usual, UsualMemory{u.ms, float64(u.votes)})
+	memory := &Memory{}
+	for _, vote := range l.usualTimeout {
+		memory.Usual = append(memory.Usual, UsualMemory{vote.ms, float64(vote.votes)})
 	}
 	for id, p := range l.pools {
-		x := PoolMemory{ID: id, Fit: [5]float64{p.fit.n, p.fit.k, p.fit.y, p.fit.kk, p.fit.ky}, Worth: p.worth, Weight: p.weighed, Pressure: p.pressure}
-		for k := range p.work {
-			x.Work = append(x.Work, WorkMemory{p.work[k], p.seen[k]})
+		x := PoolMemory{ID: id, Fit: [5]float64{p.loadFit.count, p.loadFit.k, p.loadFit.y, p.loadFit.kk, p.loadFit.ky}, Worth: p.worth, Weight: p.weighted, Pressure: p.pressure}
+		for k := range p.typicalMs {
+			x.Work = append(x.Work, WorkMemory{p.typicalMs[k], p.answers[k]})
 		}
-		m.Pools = append(m.Pools, x)
+		memory.Pools = append(memory.Pools, x)
 	}
-	slices.SortFunc(m.Pools, func(a, b PoolMemory) int {
+	slices.SortFunc(memory.Pools, func(a, b PoolMemory) int {
 		if a.ID < b.ID {
 			return -1
 		}
 		return 1
 	})
-	m.Boxes = make([]BoxMemory, 0, len(l.order))
-	all := make([]IllMemory, 0, len(l.order)*len(l.cfg.Classes)) // one for all: the limiter is held meanwhile
-	for _, s := range l.order {
-		f := math.Exp((s.statAt - now) / speedMs)
-		x := BoxMemory{ID: s.info.ID, ReadyAt: s.info.ReadyAt, Spent: s.spent * f, Had: s.had * f, Down: s.down}
-		if s.backAt > s.info.ReadyAt && l.warmth(now, s) < 1 {
-			x.BackMs = max(1, now-s.backAt)
+	memory.Boxes = make([]BoxMemory, 0, len(l.serverList))
+	records := make([]IllMemory, 0, len(l.serverList)*len(l.cfg.Classes)) // one for all: the limiter is held meanwhile
+	for _, srv := range l.serverList {
+		decay := math.Exp((srv.slownessAt - now) / slownessWindowMs)
+		x := BoxMemory{ID: srv.info.ID, ReadyAt: srv.info.ReadyAt, Spent: srv.slownessSum * decay, Had: srv.slownessCount * decay, Down: srv.down}
+		if srv.recoveredAt > srv.info.ReadyAt && l.warmth(now, srv) < 1 {
+			x.BackMs = max(1, now-srv.recoveredAt)
 		}
-		from := len(all)
-		for _, e := range s.ills {
-			all = append(all, IllMemory{float64(e.n), max(0, e.to-now)})
+		start := len(records)
+		for _, ejection := range srv.ejections {
+			records = append(records, IllMemory{float64(ejection.count), max(0, ejection.until-now)})
 		}
-		x.Ills = all[from:len(all):len(all)]
-		m.Boxes = append(m.Boxes, x)
+		x.Ills = records[start:len(records):len(records)]
+		memory.Boxes = append(memory.Boxes, x)
 	}
-	return m
+	return memory
 }
 
 // HandOver is Remember for a limiter that has ended: it must not be given any event after it.
 // Its accounts are told by [Limiter.Leave], in parts, so that nobody waits for all of them.
 func (l *Limiter) HandOver(now float64) *Memory {
-	m := l.Remember(now)
-	m.Handover = &Handover{Position: l.cfg.Position, Balancers: l.cfg.Balancers, Plans: slices.Clone(l.cfg.Plans[:l.named]), KnownMs: now - l.knownFrom, NowMs: now}
-	l.left, l.rest = 0, nil
-	if l.from != nil && l.from.HeadMs > 0 { // of those that have not come back only this is known
-		m.Handover.KnownMs = min(m.Handover.KnownMs, now-l.startedAt)
+	memory := l.Remember(now)
+	memory.Handover = &Handover{Position: l.cfg.Position, Balancers: l.cfg.Balancers, Plans: slices.Clone(l.cfg.Plans[:l.named]), KnownMs: now - l.knownSince, NowMs: now}
+	l.handedOver, l.inheritedLeft = 0, nil
+	if l.handover != nil && l.handover.HeadMs > 0 { // of those that have not come back only this is known
+		memory.Handover.KnownMs = min(memory.Handover.KnownMs, now-l.startedAt)
 	} else {
-		l.rest = slices.Sorted(maps.Keys(l.resumed)) // they go on to the next one
+		l.inheritedLeft = slices.Sorted(maps.Keys(l.inherited)) // they go on to the next one
 	}
-	return m
+	return memory
 }
 
 // Leave tells the next accounts of a limiter that has handed over, so many at most, and whether
 // there are more.
-func (l *Limiter) Leave(now float64, most int) (told []AccountMemory, more bool) {
-	told = make([]AccountMemory, 0, min(most, len(l.listed)-l.left+len(l.rest)))
-	for ; len(told) < most && l.left < len(l.listed); l.left++ {
-		c := l.listed[l.left]
-		if c.spread == 0 || c.plan >= l.named {
+func (l *Limiter) Leave(now float64, limit int) (accounts []AccountMemory, more bool) {
+	accounts = make([]AccountMemory, 0, min(limit, len(l.accountList)-l.handedOver+len(l.inheritedLeft)))
+	for ; len(accounts) < limit && l.handedOver < len(l.accountList); l.handedOver++ {
+		acct := l.accountList[l.handedOver]
+		if acct.spread == 0 || acct.plan >= l.named {
 			continue // nothing of it has passed here, or its plan is gone
 		}
-		l.refill(now, c)
-		told = append(told, l.tell1(now, c))
+		l.refill(now, acct)
+		accounts = append(accounts, l.accountMemory(now, acct))
 	}
-	for ; len(told) < most && len(l.rest) > 0; l.rest = l.rest[1:] {
-		a := l.resumed[l.rest[0]]
-		p, t := l.cfg.Plans[a.Plan], (now-l.resumedAt)/1000
-		a.Balance = min(p.Burst, a.Balance+t*p.Rate)
-		a.Share = min(p.CeilingBurst/float64(a.Spread), a.Share+t*p.CeilingRate/float64(a.Spread))
-		a.AtMs = now
-		told = append(told, a)
+	for ; len(accounts) < limit && len(l.inheritedLeft) > 0; l.inheritedLeft = l.inheritedLeft[1:] {
+		memory := l.inherited[l.inheritedLeft[0]]
+		limits, seconds := l.cfg.Plans[memory.Plan], (now-l.inheritedAt)/1000
+		memory.Balance = min(limits.Burst, memory.Balance+seconds*limits.Rate)
+		memory.Share = min(limits.CeilingBurst/float64(memory.Spread), memory.Share+seconds*limits.CeilingRate/float64(memory.Spread))
+		memory.AtMs = now
+		accounts = append(accounts, memory)
 	}
-	return told, l.left < len(l.listed) || len(l.rest) > 0
+	return accounts, l.handedOver < len(l.accountList) || len(l.inheritedLeft) > 0
 }
 
 // takeOver begins with what a limiter of this position has handed over. Its parts of the
 // ceilings have gone on filling up since, as they do while nobody spends from them.
-func (l *Limiter) takeOver(now float64, h *Handover) {
-	if h == nil || h.Position != l.cfg.Position || h.Balancers != l.cfg.Balancers || !slices.Equal(h.Plans, l.cfg.Plans) ||
-		!(h.KnownMs >= 0 && h.DownMs >= 0 && h.HeadMs >= 0) || len(l.listed) > 0 {
+func (l *Limiter) takeOver(now float64, state *Handover) {
+	if state == nil || state.Position != l.cfg.Position || state.Balancers != l.cfg.Balancers || !slices.Equal(state.Plans, l.cfg.Plans) ||
+		!(state.KnownMs >= 0 && state.DownMs >= 0 && state.HeadMs >= 0) || len(l.accountList) > 0 {
 		return
 	}
-	l.from, l.resumedAt = h, now-h.DownMs
-	if h.HeadMs == 0 { // else what was spent last is not known
-		l.knownFrom = now - h.DownMs - h.KnownMs
+	l.handover, l.inheritedAt = state, now-state.DownMs
+	if state.HeadMs == 0 { // else what was spent last is not known
+		l.knownSince = now - state.DownMs - state.KnownMs
 	}
-	l.resumed = make(map[uint64]AccountMemory, len(h.Accounts))
-	for _, a := range h.Accounts {
-		if a.AtMs = now - h.DownMs; h.HeadMs > 0 {
-			a.AtMs = now - max(0, a.AgoMs)
+	l.inherited = make(map[uint64]AccountMemory, len(state.Accounts))
+	for _, account := range state.Accounts {
+		if account.AtMs = now - state.DownMs; state.HeadMs > 0 {
+			account.AtMs = now - max(0, account.AgoMs)
 		}
-		if a.Plan >= 0 && a.Plan < len(l.cfg.Plans) && a.Spread >= 1 && a.Spread <= l.cfg.Balancers {
-			l.resumed[a.ID] = a
+		if account.Plan >= 0 && account.Plan < len(l.cfg.Plans) && account.Spread >= 1 && account.Spread <= l.cfg.Balancers {
+			l.inherited[account.ID] = account
 		} else { // it was not full, and that is all that is known
-			l.resumed[a.ID] = AccountMemory{ID: a.ID, Spread: 1, First: -1}
+			l.inherited[account.ID] = AccountMemory{ID: account.ID, Spread: 1, First: -1}
 		}
 	}
 }
@@ -187,54 +187,54 @@
 // resume gives an account that joins here what it had. Of its bucket it gets no more at once
 // than one that is new, as the other limiters may have passed something meanwhile, and no more
 // in all than what was left.
-func (l *Limiter) resume(now float64, c *customer) {
-	if l.from == nil || l.resumed == nil {
+func (l *Limiter) resumeAccount(now float64, acct *account) {
+	if l.handover == nil || l.inherited == nil {
 		return
 	}
-	p, n := l.cfg.Plans[c.plan], c.among()
-	head := 0.0 // of what may have been spent untold
-	if l.from.HeadMs > 0 {
-		head = reserve.Headroom(p.CeilingRate, p.CeilingBurst, l.from.HeadMs) / n
+	limits, divisor := l.cfg.Plans[acct.plan], acct.ceilingDivisor()
+	headroom := 0.0 // of what may have been spent untold
+	if l.handover.HeadMs > 0 {
+		headroom = reserve.Headroom(limits.CeilingRate, limits.CeilingBurst, l.handover.HeadMs) / divisor
 	}
-	a, have := l.resumed[c.id]
-	if !have {
-		if head > 0 {
-			known := l.resumedAt - l.from.KnownMs
-			c.share = max(c.share, min(p.CeilingBurst, p.CeilingRate*(now-known)/1000)/n-head)
+	memory, found := l.inherited[acct.id]
+	if !found {
+		if headroom > 0 {
+			knownSince := l.inheritedAt - l.handover.KnownMs
+			acct.ceilingBalance = max(acct.ceilingBalance, min(limits.CeilingBurst, limits.CeilingRate*(now-knownSince)/1000)/divisor-headroom)
 		}
 		return
 	}
-	delete(l.resumed, c.id)
-	s := (now - a.AtMs) / 1000
-	if a.Plan != c.plan || a.Spread != c.spread || a.First != c.first || math.IsNaN(a.Share) || math.IsNaN(a.Balance) || !(s >= 0) {
+	delete(l.inherited, acct.id)
+	seconds := (now - memory.AtMs) / 1000
+	if memory.Plan != acct.plan || memory.Spread != acct.spread || memory.First != acct.first || math.IsNaN(memory.Share) || math.IsNaN(memory.Balance) || !(seconds >= 0) {
 		// It is counted otherwise now. That it was full is not known, so it begins with nothing.
-		c.share = min(c.share, p.CeilingRate*(now-l.startedAt)/1000/n)
+		acct.ceilingBalance = min(acct.ceilingBalance, limits.CeilingRate*(now-l.startedAt)/1000/divisor)
 		return
 	}
 	// What nobody can have spent since this limiter began is its own in any case.
-	own := min(p.CeilingBurst, p.CeilingRate*(now-l.startedAt)/1000) / n
-	c.share = max(own, min(p.CeilingBurst/n-head, a.Share+s*p.CeilingRate/n))
-	if c.flow == 0 && sane(a.Flow) {
-		c.flow, c.flowAt = min(a.Flow, p.Burst), a.AtMs
+	ownRefill := min(limits.CeilingBurst, limits.CeilingRate*(now-l.startedAt)/1000) / divisor
+	acct.ceilingBalance = max(ownRefill, min(limits.CeilingBurst/divisor-headroom, memory.Share+seconds*limits.CeilingRate/divisor))
+	if acct.flow == 0 && plausible(memory.Flow) {
+		acct.flow, acct.flowAt = min(memory.Flow, limits.Burst), memory.AtMs
 	}
-	if left := min(p.Burst, a.Balance+s*p.Rate); !c.seeded {
-		c.balance = min(c.balance, left)
-		c.held = max(0, left-c.balance)
+	if remaining := min(limits.Burst, memory.Balance+seconds*limits.Rate); !acct.levelKnown {
+		acct.balance = min(acct.balance, remaining)
+		acct.withheld = max(0, remaining-acct.balance)
 	}
 }
 
 // fadeResumed drops what was handed over once it would be full again: a new record would start
 // full too.
-func (l *Limiter) fadeResumed(now float64) {
-	if l.reserving != nil {
-		l.reserving.passed = 0
+func (l *Limiter) expireInherited(now float64) {
+	if l.accountWriter != nil {
+		l.accountWriter.swept = 0
 	}
-	full := 0.0
-	for _, p := range l.cfg.Plans {
-		full = max(full, p.Burst/max(1e-9, p.Rate), p.CeilingBurst/max(1e-9, p.CeilingRate)*btof(p.CeilingRate > 0))
+	fullAfter := 0.0
+	for _, limits := range l.cfg.Plans {
+		fullAfter = max(fullAfter, limits.Burst/max(1e-9, limits.Rate), limits.CeilingBurst/max(1e-9, limits.CeilingRate)*btof(limits.CeilingRate > 0))
 	}
-	if l.resumed != nil && now-l.resumedAt > 1000*full && now-l.startedAt > forgetMs {
-		l.resumed, l.from = nil, nil
+	if l.inherited != nil && now-l.inheritedAt > 1000*fullAfter && now-l.startedAt > accountIdleMs {
+		l.inherited, l.handover = nil, nil
 	}
 }
 
@@ -246,75 +246,75 @@
 }
 
 // forgo gives up what was handed over and has not come back: the plans are others now.
-func (l *Limiter) forgo(now float64) {
-	if l.resumed != nil {
-		l.resumed, l.from, l.knownFrom = nil, nil, now
+func (l *Limiter) discardInherited(now float64) {
+	if l.inherited != nil {
+		l.inherited, l.handover, l.knownSince = nil, nil, now
 	}
 }
 
 // recall takes in what a limiter before this one has learnt. It is trusted only where this
 // one has learnt nothing itself, of server processes that are listed as the same, and as far
 // as it can be true at all: a file says it.
-func (l *Limiter) recall(now float64, m *Memory) {
-	if m == nil {
+func (l *Limiter) recall(now float64, memory *Memory) {
+	if memory == nil {
 		return
 	}
-	if len(m.Usual) == len(l.usual) {
-		for k, u := range m.Usual {
-			if l.usual[k].votes == 0 && sane(u.Ms) && u.Votes >= 1 {
-				l.usual[k] = usual{u.Ms, min(usualVotes, int(min(u.Votes, usualVotes)))}
+	if len(memory.Usual) == len(l.usualTimeout) {
+		for i, vote := range memory.Usual {
+			if l.usualTimeout[i].votes == 0 && plausible(vote.Ms) && vote.Votes >= 1 {
+				l.usualTimeout[i] = usualTimeout{vote.Ms, min(maxTimeoutVotes, int(min(vote.Votes, maxTimeoutVotes)))}
 			}
 		}
 	}
-	for _, x := range m.Pools {
-		if p := l.pools[x.ID]; p != nil && len(x.Work) == len(p.work) {
+	for _, x := range memory.Pools {
+		if p := l.pools[x.ID]; p != nil && len(x.Work) == len(p.typicalMs) {
 			p.recall(&x)
 		}
 	}
-	l.takeOver(now, m.Handover)
-	for _, x := range m.Boxes {
-		s := l.servers[x.ID]
-		if s == nil || s.info.ReadyAt != x.ReadyAt || s.had > 0 || len(x.Ills) != len(s.ills) {
+	l.takeOver(now, memory.Handover)
+	for _, x := range memory.Boxes {
+		srv := l.servers[x.ID]
+		if srv == nil || srv.info.ReadyAt != x.ReadyAt || srv.slownessCount > 0 || len(x.Ills) != len(srv.ejections) {
 			continue
 		}
-		if sane(x.Spent) && sane(x.Had) {
-			s.spent, s.had, s.statAt = x.Spent, x.Had, now
+		if plausible(x.Spent) && plausible(x.Had) {
+			srv.slownessSum, srv.slownessCount, srv.slownessAt = x.Spent, x.Had, now
 		}
-		s.down = s.down || x.Down && s.info.Phase == Up
-		if sane(x.BackMs) && s.backAt == 0 {
-			s.backAt = now - x.BackMs
+		srv.down = srv.down || x.Down && srv.info.Phase == Up
+		if plausible(x.BackMs) && srv.recoveredAt == 0 {
+			srv.recoveredAt = now - x.BackMs
 		}
-		for k, e := range x.Ills {
-			s.ills[k] = illness{n: int(max(0, min(illAfter-1, e.Failures))), at: now, to: now + max(0, min(illMs, e.LeftMs))}
+		for i, ill := range x.Ills {
+			srv.ejections[i] = ejection{count: int(max(0, min(ejectAfter-1, ill.Failures))), lastFailureAt: now, until: now + max(0, min(ejectionMs, ill.LeftMs))}
 		}
 	}
 }
 
-func (p *pool) recall(x *PoolMemory) {
+func (p *pool) recall(memory *PoolMemory) {
 	known := 0.0
-	for k := range p.work {
-		known += p.seen[k]
+	for class := range p.typicalMs {
+		known += p.answers[class]
 	}
 	if known > 0 {
 		return
 	}
-	for k, w := range x.Work {
-		if sane(w.Ms) && sane(w.Seen) {
-			p.work[k], p.seen[k] = w.Ms, w.Seen
+	for class, work := range memory.Work {
+		if plausible(work.Ms) && plausible(work.Seen) {
+			p.typicalMs[class], p.answers[class] = work.Ms, work.Seen
 		}
 	}
 	// Averages that no loads and times can have are none: a line through them could be any.
-	f := x.Fit
-	if sane(f[0]) && f[1] >= 1 && sane(f[1]) && sane(f[2]) && sane(f[3]) && sane(f[4]) && f[3] >= f[1]*f[1]*(1-1e-9) {
-		p.fit = fit{f[0], f[1], f[2], f[3], f[4]}
+	fit := memory.Fit
+	if plausible(fit[0]) && fit[1] >= 1 && plausible(fit[1]) && plausible(fit[2]) && plausible(fit[3]) && plausible(fit[4]) && fit[3] >= fit[1]*fit[1]*(1-1e-9) {
+		p.loadFit = loadFit{fit[0], fit[1], fit[2], fit[3], fit[4]}
 	}
-	if x.Pressure > 0 && x.Pressure <= 1 {
-		p.pressure = x.Pressure
+	if memory.Pressure > 0 && memory.Pressure <= 1 {
+		p.pressure = memory.Pressure
 	}
-	if sane(x.Worth) && sane(x.Weight) {
-		p.worth, p.weighed = x.Worth, x.Weight
+	if plausible(memory.Worth) && plausible(memory.Weight) {
+		p.worth, p.weighted = memory.Worth, memory.Weight
 	}
 }
 
 // sane tells that a figure is above 0 and one that could have been learnt.
-func sane(x float64) bool { return x > 0 && x < 1e12 }
+func plausible(x float64) bool { return x > 0 && x < 1e12 }
--- a/limiter/memory_test.go
+++ b/limiter/memory_test.go
@@ -10,14 +10,14 @@
 
 // learnt is a limiter that has seen a slow server, one that fails a class, and one that is
 // down.
-func learnt(t *testing.T) *handler {
-	h := newHandler(t, poolSettings(), ServerInfo{ID: 1, Pool: 7, ReadyAt: 50}, ServerInfo{ID: 2, Pool: 7}, ServerInfo{ID: 3, Pool: 7}, ServerInfo{ID: 4, Pool: 7})
+func trainedLimiter(t *testing.T) *harness {
+	h := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7, ReadyAt: 50}, ServerInfo{ID: 2, Pool: 7}, ServerInfo{ID: 3, Pool: 7}, ServerInfo{ID: 4, Pool: 7})
 	h.l.cfg.Plans[0].Rate, h.l.cfg.Plans[0].Burst = 1e6, 1e6
 	for i := range 400 {
 		h.now += 5
 		id := fmt.Sprint("r", i)
 		h.submit(id, Submit{Units: 1, Customer: 1, Pool: 7, Class: i % 2})
-		for h.end[id] == "" && len(h.sent[id]) > 0 {
+		for h.results[id] == "" && len(h.sent[id]) > 0 {
 			try := len(h.sent[id]) - 1
 			server := h.sent[id][try]
 			e := Outcome{ID: id, Try: try, Server: server, Result: Pass, SpentMs: 20, Done: true, Load: Load{-1, -1, -1}}
@@ -29,7 +29,7 @@
 			case server == 4:
 				e.Result, e.Done = NoRoute, false
 			}
-			h.give(e)
+			h.handle(e)
 			if e.Done {
 				break
 			}
@@ -40,7 +40,7 @@
 
 // What one limiter has learnt the next one goes by, in its first decision.
 func TestRecall(t *testing.T) {
-	h := learnt(t)
+	h := trainedLimiter(t)
 	m := h.l.Remember(h.now)
 	again := h.l.Remember(h.now)
 	if !reflect.DeepEqual(m, again) {
@@ -49,13 +49,13 @@
 	if len(m.Boxes) != 4 || len(m.Pools) == 0 || !m.Boxes[3].Down || m.Boxes[1].Ills[1].LeftMs <= 0 || m.Boxes[0].Spent/m.Boxes[0].Had < 2 {
 		t.Fatalf("%+v", m)
 	}
-	next := newHandler(t, poolSettings(), ServerInfo{ID: 1, Pool: 7, ReadyAt: 50}, ServerInfo{ID: 2, Pool: 7}, ServerInfo{ID: 3, Pool: 7}, ServerInfo{ID: 4, Pool: 7})
+	next := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7, ReadyAt: 50}, ServerInfo{ID: 2, Pool: 7}, ServerInfo{ID: 3, Pool: 7}, ServerInfo{ID: 4, Pool: 7})
 	next.now = 9e6 // another clock
 	next.l.cfg.Plans[0].Rate, next.l.cfg.Plans[0].Burst = 1e6, 1e6
-	next.give(Recall{Memory: m})
+	next.handle(Recall{Memory: m})
 	old, now := h.l.servers, next.l.servers
-	if p, q := h.l.pools[7], next.l.pools[7]; !reflect.DeepEqual(p.work, q.work) || p.fit != q.fit || p.worth != q.worth {
-		t.Errorf("%v %v, %v %v", p.work, q.work, p.fit, q.fit)
+	if p, q := h.l.pools[7], next.l.pools[7]; !reflect.DeepEqual(p.typicalMs, q.typicalMs) || p.loadFit != q.loadFit || p.worth != q.worth {
+		t.Errorf("%v %v, %v %v", p.typicalMs, q.typicalMs, p.loadFit, q.loadFit)
 	}
 	if a, b := old[1].slowness(h.now), now[1].slowness(next.now); math.Abs(a-b) > 1e-6 || b < 1.5 {
 		t.Errorf("a slow server: %v, then %v", a, b)
@@ -69,19 +69,19 @@
 		next.outcome(id, Pass)
 	}
 	// Another process at the same address is a stranger, and so is one that is not listed.
-	next = newHandler(t, poolSettings(), ServerInfo{ID: 1, Pool: 7, ReadyAt: 60}, ServerInfo{ID: 5, Pool: 7})
-	next.give(Recall{Memory: m})
-	if s := next.l.servers[1]; s.had != 0 || s.down || len(next.l.servers) != 2 {
+	next = newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7, ReadyAt: 60}, ServerInfo{ID: 5, Pool: 7})
+	next.handle(Recall{Memory: m})
+	if s := next.l.servers[1]; s.slownessCount != 0 || s.down || len(next.l.servers) != 2 {
 		t.Errorf("another process: %+v, %d servers", s, len(next.l.servers))
 	}
 	// What it has learnt itself goes before.
 	before := h.l.Remember(h.now)
-	h.give(Recall{Memory: &Memory{Usual: []UsualMemory{{1, 100}, {1, 100}, {}}, Pools: []PoolMemory{{ID: 7, Work: []WorkMemory{{1, 9}, {1, 9}, {1, 9}}}},
+	h.handle(Recall{Memory: &Memory{Usual: []UsualMemory{{1, 100}, {1, 100}, {}}, Pools: []PoolMemory{{ID: 7, Work: []WorkMemory{{1, 9}, {1, 9}, {1, 9}}}},
 		Boxes: []BoxMemory{{ID: 2, Spent: 50, Had: 1, Ills: make([]IllMemory, 3)}}}})
 	if !reflect.DeepEqual(before, h.l.Remember(h.now)) {
 		t.Error("a memory replaces what is known")
 	}
-	h.give(Recall{})
+	h.handle(Recall{})
 }
 
 // randomMemory is what no limiter learns.
@@ -114,24 +114,24 @@
 func TestRecallOfNonsense(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 3))
 	for range 3000 {
-		h := newHandler(t, poolSettings(), ServerInfo{ID: 1, Pool: 1}, ServerInfo{ID: 2, Pool: 1})
-		h.give(Recall{Memory: randomMemory(r, 3)})
+		h := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 1}, ServerInfo{ID: 2, Pool: 1})
+		h.handle(Recall{Memory: randomMemory(r, 3)})
 		p := h.l.poolOf(1)
-		for _, s := range p.order {
+		for _, s := range p.serverList {
 			for class := range 3 {
-				if x := h.l.expected(h.now, s, class); !(x > 0) || math.IsInf(x, 0) {
+				if x := h.l.expectedMs(h.now, s, class); !(x > 0) || math.IsInf(x, 0) {
 					t.Fatalf("an answer is expected after %v ms: %+v %+v", x, p, s)
 				}
 			}
-			if s.ills[0].to > h.now+illMs {
-				t.Fatalf("kept off for %v ms", s.ills[0].to-h.now)
+			if s.ejections[0].until > h.now+ejectionMs {
+				t.Fatalf("kept off for %v ms", s.ejections[0].until-h.now)
 			}
 		}
 		for i := range 40 { // and after some answers it goes on as ever
 			h.now += 300
-			h.give(Alarm{Handle: "tick"})
+			h.handle(Alarm{Handle: "tick"})
 			for id := range uint64(2) {
-				h.give(Probed{Server: id + 1, Result: Pass})
+				h.handle(Probed{Server: id + 1, Result: Pass})
 			}
 			id := fmt.Sprint("r", i)
 			h.submit(id, Submit{Units: 1, Customer: uint64(i), Pool: 1})
@@ -146,7 +146,7 @@
 }
 
 // handOver is all that a limiter that has ended tells, in parts of two accounts.
-func handOver(l *Limiter, now float64) *Memory {
+func completeHandover(l *Limiter, now float64) *Memory {
 	m := l.HandOver(now)
 	for more := true; more; {
 		var told []AccountMemory
@@ -157,19 +157,19 @@
 }
 
 // handover ends a limiter and begins another one some time later.
-func handover(t *testing.T, h *handler, s Settings, down float64, change func(*Handover)) *handler {
-	m := handOver(h.l, h.now)
+func restart(t *testing.T, h *harness, s Settings, down float64, change func(*Handover)) *harness {
+	m := completeHandover(h.l, h.now)
 	m.Handover.DownMs = down
 	if change != nil {
 		change(m.Handover)
 	}
-	next := newHandler(t, s, ServerInfo{ID: 1})
-	next.give(Recall{Memory: m})
+	next := newHarness(t, s, ServerInfo{ID: 1})
+	next.handle(Recall{Memory: m})
 	return next
 }
 
 // passes counts how many units of an account pass at once.
-func (h *handler) passes(account uint64, plan int) (n int) {
+func (h *harness) countPassed(account uint64, plan int) (n int) {
 	for i := range 60 {
 		id := fmt.Sprint("p", account, "-", i, "-", h.now)
 		h.submit(id, Submit{Units: 1, Customer: account, Plan: plan})
@@ -186,17 +186,17 @@
 func TestHandover(t *testing.T) {
 	s := poolSettings()
 	s.Plans[1].Rate, s.Plans[1].Burst = 1e6, 1e6 // the ceiling alone: 8 a second, 16 at once
-	begin := func() *handler {
-		h := newHandler(t, s, ServerInfo{ID: 1})
+	begin := func() *harness {
+		h := newHarness(t, s, ServerInfo{ID: 1})
 		h.now += 60_000
-		if n := h.passes(5, 1); n != 16 {
+		if n := h.countPassed(5, 1); n != 16 {
 			t.Fatalf("%d of a full ceiling", n)
 		}
 		h.now += 500 // 4 units more
 		return h
 	}
-	plain := newHandler(t, s, ServerInfo{ID: 1})
-	if n := plain.passes(5, 1); n != 0 {
+	plain := newHarness(t, s, ServerInfo{ID: 1})
+	if n := plain.countPassed(5, 1); n != 0 {
 		t.Errorf("a fresh limiter grants %d of a ceiling", n)
 	}
 	for name, c := range map[string]struct {
@@ -215,30 +215,30 @@
 		"a share too large":    {1000, func(h *Handover) { h.Accounts[0].Share = 1e9 }, 16, 16},
 		"other limiters":       {1000, func(h *Handover) { h.Accounts[0].Spread = 2 }, 0, 16},
 	} {
-		next := handover(t, begin(), s, c.down, c.change)
-		if n, m := next.passes(5, 1), next.passes(6, 1); n != c.spent || m != c.fresh {
+		next := restart(t, begin(), s, c.down, c.change)
+		if n, m := next.countPassed(5, 1), next.countPassed(6, 1); n != c.spent || m != c.fresh {
 			t.Errorf("%s: %d and %d units, want %d and %d", name, n, m, c.spent, c.fresh)
 		}
 	}
 	// Three in a row hand on what they hold, and a new configuration gives it up.
 	h := begin()
 	for range 3 {
-		h = handover(t, h, s, 100, nil)
+		h = restart(t, h, s, 100, nil)
 	}
-	if n := h.passes(5, 1); n != 6 {
+	if n := h.countPassed(5, 1); n != 6 {
 		t.Errorf("%d units after three handovers in 300 ms, want 6", n)
 	}
-	h = handover(t, begin(), s, 1000, nil)
-	h.give(Reconfigure{Settings: s, Classes: []int{0, 1, 2}, Plans: []int{0, 1}})
-	if n := h.passes(5, 1); n != 0 {
+	h = restart(t, begin(), s, 1000, nil)
+	h.handle(Reconfigure{Settings: s, Classes: []int{0, 1, 2}, Plans: []int{0, 1}})
+	if n := h.countPassed(5, 1); n != 0 {
 		t.Errorf("%d units after another configuration", n)
 	}
-	h = handover(t, begin(), s, 1000, nil)
+	h = restart(t, begin(), s, 1000, nil)
 	for range 200 {
 		h.now += 100
-		h.give(Alarm{Handle: "tick"})
+		h.handle(Alarm{Handle: "tick"})
 	}
-	if h.l.resumed != nil {
-		t.Errorf("%d accounts are kept for ever", len(h.l.resumed))
+	if h.l.inherited != nil {
+		t.Errorf("%d accounts are kept for ever", len(h.l.inherited))
 	}
 }
--- a/limiter/parts.go
+++ b/limiter/parts.go
@@ -23,86 +23,86 @@
 // Demands are those of all accounts with ceilings whose requests have come here. Nothing
 // changes by looking.
 func (l *Limiter) Demands() (all []Demand) {
-	for _, c := range l.listed {
-		if p := l.cfg.Plans[c.plan]; c.spread > 0 && p.CeilingRate > 0 {
-			all = append(all, Demand{c.id, c.first, c.spread, c.asked, c.largest, p.CeilingBurst})
+	for _, acct := range l.accountList {
+		if limits := l.cfg.Plans[acct.plan]; acct.spread > 0 && limits.CeilingRate > 0 {
+			all = append(all, Demand{acct.id, acct.first, acct.spread, acct.requested, acct.largestRequest, limits.CeilingBurst})
 		}
 	}
 	return all
 }
 
 // part is a gateway's part of one account's ceiling, in equal ones. The zero value is one.
-type part struct {
-	less float64 // by so much it is below an equal one
-	low  float64 // and was before it last grew
-	grew float64 // when it did
+type ceilingPart struct {
+	reduction    float64 // by so much it is below an equal one
+	oldReduction float64 // and was before it last grew
+	grownAt      float64 // when it did
 }
 
 // becomes is a part that is to be x. What is saved up without a record of one that grows
 // stays what it was, so that what moves is not spent by its old holder and by its new one.
-func (p part) becomes(now, x float64) part {
-	less := 1 - x
-	if less < p.less {
-		return part{less, max(less, p.saved(now)), now}
+func (p ceilingPart) resized(now, x float64) ceilingPart {
+	reduction := 1 - x
+	if reduction < p.reduction {
+		return ceilingPart{reduction, max(reduction, p.balanceReduction(now)), now}
 	}
-	return part{less, max(less, p.low), p.grew}
+	return ceilingPart{reduction, max(reduction, p.oldReduction), p.grownAt}
 }
 
 // saved is by how much what an account without a record has saved up is below an equal part's.
-func (p part) saved(now float64) float64 {
-	if now-p.grew > forgetMs {
-		return p.less
+func (p ceilingPart) balanceReduction(now float64) float64 {
+	if now-p.grownAt > accountIdleMs {
+		return p.reduction
 	}
-	return p.low
+	return p.oldReduction
 }
 
 // moved has other parts hold.
-func (l *Limiter) moved(now float64, e Parts) {
-	old, rest := l.parts, l.others
-	was := func(id uint64) part {
+func (l *Limiter) setParts(now float64, e Parts) {
+	old, oldDefault := l.ceilingParts, l.defaultPart
+	previous := func(id uint64) ceilingPart {
 		if p, ok := old[id]; ok {
 			return p
 		}
-		return rest
+		return oldDefault
 	}
-	l.parts, l.others = make(map[uint64]part, len(e.Of)), rest.becomes(now, e.Rest)
+	l.ceilingParts, l.defaultPart = make(map[uint64]ceilingPart, len(e.Of)), oldDefault.resized(now, e.Rest)
 	for id, x := range e.Of {
-		l.parts[id] = was(id).becomes(now, x)
+		l.ceilingParts[id] = previous(id).resized(now, x)
 	}
 	for id, p := range old { // back among the rest, but for what it has saved up
-		if x := p.becomes(now, e.Rest); !has(e.Of, id) && (now-x.grew <= forgetMs || x.less != l.others.less) {
-			l.parts[id] = x
+		if x := p.resized(now, e.Rest); !hasKey(e.Of, id) && (now-x.grownAt <= accountIdleMs || x.reduction != l.defaultPart.reduction) {
+			l.ceilingParts[id] = x
 		}
 	}
-	for _, c := range l.listed {
-		if x := l.partOf(c.id); c.spread > 0 && c.less != x.less {
-			l.refill(now, c)
-			c.less = x.less
-			c.share = min(c.share, l.cfg.Plans[c.plan].CeilingBurst/c.among()-c.leased)
+	for _, acct := range l.accountList {
+		if x := l.ceilingPartOf(acct.id); acct.spread > 0 && acct.reduction != x.reduction {
+			l.refill(now, acct)
+			acct.reduction = x.reduction
+			acct.ceilingBalance = min(acct.ceilingBalance, l.cfg.Plans[acct.plan].CeilingBurst/acct.ceilingDivisor()-acct.leased)
 		}
 	}
 }
 
-func has(of map[uint64]float64, id uint64) bool {
-	_, ok := of[id]
+func hasKey(parts map[uint64]float64, id uint64) bool {
+	_, ok := parts[id]
 	return ok
 }
 
-func (l *Limiter) partOf(id uint64) part {
-	if p, ok := l.parts[id]; ok {
+func (l *Limiter) ceilingPartOf(id uint64) ceilingPart {
+	if p, ok := l.ceilingParts[id]; ok {
 		return p
 	}
-	return l.others
+	return l.defaultPart
 }
 
 // among is among how many equal parts the ceiling would be divided to get this gateway's.
-func (c *customer) among() float64 { return float64(c.spread) / max(1e-6, 1-c.less) }
+func (a *account) ceilingDivisor() float64 { return float64(a.spread) / max(1e-6, 1-a.reduction) }
 
 // begin gives an account that joins here its part of the ceiling.
-func (l *Limiter) begin(now float64, c *customer) {
-	p, x := l.cfg.Plans[c.plan], l.partOf(c.id)
-	c.less = x.less
-	c.share = min(p.CeilingBurst, p.CeilingRate*(now-l.knownFrom)/1000) / c.among()
-	l.resume(now, c)
-	c.share = min(c.share, p.CeilingBurst*(1-x.saved(now))/float64(c.spread))
+func (l *Limiter) initCeiling(now float64, acct *account) {
+	limits, part := l.cfg.Plans[acct.plan], l.ceilingPartOf(acct.id)
+	acct.reduction = part.reduction
+	acct.ceilingBalance = min(limits.CeilingBurst, limits.CeilingRate*(now-l.knownSince)/1000) / acct.ceilingDivisor()
+	l.resumeAccount(now, acct)
+	acct.ceilingBalance = min(acct.ceilingBalance, limits.CeilingBurst*(1-part.balanceReduction(now))/float64(acct.spread))
 }
--- a/limiter/peercodec.go
+++ b/limiter/peercodec.go
@@ -14,12 +14,12 @@
 
 // Flags of a peer message.
 const (
-	flagAsking = 1 << iota // the sender is new and asks for levels
-	flagLevels             // the answer to a question for levels
-	flagOut                // entries carry the attempts out
-	flagNews               // a keeper tells levels: customer, plan and level alone
-	flagIll                // with flagNews: servers and classes that fail
-	allFlags   = flagAsking | flagLevels | flagOut | flagNews | flagIll
+	flagSyncRequest = 1 << iota // the sender is new and asks for levels
+	flagSyncReply               // the answer to a question for levels
+	flagOutstanding             // entries carry the attempts out
+	flagLevelUpdate             // a keeper tells levels: customer, plan and level alone
+	flagFailureHint             // with flagNews: servers and classes that fail
+	allFlags        = flagSyncRequest | flagSyncReply | flagOutstanding | flagLevelUpdate | flagFailureHint
 )
 
 // unitScale is the number of steps in which a unit is told.
@@ -36,96 +36,96 @@
 
 // peerEntry tells of one customer.
 type peerEntry struct {
-	customer uint64
-	plan     uint64
-	spread   uint64 // gateways of the customer ...
-	first    uint64 // ... in a row from this one
-	spent    uint64 // units passed since the sender started, in steps
-	fresh    uint64 // those of them not told before
-	margin   uint64 // told with news, in steps
-	level    int64  // the sender's bucket level, in steps
-	out      uint64 // attempts out
+	account     uint64
+	plan        uint64
+	spread      uint64 // gateways of the customer ...
+	first       uint64 // ... in a row from this one
+	spent       uint64 // units passed since the sender started, in steps
+	newlySpent  uint64 // those of them not told before
+	margin      uint64 // told with news, in steps
+	level       int64  // the sender's bucket level, in steps
+	outstanding uint64 // attempts out
 }
 
 // encode writes the message with as many of its entries as fit and returns
 // the bytes and the number of entries written.
 func (m *peerMsg) encode() ([]byte, int) {
-	b := make([]byte, 0, maxPeerBytes)
-	b = append(b, peerMagic, peerVersion, m.flags)
-	if m.flags&flagNews == 0 {
-		b = binary.LittleEndian.AppendUint32(b, m.mark)
-		b = binary.AppendUvarint(b, m.seq)
+	data := make([]byte, 0, maxPeerBytes)
+	data = append(data, peerMagic, peerVersion, m.flags)
+	if m.flags&flagLevelUpdate == 0 {
+		data = binary.LittleEndian.AppendUint32(data, m.mark)
+		data = binary.AppendUvarint(data, m.seq)
 	}
-	if m.flags&flagNews == 0 || m.flags&flagLevels != 0 {
-		b = binary.AppendUvarint(b, m.ageMs)
+	if m.flags&flagLevelUpdate == 0 || m.flags&flagSyncReply != 0 {
+		data = binary.AppendUvarint(data, m.ageMs)
 	}
-	n := 0
-	for _, e := range m.entries {
-		mark := len(b)
-		b = binary.AppendUvarint(b, e.customer)
-		b = binary.AppendUvarint(b, e.plan)
-		b = binary.AppendVarint(b, e.level)
-		if m.flags&flagNews != 0 {
-			b = binary.AppendUvarint(b, e.margin)
+	written := 0
+	for _, entry := range m.entries {
+		mark := len(data)
+		data = binary.AppendUvarint(data, entry.account)
+		data = binary.AppendUvarint(data, entry.plan)
+		data = binary.AppendVarint(data, entry.level)
+		if m.flags&flagLevelUpdate != 0 {
+			data = binary.AppendUvarint(data, entry.margin)
 		} else {
-			b = binary.AppendUvarint(b, e.spread)
-			b = binary.AppendUvarint(b, e.first)
-			b = binary.AppendUvarint(b, e.spent)
-			b = binary.AppendUvarint(b, e.fresh)
+			data = binary.AppendUvarint(data, entry.spread)
+			data = binary.AppendUvarint(data, entry.first)
+			data = binary.AppendUvarint(data, entry.spent)
+			data = binary.AppendUvarint(data, entry.newlySpent)
 		}
-		if m.flags&flagOut != 0 {
-			b = binary.AppendUvarint(b, e.out)
+		if m.flags&flagOutstanding != 0 {
+			data = binary.AppendUvarint(data, entry.outstanding)
 		}
-		if len(b) > maxPeerBytes {
-			b = b[:mark]
+		if len(data) > maxPeerBytes {
+			data = data[:mark]
 			break
 		}
-		n++
+		written++
 	}
-	return b, n
+	return data, written
 }
 
 // decodePeer reads a message; ok is false if any part of it is not sound.
-func decodePeer(b []byte) (m peerMsg, ok bool) {
-	if len(b) < 3 || len(b) > maxPeerBytes || b[0] != peerMagic || b[1] != peerVersion || b[2]&^allFlags != 0 {
+func decodePeer(data []byte) (m peerMsg, ok bool) {
+	if len(data) < 3 || len(data) > maxPeerBytes || data[0] != peerMagic || data[1] != peerVersion || data[2]&^allFlags != 0 {
 		return m, false
 	}
-	m.flags = b[2]
-	news := m.flags&flagNews != 0
-	b = b[3:]
-	sound := true
+	m.flags = data[2]
+	levelUpdate := m.flags&flagLevelUpdate != 0
+	data = data[3:]
+	valid := true
 	uvarint := func() uint64 {
-		v, n := binary.Uvarint(b)
+		v, n := binary.Uvarint(data)
 		if n <= 0 {
-			sound, b = false, nil
+			valid, data = false, nil
 			return 0
 		}
-		b = b[n:]
+		data = data[n:]
 		return v
 	}
-	if !news {
-		if len(b) < 4 {
+	if !levelUpdate {
+		if len(data) < 4 {
 			return m, false
 		}
-		m.mark, b = binary.LittleEndian.Uint32(b), b[4:]
+		m.mark, data = binary.LittleEndian.Uint32(data), data[4:]
 		m.seq = uvarint()
 	}
-	if !news || m.flags&flagLevels != 0 {
+	if !levelUpdate || m.flags&flagSyncReply != 0 {
 		m.ageMs = uvarint()
 	}
-	for sound && len(b) > 0 {
-		e := peerEntry{customer: uvarint(), plan: uvarint()}
+	for valid && len(data) > 0 {
+		entry := peerEntry{account: uvarint(), plan: uvarint()}
 		level := uvarint()
-		e.level = int64(level>>1) ^ -int64(level&1) // as Varint is laid out
-		if news {
-			e.margin = uvarint()
+		entry.level = int64(level>>1) ^ -int64(level&1) // as Varint is laid out
+		if levelUpdate {
+			entry.margin = uvarint()
 		} else {
-			e.spread, e.first, e.spent, e.fresh = uvarint(), uvarint(), uvarint(), uvarint()
+			entry.spread, entry.first, entry.spent, entry.newlySpent = uvarint(), uvarint(), uvarint(), uvarint()
 		}
-		if m.flags&flagOut != 0 {
-			e.out = uvarint()
+		if m.flags&flagOutstanding != 0 {
+			entry.outstanding = uvarint()
 		}
-		m.entries = append(m.entries, e)
+		m.entries = append(m.entries, entry)
 	}
-	return m, sound
+	return m, valid
 }
--- a/limiter/pool_test.go
+++ b/limiter/pool_test.go
@@ -16,58 +16,58 @@
 }
 
 // handler gives events to a Limiter and keeps what it does with requests.
-type handler struct {
-	t    *testing.T
-	l    *Limiter
-	now  float64
-	sent map[string][]uint64
-	end  map[string]string
-	wait map[string]float64
+type harness struct {
+	t       *testing.T
+	l       *Limiter
+	now     float64
+	sent    map[string][]uint64
+	results map[string]string
+	waitMs  map[string]float64
 }
 
-func newHandler(t *testing.T, s Settings, servers ...ServerInfo) *handler {
+func newHarness(t *testing.T, s Settings, servers ...ServerInfo) *harness {
 	t.Helper()
-	return newHandlerAt(t, 1000, s, servers...)
+	return newHarnessAt(t, 1000, s, servers...)
 }
 
-func newHandlerAt(t *testing.T, now float64, s Settings, servers ...ServerInfo) *handler {
+func newHarnessAt(t *testing.T, now float64, s Settings, servers ...ServerInfo) *harness {
 	t.Helper()
 	l, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &handler{t: t, l: l, now: now, sent: map[string][]uint64{}, end: map[string]string{}, wait: map[string]float64{}}
-	h.give(Endpoints{Scope: Complete, Servers: servers})
+	h := &harness{t: t, l: l, now: now, sent: map[string][]uint64{}, results: map[string]string{}, waitMs: map[string]float64{}}
+	h.handle(Endpoints{Scope: Complete, Servers: servers})
 	return h
 }
 
-func (h *handler) give(ev Event) {
+func (h *harness) handle(ev Event) {
 	for _, a := range h.l.Handle(h.now, ev) {
 		switch a := a.(type) {
 		case PassOn:
 			h.sent[a.ID] = append(h.sent[a.ID], a.Server)
 		case Refuse:
-			h.end[a.ID], h.wait[a.ID] = "refused", a.WaitMs
+			h.results[a.ID], h.waitMs[a.ID] = "refused", a.WaitMs
 		case Fail:
-			h.end[a.ID] = "failed"
+			h.results[a.ID] = "failed"
 		}
 	}
 }
 
-func (h *handler) submit(id string, e Submit) {
+func (h *harness) submit(id string, e Submit) {
 	e.ID, e.ExpiresMs, e.Spread = id, 900, 1
-	h.give(e)
+	h.handle(e)
 }
 
-func (h *handler) outcome(id string, result Result) {
+func (h *harness) outcome(id string, result Result) {
 	try := len(h.sent[id]) - 1
-	h.give(Outcome{ID: id, Try: try, Server: h.sent[id][try], Result: result, SpentMs: 10, Done: result == Pass, Load: Load{-1, -1, -1}})
+	h.handle(Outcome{ID: id, Try: try, Server: h.sent[id][try], Result: result, SpentMs: 10, Done: result == Pass, Load: Load{-1, -1, -1}})
 }
 
 // A request goes to the servers of its pool alone, also when it is tried again and the
 // other pool is idle; an unknown pool has no servers.
 func TestPoolsKeepApart(t *testing.T) {
-	h := newHandler(t, poolSettings(), ServerInfo{ID: 1, Pool: 7}, ServerInfo{ID: 2, Pool: 7}, ServerInfo{ID: 3, Pool: 9}, ServerInfo{ID: 4, Pool: 9})
+	h := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7}, ServerInfo{ID: 2, Pool: 7}, ServerInfo{ID: 3, Pool: 9}, ServerInfo{ID: 4, Pool: 9})
 	for i := range 60 {
 		h.now += 200
 		pool := []uint64{7, 9}[i%2]
@@ -75,7 +75,7 @@
 		h.submit(id, Submit{Units: 1, Customer: uint64(i % 8), Pool: pool})
 		for k, result := range []Result{NoRoom, Pass}[min(1, i%6):] {
 			if len(h.sent[id]) <= k {
-				t.Fatalf("request %d was not sent again: %v", i, h.end[id])
+				t.Fatalf("request %d was not sent again: %v", i, h.results[id])
 			}
 			h.outcome(id, result)
 		}
@@ -86,19 +86,19 @@
 		}
 	}
 	h.submit("nowhere", Submit{Units: 1, Customer: 50, Pool: 11})
-	if h.end["nowhere"] != "refused" || len(h.sent["nowhere"]) > 0 {
-		t.Errorf("a pool without servers: %v, sent to %v", h.end["nowhere"], h.sent["nowhere"])
+	if h.results["nowhere"] != "refused" || len(h.sent["nowhere"]) > 0 {
+		t.Errorf("a pool without servers: %v, sent to %v", h.results["nowhere"], h.sent["nowhere"])
 	}
 }
 
 // What one pool learns of load does not turn requests of another away.
 func TestPoolsLearnApart(t *testing.T) {
-	h := newHandler(t, poolSettings(), ServerInfo{ID: 1, Pool: 7}, ServerInfo{ID: 2, Pool: 9})
+	h := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7}, ServerInfo{ID: 2, Pool: 9})
 	for i := range 40 { // pool 7 is slow and full
 		h.now += 100
 		h.submit(fmt.Sprint("s", i), Submit{Units: 1, Customer: uint64(i), Pool: 7})
 		if i%4 == 3 {
-			h.give(Outcome{ID: fmt.Sprint("s", i-3), Server: 1, Result: Pass, SpentMs: 400, Done: true, Load: Load{-1, -1, -1}})
+			h.handle(Outcome{ID: fmt.Sprint("s", i-3), Server: 1, Result: Pass, SpentMs: 400, Done: true, Load: Load{-1, -1, -1}})
 		}
 	}
 	refused := 0
@@ -111,17 +111,17 @@
 		}
 		h.outcome(id, Pass)
 	}
-	if refused > 0 || h.l.poolOf(7).work[0] < 300 || h.l.poolOf(9).work[0] > 20 {
-		t.Errorf("%d refused beside a slow pool; learnt %v and %v", refused, h.l.poolOf(7).work, h.l.poolOf(9).work)
+	if refused > 0 || h.l.poolOf(7).typicalMs[0] < 300 || h.l.poolOf(9).typicalMs[0] > 20 {
+		t.Errorf("%d refused beside a slow pool; learnt %v and %v", refused, h.l.poolOf(7).typicalMs, h.l.poolOf(9).typicalMs)
 	}
 }
 
 // A server that moves takes what it has in hand along, and an empty pool is forgotten.
 func TestPoolsMove(t *testing.T) {
-	h := newHandler(t, poolSettings(), ServerInfo{ID: 1, Pool: 7}, ServerInfo{ID: 2, Pool: 9})
+	h := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7}, ServerInfo{ID: 2, Pool: 9})
 	h.submit("a", Submit{Units: 1, Customer: 1, Pool: 7})
-	h.give(Endpoints{Scope: Complete, Servers: []ServerInfo{{ID: 1, Pool: 9}, {ID: 2, Pool: 9}}})
-	if h.l.pools[7] != nil || h.l.poolOf(9).inflight != 1 || len(h.l.poolOf(9).order) != 2 {
+	h.handle(Endpoints{Scope: Complete, Servers: []ServerInfo{{ID: 1, Pool: 9}, {ID: 2, Pool: 9}}})
+	if h.l.pools[7] != nil || h.l.poolOf(9).inflight != 1 || len(h.l.poolOf(9).serverList) != 2 {
 		t.Errorf("pool 7 %v, pool 9 %+v", h.l.pools[7], h.l.poolOf(9))
 	}
 	h.outcome("a", Pass)
@@ -133,9 +133,9 @@
 // A route's bound on attempts holds, and never lifts the deployment's.
 func TestAttemptsOfARoute(t *testing.T) {
 	for _, c := range []struct{ bound, want int }{{1, 1}, {2, 2}, {0, 3}, {9, 3}} {
-		h := newHandler(t, poolSettings(), ServerInfo{ID: 1}, ServerInfo{ID: 2}, ServerInfo{ID: 3}, ServerInfo{ID: 4})
+		h := newHarness(t, poolSettings(), ServerInfo{ID: 1}, ServerInfo{ID: 2}, ServerInfo{ID: 3}, ServerInfo{ID: 4})
 		h.submit("a", Submit{Units: 1, Customer: 1, Attempts: c.bound})
-		for h.end["a"] == "" {
+		for h.results["a"] == "" {
 			h.outcome("a", NoRoom)
 		}
 		if len(h.sent["a"]) != c.want {
@@ -147,10 +147,10 @@
 // What a new configuration leaves of balances and ceilings.
 func TestReconfigureBalances(t *testing.T) {
 	const account = 5
-	spent := func(h *handler, plan int, id string) (n int) { // one-unit requests until one is refused
+	spent := func(h *harness, plan int, id string) (n int) { // one-unit requests until one is refused
 		for ; ; n++ {
 			x := fmt.Sprint(id, n)
-			if h.submit(x, Submit{Units: 1, Customer: account, Plan: plan}); h.end[x] == "refused" {
+			if h.submit(x, Submit{Units: 1, Customer: account, Plan: plan}); h.results[x] == "refused" {
 				return n
 			}
 			h.outcome(x, Pass)
@@ -173,7 +173,7 @@
 		{"a ceiling is new: it begins with nothing", func(s *Settings) { s.Plans[0].CeilingRate, s.Plans[0].CeilingBurst = 15, 30 }, []int{0, 1}, 0, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHandler(t, poolSettings(), ServerInfo{ID: 1}, ServerInfo{ID: 2})
+			h := newHarness(t, poolSettings(), ServerInfo{ID: 1}, ServerInfo{ID: 2})
 			h.now += 60_000 // long enough for the whole burst
 			h.submit("first", Submit{Units: 0, Customer: account})
 			h.outcome("first", Pass)
@@ -184,7 +184,7 @@
 			}
 			s := poolSettings()
 			c.change(&s)
-			h.give(Reconfigure{Settings: s, Classes: []int{0, 1, 2}, Plans: c.plans})
+			h.handle(Reconfigure{Settings: s, Classes: []int{0, 1, 2}, Plans: c.plans})
 			if n := spent(h, c.plan, "after"); n != c.after {
 				t.Errorf("%d pass after, want %d", n, c.after)
 			}
@@ -195,13 +195,13 @@
 // A lowered ceiling holds from the change on: what passes is the greater part left and
 // the new rate, never the old one.
 func TestReconfigureCeiling(t *testing.T) {
-	h := newHandler(t, poolSettings(), ServerInfo{ID: 1}, ServerInfo{ID: 2})
+	h := newHarness(t, poolSettings(), ServerInfo{ID: 1}, ServerInfo{ID: 2})
 	h.now += 60_000
 	s := poolSettings()
 	s.Plans[1].Rate, s.Plans[1].Burst, s.Plans[1].CeilingRate, s.Plans[1].CeilingBurst = 50, 100, 3, 6
-	h.give(Submit{ID: "first", ExpiresMs: 900, Customer: 5, Plan: 1, Spread: 1})
+	h.handle(Submit{ID: "first", ExpiresMs: 900, Customer: 5, Plan: 1, Spread: 1})
 	h.outcome("first", Pass)
-	h.give(Reconfigure{Settings: s, Classes: []int{0, 1, 2}, Plans: []int{0, 1}})
+	h.handle(Reconfigure{Settings: s, Classes: []int{0, 1, 2}, Plans: []int{0, 1}})
 	passed, start := 0.0, h.now
 	for i := 0; h.now < start+20_000; i++ {
 		h.now += 20
@@ -219,18 +219,18 @@
 // A class that is gone with a request in hand: the request keeps what it was told, and
 // nothing is tried again that must not be.
 func TestReconfigureClassInHand(t *testing.T) {
-	h := newHandler(t, poolSettings(), ServerInfo{ID: 1}, ServerInfo{ID: 2}, ServerInfo{ID: 3})
+	h := newHarness(t, poolSettings(), ServerInfo{ID: 1}, ServerInfo{ID: 2}, ServerInfo{ID: 3})
 	h.submit("safe", Submit{Units: 1, Customer: 1, Class: 0})
 	h.submit("unsafe", Submit{Units: 1, Customer: 2, Class: 2})
 	s := poolSettings()
 	s.Classes = s.Classes[1:2]
-	h.give(Reconfigure{Settings: s, Classes: []int{-1, 0, -1}, Plans: []int{0, 1}})
+	h.handle(Reconfigure{Settings: s, Classes: []int{-1, 0, -1}, Plans: []int{0, 1}})
 	h.submit("keyed", Submit{Units: 1, Customer: 3, Class: 0})
 	for _, id := range []string{"safe", "unsafe", "keyed"} {
 		h.outcome(id, Cut)
 	}
-	if len(h.sent["safe"]) != 2 || len(h.sent["keyed"]) != 2 || len(h.sent["unsafe"]) != 1 || h.end["unsafe"] != "failed" {
-		t.Errorf("sent %v, ended %v", h.sent, h.end)
+	if len(h.sent["safe"]) != 2 || len(h.sent["keyed"]) != 2 || len(h.sent["unsafe"]) != 1 || h.results["unsafe"] != "failed" {
+		t.Errorf("sent %v, ended %v", h.sent, h.results)
 	}
 	h.outcome("safe", Pass)
 	h.outcome("keyed", Pass)
@@ -238,7 +238,7 @@
 		t.Errorf("%d in hand", len(h.l.requests))
 	}
 	for range 3 { // what nothing names any more does not stay
-		h.give(Reconfigure{Settings: s, Classes: []int{0}, Plans: []int{0, 1}})
+		h.handle(Reconfigure{Settings: s, Classes: []int{0}, Plans: []int{0, 1}})
 	}
 	if len(h.l.cfg.Classes) != 1 || len(h.l.cfg.Plans) != 2 {
 		t.Errorf("%d classes, %d plans", len(h.l.cfg.Classes), len(h.l.cfg.Plans))
@@ -247,7 +247,7 @@
 
 // Many reloads leave balances where they are and nothing behind.
 func TestReconfigureOften(t *testing.T) {
-	h := newHandler(t, poolSettings(), ServerInfo{ID: 1}, ServerInfo{ID: 2})
+	h := newHarness(t, poolSettings(), ServerInfo{ID: 1}, ServerInfo{ID: 2})
 	h.now += 60_000
 	h.submit("a", Submit{Units: 7, Customer: 5})
 	for i := range 1000 {
@@ -259,15 +259,15 @@
 		if i%2 == 1 {
 			plans = []int{0}
 		}
-		h.give(Reconfigure{Settings: s, Classes: []int{0, 1, 2}, Plans: plans})
+		h.handle(Reconfigure{Settings: s, Classes: []int{0, 1, 2}, Plans: plans})
 	}
-	if c := h.l.customers[5]; math.Abs(c.balance-13) > 1e-9 || len(h.l.cfg.Plans) > 3 {
+	if c := h.l.accounts[5]; math.Abs(c.balance-13) > 1e-9 || len(h.l.cfg.Plans) > 3 {
 		t.Errorf("balance %v, %d plans", c.balance, len(h.l.cfg.Plans))
 	}
 }
 
 // tiered are two tiers of three servers each, of which 30% may spill.
-func tiered(t *testing.T) *handler {
+func newTieredHarness(t *testing.T) *harness {
 	s := poolSettings()
 	s.Spills = map[uint64][]float64{7: {0.3, 0}}
 	s.Plans[0].Rate, s.Plans[0].Burst, s.Caps.Probes = 1e6, 1e6, true
@@ -275,18 +275,18 @@
 	for i := range 6 {
 		servers = append(servers, ServerInfo{ID: uint64(1 + i), Pool: 7, Tier: i / 3})
 	}
-	return newHandler(t, s, servers...)
+	return newHarness(t, s, servers...)
 }
 
 // went sends requests, which are answered at once by result, and counts those that went
 // to the first tier, to the second, and nowhere.
-func (h *handler) went(n int, result func(server uint64) Result) (first, second, refused int) {
+func (h *harness) sendThroughTiers(n int, result func(server uint64) Result) (first, second, refused int) {
 	for range n {
 		h.now += 20
-		h.give(Alarm{Handle: "tick"})
+		h.handle(Alarm{Handle: "tick"})
 		id := fmt.Sprint("w", h.now)
 		h.submit(id, Submit{Units: 1, Customer: 1, Pool: 7})
-		for h.end[id] == "" && len(h.sent[id]) > 0 {
+		for h.results[id] == "" && len(h.sent[id]) > 0 {
 			server := h.sent[id][len(h.sent[id])-1]
 			r := result(server)
 			if h.outcome(id, r); r == Pass {
@@ -298,7 +298,7 @@
 				break
 			}
 		}
-		if h.end[id] != "" {
+		if h.results[id] != "" {
 			refused++
 		}
 	}
@@ -308,9 +308,9 @@
 // Requests stay in the first tier while it can take them; when its servers can't be
 // reached they go to the second one, and when they answer again they come back in steps.
 func TestTiersLoseAndRegain(t *testing.T) {
-	h := tiered(t)
+	h := newTieredHarness(t)
 	well := func(uint64) Result { return Pass }
-	if first, second, refused := h.went(200, well); first != 200 || second+refused != 0 {
+	if first, second, refused := h.sendThroughTiers(200, well); first != 200 || second+refused != 0 {
 		t.Errorf("all is well: %d, %d, %d refused", first, second, refused)
 	}
 	gone := func(server uint64) Result {
@@ -319,16 +319,16 @@
 		}
 		return Pass
 	}
-	h.went(50, gone)
-	if first, second, refused := h.went(200, gone); first != 0 || second < 195 || refused > 5 {
+	h.sendThroughTiers(50, gone)
+	if first, second, refused := h.sendThroughTiers(200, gone); first != 0 || second < 195 || refused > 5 {
 		t.Errorf("the first tier is lost: %d, %d, %d refused", first, second, refused)
 	}
 	for id := range uint64(3) {
-		h.give(Probed{Server: id + 1, Result: Pass})
+		h.handle(Probed{Server: id + 1, Result: Pass})
 	}
 	var course []int
 	for range 8 { // of 25 requests, 500 ms, each
-		first, second, refused := h.went(25, well)
+		first, second, refused := h.sendThroughTiers(25, well)
 		if course = append(course, first); first+second+refused != 25 || refused > 0 {
 			t.Errorf("on the way back: %d, %d, %d refused", first, second, refused)
 		}
@@ -337,9 +337,9 @@
 		t.Errorf("the first tier's share of 25 on its way back: %v", course)
 	}
 	for range 40 {
-		h.went(25, well)
+		h.sendThroughTiers(25, well)
 	}
-	if first, second, _ := h.went(50, well); first != 50 || second != 0 {
+	if first, second, _ := h.sendThroughTiers(50, well); first != 50 || second != 0 {
 		t.Errorf("back: %d, %d", first, second)
 	}
 }
@@ -347,8 +347,8 @@
 // While a tier that has no room is partly healthy, its stated share goes on to the next
 // one, and the rest is refused at once with a time to come back.
 func TestTiersSpill(t *testing.T) {
-	h := tiered(t)
-	h.went(20, func(uint64) Result { return Pass })
+	h := newTieredHarness(t)
+	h.sendThroughTiers(20, func(uint64) Result { return Pass })
 	sent := [2]int{}
 	refused := 0
 	for i := range 600 { // nobody answers: what the first tier can take is soon out
@@ -356,8 +356,8 @@
 		id := fmt.Sprint("s", i)
 		h.submit(id, Submit{Units: 1, Customer: 1, Pool: 7})
 		switch {
-		case h.end[id] == "refused":
-			if refused++; h.wait[id] <= 0 {
+		case h.results[id] == "refused":
+			if refused++; h.waitMs[id] <= 0 {
 				t.Fatal("refused with no time to come back")
 			}
 		case h.sent[id][0] <= 3:
@@ -373,26 +373,26 @@
 
 // New shares hold without disturbing a way back, and a pool may lose its tiers.
 func TestTiersReconfigured(t *testing.T) {
-	h := tiered(t)
+	h := newTieredHarness(t)
 	gone := func(server uint64) Result {
 		if server <= 3 {
 			return NoRoute
 		}
 		return Pass
 	}
-	h.went(100, gone)
+	h.sendThroughTiers(100, gone)
 	p := h.l.poolOf(7)
 	if p.tiers.State(h.now, 0).Phase != routing.Lost {
 		t.Fatal("the first tier is not lost")
 	}
 	s := h.l.cfg
 	s.Spills = map[uint64][]float64{7: {0.5, 0}}
-	h.give(Reconfigure{Settings: s, Classes: []int{0, 1, 2}, Plans: []int{0, 1}})
+	h.handle(Reconfigure{Settings: s, Classes: []int{0, 1, 2}, Plans: []int{0, 1}})
 	if p.tiers.State(h.now, 0).Phase != routing.Lost {
 		t.Error("another share makes a lost tier well")
 	}
 	s.Spills = nil
-	h.give(Reconfigure{Settings: s, Classes: []int{0, 1, 2}, Plans: []int{0, 1}})
+	h.handle(Reconfigure{Settings: s, Classes: []int{0, 1, 2}, Plans: []int{0, 1}})
 	if p.tiers != nil {
 		t.Error("the tiers stay")
 	}
@@ -403,7 +403,7 @@
 	s := poolSettings()
 	s.Plans[0].Rate, s.Plans[0].Burst = 1e6, 1e6
 	s.Plans[1].Rate, s.Plans[1].Burst = 1e6, 1e6
-	h := newHandler(t, s, ServerInfo{ID: 1}, ServerInfo{ID: 2})
+	h := newHarness(t, s, ServerInfo{ID: 1}, ServerInfo{ID: 2})
 	h.now += 60_000
 	passed := 0
 	for i := range 400 { // 4 s: the ceiling gives 16 and 8 a second
@@ -430,16 +430,16 @@
 		class int
 		sent  int // attempts
 	}{"keyed": {1, 2}, "unsafe": {2, 1}} {
-		h := tiered(t)
+		h := newTieredHarness(t)
 		well := func(uint64) Result { return Pass }
-		h.went(50, well)
+		h.sendThroughTiers(50, well)
 		gone := func(server uint64) Result {
 			if server <= 3 {
 				return NoRoute
 			}
 			return Pass
 		}
-		h.went(100, gone)
+		h.sendThroughTiers(100, gone)
 		id := "repeat"
 		h.submit(id, Submit{Units: 1, Customer: 1, Pool: 7, Class: c.class})
 		if len(h.sent[id]) != 1 || h.sent[id][0] <= 3 {
@@ -460,29 +460,29 @@
 // A server of a pool with tiers that answers again after it was down is taken to be cold
 // until discovery tells when it started: its process may be a new one.
 func TestTiersPresumeCold(t *testing.T) {
-	h := tiered(t)
+	h := newTieredHarness(t)
 	h.l.cfg.Rules = Rules{ColdShare: 0.25, ColdMs: 12_000, FallMs: 1500, OverloadFactor: 3}
-	h.went(100, func(uint64) Result { return Pass })
-	h.went(100, func(server uint64) Result {
+	h.sendThroughTiers(100, func(uint64) Result { return Pass })
+	h.sendThroughTiers(100, func(server uint64) Result {
 		if server <= 3 {
 			return NoRoute
 		}
 		return Pass
 	})
 	for id := range uint64(3) {
-		h.give(Probed{Server: id + 1, Result: Pass})
+		h.handle(Probed{Server: id + 1, Result: Pass})
 	}
 	s := h.l.servers[1]
 	if w := h.l.warmth(h.now, s); w > 0.3 {
 		t.Errorf("its warmth is %v", w)
 	}
-	first, _, refused := h.went(100, func(uint64) Result { return Pass }) // in 2 s
+	first, _, refused := h.sendThroughTiers(100, func(uint64) Result { return Pass }) // in 2 s
 	if first > 40 || refused > 0 {
 		t.Errorf("%d of 100 go to three servers that may be cold, %d refused", first, refused)
 	}
 	info := s.info
 	info.ReadyAt = 1 // discovery tells that it has long been there
-	h.give(Endpoints{Scope: Partial, Servers: []ServerInfo{info}})
+	h.handle(Endpoints{Scope: Partial, Servers: []ServerInfo{info}})
 	if at := h.l.servers[1].info.ReadyAt; at != 1 {
 		t.Errorf("discovery says when it started, and %v holds", at)
 	}
@@ -490,8 +490,8 @@
 
 // What operators see of tiers.
 func TestTiersShown(t *testing.T) {
-	h := tiered(t)
-	h.went(100, func(uint64) Result { return Pass })
+	h := newTieredHarness(t)
+	h.sendThroughTiers(100, func(uint64) Result { return Pass })
 	all := h.l.Tiers(h.now)
 	if len(all) != 2 || all[0].Pool != 7 || all[1].Tier != 1 || all[0].Usable != 3 || all[0].Share != 1 || all[0].Next != "up to 30% may spill" {
 		t.Errorf("%+v", all)
@@ -500,16 +500,16 @@
 
 // Clients that give their requests hardly any time do not make a tier fail.
 func TestTiersHurriedClients(t *testing.T) {
-	h := tiered(t)
-	h.went(100, func(uint64) Result { return Pass })
+	h := newTieredHarness(t)
+	h.sendThroughTiers(100, func(uint64) Result { return Pass })
 	for i := range 200 {
 		h.now += 100
 		id := fmt.Sprint("hurried", i)
-		h.give(Submit{ID: id, Spread: 1, Units: 1, Customer: 1, Pool: 7, ExpiresMs: 15})
-		if len(h.sent[id]) > 0 && h.end[id] == "" {
+		h.handle(Submit{ID: id, Spread: 1, Units: 1, Customer: 1, Pool: 7, ExpiresMs: 15})
+		if len(h.sent[id]) > 0 && h.results[id] == "" {
 			h.outcome(id, TooSlow)
 		}
-		h.give(Alarm{Handle: "tick"})
+		h.handle(Alarm{Handle: "tick"})
 	}
 	if x := h.l.Tiers(h.now)[0]; x.Phase != routing.Well {
 		t.Errorf("%+v", x)
--- a/limiter/prepared_test.go
+++ b/limiter/prepared_test.go
@@ -22,9 +22,9 @@
 	if l.Prepared(2999) || !l.Prepared(3000) {
 		t.Error("its parts are full after 2 s")
 	}
-	c := l.customerOf(3000, 7, 0, 2)
-	if l.join(3000, c, 2, 0); c.share != 15 {
-		t.Errorf("it has %v of its part of 15 then", c.share)
+	c := l.accountOf(3000, 7, 0, 2)
+	if l.setLimiters(3000, c, 2, 0); c.ceilingBalance != 15 {
+		t.Errorf("it has %v of its part of 15 then", c.ceilingBalance)
 	}
 	if !start([]Plan{{Rate: 7, Burst: 15, Price: 1}}).Prepared(1000) {
 		t.Error("without ceilings there is nothing to wait for")
@@ -36,9 +36,9 @@
 		l := start(ceiling)
 		var told []byte
 		other := start(ceiling)
-		other.out = other.out[:0]
-		other.tellSet(peerMsg{mark: 5, seq: 1, flags: flagNews | flagLevels, ageMs: age}, 1, 1)
-		for _, a := range other.out {
+		other.actions = other.actions[:0]
+		other.sendToPeers(peerMsg{mark: 5, seq: 1, flags: flagLevelUpdate | flagSyncReply, ageMs: age}, 1, 1)
+		for _, a := range other.actions {
 			if m, ok := a.(Tell); ok {
 				told = m.Data
 			}
--- a/limiter/property_test.go
+++ b/limiter/property_test.go
@@ -11,69 +11,69 @@
 // chaos drives several limiters with random legal events and checks the five
 // rules on what they do. It has no notion of load or speed: outcomes, delays,
 // losses, restarts and list changes are drawn blindly.
-type chaos struct {
-	t        *testing.T
-	rng      *rand.Rand
-	now      float64
-	cfg      Settings
-	limiters []*Limiter
-	servers  map[uint64]ServerInfo
-	told     []map[uint64]ServerInfo // what each limiter was last told
-	open     []map[string]*chaosReq
-	timers   []chaosTimer
-	store    []float64              // true store of the ceiling of each customer
-	sends    []map[uint64][]float64 // by gateway and server: when it was sent to
-	ids      int
-	mail     []chaosMail
-	done     int
-	advised  bool // plug-ins say whatever comes to them
-	refused  int  // requests that they refused
-	handed   int  // accounts from one limiter to the next
+type randomRun struct {
+	t           *testing.T
+	rng         *rand.Rand
+	now         float64
+	cfg         Settings
+	limiters    []*Limiter
+	servers     map[uint64]ServerInfo
+	lists       []map[uint64]ServerInfo // what each limiter was last told
+	open        []map[string]*trackedRequest
+	timers      []pendingTimer
+	ceilingLeft []float64              // true store of the ceiling of each customer
+	sends       []map[uint64][]float64 // by gateway and server: when it was sent to
+	ids         int
+	messages    []pendingMessage
+	answered    int
+	advised     bool // plug-ins say whatever comes to them
+	refused     int  // requests that they refused
+	handedOver  int  // accounts from one limiter to the next
 }
 
-type chaosReq struct {
-	id       string
-	submit   Submit
-	deadline float64
-	live     map[int]PassOn
-	sent     []PassOn
-	sentAt   []float64
-	ran      []int // attempts that may have run
-	over     bool
+type trackedRequest struct {
+	id         string
+	submit     Submit
+	deadline   float64
+	inflight   map[int]PassOn
+	sent       []PassOn
+	sentAt     []float64
+	mayHaveRun []int // attempts that may have run
+	ended      bool
 }
 
-type chaosTimer struct {
-	at   float64
-	who  int
-	name string
-	l    *Limiter
+type pendingTimer struct {
+	at      float64
+	limiter int
+	name    string
+	owner   *Limiter
 }
 
-type chaosMail struct {
+type pendingMessage struct {
 	to   int
 	at   float64
 	msg  PeerMessage
 	from *Limiter
 }
 
-const chaosGateways = 3
+const randomRunLimiters = 3
 
-func (c *chaos) start(i int) {
+func (c *randomRun) start(i int) {
 	cfg := c.cfg
 	cfg.Position = i
 	l, err := New(cfg, c.rng.Uint64())
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.limiters[i], c.open[i], c.told[i] = l, map[string]*chaosReq{}, map[uint64]ServerInfo{}
+	c.limiters[i], c.open[i], c.lists[i] = l, map[string]*trackedRequest{}, map[uint64]ServerInfo{}
 	c.sends[i] = map[uint64][]float64{}
-	c.tellList(i, Persisted)
+	c.sendList(i, Persisted)
 	if c.advised { // and whatever a file says that one before it has learnt
 		c.event(i, Recall{Memory: randomMemory(c.rng, len(cfg.Classes))})
 	}
 }
 
-func (c *chaos) list() (s []ServerInfo) {
+func (c *randomRun) list() (s []ServerInfo) {
 	for _, info := range c.servers {
 		s = append(s, info)
 	}
@@ -81,43 +81,43 @@
 	return s
 }
 
-func (c *chaos) tellList(i int, scope Scope) {
+func (c *randomRun) sendList(i int, scope Scope) {
 	if scope != Partial {
-		c.told[i] = map[uint64]ServerInfo{}
+		c.lists[i] = map[uint64]ServerInfo{}
 	}
 	for _, s := range c.list() {
-		c.told[i][s.ID] = s
+		c.lists[i][s.ID] = s
 	}
 	c.event(i, Endpoints{Scope: scope, Servers: c.list()})
 }
 
-func (c *chaos) event(i int, e Event) {
+func (c *randomRun) event(i int, e Event) {
 	for _, a := range c.limiters[i].Handle(c.now, e) {
 		c.action(i, a)
 	}
 }
 
-func (c *chaos) action(i int, a Action) {
+func (c *randomRun) action(i int, a Action) {
 	t := c.t
 	switch a := a.(type) {
 	case PassOn:
 		r := c.open[i][a.ID]
-		if r == nil || r.over {
+		if r == nil || r.ended {
 			t.Fatalf("sent %s, which is over", a.ID)
 		}
-		info, ok := c.told[i][a.Server]
+		info, ok := c.lists[i][a.Server]
 		if !ok || info.Phase != Up {
 			t.Fatalf("sent to server %d, which drains, is gone or was never listed", a.Server)
 		}
 		class := c.cfg.Classes[r.submit.Class]
-		if len(r.live) > 0 && !c.cfg.Caps.SecondCopies {
+		if len(r.inflight) > 0 && !c.cfg.Caps.SecondCopies {
 			t.Fatal("two attempts out at once")
 		}
 		if len(r.sent) >= c.cfg.Caps.Attempts {
 			t.Fatal("more attempts than allowed")
 		}
-		for _, k := range r.ran {
-			before := c.told[i][r.sent[k].Server]
+		for _, k := range r.mayHaveRun {
+			before := c.lists[i][r.sent[k].Server]
 			switch {
 			case class.Repeat == Unsafe:
 				t.Fatal("an unsafe request that may have run was sent again")
@@ -132,22 +132,22 @@
 		}
 		c.sends[i][a.Server] = append(c.sends[i][a.Server], c.now)
 		c.checkCold(i, info)
-		r.live[len(r.sent)] = a
+		r.inflight[len(r.sent)] = a
 		r.sent = append(r.sent, a)
 		r.sentAt = append(r.sentAt, c.now)
 	case Refuse:
 		r := c.open[i][a.ID]
-		if r == nil || r.over {
+		if r == nil || r.ended {
 			return
 		}
 		class := c.cfg.Classes[r.submit.Class]
 		harmless := class.Repeat == Safe || class.Repeat == Keyed && class.Group == GroupAll
-		if !harmless && (len(r.ran) > 0 || len(r.live) > 0) {
+		if !harmless && (len(r.mayHaveRun) > 0 || len(r.inflight) > 0) {
 			t.Fatalf("refused a request of class %d that may have run", r.submit.Class)
 		}
 		c.finish(i, r)
 	case Fail:
-		if r := c.open[i][a.ID]; r != nil && !r.over {
+		if r := c.open[i][a.ID]; r != nil && !r.ended {
 			c.finish(i, r)
 		}
 	case AbortAttempt:
@@ -155,19 +155,19 @@
 			t.Fatal("called off an attempt never made")
 		}
 	case Timer:
-		c.timers = append(c.timers, chaosTimer{a.At, i, a.Handle, c.limiters[i]})
+		c.timers = append(c.timers, pendingTimer{a.At, i, a.Handle, c.limiters[i]})
 	case Tell:
 		if len(a.Data) > maxPeerBytes || a.To == i {
 			t.Fatalf("bad message of %d bytes to %d", len(a.Data), a.To)
 		}
 		if c.rng.Float64() < 0.9 {
-			c.mail = append(c.mail, chaosMail{a.To, c.now + 40*c.rng.Float64(), PeerMessage{From: i, Data: a.Data}, nil})
+			c.messages = append(c.messages, pendingMessage{a.To, c.now + 40*c.rng.Float64(), PeerMessage{From: i, Data: a.Data}, nil})
 		}
 	}
 }
 
 // warmth is what rule 4 lets a server of that age be counted for.
-func (c *chaos) warmth(info ServerInfo) float64 {
+func (c *randomRun) warmth(info ServerInfo) float64 {
 	if info.ReadyAt <= 0 {
 		return 1
 	}
@@ -178,7 +178,7 @@
 // checkCold holds a gateway to its part of a cold server's budget: the rule's
 // multiple of its warmth times what the gateway sends to the busiest warm
 // server in the same window, and a few for chance and for works of other sizes.
-func (c *chaos) checkCold(i int, info ServerInfo) {
+func (c *randomRun) checkCold(i int, info ServerInfo) {
 	w := c.warmth(info)
 	if w >= 1 {
 		return
@@ -192,7 +192,7 @@
 		return n
 	}
 	most := 0.0 // what was sent to a server while it was warm still counts
-	for id := range c.told[i] {
+	for id := range c.lists[i] {
 		if id != info.ID {
 			most = max(most, since(id, c.now-3*c.cfg.Rules.FallMs))
 		}
@@ -202,36 +202,36 @@
 	}
 }
 
-func (c *chaos) finish(i int, r *chaosReq) {
-	r.over = true
-	c.done++
+func (c *randomRun) finish(i int, r *trackedRequest) {
+	r.ended = true
+	c.answered++
 	if c.now > r.deadline+8 {
 		c.t.Fatalf("%s answered %g ms late", r.id, c.now-r.deadline)
 	}
 }
 
-func (c *chaos) spendCeiling(s Submit) {
+func (c *randomRun) spendCeiling(s Submit) {
 	if c.cfg.Plans[s.Plan].CeilingRate == 0 {
 		return
 	}
-	left := &c.store[s.Customer]
+	left := &c.ceilingLeft[s.Customer]
 	if *left -= s.Units; *left < -1e-6 {
 		c.t.Fatalf("the ceiling of customer %d is passed by %g", s.Customer, -*left)
 	}
 }
 
 // answerOne ends one attempt that is out with a drawn result.
-func (c *chaos) answerOne(i int, r *chaosReq, try int, forced Result) {
-	delete(r.live, try)
+func (c *randomRun) endAttempt(i int, r *trackedRequest, try int, forced Result) {
+	delete(r.inflight, try)
 	result := forced
 	if result < 0 {
 		result = Result(c.rng.IntN(8))
 	}
-	if !provesUnrun(result) {
-		r.ran = append(r.ran, try)
+	if !provesNotRun(result) {
+		r.mayHaveRun = append(r.mayHaveRun, try)
 	}
-	done := r.over
-	if result == Pass && !r.over {
+	done := r.ended
+	if result == Pass && !r.ended {
 		c.finish(i, r)
 		done = true
 	}
@@ -239,25 +239,25 @@
 		SpentMs: c.now - r.sentAt[try], Done: done, Load: Load{Busy: float64(c.rng.IntN(9) - 1)}})
 }
 
-func (c *chaos) step() {
+func (c *randomRun) step() {
 	dt := min(4, c.rng.ExpFloat64()*3)
 	c.now += dt
-	for k := range c.store {
+	for k := range c.ceilingLeft {
 		p := c.cfg.Plans[1]
-		c.store[k] = min(p.CeilingBurst, c.store[k]+dt*p.CeilingRate/1000)
+		c.ceilingLeft[k] = min(p.CeilingBurst, c.ceilingLeft[k]+dt*p.CeilingRate/1000)
 	}
 	for k := 0; k < len(c.timers); k++ {
 		if tm := c.timers[k]; tm.at <= c.now {
 			c.timers = slices.Delete(c.timers, k, k+1)
 			k--
-			if c.limiters[tm.who] == tm.l {
-				c.event(tm.who, Alarm{Handle: tm.name})
+			if c.limiters[tm.limiter] == tm.owner {
+				c.event(tm.limiter, Alarm{Handle: tm.name})
 			}
 		}
 	}
-	for k := 0; k < len(c.mail); k++ {
-		if m := c.mail[k]; m.at <= c.now {
-			c.mail = slices.Delete(c.mail, k, k+1)
+	for k := 0; k < len(c.messages); k++ {
+		if m := c.messages[k]; m.at <= c.now {
+			c.messages = slices.Delete(c.messages, k, k+1)
 			k--
 			c.event(m.to, m.msg)
 		}
@@ -271,34 +271,34 @@
 		for _, id := range ids {
 			r := c.open[i][id]
 			for try := range r.sent {
-				if _, live := r.live[try]; live && c.now >= r.deadline {
-					c.answerOne(i, r, try, TooSlow)
-				} else if live && c.rng.Float64() < 0.05 {
-					c.answerOne(i, r, try, -1)
+				if _, inflight := r.inflight[try]; inflight && c.now >= r.deadline {
+					c.endAttempt(i, r, try, TooSlow)
+				} else if inflight && c.rng.Float64() < 0.05 {
+					c.endAttempt(i, r, try, -1)
 				}
 			}
-			if r.over && len(r.live) == 0 {
+			if r.ended && len(r.inflight) == 0 {
 				delete(c.open[i], id)
-			} else if !r.over && len(r.live) == 0 {
+			} else if !r.ended && len(r.inflight) == 0 {
 				c.t.Fatalf("%s is held with nothing out", id)
 			}
 		}
 	}
-	i := c.rng.IntN(chaosGateways)
+	i := c.rng.IntN(randomRunLimiters)
 	switch u := c.rng.Float64(); {
 	case u < 0.8:
 		c.ids++
 		plan := c.rng.IntN(len(c.cfg.Plans))
 		s := Submit{ID: fmt.Sprint("q", c.ids), ExpiresMs: 50 + 1950*c.rng.Float64(), Units: float64(1 + c.rng.IntN(4)),
 			Class: c.rng.IntN(len(c.cfg.Classes)), Plan: plan, Customer: uint64(plan + len(c.cfg.Plans)*c.rng.IntN(4)),
-			Spread: chaosGateways}
+			Spread: randomRunLimiters}
 		if c.advised {
 			s.Advice = randomAdvice(c.rng)
 		}
-		r := &chaosReq{id: s.ID, submit: s, deadline: c.now + s.ExpiresMs, live: map[int]PassOn{}}
+		r := &trackedRequest{id: s.ID, submit: s, deadline: c.now + s.ExpiresMs, inflight: map[int]PassOn{}}
 		c.open[i][s.ID] = r
 		c.event(i, s)
-		if len(r.sent) == 0 && !r.over {
+		if len(r.sent) == 0 && !r.ended {
 			c.t.Fatalf("%s got no answer", s.ID)
 		}
 		if s.Advice.Refuse {
@@ -307,9 +307,9 @@
 			}
 		}
 	case u < 0.81: // the client leaves
-		for _, id := range firstKey(c.open[i]) {
-			if r := c.open[i][id]; !r.over {
-				r.over = true
+		for _, id := range firstID(c.open[i]) {
+			if r := c.open[i][id]; !r.ended {
+				r.ended = true
 				c.event(i, Aborted{ID: id})
 			}
 		}
@@ -318,10 +318,10 @@
 			c.start(i)
 			break
 		}
-		m := handOver(c.limiters[i], c.now) // or in good order, and the next one goes on from it
+		m := completeHandover(c.limiters[i], c.now) // or in good order, and the next one goes on from it
 		c.start(i)
 		c.event(i, Recall{Memory: m})
-		c.handed += len(m.Handover.Accounts)
+		c.handedOver += len(m.Handover.Accounts)
 	case u < 0.83: // a server drains, goes, restarts or comes
 		id := uint64(1 + c.rng.IntN(8))
 		info := c.servers[id]
@@ -331,7 +331,7 @@
 		}
 		c.servers[id] = info
 		for k := range c.limiters {
-			c.tellList(k, Scope(c.rng.IntN(2)))
+			c.sendList(k, Scope(c.rng.IntN(2)))
 		}
 	case u < 0.85:
 		c.event(i, Probed{Server: uint64(1 + c.rng.IntN(9)), Result: Result(c.rng.IntN(8))})
@@ -340,7 +340,7 @@
 	}
 }
 
-func firstKey(m map[string]*chaosReq) []string {
+func firstID(m map[string]*trackedRequest) []string {
 	var ids []string
 	for id := range m {
 		ids = append(ids, id)
@@ -370,13 +370,13 @@
 			if advised {
 				cfg.Spills = map[uint64][]float64{0: {0.3, 0.5, 0}}
 			}
-			cfg.Balancers = chaosGateways
-			c := &chaos{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 1e6 * float64(seed), cfg: cfg,
-				limiters: make([]*Limiter, chaosGateways), told: make([]map[uint64]ServerInfo, chaosGateways),
-				open: make([]map[string]*chaosReq, chaosGateways), servers: map[uint64]ServerInfo{},
-				store: make([]float64, 64), sends: make([]map[uint64][]float64, chaosGateways), advised: advised}
-			for k := range c.store {
-				c.store[k] = cfg.Plans[1].CeilingBurst
+			cfg.Balancers = randomRunLimiters
+			c := &randomRun{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 1e6 * float64(seed), cfg: cfg,
+				limiters: make([]*Limiter, randomRunLimiters), lists: make([]map[uint64]ServerInfo, randomRunLimiters),
+				open: make([]map[string]*trackedRequest, randomRunLimiters), servers: map[uint64]ServerInfo{},
+				ceilingLeft: make([]float64, 64), sends: make([]map[uint64][]float64, randomRunLimiters), advised: advised}
+			for k := range c.ceilingLeft {
+				c.ceilingLeft[k] = cfg.Plans[1].CeilingBurst
 			}
 			for id := uint64(1); id <= 8; id++ {
 				c.servers[id] = ServerInfo{ID: id, Cell: int(id % 2), Zone: int(id % 2), Tier: int(id%3) * btoi(advised)}
@@ -387,11 +387,11 @@
 			for range 6000 {
 				c.step()
 			}
-			if c.handed < 20 {
-				t.Errorf("%d accounts were handed over", c.handed)
+			if c.handedOver < 20 {
+				t.Errorf("%d accounts were handed over", c.handedOver)
 			}
-			if c.done < 3000 || advised != (c.refused > 200) {
-				t.Errorf("only %d requests were answered, %d refused by plug-ins", c.done, c.refused)
+			if c.answered < 3000 || advised != (c.refused > 200) {
+				t.Errorf("only %d requests were answered, %d refused by plug-ins", c.answered, c.refused)
 			}
 		})
 	}
@@ -412,7 +412,7 @@
 			t.Fatal(err)
 		}
 		rng := rand.New(rand.NewPCG(5, 5))
-		out := fmt.Sprint(l.Handle(1, Endpoints{Scope: Persisted, Servers: fleet(9)}))
+		out := fmt.Sprint(l.Handle(1, Endpoints{Scope: Persisted, Servers: makeServers(9)}))
 		for n := range 3000 {
 			now := float64(n * 3)
 			out += fmt.Sprint(l.Handle(now, Submit{ID: fmt.Sprint(n), ExpiresMs: 900, Units: 1, Plan: rng.IntN(4),
@@ -428,7 +428,7 @@
 }
 
 func FuzzDecodePeer(f *testing.F) {
-	m := peerMsg{flags: allFlags, mark: 9, seq: 300, ageMs: 70000, entries: []peerEntry{{customer: 1 << 32, plan: 2, spread: 3, spent: 77, fresh: 4, level: -5, out: 3}, {customer: 4, spread: 1, level: 9}}}
+	m := peerMsg{flags: allFlags, mark: 9, seq: 300, ageMs: 70000, entries: []peerEntry{{account: 1 << 32, plan: 2, spread: 3, spent: 77, newlySpent: 4, level: -5, outstanding: 3}, {account: 4, spread: 1, level: 9}}}
 	data, _ := m.encode()
 	f.Add(data)
 	f.Add([]byte{peerMagic, peerVersion, 0})
@@ -462,7 +462,7 @@
 			t.Fatal(err)
 		}
 		now := 0.0
-		l.Handle(now, Endpoints{Servers: fleet(3)})
+		l.Handle(now, Endpoints{Servers: makeServers(3)})
 		for len(b) >= 4 {
 			k, x, y, z := b[0], int(int8(b[1])), int(b[2]), b[3]
 			b = b[4:]
--- a/limiter/reason.go
+++ b/limiter/reason.go
@@ -21,8 +21,8 @@
 func (r Reason) String() string { return reasonNames[r] }
 
 // reason is why a request is turned away that admit has decided on.
-func (l *Limiter) reason(c *customer, e *Submit, aim float64, allowed bool) Reason {
-	p, units := l.cfg.Plans[c.plan], max(0, e.Units)
+func (l *Limiter) reason(acct *account, e *Submit, aim float64, allowed bool) Reason {
+	limits, units := l.cfg.Plans[acct.plan], max(0, e.Units)
 	switch {
 	case e.Advice.Refuse:
 		return Advised
@@ -30,11 +30,11 @@
 		return NoTime
 	case allowed:
 		return NoServer
-	case p.CeilingRate > 0 && l.spendable(c) < units:
+	case limits.CeilingRate > 0 && l.spendable(acct) < units:
 		return CeilingShort
-	case p.AtOnce > 0 && c.outAll() >= p.AtOnce:
+	case limits.AtOnce > 0 && acct.totalOutstanding() >= limits.AtOnce:
 		return AtOnceShort
-	case c.held > 0 && c.balance+c.held >= units:
+	case acct.withheld > 0 && acct.balance+acct.withheld >= units:
 		return PeersUnheard
 	}
 	return QuotaShort
@@ -56,21 +56,21 @@
 
 // Regards is what a server is taken for, for requests of a class. Nothing changes by looking.
 func (l *Limiter) Regards(now float64, id uint64, class int) Regard {
-	s := l.servers[id]
+	srv := l.servers[id]
 	switch {
-	case s == nil || s.info.Phase != Up:
+	case srv == nil || srv.info.Phase != Up:
 		return Unlisted
-	case s.down:
+	case srv.down:
 		return TakenDown
-	case now < s.ills[class].to:
+	case now < srv.ejections[class].until:
 		return TakenIll
-	case now < s.fullTo:
+	case now < srv.fullUntil:
 		return Full
-	case l.warmth(now, s) < 1 && s.cold < 1:
+	case l.warmth(now, srv) < 1 && srv.coldCredit < 1:
 		return TooCold
 	}
-	look, all := *s, *s.pool
-	if look.pool = &all; l.stalled(now, &look) { // which fades the sums of what it looks at
+	serverCopy, poolCopy := *srv, *srv.pool
+	if serverCopy.pool = &poolCopy; l.stalled(now, &serverCopy) { // which fades the sums of what it looks at
 		return Silent
 	}
 	return Usable
--- a/limiter/reason_test.go
+++ b/limiter/reason_test.go
@@ -7,11 +7,11 @@
 
 // What a limiter takes servers for, by what it has seen of them; looking changes nothing.
 func TestRegards(t *testing.T) {
-	h := learnt(t)
-	h.give(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: 5, Pool: 7, ReadyAt: h.now - 1}, {ID: 6, Pool: 7, Phase: Draining}}})
+	h := trainedLimiter(t)
+	h.handle(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: 5, Pool: 7, ReadyAt: h.now - 1}, {ID: 6, Pool: 7, Phase: Draining}}})
 	h.l.cfg.Rules = Rules{ColdShare: 0.2, ColdMs: 10_000, OverloadFactor: 3, FallMs: 1500}
-	h.l.servers[5].cold = 0
-	h.l.servers[1].fullTo = h.now + fullMs
+	h.l.servers[5].coldCredit = 0
+	h.l.servers[1].fullUntil = h.now + fullBackoffMs
 	before := h.l.Remember(h.now)
 	for _, c := range []struct {
 		server uint64
@@ -23,7 +23,7 @@
 		}
 	}
 	s := h.l.servers[3]
-	s.inflight, s.waitingAt = 1, h.now-1e6
+	s.inflight, s.silentSince = 1, h.now-1e6
 	if got := h.l.Regards(h.now, 3, 0); got != Silent {
 		t.Errorf("one that owes an answer for long: %v", got)
 	}
@@ -34,7 +34,7 @@
 }
 
 // why is the reason of the next refusal of a request, or -1.
-func (h *handler) why(e Submit) Reason {
+func (h *harness) refusalReason(e Submit) Reason {
 	e.ExpiresMs = max(e.ExpiresMs, 0)
 	for _, a := range h.l.Handle(h.now, e) {
 		if r, ok := a.(Refuse); ok {
@@ -47,9 +47,9 @@
 // Refusals carry what was short.
 func TestReasons(t *testing.T) {
 	s := poolSettings()
-	h := newHandler(t, s, ServerInfo{ID: 1})
+	h := newHarness(t, s, ServerInfo{ID: 1})
 	ask := Submit{ID: "a", ExpiresMs: 900, Units: 1, Customer: 1, Plan: 1}
-	if got := h.why(ask); got != CeilingShort { // a starting limiter has nothing of the ceiling
+	if got := h.refusalReason(ask); got != CeilingShort { // a starting limiter has nothing of the ceiling
 		t.Errorf("at the start: %v", got)
 	}
 	h.now += 60_000
@@ -67,7 +67,7 @@
 		e := ask
 		e.ID, e.Plan, e.Customer = name, 0, 2
 		c.change(&e)
-		if got := h.why(e); got != c.want {
+		if got := h.refusalReason(e); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
@@ -76,16 +76,16 @@
 // Operators and reports look at any time, and a limiter that is looked at decides as one
 // that is not: what it has learnt of servers and pools fades by its own events alone.
 func TestLookingChangesNothing(t *testing.T) {
-	h := newHandler(t, poolSettings(), ServerInfo{ID: 1})
+	h := newHarness(t, poolSettings(), ServerInfo{ID: 1})
 	h.now += 60_000
-	if why := h.why(Submit{ID: "a", ExpiresMs: 900, Units: 1, Customer: 2}); why != -1 {
-		t.Fatalf("refused: %v", why)
+	if refusalReason := h.refusalReason(Submit{ID: "a", ExpiresMs: 900, Units: 1, Customer: 2}); refusalReason != -1 {
+		t.Fatalf("refused: %v", refusalReason)
 	}
 	s := h.l.servers[1]
 	server, all := *s, *s.pool
 	h.l.Regards(h.now+777, 1, 0)
 	h.l.View(h.now + 777)
-	if s.statAt != server.statAt || s.pool.sendsAt != all.sendsAt || s.pool.sends != all.sends {
-		t.Errorf("looked at 777 ms later: sums of %v and %v, were %v and %v", s.statAt, s.pool.sendsAt, server.statAt, all.sendsAt)
+	if s.slownessAt != server.slownessAt || s.pool.sendsAt != all.sendsAt || s.pool.sends != all.sends {
+		t.Errorf("looked at 777 ms later: sums of %v and %v, were %v and %v", s.slownessAt, s.pool.sendsAt, server.slownessAt, all.sendsAt)
 	}
 }
--- a/limiter/reload.go
+++ b/limiter/reload.go
@@ -3,16 +3,16 @@
 import "slices"
 
 // weighPlans sets what follows from the plans.
-func (l *Limiter) weighPlans() {
+func (l *Limiter) updatePlans() {
 	worth := 0.0
-	l.anyOut, l.patience, l.named = false, nil, len(l.cfg.Plans)
-	for _, p := range l.cfg.Plans {
-		l.anyOut = l.anyOut || p.AtOnce > 0
-		worth += p.Rate * p.Price / float64(len(l.cfg.Plans))
+	l.anyOutstandingLimit, l.pauseFactors, l.named = false, nil, len(l.cfg.Plans)
+	for _, limits := range l.cfg.Plans {
+		l.anyOutstandingLimit = l.anyOutstandingLimit || limits.AtOnce > 0
+		worth += limits.Rate * limits.Price / float64(len(l.cfg.Plans))
 	}
-	for _, p := range l.cfg.Plans { // telling earns by worth, and where bursts are short
-		rate := max(1e-9, p.Rate)
-		l.patience = append(l.patience, max(0.1, min(4, p.Burst/rate/4*worth/max(1e-9, rate*p.Price))))
+	for _, limits := range l.cfg.Plans { // telling earns by worth, and where bursts are short
+		rate := max(1e-9, limits.Rate)
+		l.pauseFactors = append(l.pauseFactors, max(0.1, min(4, limits.Burst/rate/4*worth/max(1e-9, rate*limits.Price))))
 	}
 }
 
@@ -24,52 +24,52 @@
 func (l *Limiter) reconfigure(now float64, e Reconfigure) {
 	old := l.cfg
 	s := &e.Settings
-	l.forgo(now)
+	l.discardInherited(now)
 	l.cfg.Classes, l.cfg.Plans = slices.Clone(s.Classes), s.Plans
 	l.cfg.Rules, l.cfg.CrossPrice, l.cfg.Spills = s.Rules, s.CrossPrice, s.Spills
 	l.cfg.Caps.Attempts, l.cfg.Caps.RetryAfter = s.Caps.Attempts, s.Caps.RetryAfter
 	l.cfg.Caps.MaxWaitMs, l.cfg.Caps.ConnectMs = s.Caps.MaxWaitMs, s.Caps.ConnectMs
-	l.weighPlans()
+	l.updatePlans()
 	l.cfg.Plans = slices.Clone(l.cfg.Plans)
-	l.replan(old.Plans, e.Plans)
-	classes, plans := places(e.Classes, len(old.Classes)), places(e.Plans, len(old.Plans))
+	l.plansChanged(old.Plans, e.Plans)
+	classes, plans := newIndexes(e.Classes, len(old.Classes)), newIndexes(e.Plans, len(old.Plans))
 	for _, id := range l.sortedRequests() {
-		r := l.requests[id]
-		if classes[r.class] < 0 {
-			classes[r.class] = len(l.cfg.Classes)
-			l.cfg.Classes = append(l.cfg.Classes, old.Classes[r.class])
+		req := l.requests[id]
+		if classes[req.class] < 0 {
+			classes[req.class] = len(l.cfg.Classes)
+			l.cfg.Classes = append(l.cfg.Classes, old.Classes[req.class])
 		}
-		r.class = classes[r.class]
+		req.class = classes[req.class]
 	}
-	for _, c := range l.listed {
-		p := old.Plans[c.plan]
-		s := (now - c.at) / 1000 // to now by the plan that held
-		c.balance = min(p.Burst-c.leased, c.balance+s*p.Rate)
-		if n := c.among(); n > 0 {
-			c.share = min(p.CeilingBurst/n-c.leased, c.share+s*p.CeilingRate/n)
+	for _, acct := range l.accountList {
+		p := old.Plans[acct.plan]
+		s := (now - acct.refilledAt) / 1000 // to now by the plan that held
+		acct.balance = min(p.Burst-acct.leased, acct.balance+s*p.Rate)
+		if n := acct.ceilingDivisor(); n > 0 {
+			acct.ceilingBalance = min(p.CeilingBurst/n-acct.leased, acct.ceilingBalance+s*p.CeilingRate/n)
 		}
-		c.at = now
-		if plans[c.plan] < 0 {
-			plans[c.plan] = len(l.cfg.Plans)
-			l.cfg.Plans, l.patience = append(l.cfg.Plans, p), append(l.patience, 1)
+		acct.refilledAt = now
+		if plans[acct.plan] < 0 {
+			plans[acct.plan] = len(l.cfg.Plans)
+			l.cfg.Plans, l.pauseFactors = append(l.cfg.Plans, p), append(l.pauseFactors, 1)
 		}
-		c.plan = plans[c.plan]
-		c.countsOut = l.cfg.Plans[c.plan].AtOnce > 0
-		l.refill(now, c)
+		acct.plan = plans[acct.plan]
+		acct.limitsOutstanding = l.cfg.Plans[acct.plan].AtOnce > 0
+		l.refill(now, acct)
 	}
-	unnamed := func(c *customer) bool { return c.plan >= l.named }
-	l.kept = slices.DeleteFunc(l.kept, unnamed)
-	l.dirty = slices.DeleteFunc(l.dirty, func(c *customer) bool {
-		c.dirty = !unnamed(c)
-		return !c.dirty
+	unnamed := func(acct *account) bool { return acct.plan >= l.named }
+	l.aggregated = slices.DeleteFunc(l.aggregated, unnamed)
+	l.dirty = slices.DeleteFunc(l.dirty, func(acct *account) bool {
+		acct.dirty = !unnamed(acct)
+		return !acct.dirty
 	})
 	l.setTiers()
 	n := len(l.cfg.Classes)
-	l.usual = remap(l.usual, classes, n)
+	l.usualTimeout = remap(l.usualTimeout, classes, n)
 	for _, p := range l.pools {
-		p.work, p.seen = remap(p.work, classes, n), remap(p.seen, classes, n)
+		p.typicalMs, p.answers = remap(p.typicalMs, classes, n), remap(p.answers, classes, n)
 	}
-	for _, s := range l.order {
-		s.ills = remap(s.ills, classes, n)
+	for _, s := range l.serverList {
+		s.ejections = remap(s.ejections, classes, n)
 	}
 }
--- a/limiter/reserve.go
+++ b/limiter/reserve.go
@@ -8,179 +8,179 @@
 )
 
 // reserving is a limiter whose accounts are written down while it runs.
-type reserving struct {
-	headMs    float64
-	vouched   bool   // whom the file does not name it takes for full but for the headroom
-	before    []Plan // by the place of a plan now: the one that the file may still go by
-	walked    int    // of the accounts listed, that a write of all has told
-	walking   bool
-	passed    int         // of the accounts listed, that forget has kept
-	unwritten []*customer // those that have spent since they were told
-	seq, kept uint64
-	known     float64 // the earliest time since which the file may say that all is known
-	stale     bool    // other plans hold since the write was begun
-	whole     uint64  // the write that told all by the present plans
+type accountWriter struct {
+	headroomMs        float64
+	fileComplete      bool   // whom the file does not name it takes for full but for the headroom
+	filePlans         []Plan // by the place of a plan now: the one that the file may still go by
+	written           int    // of the accounts listed, that a write of all has told
+	writingAll        bool
+	swept             int        // of the accounts listed, that forget has kept
+	unwritten         []*account // those that have spent since they were told
+	seq, persistedSeq uint64
+	earliestKnown     float64 // the earliest time since which the file may say that all is known
+	plansStale        bool    // other plans hold since the write was begun
+	completeSeq       uint64  // the write that told all by the present plans
 }
 
 // Reserve has this limiter tell its accounts while it runs, each time with so much headroom
 // that what they may spend within a span, in ms, is not held up. Who calls it must go on with
 // [Limiter.BeginWrite], [Limiter.Accounts] and [Limiter.Kept]. No requests may have come yet.
-func (l *Limiter) Reserve(headMs float64) {
-	l.reserving = &reserving{headMs: headMs, known: math.Inf(1)}
+func (l *Limiter) Reserve(headroomMs float64) {
+	l.accountWriter = &accountWriter{headroomMs: headroomMs, earliestKnown: math.Inf(1)}
 }
 
 // BeginWrite begins telling the accounts, all of them or those that have spent since they were
 // told, and returns what they are counted by and the number of the write. All must be told in
 // the first write, after one that failed and after a [Reconfigure].
 func (l *Limiter) BeginWrite(now float64, all bool) (*Handover, uint64) {
-	r := l.reserving
-	r.seq++
+	writer := l.accountWriter
+	writer.seq++
 	if !l.started { // no event came yet: nothing is known
-		l.knownFrom, l.startedAt = now, now
+		l.knownSince, l.startedAt = now, now
 	}
-	r.stale, r.known = false, min(r.known, l.knownFrom)
+	writer.plansStale, writer.earliestKnown = false, min(writer.earliestKnown, l.knownSince)
 	if all {
-		r.walked, r.walking = 0, true
+		writer.written, writer.writingAll = 0, true
 	}
-	from := l.knownFrom
-	if l.resumed != nil { // some of what was spent before is told of by them alone
+	from := l.knownSince
+	if l.inherited != nil { // some of what was spent before is told of by them alone
 		from = l.startedAt
 	}
 	return &Handover{Position: l.cfg.Position, Balancers: l.cfg.Balancers, Plans: slices.Clone(l.cfg.Plans[:l.named]),
-		KnownMs: now - from, HeadMs: r.headMs, NowMs: now}, r.seq
+		KnownMs: now - from, HeadMs: writer.headroomMs, NowMs: now}, writer.seq
 }
 
 // Accounts tells the next accounts of the write that was begun, so many at most, and whether
 // there are more. Events may be handled in between; a [Reconfigure] among them voids the write,
 // and ok is false.
-func (l *Limiter) Accounts(now float64, most int) (told []AccountMemory, more, ok bool) {
-	r := l.reserving
-	if r.stale {
+func (l *Limiter) Accounts(now float64, limit int) (accounts []AccountMemory, more, ok bool) {
+	writer := l.accountWriter
+	if writer.plansStale {
 		return nil, false, false
 	}
-	left := len(r.unwritten)
-	if r.walking {
-		left += len(l.listed) - r.walked
+	left := len(writer.unwritten)
+	if writer.writingAll {
+		left += len(l.accountList) - writer.written
 	}
-	told = make([]AccountMemory, 0, min(most, left))
-	for ; r.walking && r.walked < len(l.listed) && len(told) < most; r.walked++ {
-		told = l.write(now, l.listed[r.walked], told)
+	accounts = make([]AccountMemory, 0, min(limit, left))
+	for ; writer.writingAll && writer.written < len(l.accountList) && len(accounts) < limit; writer.written++ {
+		accounts = l.writeAccount(now, l.accountList[writer.written], accounts)
 	}
-	r.walking = r.walking && r.walked < len(l.listed)
-	n := min(len(r.unwritten), most-len(told))
-	for _, c := range r.unwritten[:n] {
-		if c.unwritten {
-			told = l.write(now, c, told)
+	writer.writingAll = writer.writingAll && writer.written < len(l.accountList)
+	n := min(len(writer.unwritten), limit-len(accounts))
+	for _, acct := range writer.unwritten[:n] {
+		if acct.unwritten {
+			accounts = l.writeAccount(now, acct, accounts)
 		}
 	}
-	r.unwritten = r.unwritten[n:]
-	if more = r.walking || len(r.unwritten) > 0; !more {
-		r.unwritten, r.vouched = nil, true
+	writer.unwritten = writer.unwritten[n:]
+	if more = writer.writingAll || len(writer.unwritten) > 0; !more {
+		writer.unwritten, writer.fileComplete = nil, true
 	}
-	return told, more, true
+	return accounts, more, true
 }
 
 // write tells an account.
-func (l *Limiter) write(now float64, c *customer, told []AccountMemory) []AccountMemory {
-	c.unwritten = false
-	if c.spread == 0 || c.plan >= l.named {
-		return told // nothing of it has passed here, or its plan is gone
-	}
-	l.refill(now, c)
-	r, p, n := l.reserving, l.cfg.Plans[c.plan], c.among()
-	a := l.tell1(now, c)
-	if p.CeilingRate > 0 {
-		if c.reserve == nil {
-			c.reserve = reserve.Begin(l.unnamed(c))
+func (l *Limiter) writeAccount(now float64, acct *account, written []AccountMemory) []AccountMemory {
+	acct.unwritten = false
+	if acct.spread == 0 || acct.plan >= l.named {
+		return written // nothing of it has passed here, or its plan is gone
+	}
+	l.refill(now, acct)
+	writer, limits, divisor := l.accountWriter, l.cfg.Plans[acct.plan], acct.ceilingDivisor()
+	memory := l.accountMemory(now, acct)
+	if limits.CeilingRate > 0 {
+		if acct.reserve == nil {
+			acct.reserve = reserve.Begin(l.unlistedLine(acct))
 		}
-		head := reserve.Headroom(p.CeilingRate, p.CeilingBurst, r.headMs) / n
-		a.Share -= head
-		c.reserve.Write(now, reserve.Line{Level: a.Share, At: now, Rate: p.CeilingRate / n, Most: p.CeilingBurst/n - head}, r.seq, r.kept)
+		headroom := reserve.Headroom(limits.CeilingRate, limits.CeilingBurst, writer.headroomMs) / divisor
+		memory.Share -= headroom
+		acct.reserve.Write(now, reserve.Line{Level: memory.Share, At: now, Rate: limits.CeilingRate / divisor, Most: limits.CeilingBurst/divisor - headroom}, writer.seq, writer.persistedSeq)
 	}
-	return append(told, a)
+	return append(written, memory)
 }
 
 // Kept says that a write is on the disk.
 func (l *Limiter) Kept(seq uint64) {
-	r := l.reserving
-	if r.kept = seq; r.before != nil && seq >= r.whole {
-		r.before = nil
+	writer := l.accountWriter
+	if writer.persistedSeq = seq; writer.filePlans != nil && seq >= writer.completeSeq {
+		writer.filePlans = nil
 	}
 }
 
 // tell1 is what is remembered of an account.
-func (l *Limiter) tell1(now float64, c *customer) AccountMemory {
-	c.fade(now)
-	return AccountMemory{ID: c.id, Plan: c.plan, Spread: c.spread, First: c.first, Balance: c.balance + c.held, Share: c.share, Flow: c.flow, AtMs: now}
+func (l *Limiter) accountMemory(now float64, acct *account) AccountMemory {
+	acct.decayFlow(now)
+	return AccountMemory{ID: acct.id, Plan: acct.plan, Spread: acct.spread, First: acct.first, Balance: acct.balance + acct.withheld, Share: acct.ceilingBalance, Flow: acct.flow, AtMs: now}
 }
 
 // keeps notes, for each account in the order in which they are listed, whether it is still
 // listed: a write goes on behind those that it has told.
-func (l *Limiter) keeps(still bool) {
-	switch r := l.reserving; {
-	case r == nil:
-	case still:
-		r.passed++
-	case r.passed < r.walked:
-		r.walked--
+func (l *Limiter) noteSwept(kept bool) {
+	switch writer := l.accountWriter; {
+	case writer == nil:
+	case kept:
+		writer.swept++
+	case writer.swept < writer.written:
+		writer.written--
 	}
 }
 
 // touch notes that an account has spent.
-func (l *Limiter) touch(c *customer) {
-	if l.reserving != nil && !c.unwritten && c.plan < l.named {
-		c.unwritten = true
-		l.reserving.unwritten = append(l.reserving.unwritten, c)
+func (l *Limiter) markUnwritten(acct *account) {
+	if l.accountWriter != nil && !acct.unwritten && acct.plan < l.named {
+		acct.unwritten = true
+		l.accountWriter.unwritten = append(l.accountWriter.unwritten, acct)
 	}
 }
 
 // unnamed is what the file says of an account that it does not name: nothing, until it tells
 // all the others.
-func (l *Limiter) unnamed(c *customer) reserve.Line {
-	r := l.reserving
-	if !r.vouched {
+func (l *Limiter) unlistedLine(acct *account) reserve.Line {
+	writer := l.accountWriter
+	if !writer.fileComplete {
 		return reserve.Line{}
 	}
-	line := func(p Plan) reserve.Line {
-		head, n := reserve.Headroom(p.CeilingRate, p.CeilingBurst, r.headMs), max(1, c.among())
-		return reserve.Line{Level: -head / n, At: r.known, Rate: p.CeilingRate / n, Most: (p.CeilingBurst - head) / n}
+	line := func(limits Plan) reserve.Line {
+		headroom, divisor := reserve.Headroom(limits.CeilingRate, limits.CeilingBurst, writer.headroomMs), max(1, acct.ceilingDivisor())
+		return reserve.Line{Level: -headroom / divisor, At: writer.earliestKnown, Rate: limits.CeilingRate / divisor, Most: (limits.CeilingBurst - headroom) / divisor}
 	}
-	x := line(l.cfg.Plans[c.plan])
-	if c.plan < len(r.before) {
-		if y := line(r.before[c.plan]); y.On(c.at) > x.On(c.at) {
-			return y
+	current := line(l.cfg.Plans[acct.plan])
+	if acct.plan < len(writer.filePlans) {
+		if previous := line(writer.filePlans[acct.plan]); previous.On(acct.refilledAt) > current.On(acct.refilledAt) {
+			return previous
 		}
 	}
-	return x
+	return current
 }
 
 // spendable is what of an account's part of the ceiling may pass now: all but what a successor
 // would begin with if this limiter were killed.
-func (l *Limiter) spendable(c *customer) float64 {
-	r := l.reserving
+func (l *Limiter) spendable(acct *account) float64 {
+	writer := l.accountWriter
 	switch {
-	case r == nil:
-		return c.share
-	case c.reserve == nil:
-		return c.share - max(0, l.unnamed(c).On(c.at))
+	case writer == nil:
+		return acct.ceilingBalance
+	case acct.reserve == nil:
+		return acct.ceilingBalance - max(0, l.unlistedLine(acct).On(acct.refilledAt))
 	}
-	return c.share - max(0, c.reserve.Floor(c.at, r.kept))
+	return acct.ceilingBalance - max(0, acct.reserve.Floor(acct.refilledAt, writer.persistedSeq))
 }
 
 // replan notes that other plans hold, which the file does not go by yet.
-func (l *Limiter) replan(old []Plan, places []int) {
-	r := l.reserving
-	if r == nil {
+func (l *Limiter) plansChanged(old []Plan, indexes []int) {
+	writer := l.accountWriter
+	if writer == nil {
 		return
 	}
-	before := make([]Plan, len(l.cfg.Plans))
-	for k, to := range places {
-		if to >= 0 && to < len(before) {
-			before[to] = old[k]
-			if k < len(r.before) && r.before[k].CeilingBurst > old[k].CeilingBurst { // two changes within one write
-				before[to] = r.before[k]
+	filePlans := make([]Plan, len(l.cfg.Plans))
+	for k, to := range indexes {
+		if to >= 0 && to < len(filePlans) {
+			filePlans[to] = old[k]
+			if k < len(writer.filePlans) && writer.filePlans[k].CeilingBurst > old[k].CeilingBurst { // two changes within one write
+				filePlans[to] = writer.filePlans[k]
 			}
 		}
 	}
-	r.before, r.whole, r.stale = before, r.seq+1, true
+	writer.filePlans, writer.completeSeq, writer.plansStale = filePlans, writer.seq+1, true
 }
--- a/limiter/scale_test.go
+++ b/limiter/scale_test.go
@@ -9,19 +9,19 @@
 )
 
 // crowd is a number of limiters that see nothing of each other but messages.
-type crowd struct {
-	t        testing.TB
-	now      float64
-	limiters []*Limiter
-	ids      int
-	sent     map[uint64]int // by server
-	lose     func(from, to int) bool
-	took     func(server uint64) (ms float64, result Result) // nil: 20 ms, Pass
+type cluster struct {
+	t           testing.TB
+	now         float64
+	limiters    []*Limiter
+	ids         int
+	sent        map[uint64]int // by server
+	dropMessage func(from, to int) bool
+	respond     func(server uint64) (ms float64, result Result) // nil: 20 ms, Pass
 }
 
-func newCrowd(t testing.TB, cfg Settings, n int, servers []ServerInfo) *crowd {
+func newCluster(t testing.TB, cfg Settings, n int, servers []ServerInfo) *cluster {
 	t.Helper()
-	c := &crowd{t: t, now: 1e6, sent: map[uint64]int{}, lose: func(int, int) bool { return false }}
+	c := &cluster{t: t, now: 1e6, sent: map[uint64]int{}, dropMessage: func(int, int) bool { return false }}
 	cfg.Balancers = n
 	for i := range n {
 		cfg.Position = i
@@ -37,19 +37,19 @@
 
 // event hands an event in, serves what is passed on at once, delivers messages
 // at once, and returns whether the event's request was passed on.
-func (c *crowd) event(i int, e Event) (passed bool) {
+func (c *cluster) event(i int, e Event) (passed bool) {
 	for _, a := range append([]Action(nil), c.limiters[i].Handle(c.now, e)...) {
 		switch a := a.(type) {
 		case PassOn:
 			passed = true
 			c.sent[a.Server]++
 			ms, result := 20.0, Pass
-			if c.took != nil {
-				ms, result = c.took(a.Server)
+			if c.respond != nil {
+				ms, result = c.respond(a.Server)
 			}
 			c.event(i, Outcome{ID: a.ID, Server: a.Server, Result: result, SpentMs: ms, Done: true})
 		case Tell:
-			if !c.lose(i, a.To) {
+			if !c.dropMessage(i, a.To) {
 				c.event(a.To, PeerMessage{From: i, Data: a.Data})
 			}
 		}
@@ -57,14 +57,14 @@
 	return passed
 }
 
-func (c *crowd) submit(i int, e Submit) bool {
+func (c *cluster) submit(i int, e Submit) bool {
 	c.ids++
 	e.ID, e.ExpiresMs = fmt.Sprint("c", c.ids), 1500
 	e.Units = max(1, e.Units)
 	return c.event(i, e)
 }
 
-func (c *crowd) ticks(ms float64) {
+func (c *cluster) runTicks(ms float64) {
 	for end := c.now + ms; c.now < end; {
 		c.now += tickMs
 		for i := range c.limiters {
@@ -79,8 +79,8 @@
 	const n = 100
 	cfg := testSettings()
 	cfg.PeerInPerS = 20
-	c := newCrowd(t, cfg, n, fleet(4))
-	c.ticks(6000) // bursts are whole by now
+	c := newCluster(t, cfg, n, makeServers(4))
+	c.runTicks(6000) // bursts are whole by now
 	passed, rng := 0, rand.New(rand.NewPCG(1, 1))
 	for range 200 { // ten seconds of 40 units a second on a rate of 10
 		for range 2 {
@@ -88,7 +88,7 @@
 				passed++
 			}
 		}
-		c.ticks(tickMs)
+		c.runTicks(tickMs)
 	}
 	if fair := 20 + 10*10; passed < fair*6/10 || passed > fair*13/10 {
 		t.Errorf("%d passed in ten seconds, the quota has %d", passed, fair)
@@ -100,18 +100,18 @@
 	const n = 40
 	cfg := testSettings()
 	cfg.PeerInPerS = 100
-	c := newCrowd(t, cfg, n, fleet(4))
+	c := newCluster(t, cfg, n, makeServers(4))
 	gone := -1
-	c.lose = func(from, to int) bool { return from == gone || to == gone }
+	c.dropMessage = func(from, to int) bool { return from == gone || to == gone }
 	c.submit(0, Submit{Customer: 5, Spread: n})
-	gone = c.limiters[0].customers[5].tells[0]
-	c.ticks(6000)
+	gone = c.limiters[0].accounts[5].recipients[0]
+	c.runTicks(6000)
 	passed := 0
 	for k := range 200 {
 		if i := k % n; i != gone && c.submit(i, Submit{Customer: 5, Spread: n}) {
 			passed++
 		}
-		c.ticks(tickMs)
+		c.runTicks(tickMs)
 	}
 	if passed > 20+130 {
 		t.Errorf("%d passed without the first keeper, the quota has 120", passed)
@@ -122,27 +122,27 @@
 func TestToldLevels(t *testing.T) {
 	cfg := testSettings()
 	cfg.Balancers = 40
-	s := newScript(t, cfg, fleet(4)...)
+	s := newScript(t, cfg, makeServers(4)...)
 	s.now += 6000
 	s.submit(Submit{Customer: 5, Spread: 40})
-	c := s.l.customers[5]
+	c := s.l.accounts[5]
 	news := func(from int, level float64) PeerMessage {
-		m := peerMsg{flags: flagNews, entries: []peerEntry{{customer: 5, level: int64(level * unitScale)}}}
+		m := peerMsg{flags: flagLevelUpdate, entries: []peerEntry{{account: 5, level: int64(level * unitScale)}}}
 		data, _ := m.encode()
 		return PeerMessage{From: from, Data: data}
 	}
 	stranger := 1
-	for stranger == c.tells[0] || stranger == c.tells[1] {
+	for stranger == c.recipients[0] || stranger == c.recipients[1] {
 		stranger++
 	}
 	before := c.balance
-	s.do(news(stranger, -50))
+	s.handle(news(stranger, -50))
 	if c.balance != before {
 		t.Error("a level from a gateway that is no keeper counted")
 	}
 	s.now += 500 // what passed here is in the keeper's level by now
 	for range 2 {
-		s.do(news(c.tells[0], 3))
+		s.handle(news(c.recipients[0], 3))
 		if c.balance != 3 {
 			t.Errorf("told a level of 3, the balance is %g", c.balance)
 		}
@@ -156,15 +156,15 @@
 	for _, n := range []int{1, 3, 40, 300} {
 		cfg := testSettings()
 		cfg.Caps.Peers = false
-		f := fleet(10)
+		f := makeServers(10)
 		f[0].ReadyAt = 1e6
-		c := newCrowd(t, cfg, n, f)
+		c := newCluster(t, cfg, n, f)
 		rng := rand.New(rand.NewPCG(2, 2))
 		for range 2000 { // ten seconds at 200 requests a second over all gateways
 			i := rng.IntN(n)
 			c.submit(i, Submit{Plan: 3, Customer: rng.Uint64N(99), Spread: n})
 			l := c.limiters[i] // it takes whatever part it has, as if no other server were better
-			for s := l.servers[1]; l.coldRoom(c.now, s); s.cold-- {
+			for s := l.servers[1]; l.allowsCold(c.now, s); s.coldCredit-- {
 				c.sent[1]++
 			}
 			c.now += 5
@@ -187,7 +187,7 @@
 	for _, n := range []int{3, 300} {
 		cfg := testSettings()
 		cfg.Caps.Peers = false
-		c := newCrowd(t, cfg, n, []ServerInfo{{ID: 1, ReadyAt: 1e6}})
+		c := newCluster(t, cfg, n, []ServerInfo{{ID: 1, ReadyAt: 1e6}})
 		for k := range 2000 {
 			c.submit(k%n, Submit{Plan: 3, Customer: uint64(k), Spread: n})
 			c.now += 0.5
@@ -204,8 +204,8 @@
 	const n = 300
 	cfg := testSettings()
 	cfg.Plans[1] = Plan{Rate: 1e6, Burst: 1e6, CeilingRate: 400, CeilingBurst: 900, Price: 1}
-	c := newCrowd(t, cfg, n, fleet(4))
-	c.lose = func(int, int) bool { return true }
+	c := newCluster(t, cfg, n, makeServers(4))
+	c.dropMessage = func(int, int) bool { return true }
 	rng := rand.New(rand.NewPCG(3, 3))
 	c.now += 10000
 	store := 900.0
@@ -226,14 +226,14 @@
 				t.Fatal(err)
 			}
 			c.limiters[i] = l
-			c.event(i, Endpoints{Scope: Persisted, Servers: fleet(4)})
+			c.event(i, Endpoints{Scope: Persisted, Servers: makeServers(4)})
 		}
 	}
 }
 
 // A server that fails one class only is kept off for that class; peers are told.
 func TestOneClassFails(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+	s := newScript(t, testSettings(), makeServers(4)...)
 	hints := 0
 	for range 40 {
 		s.now += 100
@@ -246,9 +246,9 @@
 			s.outcome(id, 0, p.Server, Pass)
 			continue
 		}
-		for _, b := range s.do(Outcome{ID: id, Server: 1, Result: Fault, SpentMs: 20}) {
+		for _, b := range s.handle(Outcome{ID: id, Server: 1, Result: Fault, SpentMs: 20}) {
 			if tell, ok := b.(Tell); ok {
-				if m, ok := decodePeer(tell.Data); ok && m.flags&flagIll != 0 {
+				if m, ok := decodePeer(tell.Data); ok && m.flags&flagFailureHint != 0 {
 					hints++
 				}
 			} else if q, ok := b.(PassOn); ok {
@@ -256,8 +256,8 @@
 			}
 		}
 	}
-	if srv := s.l.servers[1]; srv.ills[0].to <= s.now || srv.ills[1].to > s.now {
-		t.Errorf("class 0 fails at server 1: kept off to %v at %v", srv.ills, s.now)
+	if srv := s.l.servers[1]; srv.ejections[0].until <= s.now || srv.ejections[1].until > s.now {
+		t.Errorf("class 0 fails at server 1: kept off to %v at %v", srv.ejections, s.now)
 	}
 	if hints == 0 {
 		t.Error("the peer got no hint")
@@ -278,7 +278,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l.Handle(0, Endpoints{Scope: Persisted, Servers: fleet(9)})
+			l.Handle(0, Endpoints{Scope: Persisted, Servers: makeServers(9)})
 			for k := range 40 { // two seconds, every fifth answer fails
 				now, id := float64(50*k), fmt.Sprint(k)
 				for _, a := range l.Handle(now, Submit{ID: id, ExpiresMs: 900, Units: 1, Plan: 3, Class: 2, Spread: 1}) {
@@ -306,17 +306,17 @@
 // Hints about servers or classes that the own list and settings do not name
 // change nothing; two sound ones keep a server off.
 func TestHints(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+	s := newScript(t, testSettings(), makeServers(4)...)
 	hint := func(server, class uint64) {
-		m := peerMsg{flags: flagNews | flagIll, entries: []peerEntry{{customer: server, plan: class}}}
+		m := peerMsg{flags: flagLevelUpdate | flagFailureHint, entries: []peerEntry{{account: server, plan: class}}}
 		data, _ := m.encode()
-		s.do(PeerMessage{From: 1, Data: data})
+		s.handle(PeerMessage{From: 1, Data: data})
 	}
 	for range 2 {
 		hint(99, 0)
 		hint(2, 99)
 	}
-	if len(s.l.servers) != 4 || s.l.servers[2].ills[0].n != 0 {
+	if len(s.l.servers) != 4 || s.l.servers[2].ejections[0].count != 0 {
 		t.Error("an unsound hint counted")
 	}
 	for range 2 {
@@ -333,7 +333,7 @@
 
 // A gateway that stood still learns nothing against servers from what was out.
 func TestStoodStill(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(2)...)
+	s := newScript(t, testSettings(), makeServers(2)...)
 	for range 30 {
 		id, a := s.submit(Submit{Plan: 3})
 		s.pass(id, a)
@@ -345,12 +345,12 @@
 		id, a := s.submit(Submit{Plan: 3})
 		ids, to = append(ids, id), append(to, a.(PassOn).Server)
 	}
-	work := s.l.poolOf(0).work[0]
+	typicalMs := s.l.poolOf(0).typicalMs[0]
 	s.now += 1600
 	for k, id := range ids {
-		s.do(Outcome{ID: id, Server: to[k], Result: TooSlow, SpentMs: 1600})
+		s.handle(Outcome{ID: id, Server: to[k], Result: TooSlow, SpentMs: 1600})
 	}
-	if s.l.poolOf(0).work[0] != work || s.l.servers[1].ills[0].n+s.l.servers[2].ills[0].n > 0 {
+	if s.l.poolOf(0).typicalMs[0] != typicalMs || s.l.servers[1].ejections[0].count+s.l.servers[2].ejections[0].count > 0 {
 		t.Error("the gateway's own pause counted against servers")
 	}
 }
@@ -359,11 +359,11 @@
 func TestCustomerCost(t *testing.T) {
 	cfg := testSettings()
 	cfg.Balancers = 470
-	s := newScript(t, cfg, fleet(4)...)
+	s := newScript(t, cfg, makeServers(4)...)
 	s.submit(Submit{Customer: 5, Spread: 200})
-	s.do(Alarm{Handle: "tick"})
-	if n := len(s.l.customers[5].views); n > keepers {
-		t.Errorf("a customer of 200 gateways has %d records of peers, want %d", n, keepers)
+	s.handle(Alarm{Handle: "tick"})
+	if n := len(s.l.accounts[5].peerViews); n > aggregators {
+		t.Errorf("a customer of 200 gateways has %d records of peers, want %d", n, aggregators)
 	}
 }
 
@@ -375,7 +375,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	l.Handle(0, Endpoints{Scope: Persisted, Servers: fleet(90)})
+	l.Handle(0, Endpoints{Scope: Persisted, Servers: makeServers(90)})
 	for k := range b.N {
 		now := 10000 + float64(k)*300
 		id := fmt.Sprint(k)
@@ -398,7 +398,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			l.Handle(1, Endpoints{Scope: Complete, Servers: fleet(n)})
+			l.Handle(1, Endpoints{Scope: Complete, Servers: makeServers(n)})
 			for b.Loop() {
 				l.Remember(2)
 			}
@@ -412,7 +412,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				l.Handle(1, Endpoints{Scope: Complete, Servers: fleet(12)})
+				l.Handle(1, Endpoints{Scope: Complete, Servers: makeServers(12)})
 				l.Reserve(1500)
 				for i := range n {
 					l.Handle(1, Submit{ID: fmt.Sprint(i), ExpiresMs: 900, Units: 1, Customer: uint64(i), Spread: 1})
@@ -457,11 +457,11 @@
 	cfg.Plans = []Plan{{Price: 1}}
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		servers := fleet(64)
-		c := newCrowd(t, cfg, n, servers)
+		servers := makeServers(64)
+		c := newCluster(t, cfg, n, servers)
 		grey, lost := servers[7].ID, 0
 		var failed []uint64 // just now
-		c.took = func(server uint64) (float64, Result) {
+		c.respond = func(server uint64) (float64, Result) {
 			share := 0.002
 			if server == grey {
 				share = 0.3
@@ -475,7 +475,7 @@
 			}
 			return 100 + 100*rng.Float64(), Pass
 		}
-		c.ticks(4000)
+		c.runTicks(4000)
 		off, looks, found := 0, 0, 0.0
 		for k := range seconds * 20 {
 			for range perS / 20 {
@@ -490,7 +490,7 @@
 				}
 				failed = failed[:0]
 			}
-			c.ticks(tickMs)
+			c.runTicks(tickMs)
 			if k%20 != 0 {
 				continue
 			}
@@ -525,19 +525,19 @@
 func TestSightingsWhereServersAreShort(t *testing.T) {
 	for _, short := range []bool{false, true} {
 		cfg := testSettings()
-		s := newScript(t, cfg, fleet(4)...)
-		s.do(Alarm{Handle: "tick"})
+		s := newScript(t, cfg, makeServers(4)...)
+		s.handle(Alarm{Handle: "tick"})
 		if short {
 			for _, p := range s.l.pools {
 				p.pressure = 0.1
 			}
 		}
-		id := fleet(4)[1].ID
+		id := makeServers(4)[1].ID
 		for range 4 {
-			s.do(Sighting{id, 0})
+			s.handle(Sighting{id, 0})
 		}
-		s.do(Sighting{12345, 0})
-		s.do(Sighting{id, 99})
+		s.handle(Sighting{12345, 0})
+		s.handle(Sighting{id, 99})
 		if off := s.l.Regards(s.now, id, 0) == TakenIll; off == short {
 			t.Errorf("servers are short: %v; the server is kept off: %v", short, off)
 		}
--- a/limiter/servers.go
+++ b/limiter/servers.go
@@ -10,75 +10,75 @@
 func (l *Limiter) endpoints(now float64, e Endpoints) {
 	if e.Scope == Failed {
 		if l.cfg.AskMembers {
-			l.do(Timer{At: now + 1000 + 1000*l.rng.Float64(), Handle: "ask"})
+			l.emit(Timer{At: now + 1000 + 1000*l.rng.Float64(), Handle: "ask"})
 		}
 		return
 	}
 	if e.Scope != Partial {
-		for _, s := range l.order {
-			s.info.Phase = Removed
+		for _, srv := range l.serverList {
+			srv.info.Phase = Removed
 		}
 	}
 	for _, info := range e.Servers {
-		s, p := l.servers[info.ID], l.poolOf(info.Pool)
-		if s == nil {
-			s = l.newServer(now, p, 0)
-			s.info.ID = info.ID
-			l.servers[info.ID] = s
-			l.order, p.order = insert(l.order, s), insert(p.order, s)
-		} else if s.info.ReadyAt != info.ReadyAt { // another process: nothing learnt holds
-			*s = *l.newServer(now, s.pool, s.inflight)
-			s.info.ID = info.ID
+		srv, p := l.servers[info.ID], l.poolOf(info.Pool)
+		if srv == nil {
+			srv = l.newServer(now, p, 0)
+			srv.info.ID = info.ID
+			l.servers[info.ID] = srv
+			l.serverList, p.serverList = insert(l.serverList, srv), insert(p.serverList, srv)
+		} else if srv.info.ReadyAt != info.ReadyAt { // another process: nothing learnt holds
+			*srv = *l.newServer(now, srv.pool, srv.inflight)
+			srv.info.ID = info.ID
 		}
-		if s.pool != p { // what is out there counts where it is
-			s.pool.order = slices.DeleteFunc(s.pool.order, func(o *server) bool { return o == s })
-			s.pool.inflight, p.inflight = s.pool.inflight-s.inflight, p.inflight+s.inflight
-			s.pool, p.order = p, insert(p.order, s)
+		if srv.pool != p { // what is out there counts where it is
+			srv.pool.serverList = slices.DeleteFunc(srv.pool.serverList, func(other *server) bool { return other == srv })
+			srv.pool.inflight, p.inflight = srv.pool.inflight-srv.inflight, p.inflight+srv.inflight
+			srv.pool, p.serverList = p, insert(p.serverList, srv)
 		}
-		s.info = info
+		srv.info = info
 	}
-	l.order = slices.DeleteFunc(l.order, func(s *server) bool {
-		gone := s.info.Phase == Removed && s.inflight == 0
+	l.serverList = slices.DeleteFunc(l.serverList, func(srv *server) bool {
+		gone := srv.info.Phase == Removed && srv.inflight == 0
 		if gone {
-			delete(l.servers, s.info.ID)
-			s.pool.order = slices.DeleteFunc(s.pool.order, func(o *server) bool { return o == s })
+			delete(l.servers, srv.info.ID)
+			srv.pool.serverList = slices.DeleteFunc(srv.pool.serverList, func(other *server) bool { return other == srv })
 		}
 		return gone
 	})
 	l.setTiers()
-	l.weighServers(now)
+	l.updateCapacity(now)
 	maps.DeleteFunc(l.pools, func(id uint64, p *pool) bool {
-		return id != 0 && len(p.order) == 0 && p.inflight == 0
+		return id != 0 && len(p.serverList) == 0 && p.inflight == 0
 	})
 }
 
 // occupied takes in what others have in hand.
 func (l *Limiter) occupied(e Occupied) {
-	for _, x := range e.Servers {
-		if s := l.servers[x.Server]; s != nil {
-			s.others, s.slots = max(0, x.Others), max(0, x.Slots)
+	for _, occupancy := range e.Servers {
+		if srv := l.servers[occupancy.Server]; srv != nil {
+			srv.othersInflight, srv.slots = max(0, occupancy.Others), max(0, occupancy.Slots)
 		}
 	}
 }
 
 // setTiers divides the servers of pools with tiers.
 func (l *Limiter) setTiers() {
-	l.tiered = slices.Sorted(maps.Keys(l.cfg.Spills))
+	l.tieredPools = slices.Sorted(maps.Keys(l.cfg.Spills))
 	for id, p := range l.pools {
 		spills := l.cfg.Spills[id]
 		if len(spills) < 2 {
-			p.tiers, p.byTier = nil, nil
+			p.tiers, p.serversByTier = nil, nil
 			continue
 		}
 		if p.tiers == nil || p.tiers.Len() != len(spills) {
 			p.tiers = routing.New(spills)
 		}
 		p.tiers.Spill(spills)
-		p.byTier = make([][]*server, len(spills))
-		for _, s := range p.order {
-			k := p.tierOf(s)
-			p.byTier[k] = append(p.byTier[k], s)
+		p.serversByTier = make([][]*server, len(spills))
+		for _, srv := range p.serverList {
+			tier := p.tierOf(srv)
+			p.serversByTier[tier] = append(p.serversByTier[tier], srv)
 		}
 	}
-	l.tiered = slices.DeleteFunc(l.tiered, func(id uint64) bool { return len(l.cfg.Spills[id]) < 2 })
+	l.tieredPools = slices.DeleteFunc(l.tieredPools, func(id uint64) bool { return len(l.cfg.Spills[id]) < 2 })
 }
--- a/limiter/sighting.go
+++ b/limiter/sighting.go
@@ -12,13 +12,13 @@
 
 // sightedBelow is the share of a pool's requests refused for want of servers above which word of
 // others counts for nothing: a server kept off then turns away more than it would fail.
-const sightedBelow = 0.02
+const peerFailureMaxPressure = 0.02
 
 // sighted takes in what another gateway has met.
-func (l *Limiter) sighted(now float64, e Sighting) {
-	s := l.servers[e.Server]
-	if s == nil || e.Class < 0 || e.Class >= len(l.cfg.Classes) || s.pool.pressure > sightedBelow {
+func (l *Limiter) peerFailure(now float64, e Sighting) {
+	srv := l.servers[e.Server]
+	if srv == nil || e.Class < 0 || e.Class >= len(l.cfg.Classes) || srv.pool.pressure > peerFailureMaxPressure {
 		return
 	}
-	l.suspect(now, s, e.Class)
+	l.recordFailure(now, srv, e.Class)
 }
--- a/limiter/spending_test.go
+++ b/limiter/spending_test.go
@@ -8,13 +8,13 @@
 // split plays an account of 28 units a second through n limiters that each see an equal part
 // of share times that, cuts them from one another for 30 s, and returns the lowest balance
 // in the 2 s after they hear each other again, and what was refused from then on for 20 s.
-func split(t *testing.T, n int, share float64) (low float64, refused, asked int) {
+func runSplit(t *testing.T, n int, share float64) (low float64, refused, asked int) {
 	cfg := testSettings()
 	cfg.Plans = []Plan{{Rate: 28, Burst: 70, Price: 1}}
-	c := newCrowd(t, cfg, n, fleet(4))
+	c := newCluster(t, cfg, n, makeServers(4))
 	cut := false
-	c.lose = func(int, int) bool { return cut }
-	c.ticks(3000)
+	c.dropMessage = func(int, int) bool { return cut }
+	c.runTicks(3000)
 	low = math.Inf(1)
 	owed, turn := 0.0, 0
 	const from, to, end = 200, 800, 1200 // ticks
@@ -28,9 +28,9 @@
 				refused += btoi(!passed)
 			}
 		}
-		c.ticks(tickMs)
+		c.runTicks(tickMs)
 		for _, l := range c.limiters {
-			if x := l.customers[7]; x != nil && k >= to && k < to+40 {
+			if x := l.accounts[7]; x != nil && k >= to && k < to+40 {
 				low = min(low, x.balance)
 			}
 		}
@@ -43,7 +43,7 @@
 // heal nobody is refused. Without Repaid each balance falls from 70 to -210 in one tick.
 func TestHealedSplitOwesWhatWasNotRepaid(t *testing.T) {
 	for _, n := range []int{3, 30} {
-		low, refused, asked := split(t, n, 0.9)
+		low, refused, asked := runSplit(t, n, 0.9)
 		if low < 35 || refused > 0 {
 			t.Errorf("%d limiters, 0.9 of the quota asked: lowest balance %.1f after the split, %d of %d refused", n, low, refused, asked)
 		}
@@ -53,7 +53,7 @@
 // Spending beyond the quota stays a debt: what three limiters passed at three times the
 // rate is drawn, below nought.
 func TestHealedSplitDrawsWhatWentBeyond(t *testing.T) {
-	if low, refused, asked := split(t, 3, 3); low > -100 || refused < asked*2/3 {
+	if low, refused, asked := runSplit(t, 3, 3); low > -100 || refused < asked*2/3 {
 		t.Errorf("three times the quota asked: lowest balance %.1f after the split, %d of %d refused", low, refused, asked)
 	}
 }
@@ -62,16 +62,16 @@
 func TestFreshSpendingIsDrawnAfterIdleTime(t *testing.T) {
 	cfg := testSettings()
 	cfg.Plans = []Plan{{Rate: 28, Burst: 70, Price: 1}}
-	c := newCrowd(t, cfg, 3, fleet(4))
-	c.ticks(3000)
+	c := newCluster(t, cfg, 3, makeServers(4))
+	c.runTicks(3000)
 	c.submit(0, Submit{Customer: 7, Spread: 3})
 	c.submit(1, Submit{Customer: 7, Spread: 3})
-	c.ticks(12000) // 336 units of refill go by
+	c.runTicks(12000) // 336 units of refill go by
 	for range 50 {
 		c.submit(0, Submit{Customer: 7, Spread: 3})
 	}
-	c.ticks(tickMs)
-	if b := c.limiters[1].customers[7].balance; b > 25 {
+	c.runTicks(tickMs)
+	if b := c.limiters[1].accounts[7].balance; b > 25 {
 		t.Errorf("50 of 70 units spent at a peer, %.1f left here", b)
 	}
 }
--- a/limiter/vast_test.go
+++ b/limiter/vast_test.go
@@ -7,19 +7,19 @@
 )
 
 // The tier that the operators grow to.
-const vastLimiters, vastServers = 80, 60
+const largeClusterLimiters, largeClusterServers = 80, 60
 
 // vast returns a tier of that size before a fleet of which the first cold servers have
 // just started.
-func vast(t testing.TB, cold int) *crowd {
+func newLargeCluster(t testing.TB, cold int) *cluster {
 	t.Helper()
 	cfg := testSettings()
 	cfg.PeerInPerS, cfg.Rules = 40, Rules{ColdShare: 0.25, ColdMs: 18000, OverloadFactor: 3, FallMs: 1500}
-	servers := fleet(vastServers)
+	servers := makeServers(largeClusterServers)
 	for i := range cold {
 		servers[i].ReadyAt = 1e6
 	}
-	return newCrowd(t, cfg, vastLimiters, servers)
+	return newCluster(t, cfg, largeClusterLimiters, servers)
 }
 
 // Six in ten servers are cold and all answer too late, as they have too much in hand. Each
@@ -29,11 +29,11 @@
 // at once, of which a fleet that does the work of 33 servers got out of its jam no more.
 func TestTriesLeaveJammedServersRoom(t *testing.T) {
 	const cold = 36
-	c := vast(t, cold)
+	c := newLargeCluster(t, cold)
 	out := 0
 	for i, l := range c.limiters {
-		for k := range l.pools[0].work { // answers have taken half a second
-			l.pools[0].work[k], l.pools[0].seen[k] = 500, seenWell
+		for k := range l.pools[0].typicalMs { // answers have taken half a second
+			l.pools[0].typicalMs[k], l.pools[0].answers[k] = 500, minAnswersForTier
 		}
 		for k := range 20 {
 			for _, a := range l.Handle(c.now, Submit{ID: fmt.Sprint(k), ExpiresMs: 1500, Plan: 3, Units: 1, Customer: uint64(i)}) {
@@ -43,15 +43,15 @@
 			}
 		}
 	}
-	can := float64(vastServers-cold) + 0.25*cold
+	can := float64(largeClusterServers-cold) + 0.25*cold
 	if most := 3.5 * can; float64(out) > most || float64(out) < can {
-		t.Errorf("%d limiters have %d tries out at servers that do the work of %.0f, want %.0f at most", vastLimiters, out, can, most)
+		t.Errorf("%d limiters have %d tries out at servers that do the work of %.0f, want %.0f at most", largeClusterLimiters, out, can, most)
 	}
 }
 
 // day has requests come in through random limiters, so many a second for so long, and
 // returns what each server was sent.
-func (c *crowd) day(perS, seconds int) map[uint64]int {
+func (c *cluster) runLoad(perS, seconds int) map[uint64]int {
 	rng, ticked := rand.New(rand.NewPCG(3, 3)), c.now
 	clear(c.sent)
 	for range perS * seconds {
@@ -75,9 +75,9 @@
 // none more than a warm one does.
 func TestReplacedServersGetTheirPart(t *testing.T) {
 	const cold = 36
-	c := vast(t, cold)
-	c.took = func(uint64) (float64, Result) { return 150, Pass }
-	sent := c.day(400, 10)
+	c := newLargeCluster(t, cold)
+	c.respond = func(uint64) (float64, Result) { return 150, Pass }
+	sent := c.runLoad(400, 10)
 	all, new, most := 0, 0, 0
 	for id, n := range sent {
 		all += n
@@ -88,7 +88,7 @@
 	if part := float64(new) / float64(all); part < 0.4*0.47 {
 		t.Errorf("the new servers, 0.47 of what the fleet can do, got %.2f of the requests", part)
 	}
-	if warm := float64(all-new) / (vastServers - cold); float64(most) > 1.1*warm {
+	if warm := float64(all-new) / (largeClusterServers - cold); float64(most) > 1.1*warm {
 		t.Errorf("a cold server got %d requests, a warm one %.0f", most, warm)
 	}
 }
@@ -99,23 +99,23 @@
 // where time-outs taught nothing, and 0.04 where that faded within 2 s.
 func TestSlowServersAreRemembered(t *testing.T) {
 	const slow = 6
-	c := vast(t, 0)
-	c.lose = func(int, int) bool { return true }
-	c.took = func(id uint64) (float64, Result) {
+	c := newLargeCluster(t, 0)
+	c.dropMessage = func(int, int) bool { return true }
+	c.respond = func(id uint64) (float64, Result) {
 		if id <= slow {
 			return 1200, TooSlow
 		}
 		return 150, Pass
 	}
-	c.day(400, 15) // to learn
+	c.runLoad(400, 15) // to learn
 	got, all := 0, 0
-	for id, n := range c.day(400, 15) {
+	for id, n := range c.runLoad(400, 15) {
 		all += n
 		if id <= slow {
 			got += n
 		}
 	}
-	if part, fair := float64(got)/float64(all), float64(slow)/vastServers; part > 0.25*fair {
+	if part, fair := float64(got)/float64(all), float64(slow)/largeClusterServers; part > 0.25*fair {
 		t.Errorf("the slow servers get %.3f of the requests, %.1f times their number's part", part, part/fair)
 	}
 }
--- a/limiter/view.go
+++ b/limiter/view.go
@@ -21,19 +21,19 @@
 
 // View tells it. Nothing changes by looking.
 func (l *Limiter) View(now float64) (v View) {
-	for _, s := range l.order {
-		if s.info.Phase != Removed {
+	for _, srv := range l.serverList {
+		if srv.info.Phase != Removed {
 			v.Known++
 		}
-		if s.info.Phase != Up {
+		if srv.info.Phase != Up {
 			continue
 		}
 		v.Up++
-		if l.warmth(now, s) < 1 {
+		if l.warmth(now, srv) < 1 {
 			v.Cold++
 		}
 		for class := range l.cfg.Classes {
-			if r := l.Regards(now, s.info.ID, class); r != Usable && r != TooCold {
+			if regard := l.Regards(now, srv.info.ID, class); regard != Usable && regard != TooCold {
 				v.Off++
 				break
 			}
@@ -42,8 +42,8 @@
 	for _, p := range l.pools {
 		v.Out += p.inflight
 		v.Pressure = max(v.Pressure, p.pressure)
-		if n := len(p.order); n > 0 {
-			v.Crowding = max(v.Crowding, p.curve(1+float64(p.inflight)/float64(n)))
+		if servers := len(p.serverList); servers > 0 {
+			v.Crowding = max(v.Crowding, p.slowdown(1+float64(p.inflight)/float64(servers)))
 		}
 	}
 	v.Skipped = v.Known - v.Up + v.Off
