--- a/limiter/advice_test.go
+++ b/limiter/advice_test.go
@@ -110,7 +110,7 @@
 		at(Advice{Prefer: 2}) // finds out
 	}
 	for k := uint64(4); k <= 6; k++ {
-		h.l.servers[k].down = true
+		h.l.serversByID[k].down = true
 	}
 	h.handle(Alarm{Handle: "tick"})
 	for range 30 {
--- a/limiter/choice_test.go
+++ b/limiter/choice_test.go
@@ -105,9 +105,9 @@
 		l.Handle(1000, Endpoints{Scope: Partial, Servers: []ServerInfo{info, info}})
 		there[id] = info.Phase != Removed
 		var ids []uint64
-		for _, s := range l.serverList {
+		for _, s := range l.servers {
 			ids = append(ids, s.info.ID)
-			if l.servers[s.info.ID] != s {
+			if l.serversByID[s.info.ID] != s {
 				t.Fatalf("server %d is not the one in the list", s.info.ID)
 			}
 		}
@@ -117,8 +117,8 @@
 				n++
 			}
 		}
-		if !slices.IsSorted(ids) || len(slices.Compact(ids)) != n || len(l.serverList) != n || len(l.servers) != n {
-			t.Fatalf("%d servers, %d in order, want %d: %v", len(l.servers), len(l.serverList), n, ids)
+		if !slices.IsSorted(ids) || len(slices.Compact(ids)) != n || len(l.servers) != n || len(l.serversByID) != n {
+			t.Fatalf("%d servers, %d in order, want %d: %v", len(l.serversByID), len(l.servers), n, ids)
 		}
 	}
 }
@@ -153,18 +153,18 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				servers := makeServers(n)
-				for i := range servers {
-					servers[i].Tier = i % 2
+				infos := makeServers(n)
+				for i := range infos {
+					infos[i].Tier = i % 2
 				}
-				l.Handle(1000, Endpoints{Scope: Persisted, Servers: servers})
+				l.Handle(1000, Endpoints{Scope: Persisted, Servers: infos})
 				l.Handle(1050, Alarm{Handle: "tick"})
 				if kind == "returning" {
-					for _, s := range l.serverList {
+					for _, s := range l.servers {
 						s.down = s.info.Tier == 0
 					}
 					l.Handle(1100, Alarm{Handle: "tick"})
-					for _, s := range l.serverList {
+					for _, s := range l.servers {
 						s.down = false
 					}
 					l.Handle(1150, Alarm{Handle: "tick"})
--- a/limiter/gossip.go
+++ b/limiter/gossip.go
@@ -7,20 +7,19 @@
 )
 
 const (
-	syncMs          = 2000.0 // a starting gateway asks for levels this long
-	maxPeerAccounts = 20000  // customers known, past which a peer's word makes no new ones
-	maxDirectPeers  = 8      // of more other gateways than this, keepers hear alone
-	aggregators     = 2      // of a customer in a large set: one and a stand-in
-	lookAheadMs     = 500.0  // a keeper looks this far ahead for a low level
-	lowLevelShare   = 0.4    // of the burst: below it a level is low
-	marginGain      = 2.0    // margin, against what flows between two levels told
+	syncMs          = 2000.0 // for this time after its start a limiter asks peers for levels
+	maxPeerAccounts = 20000  // from this number on, peer messages create no accounts
+	maxDirectPeers  = 8      // with more other limiters, only aggregators get updates
+	aggregators     = 2      // of an account with many limiters: one and a standby
+	lookAheadMs     = 500.0  // an aggregator predicts the level this far ahead
+	lowLevelShare   = 0.4    // a level below this share of the burst is low
+	marginGain      = 2.0    // margin as a multiple of the peers' spending between two level updates
 )
 
-// join notes through which gateways a customer's requests come, and which are
-// told of what passes here: in a small set every one. In a large set two keepers,
-// the same for all by the customer's number, hear of every admission and tell
-// the set the level when it matters: news crosses in two steps, and nothing
-// counts twice, as a level replaces what was known.
+// setLimiters records through which limiters an account's requests come and which of them get updates
+// of the spending here: all of them if they are few. With many, two aggregators, chosen by a hash of the
+// account, get every update and publish the level when it matters. Updates then arrive in two hops, and
+// nothing counts twice, as a level replaces what was known.
 func (l *Limiter) setLimiters(now float64, acct *account, spread, first int) {
 	limiters := l.cfg.Balancers
 	acct.spread, acct.first = max(1, min(spread, limiters)), ((first%limiters)+limiters)%limiters
@@ -34,7 +33,8 @@
 		if position := (acct.first + (start+k*step)%acct.spread) % limiters; position != l.cfg.Position {
 			acct.recipients = append(acct.recipients, position)
 		} else if acct.usesAggregators() {
-			acct.isAggregator, acct.aggregatorRank, acct.publishedLevel, acct.publishedAt = true, k, acct.balance, now
+			acct.isAggregator, acct.aggregatorRank, acct.publishedLevel, acct.publishedAt =
+				true, k, acct.balance, now
 			l.aggregated = append(l.aggregated, acct)
 		}
 	}
@@ -65,15 +65,15 @@
 	})
 }
 
-// asks tells whether this gateway, just started, asks a peer near it for levels.
+// wantsSync reports whether this limiter, just started, asks a peer near it for levels.
 func (l *Limiter) wantsSync(now float64, peer int) bool {
-	return now-l.startedAt < syncMs && !l.peers[peer].synced && l.distance(peer) > 0 && l.distance(peer) <= maxDirectPeers/2
+	return now-l.startedAt < syncMs && !l.peers[peer].synced && l.distance(peer) > 0 &&
+		l.distance(peer) <= maxDirectPeers/2
 }
 
-// keep tells the set of each customer kept here its level once its gateways
-// believe in more and it is low or soon will be, and with it the margin below
-// which less is to pass. The stand-in waits a little, and so acts if the first
-// keeper is gone.
+// publishLevels sends the level of each account aggregated here to its limiters once they assume a
+// higher one and it is low or soon will be, together with the margin below which fewer requests are to
+// pass. The standby waits a little longer, and so acts if the first aggregator is gone.
 func (l *Limiter) publishLevels(now float64) {
 	for _, acct := range l.aggregated {
 		l.refill(now, acct)
@@ -84,21 +84,24 @@
 		predicted := acct.balance - lookAheadMs/1000*max(0, acct.flow-limits.Rate)
 		if assumed-acct.balance <= limits.Burst/8 || predicted > lowLevelShare*limits.Burst {
 			acct.staleTicks = 0
-		} else if acct.staleTicks++; now-acct.publishedAt >= pause && acct.staleTicks > 2*acct.aggregatorRank {
+		} else if acct.staleTicks++; now-acct.publishedAt >= pause &&
+			acct.staleTicks > 2*acct.aggregatorRank {
 			acct.publishedLevel, acct.publishedAt, acct.staleTicks = acct.balance, now, 0
 			acct.margin = min(limits.Burst, marginGain*acct.flow*pause/1000)
-			l.sendToPeers(peerMsg{flags: flagLevelUpdate, entries: []peerEntry{l.peerEntryFor(now, acct, 0)}}, acct.first, acct.spread)
+			l.sendToPeers(peerMsg{flags: flagLevelUpdate, entries: []peerEntry{l.peerEntryFor(now, acct, 0)}},
+				acct.first, acct.spread)
 		}
 	}
 }
 
-// answer tells a gateway that just started of levels below full; in large sets
-// its neighbours alone do, who have mostly the same customers.
+// sendSyncReply sends a limiter that just started the levels below full. For accounts with many
+// limiters only its neighbors do so, which have mostly the same accounts.
 func (l *Limiter) sendSyncReply(now float64, to int) {
 	message := peerMsg{flags: flagLevelUpdate | flagSyncReply, ageMs: uint64(now - l.startedAt)}
 	for _, acct := range l.accountList {
 		l.refill(now, acct)
-		missing, include := l.cfg.Plans[acct.plan].Burst-acct.balance-acct.withheld, slices.Contains(acct.recipients, to)
+		missing, include := l.cfg.Plans[acct.plan].Burst-acct.balance-acct.withheld,
+			slices.Contains(acct.recipients, to)
 		if acct.usesAggregators() || acct.spread == 0 {
 			include = l.distance(to) == 1 && missing > (1-lowLevelShare)*l.cfg.Plans[acct.plan].Burst
 		}
@@ -113,8 +116,8 @@
 	}
 }
 
-// tell sends a peer what has changed, most pressing first: what is untold
-// against what is left. In small sets each figure is told once more, against loss.
+// sendUpdate sends a peer the accounts that changed, the most urgent first, as many as fit. Where no
+// aggregators are used, each figure is sent twice against message loss.
 func (l *Limiter) sendUpdate(now float64, to int) {
 	peer := &l.peers[to]
 	peer.seq++
@@ -128,7 +131,7 @@
 	for _, acct := range peer.due {
 		view := acct.peerView(to)
 		entry := l.peerEntryFor(now, acct, view.sent)
-		if view.resend { // what the last message told may be lost
+		if view.resend { // the last message may be lost
 			entry.newlySpent = entry.spent - view.sentBefore
 		}
 		message.entries = append(message.entries, entry)
@@ -136,12 +139,13 @@
 	for k, acct := range peer.due[:l.sendToPeers(message, to, 1)] {
 		view := acct.peerView(to)
 		view.resend = message.entries[k].spent != view.sent && !acct.usesAggregators()
-		view.sentBefore, view.sent, view.sentOutstanding = view.sent, message.entries[k].spent, acct.outstanding
+		view.sentBefore, view.sent, view.sentOutstanding = view.sent,
+			message.entries[k].spent, acct.outstanding
 	}
 }
 
-// heard takes in what a peer tells. Cumulative figures heal a lost message
-// with the next one; a new mark shows that the peer began anew.
+// receive handles a message from a peer. Figures are cumulative, so that the next message makes up for
+// a lost one; a new mark shows that the peer has restarted.
 func (l *Limiter) receive(now float64, e PeerMessage) {
 	message, ok := decodePeer(e.Data)
 	if !ok || e.From < 0 || e.From >= len(l.peers) || e.From == l.cfg.Position || !l.valid(&message) {
@@ -152,7 +156,7 @@
 	switch {
 	case message.flags&flagFailureHint != 0:
 		for _, entry := range message.entries {
-			if srv := l.servers[entry.account]; srv != nil { // only what the own list has named
+			if srv := l.serversByID[entry.account]; srv != nil { // only listed servers, by ID
 				l.recordFailure(now, srv, int(entry.plan))
 			}
 		}
@@ -167,7 +171,7 @@
 			l.receiveLevel(now, e.From, &message, entry)
 		}
 		return
-	case message.mark == peer.oldMark: // a late message of an incarnation that is gone
+	case message.mark == peer.oldMark: // a late message from before its restart
 		return
 	case message.mark != peer.mark:
 		peer.oldMark, peer.mark = peer.mark, message.mark
@@ -181,10 +185,9 @@
 	}
 }
 
-// levelOf takes in a told level. From a keeper it replaces what was known here,
-// but for what passed too lately to be in it; another keeper goes by what it
-// hears itself. The answer of an older peer does so for a gateway that just
-// started and knows nothing yet.
+// receiveLevel handles the published level of an account. From an aggregator it replaces the balance
+// here, less spending too recent to be included; the other aggregator relies on the updates it gets
+// itself. A sync reply from an older peer does so for a limiter that just started and knows no level.
 func (l *Limiter) receiveLevel(now float64, from int, message *peerMsg, entry peerEntry) {
 	if !l.acceptsAccount(entry.account) {
 		return
--- a/limiter/health.go
+++ b/limiter/health.go
@@ -3,25 +3,24 @@
 import "slices"
 
 const (
-	downAfter     = 2     // failed connects in a row: down
-	stallFactor   = 4.0   // silent for so many times the expected time: suspect
-	probeMs       = 500.0 // least pause between two probes of a server
-	fullBackoffMs = 50.0  // a server that was full is left alone so long
-	// A class is kept off a server for illMs after illAfter failures of it there
-	// within half of that time. Hints of all take hintShare of the messages, and none
-	// are given where more than hintBelow of all answers fail: no one server's fault.
+	downAfter     = 2     // failed connections in a row before a server is down
+	stallFactor   = 4.0   // a server silent for this multiple of the expected time is stalled
+	probeMs       = 500.0 // minimum interval between two probes of a server
+	fullBackoffMs = 50.0  // a server that reported to be full gets no requests for this time
+	// A server is ejected for a class for ejectionMs after ejectAfter failures of the class within half
+	// that time. Failure hints may use hintShare of the peer messages; none are sent where more than
+	// hintMaxFailureShare of all answers fail, as then no single server is at fault.
 	ejectionMs          = 4000.0
 	ejectAfter          = 2
 	hintShare           = 0.25
 	hintMaxFailureShare = 0.3
-	processStallMs      = 4 * tickMs // no event for so long: this gateway stood still
+	processStallMs      = 4 * tickMs // without events for this time, this process was stalled
 )
 
-// suspect counts a failure of a class at a server, seen here or told. A gateway
-// of many sends each server too little to judge it alone. When the time is up all
-// use it again, and the first failures keep it off anew. It should hold against
-// any server that fails all or one class, and harms if a passing trouble of all
-// servers is laid to some: at most half are kept off.
+// recordFailure counts a failure of a class at a server, seen here or reported by a peer: one of many
+// limiters sends a server too little to judge it alone. When an ejection ends, all limiters use the
+// server again, and the first failures eject it anew. At most half of the servers are ejected, in case
+// a passing problem of all servers is attributed to some.
 func (l *Limiter) recordFailure(now float64, srv *server, class int) {
 	record := &srv.ejections[class]
 	if now-record.lastFailureAt > ejectionMs/2 {
@@ -29,21 +28,22 @@
 	}
 	record.lastFailureAt, record.count = now, record.count+1
 	p, ejected := srv.pool, 0
-	for _, other := range p.serverList {
+	for _, other := range p.servers {
 		if now < other.ejections[class].until {
 			ejected++
 		}
 	}
-	// As many failures as the fleet's share of them makes likely say nothing.
-	expected := p.failureShare * p.recentSends(now) * float64(l.cfg.Balancers) / float64(len(p.serverList))
-	if float64(record.count) >= ejectAfter+expected && 2*(ejected+1) <= len(p.serverList) {
+	// The number of failures to be expected at the pool's overall failure share does not count.
+	expected := p.failureShare * p.recentSends(now) * float64(l.cfg.Balancers) / float64(len(p.servers))
+	if float64(record.count) >= ejectAfter+expected && 2*(ejected+1) <= len(p.servers) {
 		if now >= record.until {
-			if record.repeats++; now > record.until+ejectionMs { // it has done well since
+			if record.repeats++; now > record.until+ejectionMs { // no failures for a while
 				record.repeats = 0
 			}
-			l.log("server %d: class %d fails there, kept off", srv.info.ID, class)
+			l.log("server %d: ejected for class %d after repeated failures", srv.info.ID, class)
 		}
-		record.until = now + max(ejectionMs, min(l.cfg.IllMostMs, ejectionMs*float64(int(1)<<min(record.repeats, 8))))
+		record.until = now + max(ejectionMs, min(l.cfg.IllMostMs,
+			ejectionMs*float64(int(1)<<min(record.repeats, 8))))
 	}
 }
 
@@ -65,16 +65,17 @@
 	}
 }
 
-// stalled tells that a server owes answers and has been silent for long.
+// stalled reports whether a server owes answers and has been silent for too long.
 func (l *Limiter) stalled(now float64, srv *server) bool {
 	if srv.inflight == 0 {
 		return false
 	}
-	typical := slices.Max(srv.pool.typicalMs) * srv.slowness(now) / l.warmth(now, srv) * srv.pool.slowdown(srv.load())
+	typical := slices.Max(srv.pool.typicalMs) * srv.slowness(now) / l.warmth(now, srv) *
+		srv.pool.slowdown(srv.load())
 	return now-srv.silentSince > stallFactor*typical+l.cfg.Caps.ConnectMs
 }
 
-// seeTiers tells the pools' tiers how many of their servers can be used.
+// updateTiers passes the number of usable servers to the tiers of each pool and advances the tiers.
 func (l *Limiter) updateTiers(now float64) {
 	for _, id := range l.tieredPools {
 		p := l.pools[id]
@@ -101,23 +102,23 @@
 	}
 }
 
-// checkServers probes those that are down or silent.
+// probeServers probes servers that are down or stalled.
 func (l *Limiter) probeServers(now float64) {
-	for _, srv := range l.serverList {
+	for _, srv := range l.servers {
 		if srv.info.Phase != Up || !(srv.down || l.stalled(now, srv)) || now < srv.probedAt+probeMs {
 			continue
 		}
 		srv.probedAt = now
 		if l.cfg.Caps.Probes {
 			l.emit(Probe{Server: srv.info.ID})
-		} else if srv.down { // no probes: one request at a time finds out
+		} else if srv.down { // no probes: the next request tests the server
 			srv.down, srv.connectFailures = false, downAfter-1
 		}
 	}
 }
 
 func (l *Limiter) probed(now float64, e Probed) {
-	srv := l.servers[e.Server]
+	srv := l.serversByID[e.Server]
 	if srv == nil || srv.info.Phase != Up {
 		return
 	}
@@ -126,14 +127,14 @@
 		srv.silentSince = now
 		if srv.down {
 			srv.down, srv.connectFailures = false, 0
-			if srv.pool.tiers != nil { // it may be another process, and the list is late
+			if srv.pool.tiers != nil { // perhaps a new process, not yet listed
 				srv.recoveredAt = now
 			}
 			l.log("server %d answers again", srv.info.ID)
 		}
 	case TooSlow, NoRoute, Cut:
 		if srv.down || l.stalled(now, srv) {
-			l.markDown(now, srv, "silent, and the probe failed")
+			l.markDown(now, srv, "no answers, and the probe failed")
 		}
 	}
 }
--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -1,7 +1,6 @@
-// The decisions. Their interface (types, events, actions, settings) is api.go;
-// state.go lists what is remembered, peercodec.go lays out messages to peers. Each
-// concern of the decisions has a file: quota.go, requests.go, choice.go, health.go,
-// cold.go, servers.go, gossip.go.
+// Events are dispatched here. api.go declares the interface (settings, events, actions), state.go the
+// state and peercodec.go the format of peer messages. The policy is in quota.go, requests.go,
+// choice.go (server selection), health.go, cold.go (warm-up), servers.go and gossip.go (peers).
 
 package limiter
 
@@ -10,17 +9,17 @@
 	"math/rand/v2"
 )
 
-// tickMs is the period of the tick in milliseconds: telling peers, housekeeping.
+// tickMs is the period of the tick, which updates peers and does the housekeeping.
 const tickMs = 50.0
 
-// New returns a Limiter, or an error that names the setting that makes no sense.
+// New returns a Limiter, or an error that names the invalid setting. Equal seeds give equal decisions.
 func New(s Settings, seed uint64) (*Limiter, error) {
 	if err := checkSettings(s); err != nil {
 		return nil, fmt.Errorf("limiter: %w", err)
 	}
 	l := &Limiter{
 		cfg: s, rng: rand.New(rand.NewPCG(seed, 0x51)), retryBudget: maxRetryBudget,
-		servers: map[uint64]*server{}, requests: map[string]*request{}, accounts: map[uint64]*account{},
+		serversByID: map[uint64]*server{}, requests: map[string]*request{}, accounts: map[uint64]*account{},
 		peers: make([]peer, s.Balancers),
 		pools: map[uint64]*pool{}, usualTimeout: make([]usualTimeout, len(s.Classes)),
 	}
@@ -29,19 +28,19 @@
 	return l, nil
 }
 
-// Handle takes one event and returns what is to be done, valid until the next call.
+// Handle processes one event and returns the actions to take; the slice is valid until the next call.
 func (l *Limiter) Handle(now float64, ev Event) []Action {
 	l.actions = l.actions[:0]
 	if !l.started {
 		l.started, l.startedAt, l.knownSince, l.sweptAt = true, now, now, now
 		l.hintIntervalMs = 1000 * float64(len(l.peers)) / (hintShare * max(1, l.cfg.PeerInPerS))
-		l.nextHintAt = now + l.hintIntervalMs*l.rng.Float64() // not all at once
+		l.nextHintAt = now + l.hintIntervalMs*l.rng.Float64() // spreads the limiters' first hints
 		if l.cfg.AskMembers {
 			l.emit(Listen{})
 		}
 		l.emit(Timer{At: now + tickMs*(0.5+l.rng.Float64()/2), Handle: "tick"})
 	}
-	if now-l.lastEventAt > processStallMs { // what was out meanwhile says nothing about servers
+	if now-l.lastEventAt > processStallMs { // attempts in flight then say nothing about servers
 		l.resumedAt = now
 	}
 	l.lastEventAt = now
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -626,7 +626,7 @@
 		}
 	}
 	s.handle(Probed{Server: 1, Result: Pass})
-	if s.l.servers[1].down {
+	if s.l.serversByID[1].down {
 		t.Error("a server that answers is still held down")
 	}
 }
@@ -730,8 +730,8 @@
 		t.Errorf("%d customers, %d listed, %d kept, %d dirty, %d requests, %d out", len(s.l.accounts), len(s.l.accountList),
 			len(s.l.aggregated), len(s.l.dirty), len(s.l.requests), s.l.poolOf(0).inflight)
 	}
-	if len(s.l.servers) != 5 || len(s.l.serverList) != 5 {
-		t.Errorf("%d servers, %d in order, want 5", len(s.l.servers), len(s.l.serverList))
+	if len(s.l.serversByID) != 5 || len(s.l.servers) != 5 {
+		t.Errorf("%d servers, %d in order, want 5", len(s.l.serversByID), len(s.l.servers))
 	}
 }
 
--- a/limiter/memory.go
+++ b/limiter/memory.go
@@ -105,9 +105,9 @@
 		}
 		return 1
 	})
-	memory.Boxes = make([]BoxMemory, 0, len(l.serverList))
-	records := make([]IllMemory, 0, len(l.serverList)*len(l.cfg.Classes)) // one for all: the limiter is held meanwhile
-	for _, srv := range l.serverList {
+	memory.Boxes = make([]BoxMemory, 0, len(l.servers))
+	records := make([]IllMemory, 0, len(l.servers)*len(l.cfg.Classes)) // one for all: the limiter is held meanwhile
+	for _, srv := range l.servers {
 		decay := math.Exp((srv.slownessAt - now) / slownessWindowMs)
 		x := BoxMemory{ID: srv.info.ID, ReadyAt: srv.info.ReadyAt, Spent: srv.slownessSum * decay, Had: srv.slownessCount * decay, Down: srv.down}
 		if srv.recoveredAt > srv.info.ReadyAt && l.warmth(now, srv) < 1 {
@@ -273,7 +273,7 @@
 	}
 	l.takeOver(now, memory.Handover)
 	for _, x := range memory.Boxes {
-		srv := l.servers[x.ID]
+		srv := l.serversByID[x.ID]
 		if srv == nil || srv.info.ReadyAt != x.ReadyAt || srv.slownessCount > 0 || len(x.Ills) != len(srv.ejections) {
 			continue
 		}
--- a/limiter/memory_test.go
+++ b/limiter/memory_test.go
@@ -53,7 +53,7 @@
 	next.now = 9e6 // another clock
 	next.l.cfg.Plans[0].Rate, next.l.cfg.Plans[0].Burst = 1e6, 1e6
 	next.handle(Recall{Memory: m})
-	old, now := h.l.servers, next.l.servers
+	old, now := h.l.serversByID, next.l.serversByID
 	if p, q := h.l.pools[7], next.l.pools[7]; !reflect.DeepEqual(p.typicalMs, q.typicalMs) || p.loadFit != q.loadFit || p.worth != q.worth {
 		t.Errorf("%v %v, %v %v", p.typicalMs, q.typicalMs, p.loadFit, q.loadFit)
 	}
@@ -71,8 +71,8 @@
 	// Another process at the same address is a stranger, and so is one that is not listed.
 	next = newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7, ReadyAt: 60}, ServerInfo{ID: 5, Pool: 7})
 	next.handle(Recall{Memory: m})
-	if s := next.l.servers[1]; s.slownessCount != 0 || s.down || len(next.l.servers) != 2 {
-		t.Errorf("another process: %+v, %d servers", s, len(next.l.servers))
+	if s := next.l.serversByID[1]; s.slownessCount != 0 || s.down || len(next.l.serversByID) != 2 {
+		t.Errorf("another process: %+v, %d servers", s, len(next.l.serversByID))
 	}
 	// What it has learnt itself goes before.
 	before := h.l.Remember(h.now)
@@ -117,7 +117,7 @@
 		h := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 1}, ServerInfo{ID: 2, Pool: 1})
 		h.handle(Recall{Memory: randomMemory(r, 3)})
 		p := h.l.poolOf(1)
-		for _, s := range p.serverList {
+		for _, s := range p.servers {
 			for class := range 3 {
 				if x := h.l.expectedMs(h.now, s, class); !(x > 0) || math.IsInf(x, 0) {
 					t.Fatalf("an answer is expected after %v ms: %+v %+v", x, p, s)
--- a/limiter/pool_test.go
+++ b/limiter/pool_test.go
@@ -121,7 +121,7 @@
 	h := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7}, ServerInfo{ID: 2, Pool: 9})
 	h.submit("a", Submit{Units: 1, Customer: 1, Pool: 7})
 	h.handle(Endpoints{Scope: Complete, Servers: []ServerInfo{{ID: 1, Pool: 9}, {ID: 2, Pool: 9}}})
-	if h.l.pools[7] != nil || h.l.poolOf(9).inflight != 1 || len(h.l.poolOf(9).serverList) != 2 {
+	if h.l.pools[7] != nil || h.l.poolOf(9).inflight != 1 || len(h.l.poolOf(9).servers) != 2 {
 		t.Errorf("pool 7 %v, pool 9 %+v", h.l.pools[7], h.l.poolOf(9))
 	}
 	h.outcome("a", Pass)
@@ -472,7 +472,7 @@
 	for id := range uint64(3) {
 		h.handle(Probed{Server: id + 1, Result: Pass})
 	}
-	s := h.l.servers[1]
+	s := h.l.serversByID[1]
 	if w := h.l.warmth(h.now, s); w > 0.3 {
 		t.Errorf("its warmth is %v", w)
 	}
@@ -483,7 +483,7 @@
 	info := s.info
 	info.ReadyAt = 1 // discovery tells that it has long been there
 	h.handle(Endpoints{Scope: Partial, Servers: []ServerInfo{info}})
-	if at := h.l.servers[1].info.ReadyAt; at != 1 {
+	if at := h.l.serversByID[1].info.ReadyAt; at != 1 {
 		t.Errorf("discovery says when it started, and %v holds", at)
 	}
 }
--- a/limiter/progress_test.go
+++ b/limiter/progress_test.go
@@ -25,7 +25,7 @@
 			for _, a := range l.Handle(now, Progress{ID: "r", LeftMs: 400}) {
 				t.Fatalf("progress brings about %+v", a)
 			}
-			if l.stalled(now, l.servers[at.Server]) {
+			if l.stalled(now, l.serversByID[at.Server]) {
 				t.Fatalf("at %v the server is taken for silent", now)
 			}
 		}
--- a/limiter/quota.go
+++ b/limiter/quota.go
@@ -3,16 +3,16 @@
 import "slices"
 
 const (
-	accountIdleMs = 15000.0 // an idle customer with full stores is forgotten after this
+	accountIdleMs = 15000.0 // an idle account with full buckets is dropped after this
 )
 
-// customerOf returns the record of a customer, made on first sight. One not
-// seen before starts with the burst split over its gateways, refilled since
-// this gateway started; the rest is held back until its peers are heard.
+// accountOf returns the record of an account, created on first use. A new one starts with the burst
+// divided by its limiters, plus the refill since the start; the rest is withheld until peers answer.
 func (l *Limiter) accountOf(now float64, id uint64, plan, spread int) *account {
 	acct := l.accounts[id]
 	if acct == nil {
-		acct = &account{id: id, plan: plan, refilledAt: now, lastSeenAt: now, limitsOutstanding: l.cfg.Plans[plan].AtOnce > 0}
+		acct = &account{id: id, plan: plan, refilledAt: now, lastSeenAt: now,
+			limitsOutstanding: l.cfg.Plans[plan].AtOnce > 0}
 		limits, limiters := l.cfg.Plans[plan], float64(max(1, min(spread, l.cfg.Balancers)))
 		acct.balance = min(limits.Burst, limits.Burst/limiters+limits.Rate*(now-l.startedAt)/1000)
 		acct.withheld = limits.Burst - acct.balance
@@ -22,43 +22,45 @@
 	return acct
 }
 
-// release grants what was held back of an unseen customer's burst once all
-// its peers have answered this gateway's question: what they did not tell of
-// has not been spent. Silence of any of them leaves it to the refill.
+// releaseWithheld grants the withheld part of a burst once all peers of the account have answered the
+// sync request: what they didn't report is unspent. If one stays silent, only the refill restores it.
 func (l *Limiter) releaseWithheld(acct *account) {
-	if acct.withheld == 0 || acct.usesAggregators() && !l.neighborSynced ||
-		!acct.usesAggregators() && slices.ContainsFunc(acct.recipients, func(i int) bool { return !l.peers[i].synced }) {
+	if acct.withheld == 0 || acct.usesAggregators() && !l.neighborSynced || !acct.usesAggregators() &&
+		slices.ContainsFunc(acct.recipients, func(i int) bool { return !l.peers[i].synced }) {
 		return
 	}
-	acct.balance, acct.publishedLevel, acct.withheld = min(l.cfg.Plans[acct.plan].Burst, acct.balance+acct.withheld), acct.publishedLevel+acct.withheld, 0
+	acct.balance, acct.publishedLevel, acct.withheld = min(l.cfg.Plans[acct.plan].Burst,
+		acct.balance+acct.withheld), acct.publishedLevel+acct.withheld, 0
 }
 
-// refill brings a customer's bucket and its part of the ceiling up to date.
+// refill brings an account's bucket and its part of the ceiling up to date.
 func (l *Limiter) refill(now float64, acct *account) {
 	limits, seconds := l.cfg.Plans[acct.plan], (now-acct.refilledAt)/1000
 	acct.refilledAt = now
-	// What is leased keeps its place, as if it were taken only when it is used: an
-	// account that leases all it has must not get as much again meanwhile.
+	// Leased units keep their place in the buckets: an account that leases its whole balance must not
+	// be refilled as much again while the leases are open.
 	acct.balance += seconds * limits.Rate
 	excess := max(0, acct.balance-(limits.Burst-acct.leased))
 	acct.balance, acct.discarded = acct.balance-excess, acct.discarded+excess
 	if divisor := acct.ceilingDivisor(); divisor > 0 {
-		acct.ceilingBalance = min(limits.CeilingBurst/divisor-acct.leased, acct.ceilingBalance+seconds*limits.CeilingRate/divisor)
+		acct.ceilingBalance = min(limits.CeilingBurst/divisor-acct.leased,
+			acct.ceilingBalance+seconds*limits.CeilingRate/divisor)
 	}
 }
 
-// allows tells whether the quota and the ceiling have room; if not, wait is
-// the time until they will have, as far as known here.
+// checkQuota reports whether the quota and the ceiling have room; if not, waitMs is the time until
+// they will have, as far as this limiter knows.
 func (l *Limiter) checkQuota(acct *account, units float64, vouched bool) (waitMs float64, ok bool) {
 	limits := l.cfg.Plans[acct.plan]
-	// In a large set others pass what is not known here yet: below the margin told
-	// with a level, the lower it is the less passes. A full bucket has no margin.
-	if limits.Rate > 0 && !vouched && acct.balance < units+min(acct.margin, limits.Burst-acct.balance)*l.rng.Float64() {
+	// With many limiters, others admit requests not known here yet: below the published margin, fewer
+	// pass the lower the balance is. A full bucket has no margin.
+	if limits.Rate > 0 && !vouched &&
+		acct.balance < units+min(acct.margin, limits.Burst-acct.balance)*l.rng.Float64() {
 		waitMs = (units - acct.balance) / limits.Rate * 1000
 	}
-	// The ceiling is held by escrow: each gateway of the set owns an equal
-	// part of its store and rate, or what [Parts] says, so that the sum of all never exceeds it,
-	// whatever is lost or late. A starting gateway begins with nothing.
+	// The ceiling is enforced by escrow: each of the account's limiters owns a part of its burst and
+	// rate, equal or set by [Parts], so that the sum never exceeds it, whatever messages are lost or
+	// late. A limiter that starts has nothing saved up.
 	if available := l.spendable(acct); limits.CeilingRate > 0 && available < units {
 		waitMs = max(waitMs, (units-available)/limits.CeilingRate*acct.ceilingDivisor()*1000)
 	}
@@ -68,29 +70,28 @@
 	return waitMs, waitMs == 0
 }
 
-// spend takes units that this gateway lets through. Only the first attempt
-// of a request spends.
+// spend takes the units of an admitted request; retries spend nothing.
 func (l *Limiter) spend(now float64, acct *account, units float64) {
-	acct.balance, acct.ceilingBalance, acct.spent = acct.balance-units, acct.ceilingBalance-units, acct.spent+units
+	acct.balance, acct.ceilingBalance, acct.spent = acct.balance-units, acct.ceilingBalance-units,
+		acct.spent+units
 	acct.lastSpentAt, acct.lastSpentUnits = now, units
 	l.markDirty(acct)
 }
 
-// settle ends a lease. What comes back is no more than was taken, and fits below
-// the caps, as its place was kept.
+// settle ends a lease. A refund is at most what is leased, which has kept its place in the buckets.
 func (l *Limiter) settle(acct *account, units float64, back bool) {
 	if units = min(units, acct.leased); units <= 0 {
 		return
 	}
 	if acct.leased -= units; back {
-		acct.balance, acct.ceilingBalance, acct.spent = acct.balance+units, acct.ceilingBalance+units, acct.spent-units
+		acct.balance, acct.ceilingBalance, acct.spent = acct.balance+units, acct.ceilingBalance+units,
+			acct.spent-units
 		l.markDirty(acct)
 	}
 }
 
-// forget drops customers that are idle and whose bucket and part of the ceiling are
-// full again: a new record would start full too. Guards against growing with every
-// customer that comes once.
+// dropIdleAccounts drops accounts that are idle and whose bucket and part of the ceiling are full: a
+// new record would start full too. This bounds memory when many accounts come only once.
 func (l *Limiter) dropIdleAccounts(now float64) {
 	idle := func(acct *account) bool {
 		l.refill(now, acct)
--- a/limiter/reason.go
+++ b/limiter/reason.go
@@ -56,7 +56,7 @@
 
 // Regards is what a server is taken for, for requests of a class. Nothing changes by looking.
 func (l *Limiter) Regards(now float64, id uint64, class int) Regard {
-	srv := l.servers[id]
+	srv := l.serversByID[id]
 	switch {
 	case srv == nil || srv.info.Phase != Up:
 		return Unlisted
--- a/limiter/reason_test.go
+++ b/limiter/reason_test.go
@@ -10,8 +10,8 @@
 	h := trainedLimiter(t)
 	h.handle(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: 5, Pool: 7, ReadyAt: h.now - 1}, {ID: 6, Pool: 7, Phase: Draining}}})
 	h.l.cfg.Rules = Rules{ColdShare: 0.2, ColdMs: 10_000, OverloadFactor: 3, FallMs: 1500}
-	h.l.servers[5].coldCredit = 0
-	h.l.servers[1].fullUntil = h.now + fullBackoffMs
+	h.l.serversByID[5].coldCredit = 0
+	h.l.serversByID[1].fullUntil = h.now + fullBackoffMs
 	before := h.l.Remember(h.now)
 	for _, c := range []struct {
 		server uint64
@@ -22,7 +22,7 @@
 			t.Errorf("server %d, class %d: %v, want %v", c.server, c.class, got, c.want)
 		}
 	}
-	s := h.l.servers[3]
+	s := h.l.serversByID[3]
 	s.inflight, s.silentSince = 1, h.now-1e6
 	if got := h.l.Regards(h.now, 3, 0); got != Silent {
 		t.Errorf("one that owes an answer for long: %v", got)
@@ -81,7 +81,7 @@
 	if refusalReason := h.refusalReason(Submit{ID: "a", ExpiresMs: 900, Units: 1, Customer: 2}); refusalReason != -1 {
 		t.Fatalf("refused: %v", refusalReason)
 	}
-	s := h.l.servers[1]
+	s := h.l.serversByID[1]
 	server, all := *s, *s.pool
 	h.l.Regards(h.now+777, 1, 0)
 	h.l.View(h.now + 777)
--- a/limiter/reload.go
+++ b/limiter/reload.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// weighPlans sets what follows from the plans.
+// updatePlans derives the state that depends on the plans.
 func (l *Limiter) updatePlans() {
 	worth := 0.0
 	l.anyOutstandingLimit, l.pauseFactors, l.named = false, nil, len(l.cfg.Plans)
@@ -10,17 +10,17 @@
 		l.anyOutstandingLimit = l.anyOutstandingLimit || limits.AtOnce > 0
 		worth += limits.Rate * limits.Price / float64(len(l.cfg.Plans))
 	}
-	for _, limits := range l.cfg.Plans { // telling earns by worth, and where bursts are short
+	for _, limits := range l.cfg.Plans { // updates matter most for valuable plans with short bursts
 		rate := max(1e-9, limits.Rate)
-		l.pauseFactors = append(l.pauseFactors, max(0.1, min(4, limits.Burst/rate/4*worth/max(1e-9, rate*limits.Price))))
+		l.pauseFactors = append(l.pauseFactors,
+			max(0.1, min(4, limits.Burst/rate/4*worth/max(1e-9, rate*limits.Price))))
 	}
 }
 
-// reconfigure has other classes and plans hold. An account keeps what is left of its
-// balance, up to the new burst, and its part of the ceiling, up to the new part: one
-// that had no ceiling begins with nothing of it. What is in hand keeps a class that is
-// gone until it has ended, and an account a plan that is gone until it comes with
-// another one or is forgotten; requests can't name them, and peers are not told of them.
+// reconfigure applies other classes and plans. An account keeps its balance, up to the new burst, and
+// its part of the ceiling, up to the new part; one that had no ceiling starts with none saved up. A
+// pending request keeps a removed class until it ends, and an account a removed plan until a request
+// names another plan or it is dropped. Requests can't name what is removed, and peers don't learn of it.
 func (l *Limiter) reconfigure(now float64, e Reconfigure) {
 	old := l.cfg
 	s := &e.Settings
@@ -43,7 +43,7 @@
 	}
 	for _, acct := range l.accountList {
 		p := old.Plans[acct.plan]
-		s := (now - acct.refilledAt) / 1000 // to now by the plan that held
+		s := (now - acct.refilledAt) / 1000 // up to now by the old plan
 		acct.balance = min(p.Burst-acct.leased, acct.balance+s*p.Rate)
 		if n := acct.ceilingDivisor(); n > 0 {
 			acct.ceilingBalance = min(p.CeilingBurst/n-acct.leased, acct.ceilingBalance+s*p.CeilingRate/n)
@@ -69,7 +69,7 @@
 	for _, p := range l.pools {
 		p.typicalMs, p.answers = remap(p.typicalMs, classes, n), remap(p.answers, classes, n)
 	}
-	for _, s := range l.serverList {
+	for _, s := range l.servers {
 		s.ejections = remap(s.ejections, classes, n)
 	}
 }
--- a/limiter/requests.go
+++ b/limiter/requests.go
@@ -3,18 +3,18 @@
 import "math"
 
 const (
-	// Under pressure the wait in it moves with what a request is worth for its
-	// work against the others, within these bounds.
+	// Under pressure the wait allowed to a request scales with its worth per unit of work relative to
+	// the mean, within these bounds.
 	minWorthRatio    = 0.1
 	maxWorthRatio    = 2.5
-	averageWeight    = 0.02 // weight of one request in pressure, mean worth and failure share
-	timeoutTolerance = 0.01 // tries of a class have equal time within this share: transit varies
-	maxTimeoutVotes  = 200  // bound of the vote for the usual time, to follow a change
-	retryShare       = 0.2  // further attempts that may have cost work, for each first one,
-	maxRetryBudget   = 10.0 // saved up to this
+	averageWeight    = 0.02 // weight of one request in the averages of pressure, worth and failures
+	timeoutTolerance = 0.01 // timeouts within this share count as equal: transit times vary
+	maxTimeoutVotes  = 200  // bound on votes for the usual timeout, to follow a change
+	retryShare       = 0.2  // retries that may have cost work, earned by each first attempt
+	maxRetryBudget   = 10.0 // retries that can be saved up
 )
 
-// submit takes in a request that this gateway carries.
+// submit handles a request that this limiter proxies.
 func (l *Limiter) submit(now float64, e Submit) {
 	if l.requests[e.ID] != nil {
 		return
@@ -31,7 +31,7 @@
 	l.sendAttempt(now, req, srv)
 }
 
-// ask answers for a request that goes another way.
+// ask answers for a request that another component carries.
 func (l *Limiter) ask(now float64, e Ask) {
 	e.Leased, e.Vouched = 0, false
 	if req, srv := l.admit(now, e.Submit); srv != nil {
@@ -43,8 +43,7 @@
 	}
 }
 
-// admit decides on a request and returns the server that would take it, or refuses it
-// and returns nil.
+// admit decides on a request and returns the server to use, or refuses the request and returns nil.
 func (l *Limiter) admit(now float64, e Submit) (*request, *server) {
 	if e.Class < 0 || e.Class >= len(l.cfg.Classes) || e.Plan < 0 || e.Plan >= len(l.cfg.Plans) {
 		l.emit(Refuse{ID: e.ID})
@@ -55,10 +54,9 @@
 		l.setLimiters(now, acct, e.Spread, e.First)
 	}
 	l.refill(now, acct)
-	// The plan of a peer's word, which may go by another configuration, or one that is
-	// gone gives way to what the request says: what is left of it is what that begins
-	// with. The plan that a request has named stays: an account must not escape its
-	// ceiling by naming another one now and then.
+	// A plan learned from a peer, whose configuration may differ, or a removed one is replaced by the
+	// request's plan; the balance carries over. A plan that a request has named stays, so that an
+	// account can't escape its ceiling by naming another plan now and then.
 	if acct.plan != e.Plan && (!acct.named || acct.plan >= l.named) {
 		acct.plan, acct.limitsOutstanding = e.Plan, l.cfg.Plans[e.Plan].AtOnce > 0
 		l.refill(now, acct)
@@ -96,21 +94,20 @@
 	case ok:
 		waitMs = l.cfg.Caps.MaxWaitMs
 	}
-	l.settle(acct, e.Leased, true) // not used after all
+	l.settle(acct, e.Leased, true) // refund
 	l.refuse(e.ID, waitMs, l.reason(acct, &e, aim, ok))
 	return nil, nil
 }
 
-// aimLeft is the time in which an answer still earns its worth. Clients give
-// most tries of a class the same time; one that has another time has what is
-// left of the deadline, which tells how long ago the client began. Guards
-// against spending quota and servers on what is already too late. Where clients
-// mark their retries, a first try has only just begun, however short its time:
-// guards against turning away all that clients in a hurry send.
+// remainingAim returns the time left in which an answer earns its full worth. Clients give most
+// attempts of a class the same timeout; a different one is the rest of a deadline and shows how long ago
+// the client began, so that no quota or server time is spent on requests that are already too late. If
+// clients mark their retries, an unmarked request has just begun however short its timeout; without
+// that rule all requests of clients with short timeouts would be refused.
 func (l *Limiter) remainingAim(e Submit) float64 {
 	class, vote := l.cfg.Classes[e.Class], &l.usualTimeout[e.Class]
 	usualTimeout := math.Abs(e.ExpiresMs-vote.ms) <= timeoutTolerance*vote.ms
-	switch { // a majority vote finds the usual time
+	switch { // a majority vote finds the usual timeout
 	case usualTimeout:
 		vote.votes = min(vote.votes+1, maxTimeoutVotes)
 	case vote.votes > 0:
@@ -126,12 +123,12 @@
 	return min(aim, e.ExpiresMs)
 }
 
-// weigh sets how much of its spare time a request may be expected to wait: the
-// more of the requests inside their quotas are turned away for lack of
-// servers, the more it depends on what they are worth for their work.
+// setWaitFactor sets the factor on the spare time that a request may be expected to wait. The more
+// requests within quota are refused for lack of servers, the more it depends on worth per unit of work.
 func (l *Limiter) setWaitFactor(req *request) {
 	p := req.pool
-	worth := l.cfg.Classes[req.class].Worth * l.cfg.Plans[req.account.plan].Price * req.units / p.typicalMsOf(req.class)
+	worth := l.cfg.Classes[req.class].Worth * l.cfg.Plans[req.account.plan].Price * req.units /
+		p.typicalMsOf(req.class)
 	p.worth += (worth - p.worth) * max(averageWeight, 1/(p.weighted+1))
 	p.weighted++
 	req.factor = 1
@@ -141,7 +138,7 @@
 	}
 }
 
-// refuse turns a request away; the advice is never longer than clients heed.
+// refuse rejects a request; the wait is at most the longest that clients follow.
 func (l *Limiter) refuse(id string, waitMs float64, why Reason) {
 	if !l.cfg.Caps.RetryAfter {
 		waitMs = 0
@@ -176,8 +173,8 @@
 		acct.balance, acct.spent = acct.balance-(e.Cost-req.units), acct.spent+(e.Cost-req.units)
 	}
 	l.markDirty(req.account)
-	if !provesNotRun(e.Result) && req.firstRanOn == nil {
-		req.firstRanOn, req.firstRanInfo, req.firstRanAt = a.server, a.server.info, a.sentAt
+	if !provesNotRun(e.Result) && req.ranOn == nil {
+		req.ranOn, req.ranInfo, req.ranAt = a.server, a.server.info, a.sentAt
 	}
 	if e.Done {
 		l.finish(req)
@@ -186,11 +183,11 @@
 	}
 }
 
-// again makes a further attempt or gives the final answer. Nothing is out.
+// retryOrFail makes another attempt or gives the final answer, when no attempt is in flight.
 func (l *Limiter) retryOrFail(now float64, req *request, last Result) {
 	class := l.cfg.Classes[req.class]
-	mayRetry := now < req.deadlineAt && len(req.attempts) < max(1, req.maxAttempts) && (req.firstRanOn == nil ||
-		class.Repeat == Safe || class.Repeat == Keyed && now < req.firstRanAt+class.WindowMs)
+	mayRetry := now < req.deadlineAt && len(req.attempts) < max(1, req.maxAttempts) && (req.ranOn == nil ||
+		class.Repeat == Safe || class.Repeat == Keyed && now < req.ranAt+class.WindowMs)
 	costly := !(last == NoRoute || last == StaleSend)
 	if mayRetry && (!costly || l.retryBudget >= 1) {
 		if srv, _ := l.choose(now, req); srv != nil {
@@ -201,7 +198,7 @@
 			return
 		}
 	}
-	harmless := req.firstRanOn == nil || class.Repeat == Safe || class.Repeat == Keyed && class.Group == GroupAll
+	harmless := req.ranOn == nil || class.Repeat == Safe || class.Repeat == Keyed && class.Group == GroupAll
 	if harmless && now < req.deadlineAt {
 		l.refuse(req.id, 0, AfterAttempts)
 	} else {
@@ -210,12 +207,12 @@
 	l.finish(req)
 }
 
-// drop forgets a request that is over.
+// finish drops a request that has its final answer or whose client is gone.
 func (l *Limiter) finish(req *request) {
 	if req == nil {
 		return
 	}
-	for i := range req.attempts { // outcomes still to come are ignored: settle their counts here
+	for i := range req.attempts { // their outcomes will be ignored, so settle the counts now
 		if a := &req.attempts[i]; !a.ended {
 			l.settleAttempt(req, a)
 			if l.cfg.Caps.Cancel {
--- a/limiter/scale_test.go
+++ b/limiter/scale_test.go
@@ -164,7 +164,7 @@
 			i := rng.IntN(n)
 			c.submit(i, Submit{Plan: 3, Customer: rng.Uint64N(99), Spread: n})
 			l := c.limiters[i] // it takes whatever part it has, as if no other server were better
-			for s := l.servers[1]; l.allowsCold(c.now, s); s.coldCredit-- {
+			for s := l.serversByID[1]; l.allowsCold(c.now, s); s.coldCredit-- {
 				c.sent[1]++
 			}
 			c.now += 5
@@ -256,7 +256,7 @@
 			}
 		}
 	}
-	if srv := s.l.servers[1]; srv.ejections[0].until <= s.now || srv.ejections[1].until > s.now {
+	if srv := s.l.serversByID[1]; srv.ejections[0].until <= s.now || srv.ejections[1].until > s.now {
 		t.Errorf("class 0 fails at server 1: kept off to %v at %v", srv.ejections, s.now)
 	}
 	if hints == 0 {
@@ -316,7 +316,7 @@
 		hint(99, 0)
 		hint(2, 99)
 	}
-	if len(s.l.servers) != 4 || s.l.servers[2].ejections[0].count != 0 {
+	if len(s.l.serversByID) != 4 || s.l.serversByID[2].ejections[0].count != 0 {
 		t.Error("an unsound hint counted")
 	}
 	for range 2 {
@@ -350,7 +350,7 @@
 	for k, id := range ids {
 		s.handle(Outcome{ID: id, Server: to[k], Result: TooSlow, SpentMs: 1600})
 	}
-	if s.l.poolOf(0).typicalMs[0] != typicalMs || s.l.servers[1].ejections[0].count+s.l.servers[2].ejections[0].count > 0 {
+	if s.l.poolOf(0).typicalMs[0] != typicalMs || s.l.serversByID[1].ejections[0].count+s.l.serversByID[2].ejections[0].count > 0 {
 		t.Error("the gateway's own pause counted against servers")
 	}
 }
--- a/limiter/servers.go
+++ b/limiter/servers.go
@@ -15,53 +15,53 @@
 		return
 	}
 	if e.Scope != Partial {
-		for _, srv := range l.serverList {
+		for _, srv := range l.servers {
 			srv.info.Phase = Removed
 		}
 	}
 	for _, info := range e.Servers {
-		srv, p := l.servers[info.ID], l.poolOf(info.Pool)
+		srv, p := l.serversByID[info.ID], l.poolOf(info.Pool)
 		if srv == nil {
 			srv = l.newServer(now, p, 0)
 			srv.info.ID = info.ID
-			l.servers[info.ID] = srv
-			l.serverList, p.serverList = insert(l.serverList, srv), insert(p.serverList, srv)
-		} else if srv.info.ReadyAt != info.ReadyAt { // another process: nothing learnt holds
+			l.serversByID[info.ID] = srv
+			l.servers, p.servers = insert(l.servers, srv), insert(p.servers, srv)
+		} else if srv.info.ReadyAt != info.ReadyAt { // another process: nothing learned applies
 			*srv = *l.newServer(now, srv.pool, srv.inflight)
 			srv.info.ID = info.ID
 		}
-		if srv.pool != p { // what is out there counts where it is
-			srv.pool.serverList = slices.DeleteFunc(srv.pool.serverList, func(other *server) bool { return other == srv })
+		if srv.pool != p { // its attempts in flight move along
+			srv.pool.servers = slices.DeleteFunc(srv.pool.servers, func(o *server) bool { return o == srv })
 			srv.pool.inflight, p.inflight = srv.pool.inflight-srv.inflight, p.inflight+srv.inflight
-			srv.pool, p.serverList = p, insert(p.serverList, srv)
+			srv.pool, p.servers = p, insert(p.servers, srv)
 		}
 		srv.info = info
 	}
-	l.serverList = slices.DeleteFunc(l.serverList, func(srv *server) bool {
+	l.servers = slices.DeleteFunc(l.servers, func(srv *server) bool {
 		gone := srv.info.Phase == Removed && srv.inflight == 0
 		if gone {
-			delete(l.servers, srv.info.ID)
-			srv.pool.serverList = slices.DeleteFunc(srv.pool.serverList, func(other *server) bool { return other == srv })
+			delete(l.serversByID, srv.info.ID)
+			srv.pool.servers = slices.DeleteFunc(srv.pool.servers, func(o *server) bool { return o == srv })
 		}
 		return gone
 	})
 	l.setTiers()
 	l.updateCapacity(now)
 	maps.DeleteFunc(l.pools, func(id uint64, p *pool) bool {
-		return id != 0 && len(p.serverList) == 0 && p.inflight == 0
+		return id != 0 && len(p.servers) == 0 && p.inflight == 0
 	})
 }
 
-// occupied takes in what others have in hand.
+// occupied stores how many requests servers have from elsewhere.
 func (l *Limiter) occupied(e Occupied) {
 	for _, occupancy := range e.Servers {
-		if srv := l.servers[occupancy.Server]; srv != nil {
+		if srv := l.serversByID[occupancy.Server]; srv != nil {
 			srv.othersInflight, srv.slots = max(0, occupancy.Others), max(0, occupancy.Slots)
 		}
 	}
 }
 
-// setTiers divides the servers of pools with tiers.
+// setTiers groups the servers of pools with tiers by tier.
 func (l *Limiter) setTiers() {
 	l.tieredPools = slices.Sorted(maps.Keys(l.cfg.Spills))
 	for id, p := range l.pools {
@@ -75,10 +75,11 @@
 		}
 		p.tiers.Spill(spills)
 		p.serversByTier = make([][]*server, len(spills))
-		for _, srv := range p.serverList {
+		for _, srv := range p.servers {
 			tier := p.tierOf(srv)
 			p.serversByTier[tier] = append(p.serversByTier[tier], srv)
 		}
 	}
-	l.tieredPools = slices.DeleteFunc(l.tieredPools, func(id uint64) bool { return len(l.cfg.Spills[id]) < 2 })
+	l.tieredPools = slices.DeleteFunc(l.tieredPools,
+		func(id uint64) bool { return len(l.cfg.Spills[id]) < 2 })
 }
--- a/limiter/sighting.go
+++ b/limiter/sighting.go
@@ -1,8 +1,7 @@
 package limiter
 
-// Sighting is a failure of a request of a class at a server that another gateway has met, by
-// whatever way its word came here. It counts as one met here does for whether the class is kept
-// off the server, and for nothing else.
+// Sighting reports that a request of a class failed at a server for another limiter. It counts towards
+// ejecting the server for the class like a failure seen here, and has no other effect.
 type Sighting struct {
 	Server uint64
 	Class  int
@@ -10,14 +9,14 @@
 
 func (Sighting) event() {}
 
-// sightedBelow is the share of a pool's requests refused for want of servers above which word of
-// others counts for nothing: a server kept off then turns away more than it would fail.
-const peerFailureMaxPressure = 0.02
+// reportMaxPressure is the share of a pool's requests refused for lack of servers above which
+// failures seen by other limiters are ignored: an ejection would then refuse more than it saves.
+const reportMaxPressure = 0.02
 
-// sighted takes in what another gateway has met.
+// peerFailure handles a failure that another limiter has seen.
 func (l *Limiter) peerFailure(now float64, e Sighting) {
-	srv := l.servers[e.Server]
-	if srv == nil || e.Class < 0 || e.Class >= len(l.cfg.Classes) || srv.pool.pressure > peerFailureMaxPressure {
+	srv := l.serversByID[e.Server]
+	if srv == nil || e.Class < 0 || e.Class >= len(l.cfg.Classes) || srv.pool.pressure > reportMaxPressure {
 		return
 	}
 	l.recordFailure(now, srv, e.Class)
--- a/limiter/state.go
+++ b/limiter/state.go
@@ -31,8 +31,8 @@
 	sweptAt             float64
 	anyOutstandingLimit bool // some plan limits attempts out
 
-	servers         map[uint64]*server
-	serverList      []*server // by id
+	serversByID     map[uint64]*server
+	servers         []*server // by id
 	requests        map[string]*request
 	accounts        map[uint64]*account
 	accountList     []*account // in order of appearance
@@ -62,7 +62,7 @@
 // pool is a set of servers that takes requests of its own, and what is learnt of them
 // together. A server is in one pool.
 type pool struct {
-	serverList      []*server      // by id
+	servers         []*server      // by id
 	tiers           *routing.Tiers // nil: all servers are one
 	serversByTier   [][]*server
 	typicalMs       []float64 // typical ms of a class alone on a server
@@ -102,22 +102,22 @@
 }
 
 type request struct {
-	id           string
-	class        int
-	units        float64
-	account      *account
-	pool         *pool
-	maxAttempts  int // attempts
-	aimAt        float64
-	factor       float64 // by what it is worth: how much of its spare time it may wait
-	advice       Advice
-	deadlineAt   float64
-	attempts     []attempt
-	pending      int     // attempts out
-	firstRanOn   *server // where an attempt may have run first
-	firstRanInfo ServerInfo
-	firstRanAt   float64
-	streaming    bool
+	id          string
+	class       int
+	units       float64
+	account     *account
+	pool        *pool
+	maxAttempts int // attempts
+	aimAt       float64
+	factor      float64 // by what it is worth: how much of its spare time it may wait
+	advice      Advice
+	deadlineAt  float64
+	attempts    []attempt
+	pending     int     // attempts out
+	ranOn       *server // where an attempt may have run first
+	ranInfo     ServerInfo
+	ranAt       float64
+	streaming   bool
 }
 
 type attempt struct {
--- a/limiter/view.go
+++ b/limiter/view.go
@@ -21,7 +21,7 @@
 
 // View tells it. Nothing changes by looking.
 func (l *Limiter) View(now float64) (v View) {
-	for _, srv := range l.serverList {
+	for _, srv := range l.servers {
 		if srv.info.Phase != Removed {
 			v.Known++
 		}
@@ -42,8 +42,8 @@
 	for _, p := range l.pools {
 		v.Out += p.inflight
 		v.Pressure = max(v.Pressure, p.pressure)
-		if servers := len(p.serverList); servers > 0 {
-			v.Crowding = max(v.Crowding, p.slowdown(1+float64(p.inflight)/float64(servers)))
+		if count := len(p.servers); count > 0 {
+			v.Crowding = max(v.Crowding, p.slowdown(1+float64(p.inflight)/float64(count)))
 		}
 	}
 	v.Skipped = v.Known - v.Up + v.Off
