--- a/limiter/api.go
+++ b/limiter/api.go
@@ -1,167 +1,168 @@
-// Package limiter decides, for a gateway in front of a shared back end,
-// which requests pass and which server gets them, so that every customer is
-// held to a quota shared by all gateways.
+// Package limiter implements the policy of one of several load balancers, called limiters, in front of
+// shared servers: which requests are admitted and which server gets them, so that each account is held to
+// a quota that all limiters share.
 //
-// A [Limiter] is a state machine without input or output of its own: the host
-// hands it events together with the current time and carries out the actions
-// it returns. It keeps no goroutine and reads no clock; equal seeds and equal
-// events give equal actions. Times are in milliseconds on a clock of the
-// host's that never goes backwards.
+// A [Limiter] is a state machine without I/O: its host passes it events with the current time and carries
+// out the actions that it returns. It uses no goroutines and no clock; equal seeds and equal events give
+// equal actions. Times are in milliseconds on a monotonic clock of the host.
+//
+// An account has two limits, each a token bucket. Its quota is enforced approximately: limiters tell each
+// other what they have admitted. Its optional ceiling is never exceeded: each limiter owns a part of it.
 package limiter
 
-// Settings describe the deployment to one Limiter. The zero value of an
-// optional field means that the deployment has no such limit or facility.
+// Settings describe the deployment to one Limiter. The zero value of an optional field means that the
+// deployment has no such limit or feature.
 type Settings struct {
-	Position   int // this gateway's number, from 0
-	Balancers  int // gateways in all
-	Zone       int // this gateway's zone
-	AskMembers bool
+	Position   int  // index of this limiter, from 0
+	Balancers  int  // number of limiters
+	Zone       int  // zone of this limiter
+	AskMembers bool // subscribe to the server list with [Listen]
 	Classes    []Class
 	Plans      []Plan
 	Caps       Caps
 	Rules      Rules
-	PeerInPerS float64 // messages a second that a gateway takes in
-	TrueUp     bool    // units are a guess, settled by the answer
-	CrossPrice float64 // price of one attempt that crosses zones
-	// IllMostMs is how long at most a class is kept off a server that fails it anew each time that
-	// it is used again: twice as long each time. 0: the same time each time.
+	PeerInPerS float64 // peer messages that a limiter accepts per second
+	TrueUp     bool    // units are an estimate, corrected by the cost in the outcome
+	CrossPrice float64 // price of an attempt at a server in another zone
+	// IllMostMs bounds how long a server is ejected for a class: the time doubles each time that the
+	// server fails the class again soon after an ejection. 0: it does not grow.
 	IllMostMs float64
-	AskWithin float64 // ms within which membership must be asked again
-	// Spills are pools with tiers of preference: of each tier the share of requests that
-	// may spill to the next one while it has servers that can be used.
+	AskWithin float64 // ms within which the server list must be requested again
+	// Spills has, for each pool with tiers of preference, the share of a tier's requests that may spill
+	// over to the next tier while the tier has usable servers.
 	Spills map[uint64][]float64
 }
 
-// Class describes one kind of request.
+// Class describes a kind of request: its idempotency, its deadlines and its worth.
 type Class struct {
 	Repeat     Repeat
 	Group      Group
-	AimMs      float64 // an answer within this earns the full worth
+	AimMs      float64 // an answer within this time earns the full worth
 	DeadlineMs float64
-	WindowMs   float64 // how long repeats of a key are dropped
+	WindowMs   float64 // how long servers remember the key of a Keyed request
 	Worth      float64
-	LateShare  float64 // share of the worth earned after the aim
+	LateShare  float64 // share of the worth that an answer after AimMs earns
 }
 
-// Repeat tells what a second execution of a request would do.
+// Repeat is the idempotency of a class: whether a request may be executed twice.
 type Repeat int
 
-// The idempotency classes.
+// The kinds of idempotency.
 const (
-	Safe   Repeat = iota // repeating does no harm
-	Keyed                // repeats are dropped inside a group of servers
-	Unsafe               // must never run twice
+	Safe   Repeat = iota // idempotent
+	Keyed                // idempotent within a group of servers, by an idempotency key
+	Unsafe               // not idempotent: must never run twice
 )
 
-// Group names the servers that drop each other's repeats of a key.
+// Group says which servers share the idempotency keys that they remember.
 type Group int
 
-// The groups of servers that share remembered keys.
+// The groups of servers: all, those of a zone and those of a cell.
 const (
 	GroupAll Group = iota
 	GroupZone
 	GroupCell
 )
 
-// Plan is what customers of one plan may use, over all gateways together.
+// Plan is what each account of a plan may use, over all limiters together.
 type Plan struct {
-	Rate         float64 // units a second; 0: no such quota
-	Burst        float64 // units the store holds at most
-	AtOnce       int     // attempts out at once; 0: no such quota
-	CeilingRate  float64 // units a second of the hard ceiling; 0: none
-	CeilingBurst float64
-	Price        float64 // factor on the worth
-	BeyondEarns  float64 // share of the worth earned beyond the quota
-	OverrunCost  float64 // share of the worth lost by sending beyond it
+	Rate         float64 // quota in units per second; 0: unlimited
+	Burst        float64 // size of the quota's bucket in units
+	AtOnce       int     // attempts in flight at once; 0: unlimited
+	CeilingRate  float64 // hard limit in units per second; 0: none
+	CeilingBurst float64 // size of the ceiling's bucket in units
+	Price        float64 // factor on the worth of a request
+	BeyondEarns  float64 // share of the worth that requests beyond the quota earn
+	OverrunCost  float64 // share of the worth lost by admitting requests beyond the quota
 }
 
-// Caps are the limits and facilities of the deployment.
+// Caps are the limits and optional features of the deployment.
 type Caps struct {
-	Attempts     int // most attempts of one request
-	Cancel       bool
-	Peers        bool
-	Probes       bool
-	RetryAfter   bool
-	SecondCopies bool
-	MaxWaitMs    float64 // longest advice that clients heed
-	ConnectMs    float64 // connect time-out
+	Attempts     int     // maximum attempts per request
+	Cancel       bool    // attempts can be aborted
+	Peers        bool    // limiters can send each other messages
+	Probes       bool    // servers can be probed
+	RetryAfter   bool    // refusals can tell clients how long to wait
+	SecondCopies bool    // a request may have two attempts in flight
+	MaxWaitMs    float64 // longest wait that clients follow
+	ConnectMs    float64 // connect timeout
 }
 
-// Rules are the figures of the drain and cold-server rules.
+// Rules are the parameters of the warm-up of servers.
 type Rules struct {
-	ColdShare      float64 // share of capacity a server starts with
-	ColdMs         float64 // it is warm after this at the latest
-	OverloadFactor float64 // this many times its capacity ...
-	FallMs         float64 // ... for this long makes it fall over
+	ColdShare      float64 // share of its capacity that a server has at its start
+	ColdMs         float64 // time after which it has its full capacity
+	OverloadFactor float64 // load, as a multiple of its capacity, that makes a server fail
+	FallMs         float64 // if it lasts for this time
 }
 
-// Event is something that happened. The event types are [Submit], [Ask],
+// Event is an input of the state machine. The event types are [Submit], [Ask],
 // [Settle], [Outcome], [Aborted], [Progress], [FirstByte], [Alarm], [Endpoints],
 // [Probed], [PeerMessage], [Sighting], [Occupied], [Recall], [Parts] and [Reconfigure].
 type Event interface{ event() }
 
-// Submit is a client's request, which is now owed one final answer.
+// Submit is a client's request, which gets exactly one final answer.
 type Submit struct {
 	ID        string
 	ExpiresMs float64 // time until the client gives up
 	Units     float64
 	Class     int
 	Plan      int
-	Retry     bool
-	Customer  uint64
-	Spread    int    // gateways this customer's requests come through ...
-	First     int    // ... in a row from this position
-	Pool      uint64 // whose servers may take it; 0 where there is one only
-	Attempts  int    // at most, where that is fewer than the deployment's; 0: those
-	// Leased are units that an Ask leased here for this request, which is their end:
-	// nothing else is taken. 0: the request pays for itself.
+	Retry     bool   // the client has marked it as a retry
+	Customer  uint64 // ID of the account
+	Spread    int    // number of limiters that the account's requests come through
+	First     int    // position of the first of them; the others follow it
+	Pool      uint64 // pool whose servers may take it; 0 if there is only one
+	Attempts  int    // maximum attempts, if fewer than Caps.Attempts; 0: no own limit
+	// Leased is the number of units that an [Ask] has leased here for this request. The lease pays for
+	// the request and ends with it. 0: the request is charged itself.
 	Leased float64
-	// Vouched tells that another gateway has leased units for it: the quota has had its
-	// say there. It pays here all the same, and the ceiling here has to have room.
+	// Vouched means that another limiter has leased units for the request and checked the quota. The
+	// request is charged here as well, and the ceiling here must have room for it.
 	Vouched bool
-	Advice  Advice // what plug-ins say of it
+	Advice  Advice // of plug-ins
 }
 
-// Ask asks whether a request may go that this gateway does not carry: the same
-// bucket, ceiling, pressure and worth as with Submit, and no server. It is answered
-// at once by a [Grant] or a [Refuse]. What is granted is spent, or, with Lease, kept
-// until a [Settle] or the Submit that it was leased for.
+// Ask asks whether a request may proceed that this limiter does not proxy. It is decided like a Submit,
+// by quota, ceiling, pressure and worth, but not sent to a server. The answer, a [Grant] or a [Refuse], is
+// immediate. Granted units are spent or, with Lease, held until a [Settle] or the Submit that they were
+// leased for.
 type Ask struct {
 	Submit
 	Lease bool
 }
 
-// Settle ends a lease: its units are spent for good, or back again.
+// Settle ends a lease: its units are spent or, with Back, refunded.
 type Settle struct {
 	Customer uint64
 	Units    float64
 	Back     bool
 }
 
-// Outcome tells how one attempt ended.
+// Outcome is the end of one attempt.
 type Outcome struct {
 	ID      string
 	Try     int
 	Server  uint64
 	Result  Result
 	SpentMs float64
-	Done    bool    // the request has its final answer
-	Cost    float64 // true units, where they are settled; else 0
+	Done    bool    // the client has its final answer
+	Cost    float64 // actual units with Settings.TrueUp; otherwise 0
 	Load    Load
 }
 
-// Aborted tells that the client is gone.
+// Aborted means that the client has cancelled the request.
 type Aborted struct{ ID string }
 
-// Progress tells that an attempt's request, which is long, still goes on to its server.
+// Progress means that the body of a long request is still being sent to the attempt's server.
 type Progress struct {
 	ID     string
 	Try    int
-	LeftMs float64 // time that the client will wait from the last byte on, which is yet to come
-	Spent  bool    // the body is not held any more: there can be no further attempt
+	LeftMs float64 // time that the client will wait once the last byte is sent
+	Spent  bool    // the body is no longer buffered, so the request can't be retried
 }
 
-// FirstByte tells that a streamed answer has begun.
+// FirstByte means that a streamed answer has begun, so the request can't be retried.
 type FirstByte struct {
 	ID  string
 	Try int
@@ -170,7 +171,7 @@
 // Alarm is a [Timer] that is due.
 type Alarm struct{ Handle string }
 
-// Endpoints is what discovery tells about the servers.
+// Endpoints is a list of servers from service discovery.
 type Endpoints struct {
 	Scope   Scope
 	Servers []ServerInfo
@@ -184,35 +185,34 @@
 	Load    Load
 }
 
-// PeerMessage is what another gateway sent.
+// PeerMessage is a message from another limiter, sent by its [Tell].
 type PeerMessage struct {
 	From int
 	Data []byte
 }
 
-// Occupied tells how many requests servers have in hand beside those that this gateway has there by
-// their numbers: other gateways', and its own by way of other pools. What is told of a server holds
-// until it is told anew.
+// Occupied reports how many requests servers have besides those that this limiter has sent to them by
+// their IDs here: those of other limiters, and its own through other pools. A figure is valid until the
+// next one for the server.
 type Occupied struct{ Servers []InHand }
 
-// InHand is what is told of one server.
+// InHand is the reported occupancy of one server.
 type InHand struct {
 	Server uint64
-	Others float64 // a fraction where it is not known for sure
-	Slots  float64 // requests that the server works on at once
+	Others float64 // requests from elsewhere; a fraction if estimated
+	Slots  float64 // requests that the server processes in parallel
 }
 
-// Reconfigure has other classes, plans, rules and caps hold from now on. What says who
-// this gateway is and whom it talks to (Position, Balancers, Zone, Peers, PeerInPerS)
-// holds from the start to the end. Classes and Plans say for each old index which one
-// it is now, or -1 if it is gone.
+// Reconfigure replaces the classes, plans, rules and caps. The identity of this limiter and of its peers
+// (Position, Balancers, Zone, Peers, PeerInPerS) can't change. Classes and Plans map each old index to the
+// new one, or to -1 if the class or plan is removed.
 type Reconfigure struct {
 	Settings       Settings
 	Classes, Plans []int
 }
 
-// Recall hands over what a limiter before this one has learnt, aged by whoever kept it. It is
-// to come once, behind the first list of servers.
+// Recall passes on what a predecessor has learned, with its times adjusted by the caller. It is sent at
+// most once, after the first list of servers.
 type Recall struct{ Memory *Memory }
 
 func (Submit) event()      {}
@@ -229,34 +229,34 @@
 func (Probed) event()      {}
 func (PeerMessage) event() {}
 
-// Scope tells how a list of servers relates to the one before.
+// Scope says how a list of servers relates to the one before.
 type Scope int
 
 // The scopes of a list.
 const (
 	Partial   Scope = iota // changed entries only
 	Complete               // the whole list
-	Persisted              // the whole list, perhaps stale
-	Failed                 // asking failed; the old list holds
+	Persisted              // the whole list, possibly stale
+	Failed                 // the request failed; the old list stays valid
 )
 
-// ServerInfo is one entry of a list.
+// ServerInfo describes one server of a list.
 type ServerInfo struct {
 	ID      uint64
 	Kind    int
 	Zone    int
 	Cell    int
-	ReadyAt float64 // when it last started; 0: long ago
+	ReadyAt float64 // start of its process; 0: long ago
 	Phase   Phase
 	Weight  float64
-	Pool    uint64 // the one that it is in
-	Tier    int    // of its pool, 0 is preferred
-	// Far is by how much more an answer from it counts as it takes: 0 is near, 1 twice as
-	// long. It weighs what distance costs besides time.
+	Pool    uint64 // the pool that it is in
+	Tier    int    // tier of its pool; 0 is the most preferred
+	// Far is a surcharge on the expected time of an answer: 0 for a near server, 1 to count the time
+	// twice. It stands for costs of distance other than time.
 	Far float64
 }
 
-// Phase is a server's state in the list.
+// Phase is a server's state according to service discovery.
 type Phase int
 
 // The phases of a server.
@@ -266,7 +266,7 @@
 	Removed
 )
 
-// Load is a server's load report. A negative field was not reported.
+// Load is the load that a server reported with an answer. Negative fields were not reported.
 type Load struct {
 	Busy, Pending, ServiceMs float64
 }
@@ -274,72 +274,72 @@
 // Result is how an attempt or a probe ended.
 type Result int
 
-// The results. NoRoom, NoRoute and StaleSend prove that nothing ran.
+// The results. NoRoom, NoRoute and StaleSend prove that the request did not run.
 const (
-	Pass Result = iota
-	Fault
-	NoRoom
-	TooSlow
-	NoRoute
-	Cut
-	Undone
-	StaleSend
-	Spoilt // an answer came that is of no use; it says nothing about the server
+	Pass      Result = iota // success
+	Fault                   // the server answered with an error
+	NoRoom                  // the server refused it for overload
+	TooSlow                 // timeout
+	NoRoute                 // the connection failed
+	Cut                     // the connection broke before the answer was complete
+	Undone                  // the attempt was aborted
+	StaleSend               // the host did not send it, as the request was already over
+	Spoilt                  // an unusable answer that says nothing about the server
 )
 
-// Action is something the host is to do. The action types are [PassOn],
+// Action is an instruction to the host. The action types are [PassOn],
 // [Refuse], [Grant], [Fail], [AbortAttempt], [Timer], [Probe], [Tell], [Log],
 // [Listen] and [QueryAll].
 type Action interface{ action() }
 
-// PassOn starts an attempt of a request at a server.
+// PassOn sends an attempt of a request to a server.
 type PassOn struct {
 	ID     string
-	CapMs  float64 // time-out; 0: until the client gives up
+	CapMs  float64 // timeout; 0: until the client gives up
 	Server uint64
 }
 
-// Grant answers an Ask: the request may go.
+// Grant answers an [Ask]: the request may proceed.
 type Grant struct{ ID string }
 
-// Refuse is a final answer: nothing ran, trying again does no harm.
+// Refuse is a final answer: the request did not run, or a retry does no harm.
 type Refuse struct {
 	ID     string
-	WaitMs float64 // how long to stay away; 0: no advice
+	WaitMs float64 // how long the client should wait; 0: unspecified
 	Why    Reason
 }
 
-// Fail is a final answer that promises nothing.
+// Fail is a final answer for a request that may have run.
 type Fail struct{ ID string }
 
-// AbortAttempt stops waiting for an attempt.
+// AbortAttempt cancels an attempt.
 type AbortAttempt struct {
 	ID  string
 	Try int
 }
 
-// Timer asks for an [Alarm] at a time.
+// Timer requests an [Alarm] at a time.
 type Timer struct {
 	At     float64
 	Handle string
 }
 
-// Probe asks for a check of a server.
+// Probe requests a health check of a server, answered by [Probed].
 type Probe struct{ Server uint64 }
 
-// Tell sends a message to another gateway.
+// Tell sends a message to another limiter, which gets it as a [PeerMessage].
 type Tell struct {
 	To   int
 	Data []byte
 }
 
-// Log is a line for the operators.
+// Log writes a line to the log.
 type Log struct{ Line string }
 
-// Listen subscribes to changes of the list.
+// Listen subscribes to changes of the server list.
 type Listen struct{}
 
-// QueryAll asks for the whole list once.
+// QueryAll requests the whole server list once.
 type QueryAll struct{}
 
 func (PassOn) action()       {}
--- a/limiter/lists.go
+++ b/limiter/lists.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// insert puts a server into a list by id.
+// insert inserts a server into a list sorted by ID.
 func insert(order []*server, s *server) []*server {
 	byID := func(o *server, id uint64) int { return cmp.Compare(o.info.ID, id) }
 	at, _ := slices.BinarySearchFunc(order, s.info.ID, byID)
 	return slices.Insert(order, at, s)
 }
 
-// places says for each old index which one it is now; what is not named is gone.
+// newIndexes returns the new index for each of count old ones; -1, removed, for those missing in named.
 func newIndexes(named []int, count int) []int {
 	indexes := make([]int, count)
 	for i := range indexes {
@@ -23,7 +23,7 @@
 	return indexes
 }
 
-// remap moves what is known to its new places.
+// remap returns a slice of count values in which each old value is at its new index.
 func remap[T any](old []T, indexes []int, count int) []T {
 	remapped := make([]T, count)
 	for i, v := range old {
--- a/limiter/memory.go
+++ b/limiter/memory.go
@@ -8,92 +8,92 @@
 	"example.org/madderdrum/reserve"
 )
 
-// Memory is what a limiter has learnt, for one that begins after it. Times are in
-// milliseconds before it was taken, so that it means the same by any clock. Requests in hand
-// are not in it.
+// Memory is what a limiter has learned, for its successor. Times are in milliseconds before the memory
+// was taken, so that it is independent of clocks. It does not include pending requests.
 type Memory struct {
 	Usual    []UsualMemory // by class
 	Pools    []PoolMemory
 	Boxes    []BoxMemory
-	Handover *Handover // nil: of a limiter that may have gone on after this was taken
+	Handover *Handover // nil if the limiter may have continued after the memory was taken
 }
 
-// Handover is what a limiter that has ended held of quotas and ceilings: it took nothing any
-// more after this. Its successor holds the same parts, and may have them once only: whoever
-// hands a Handover over vouches that no other limiter has had it.
+// Handover is the state of quotas and ceilings of a limiter that has ended and spends nothing afterwards.
+// Its successor takes over the same parts of the ceilings. The caller must make sure that a Handover is
+// given to one limiter only, as its units could otherwise be spent twice.
 type Handover struct {
-	// What the accounts and plans are counted by. Another configuration is none of this.
+	// The configuration that the accounts depend on. A successor with another one ignores the Handover.
 	Position, Balancers int
 	Plans               []Plan
-	KnownMs             float64 // for so long all spending through this position is known
-	DownMs              float64 // since it was taken, by a clock that nobody sets
+	KnownMs             float64 // time for which all spending through this position is known
+	DownMs              float64 // since it was taken, by a monotonic clock
 	NowMs               float64 // when it was taken, by the limiter's clock
-	// HeadMs is above 0 in what a limiter has told while it ran, with a headroom for what it
-	// may have spent since; see package reserve. Else it had ended.
+	// HeadMs is above 0 if the limiter wrote this while it ran: balances are then reduced by a headroom
+	// for what it may have spent since; see package reserve. It is 0 if the limiter had ended.
 	HeadMs   float64
 	Accounts []AccountMemory
 }
 
-// AccountMemory is one account. Those that are not there were full, but for the headroom.
+// AccountMemory is the state of one account. Accounts without an entry had full buckets, less the headroom.
 type AccountMemory struct {
 	ID                  uint64
 	Plan, Spread, First int
-	Balance             float64 // units left in its bucket, as far as known here
+	Balance             float64 // units left in its bucket, as far as this limiter knew
 	Share               float64 // units left of this position's part of the ceiling
-	Flow                float64 // units that other limiters passed within the last second or so
-	AtMs                float64 // when it was told, by the limiter's clock
-	AgoMs               float64 // since it was told, by a clock that nobody sets; of one that had not ended
+	Flow                float64 // units that other limiters admitted in the last second or so
+	AtMs                float64 // when the entry was made, by the limiter's clock
+	AgoMs               float64 // since then, by a monotonic clock; only if the limiter had not ended
 }
 
-// UsualMemory is the time that clients give most tries of a class.
+// UsualMemory is the timeout that most attempts of a class have.
 type UsualMemory struct {
 	Ms    float64
 	Votes float64
 }
 
-// PoolMemory is what is learnt of a pool's servers together.
+// PoolMemory is what was learned of a pool's servers together.
 type PoolMemory struct {
 	ID       uint64
 	Work     []WorkMemory // by class
-	Fit      [5]float64   // weight, and moving averages of load k and time y: k, y, kk, ky
-	Worth    float64      // mean worth for work, ...
-	Weight   float64      // ... of so many requests
-	Pressure float64      // share of its requests refused for want of servers, of late
+	Fit      [5]float64   // number of answers, and moving averages of load k and relative time y: k, y, kk, ky
+	Worth    float64      // mean worth per unit of work
+	Weight   float64      // number of requests in that mean
+	Pressure float64      // moving average of the share of requests refused for lack of servers
 }
 
-// WorkMemory is the typical time of a class alone on a server, in ms, by so many answers.
+// WorkMemory is the typical time in ms of a class on an idle server, and the number of answers behind it.
 type WorkMemory struct{ Ms, Seen float64 }
 
-// BoxMemory is what is learnt of one server process.
+// BoxMemory is what was learned of one server process.
 type BoxMemory struct {
 	ID      uint64
-	ReadyAt float64 // of the process: another one at the same address is a stranger
-	Spent   float64 // decayed sums: times taken against the typical, ...
-	Had     float64 // ... and answers
+	ReadyAt float64 // start of the process; a memory does not apply to another process at the same address
+	Spent   float64 // decayed sum of relative answer times
+	Had     float64 // decayed number of answers
 	Down    bool
-	// BackMs is how long ago it answered again after it was down, while that makes it cold
-	// (the list does not know); 0 if it does not.
+	// BackMs is how long ago it answered again after it was down, as long as it counts as cold for that
+	// and the server list does not say so; otherwise 0.
 	BackMs float64
 	Ills   []IllMemory // by class
 }
 
-// Slowness is the time that a server takes against the typical one; with no record it is typical.
+// Slowness is the time that a server takes relative to the typical one; 1 without answers.
 func (b *BoxMemory) Slowness() float64 { return (b.Spent + 1) / (b.Had + 1) }
 
-// IllMemory is what is known of failures of a class at a server.
+// IllMemory is what was known of failures of a class at a server.
 type IllMemory struct {
-	Failures float64 // in a row, of late
-	LeftMs   float64 // for which the class is kept off still
+	Failures float64 // recent failures
+	LeftMs   float64 // remaining time of the server's ejection for the class
 }
 
-// Remember returns what is learnt by now. Nothing changes by it.
+// Remember returns what has been learned. It changes no state.
 func (l *Limiter) Remember(now float64) *Memory {
 	memory := &Memory{}
 	for _, vote := range l.usualTimeout {
 		memory.Usual = append(memory.Usual, UsualMemory{vote.ms, float64(vote.votes)})
 	}
 	for id, p := range l.pools {
-		x := PoolMemory{ID: id, Fit: [5]float64{p.loadFit.count, p.loadFit.k, p.loadFit.y, p.loadFit.kk, p.loadFit.ky}, Worth: p.worth, Weight: p.weighted, Pressure: p.pressure}
+		x := PoolMemory{ID: id, Fit: [5]float64{p.loadFit.count, p.loadFit.k, p.loadFit.y, p.loadFit.kk, p.loadFit.ky},
+			Worth: p.worth, Weight: p.weighted, Pressure: p.pressure}
 		for k := range p.typicalMs {
 			x.Work = append(x.Work, WorkMemory{p.typicalMs[k], p.answers[k]})
 		}
@@ -106,10 +106,11 @@
 		return 1
 	})
 	memory.Boxes = make([]BoxMemory, 0, len(l.servers))
-	records := make([]IllMemory, 0, len(l.servers)*len(l.cfg.Classes)) // one for all: the limiter is held meanwhile
+	records := make([]IllMemory, 0, len(l.servers)*len(l.cfg.Classes)) // in one allocation, for speed
 	for _, srv := range l.servers {
 		decay := math.Exp((srv.slownessAt - now) / slownessWindowMs)
-		x := BoxMemory{ID: srv.info.ID, ReadyAt: srv.info.ReadyAt, Spent: srv.slownessSum * decay, Had: srv.slownessCount * decay, Down: srv.down}
+		x := BoxMemory{ID: srv.info.ID, ReadyAt: srv.info.ReadyAt, Spent: srv.slownessSum * decay,
+			Had: srv.slownessCount * decay, Down: srv.down}
 		if srv.recoveredAt > srv.info.ReadyAt && l.warmth(now, srv) < 1 {
 			x.BackMs = max(1, now-srv.recoveredAt)
 		}
@@ -123,28 +124,29 @@
 	return memory
 }
 
-// HandOver is Remember for a limiter that has ended: it must not be given any event after it.
-// Its accounts are told by [Limiter.Leave], in parts, so that nobody waits for all of them.
+// HandOver is Remember for a limiter that ends: it must not be given any event afterwards. The caller
+// gets the accounts from [Limiter.Leave], in batches, so that it need not wait for all of them at once.
 func (l *Limiter) HandOver(now float64) *Memory {
 	memory := l.Remember(now)
-	memory.Handover = &Handover{Position: l.cfg.Position, Balancers: l.cfg.Balancers, Plans: slices.Clone(l.cfg.Plans[:l.named]), KnownMs: now - l.knownSince, NowMs: now}
+	memory.Handover = &Handover{Position: l.cfg.Position, Balancers: l.cfg.Balancers,
+		Plans: slices.Clone(l.cfg.Plans[:l.named]), KnownMs: now - l.knownSince, NowMs: now}
 	l.handedOver, l.inheritedLeft = 0, nil
-	if l.handover != nil && l.handover.HeadMs > 0 { // of those that have not come back only this is known
+	if l.handover != nil && l.handover.HeadMs > 0 { // earlier spending of accounts unused here is unknown
 		memory.Handover.KnownMs = min(memory.Handover.KnownMs, now-l.startedAt)
 	} else {
-		l.inheritedLeft = slices.Sorted(maps.Keys(l.inherited)) // they go on to the next one
+		l.inheritedLeft = slices.Sorted(maps.Keys(l.inherited)) // they are passed on to the successor
 	}
 	return memory
 }
 
-// Leave tells the next accounts of a limiter that has handed over, so many at most, and whether
-// there are more.
+// Leave returns the next accounts to hand over after [Limiter.HandOver], at most limit, and whether there
+// are more.
 func (l *Limiter) Leave(now float64, limit int) (accounts []AccountMemory, more bool) {
 	accounts = make([]AccountMemory, 0, min(limit, len(l.accountList)-l.handedOver+len(l.inheritedLeft)))
 	for ; len(accounts) < limit && l.handedOver < len(l.accountList); l.handedOver++ {
 		acct := l.accountList[l.handedOver]
 		if acct.spread == 0 || acct.plan >= l.named {
-			continue // nothing of it has passed here, or its plan is gone
+			continue // no request of it came here, or its plan is removed
 		}
 		l.refill(now, acct)
 		accounts = append(accounts, l.accountMemory(now, acct))
@@ -153,22 +155,24 @@
 		memory := l.inherited[l.inheritedLeft[0]]
 		limits, seconds := l.cfg.Plans[memory.Plan], (now-l.inheritedAt)/1000
 		memory.Balance = min(limits.Burst, memory.Balance+seconds*limits.Rate)
-		memory.Share = min(limits.CeilingBurst/float64(memory.Spread), memory.Share+seconds*limits.CeilingRate/float64(memory.Spread))
+		memory.Share = min(limits.CeilingBurst/float64(memory.Spread),
+			memory.Share+seconds*limits.CeilingRate/float64(memory.Spread))
 		memory.AtMs = now
 		accounts = append(accounts, memory)
 	}
 	return accounts, l.handedOver < len(l.accountList) || len(l.inheritedLeft) > 0
 }
 
-// takeOver begins with what a limiter of this position has handed over. Its parts of the
-// ceilings have gone on filling up since, as they do while nobody spends from them.
+// takeOver starts with what the predecessor at this position has handed over. Its parts of the ceilings
+// have been refilled since then, as nothing was spent from them.
 func (l *Limiter) takeOver(now float64, state *Handover) {
-	if state == nil || state.Position != l.cfg.Position || state.Balancers != l.cfg.Balancers || !slices.Equal(state.Plans, l.cfg.Plans) ||
+	if state == nil || state.Position != l.cfg.Position || state.Balancers != l.cfg.Balancers ||
+		!slices.Equal(state.Plans, l.cfg.Plans) ||
 		!(state.KnownMs >= 0 && state.DownMs >= 0 && state.HeadMs >= 0) || len(l.accountList) > 0 {
 		return
 	}
 	l.handover, l.inheritedAt = state, now-state.DownMs
-	if state.HeadMs == 0 { // else what was spent last is not known
+	if state.HeadMs == 0 { // otherwise the last spending is unknown
 		l.knownSince = now - state.DownMs - state.KnownMs
 	}
 	l.inherited = make(map[uint64]AccountMemory, len(state.Accounts))
@@ -176,23 +180,24 @@
 		if account.AtMs = now - state.DownMs; state.HeadMs > 0 {
 			account.AtMs = now - max(0, account.AgoMs)
 		}
-		if account.Plan >= 0 && account.Plan < len(l.cfg.Plans) && account.Spread >= 1 && account.Spread <= l.cfg.Balancers {
+		if account.Plan >= 0 && account.Plan < len(l.cfg.Plans) &&
+			account.Spread >= 1 && account.Spread <= l.cfg.Balancers {
 			l.inherited[account.ID] = account
-		} else { // it was not full, and that is all that is known
+		} else { // all that is known is that it was not full
 			l.inherited[account.ID] = AccountMemory{ID: account.ID, Spread: 1, First: -1}
 		}
 	}
 }
 
-// resume gives an account that joins here what it had. Of its bucket it gets no more at once
-// than one that is new, as the other limiters may have passed something meanwhile, and no more
-// in all than what was left.
+// resumeAccount restores the state of an account that is used here for the first time. Its balance is at
+// most that of a new account, as other limiters may have spent meanwhile; the rest of what was left is
+// withheld until the peers have answered.
 func (l *Limiter) resumeAccount(now float64, acct *account) {
 	if l.handover == nil || l.inherited == nil {
 		return
 	}
 	limits, divisor := l.cfg.Plans[acct.plan], acct.ceilingDivisor()
-	headroom := 0.0 // of what may have been spent untold
+	headroom := 0.0 // for spending that was not written
 	if l.handover.HeadMs > 0 {
 		headroom = reserve.Headroom(limits.CeilingRate, limits.CeilingBurst, l.handover.HeadMs) / divisor
 	}
@@ -200,20 +205,23 @@
 	if !found {
 		if headroom > 0 {
 			knownSince := l.inheritedAt - l.handover.KnownMs
-			acct.ceilingBalance = max(acct.ceilingBalance, min(limits.CeilingBurst, limits.CeilingRate*(now-knownSince)/1000)/divisor-headroom)
+			acct.ceilingBalance = max(acct.ceilingBalance,
+				min(limits.CeilingBurst, limits.CeilingRate*(now-knownSince)/1000)/divisor-headroom)
 		}
 		return
 	}
 	delete(l.inherited, acct.id)
 	seconds := (now - memory.AtMs) / 1000
-	if memory.Plan != acct.plan || memory.Spread != acct.spread || memory.First != acct.first || math.IsNaN(memory.Share) || math.IsNaN(memory.Balance) || !(seconds >= 0) {
-		// It is counted otherwise now. That it was full is not known, so it begins with nothing.
+	if memory.Plan != acct.plan || memory.Spread != acct.spread || memory.First != acct.first ||
+		math.IsNaN(memory.Share) || math.IsNaN(memory.Balance) || !(seconds >= 0) {
+		// Its plan or limiters have changed. It was not full, so it starts with what this limiter refilled.
 		acct.ceilingBalance = min(acct.ceilingBalance, limits.CeilingRate*(now-l.startedAt)/1000/divisor)
 		return
 	}
-	// What nobody can have spent since this limiter began is its own in any case.
+	// The refill since this limiter started can't have been spent by the predecessor.
 	ownRefill := min(limits.CeilingBurst, limits.CeilingRate*(now-l.startedAt)/1000) / divisor
-	acct.ceilingBalance = max(ownRefill, min(limits.CeilingBurst/divisor-headroom, memory.Share+seconds*limits.CeilingRate/divisor))
+	acct.ceilingBalance = max(ownRefill, min(limits.CeilingBurst/divisor-headroom,
+		memory.Share+seconds*limits.CeilingRate/divisor))
 	if acct.flow == 0 && plausible(memory.Flow) {
 		acct.flow, acct.flowAt = min(memory.Flow, limits.Burst), memory.AtMs
 	}
@@ -223,7 +231,7 @@
 	}
 }
 
-// fadeResumed drops what was handed over once it would be full again: a new record would start
+// expireInherited drops the inherited accounts once they would be full again, as a new record would start
 // full too.
 func (l *Limiter) expireInherited(now float64) {
 	if l.accountWriter != nil {
@@ -231,7 +239,8 @@
 	}
 	fullAfter := 0.0
 	for _, limits := range l.cfg.Plans {
-		fullAfter = max(fullAfter, limits.Burst/max(1e-9, limits.Rate), limits.CeilingBurst/max(1e-9, limits.CeilingRate)*btof(limits.CeilingRate > 0))
+		fullAfter = max(fullAfter, limits.Burst/max(1e-9, limits.Rate),
+			limits.CeilingBurst/max(1e-9, limits.CeilingRate)*btof(limits.CeilingRate > 0))
 	}
 	if l.inherited != nil && now-l.inheritedAt > 1000*fullAfter && now-l.startedAt > accountIdleMs {
 		l.inherited, l.handover = nil, nil
@@ -245,16 +254,16 @@
 	return 0
 }
 
-// forgo gives up what was handed over and has not come back: the plans are others now.
+// discardInherited drops the inherited accounts because the plans have changed.
 func (l *Limiter) discardInherited(now float64) {
 	if l.inherited != nil {
 		l.inherited, l.handover, l.knownSince = nil, nil, now
 	}
 }
 
-// recall takes in what a limiter before this one has learnt. It is trusted only where this
-// one has learnt nothing itself, of server processes that are listed as the same, and as far
-// as it can be true at all: a file says it.
+// recall applies the memory of the predecessor. As it comes from a file, it is used only where this
+// limiter has learned nothing itself, for server processes that are still the same, and where its figures
+// are plausible.
 func (l *Limiter) recall(now float64, memory *Memory) {
 	if memory == nil {
 		return
@@ -285,7 +294,8 @@
 			srv.recoveredAt = now - x.BackMs
 		}
 		for i, ill := range x.Ills {
-			srv.ejections[i] = ejection{count: int(max(0, min(ejectAfter-1, ill.Failures))), lastFailureAt: now, until: now + max(0, min(ejectionMs, ill.LeftMs))}
+			srv.ejections[i] = ejection{count: int(max(0, min(ejectAfter-1, ill.Failures))), lastFailureAt: now,
+				until: now + max(0, min(ejectionMs, ill.LeftMs))}
 		}
 	}
 }
@@ -303,9 +313,10 @@
 			p.typicalMs[class], p.answers[class] = work.Ms, work.Seen
 		}
 	}
-	// Averages that no loads and times can have are none: a line through them could be any.
+	// Impossible averages are ignored, as the line fitted to them could be anything.
 	fit := memory.Fit
-	if plausible(fit[0]) && fit[1] >= 1 && plausible(fit[1]) && plausible(fit[2]) && plausible(fit[3]) && plausible(fit[4]) && fit[3] >= fit[1]*fit[1]*(1-1e-9) {
+	if plausible(fit[0]) && fit[1] >= 1 && plausible(fit[1]) && plausible(fit[2]) &&
+		plausible(fit[3]) && plausible(fit[4]) && fit[3] >= fit[1]*fit[1]*(1-1e-9) {
 		p.loadFit = loadFit{fit[0], fit[1], fit[2], fit[3], fit[4]}
 	}
 	if memory.Pressure > 0 && memory.Pressure <= 1 {
@@ -316,5 +327,5 @@
 	}
 }
 
-// sane tells that a figure is above 0 and one that could have been learnt.
+// plausible reports whether x is positive and in the range of learned values.
 func plausible(x float64) bool { return x > 0 && x < 1e12 }
--- a/limiter/parts.go
+++ b/limiter/parts.go
@@ -1,9 +1,9 @@
 package limiter
 
-// Parts says how much of the ceilings this gateway holds from now on, as multiples of an
-// equal part: of some accounts, and of the rest. Whoever sends it sees to it that all
-// gateways' parts together never come to more than the ceiling: one that is to hold less is
-// told before one that is to hold more. Without it parts are equal.
+// Parts sets which parts of the ceilings this limiter owns from now on, as multiples of an equal part: of
+// the accounts in Of, and of all others. The sender must make sure that the parts of all limiters together
+// never exceed the ceiling, by reducing one limiter's part before it raises another's. Without Parts all
+// parts are equal.
 type Parts struct {
 	Of   map[uint64]float64
 	Rest float64
@@ -11,35 +11,38 @@
 
 func (Parts) event() {}
 
-// Demand is what was asked for here of one account with a ceiling.
+// Demand is the demand seen here for one account with a ceiling.
 type Demand struct {
 	Account       uint64
 	First, Spread int
-	Asked         float64 // units, since this gateway began or last forgot the account
+	Asked         float64 // units requested since the account's record was created
 	Largest       float64 // units of its largest request
 	Burst         float64 // of the ceiling
 }
 
-// Demands are those of all accounts with ceilings whose requests have come here. Nothing
-// changes by looking.
+// Demands returns the demand of all accounts with a ceiling whose requests have come here. It changes no
+// state.
 func (l *Limiter) Demands() (all []Demand) {
 	for _, acct := range l.accountList {
 		if limits := l.cfg.Plans[acct.plan]; acct.spread > 0 && limits.CeilingRate > 0 {
-			all = append(all, Demand{acct.id, acct.first, acct.spread, acct.requested, acct.largestRequest, limits.CeilingBurst})
+			all = append(all, Demand{acct.id, acct.first, acct.spread, acct.requested, acct.largestRequest,
+				limits.CeilingBurst})
 		}
 	}
 	return all
 }
 
-// part is a gateway's part of one account's ceiling, in equal ones. The zero value is one.
+// ceilingPart is this limiter's part of an account's ceiling, relative to an equal part. The zero value is
+// an equal part.
 type ceilingPart struct {
-	reduction    float64 // by so much it is below an equal one
-	oldReduction float64 // and was before it last grew
-	grownAt      float64 // when it did
+	reduction    float64 // by how much it is below an equal part, as a multiple of one
+	oldReduction float64 // the reduction before the part last grew
+	grownAt      float64 // when the part last grew
 }
 
-// becomes is a part that is to be x. What is saved up without a record of one that grows
-// stays what it was, so that what moves is not spent by its old holder and by its new one.
+// resized returns the part set to x times an equal part. When it grows, the balance that accounts without a
+// record start with stays at the old part, so that the moved units are not spent by both the old and the
+// new owner.
 func (p ceilingPart) resized(now, x float64) ceilingPart {
 	reduction := 1 - x
 	if reduction < p.reduction {
@@ -48,7 +51,8 @@
 	return ceilingPart{reduction, max(reduction, p.oldReduction), p.grownAt}
 }
 
-// saved is by how much what an account without a record has saved up is below an equal part's.
+// balanceReduction is by how much the balance that an account without a record starts with is below that
+// of an equal part.
 func (p ceilingPart) balanceReduction(now float64) float64 {
 	if now-p.grownAt > accountIdleMs {
 		return p.reduction
@@ -56,7 +60,7 @@
 	return p.oldReduction
 }
 
-// moved has other parts hold.
+// setParts applies other parts.
 func (l *Limiter) setParts(now float64, e Parts) {
 	old, oldDefault := l.ceilingParts, l.defaultPart
 	previous := func(id uint64) ceilingPart {
@@ -69,8 +73,9 @@
 	for id, x := range e.Of {
 		l.ceilingParts[id] = previous(id).resized(now, x)
 	}
-	for id, p := range old { // back among the rest, but for what it has saved up
-		if x := p.resized(now, e.Rest); !hasKey(e.Of, id) && (now-x.grownAt <= accountIdleMs || x.reduction != l.defaultPart.reduction) {
+	for id, p := range old { // back to the default; its start balance may differ for a while
+		if x := p.resized(now, e.Rest); !hasKey(e.Of, id) &&
+			(now-x.grownAt <= accountIdleMs || x.reduction != l.defaultPart.reduction) {
 			l.ceilingParts[id] = x
 		}
 	}
@@ -78,7 +83,8 @@
 		if x := l.ceilingPartOf(acct.id); acct.spread > 0 && acct.reduction != x.reduction {
 			l.refill(now, acct)
 			acct.reduction = x.reduction
-			acct.ceilingBalance = min(acct.ceilingBalance, l.cfg.Plans[acct.plan].CeilingBurst/acct.ceilingDivisor()-acct.leased)
+			acct.ceilingBalance = min(acct.ceilingBalance,
+				l.cfg.Plans[acct.plan].CeilingBurst/acct.ceilingDivisor()-acct.leased)
 		}
 	}
 }
@@ -95,14 +101,15 @@
 	return l.defaultPart
 }
 
-// among is among how many equal parts the ceiling would be divided to get this gateway's.
+// ceilingDivisor is the number by which the ceiling is divided to get this limiter's part.
 func (a *account) ceilingDivisor() float64 { return float64(a.spread) / max(1e-6, 1-a.reduction) }
 
-// begin gives an account that joins here its part of the ceiling.
+// initCeiling gives an account that is used here for the first time its part of the ceiling.
 func (l *Limiter) initCeiling(now float64, acct *account) {
 	limits, part := l.cfg.Plans[acct.plan], l.ceilingPartOf(acct.id)
 	acct.reduction = part.reduction
 	acct.ceilingBalance = min(limits.CeilingBurst, limits.CeilingRate*(now-l.knownSince)/1000) / acct.ceilingDivisor()
 	l.resumeAccount(now, acct)
-	acct.ceilingBalance = min(acct.ceilingBalance, limits.CeilingBurst*(1-part.balanceReduction(now))/float64(acct.spread))
+	acct.ceilingBalance = min(acct.ceilingBalance,
+		limits.CeilingBurst*(1-part.balanceReduction(now))/float64(acct.spread))
 }
--- a/limiter/peercodec.go
+++ b/limiter/peercodec.go
@@ -2,11 +2,11 @@
 
 import "encoding/binary"
 
-// maxPeerBytes is the longest message that the wire between gateways takes.
+// maxPeerBytes is the maximum length of a message between limiters.
 const maxPeerBytes = 256
 
-// peerMagic and peerVersion open every message, so that a foreign one or one
-// of another version is dropped whole.
+// peerMagic and peerVersion begin each message, so that foreign messages and those of other versions are
+// dropped.
 const (
 	peerMagic   = 0x5c
 	peerVersion = 2
@@ -14,41 +14,40 @@
 
 // Flags of a peer message.
 const (
-	flagSyncRequest = 1 << iota // the sender is new and asks for levels
-	flagSyncReply               // the answer to a question for levels
-	flagOutstanding             // entries carry the attempts out
-	flagLevelUpdate             // a keeper tells levels: customer, plan and level alone
-	flagFailureHint             // with flagNews: servers and classes that fail
+	flagSyncRequest = 1 << iota // the sender has just started and asks for levels
+	flagSyncReply               // answer to flagSyncRequest
+	flagOutstanding             // entries have the attempts in flight
+	flagLevelUpdate             // entries have account, plan, level and margin only
+	flagFailureHint             // with flagLevelUpdate: account and plan are a server and a class that fails there
 	allFlags        = flagSyncRequest | flagSyncReply | flagOutstanding | flagLevelUpdate | flagFailureHint
 )
 
-// unitScale is the number of steps in which a unit is told.
+// unitScale is the number of steps per unit in messages.
 const unitScale = 4
 
-// peerMsg is one message between gateways.
+// peerMsg is one message between limiters.
 type peerMsg struct {
 	flags   byte
-	mark    uint32 // incarnation of the sender
+	mark    uint32 // random number that identifies the sender's run
 	seq     uint64 // rises by one with each message to this recipient
-	ageMs   uint64 // how long the sender has run
+	ageMs   uint64 // time since the sender's start
 	entries []peerEntry
 }
 
-// peerEntry tells of one customer.
+// peerEntry has the figures of one account.
 type peerEntry struct {
 	account     uint64
 	plan        uint64
-	spread      uint64 // gateways of the customer ...
-	first       uint64 // ... in a row from this one
-	spent       uint64 // units passed since the sender started, in steps
-	newlySpent  uint64 // those of them not told before
-	margin      uint64 // told with news, in steps
-	level       int64  // the sender's bucket level, in steps
-	outstanding uint64 // attempts out
+	spread      uint64 // number of limiters of the account
+	first       uint64 // position of the first of them
+	spent       uint64 // units spent since the sender's start, in steps
+	newlySpent  uint64 // those of them that were not sent before
+	margin      uint64 // with flagLevelUpdate, in steps
+	level       int64  // balance at the sender, in steps
+	outstanding uint64 // attempts in flight
 }
 
-// encode writes the message with as many of its entries as fit and returns
-// the bytes and the number of entries written.
+// encode returns the message with as many of its entries as fit, and the number of those entries.
 func (m *peerMsg) encode() ([]byte, int) {
 	data := make([]byte, 0, maxPeerBytes)
 	data = append(data, peerMagic, peerVersion, m.flags)
@@ -85,9 +84,10 @@
 	return data, written
 }
 
-// decodePeer reads a message; ok is false if any part of it is not sound.
+// decodePeer decodes a message; ok is false if any part of it is malformed.
 func decodePeer(data []byte) (m peerMsg, ok bool) {
-	if len(data) < 3 || len(data) > maxPeerBytes || data[0] != peerMagic || data[1] != peerVersion || data[2]&^allFlags != 0 {
+	if len(data) < 3 || len(data) > maxPeerBytes || data[0] != peerMagic ||
+		data[1] != peerVersion || data[2]&^allFlags != 0 {
 		return m, false
 	}
 	m.flags = data[2]
@@ -116,7 +116,7 @@
 	for valid && len(data) > 0 {
 		entry := peerEntry{account: uvarint(), plan: uvarint()}
 		level := uvarint()
-		entry.level = int64(level>>1) ^ -int64(level&1) // as Varint is laid out
+		entry.level = int64(level>>1) ^ -int64(level&1) // zigzag encoding, as of binary.AppendVarint
 		if levelUpdate {
 			entry.margin = uvarint()
 		} else {
--- a/limiter/prepared.go
+++ b/limiter/prepared.go
@@ -1,12 +1,12 @@
 package limiter
 
-// mostPreparing bounds how long a limiter waits for its parts of the ceilings, in ms.
+// maxPreparingMs bounds how long a limiter waits for its parts of the ceilings to fill.
 const maxPreparingMs = 3000.0
 
-// Prepared tells whether clients should be sent here: this limiter's parts of all ceilings
-// have filled, or it has joined a running tier, which a peer that is older shows. Of a tier
-// that starts as a whole no limiter has clients yet, and all would refuse what the
-// ceilings allow. Nothing changes by looking.
+// Prepared reports whether clients should be sent to this limiter: either its parts of all ceilings have
+// filled, or it has joined running limiters, as a message from an older peer shows. If all limiters start
+// together, they would at first refuse requests that the ceilings allow, and no client needs one of them
+// yet. It changes no state.
 func (l *Limiter) Prepared(now float64) bool {
 	if !l.started || l.olderPeerSeen {
 		return l.started
--- a/limiter/progress.go
+++ b/limiter/progress.go
@@ -1,7 +1,7 @@
 package limiter
 
-// progress takes in that a long request still goes on to its server. Its time counts from its
-// last byte, and a server that takes it in is not silent.
+// progress handles the progress of a long request body. The client's timeout starts with the last byte, and
+// a server that reads the body does not count as silent.
 func (l *Limiter) progress(now float64, e Progress) {
 	req := l.requests[e.ID]
 	if req == nil || e.Try < 0 || e.Try >= len(req.attempts) || req.attempts[e.Try].ended {
--- a/limiter/reason.go
+++ b/limiter/reason.go
@@ -1,26 +1,26 @@
 package limiter
 
-// Reason is why a request was refused, for operators: the decisions don't go by it.
+// Reason says why a request was refused, for operators; it does not affect decisions.
 type Reason int
 
 // The reasons of refusals.
 const (
-	NoReason      Reason = iota // what the request names does not exist
-	QuotaShort                  // its account has too little left, as far as is known here
-	PeersUnheard                // and a part of the burst is held back until peers are heard
+	NoReason      Reason = iota // the request names an unknown class or plan
+	QuotaShort                  // the account has too little quota left, as far as this limiter knows
+	PeersUnheard                // likewise, and part of the burst is withheld until the peers have answered
 	CeilingShort                // this limiter's part of the ceiling has too little left
-	AtOnceShort                 // too many attempts of the account are out
-	Advised                     // plug-ins said so
-	NoTime                      // no answer could come in time any more
-	NoServer                    // no server would answer in time
-	AfterAttempts               // attempts failed without having run, or harmlessly
+	AtOnceShort                 // too many attempts of the account are in flight
+	Advised                     // a plug-in refused it
+	NoTime                      // it is too late for an answer in time
+	NoServer                    // no server is expected to answer in time
+	AfterAttempts               // attempts failed, and a retry by the client does no harm
 )
 
 var reasonNames = [...]string{"none", "quota", "peers_unheard", "ceiling", "at_once", "advised", "no_time", "no_server", "after_attempts"}
 
 func (r Reason) String() string { return reasonNames[r] }
 
-// reason is why a request is turned away that admit has decided on.
+// reason returns why admit refuses a request.
 func (l *Limiter) reason(acct *account, e *Submit, aim float64, allowed bool) Reason {
 	limits, units := l.cfg.Plans[acct.plan], max(0, e.Units)
 	switch {
@@ -40,21 +40,21 @@
 	return QuotaShort
 }
 
-// Regard is what a limiter takes a server for.
+// Regard is a limiter's view of whether a server can be used.
 type Regard int
 
-// What servers are taken for.
+// The views of a server.
 const (
 	Usable    Regard = iota
-	Unlisted         // it is not listed, or as draining or gone
-	TakenDown        // it does not answer
-	TakenIll         // requests of the class fail there
-	Silent           // it owes answers for long
-	Full             // it turned requests away a moment ago
-	TooCold          // this limiter's part of what a cold one can do is used up
+	Unlisted         // it is not listed, draining or removed
+	TakenDown        // connections or probes fail
+	TakenIll         // it is ejected for the class
+	Silent           // it has owed answers for too long
+	Full             // it has just refused requests for overload
+	TooCold          // it warms up, and this limiter's part of its capacity is used up
 )
 
-// Regards is what a server is taken for, for requests of a class. Nothing changes by looking.
+// Regards returns whether a server can be used for requests of a class, and why not. It changes no state.
 func (l *Limiter) Regards(now float64, id uint64, class int) Regard {
 	srv := l.serversByID[id]
 	switch {
@@ -70,7 +70,7 @@
 		return TooCold
 	}
 	serverCopy, poolCopy := *srv, *srv.pool
-	if serverCopy.pool = &poolCopy; l.stalled(now, &serverCopy) { // which fades the sums of what it looks at
+	if serverCopy.pool = &poolCopy; l.stalled(now, &serverCopy) { // on copies, as stalled decays averages
 		return Silent
 	}
 	return Usable
--- a/limiter/reserve.go
+++ b/limiter/reserve.go
@@ -7,35 +7,35 @@
 	"example.org/madderdrum/reserve"
 )
 
-// reserving is a limiter whose accounts are written down while it runs.
+// accountWriter is the state of persisting the accounts while the limiter runs; see package reserve.
 type accountWriter struct {
-	headroomMs        float64
-	fileComplete      bool   // whom the file does not name it takes for full but for the headroom
-	filePlans         []Plan // by the place of a plan now: the one that the file may still go by
-	written           int    // of the accounts listed, that a write of all has told
-	writingAll        bool
-	swept             int        // of the accounts listed, that forget has kept
-	unwritten         []*account // those that have spent since they were told
-	seq, persistedSeq uint64
-	earliestKnown     float64 // the earliest time since which the file may say that all is known
-	plansStale        bool    // other plans hold since the write was begun
-	completeSeq       uint64  // the write that told all by the present plans
+	headroomMs        float64    // spending within this time is covered by the headroom
+	fileComplete      bool       // accounts without an entry in the file count as full, less the headroom
+	filePlans         []Plan     // by current plan index: the plan that entries of the file may still use
+	written           int        // number of entries of accountList that the complete write has covered
+	writingAll        bool       // a complete write is not finished
+	swept             int        // number of entries of accountList kept so far by dropIdleAccounts
+	unwritten         []*account // accounts that have spent since their last entry
+	seq, persistedSeq uint64     // last write begun, last write on disk
+	earliestKnown     float64    // earliest value of knownSince that the file may contain
+	plansStale        bool       // the plans have changed since the write was begun
+	completeSeq       uint64     // the first write that has all entries with the current plans
 }
 
-// Reserve has this limiter tell its accounts while it runs, each time with so much headroom
-// that what they may spend within a span, in ms, is not held up. Who calls it must go on with
-// [Limiter.BeginWrite], [Limiter.Accounts] and [Limiter.Kept]. No requests may have come yet.
+// Reserve makes this limiter persist its accounts while it runs, with a headroom that allows for their
+// spending within headroomMs. The caller must write them regularly by [Limiter.BeginWrite],
+// [Limiter.Accounts] and [Limiter.Kept]. Call it before the first request.
 func (l *Limiter) Reserve(headroomMs float64) {
 	l.accountWriter = &accountWriter{headroomMs: headroomMs, earliestKnown: math.Inf(1)}
 }
 
-// BeginWrite begins telling the accounts, all of them or those that have spent since they were
-// told, and returns what they are counted by and the number of the write. All must be told in
-// the first write, after one that failed and after a [Reconfigure].
+// BeginWrite begins a write of the accounts, of all of them or of those that have spent since their last
+// entry, and returns the header and the number of the write. The first write, the one after a failed
+// write and the one after a [Reconfigure] must be of all accounts.
 func (l *Limiter) BeginWrite(now float64, all bool) (*Handover, uint64) {
 	writer := l.accountWriter
 	writer.seq++
-	if !l.started { // no event came yet: nothing is known
+	if !l.started { // no event yet: nothing is known
 		l.knownSince, l.startedAt = now, now
 	}
 	writer.plansStale, writer.earliestKnown = false, min(writer.earliestKnown, l.knownSince)
@@ -43,16 +43,15 @@
 		writer.written, writer.writingAll = 0, true
 	}
 	from := l.knownSince
-	if l.inherited != nil { // some of what was spent before is told of by them alone
+	if l.inherited != nil { // some earlier spending is recorded in their entries only
 		from = l.startedAt
 	}
 	return &Handover{Position: l.cfg.Position, Balancers: l.cfg.Balancers, Plans: slices.Clone(l.cfg.Plans[:l.named]),
 		KnownMs: now - from, HeadMs: writer.headroomMs, NowMs: now}, writer.seq
 }
 
-// Accounts tells the next accounts of the write that was begun, so many at most, and whether
-// there are more. Events may be handled in between; a [Reconfigure] among them voids the write,
-// and ok is false.
+// Accounts returns the next accounts of the current write, at most limit, and whether there are more.
+// Events may be handled between calls; a [Reconfigure] among them voids the write, and ok is false.
 func (l *Limiter) Accounts(now float64, limit int) (accounts []AccountMemory, more, ok bool) {
 	writer := l.accountWriter
 	if writer.plansStale {
@@ -80,11 +79,11 @@
 	return accounts, more, true
 }
 
-// write tells an account.
+// writeAccount appends the entry of an account to written.
 func (l *Limiter) writeAccount(now float64, acct *account, written []AccountMemory) []AccountMemory {
 	acct.unwritten = false
 	if acct.spread == 0 || acct.plan >= l.named {
-		return written // nothing of it has passed here, or its plan is gone
+		return written // no request of it came here, or its plan is removed
 	}
 	l.refill(now, acct)
 	writer, limits, divisor := l.accountWriter, l.cfg.Plans[acct.plan], acct.ceilingDivisor()
@@ -95,12 +94,13 @@
 		}
 		headroom := reserve.Headroom(limits.CeilingRate, limits.CeilingBurst, writer.headroomMs) / divisor
 		memory.Share -= headroom
-		acct.reserve.Write(now, reserve.Line{Level: memory.Share, At: now, Rate: limits.CeilingRate / divisor, Most: limits.CeilingBurst/divisor - headroom}, writer.seq, writer.persistedSeq)
+		acct.reserve.Write(now, reserve.Line{Level: memory.Share, At: now, Rate: limits.CeilingRate / divisor,
+			Most: limits.CeilingBurst/divisor - headroom}, writer.seq, writer.persistedSeq)
 	}
 	return append(written, memory)
 }
 
-// Kept says that a write is on the disk.
+// Kept records that a write, by its number, is on the disk.
 func (l *Limiter) Kept(seq uint64) {
 	writer := l.accountWriter
 	if writer.persistedSeq = seq; writer.filePlans != nil && seq >= writer.completeSeq {
@@ -108,14 +108,15 @@
 	}
 }
 
-// tell1 is what is remembered of an account.
+// accountMemory returns the entry of an account for a handover or a write.
 func (l *Limiter) accountMemory(now float64, acct *account) AccountMemory {
 	acct.decayFlow(now)
-	return AccountMemory{ID: acct.id, Plan: acct.plan, Spread: acct.spread, First: acct.first, Balance: acct.balance + acct.withheld, Share: acct.ceilingBalance, Flow: acct.flow, AtMs: now}
+	return AccountMemory{ID: acct.id, Plan: acct.plan, Spread: acct.spread, First: acct.first,
+		Balance: acct.balance + acct.withheld, Share: acct.ceilingBalance, Flow: acct.flow, AtMs: now}
 }
 
-// keeps notes, for each account in the order in which they are listed, whether it is still
-// listed: a write goes on behind those that it has told.
+// noteSwept is called for each entry of accountList in order, with whether it stays in the list, so that a
+// write continues after the entries that it has covered.
 func (l *Limiter) noteSwept(kept bool) {
 	switch writer := l.accountWriter; {
 	case writer == nil:
@@ -126,7 +127,7 @@
 	}
 }
 
-// touch notes that an account has spent.
+// markUnwritten queues an account that has spent for the next write.
 func (l *Limiter) markUnwritten(acct *account) {
 	if l.accountWriter != nil && !acct.unwritten && acct.plan < l.named {
 		acct.unwritten = true
@@ -134,16 +135,18 @@
 	}
 }
 
-// unnamed is what the file says of an account that it does not name: nothing, until it tells
-// all the others.
+// unlistedLine is what a successor assumes of an account without an entry in the file: an empty balance
+// until the file is complete, then a full one less the headroom.
 func (l *Limiter) unlistedLine(acct *account) reserve.Line {
 	writer := l.accountWriter
 	if !writer.fileComplete {
 		return reserve.Line{}
 	}
 	line := func(limits Plan) reserve.Line {
-		headroom, divisor := reserve.Headroom(limits.CeilingRate, limits.CeilingBurst, writer.headroomMs), max(1, acct.ceilingDivisor())
-		return reserve.Line{Level: -headroom / divisor, At: writer.earliestKnown, Rate: limits.CeilingRate / divisor, Most: (limits.CeilingBurst - headroom) / divisor}
+		headroom, divisor := reserve.Headroom(limits.CeilingRate, limits.CeilingBurst, writer.headroomMs),
+			max(1, acct.ceilingDivisor())
+		return reserve.Line{Level: -headroom / divisor, At: writer.earliestKnown, Rate: limits.CeilingRate / divisor,
+			Most: (limits.CeilingBurst - headroom) / divisor}
 	}
 	current := line(l.cfg.Plans[acct.plan])
 	if acct.plan < len(writer.filePlans) {
@@ -154,8 +157,8 @@
 	return current
 }
 
-// spendable is what of an account's part of the ceiling may pass now: all but what a successor
-// would begin with if this limiter were killed.
+// spendable is how much of an account's part of the ceiling may be spent now: all but what a successor
+// would start with if this limiter were killed.
 func (l *Limiter) spendable(acct *account) float64 {
 	writer := l.accountWriter
 	switch {
@@ -167,7 +170,7 @@
 	return acct.ceilingBalance - max(0, acct.reserve.Floor(acct.refilledAt, writer.persistedSeq))
 }
 
-// replan notes that other plans hold, which the file does not go by yet.
+// plansChanged records that the plans have changed and that the file still uses the old ones.
 func (l *Limiter) plansChanged(old []Plan, indexes []int) {
 	writer := l.accountWriter
 	if writer == nil {
@@ -177,7 +180,7 @@
 	for k, to := range indexes {
 		if to >= 0 && to < len(filePlans) {
 			filePlans[to] = old[k]
-			if k < len(writer.filePlans) && writer.filePlans[k].CeilingBurst > old[k].CeilingBurst { // two changes within one write
+			if k < len(writer.filePlans) && writer.filePlans[k].CeilingBurst > old[k].CeilingBurst { // changed again before a write
 				filePlans[to] = writer.filePlans[k]
 			}
 		}
--- a/limiter/settings.go
+++ b/limiter/settings.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// checkSettings returns an error that names the setting that makes no sense.
+// checkSettings returns an error that names the first invalid setting, if there is one.
 func checkSettings(s Settings) error {
 	switch {
 	case s.Balancers < 1:
--- a/limiter/spending.go
+++ b/limiter/spending.go
@@ -2,21 +2,20 @@
 
 import "example.org/madderdrum/peering"
 
-// What peers tell of their spending does to a balance here.
+// How the spending reported by peers changes a balance here.
 
-// floor is the lowest level a bucket can come to: each of the customer's gateways
-// passes the whole burst before it hears of another. Guards against a peer's word
-// that would keep a customer out for long.
+// balanceFloor is the lowest possible balance: each of the account's limiters has admitted the whole burst
+// before it got an update. It keeps a faulty report from a peer from locking an account out for long.
 func (l *Limiter) balanceFloor(acct *account) float64 {
 	return -l.cfg.Plans[acct.plan].Burst * float64(max(1, acct.spread))
 }
 
-// knows tells whether a peer's word on a customer is taken in.
+// acceptsAccount reports whether a peer's figures for an account are used; see maxPeerAccounts.
 func (l *Limiter) acceptsAccount(id uint64) bool {
 	return len(l.accounts) < maxPeerAccounts || l.accounts[id] != nil
 }
 
-// heardOf takes in what a peer tells of one customer's spending.
+// receiveSpending applies a peer's report of an account's spending there.
 func (l *Limiter) receiveSpending(now float64, from int, message *peerMsg, entry peerEntry) {
 	if !l.acceptsAccount(entry.account) {
 		return
@@ -29,9 +28,9 @@
 	view := acct.peerView(from)
 	older := float64(message.ageMs) > now-l.startedAt+syncMs
 	if view.mark != message.mark {
-		// Of a peer known before, or younger than this gateway, all it has spent
-		// falls into our time; of an older one only what is new with this message, and
-		// so once customers have been forgotten here, which it may still know.
+		// All spending of a restarted peer, or of one younger than this limiter, falls into the lifetime of
+		// this limiter. From an older peer only what is new in this message counts; likewise once accounts
+		// have been dropped here, as the peer may have kept them.
 		first := view.mark == 0
 		view.received, view.mark, view.seq = 0, message.mark, 0
 		if first && (older || l.droppedAccounts) {
@@ -42,24 +41,27 @@
 		return
 	}
 	view.seq, view.outstanding = message.seq, int(min(entry.outstanding, uint64(l.cfg.Plans[acct.plan].AtOnce)))
-	if entry.spent < view.received { // the peer had forgotten the customer
+	if entry.spent < view.received { // the peer had dropped the account
 		view.received = 0
 	}
 	if units := float64(entry.spent-view.received) / unitScale; units > 0 {
-		l.deductPeerSpending(now, acct, view, units, float64(min(entry.newlySpent, entry.spent-view.received))/unitScale, float64(entry.level)/unitScale)
+		l.deductPeerSpending(now, acct, view, units,
+			float64(min(entry.newlySpent, entry.spent-view.received))/unitScale, float64(entry.level)/unitScale)
 	}
 	view.discarded, view.receivedAt = acct.discarded, now
 	view.received = entry.spent
-	if acct.isAggregator && older && !acct.levelKnown { // a keeper that just started begins with what the teller believes
-		acct.setLevel(now, max(l.balanceFloor(acct), min(l.cfg.Plans[acct.plan].Burst, float64(entry.level)/unitScale-acct.spent)))
+	if acct.isAggregator && older && !acct.levelKnown { // a new aggregator starts with the peer's level
+		acct.setLevel(now, max(l.balanceFloor(acct), min(l.cfg.Plans[acct.plan].Burst,
+			float64(entry.level)/unitScale-acct.spent)))
 	}
 }
 
-// draw takes from a balance the units that a peer has spent since its last word. They were spent over that
-// time, as far as is known here, and a bucket that was full meanwhile let refill go that would have repaid them
-// had they been heard as they were spent. Guards against a split that heals, and against words that come seldom and
-// by chance at once, as in large sets: each counted as if all had been spent at this moment, and what is within a quota
-// was refused. In small sets, where words come often, and of a peer's first word, the fresh units count as new.
+// deductPeerSpending takes the units that a peer has spent since its last report from the balance. As far
+// as is known they were spent over that whole time, and a bucket that was full meanwhile discarded refill
+// that would have paid for them had they been reported at once; that refill is credited. Without the credit,
+// requests within the quota were refused after a network partition healed, and when the rare reports in
+// large groups happened to arrive together, as all units counted as spent at that moment. Without
+// aggregators, where reports are frequent, and in a peer's first report, the new units count in full.
 func (l *Limiter) deductPeerSpending(now float64, acct *account, view *peerView, units, newlySpent, level float64) {
 	burst := l.cfg.Plans[acct.plan].Burst
 	older := units - newlySpent
@@ -67,7 +69,7 @@
 		older = units
 	}
 	repaid := peering.Repaid(older, acct.discarded-view.discarded, level-(acct.balance-units))
-	acct.discarded -= repaid // once: what other peers told of can't be repaid by it
+	acct.discarded -= repaid // credited only once, not for other peers' spending too
 	acct.balance = max(acct.balance-(units-repaid), min(acct.balance, l.balanceFloor(acct)))
 	acct.decayFlow(now)
 	acct.flow += min(burst, newlySpent+(units-newlySpent)*min(1, 1000/max(1, now-view.receivedAt)))
--- a/limiter/state.go
+++ b/limiter/state.go
@@ -11,193 +11,199 @@
 	"example.org/madderdrum/routing"
 )
 
-// Limiter decides for one gateway. Make one with [New]; it is not safe for
-// concurrent use.
+// Limiter makes the decisions of one instance of the load balancer, one of Settings.Balancers. Make one
+// with [New]; it is not safe for concurrent use.
 type Limiter struct {
 	cfg                 Settings
 	rng                 *rand.Rand
-	mark                uint32 // this incarnation
+	mark                uint32 // random number that identifies this run to its peers
 	started             bool
 	startedAt           float64
-	knownSince          float64                  // since when all that was spent through this position is known
-	ceilingParts        map[uint64]ceilingPart   // of ceilings, where they are not the rest
-	defaultPart         ceilingPart              // and of the rest
-	inherited           map[uint64]AccountMemory // of the limiter before this one, not come back yet
-	handover            *Handover                // that they are part of
-	inheritedAt         float64                  // when that one ended, or last told of all
-	handedOver          int                      // accounts listed that a limiter that hands over has told
-	inheritedLeft       []uint64                 // those of the one before it that it has still to tell
-	accountWriter       *accountWriter           // nil: accounts are not written down while this one runs
+	knownSince          float64                  // all spending through this position since then is known
+	ceilingParts        map[uint64]ceilingPart   // by account, where they differ from the default
+	defaultPart         ceilingPart              // of all other accounts
+	inherited           map[uint64]AccountMemory // accounts handed over by the predecessor and not used here yet
+	handover            *Handover                // the predecessor's handover that they came with
+	inheritedAt         float64                  // when the predecessor ended, or wrote its last complete state
+	handedOver          int                      // number of entries of accountList already handed over to the successor
+	inheritedLeft       []uint64                 // inherited accounts still to be handed over
+	accountWriter       *accountWriter           // nil: accounts are not persisted while this limiter runs
 	sweptAt             float64
-	anyOutstandingLimit bool // some plan limits attempts out
+	anyOutstandingLimit bool // some plan limits attempts in flight
 
 	serversByID     map[uint64]*server
-	servers         []*server // by id
+	servers         []*server // sorted by ID
 	requests        map[string]*request
 	accounts        map[uint64]*account
-	accountList     []*account // in order of appearance
-	aggregated      []*account // those whose level this gateway tells
-	dirty           []*account // those with something untold
+	accountList     []*account // in order of creation
+	aggregated      []*account // those that this limiter is an aggregator of
+	dirty           []*account // those with unsent changes
 	peers           []peer
-	droppedAccounts bool           // records have been dropped
-	olderPeerSeen   bool           // a peer that is older has been heard
-	neighborSynced  bool           // a neighbour has told the levels it knows
-	nextPeer        int            // the peer that is told first
-	budget          peering.Budget // of messages
-	pauseFactors    []float64      // of each plan: factor on it
+	droppedAccounts bool           // some idle accounts have been dropped
+	olderPeerSeen   bool           // a peer that has run for longer than this limiter is known
+	neighborSynced  bool           // a neighbor has answered the sync request
+	nextPeer        int            // the peer whose turn it is in the next round of updates
+	budget          peering.Budget // for peer messages
+	pauseFactors    []float64      // by plan, on the budget's pause between level updates
 
 	pools          map[uint64]*pool
-	tieredPools    []uint64 // of them those with tiers
-	named          int      // plans that requests can name; behind them those that are gone
+	tieredPools    []uint64 // IDs of the pools with tiers
+	named          int      // number of plans that requests can name; later entries of cfg.Plans are removed plans in use
 	usualTimeout   []usualTimeout
-	retriesMarked  bool    // clients mark their retries
-	retryBudget    float64 // further attempts saved up
+	retriesMarked  bool    // some client has marked a retry
+	retryBudget    float64 // retries that may be made
 	lastEventAt    float64
-	resumedAt      float64 // when this gateway last went on after standing still
+	resumedAt      float64 // end of the last stall of this process
 	hintIntervalMs float64
-	nextHintAt     float64 // when the next hint may be given
+	nextHintAt     float64 // when the next failure hint may be sent
 	actions        []Action
 }
 
-// pool is a set of servers that takes requests of its own, and what is learnt of them
-// together. A server is in one pool.
+// pool is a set of servers that serves the same requests, with what has been learned about them
+// together. Each server is in one pool.
 type pool struct {
-	servers         []*server      // by id
-	tiers           *routing.Tiers // nil: all servers are one
+	servers         []*server      // sorted by ID
+	tiers           *routing.Tiers // nil: the pool has no tiers
 	serversByTier   [][]*server
-	typicalMs       []float64 // typical ms of a class alone on a server
-	answers         []float64 // answers of a class
+	typicalMs       []float64 // by class: typical time of a request on an otherwise idle server
+	answers         []float64 // by class: number of successful answers
 	loadFit         loadFit
-	pressure        float64 // share refused for lack of servers, of late
-	worth, weighted float64 // mean worth for work; requests in it
-	inflight        int     // attempts out
-	capacity        float64 // servers that are up, each by its warmth
-	sends, sendsAt  float64 // attempts in the last illMs / 2 or so
-	failureShare    float64 // share of answers that fail, of late
+	pressure        float64 // moving average of the share of requests refused for lack of servers
+	worth, weighted float64 // mean worth per unit of work, and number of requests in the mean
+	inflight        int     // attempts in flight
+	capacity        float64 // sum of the warmth of the working servers
+	sends, sendsAt  float64 // decayed number of attempts, over the last ejectionMs/2 or so
+	failureShare    float64 // moving average of the share of answers that fail
 }
 
+// server is what is known of one server process.
 type server struct {
 	info                       ServerInfo
 	pool                       *pool
 	inflight                   int
-	othersInflight             float64 // in hand there beside them, as told
-	slots                      float64 // what it works on at once, as told with them
-	slownessSum, slownessCount float64 // decayed sums: times taken against the typical, and answers
+	othersInflight             float64 // reported requests there besides inflight
+	slots                      float64 // reported number of requests that it processes in parallel
+	slownessSum, slownessCount float64 // decayed sums: relative answer times, and answers
 	slownessAt                 float64
-	coldCredit, coldCreditAt   float64 // saved up for one request while it is cold
-	connectFailures            int     // failed connects in a row
-	recoveredAt                float64 // when it answered again after it was down, of which the list may not tell
+	coldCredit, coldCreditAt   float64 // credit towards the next request while it warms up
+	connectFailures            int     // failed connections in a row
+	recoveredAt                float64 // when it answered again after it was down; the server list may not know yet
 	down                       bool
 	fullUntil                  float64
-	silentSince                float64 // since when it owes an answer
+	silentSince                float64 // last answer, or first attempt since it was idle
 	probedAt                   float64
 	ejections                  []ejection // by class
 }
 
-// illness is what is known of failures of one class at a server.
+// ejection counts the failures of one class at a server and says until when the server is ejected for
+// the class.
 type ejection struct {
-	count                int
+	count                int // recent failures
 	lastFailureAt, until float64
-	repeats              int // times that it failed anew soon after it was used again
+	repeats              int // ejections in a row, each soon after the one before
 }
 
+// request is a request that this limiter proxies and that has no final answer yet.
 type request struct {
 	id          string
 	class       int
 	units       float64
 	account     *account
 	pool        *pool
-	maxAttempts int // attempts
-	aimAt       float64
-	factor      float64 // by what it is worth: how much of its spare time it may wait
+	maxAttempts int
+	aimAt       float64 // an answer until then earns the full worth
+	factor      float64 // on its spare time, by its worth: how long it may be expected to wait
 	advice      Advice
-	deadlineAt  float64
+	deadlineAt  float64 // when the client gives up
 	attempts    []attempt
-	pending     int     // attempts out
-	ranOn       *server // where an attempt may have run first
+	pending     int     // attempts in flight
+	ranOn       *server // server of the first attempt that may have run; nil: none has
 	ranInfo     ServerInfo
 	ranAt       float64
-	streaming   bool
+	streaming   bool // the answer has begun
 }
 
+// attempt is one attempt of a request at a server.
 type attempt struct {
 	server *server
 	sentAt float64
-	load   float64
+	load   float64 // of the server with this attempt
 	ended  bool
 }
 
+// account is a customer's state at this limiter.
 type account struct {
 	id             uint64
 	plan           int
-	spread         int // 0 until one of its requests came here
-	first          int
-	balance        float64
-	discarded      float64 // refill that a full bucket let go, less what has repaid spending told late
-	ceilingBalance float64 // this gateway's part of the ceiling's store
-	reduction      float64 // by so much it is smaller than an equal one, in those
-	requested      float64 // units
+	spread         int     // number of limiters that its requests come through; 0 until one came here
+	first          int     // position of the first of them
+	balance        float64 // level of the quota bucket, in units
+	discarded      float64 // refill lost to a full bucket, less what has paid for spending reported late
+	ceilingBalance float64 // level of this limiter's part of the ceiling, in units
+	reduction      float64 // by how much that part is below an equal one, as a multiple of an equal part
+	requested      float64 // units requested here, admitted or not
 	largestRequest float64 // units of its largest request
-	refilledAt     float64 // when both were last refilled
+	refilledAt     float64 // when both balances were last refilled
 	lastSeenAt     float64
-	spent          float64 // units passed here
-	leased         float64 // of them what is out on leases; it keeps its place in both stores
-	outstanding    int
-	levelKnown     bool       // a peer has told its level
-	named          bool       // a request here has named its plan
-	withheld       float64    // part of the burst not granted until peers are heard
-	peerViews      []peerView // of the gateways heard of or told
-
-	margin            float64 // told with the level: below it, less passes
-	flow              float64 // units heard of in the last second or so
+	spent          float64    // units admitted here
+	leased         float64    // those of them held by open leases; they keep their place in both buckets
+	outstanding    int        // attempts in flight
+	levelKnown     bool       // the balance comes from a peer
+	named          bool       // a request here has named the plan
+	withheld       float64    // part of the burst not granted until the peers have answered
+	peerViews      []peerView // of the peers that sent or get updates
+
+	margin            float64 // published with the level: below it, fewer requests pass
+	flow              float64 // units admitted by peers in the last second or so
 	flowAt            float64
-	recipients        []int // gateways told of what passes here
+	recipients        []int // positions of the peers that get updates of the spending here
 	dirty             bool
-	limitsOutstanding bool // the plan limits attempts out
-	isAggregator      bool // this gateway tells the set the level ...
-	aggregatorRank    int  // ... in this order
-	publishedLevel    float64
+	limitsOutstanding bool    // the plan limits attempts in flight
+	isAggregator      bool    // this limiter publishes the level
+	aggregatorRank    int     // 0: first aggregator, 1: standby
+	publishedLevel    float64 // last level sent or received as an update
 	publishedAt       float64
-	staleTicks        int              // ticks for which the set has believed in more
-	lastSpentAt       float64          // the last spending here ...
-	lastSpentUnits    float64          // ... and its units
-	reserve           *reserve.Account // what is written down of its share; nil: it is not named
-	unwritten         bool             // it has spent since
+	staleTicks        int              // ticks for which the other limiters have assumed too high a level
+	lastSpentAt       float64          // last spending here
+	lastSpentUnits    float64          // units of that spending
+	reserve           *reserve.Account // what is persisted of ceilingBalance; nil: the file has no entry
+	unwritten         bool             // it has spent since its last entry
 }
 
-// view is what this gateway and one peer know of each other's spending.
+// peerView is what this limiter and one peer know of each other's spending from an account.
 type peerView struct {
 	peer            int
-	mark            uint32
-	received        uint64 // told by the peer, in steps
+	mark            uint32 // of the peer's run
+	received        uint64 // units that the peer reported, in steps of 1/unitScale
 	seq             uint64
-	receivedAt      float64 // when it last told of the account ...
-	discarded       float64 // ... and what refill had been let go by then
-	outstanding     int
-	sent            uint64 // told to the peer
-	sentBefore      uint64 // what it was told before that
+	receivedAt      float64 // when the peer last reported
+	discarded       float64 // account.discarded at that time
+	outstanding     int     // the peer's attempts in flight
+	sent            uint64  // units sent to the peer, in steps
+	sentBefore      uint64  // the value of sent before that
 	sentOutstanding int
-	resend          bool // told once, to be told again
+	resend          bool // sent once, to be sent again against loss
 }
 
+// peer is the state of the exchange with another limiter.
 type peer struct {
-	mark, oldMark uint32
+	mark, oldMark uint32 // of its current run and of the one before
 	seq           uint64
-	synced        bool // has told us its levels
+	synced        bool // it has answered the sync request
 	syncRepliedAt float64
-	due           []*account // to be told with this tick
+	due           []*account // accounts to be sent in this tick
 }
 
-// fit holds moving averages of load k and time y of answers.
+// loadFit holds moving averages for a linear fit of the relative time y of answers over the load k.
 type loadFit struct{ count, k, y, kk, ky float64 }
 
-// usual is the time that clients give most tries of a class.
+// usualTimeout is the timeout that most attempts of a class have.
 type usualTimeout struct {
 	ms    float64
-	votes int
+	votes int // of the majority vote that finds it
 }
 
-// add notes one answer's load and time.
+// add adds the load and relative time of one answer.
 func (f *loadFit) add(k, y, minWeight float64) {
 	f.count++
 	weight := max(minWeight, 1/f.count)
@@ -207,7 +213,7 @@
 	f.ky += weight * (k*y - f.ky)
 }
 
-// decayStat fades the sums of what a server took.
+// decaySlowness decays the sums behind slowness up to now.
 func (s *server) decaySlowness(now, window float64) {
 	if now == s.slownessAt {
 		return
@@ -216,15 +222,15 @@
 	s.slownessSum, s.slownessCount, s.slownessAt = s.slownessSum*factor, s.slownessCount*factor, now
 }
 
-// recent is the number of attempts sent of late.
+// recentSends is the decayed number of attempts sent in the last ejectionMs/2 or so.
 func (p *pool) recentSends(now float64) float64 {
-	if now != p.sendsAt { // it is asked for each server of a choice
+	if now != p.sendsAt { // saves math.Exp, as it is called for each server of a choice
 		p.sends, p.sendsAt = p.sends*math.Exp((p.sendsAt-now)*2/ejectionMs), now
 	}
 	return p.sends
 }
 
-// back settles the counts of an attempt that is no longer out.
+// settleAttempt updates the counts of attempts in flight when one ends.
 func (l *Limiter) settleAttempt(req *request, a *attempt) {
 	a.ended = true
 	req.pending--
@@ -233,10 +239,10 @@
 	a.server.pool.inflight--
 }
 
-// provesUnrun tells whether a result shows that nothing ran.
+// provesNotRun reports whether a result proves that the request did not run.
 func provesNotRun(r Result) bool { return r == NoRoom || r == NoRoute || r == StaleSend }
 
-// outAll is the number of a customer's attempts out, as far as known.
+// totalOutstanding is the known number of an account's attempts in flight, over all limiters.
 func (a *account) totalOutstanding() int {
 	n := a.outstanding
 	for i := range a.peerViews {
@@ -245,13 +251,13 @@
 	return n
 }
 
-// newServer is the record of a server process of which nothing is known.
+// newServer returns the record of a server process without history.
 func (l *Limiter) newServer(now float64, p *pool, inflight int) *server {
 	return &server{pool: p, inflight: inflight, silentSince: now, coldCredit: l.rng.Float64(), coldCreditAt: now,
 		ejections: make([]ejection, len(l.cfg.Classes))}
 }
 
-// poolOf is the pool of a number, made on first sight.
+// poolOf returns the pool with an ID, created on first use.
 func (l *Limiter) poolOf(id uint64) *pool {
 	p := l.pools[id]
 	if p == nil {
@@ -263,17 +269,17 @@
 	return p
 }
 
-// tierOf is the tier of a server, in a pool with tiers.
+// tierOf returns the tier of a server in a pool with tiers, limited to the existing ones.
 func (p *pool) tierOf(s *server) int { return max(0, min(s.info.Tier, len(p.serversByTier)-1)) }
 
-// TierState is a tier of a pool as this limiter sees it.
+// TierState is the state of a tier of a pool as this limiter sees it.
 type TierState struct {
 	Pool uint64
 	Tier int
 	routing.State
 }
 
-// Tiers returns those of all pools that have tiers, in the order of pools and ranks.
+// Tiers returns the tiers of all pools that have some, sorted by pool and rank.
 func (l *Limiter) Tiers(now float64) (all []TierState) {
 	for _, id := range l.tieredPools {
 		if p := l.pools[id]; p != nil && p.tiers != nil {
@@ -285,9 +291,9 @@
 	return all
 }
 
-// Glance is what a limiter knows of an account and a pool, for those that advise on a
-// request: the units that the account has left here, and the share of requests that the
-// pool refused of late for want of servers. Nothing changes by looking.
+// Glance returns the balance of an account in units and the pressure of a pool, the recent share of its
+// requests that were refused for lack of servers, for plug-ins that advise on a request. It changes no
+// state.
 func (l *Limiter) Glance(now float64, account uint64, plan int, pool uint64) (balance, pressure float64) {
 	if p := l.pools[pool]; p != nil {
 		pressure = p.pressure
@@ -295,15 +301,15 @@
 	if plan < 0 || plan >= len(l.cfg.Plans) {
 		return 0, pressure
 	}
-	c := l.accounts[account]
-	if c == nil {
+	acct := l.accounts[account]
+	if acct == nil {
 		return l.cfg.Plans[plan].Burst, pressure
 	}
-	p := l.cfg.Plans[c.plan]
-	return min(p.Burst-c.leased, c.balance+(now-c.refilledAt)/1000*p.Rate), pressure
+	p := l.cfg.Plans[acct.plan]
+	return min(p.Burst-acct.leased, acct.balance+(now-acct.refilledAt)/1000*p.Rate), pressure
 }
 
-// sortedRequests lists the requests in hand in an order that is always the same.
+// sortedRequests returns the IDs of the pending requests in sorted order, for determinism.
 func (l *Limiter) sortedRequests() []string {
 	ids := make([]string, 0, len(l.requests))
 	for id := range l.requests {
@@ -313,13 +319,13 @@
 	return ids
 }
 
-// steps is what peers are told of a customer's spending: it never falls, a
-// refund nets against later spending.
+// spentSteps is the spending to report to a peer, in steps of 1/unitScale. It never falls below what was
+// sent: a refund is offset against later spending.
 func (a *account) spentSteps(sent uint64) uint64 {
 	return max(sent, uint64(max(0, math.Round(a.spent*unitScale))))
 }
 
-// view is the record of one peer, made on first use.
+// peerView returns the record of one peer, created on first use.
 func (a *account) peerView(i int) *peerView {
 	for k := range a.peerViews {
 		if a.peerViews[k].peer == i {
@@ -330,37 +336,38 @@
 	return &a.peerViews[len(a.peerViews)-1]
 }
 
-// owes tells whether there is something to tell a peer.
+// hasUpdateFor reports whether there are changes to send to a peer.
 func (a *account) hasUpdateFor(peer int) bool {
 	view := a.peerView(peer)
-	return view.resend || a.spentSteps(view.sent) != view.sent || a.outstanding != view.sentOutstanding && a.limitsOutstanding
+	return view.resend || a.spentSteps(view.sent) != view.sent ||
+		a.outstanding != view.sentOutstanding && a.limitsOutstanding
 }
 
-// seed sets a level that is told or taken over.
+// setLevel sets the balance to a level that a peer reported.
 func (a *account) setLevel(now, level float64) {
 	a.balance, a.levelKnown, a.withheld, a.publishedLevel, a.publishedAt = level, true, 0, level, now
 }
 
-// large tells that a customer has too many gateways to tell each of them.
+// usesAggregators reports whether the account has too many limiters to update each of them.
 func (a *account) usesAggregators() bool { return a.spread > maxDirectPeers+1 && !a.limitsOutstanding }
 
-// apart is how many places lie between this gateway and another, either way round.
+// distance is the number of positions from this limiter to another, the shorter way round.
 func (l *Limiter) distance(peer int) int {
 	d := peer - l.cfg.Position
 	return min(max(d, -d), l.cfg.Balancers-max(d, -d))
 }
 
-// press is how much spending of late weighs against what is left.
+// urgency orders updates: the last spending relative to what is left.
 func (a *account) urgency() float64 { return (a.lastSpentUnits + 1) / max(1, a.balance) }
 
-// sound tells whether all that a message names can be.
+// valid reports whether the plans, classes and limiters that a message names exist.
 func (l *Limiter) valid(message *peerMsg) bool {
-	plans := len(l.cfg.Plans)
+	kinds := len(l.cfg.Plans)
 	if message.flags&flagFailureHint != 0 {
-		plans = len(l.cfg.Classes)
+		kinds = len(l.cfg.Classes)
 	}
 	for _, entry := range message.entries {
-		if entry.plan >= uint64(plans) || message.flags&flagLevelUpdate == 0 &&
+		if entry.plan >= uint64(kinds) || message.flags&flagLevelUpdate == 0 &&
 			(entry.spread < 1 || entry.spread > uint64(len(l.peers)) || entry.first >= uint64(len(l.peers))) {
 			return false
 		}
@@ -368,7 +375,7 @@
 	return true
 }
 
-// entry is what is told of a customer to a peer that was told so much before.
+// peerEntryFor returns the message entry of an account for a peer that was sent this many steps before.
 func (l *Limiter) peerEntryFor(now float64, acct *account, sent uint64) peerEntry {
 	l.refill(now, acct)
 	spent := acct.spentSteps(sent)
@@ -377,8 +384,8 @@
 		margin: uint64(acct.margin * unitScale), outstanding: uint64(acct.outstanding)}
 }
 
-// tellSet sends a message to n gateways in a row and returns how many of its
-// entries went in.
+// sendToPeers sends a message to n limiters in a row, skipping this one, and returns how many of its
+// entries fit.
 func (l *Limiter) sendToPeers(message peerMsg, first, n int) int {
 	data, written := message.encode()
 	for j := range n {
@@ -389,12 +396,12 @@
 	return written
 }
 
-// fade brings the flow up to date.
+// decayFlow decays the flow up to now.
 func (a *account) decayFlow(now float64) {
 	a.flow, a.flowAt = a.flow*math.Exp((a.flowAt-now)/1000), now
 }
 
-// stir puts a customer on the list of those with something untold.
+// markDirty queues an account for the next updates to peers and for the next write.
 func (l *Limiter) markDirty(acct *account) {
 	l.markUnwritten(acct)
 	if !acct.dirty && l.cfg.Caps.Peers && acct.plan < l.named {
@@ -403,15 +410,15 @@
 	}
 }
 
-// mix scatters a number over all bits.
+// hashID mixes the bits of an ID (the finalizer of SplitMix64).
 func hashID(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// do adds an action to the reply.
+// emit adds an action to the result of the current event.
 func (l *Limiter) emit(a Action) { l.actions = append(l.actions, a) }
 
-// log adds a line for the operators.
+// log emits a log line.
 func (l *Limiter) log(format string, args ...any) { l.emit(Log{Line: fmt.Sprintf(format, args...)}) }
--- a/limiter/view.go
+++ b/limiter/view.go
@@ -1,6 +1,6 @@
 package limiter
 
-// Reasons and Results are how many there are of each.
+// Reasons and Results are the numbers of values of Reason and Result.
 const (
 	Reasons = len(reasonNames)
 	Results = len(resultNames)
@@ -12,14 +12,14 @@
 
 // View is a limiter's view of its servers and its traffic, for operators.
 type View struct {
-	Up, Cold, Off  int     // servers listed as up; of them those that warm up, and those kept off
-	Known, Skipped int     // servers in the list; of them those that are avoided, as they drain or are kept off
-	Out            int     // attempts out
-	Pressure       float64 // share refused of late for lack of servers, in the pool where it is highest
-	Crowding       float64 // time of an answer now against the typical, by this limiter's own load
+	Up, Cold, Off  int     // servers listed as up; how many of them warm up, and how many are not used for some class
+	Known, Skipped int     // servers in the list; how many of them drain or are not used for some class
+	Out            int     // attempts in flight
+	Pressure       float64 // recent share of requests refused for lack of servers, in the pool where it is highest
+	Crowding       float64 // expected time of an answer relative to the typical one, by this limiter's own load
 }
 
-// View tells it. Nothing changes by looking.
+// View returns the current view. It changes no state.
 func (l *Limiter) View(now float64) (v View) {
 	for _, srv := range l.servers {
 		if srv.info.Phase != Removed {
