--- a/limiter/advice_test.go
+++ b/limiter/advice_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A request that a plug-in refuses is answered at once, with its time to come back as far as
-// clients heed it; nothing is sent or spent, and a lease comes back.
+// A request that a plug-in refuses is answered at once, with the plug-in's wait up to the longest that clients
+// follow. Nothing is sent or spent, and a lease is refunded.
 func TestAdviceRefuses(t *testing.T) {
 	h := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7})
 	h.submit("a", Submit{Units: 3, Customer: 4, Pool: 7, Advice: Advice{Refuse: true, WaitMs: 200}})
@@ -18,8 +18,8 @@
 		t.Errorf("spent %v, left %v", c.spent, c.balance)
 	}
 	h.submit("c", Submit{Units: 100, Customer: 4, Pool: 7, Advice: Advice{Refuse: true, WaitMs: 10}})
-	if h.waitMs["c"] != 500 { // the quota's time is longer
-		t.Errorf("over the quota, and refused: %v", h.waitMs["c"])
+	if h.waitMs["c"] != 500 { // the wait by quota is longer
+		t.Errorf("beyond the quota and refused: wait %v", h.waitMs["c"])
 	}
 	h.handle(Ask{Lease: true, Submit: Submit{ID: "l", ExpiresMs: 900, Units: 3, Customer: 4, Spread: 1, Pool: 7}})
 	if c := h.l.accounts[4]; c.leased != 3 {
@@ -35,7 +35,7 @@
 	}
 }
 
-// A plug-in can't have admitted what the quota refuses.
+// A plug-in can't have a request admitted that the quota refuses.
 func TestAdviceAdmitsNothing(t *testing.T) {
 	h := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7})
 	for i := range 40 {
@@ -49,12 +49,12 @@
 		}
 	}
 	if n := len(h.sent); n != 20 {
-		t.Errorf("%d units of a burst of 20 passed", n)
+		t.Errorf("%d units of a burst of 20 were admitted", n)
 	}
 }
 
-// Under pressure the factor moves how long a request may wait, within the bounds that worth
-// has anyway; without pressure it moves nothing.
+// Under pressure the plug-in's factor changes how long a request may wait, within the bounds of the worth ratio;
+// without pressure it has no effect.
 func TestAdviceWeighs(t *testing.T) {
 	h := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7})
 	p := h.l.poolOf(7)
@@ -75,8 +75,8 @@
 	}
 }
 
-// A tier that is preferred is tried first while it is well, one that is avoided last, and
-// neither advice has a request refused that would go without it.
+// A preferred tier is tried first while it is healthy, an avoided one last, and neither advice has a request
+// refused that would be admitted without it.
 func TestAdviceOnTiers(t *testing.T) {
 	h := newTieredHarness(t)
 	n := 0
@@ -100,14 +100,14 @@
 			t.Fatal("advice on tiers is not followed")
 		}
 	}
-	h.sendThroughTiers(200, func(s uint64) Result { // the second tier is lost
+	h.sendThroughTiers(200, func(s uint64) Result { // the second tier fails
 		if s >= 4 {
 			return NoRoute
 		}
 		return Pass
 	})
 	for range 30 {
-		at(Advice{Prefer: 2}) // finds out
+		at(Advice{Prefer: 2}) // detects the failure
 	}
 	for k := uint64(4); k <= 6; k++ {
 		h.l.serversByID[k].down = true
@@ -115,15 +115,15 @@
 	h.handle(Alarm{Handle: "tick"})
 	for range 30 {
 		if s := at(Advice{Prefer: 2}); !first(s) {
-			t.Fatalf("sent to %d, where the preferred tier is lost", s)
+			t.Fatalf("sent to %d although the preferred tier is lost", s)
 		}
 		if s := at(Advice{Avoid: 1}); !first(s) {
-			t.Fatalf("sent to %d, where all but the avoided tier is lost", s)
+			t.Fatalf("sent to %d although only the avoided tier is left", s)
 		}
 	}
 }
 
-// What plug-ins see of an account and a pool.
+// The balance and the pressure that plug-ins get.
 func TestGlance(t *testing.T) {
 	h := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7})
 	if b, p := h.l.Glance(h.now, 4, 0, 7); b != 20 || p != 0 {
--- a/limiter/ask_test.go
+++ b/limiter/ask_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// asker is a limiter of one, with servers and a plan with a ceiling.
+// newAskLimiter returns a single limiter with two servers and one plan.
 func newAskLimiter(t testing.TB, p Plan) *Limiter {
 	t.Helper()
 	l, err := New(Settings{Balancers: 1, Classes: []Class{{Repeat: Unsafe, AimMs: 300, DeadlineMs: 750, Worth: 1}},
@@ -19,7 +19,7 @@
 	return l
 }
 
-// ask tells whether an Ask is granted, and that nothing else came of it.
+// askGranted reports whether an Ask is granted, and checks that it has exactly one answer and starts no attempt.
 func askGranted(t testing.TB, l *Limiter, now, units float64, lease bool) bool {
 	t.Helper()
 	granted, answers := false, 0
@@ -31,10 +31,10 @@
 		case Refuse:
 			answers++
 			if a.WaitMs <= 0 {
-				t.Error("refused without advice")
+				t.Error("refused without a wait")
 			}
 		case PassOn:
-			t.Error("an ask was sent on")
+			t.Error("an Ask was sent to a server")
 		}
 	}
 	if answers != 1 {
@@ -43,11 +43,12 @@
 	return granted
 }
 
+// submitPassed reports whether a request is sent to a server.
 func submitPassed(l *Limiter, now, units, leased float64, id string) bool {
 	return passedTo(l.Handle(now, Submit{ID: id, ExpiresMs: 750, Units: units, Customer: 7, Spread: 1, Leased: leased})) != 0
 }
 
-// Asked and carried requests draw from the same bucket.
+// Asks and proxied requests spend from the same bucket.
 func TestAskSharesTheBucket(t *testing.T) {
 	l := newAskLimiter(t, Plan{Rate: 1, Burst: 10, Price: 1})
 	for i := range 5 {
@@ -56,27 +57,27 @@
 		}
 	}
 	if askGranted(t, l, 20_000, 1, false) || submitPassed(l, 20_000, 1, 0, "x") {
-		t.Error("more than the bucket holds")
+		t.Error("admitted more than the bucket holds")
 	}
 	if !askGranted(t, l, 21_001, 1, false) {
 		t.Error("refused after the refill")
 	}
 }
 
-// With no server that could answer, asks are refused as carried requests are.
+// Without a server that could answer, asks are refused as proxied requests are.
 func TestAskUnderPressure(t *testing.T) {
 	l := newAskLimiter(t, Plan{Rate: 100, Burst: 100, Price: 1})
 	l.Handle(20_000, Endpoints{Scope: Complete})
 	if askGranted(t, l, 20_000, 1, false) {
-		t.Error("granted with no server")
+		t.Error("granted without a server")
 	}
 	if l.accounts[7].balance != 100 {
-		t.Error("a refusal took units")
+		t.Error("a refusal spent units")
 	}
 }
 
-// What is leased keeps its place: an account that leases its whole store does not
-// get as much again while the leases are out.
+// Leased units keep their place in the buckets: an account that leases its whole balance is not refilled as much
+// again while the leases are open.
 func TestLeasesKeepTheirPlace(t *testing.T) {
 	l := newAskLimiter(t, Plan{Rate: 10, Burst: 20, CeilingRate: 10, CeilingBurst: 20, Price: 1})
 	for range 5 {
@@ -86,23 +87,23 @@
 	}
 	for _, now := range []float64{60_000, 61_000, 90_000} {
 		if askGranted(t, l, now, 1, false) || submitPassed(l, now, 1, 0, "m") {
-			t.Errorf("at %g: passed beside a store that is leased whole", now)
+			t.Errorf("at %g: admitted although the whole balance is leased", now)
 		}
 	}
 	l.Handle(90_000, Settle{Customer: 7, Units: 4, Back: true})
 	if !askGranted(t, l, 90_000, 4, false) || askGranted(t, l, 90_000, 1, false) {
-		t.Error("what came back is not what was leased")
+		t.Error("the refund is not what was leased")
 	}
 	for range 9 { // more than was ever leased
 		l.Handle(90_000, Settle{Customer: 7, Units: 40, Back: true})
 	}
 	if c := l.accounts[7]; c.leased != 0 || c.balance > 16+1e-9 || c.ceilingBalance > 16+1e-9 {
-		t.Errorf("leased %g, balance %g, part %g", c.leased, c.balance, c.ceilingBalance)
+		t.Errorf("leased %g, balance %g, ceiling balance %g", c.leased, c.balance, c.ceilingBalance)
 	}
-	l.Handle(90_000, Settle{Customer: 99, Units: 4, Back: true}) // nobody knows it
+	l.Handle(90_000, Settle{Customer: 99, Units: 4, Back: true}) // unknown account
 }
 
-// A message with a lease takes nothing further, and gives it back if it is refused.
+// A request with a lease spends nothing more, and the lease is refunded if the request is refused.
 func TestLeasedSubmit(t *testing.T) {
 	l := newAskLimiter(t, Plan{Rate: 1, Burst: 10, CeilingRate: 1, CeilingBurst: 10, Price: 1})
 	if !askGranted(t, l, 60_000, 4, true) || !askGranted(t, l, 60_000, 6, true) {
@@ -117,15 +118,15 @@
 	}
 	l.Handle(60_000, Endpoints{Scope: Complete})
 	if submitPassed(l, 60_000, 6, 6, "n") {
-		t.Error("sent with no server")
+		t.Error("sent without a server")
 	}
 	if c.leased != 0 || c.balance != 6 || c.spent != 4 {
 		t.Errorf("after the refusal: leased %g, balance %g, spent %g", c.leased, c.balance, c.spent)
 	}
 }
 
-// A message that another gateway vouches for passes a quota that is short, pays all the
-// same, and does not pass the ceiling.
+// A request that another limiter vouches for passes an exhausted quota and is charged all the same, but it does not
+// pass an exhausted ceiling.
 func TestVouched(t *testing.T) {
 	l := newAskLimiter(t, Plan{Rate: 1, Burst: 4, CeilingRate: 1, CeilingBurst: 6, Price: 1})
 	vouched := func(id string) bool {
@@ -135,23 +136,23 @@
 		t.Fatal("the quota is not 4")
 	}
 	if !vouched("c") || l.accounts[7].balance != -2 || vouched("d") {
-		t.Errorf("balance %g, part %g", l.accounts[7].balance, l.accounts[7].ceilingBalance)
+		t.Errorf("balance %g, ceiling balance %g", l.accounts[7].balance, l.accounts[7].ceilingBalance)
 	}
 }
 
-// In any order of asks, messages, settlements and time, what goes, when it goes,
-// never passes the ceiling: it is a bucket by itself. A ledger checks it.
+// In any order of asks, requests, settlements and time, the requests that proceed never exceed the ceiling, which a
+// separate bucket in the test checks.
 func TestLeasesHoldTheCeiling(t *testing.T) {
 	const rate, burst = 10.0, 20.0
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		l := newAskLimiter(t, Plan{Rate: rate, Burst: burst, CeilingRate: rate, CeilingBurst: burst, Price: 1})
 		now := 60_000.0
-		level, at := burst, now // the ledger's bucket
+		level, at := burst, now // of the checking bucket
 		use := func(units float64) {
 			level, at = min(burst, level+(now-at)/1000*rate), now
 			if level -= units; level < -1e-6 {
-				t.Fatalf("seed %d: %g over the ceiling at %g", seed, -level, now)
+				t.Fatalf("seed %d: %g above the ceiling at %g", seed, -level, now)
 			}
 		}
 		var leases []float64
@@ -177,7 +178,7 @@
 				} else {
 					refused++
 				}
-			case len(leases) > 0 && k == 4: // its message
+			case len(leases) > 0 && k == 4: // the request of a lease
 				u := leases[0]
 				leases = leases[1:]
 				if !submitPassed(l, now, u, u, id) {
@@ -195,16 +196,16 @@
 				out += u
 			}
 			if c := l.accounts[7]; c != nil && math.Abs(c.leased-out) > 1e-6 {
-				t.Fatalf("seed %d: %g leased, the ledger has %g", seed, c.leased, out)
+				t.Fatalf("seed %d: %g leased, want %g", seed, c.leased, out)
 			}
 		}
 		if granted < 50 || refused < 50 {
-			t.Errorf("seed %d: %d leases granted, %d refused: the test tests little", seed, granted, refused)
+			t.Errorf("seed %d: %d leases granted, %d refused: too few for the test to be meaningful", seed, granted, refused)
 		}
 	}
 }
 
-// BenchmarkAsk is an ask beside a carried request.
+// BenchmarkAsk compares an Ask with a proxied request.
 func BenchmarkAsk(b *testing.B) {
 	plan := Plan{Rate: 1e9, Burst: 1e9, Price: 1}
 	b.Run("ask", func(b *testing.B) {
--- a/limiter/choice_test.go
+++ b/limiter/choice_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// manyServers returns a limiter with n servers in cells of six.
 func manyServers(t testing.TB, n int) *Limiter {
 	t.Helper()
 	l, err := New(Settings{Balancers: 1, Classes: []Class{
@@ -23,7 +24,7 @@
 	return l
 }
 
-// passed is the server that a request was sent to; 0 if it was not.
+// passedTo returns the server that a request was sent to, or 0.
 func passedTo(actions []Action) uint64 {
 	for _, a := range actions {
 		if p, ok := a.(PassOn); ok {
@@ -33,12 +34,12 @@
 	return 0
 }
 
-// Of many servers a part is looked at for each choice, and all get their part of
-// the requests; what is unusable is passed over, also where only one is left.
+// With many servers only a sample is compared for each choice, yet all get their share of the requests, and the
+// only usable server is found.
 func TestManyServers(t *testing.T) {
 	const n = 500
 	l := manyServers(t, n)
-	got := map[uint64]int{}
+	counts := map[uint64]int{}
 	now := 1000.0
 	var open []string
 	servers := map[string]uint64{}
@@ -49,7 +50,7 @@
 		if s == 0 {
 			t.Fatalf("request %d was not sent", i)
 		}
-		got[s]++
+		counts[s]++
 		open, servers[id] = append(open, id), s
 		if len(open) > 200 {
 			l.Handle(now, Outcome{ID: open[0], Server: servers[open[0]], Result: Pass, SpentMs: 200, Done: true})
@@ -57,8 +58,8 @@
 		}
 	}
 	for s := uint64(1); s <= n; s++ {
-		if got[s] < 4 || got[s] > 80 {
-			t.Errorf("server %d got %d of %d requests", s, got[s], 20*n)
+		if counts[s] < 4 || counts[s] > 80 {
+			t.Errorf("server %d got %d of %d requests", s, counts[s], 20*n)
 		}
 	}
 	e := Endpoints{Scope: Partial}
@@ -77,15 +78,15 @@
 	}
 }
 
-// A keyed request that may have run goes on to the few servers that know its key,
-// however many there are.
+// A keyed request that may have run is retried only at the few servers that know its key, however many servers
+// there are.
 func TestManyServersKeyed(t *testing.T) {
 	l := manyServers(t, 600)
 	for i := range 50 {
 		id := fmt.Sprint("k", i)
 		first := passedTo(l.Handle(1000, Submit{ID: id, ExpiresMs: 750, Units: 1, Class: 1, Customer: 1, Spread: 1}))
 		second := passedTo(l.Handle(1010, Outcome{ID: id, Server: first, Result: Cut, SpentMs: 10}))
-		if second == 0 && i < 5 { // until the saved-up further attempts are used
+		if second == 0 && i < 5 { // while the retry budget lasts
 			t.Fatalf("request %d was not sent again", i)
 		}
 		if second != 0 && ((first-1)/6 != (second-1)/6 || first == second) {
@@ -94,7 +95,7 @@
 	}
 }
 
-// The list stays in order and without doubles, whatever the order of the news.
+// The server list stays sorted and without duplicates, whatever the order of updates.
 func TestListStaysInOrder(t *testing.T) {
 	l := manyServers(t, 0)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -108,7 +109,7 @@
 		for _, s := range l.servers {
 			ids = append(ids, s.info.ID)
 			if l.serversByID[s.info.ID] != s {
-				t.Fatalf("server %d is not the one in the list", s.info.ID)
+				t.Fatalf("server %d in the list is another record", s.info.ID)
 			}
 		}
 		n := 0
@@ -118,12 +119,12 @@
 			}
 		}
 		if !slices.IsSorted(ids) || len(slices.Compact(ids)) != n || len(l.servers) != n || len(l.serversByID) != n {
-			t.Fatalf("%d servers, %d in order, want %d: %v", len(l.serversByID), len(l.servers), n, ids)
+			t.Fatalf("%d servers, %d in the list, want %d: %v", len(l.serversByID), len(l.servers), n, ids)
 		}
 	}
 }
 
-// BenchmarkChoice is a request at fleets of growing size.
+// BenchmarkChoice measures a request with increasing numbers of servers.
 func BenchmarkChoice(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -138,8 +139,8 @@
 	}
 }
 
-// The cost of one request, from its coming to its end, with all servers alike and in two
-// tiers, and of a tick, which looks at each server.
+// BenchmarkTiers measures one request from start to end, with all servers alike and in two tiers, and a tick, which
+// visits each server.
 func BenchmarkTiers(b *testing.B) {
 	for _, n := range []int{12, 120, 1200} {
 		for _, kind := range []string{"alike", "tiers", "returning"} {
@@ -196,8 +197,8 @@
 	}
 }
 
-// Word that a server's slots are taken keeps requests off it while another has some free; word that it
-// has some left changes nothing, and what is told anew replaces what was told before.
+// A report that a server's slots are used keeps requests away from it while another server has free ones. A report of
+// free slots has no effect, and a later report replaces an earlier one.
 func TestOccupiedServersWait(t *testing.T) {
 	sends := func(told ...InHand) map[uint64]int {
 		s := newScript(t, testSettings(), makeServers(2)...)
@@ -219,12 +220,12 @@
 		t.Errorf("a full server gets %d of 40", n[1])
 	}
 	if with, without := sends(InHand{1, 1, 2}), sends(); with[1] != without[1] {
-		t.Errorf("a server with a slot left gets %d, %d by nobody's word", with[1], without[1])
+		t.Errorf("a server with a free slot gets %d, %d without reports", with[1], without[1])
 	}
 	if with, without := sends(InHand{1, 9, 2}, InHand{1, 0, 2}), sends(); with[1] != without[1] {
-		t.Errorf("a server that has become free gets %d, %d by nobody's word", with[1], without[1])
+		t.Errorf("a server whose slots became free gets %d, %d without reports", with[1], without[1])
 	}
 	if with, without := sends(InHand{1, -9, 2}, InHand{2, 5, 0}), sends(); with[1] != without[1] {
-		t.Errorf("absurd word: %d, %d by nobody's word", with[1], without[1])
+		t.Errorf("with an invalid report %d, %d without reports", with[1], without[1])
 	}
 }
--- a/limiter/example_test.go
+++ b/limiter/example_test.go
@@ -6,7 +6,7 @@
 	"example.org/madderdrum/limiter"
 )
 
-// One gateway, one server, a quota of one unit a second with a store of two.
+// One limiter, one server, and a quota of one unit per second with a burst of two.
 func Example() {
 	l, err := limiter.New(limiter.Settings{
 		Balancers: 1,
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// testSettings has one class of each kind and a plan with and one without a
-// ceiling.
+// testSettings returns settings with one class of each kind, and plans with a quota alone, with a ceiling, with
+// a limit on attempts in flight and without limits.
 func testSettings() Settings {
 	return Settings{
 		Balancers: 2, PeerInPerS: 40,
@@ -30,7 +30,7 @@
 	}
 }
 
-// script drives one Limiter by hand.
+// script drives one Limiter step by step.
 type script struct {
 	t   *testing.T
 	l   *Limiter
@@ -58,7 +58,7 @@
 
 func (s *script) handle(e Event) []Action { return append([]Action(nil), s.l.Handle(s.now, e)...) }
 
-// submit hands in a request and returns its id and the answer.
+// submit submits a request and returns its ID and the answer.
 func (s *script) submit(e Submit) (string, Action) {
 	s.ids++
 	e.ID = fmt.Sprint("r", s.ids)
@@ -74,7 +74,7 @@
 	return e.ID, s.answer(s.handle(e))
 }
 
-// answer returns the one action among acts that concerns a request.
+// answer returns the only action among acts that answers or forwards a request.
 func (s *script) answer(acts []Action) (got Action) {
 	s.t.Helper()
 	for _, a := range acts {
@@ -95,7 +95,7 @@
 		Load: Load{Busy: -1, Pending: -1, ServiceMs: -1}}))
 }
 
-// pass serves a request that must have been passed on.
+// pass answers a request that must have been sent to a server.
 func (s *script) pass(id string, a Action) {
 	s.t.Helper()
 	p, ok := a.(PassOn)
@@ -105,7 +105,7 @@
 	s.outcome(id, 0, p.Server, Pass)
 }
 
-// admit counts how many of n requests pass, each served at once.
+// admit returns how many of n requests are admitted, each answered at once.
 func (s *script) admit(n int, e Submit) (passed int) {
 	for range n {
 		if id, a := s.submit(e); a != nil {
@@ -132,7 +132,7 @@
 		s := testSettings()
 		change(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: error %v does not name it", name, err)
+			t.Errorf("%s: error %v does not name the setting", name, err)
 		}
 	}
 }
@@ -140,26 +140,26 @@
 func TestBucket(t *testing.T) {
 	s := newScript(t, testSettings(), makeServers(4)...)
 	if got := s.admit(40, Submit{}); got != 20 {
-		t.Errorf("a full bucket of 20 let %d through", got)
+		t.Errorf("a full bucket of 20 admitted %d", got)
 	}
 	_, a := s.submit(Submit{})
 	if r, ok := a.(Refuse); !ok || math.Abs(r.WaitMs-100) > 1 {
-		t.Errorf("short of one unit at 10/s: got %#v, want a refusal for 100 ms", a)
+		t.Errorf("one unit short at 10/s: got %#v, want a refusal for 100 ms", a)
 	}
 	s.now += 1000
 	if got := s.admit(40, Submit{}); got != 10 {
-		t.Errorf("after a second at 10/s %d passed", got)
+		t.Errorf("after a second at 10/s %d were admitted", got)
 	}
 	s.now += 60000
 	if got := s.admit(40, Submit{}); got != 20 {
-		t.Errorf("the store holds 20, %d passed", got)
+		t.Errorf("the bucket holds 20, %d were admitted", got)
 	}
 	if got := s.admit(100, Submit{Plan: 3, Customer: 9}); got != 100 {
-		t.Errorf("a plan without a quota let %d of 100 through", got)
+		t.Errorf("a plan without a quota admitted %d of 100", got)
 	}
 }
 
-// peer encodes what a peer of this age says of customer 0.
+// peerUpdate returns an update on account 0 by a peer of this age.
 func peerUpdate(ageMs float64, seq, spentUnits uint64, flags byte, level float64) PeerMessage {
 	m := peerMsg{flags: flags, mark: 77, seq: seq, ageMs: uint64(ageMs)}
 	m.entries = []peerEntry{{spread: 2, spent: spentUnits * unitScale, level: int64(level * unitScale)}}
@@ -167,7 +167,7 @@
 	return PeerMessage{From: 1, Data: data}
 }
 
-// peerAnswers encodes the answer of a peer of this age: levels below full.
+// peerSyncReply returns the sync reply of a peer of this age with these levels.
 func peerSyncReply(ageMs float64, levels ...float64) PeerMessage {
 	m := peerMsg{flags: flagLevelUpdate | flagSyncReply, ageMs: uint64(ageMs)}
 	for _, level := range levels {
@@ -180,18 +180,18 @@
 func TestPeerSpending(t *testing.T) {
 	both := Submit{Spread: 2}
 	s := newScript(t, testSettings(), makeServers(4)...)
-	s.now += 5000 // the burst has filled meanwhile
+	s.now += 5000 // the bucket is full by then
 	s.admit(1, both)
 	s.handle(peerUpdate(5000, 1, 30, 0, 0))
 	if got := s.admit(30, both); got != 0 {
-		t.Errorf("balance 20-1-30 let %d through", got)
+		t.Errorf("a balance of 20-1-30 admitted %d", got)
 	}
 	s.handle(peerUpdate(5000, 1, 30, 0, 0)) // repeated
-	s.handle(peerUpdate(5000, 3, 31, 0, 0)) // one lost before it
+	s.handle(peerUpdate(5000, 3, 31, 0, 0)) // the one before it was lost
 	s.handle(peerUpdate(5000, 2, 29, 0, 0)) // late
 	s.now += 1700                           // refill repays the debt of 12, 5 are left
 	if got := s.admit(30, both); got != 5 {
-		t.Errorf("after the debt was repaid %d passed, want 5", got)
+		t.Errorf("after the debt was repaid %d were admitted, want 5", got)
 	}
 	before := s.l.accounts[0].balance
 	for _, bad := range [][]byte{nil, {1, 2}, []byte("foreign message, quite long"), {peerMagic, 9, 0, 1, 1, 1, 1, 1, 1}} {
@@ -199,31 +199,31 @@
 	}
 	s.handle(PeerMessage{From: 9, Data: peerUpdate(0, 9, 50, 0, 0).Data})
 	if s.l.accounts[0].balance != before {
-		t.Error("a message that is not sound changed the balance")
+		t.Error("an invalid message changed the balance")
 	}
 }
 
-// An unseen customer starts with the burst split over its gateways; the rest
-// is released when the peers have answered, and only what they have not told
-// of. Found as a loss of the cheap plans: the held part never came back.
-func TestUnseenCustomer(t *testing.T) {
+// A new account starts with the burst divided by its limiters. The rest is granted when the peers have answered,
+// less what they report as spent. Guards against the withheld part never being granted, which cost cheap plans
+// part of their quota.
+func TestNewAccount(t *testing.T) {
 	both := Submit{Spread: 2}
 	s := newScript(t, testSettings(), makeServers(4)...)
 	if got := s.admit(40, both); got != 10 {
-		t.Errorf("split of 20 over two let %d through", got)
+		t.Errorf("20 divided by two admitted %d", got)
 	}
-	s.handle(peerSyncReply(1)) // an answer that tells of nobody
+	s.handle(peerSyncReply(1)) // a reply without accounts
 	if got := s.admit(40, both); got != 10 {
-		t.Errorf("after the peer's answer %d more passed, want 10", got)
+		t.Errorf("after the peer's reply %d more were admitted, want 10", got)
 	}
 	s = newScript(t, testSettings(), makeServers(4)...)
 	s.handle(peerSyncReply(90000, 3)) // an older peer knows the level
 	if got := s.admit(40, both); got != 3 {
-		t.Errorf("told a level of 3, %d passed", got)
+		t.Errorf("at a reported level of 3 %d were admitted", got)
 	}
 }
 
-func TestRestartedGatewayAsks(t *testing.T) {
+func TestRestartedLimiterSyncs(t *testing.T) {
 	s := newScript(t, testSettings(), makeServers(4)...)
 	var asked bool
 	for _, a := range s.handle(Alarm{Handle: "tick"}) {
@@ -233,11 +233,11 @@
 		}
 	}
 	if !asked {
-		t.Error("a starting gateway did not ask its peer")
+		t.Error("a limiter that started sent no sync request")
 	}
 	s.admit(4, Submit{Spread: 2})
-	ask := peerMsg{flags: flagSyncRequest, mark: 5, seq: 1}
-	data, _ := ask.encode()
+	request := peerMsg{flags: flagSyncRequest, mark: 5, seq: 1}
+	data, _ := request.encode()
 	var levels []peerEntry
 	for _, a := range s.handle(PeerMessage{From: 1, Data: data}) {
 		if tell, ok := a.(Tell); ok {
@@ -247,7 +247,7 @@
 		}
 	}
 	if len(levels) != 1 || levels[0].level != 16*unitScale {
-		t.Errorf("the answer tells %v, want one level of 16", levels)
+		t.Errorf("the sync reply has %v, want one level of 16", levels)
 	}
 }
 
@@ -258,12 +258,12 @@
 	if _, c := s.submit(Submit{Plan: 2}); c == nil {
 		t.Fatal("no answer")
 	} else if _, ok := c.(Refuse); !ok {
-		t.Errorf("a third attempt out where two are allowed: %#v", c)
+		t.Errorf("a third attempt in flight where two are allowed: %#v", c)
 	}
 	s.pass(id, a)
 	if _, c := s.submit(Submit{Plan: 2}); c != nil {
 		if _, ok := c.(PassOn); !ok {
-			t.Errorf("one came back, the next is refused: %#v", c)
+			t.Errorf("after one ended, the next is refused: %#v", c)
 		}
 	}
 }
@@ -275,11 +275,12 @@
 	id, a := s.submit(Submit{})
 	s.handle(Outcome{ID: id, Server: a.(PassOn).Server, Result: Pass, SpentMs: 10, Done: true, Cost: 25})
 	if got := s.l.accounts[0].balance; math.Abs(got+5) > 1e-9 {
-		t.Errorf("balance %g after true units of 25 of 20, want -5", got)
+		t.Errorf("balance %g after an actual cost of 25 with a balance of 20, want -5", got)
 	}
 }
 
-// Rule 2 and the final answers, as a table of outcome and class.
+// Retries and final answers by result and class: nothing that may have run is sent again unless its class allows
+// it.
 func TestFurtherAttempts(t *testing.T) {
 	const again, refuse, fail = "again", "refuse", "fail"
 	for _, c := range []struct {
@@ -307,7 +308,7 @@
 				t.Errorf("%s: sent to the same server", name)
 			}
 			if c.class == 1 && !provesNotRun(c.result) && (g.Server-first)%2 != 0 {
-				t.Errorf("%s: a keyed request left its cell", name)
+				t.Errorf("%s: a keyed request was sent to another cell", name)
 			}
 		case Refuse:
 			if c.want != refuse {
@@ -330,7 +331,7 @@
 	if got, ok := s.outcome(id, 0, a.(PassOn).Server, Fault).(Fail); !ok {
 		t.Errorf("a keyed request past its window: %#v, want Fail", got)
 	}
-	s = newScript(t, testSettings(), makeServers(2)...) // one server a cell
+	s = newScript(t, testSettings(), makeServers(2)...) // one server per cell
 	id, a = s.submit(Submit{Class: 1})
 	if got, ok := s.outcome(id, 0, a.(PassOn).Server, Fault).(Fail); !ok {
 		t.Errorf("no other server in the cell: %#v, want Fail", got)
@@ -338,7 +339,7 @@
 	id, a = s.submit(Submit{Class: 3, ExpiresMs: 1900})
 	s.now += 1500
 	if got, ok := s.outcome(id, 0, a.(PassOn).Server, Fault).(Refuse); !ok {
-		t.Errorf("keyed for all: %#v, want Refuse", got)
+		t.Errorf("keyed among all servers: %#v, want Refuse", got)
 	}
 }
 
@@ -347,10 +348,10 @@
 	id, a := s.submit(Submit{ExpiresMs: 300})
 	s.now += 300
 	if got, ok := s.outcome(id, 0, a.(PassOn).Server, TooSlow).(Fail); !ok {
-		t.Errorf("time-out at the deadline: %#v, want Fail", got)
+		t.Errorf("timeout at the deadline: %#v, want Fail", got)
 	}
 	if len(s.l.requests) != 0 {
-		t.Error("a finished request is still held")
+		t.Error("a finished request is still stored")
 	}
 }
 
@@ -367,14 +368,14 @@
 	s.handle(Endpoints{Scope: Complete, Servers: []ServerInfo{{ID: 3}}})
 	for range 10 {
 		if id, a := s.submit(Submit{Plan: 3}); a.(PassOn).Server != 3 {
-			t.Fatal("sent to a server missing from the whole list")
+			t.Fatal("sent to a server that is missing from the complete list")
 		} else {
 			s.pass(id, a)
 		}
 	}
 	s.handle(Endpoints{Scope: Failed})
 	if _, a := s.submit(Submit{Plan: 3}); a.(PassOn).Server != 3 {
-		t.Error("a failed list call changed the list")
+		t.Error("a failed list request changed the list")
 	}
 	s.handle(Endpoints{Scope: Complete})
 	if _, a := s.submit(Submit{Plan: 3}); a != (Refuse{ID: "r22", WaitMs: fullBackoffMs, Why: NoServer}) {
@@ -382,8 +383,8 @@
 	}
 }
 
-// A cold server gets no more than its warmth times what a warm one gets, and
-// one request a window where there is none to compare with.
+// A cold server gets at most a share of a warm server's requests that corresponds to its warmth, and very few if
+// there is no warm server to compare with.
 func TestColdServer(t *testing.T) {
 	f := makeServers(4)
 	f[0].ReadyAt = 999
@@ -405,7 +406,7 @@
 		}
 	}
 	if sent[1] == 0 || sent[1] > sent[2]/3 {
-		t.Errorf("cold server got %d, warm ones %d %d %d", sent[1], sent[2], sent[3], sent[4])
+		t.Errorf("the cold server got %d, warm ones %d %d %d", sent[1], sent[2], sent[3], sent[4])
 	}
 	s = newScript(t, testSettings(), f[0])
 	if n := s.admit(200, Submit{Plan: 3}); n > 2 {
@@ -413,7 +414,7 @@
 	}
 }
 
-// The gateways' shares of a ceiling never exceed it, whatever is lost.
+// A limiter never admits more than its part of a ceiling, and one that starts has none of it saved up.
 func TestCeilingShare(t *testing.T) {
 	s := newScript(t, testSettings(), makeServers(4)...)
 	plan := testSettings().Plans[1]
@@ -428,15 +429,15 @@
 		spent += s.admit(3, Submit{Plan: 1, Spread: 2})
 	}
 	if most := (plan.CeilingBurst + plan.CeilingRate*(s.now-begin)/1000) / 2; float64(spent) > most {
-		t.Errorf("passed %d, this gateway's half is %g", spent, most)
+		t.Errorf("admitted %d, this limiter's half is %g", spent, most)
 	}
 	s = newScript(t, testSettings(), makeServers(4)...)
 	if n := s.admit(10, Submit{Plan: 1, Spread: 2}); n != 0 || s.now != start {
-		t.Errorf("a gateway that just started passed %d of an empty share", n)
+		t.Errorf("a limiter that just started admitted %d from an empty part", n)
 	}
 }
 
-func TestIgnoresWhatIsOver(t *testing.T) {
+func TestIgnoresFinishedRequests(t *testing.T) {
 	s := newScript(t, testSettings(), makeServers(2)...)
 	id, a := s.submit(Submit{})
 	s.pass(id, a)
@@ -453,17 +454,16 @@
 	}
 }
 
-// A report of a server's load, however high, keeps no server out of use. Found
-// on an overloaded day, when reports that were believed left one server in ten
-// in use, and again when leaving them out served a twentieth more.
-func TestReportsShutNoServerOut(t *testing.T) {
+// A load report, however high, excludes no server. Under overload, relying on the reports left only one server in
+// ten in use, and ignoring them served 5% more requests.
+func TestLoadReportsExcludeNoServer(t *testing.T) {
 	s := newScript(t, testSettings(), makeServers(4)...)
 	used := map[uint64]int{}
 	for range 100 {
 		id, a := s.submit(Submit{Plan: 3})
 		p, ok := a.(PassOn)
 		if !ok {
-			t.Fatalf("refused beside idle servers: %#v", a)
+			t.Fatalf("refused although servers are idle: %#v", a)
 		}
 		used[p.Server]++
 		s.handle(Outcome{ID: id, Server: p.Server, Result: Pass, SpentMs: 60, Done: true, Load: Load{Busy: 200 * float64(p.Server)}})
@@ -476,7 +476,7 @@
 	}
 }
 
-// A gateway that has been refusing for lack of servers tries them again.
+// A limiter that refused requests for lack of servers uses a server again once it is idle.
 func TestTriesAgainAfterPressure(t *testing.T) {
 	s := newScript(t, testSettings(), makeServers(2)...)
 	for range 50 {
@@ -488,7 +488,7 @@
 	s.submit(Submit{Plan: 3})
 	if _, c := s.submit(Submit{Plan: 3}); c != nil {
 		if _, ok := c.(Refuse); !ok {
-			t.Fatalf("400 ms an answer, aim 500, one in hand at each server: %#v, want Refuse", c)
+			t.Fatalf("400 ms per answer, aim 500 ms, one request at each server: %#v, want Refuse", c)
 		}
 	}
 	for id := range s.l.requests {
@@ -498,14 +498,14 @@
 	}
 	if _, a := s.submit(Submit{Plan: 3}); a != nil {
 		if _, ok := a.(PassOn); !ok {
-			t.Errorf("a server has nothing in hand: %#v, want PassOn", a)
+			t.Errorf("a server is idle: %#v, want PassOn", a)
 		}
 	}
 }
 
-// Where many gateways stand before few servers, one request of each at every
-// idle server is too much: servers that were overdriven never recovered.
-func TestManyGatewaysTryLess(t *testing.T) {
+// With many limiters and few servers, one request from each limiter at every idle server is too many: overloaded
+// servers would never recover.
+func TestManyLimitersTryLess(t *testing.T) {
 	for balancers, want := range map[int][2]int{2: {8, 8}, 16: {2, 3}} {
 		cfg := testSettings()
 		cfg.Balancers = balancers
@@ -523,14 +523,14 @@
 			}
 		}
 		if out < want[0] || out > want[1] {
-			t.Errorf("%d gateways, 8 slow servers: %d out, want %v", balancers, out, want)
+			t.Errorf("%d limiters, 8 slow servers: %d in flight, want %v", balancers, out, want)
 		}
 	}
 }
 
-// Tries whose remaining time shows that their aim is over are refused and
-// spend nothing; a last try with more time than usual and time to spare passes.
-func TestLateTry(t *testing.T) {
+// An attempt whose remaining time shows that its aim has passed is refused and spends nothing; one with a longer
+// timeout than usual and time to spare is admitted.
+func TestLateAttempt(t *testing.T) {
 	s := newScript(t, testSettings(), makeServers(4)...)
 	for range 5 {
 		id, a := s.submit(Submit{ExpiresMs: 1000})
@@ -541,7 +541,7 @@
 		t.Errorf("600 ms after the client began, aim 500: %#v", a)
 	}
 	if s.l.accounts[0].balance != before {
-		t.Error("a refused try spent units")
+		t.Error("a refused attempt spent units")
 	}
 	if _, a := s.submit(Submit{ExpiresMs: 1800}); a != nil {
 		if _, ok := a.(PassOn); !ok {
@@ -550,8 +550,7 @@
 	}
 }
 
-// A server that fails fast is ejected although it looks idle, and is tried
-// again, gently, with requests that may be repeated.
+// A server that fails fast is ejected although it looks idle, and is tried again later with a few requests.
 func TestFailingServerKeptOff(t *testing.T) {
 	s := newScript(t, testSettings(), makeServers(4)...)
 	serve := func() (bad int) {
@@ -583,11 +582,11 @@
 		bad += serve()
 	}
 	if bad < ejectAfter || bad > 2*ejectAfter {
-		t.Errorf("tried anew it got %d of 200, want a few", bad)
+		t.Errorf("after the ejection it got %d of 200, want a few", bad)
 	}
 }
 
-func TestSilentServerIsProbedAndLeft(t *testing.T) {
+func TestSilentServerIsProbedAndAvoided(t *testing.T) {
 	s := newScript(t, testSettings(), makeServers(2)...)
 	ids := map[string]uint64{}
 	for range 4 {
@@ -607,7 +606,7 @@
 		}
 	}
 	if !probed {
-		t.Fatal("a server silent for long was not probed")
+		t.Fatal("a server that was silent for long was not probed")
 	}
 	aborted := 0
 	for _, a := range s.handle(Probed{Server: 1, Result: TooSlow}) {
@@ -616,7 +615,7 @@
 		}
 	}
 	if aborted == 0 {
-		t.Error("nothing was called off at a server found down")
+		t.Error("no attempt was aborted at a server found down")
 	}
 	for range 20 {
 		if id, a := s.submit(Submit{Plan: 3}); a.(PassOn).Server != 2 {
@@ -627,11 +626,11 @@
 	}
 	s.handle(Probed{Server: 1, Result: Pass})
 	if s.l.serversByID[1].down {
-		t.Error("a server that answers is still held down")
+		t.Error("a server that answers still counts as down")
 	}
 }
 
-// Under pressure the request worth least for its work gives way first.
+// Under pressure the requests with the least worth per unit of work are refused first.
 func TestWorthUnderPressure(t *testing.T) {
 	cfg := testSettings()
 	cfg.Plans[0].Price, cfg.Plans[3].Price = 5, 0.2
@@ -654,12 +653,12 @@
 		}
 	}
 	if passed[0] <= passed[3] {
-		t.Errorf("dear plan %d, cheap plan %d of 100 each", passed[0], passed[3])
+		t.Errorf("expensive plan %d, cheap plan %d of 100 each", passed[0], passed[3])
 	}
 }
 
-// Idle customers are forgotten, and come back with a full bucket they earned.
-func TestForgetsIdleCustomers(t *testing.T) {
+// Idle accounts are dropped and start again with a full bucket.
+func TestDropsIdleAccounts(t *testing.T) {
 	s := newScript(t, testSettings(), makeServers(4)...)
 	for c := range 500 {
 		s.admit(1, Submit{Customer: uint64(c)})
@@ -667,16 +666,16 @@
 	s.now += 2 * accountIdleMs
 	s.handle(Alarm{Handle: "tick"})
 	if len(s.l.accounts) != 0 || len(s.l.accountList) != 0 || len(s.l.requests) != 0 {
-		t.Errorf("%d customers, %d listed, %d requests are still held", len(s.l.accounts), len(s.l.accountList), len(s.l.requests))
+		t.Errorf("%d accounts, %d in the list and %d requests are still stored", len(s.l.accounts), len(s.l.accountList), len(s.l.requests))
 	}
 	if got := s.admit(40, Submit{Customer: 3}); got != 20 {
-		t.Errorf("a forgotten customer got %d, want its burst of 20", got)
+		t.Errorf("a dropped account got %d, want its burst of 20", got)
 	}
 }
 
-// Where clients mark their retries, a first try with a short time of its own has only
-// just begun and is served; a retry with it is what is left of a time mostly over.
-func TestFirstTriesInAHurry(t *testing.T) {
+// If clients mark their retries, a first attempt with an unusually short timeout has just begun and is admitted;
+// for a retry the short timeout is the rest of an older deadline.
+func TestFirstAttemptsWithShortTimeouts(t *testing.T) {
 	s := newScript(t, testSettings(), makeServers(4)...)
 	pass := func(e Submit) bool {
 		t.Helper()
@@ -692,19 +691,18 @@
 		pass(Submit{Plan: 3, ExpiresMs: 1000})
 	}
 	if pass(Submit{Plan: 3, ExpiresMs: 200}) {
-		t.Error("with no retry marked so far a short time is taken for what is left")
+		t.Error("while no retry is marked, a short timeout must count as the rest of a deadline")
 	}
 	if pass(Submit{Plan: 3, ExpiresMs: 200, Retry: true}) {
-		t.Error("a late retry was sent on")
+		t.Error("a late retry was admitted")
 	}
 	if !pass(Submit{Plan: 3, ExpiresMs: 200}) {
-		t.Error("a first try in a hurry was refused")
+		t.Error("a first attempt with a short timeout was refused")
 	}
 }
 
-// Customers that come once, here or by a peer's word, and servers that are replaced
-// leave nothing behind.
-func TestCountsReturnToTheBase(t *testing.T) {
+// Accounts that come only once, here or by a peer's message, and servers that are replaced leave no state behind.
+func TestStateIsBounded(t *testing.T) {
 	s := newScript(t, testSettings(), makeServers(4)...)
 	for i := range 4000 {
 		s.now += 20
@@ -713,49 +711,49 @@
 			{account: uint64(100000 + i), plan: uint64(i % 3), spread: 2, spent: 8, newlySpent: 8}}}
 		data, _ := m.encode()
 		s.handle(PeerMessage{From: 1, Data: data})
-		if i%10 == 0 { // a server goes, another comes
+		if i%10 == 0 { // one server is replaced
 			s.handle(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: uint64(100 + i), Weight: 1},
 				{ID: uint64(90 + i), Phase: Removed}}})
 			s.handle(Alarm{Handle: "tick"})
 		}
 	}
 	if n := len(s.l.accounts); n > 3000 {
-		t.Errorf("%d customers are known 15 s after 80 s of new ones", n)
+		t.Errorf("%d accounts are stored after 80 s of new ones, which are dropped after 15 s", n)
 	}
 	for range 3 {
 		s.now += 2 * accountIdleMs
 		s.handle(Alarm{Handle: "tick"})
 	}
 	if len(s.l.accounts)+len(s.l.accountList)+len(s.l.aggregated)+len(s.l.dirty)+len(s.l.requests) != 0 || s.l.poolOf(0).inflight != 0 {
-		t.Errorf("%d customers, %d listed, %d kept, %d dirty, %d requests, %d out", len(s.l.accounts), len(s.l.accountList),
+		t.Errorf("%d accounts, %d in the list, %d aggregated, %d dirty, %d requests, %d in flight", len(s.l.accounts), len(s.l.accountList),
 			len(s.l.aggregated), len(s.l.dirty), len(s.l.requests), s.l.poolOf(0).inflight)
 	}
 	if len(s.l.serversByID) != 5 || len(s.l.servers) != 5 {
-		t.Errorf("%d servers, %d in order, want 5", len(s.l.serversByID), len(s.l.servers))
+		t.Errorf("%d servers, %d in the list, want 5", len(s.l.serversByID), len(s.l.servers))
 	}
 }
 
-// One datagram can't keep a customer out for long, nor make it seem richer than its
-// plan, and a customer forgotten here is not charged with all that a peer ever passed.
-func TestBoundsAPeersWord(t *testing.T) {
+// A single message can't lock an account out for long nor raise it above its plan, and an account that was dropped
+// here is not charged with all that a peer has ever admitted.
+func TestBoundsPeerMessages(t *testing.T) {
 	s := newScript(t, testSettings(), makeServers(4)...)
 	s.admit(1, Submit{Customer: 5, Spread: 2})
-	tell := func(e peerEntry, seq uint64, flags byte) {
+	send := func(e peerEntry, seq uint64, flags byte) {
 		m := peerMsg{mark: 7, seq: seq, flags: flags, entries: []peerEntry{e}}
 		data, _ := m.encode()
 		s.handle(PeerMessage{From: 1, Data: data})
 	}
-	tell(peerEntry{account: 5, spread: 2, spent: 1 << 40, newlySpent: 1 << 40}, 1, 0)
-	s.now += 6500 // three bursts of 20 at 10 a second and a little
+	send(peerEntry{account: 5, spread: 2, spent: 1 << 40, newlySpent: 1 << 40}, 1, 0)
+	s.now += 6500 // a little more than three bursts of 20 at 10 per second
 	if got := s.admit(1, Submit{Customer: 5, Spread: 2}); got != 1 {
-		t.Error("kept out for longer than the gateways' bursts take")
+		t.Error("locked out for longer than the limiters' bursts take to refill")
 	}
-	tell(peerEntry{account: 5, level: 1 << 40, margin: 1 << 40}, 2, flagLevelUpdate)
+	send(peerEntry{account: 5, level: 1 << 40, margin: 1 << 40}, 2, flagLevelUpdate)
 	if c := s.l.accounts[5]; c.balance > 20 || c.margin > 20 {
 		t.Errorf("balance %g, margin %g with a burst of 20", c.balance, c.margin)
 	}
-	tell(peerEntry{account: 5, level: -1 << 40}, 3, flagLevelUpdate)
-	if c := s.l.accounts[5]; c.balance < -41 { // two bursts and what passed last
+	send(peerEntry{account: 5, level: -1 << 40}, 3, flagLevelUpdate)
+	if c := s.l.accounts[5]; c.balance < -41 { // two bursts and the last spending
 		t.Errorf("balance %g", c.balance)
 	}
 	for range 5 {
@@ -763,10 +761,10 @@
 		s.handle(Alarm{Handle: "tick"})
 	}
 	if len(s.l.accounts) != 0 {
-		t.Error("the customer is still known")
+		t.Error("the account is still stored")
 	}
-	tell(peerEntry{account: 5, spread: 2, spent: 1000 * unitScale, newlySpent: 2 * unitScale}, 4, 0)
+	send(peerEntry{account: 5, spread: 2, spent: 1000 * unitScale, newlySpent: 2 * unitScale}, 4, 0)
 	if c := s.l.accounts[5]; c == nil || c.balance != 18 {
-		t.Errorf("after it was forgotten: %+v", c)
+		t.Errorf("after it was dropped: %+v", c)
 	}
 }
--- a/limiter/pool_test.go
+++ b/limiter/pool_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// poolSettings are two plans, one with a ceiling, and three classes.
+// poolSettings returns settings with two plans, one with a ceiling, and three classes.
 func poolSettings() Settings {
 	return Settings{Balancers: 1, Caps: Caps{Attempts: 3, Cancel: true, RetryAfter: true, MaxWaitMs: 500, ConnectMs: 250},
 		Classes: []Class{{Repeat: Safe, AimMs: 500, DeadlineMs: 1000, Worth: 1}, {Repeat: Keyed, AimMs: 500, DeadlineMs: 1000, WindowMs: 1000, Worth: 2},
@@ -15,7 +15,7 @@
 		Plans: []Plan{{Rate: 10, Burst: 20, Price: 1}, {Rate: 5, Burst: 10, CeilingRate: 8, CeilingBurst: 16, Price: 2}}}
 }
 
-// handler gives events to a Limiter and keeps what it does with requests.
+// harness passes events to a Limiter and records what happens to requests.
 type harness struct {
 	t       *testing.T
 	l       *Limiter
@@ -64,8 +64,8 @@
 	h.handle(Outcome{ID: id, Try: try, Server: h.sent[id][try], Result: result, SpentMs: 10, Done: result == Pass, Load: Load{-1, -1, -1}})
 }
 
-// A request goes to the servers of its pool alone, also when it is tried again and the
-// other pool is idle; an unknown pool has no servers.
+// A request goes only to servers of its pool, also on a retry while the other pool is idle; an unknown pool has no
+// servers.
 func TestPoolsKeepApart(t *testing.T) {
 	h := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7}, ServerInfo{ID: 2, Pool: 7}, ServerInfo{ID: 3, Pool: 9}, ServerInfo{ID: 4, Pool: 9})
 	for i := range 60 {
@@ -91,7 +91,7 @@
 	}
 }
 
-// What one pool learns of load does not turn requests of another away.
+// What is learned of the load of one pool does not cause refusals in another.
 func TestPoolsLearnApart(t *testing.T) {
 	h := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7}, ServerInfo{ID: 2, Pool: 9})
 	for i := range 40 { // pool 7 is slow and full
@@ -112,11 +112,11 @@
 		h.outcome(id, Pass)
 	}
 	if refused > 0 || h.l.poolOf(7).typicalMs[0] < 300 || h.l.poolOf(9).typicalMs[0] > 20 {
-		t.Errorf("%d refused beside a slow pool; learnt %v and %v", refused, h.l.poolOf(7).typicalMs, h.l.poolOf(9).typicalMs)
+		t.Errorf("%d refused because of another pool that is slow; learned %v and %v", refused, h.l.poolOf(7).typicalMs, h.l.poolOf(9).typicalMs)
 	}
 }
 
-// A server that moves takes what it has in hand along, and an empty pool is forgotten.
+// A server that moves to another pool takes its attempts in flight along, and an empty pool is dropped.
 func TestPoolsMove(t *testing.T) {
 	h := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7}, ServerInfo{ID: 2, Pool: 9})
 	h.submit("a", Submit{Units: 1, Customer: 1, Pool: 7})
@@ -126,11 +126,11 @@
 	}
 	h.outcome("a", Pass)
 	if h.l.poolOf(9).inflight != 0 {
-		t.Errorf("%d out at the end", h.l.poolOf(9).inflight)
+		t.Errorf("%d in flight at the end", h.l.poolOf(9).inflight)
 	}
 }
 
-// A route's bound on attempts holds, and never lifts the deployment's.
+// A route's limit on attempts is applied, and never raises that of the deployment.
 func TestAttemptsOfARoute(t *testing.T) {
 	for _, c := range []struct{ bound, want int }{{1, 1}, {2, 2}, {0, 3}, {9, 3}} {
 		h := newHarness(t, poolSettings(), ServerInfo{ID: 1}, ServerInfo{ID: 2}, ServerInfo{ID: 3}, ServerInfo{ID: 4})
@@ -144,10 +144,10 @@
 	}
 }
 
-// What a new configuration leaves of balances and ceilings.
+// Balances and ceilings after a new configuration.
 func TestReconfigureBalances(t *testing.T) {
 	const account = 5
-	spent := func(h *harness, plan int, id string) (n int) { // one-unit requests until one is refused
+	spent := func(h *harness, plan int, id string) (n int) { // counts one-unit requests until one is refused
 		for ; ; n++ {
 			x := fmt.Sprint(id, n)
 			if h.submit(x, Submit{Units: 1, Customer: account, Plan: plan}); h.results[x] == "refused" {
@@ -160,40 +160,39 @@
 		name          string
 		change        func(s *Settings)
 		plans         []int
-		plan          int // the account's afterwards
-		before, after int // requests that pass
+		plan          int // of the account afterwards
+		before, after int // requests admitted
 	}{
 		{"the same", func(*Settings) {}, []int{0, 1}, 0, 20, 0},
-		{"more burst gives nothing at once", func(s *Settings) { s.Plans[0].Burst = 40 }, []int{0, 1}, 0, 20, 0},
-		{"more burst, unspent", func(s *Settings) { s.Plans[0].Burst = 40 }, []int{0, 1}, 0, 0, 20},
+		{"a larger burst gives nothing at once", func(s *Settings) { s.Plans[0].Burst = 40 }, []int{0, 1}, 0, 20, 0},
+		{"a larger burst, unspent", func(s *Settings) { s.Plans[0].Burst = 40 }, []int{0, 1}, 0, 0, 20},
 		{"burst below the balance", func(s *Settings) { s.Plans[0].Burst = 4 }, []int{0, 1}, 0, 0, 4},
 		{"another order", func(s *Settings) { s.Plans[0], s.Plans[1] = s.Plans[1], s.Plans[0] }, []int{1, 0}, 1, 20, 0},
 		{"removed, and back as another", func(s *Settings) { s.Plans = s.Plans[1:] }, []int{-1, 0}, 0, 20, 0},
 		{"removed unspent, and back as another", func(s *Settings) { s.Plans = s.Plans[1:]; s.Plans[0].CeilingRate, s.Plans[0].CeilingBurst = 0, 0 }, []int{-1, 0}, 0, 0, 10},
-		{"a ceiling is new: it begins with nothing", func(s *Settings) { s.Plans[0].CeilingRate, s.Plans[0].CeilingBurst = 15, 30 }, []int{0, 1}, 0, 0, 0},
+		{"a new ceiling starts empty", func(s *Settings) { s.Plans[0].CeilingRate, s.Plans[0].CeilingBurst = 15, 30 }, []int{0, 1}, 0, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, poolSettings(), ServerInfo{ID: 1}, ServerInfo{ID: 2})
-			h.now += 60_000 // long enough for the whole burst
+			h.now += 60_000 // long enough for a full burst
 			h.submit("first", Submit{Units: 0, Customer: account})
 			h.outcome("first", Pass)
 			if c.before > 0 {
 				if n := spent(h, 0, "before"); n != c.before {
-					t.Fatalf("%d pass before, want %d", n, c.before)
+					t.Fatalf("%d admitted before, want %d", n, c.before)
 				}
 			}
 			s := poolSettings()
 			c.change(&s)
 			h.handle(Reconfigure{Settings: s, Classes: []int{0, 1, 2}, Plans: c.plans})
 			if n := spent(h, c.plan, "after"); n != c.after {
-				t.Errorf("%d pass after, want %d", n, c.after)
+				t.Errorf("%d admitted after, want %d", n, c.after)
 			}
 		})
 	}
 }
 
-// A lowered ceiling holds from the change on: what passes is the greater part left and
-// the new rate, never the old one.
+// A lowered ceiling applies from the change on: at most the new burst and the new rate are admitted.
 func TestReconfigureCeiling(t *testing.T) {
 	h := newHarness(t, poolSettings(), ServerInfo{ID: 1}, ServerInfo{ID: 2})
 	h.now += 60_000
@@ -212,12 +211,11 @@
 		}
 	}
 	if most := 6 + 3*20.0; passed > most || passed < most-7 {
-		t.Errorf("%v units in 20 s, the ceiling gives %v", passed, most)
+		t.Errorf("%v units in 20 s, the ceiling allows %v", passed, most)
 	}
 }
 
-// A class that is gone with a request in hand: the request keeps what it was told, and
-// nothing is tried again that must not be.
+// A pending request keeps its class when the class is removed, and is only retried if that class allows it.
 func TestReconfigureClassInHand(t *testing.T) {
 	h := newHarness(t, poolSettings(), ServerInfo{ID: 1}, ServerInfo{ID: 2}, ServerInfo{ID: 3})
 	h.submit("safe", Submit{Units: 1, Customer: 1, Class: 0})
@@ -235,9 +233,9 @@
 	h.outcome("safe", Pass)
 	h.outcome("keyed", Pass)
 	if h.submit("gone", Submit{Units: 1, Customer: 1, Class: 0}); len(h.l.requests) != 1 {
-		t.Errorf("%d in hand", len(h.l.requests))
+		t.Errorf("%d pending requests", len(h.l.requests))
 	}
-	for range 3 { // what nothing names any more does not stay
+	for range 3 { // classes that are no longer used are removed
 		h.handle(Reconfigure{Settings: s, Classes: []int{0}, Plans: []int{0, 1}})
 	}
 	if len(h.l.cfg.Classes) != 1 || len(h.l.cfg.Plans) != 2 {
@@ -245,7 +243,7 @@
 	}
 }
 
-// Many reloads leave balances where they are and nothing behind.
+// Many reloads neither change balances nor leave removed plans behind.
 func TestReconfigureOften(t *testing.T) {
 	h := newHarness(t, poolSettings(), ServerInfo{ID: 1}, ServerInfo{ID: 2})
 	h.now += 60_000
@@ -266,7 +264,8 @@
 	}
 }
 
-// tiered are two tiers of three servers each, of which 30% may spill.
+// newTieredHarness returns a harness with two tiers of three servers each; 30% of the requests may spill over to the
+// second.
 func newTieredHarness(t *testing.T) *harness {
 	s := poolSettings()
 	s.Spills = map[uint64][]float64{7: {0.3, 0}}
@@ -278,8 +277,8 @@
 	return newHarness(t, s, servers...)
 }
 
-// went sends requests, which are answered at once by result, and counts those that went
-// to the first tier, to the second, and nowhere.
+// sendThroughTiers sends n requests, answered at once by result, and counts those served by the first and the second
+// tier and those refused.
 func (h *harness) sendThroughTiers(n int, result func(server uint64) Result) (first, second, refused int) {
 	for range n {
 		h.now += 20
@@ -305,60 +304,60 @@
 	return first, second, refused
 }
 
-// Requests stay in the first tier while it can take them; when its servers can't be
-// reached they go to the second one, and when they answer again they come back in steps.
+// Requests stay in the first tier while it can take them. When its servers can't be reached they go to the second
+// one, and they return in steps once the servers answer again.
 func TestTiersLoseAndRegain(t *testing.T) {
 	h := newTieredHarness(t)
-	well := func(uint64) Result { return Pass }
-	if first, second, refused := h.sendThroughTiers(200, well); first != 200 || second+refused != 0 {
-		t.Errorf("all is well: %d, %d, %d refused", first, second, refused)
+	allPass := func(uint64) Result { return Pass }
+	if first, second, refused := h.sendThroughTiers(200, allPass); first != 200 || second+refused != 0 {
+		t.Errorf("all healthy: %d, %d, %d refused", first, second, refused)
 	}
-	gone := func(server uint64) Result {
+	firstTierDown := func(server uint64) Result {
 		if server <= 3 {
 			return NoRoute
 		}
 		return Pass
 	}
-	h.sendThroughTiers(50, gone)
-	if first, second, refused := h.sendThroughTiers(200, gone); first != 0 || second < 195 || refused > 5 {
+	h.sendThroughTiers(50, firstTierDown)
+	if first, second, refused := h.sendThroughTiers(200, firstTierDown); first != 0 || second < 195 || refused > 5 {
 		t.Errorf("the first tier is lost: %d, %d, %d refused", first, second, refused)
 	}
 	for id := range uint64(3) {
 		h.handle(Probed{Server: id + 1, Result: Pass})
 	}
-	var course []int
-	for range 8 { // of 25 requests, 500 ms, each
-		first, second, refused := h.sendThroughTiers(25, well)
-		if course = append(course, first); first+second+refused != 25 || refused > 0 {
-			t.Errorf("on the way back: %d, %d, %d refused", first, second, refused)
+	var shares []int
+	for range 8 { // of 25 requests in 500 ms each
+		first, second, refused := h.sendThroughTiers(25, allPass)
+		if shares = append(shares, first); first+second+refused != 25 || refused > 0 {
+			t.Errorf("during recovery: %d, %d, %d refused", first, second, refused)
 		}
 	}
-	if course[0] > 8 || course[7] < course[0] {
-		t.Errorf("the first tier's share of 25 on its way back: %v", course)
+	if shares[0] > 8 || shares[7] < shares[0] {
+		t.Errorf("the first tier's requests of each 25 during recovery: %v", shares)
 	}
 	for range 40 {
-		h.sendThroughTiers(25, well)
+		h.sendThroughTiers(25, allPass)
 	}
-	if first, second, _ := h.sendThroughTiers(50, well); first != 50 || second != 0 {
-		t.Errorf("back: %d, %d", first, second)
+	if first, second, _ := h.sendThroughTiers(50, allPass); first != 50 || second != 0 {
+		t.Errorf("after recovery: %d, %d", first, second)
 	}
 }
 
-// While a tier that has no room is partly healthy, its stated share goes on to the next
-// one, and the rest is refused at once with a time to come back.
+// While a healthy tier has no capacity left, its configured share spills over to the next one, and the rest is
+// refused at once with a wait.
 func TestTiersSpill(t *testing.T) {
 	h := newTieredHarness(t)
 	h.sendThroughTiers(20, func(uint64) Result { return Pass })
 	sent := [2]int{}
 	refused := 0
-	for i := range 600 { // nobody answers: what the first tier can take is soon out
+	for i := range 600 { // without answers the first tier is soon at its capacity
 		h.now += 2
 		id := fmt.Sprint("s", i)
 		h.submit(id, Submit{Units: 1, Customer: 1, Pool: 7})
 		switch {
 		case h.results[id] == "refused":
 			if refused++; h.waitMs[id] <= 0 {
-				t.Fatal("refused with no time to come back")
+				t.Fatal("refused without a wait")
 			}
 		case h.sent[id][0] <= 3:
 			sent[0]++
@@ -371,16 +370,16 @@
 	}
 }
 
-// New shares hold without disturbing a way back, and a pool may lose its tiers.
+// New spill-over shares apply without changing the state of a lost tier, and a pool's tiers can be removed.
 func TestTiersReconfigured(t *testing.T) {
 	h := newTieredHarness(t)
-	gone := func(server uint64) Result {
+	firstTierDown := func(server uint64) Result {
 		if server <= 3 {
 			return NoRoute
 		}
 		return Pass
 	}
-	h.sendThroughTiers(100, gone)
+	h.sendThroughTiers(100, firstTierDown)
 	p := h.l.poolOf(7)
 	if p.tiers.State(h.now, 0).Phase != routing.Lost {
 		t.Fatal("the first tier is not lost")
@@ -389,16 +388,16 @@
 	s.Spills = map[uint64][]float64{7: {0.5, 0}}
 	h.handle(Reconfigure{Settings: s, Classes: []int{0, 1, 2}, Plans: []int{0, 1}})
 	if p.tiers.State(h.now, 0).Phase != routing.Lost {
-		t.Error("another share makes a lost tier well")
+		t.Error("another share made a lost tier healthy")
 	}
 	s.Spills = nil
 	h.handle(Reconfigure{Settings: s, Classes: []int{0, 1, 2}, Plans: []int{0, 1}})
 	if p.tiers != nil {
-		t.Error("the tiers stay")
+		t.Error("the tiers are still there")
 	}
 }
 
-// An account does not escape its ceiling by naming a plan without one.
+// An account can't escape its ceiling by naming a plan without one.
 func TestPlanStays(t *testing.T) {
 	s := poolSettings()
 	s.Plans[0].Rate, s.Plans[0].Burst = 1e6, 1e6
@@ -406,7 +405,7 @@
 	h := newHarness(t, s, ServerInfo{ID: 1}, ServerInfo{ID: 2})
 	h.now += 60_000
 	passed := 0
-	for i := range 400 { // 4 s: the ceiling gives 16 and 8 a second
+	for i := range 400 { // 4 s: the ceiling allows 16 and 8 per second
 		h.now += 10
 		id := fmt.Sprint("r", i)
 		plan := 1
@@ -419,27 +418,27 @@
 		}
 	}
 	if passed > 16+4*8+1 {
-		t.Errorf("%d units passed a ceiling that gives 48", passed)
+		t.Errorf("%d units were admitted by a ceiling that allows 48", passed)
 	}
 }
 
-// A keyed request's repeat goes to the pod that remembers it, in whatever tier and state
-// that is, and an unsafe one nowhere.
+// A keyed request is retried only at servers that know its key, whatever their tier and state, and an unsafe one
+// nowhere.
 func TestTiersKeepRepeats(t *testing.T) {
 	for name, c := range map[string]struct {
 		class int
 		sent  int // attempts
 	}{"keyed": {1, 2}, "unsafe": {2, 1}} {
 		h := newTieredHarness(t)
-		well := func(uint64) Result { return Pass }
-		h.sendThroughTiers(50, well)
-		gone := func(server uint64) Result {
+		allPass := func(uint64) Result { return Pass }
+		h.sendThroughTiers(50, allPass)
+		firstTierDown := func(server uint64) Result {
 			if server <= 3 {
 				return NoRoute
 			}
 			return Pass
 		}
-		h.sendThroughTiers(100, gone)
+		h.sendThroughTiers(100, firstTierDown)
 		id := "repeat"
 		h.submit(id, Submit{Units: 1, Customer: 1, Pool: 7, Class: c.class})
 		if len(h.sent[id]) != 1 || h.sent[id][0] <= 3 {
@@ -448,7 +447,7 @@
 		h.outcome(id, Cut)
 		for _, s := range h.sent[id] {
 			if s <= 3 {
-				t.Errorf("%s: sent to %v, where none of it is known", name, h.sent[id])
+				t.Errorf("%s: sent to %v, where its key is unknown", name, h.sent[id])
 			}
 		}
 		if len(h.sent[id]) != c.sent {
@@ -457,8 +456,8 @@
 	}
 }
 
-// A server of a pool with tiers that answers again after it was down is taken to be cold
-// until discovery tells when it started: its process may be a new one.
+// A server of a pool with tiers that answers again after it was down is presumed cold until discovery reports when it
+// started, as its process may be new.
 func TestTiersPresumeCold(t *testing.T) {
 	h := newTieredHarness(t)
 	h.l.cfg.Rules = Rules{ColdShare: 0.25, ColdMs: 12_000, FallMs: 1500, OverloadFactor: 3}
@@ -478,17 +477,17 @@
 	}
 	first, _, refused := h.sendThroughTiers(100, func(uint64) Result { return Pass }) // in 2 s
 	if first > 40 || refused > 0 {
-		t.Errorf("%d of 100 go to three servers that may be cold, %d refused", first, refused)
+		t.Errorf("%d of 100 went to three servers that may be cold, %d refused", first, refused)
 	}
 	info := s.info
-	info.ReadyAt = 1 // discovery tells that it has long been there
+	info.ReadyAt = 1 // discovery reports that it started long ago
 	h.handle(Endpoints{Scope: Partial, Servers: []ServerInfo{info}})
 	if at := h.l.serversByID[1].info.ReadyAt; at != 1 {
-		t.Errorf("discovery says when it started, and %v holds", at)
+		t.Errorf("the start that discovery reported is not used, but %v", at)
 	}
 }
 
-// What operators see of tiers.
+// The state of tiers that operators see.
 func TestTiersShown(t *testing.T) {
 	h := newTieredHarness(t)
 	h.sendThroughTiers(100, func(uint64) Result { return Pass })
@@ -498,7 +497,7 @@
 	}
 }
 
-// Clients that give their requests hardly any time do not make a tier fail.
+// Clients with very short timeouts do not make a tier fail.
 func TestTiersHurriedClients(t *testing.T) {
 	h := newTieredHarness(t)
 	h.sendThroughTiers(100, func(uint64) Result { return Pass })
--- a/limiter/progress_test.go
+++ b/limiter/progress_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A long request that still goes on keeps its time and its server, and makes no further
-// attempt once its body is gone.
+// A request whose long body is still being sent neither times out nor makes its server count as silent, and it is not
+// retried once its body is no longer buffered.
 func TestProgressOfALongRequest(t *testing.T) {
 	for _, spent := range []bool{false, true} {
 		l, err := New(Settings{Balancers: 1, Classes: []Class{{Repeat: Safe, AimMs: 200, DeadlineMs: 400, Worth: 1}},
@@ -19,14 +19,14 @@
 			}
 		}
 		if at == nil {
-			t.Fatal("it did not go on")
+			t.Fatal("it was not sent")
 		}
 		for now := 100.0; now < 5000; now += 100 {
 			for _, a := range l.Handle(now, Progress{ID: "r", LeftMs: 400}) {
-				t.Fatalf("progress brings about %+v", a)
+				t.Fatalf("progress causes %+v", a)
 			}
 			if l.stalled(now, l.serversByID[at.Server]) {
-				t.Fatalf("at %v the server is taken for silent", now)
+				t.Fatalf("at %v the server counts as stalled", now)
 			}
 		}
 		l.Handle(5000, Progress{ID: "r", LeftMs: 400, Spent: spent})
@@ -36,9 +36,9 @@
 			again = again || ok
 		}
 		if again == spent {
-			t.Errorf("body spent %v: a further attempt %v", spent, again)
+			t.Errorf("body released %v: retried %v", spent, again)
 		}
-		for _, id := range []string{"", "x"} { // of nothing, nothing
+		for _, id := range []string{"", "x"} { // unknown requests are ignored
 			l.Handle(5020, Progress{ID: id, Try: 7})
 		}
 	}
--- a/limiter/property_test.go
+++ b/limiter/property_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// chaos drives several limiters with random legal events and checks the five
-// rules on what they do. It has no notion of load or speed: outcomes, delays,
-// losses, restarts and list changes are drawn blindly.
+// randomRun drives several limiters with random valid events and checks their actions: retries, server lists,
+// deadlines, ceilings and warm-up. It does not model load or speed: outcomes, delays, losses, restarts and list
+// changes are random.
 type randomRun struct {
 	t           *testing.T
 	rng         *rand.Rand
@@ -18,17 +18,17 @@
 	cfg         Settings
 	limiters    []*Limiter
 	servers     map[uint64]ServerInfo
-	lists       []map[uint64]ServerInfo // what each limiter was last told
+	lists       []map[uint64]ServerInfo // last server list of each limiter
 	open        []map[string]*trackedRequest
 	timers      []pendingTimer
-	ceilingLeft []float64              // true store of the ceiling of each customer
-	sends       []map[uint64][]float64 // by gateway and server: when it was sent to
+	ceilingLeft []float64              // by account: true balance of the ceiling
+	sends       []map[uint64][]float64 // by limiter and server: times of attempts
 	ids         int
 	messages    []pendingMessage
 	answered    int
-	advised     bool // plug-ins say whatever comes to them
-	refused     int  // requests that they refused
-	handedOver  int  // accounts from one limiter to the next
+	advised     bool // with random advice of plug-ins
+	refused     int  // requests refused by plug-ins
+	handedOver  int  // number of accounts handed over
 }
 
 type trackedRequest struct {
@@ -68,7 +68,7 @@
 	c.limiters[i], c.open[i], c.lists[i] = l, map[string]*trackedRequest{}, map[uint64]ServerInfo{}
 	c.sends[i] = map[uint64][]float64{}
 	c.sendList(i, Persisted)
-	if c.advised { // and whatever a file says that one before it has learnt
+	if c.advised { // with a random memory
 		c.event(i, Recall{Memory: randomMemory(c.rng, len(cfg.Classes))})
 	}
 }
@@ -103,15 +103,15 @@
 	case PassOn:
 		r := c.open[i][a.ID]
 		if r == nil || r.ended {
-			t.Fatalf("sent %s, which is over", a.ID)
+			t.Fatalf("sent %s, which has ended", a.ID)
 		}
 		info, ok := c.lists[i][a.Server]
 		if !ok || info.Phase != Up {
-			t.Fatalf("sent to server %d, which drains, is gone or was never listed", a.Server)
+			t.Fatalf("sent to server %d, which is draining, removed or was never listed", a.Server)
 		}
 		class := c.cfg.Classes[r.submit.Class]
 		if len(r.inflight) > 0 && !c.cfg.Caps.SecondCopies {
-			t.Fatal("two attempts out at once")
+			t.Fatal("two attempts in flight at once")
 		}
 		if len(r.sent) >= c.cfg.Caps.Attempts {
 			t.Fatal("more attempts than allowed")
@@ -122,7 +122,7 @@
 			case class.Repeat == Unsafe:
 				t.Fatal("an unsafe request that may have run was sent again")
 			case class.Repeat == Keyed && class.Group == GroupCell && before.Cell != info.Cell:
-				t.Fatal("a keyed request left its cell")
+				t.Fatal("a keyed request was sent to another cell")
 			case class.Repeat == Keyed && c.now >= r.sentAt[k]+class.WindowMs:
 				t.Fatal("a keyed request was sent again after its window")
 			}
@@ -152,7 +152,7 @@
 		}
 	case AbortAttempt:
 		if r := c.open[i][a.ID]; r != nil && a.Try >= len(r.sent) {
-			t.Fatal("called off an attempt never made")
+			t.Fatal("aborted an attempt that was never made")
 		}
 	case Timer:
 		c.timers = append(c.timers, pendingTimer{a.At, i, a.Handle, c.limiters[i]})
@@ -166,7 +166,7 @@
 	}
 }
 
-// warmth is what rule 4 lets a server of that age be counted for.
+// warmth is the share of its capacity that the warm-up rule grants a server by its age.
 func (c *randomRun) warmth(info ServerInfo) float64 {
 	if info.ReadyAt <= 0 {
 		return 1
@@ -175,9 +175,8 @@
 	return min(1, r.ColdShare+(1-r.ColdShare)*(c.now-info.ReadyAt)/r.ColdMs)
 }
 
-// checkCold holds a gateway to its part of a cold server's budget: the rule's
-// multiple of its warmth times what the gateway sends to the busiest warm
-// server in the same window, and a few for chance and for works of other sizes.
+// checkCold checks that a limiter sends a cold server at most OverloadFactor times its warmth times what it sends to
+// the busiest warm server, plus a few requests as a tolerance for chance.
 func (c *randomRun) checkCold(i int, info ServerInfo) {
 	w := c.warmth(info)
 	if w >= 1 {
@@ -191,7 +190,7 @@
 		}
 		return n
 	}
-	most := 0.0 // what was sent to a server while it was warm still counts
+	most := 0.0 // requests sent to a server while it was warm count
 	for id := range c.lists[i] {
 		if id != info.ID {
 			most = max(most, since(id, c.now-3*c.cfg.Rules.FallMs))
@@ -216,11 +215,11 @@
 	}
 	left := &c.ceilingLeft[s.Customer]
 	if *left -= s.Units; *left < -1e-6 {
-		c.t.Fatalf("the ceiling of customer %d is passed by %g", s.Customer, -*left)
+		c.t.Fatalf("the ceiling of account %d is exceeded by %g", s.Customer, -*left)
 	}
 }
 
-// answerOne ends one attempt that is out with a drawn result.
+// endAttempt ends an attempt in flight with a random result, or with forced if that is not negative.
 func (c *randomRun) endAttempt(i int, r *trackedRequest, try int, forced Result) {
 	delete(r.inflight, try)
 	result := forced
@@ -262,7 +261,7 @@
 			c.event(m.to, m.msg)
 		}
 	}
-	for i := range c.open { // time-outs at the deadline, then random outcomes
+	for i := range c.open { // timeouts at the deadline, then random outcomes
 		ids := make([]string, 0, len(c.open[i]))
 		for id := range c.open[i] {
 			ids = append(ids, id)
@@ -280,7 +279,7 @@
 			if r.ended && len(r.inflight) == 0 {
 				delete(c.open[i], id)
 			} else if !r.ended && len(r.inflight) == 0 {
-				c.t.Fatalf("%s is held with nothing out", id)
+				c.t.Fatalf("%s is pending without an attempt in flight", id)
 			}
 		}
 	}
@@ -306,23 +305,23 @@
 				c.t.Fatalf("%s was sent although a plug-in refused it", s.ID)
 			}
 		}
-	case u < 0.81: // the client leaves
+	case u < 0.81: // the client cancels a request
 		for _, id := range firstID(c.open[i]) {
 			if r := c.open[i][id]; !r.ended {
 				r.ended = true
 				c.event(i, Aborted{ID: id})
 			}
 		}
-	case u < 0.815: // the gateway dies and comes back with its last list
+	case u < 0.815: // a limiter restarts with its last server list
 		if c.rng.IntN(2) == 0 {
 			c.start(i)
 			break
 		}
-		m := completeHandover(c.limiters[i], c.now) // or in good order, and the next one goes on from it
+		m := completeHandover(c.limiters[i], c.now) // or ends with a handover
 		c.start(i)
 		c.event(i, Recall{Memory: m})
 		c.handedOver += len(m.Handover.Accounts)
-	case u < 0.83: // a server drains, goes, restarts or comes
+	case u < 0.83: // a server drains, is removed, restarts or appears
 		id := uint64(1 + c.rng.IntN(8))
 		info := c.servers[id]
 		info.Phase = Phase(c.rng.IntN(3))
@@ -340,6 +339,7 @@
 	}
 }
 
+// firstID returns the smallest ID in m, or nothing if m is empty.
 func firstID(m map[string]*trackedRequest) []string {
 	var ids []string
 	for id := range m {
@@ -349,18 +349,17 @@
 	return ids[:min(1, len(ids))]
 }
 
-// randomAdvice is advice that no sane plug-in gives, not even within what package advice
-// lets through.
+// randomAdvice returns advice with extreme values, also such that package advice would not let through.
 func randomAdvice(r *rand.Rand) Advice {
-	odd := []float64{0, 1, 0.1, 10, -5, 1e300, 1e-300, math.NaN(), math.Inf(1), math.Inf(-1)}
-	pick := func() float64 { return odd[r.IntN(len(odd))] }
+	values := []float64{0, 1, 0.1, 10, -5, 1e300, 1e-300, math.NaN(), math.Inf(1), math.Inf(-1)}
+	pick := func() float64 { return values[r.IntN(len(values))] }
 	return Advice{Refuse: r.IntN(6) == 0, WaitMs: pick(), Factor: pick(), Prefer: r.IntN(40) - 4, Avoid: r.Uint32()}
 }
 
 func TestRulesUnderRandomEvents(t *testing.T) { underRandomEvents(t, false) }
 
-// Whatever plug-ins say, and whatever is remembered, the rules hold: here in pools with tiers,
-// where all that plug-ins may say counts.
+// The rules are kept with any advice of plug-ins and any memory, in a pool with tiers, where all kinds of advice have
+// an effect.
 func TestRulesUnderRandomAdvice(t *testing.T) { underRandomEvents(t, true) }
 
 func underRandomEvents(t *testing.T, advised bool) {
@@ -439,7 +438,7 @@
 		}
 		again, n := m.encode()
 		if n != len(m.entries) {
-			return // a wasteful encoding of more entries than fit
+			return // an inefficient encoding: its entries don't fit in one message
 		}
 		m2, ok := decodePeer(again)
 		if !ok || fmt.Sprint(m) != fmt.Sprint(m2) {
@@ -453,7 +452,7 @@
 	})
 }
 
-// FuzzEvents reads bytes as a script of events; nothing may panic.
+// FuzzEvents interprets bytes as a script of events; no event may cause a panic.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("a script of any bytes whatever, long enough for a few events"))
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/limiter/reason_test.go
+++ b/limiter/reason_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// What a limiter takes servers for, by what it has seen of them; looking changes nothing.
+// Regards reports each state of a server and changes nothing.
 func TestRegards(t *testing.T) {
 	h := trainedLimiter(t)
 	h.handle(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: 5, Pool: 7, ReadyAt: h.now - 1}, {ID: 6, Pool: 7, Phase: Draining}}})
@@ -25,15 +25,15 @@
 	s := h.l.serversByID[3]
 	s.inflight, s.silentSince = 1, h.now-1e6
 	if got := h.l.Regards(h.now, 3, 0); got != Silent {
-		t.Errorf("one that owes an answer for long: %v", got)
+		t.Errorf("a server that has owed an answer for long: %v", got)
 	}
 	s.inflight = 0
 	if !reflect.DeepEqual(before, h.l.Remember(h.now)) {
-		t.Error("looking changes what is known")
+		t.Error("Regards changes the state")
 	}
 }
 
-// why is the reason of the next refusal of a request, or -1.
+// refusalReason submits a request and returns the reason of its refusal, or -1 if it is not refused.
 func (h *harness) refusalReason(e Submit) Reason {
 	e.ExpiresMs = max(e.ExpiresMs, 0)
 	for _, a := range h.l.Handle(h.now, e) {
@@ -44,12 +44,12 @@
 	return -1
 }
 
-// Refusals carry what was short.
+// Refusals have the right reason.
 func TestReasons(t *testing.T) {
 	s := poolSettings()
 	h := newHarness(t, s, ServerInfo{ID: 1})
 	ask := Submit{ID: "a", ExpiresMs: 900, Units: 1, Customer: 1, Plan: 1}
-	if got := h.refusalReason(ask); got != CeilingShort { // a starting limiter has nothing of the ceiling
+	if got := h.refusalReason(ask); got != CeilingShort { // a limiter that starts has none of the ceiling
 		t.Errorf("at the start: %v", got)
 	}
 	h.now += 60_000
@@ -57,12 +57,12 @@
 		change func(*Submit)
 		want   Reason
 	}{
-		"more than the quota":   {func(e *Submit) { e.Units = 1e7 }, QuotaShort},
-		"refused by plug-ins":   {func(e *Submit) { e.Advice.Refuse = true }, Advised},
-		"a plan that is none":   {func(e *Submit) { e.Plan = 9 }, NoReason},
-		"no time left":          {func(e *Submit) { e.ExpiresMs = 0 }, NoTime},
-		"a pool without boxes":  {func(e *Submit) { e.Pool = 99 }, NoServer},
-		"nothing that is short": {func(e *Submit) {}, -1},
+		"more than the quota":    {func(e *Submit) { e.Units = 1e7 }, QuotaShort},
+		"refused by plug-ins":    {func(e *Submit) { e.Advice.Refuse = true }, Advised},
+		"an unknown plan":        {func(e *Submit) { e.Plan = 9 }, NoReason},
+		"no time left":           {func(e *Submit) { e.ExpiresMs = 0 }, NoTime},
+		"a pool without servers": {func(e *Submit) { e.Pool = 99 }, NoServer},
+		"nothing short":          {func(e *Submit) {}, -1},
 	} {
 		e := ask
 		e.ID, e.Plan, e.Customer = name, 0, 2
@@ -73,9 +73,9 @@
 	}
 }
 
-// Operators and reports look at any time, and a limiter that is looked at decides as one
-// that is not: what it has learnt of servers and pools fades by its own events alone.
-func TestLookingChangesNothing(t *testing.T) {
+// Regards and View may be called at any time without affecting decisions: averages of servers and pools decay by
+// events alone.
+func TestViewsChangeNothing(t *testing.T) {
 	h := newHarness(t, poolSettings(), ServerInfo{ID: 1})
 	h.now += 60_000
 	if refusalReason := h.refusalReason(Submit{ID: "a", ExpiresMs: 900, Units: 1, Customer: 2}); refusalReason != -1 {
@@ -86,6 +86,6 @@
 	h.l.Regards(h.now+777, 1, 0)
 	h.l.View(h.now + 777)
 	if s.slownessAt != server.slownessAt || s.pool.sendsAt != all.sendsAt || s.pool.sends != all.sends {
-		t.Errorf("looked at 777 ms later: sums of %v and %v, were %v and %v", s.slownessAt, s.pool.sendsAt, server.slownessAt, all.sendsAt)
+		t.Errorf("views 777 ms later changed the times of averages to %v and %v from %v and %v", s.slownessAt, s.pool.sendsAt, server.slownessAt, all.sendsAt)
 	}
 }
--- a/limiter/reserve_test.go
+++ b/limiter/reserve_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// disk is what stands of a limiter's accounts.
+// accountFile is what is persisted of a limiter's accounts.
 type accountFile struct {
 	head     *Handover
 	accounts map[uint64]AccountMemory
@@ -21,7 +21,7 @@
 	return c
 }
 
-// memory is what a successor finds at a time.
+// memory returns the memory that a successor reads at a time.
 func (d *accountFile) memory(now float64) *Memory {
 	h := *d.head
 	h.DownMs, h.Accounts = now-h.NowMs, nil
@@ -33,7 +33,7 @@
 	return &Memory{Handover: &h}
 }
 
-// stores are the true parts of the accounts' ceilings, of which all lives of a limiter spend.
+// trueCeilings tracks the true balances of a limiter's parts of the ceilings over all its restarts.
 type trueCeilings struct {
 	level, at map[uint64]float64
 	worst     float64
@@ -48,17 +48,17 @@
 	s.worst = min(s.worst, s.level[id])
 }
 
-// killedLives has a limiter live many lives that end by kills, by failing writes and in the
-// midst of writes, and returns how far a part of a ceiling was overdrawn, and what passed.
-// spoil, if set, changes what a successor finds.
-func runKilledLimiters(t *testing.T, seed uint64, spoil func(*Memory)) (worst float64, passed, resumed int) {
+// runKilledLimiters kills and restarts a limiter many times, with failed and interrupted writes, and returns the lowest
+// balance of a part of a ceiling (negative if overdrawn), the units admitted, and how many successors found a file.
+// corrupt, if set, changes what a successor finds.
+func runKilledLimiters(t *testing.T, seed uint64, corrupt func(*Memory)) (worst float64, passed, resumed int) {
 	r := rand.New(rand.NewPCG(seed, 7))
-	set := poolSettings()
-	set.Plans[1].Rate, set.Plans[1].Burst = 1e6, 1e6 // the ceiling alone: 8 a second, 16 at once
-	truth := &trueCeilings{level: map[uint64]float64{}, at: map[uint64]float64{}}
-	var stands *accountFile
-	failed := false // the next write must tell all
-	h := newHarness(t, set, ServerInfo{ID: 1})
+	settings := poolSettings()
+	settings.Plans[1].Rate, settings.Plans[1].Burst = 1e6, 1e6 // only the ceiling matters: 8 per second, burst 16
+	ceilings := &trueCeilings{level: map[uint64]float64{}, at: map[uint64]float64{}}
+	var persisted *accountFile
+	failed := false // the next write must be complete
+	h := newHarness(t, settings, ServerInfo{ID: 1})
 	h.l.Reserve(1500)
 	h.now += 1
 	h.handle(Alarm{Handle: "tick"})
@@ -71,36 +71,36 @@
 				h.submit(name, Submit{Units: 1, Customer: id, Plan: 1})
 				if len(h.sent[name]) > 0 {
 					h.outcome(name, Pass)
-					truth.spend(h.now, id, set.Plans[1], 1)
+					ceilings.spend(h.now, id, settings.Plans[1], 1)
 					passed++
 				}
 			}
 		case x < 0.75:
 			h.now += r.Float64() * 400
 		case x < 0.78:
-			h.now += r.Float64() * 20_000 // accounts are forgotten
+			h.now += r.Float64() * 20_000 // accounts are dropped
 			h.handle(Alarm{Handle: "tick"})
-		case x < 0.95: // a write, of all or of some, with requests in between
-			all := stands == nil || failed || r.IntN(4) == 0
+		case x < 0.95: // a complete or partial write, with requests in between
+			all := persisted == nil || failed || r.IntN(4) == 0
 			next := &accountFile{accounts: map[uint64]AccountMemory{}}
 			if !all {
-				next = stands.copy()
+				next = persisted.copy()
 			}
 			head, seq := h.l.BeginWrite(h.now, all)
 			if all {
 				next.head = head
 			}
-			var half *accountFile
+			var partial *accountFile
 			for more := true; more; {
 				var told []AccountMemory
 				told, more, _ = h.l.Accounts(h.now, 2)
 				for _, a := range told {
 					next.accounts[a.ID] = a
 				}
-				if half == nil || r.IntN(2) == 0 {
-					half = next.copy()
+				if partial == nil || r.IntN(2) == 0 {
+					partial = next.copy()
 				}
-				if r.IntN(6) == 0 { // accounts are forgotten in the midst of it
+				if r.IntN(6) == 0 { // accounts are dropped during the write
 					h.now += r.Float64() * 30_000
 					h.handle(Alarm{Handle: "tick"})
 				}
@@ -110,59 +110,59 @@
 					id := uint64(1 + r.IntN(6))
 					if h.submit(name, Submit{Units: 1, Customer: id, Plan: 1}); len(h.sent[name]) > 0 {
 						h.outcome(name, Pass)
-						truth.spend(h.now, id, set.Plans[1], 1)
+						ceilings.spend(h.now, id, settings.Plans[1], 1)
 						passed++
 					}
 				}
 			}
 			switch how := r.IntN(10); {
 			case how < 7:
-				stands = next
+				persisted = next
 				h.l.Kept(seq)
-			case how == 7: // it is on the disk, and nobody is told
-				stands = next
-			case how == 8 && !all: // a part of it is
-				stands = half
-			} // else nothing of it
+			case how == 7: // it is on the disk, but Kept is not called
+				persisted = next
+			case how == 8 && !all: // part of it is on the disk
+				persisted = partial
+			} // otherwise nothing is
 			failed = h.l.accountWriter.persistedSeq < seq
-		default: // killed; the next one goes on from what stands, once
+		default: // killed; the successor resumes from the file, which it may use once
 			h.now += r.Float64() * 3000
-			next := newHarnessAt(t, h.now, set, ServerInfo{ID: 1})
+			next := newHarnessAt(t, h.now, settings, ServerInfo{ID: 1})
 			next.l.Reserve(1500)
 			next.handle(Alarm{Handle: "tick"})
-			if stands != nil {
-				m := stands.memory(h.now)
-				if spoil != nil {
-					spoil(m)
+			if persisted != nil {
+				m := persisted.memory(h.now)
+				if corrupt != nil {
+					corrupt(m)
 				}
 				next.handle(Recall{Memory: m})
 				resumed++
 			}
-			h, stands, failed = next, nil, false
+			h, persisted, failed = next, nil, false
 		}
 	}
-	return truth.worst, passed, resumed
+	return ceilings.worst, passed, resumed
 }
 
-// Over any kills and failed writes no part of a ceiling is ever spent twice; and the test finds
-// it if the headroom is left out, or the file's lines begin a little higher.
+// With any kills and failed writes no unit of a ceiling is spent twice. To show that the test would detect it, it must
+// find an overdraft with the headroom left out, with entries that are too high and with a wrong clock.
 func TestReserveNeverTwice(t *testing.T) {
-	var fresh, kept, lives int
+	var withoutResume, withResume, restarts int
 	for seed := range uint64(60) {
 		worst, passed, resumed := runKilledLimiters(t, seed, nil)
 		if worst < -1e-6 {
 			t.Fatalf("seed %d: a part was overdrawn by %v units", seed, -worst)
 		}
 		_, without, _ := runKilledLimiters(t, seed, func(m *Memory) { m.Handover = nil })
-		kept, fresh, lives = kept+passed, fresh+without, lives+resumed
+		withResume, withoutResume, restarts = withResume+passed, withoutResume+without, restarts+resumed
 	}
-	t.Logf("%d resumed lives: %d units passed, %d by lives that begin with nothing", lives, kept, fresh)
-	if lives < 500 || kept <= fresh {
-		t.Errorf("%d resumed lives, %d units passed, %d without", lives, kept, fresh)
+	t.Logf("%d resumed limiters: %d units admitted, %d without resuming", restarts, withResume, withoutResume)
+	if restarts < 500 || withResume <= withoutResume {
+		t.Errorf("%d resumed limiters, %d units admitted, %d without resuming", restarts, withResume, withoutResume)
 	}
-	for name, spoil := range map[string]func(*Memory){
+	for name, corrupt := range map[string]func(*Memory){
 		"a smaller headroom": func(m *Memory) { m.Handover.HeadMs = 1 },
-		"lines without their headroom": func(m *Memory) {
+		"entries without their headroom": func(m *Memory) {
 			for i := range m.Handover.Accounts {
 				m.Handover.Accounts[i].Share += 12
 			}
@@ -175,27 +175,26 @@
 	} {
 		found := 0.0
 		for seed := range uint64(60) {
-			worst, _, _ := runKilledLimiters(t, seed, spoil)
+			worst, _, _ := runKilledLimiters(t, seed, corrupt)
 			found = min(found, worst)
 		}
 		if found > -0.5 {
-			t.Errorf("%s: not found (%v)", name, found)
+			t.Errorf("%s: no overdraft found (%v)", name, found)
 		}
 	}
 }
 
-// While nothing can be written the ceiling's rate still passes, and bursts are as large as the
-// headroom.
+// While nothing can be written, requests are still admitted at the ceiling's rate, with bursts of the headroom.
 func TestReserveWithoutWrites(t *testing.T) {
-	set := poolSettings()
-	set.Plans[1].Rate, set.Plans[1].Burst = 1e6, 1e6
-	h := newHarness(t, set, ServerInfo{ID: 1})
-	h.l.Reserve(500) // a headroom of 8 units, half of the store
+	settings := poolSettings()
+	settings.Plans[1].Rate, settings.Plans[1].Burst = 1e6, 1e6
+	h := newHarness(t, settings, ServerInfo{ID: 1})
+	h.l.Reserve(500) // a headroom of 8 units, half of the burst
 	h.now += 60_000
 	h.handle(Alarm{Handle: "tick"})
 	_, seq := h.l.BeginWrite(h.now, true)
 	if _, more, ok := h.l.Accounts(h.now, 10); more || !ok {
-		t.Fatal("of no accounts there are more")
+		t.Fatal("more accounts expected although there are none")
 	}
 	h.l.Kept(seq)
 	if n := h.countPassed(5, 1); n != 8 {
@@ -206,25 +205,25 @@
 		t.Errorf("%d units after a second, want the rate of 8", n)
 	}
 	_, seq = h.l.BeginWrite(h.now, false)
-	told, _, _ := h.l.Accounts(h.now, 10)
+	entries, _, _ := h.l.Accounts(h.now, 10)
 	h.l.Kept(seq)
-	if len(told) != 1 || told[0].ID != 5 || told[0].Share > 0.001 {
-		t.Fatalf("told %+v", told)
+	if len(entries) != 1 || entries[0].ID != 5 || entries[0].Share > 0.001 {
+		t.Fatalf("written %+v", entries)
 	}
 	if n := h.countPassed(5, 1); n != 8 { // 16 less 8, filled up by 8, less 8: 8 are left
-		t.Errorf("%d units behind a write, want 8", n)
+		t.Errorf("%d units after a write, want 8", n)
 	}
-	// Other plans void a write that was begun, and hold what stands by the old ones.
+	// New plans void an unfinished write, and the file with the old plans limits spending until it is replaced.
 	h.now += 60_000
 	h.l.BeginWrite(h.now, true)
-	less := set
-	less.Plans = slices.Clone(set.Plans)
-	less.Plans[1].CeilingBurst = 400
-	h.handle(Reconfigure{Settings: less, Classes: []int{0, 1, 2}, Plans: []int{0, 1}})
+	reduced := settings
+	reduced.Plans = slices.Clone(settings.Plans)
+	reduced.Plans[1].CeilingBurst = 400
+	h.handle(Reconfigure{Settings: reduced, Classes: []int{0, 1, 2}, Plans: []int{0, 1}})
 	if _, _, ok := h.l.Accounts(h.now, 10); ok {
-		t.Error("a write goes on over other plans")
+		t.Error("a write continues after the plans have changed")
 	}
 	if c := h.l.accounts[5]; h.l.spendable(c) > c.ceilingBalance-8 {
-		t.Errorf("spendable %v of %v: less than the file says would be left", h.l.spendable(c), c.ceilingBalance)
+		t.Errorf("spendable %v of %v: leaves less than a successor would start with", h.l.spendable(c), c.ceilingBalance)
 	}
 }
--- a/limiter/scale_test.go
+++ b/limiter/scale_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// crowd is a number of limiters that see nothing of each other but messages.
+// cluster is a group of limiters that communicate by messages only.
 type cluster struct {
 	t           testing.TB
 	now         float64
@@ -16,7 +16,7 @@
 	ids         int
 	sent        map[uint64]int // by server
 	dropMessage func(from, to int) bool
-	respond     func(server uint64) (ms float64, result Result) // nil: 20 ms, Pass
+	respond     func(server uint64) (ms float64, result Result) // answer of a server; nil: 20 ms, Pass
 }
 
 func newCluster(t testing.TB, cfg Settings, n int, servers []ServerInfo) *cluster {
@@ -35,8 +35,8 @@
 	return c
 }
 
-// event hands an event in, serves what is passed on at once, delivers messages
-// at once, and returns whether the event's request was passed on.
+// event passes an event to a limiter, answers attempts and delivers messages at once, and returns whether the request
+// of the event was sent to a server.
 func (c *cluster) event(i int, e Event) (passed bool) {
 	for _, a := range append([]Action(nil), c.limiters[i].Handle(c.now, e)...) {
 		switch a := a.(type) {
@@ -73,16 +73,16 @@
 	}
 }
 
-// A customer of a hundred gateways: each sees one request in a while, and all
-// together pass its quota, not a burst each. Fails without keepers.
+// An account with a hundred limiters, each of which gets few of its requests: together they admit its quota, not a
+// burst each. Fails without aggregators.
 func TestLargeSetHoldsQuota(t *testing.T) {
 	const n = 100
 	cfg := testSettings()
 	cfg.PeerInPerS = 20
 	c := newCluster(t, cfg, n, makeServers(4))
-	c.runTicks(6000) // bursts are whole by now
+	c.runTicks(6000) // bursts are full by then
 	passed, rng := 0, rand.New(rand.NewPCG(1, 1))
-	for range 200 { // ten seconds of 40 units a second on a rate of 10
+	for range 200 { // ten seconds at 40 units per second, with a quota of 10
 		for range 2 {
 			if c.submit(rng.IntN(n), Submit{Customer: 5, Spread: n}) {
 				passed++
@@ -91,12 +91,12 @@
 		c.runTicks(tickMs)
 	}
 	if fair := 20 + 10*10; passed < fair*6/10 || passed > fair*13/10 {
-		t.Errorf("%d passed in ten seconds, the quota has %d", passed, fair)
+		t.Errorf("%d admitted in ten seconds, the quota is %d", passed, fair)
 	}
 }
 
-// The stand-in takes over when the first keeper is gone.
-func TestStandInKeeper(t *testing.T) {
+// The standby takes over when the first aggregator is gone.
+func TestStandbyAggregator(t *testing.T) {
 	const n = 40
 	cfg := testSettings()
 	cfg.PeerInPerS = 100
@@ -114,44 +114,44 @@
 		c.runTicks(tickMs)
 	}
 	if passed > 20+130 {
-		t.Errorf("%d passed without the first keeper, the quota has 120", passed)
+		t.Errorf("%d admitted without the first aggregator, the quota is 120", passed)
 	}
 }
 
-// A level told twice, late or by one who is no keeper of the customer.
-func TestToldLevels(t *testing.T) {
+// A published level counts once if repeated, and not at all if the sender is no aggregator of the account.
+func TestPublishedLevels(t *testing.T) {
 	cfg := testSettings()
 	cfg.Balancers = 40
 	s := newScript(t, cfg, makeServers(4)...)
 	s.now += 6000
 	s.submit(Submit{Customer: 5, Spread: 40})
 	c := s.l.accounts[5]
-	news := func(from int, level float64) PeerMessage {
+	levelUpdate := func(from int, level float64) PeerMessage {
 		m := peerMsg{flags: flagLevelUpdate, entries: []peerEntry{{account: 5, level: int64(level * unitScale)}}}
 		data, _ := m.encode()
 		return PeerMessage{From: from, Data: data}
 	}
-	stranger := 1
-	for stranger == c.recipients[0] || stranger == c.recipients[1] {
-		stranger++
+	other := 1
+	for other == c.recipients[0] || other == c.recipients[1] {
+		other++
 	}
 	before := c.balance
-	s.handle(news(stranger, -50))
+	s.handle(levelUpdate(other, -50))
 	if c.balance != before {
-		t.Error("a level from a gateway that is no keeper counted")
+		t.Error("a level from a limiter that is no aggregator counted")
 	}
-	s.now += 500 // what passed here is in the keeper's level by now
+	s.now += 500 // by then the spending here is included in the aggregator's level
 	for range 2 {
-		s.handle(news(c.recipients[0], 3))
+		s.handle(levelUpdate(c.recipients[0], 3))
 		if c.balance != 3 {
-			t.Errorf("told a level of 3, the balance is %g", c.balance)
+			t.Errorf("at a published level of 3 the balance is %g", c.balance)
 		}
 	}
 }
 
-// Cold servers: the parts of any number of independent gateways add up to less
-// than the rule allows. Found in the code: one request a window from each gateway
-// was nothing for three gateways and far too much for hundreds.
+// The requests of any number of independent limiters to a cold server add up to less than the warm-up rule allows.
+// Guards against a fixed allowance per limiter: one request per window was negligible for three limiters and far too
+// much for hundreds.
 func TestColdPartsAddUp(t *testing.T) {
 	for _, n := range []int{1, 3, 40, 300} {
 		cfg := testSettings()
@@ -160,10 +160,10 @@
 		f[0].ReadyAt = 1e6
 		c := newCluster(t, cfg, n, f)
 		rng := rand.New(rand.NewPCG(2, 2))
-		for range 2000 { // ten seconds at 200 requests a second over all gateways
+		for range 2000 { // ten seconds at 200 requests per second over all limiters
 			i := rng.IntN(n)
 			c.submit(i, Submit{Plan: 3, Customer: rng.Uint64N(99), Spread: n})
-			l := c.limiters[i] // it takes whatever part it has, as if no other server were better
+			l := c.limiters[i] // uses all its credit, as if the cold server were always the best choice
 			for s := l.serversByID[1]; l.allowsCold(c.now, s); s.coldCredit-- {
 				c.sent[1]++
 			}
@@ -177,12 +177,12 @@
 		}
 		// Mean warmth over the ten seconds is 0.6; the rule allows twice that.
 		if mean := float64(warm) / 9; float64(c.sent[1]) > 0.7*mean+3 {
-			t.Errorf("%d gateways sent the cold server %d, a warm one %.0f", n, c.sent[1], mean)
+			t.Errorf("%d limiters sent the cold server %d, a warm one %.0f", n, c.sent[1], mean)
 		}
 	}
 }
 
-// A restarted fleet with none but cold servers sends few, however many gateways.
+// If all servers are cold, few requests are sent, however many limiters there are.
 func TestAllCold(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		cfg := testSettings()
@@ -193,13 +193,13 @@
 			c.now += 0.5
 		}
 		if c.sent[1] == 0 || c.sent[1] > 40 {
-			t.Errorf("%d gateways sent a cold server %d in its first second", n, c.sent[1])
+			t.Errorf("%d limiters sent a cold server %d in its first second", n, c.sent[1])
 		}
 	}
 }
 
-// The shares of a ceiling of hundreds of gateways that hear nothing of each
-// other, with restarts, never add up to more than the ceiling.
+// The parts of a ceiling at hundreds of limiters that don't communicate never add up to more than the ceiling, also with
+// restarts.
 func TestCeilingPartsAddUp(t *testing.T) {
 	const n = 300
 	cfg := testSettings()
@@ -217,7 +217,7 @@
 			store--
 		}
 		if store < 0 {
-			t.Fatal("the ceiling is passed")
+			t.Fatal("the ceiling is exceeded")
 		}
 		if rng.IntN(200) == 0 {
 			cfg.Balancers, cfg.Position = n, i
@@ -231,7 +231,7 @@
 	}
 }
 
-// A server that fails one class only is kept off for that class; peers are told.
+// A server that fails only one class is ejected for that class, and peers get hints.
 func TestOneClassFails(t *testing.T) {
 	s := newScript(t, testSettings(), makeServers(4)...)
 	hints := 0
@@ -257,21 +257,21 @@
 		}
 	}
 	if srv := s.l.serversByID[1]; srv.ejections[0].until <= s.now || srv.ejections[1].until > s.now {
-		t.Errorf("class 0 fails at server 1: kept off to %v at %v", srv.ejections, s.now)
+		t.Errorf("class 0 fails at server 1: ejections %v at %v", srv.ejections, s.now)
 	}
 	if hints == 0 {
-		t.Error("the peer got no hint")
+		t.Error("the peer got no failure hint")
 	}
 }
 
-// Hints of all gateways together stay within what each takes in, however many
-// gateways and failures. Found as two incidents in which they were nine tenths of
-// all messages. Fails if each gateway may hint as it likes.
+// The failure hints of all limiters together stay within their share of what each limiter accepts, however many
+// limiters and failures there are. In two incidents hints were nine tenths of all messages. Fails if limiters send
+// hints without a limit.
 func TestHintsStayFew(t *testing.T) {
 	for _, n := range []int{20, 300} {
 		cfg := testSettings()
 		cfg.Balancers = n
-		told := 0
+		hints := 0
 		for i := range n {
 			cfg.Position = i
 			l, err := New(cfg, uint64(i))
@@ -289,22 +289,21 @@
 						}
 						for _, b := range l.Handle(now, o) {
 							if _, ok := b.(Tell); ok {
-								told++
+								hints++
 							}
 						}
 					}
 				}
 			}
 		}
-		// Each takes in 40 a second, of which hintShare are hints, for two seconds.
-		if each := float64(told) / float64(n); each < 1 || each > 1.5*2*40*hintShare {
-			t.Errorf("%d gateways: each got %.0f hints in two seconds", n, each)
+		// Each accepts 40 messages per second, of which hintShare are hints, for two seconds.
+		if each := float64(hints) / float64(n); each < 1 || each > 1.5*2*40*hintShare {
+			t.Errorf("%d limiters: each got %.0f hints in two seconds", n, each)
 		}
 	}
 }
 
-// Hints about servers or classes that the own list and settings do not name
-// change nothing; two sound ones keep a server off.
+// Hints about unknown servers or classes have no effect; two valid ones eject a server.
 func TestHints(t *testing.T) {
 	s := newScript(t, testSettings(), makeServers(4)...)
 	hint := func(server, class uint64) {
@@ -317,22 +316,22 @@
 		hint(2, 99)
 	}
 	if len(s.l.serversByID) != 4 || s.l.serversByID[2].ejections[0].count != 0 {
-		t.Error("an unsound hint counted")
+		t.Error("an invalid hint counted")
 	}
 	for range 2 {
 		hint(2, 0)
 	}
 	for range 40 {
 		if id, a := s.submit(Submit{Plan: 3}); a.(PassOn).Server == 2 {
-			t.Fatal("sent to a server that peers say fails")
+			t.Fatal("sent to a server that fails according to peers")
 		} else {
 			s.pass(id, a)
 		}
 	}
 }
 
-// A gateway that stood still learns nothing against servers from what was out.
-func TestStoodStill(t *testing.T) {
+// After a stall of its own process a limiter ignores the outcomes of attempts that were in flight.
+func TestProcessStall(t *testing.T) {
 	s := newScript(t, testSettings(), makeServers(2)...)
 	for range 30 {
 		id, a := s.submit(Submit{Plan: 3})
@@ -351,23 +350,23 @@
 		s.handle(Outcome{ID: id, Server: to[k], Result: TooSlow, SpentMs: 1600})
 	}
 	if s.l.poolOf(0).typicalMs[0] != typicalMs || s.l.serversByID[1].ejections[0].count+s.l.serversByID[2].ejections[0].count > 0 {
-		t.Error("the gateway's own pause counted against servers")
+		t.Error("the limiter's own stall counted against servers")
 	}
 }
 
-// What a customer costs does not grow with gateways that never touched it.
-func TestCustomerCost(t *testing.T) {
+// The memory for an account does not grow with limiters that have no requests of it.
+func TestAccountCost(t *testing.T) {
 	cfg := testSettings()
 	cfg.Balancers = 470
 	s := newScript(t, cfg, makeServers(4)...)
 	s.submit(Submit{Customer: 5, Spread: 200})
 	s.handle(Alarm{Handle: "tick"})
 	if n := len(s.l.accounts[5].peerViews); n > aggregators {
-		t.Errorf("a customer of 200 gateways has %d records of peers, want %d", n, aggregators)
+		t.Errorf("an account with 200 limiters has %d peer records, want %d", n, aggregators)
 	}
 }
 
-// BenchmarkHandle serves requests at a gateway of 470 with 90 servers.
+// BenchmarkHandle measures a request at one of 470 limiters with 90 servers.
 func BenchmarkHandle(b *testing.B) {
 	cfg := testSettings()
 	cfg.Balancers, cfg.PeerInPerS = 470, 40
@@ -389,8 +388,8 @@
 	}
 }
 
-// BenchmarkRemember is how long a limiter is held while it tells what it has learnt, by boxes,
-// and all that it holds, by accounts.
+// BenchmarkRemember measures how long a limiter is blocked while it returns what it has learned, by number of servers,
+// and its accounts, by number of accounts.
 func BenchmarkRemember(b *testing.B) {
 	for _, n := range []int{12, 120, 1200} {
 		b.Run(fmt.Sprint("boxes/", n), func(b *testing.B) {
@@ -418,7 +417,7 @@
 					l.Handle(1, Submit{ID: fmt.Sprint(i), ExpiresMs: 900, Units: 1, Customer: uint64(i), Spread: 1})
 				}
 				var parts []time.Duration
-				held := func(f func()) { // for so long the limiter is held at once
+				held := func(f func()) { // measures how long the limiter is blocked by one call
 					begun := time.Now()
 					f()
 					parts = append(parts, time.Since(begun))
@@ -445,9 +444,9 @@
 	}
 }
 
-// One of 64 servers runs what can't be repeated and drops a third of its answers, others one in
-// 500. 85 limiters, each of which sends it one request in 12 s, find it out together by what a
-// third of them, a region, tells each other, and keep few well ones off for it.
+// One of 64 servers loses a third of its answers to requests that can't be retried, the others one in 500. The 85
+// limiters, each of which sends it one request in 12 s, detect it together by the failures that a third of them, a
+// region, report to each other, and eject few healthy servers.
 func TestGreyServerOfMany(t *testing.T) {
 	const n, perS, seconds = 85, 460, 40
 	cfg := testSettings()
@@ -460,7 +459,7 @@
 		servers := makeServers(64)
 		c := newCluster(t, cfg, n, servers)
 		grey, lost := servers[7].ID, 0
-		var failed []uint64 // just now
+		var failed []uint64 // since the last request
 		c.respond = func(server uint64) (float64, Result) {
 			share := 0.002
 			if server == grey {
@@ -476,14 +475,14 @@
 			return 100 + 100*rng.Float64(), Pass
 		}
 		c.runTicks(4000)
-		off, looks, found := 0, 0, 0.0
+		wronglyEjected, observations, found := 0, 0, 0.0
 		for k := range seconds * 20 {
 			for range perS / 20 {
-				at := rng.IntN(n)
-				c.submit(at, Submit{Customer: 5, Spread: n})
+				receiver := rng.IntN(n)
+				c.submit(receiver, Submit{Customer: 5, Spread: n})
 				for _, server := range failed {
-					for i := at % 3; i < n; i += 3 {
-						if i != at {
+					for i := receiver % 3; i < n; i += 3 {
+						if i != receiver {
 							c.event(i, Sighting{server, 0})
 						}
 					}
@@ -494,34 +493,34 @@
 			if k%20 != 0 {
 				continue
 			}
-			kept := 0
+			ejecting := 0
 			for _, l := range c.limiters {
 				for _, s := range servers {
-					switch ill := l.Regards(c.now, s.ID, 0) == TakenIll; {
-					case s.ID == grey && ill:
-						kept++
+					switch ejected := l.Regards(c.now, s.ID, 0) == TakenIll; {
+					case s.ID == grey && ejected:
+						ejecting++
 					case s.ID != grey:
-						looks++
-						if ill {
-							off++
+						observations++
+						if ejected {
+							wronglyEjected++
 						}
 					}
 				}
 			}
-			if found == 0 && 2*kept > n {
+			if found == 0 && 2*ejecting > n {
 				found = float64(k) / 20
 			}
 		}
 		even := perS * seconds / 64
-		t.Logf("seed %d: most limiters keep it off after %.0f s; it got %d requests, %d evenly, and lost %d; well servers kept off %.4f of the time",
-			seed, found, c.sent[grey], even, lost, float64(off)/float64(looks))
-		if c.sent[grey] > even/2 || float64(off)/float64(looks) > 0.05 {
-			t.Errorf("seed %d: the grey server got %d requests of %d; well ones are kept off %.3f of the time", seed, c.sent[grey], even, float64(off)/float64(looks))
+		t.Logf("seed %d: most limiters ejected it after %.0f s; it got %d requests, its even share is %d, and lost %d; healthy servers were ejected %.4f of the time",
+			seed, found, c.sent[grey], even, lost, float64(wronglyEjected)/float64(observations))
+		if c.sent[grey] > even/2 || float64(wronglyEjected)/float64(observations) > 0.05 {
+			t.Errorf("seed %d: the failing server got %d requests, its even share is %d; healthy ones were ejected %.3f of the time", seed, c.sent[grey], even, float64(wronglyEjected)/float64(observations))
 		}
 	}
 }
 
-// Word of others' failures keeps a server off, but not where servers are short.
+// Failures seen by other limiters eject a server, but not while the pool lacks servers.
 func TestSightingsWhereServersAreShort(t *testing.T) {
 	for _, short := range []bool{false, true} {
 		cfg := testSettings()
@@ -539,7 +538,7 @@
 		s.handle(Sighting{12345, 0})
 		s.handle(Sighting{id, 99})
 		if off := s.l.Regards(s.now, id, 0) == TakenIll; off == short {
-			t.Errorf("servers are short: %v; the server is kept off: %v", short, off)
+			t.Errorf("lack of servers: %v; the server is ejected: %v", short, off)
 		}
 	}
 }
