--- a/limiter/gossip.go
+++ b/limiter/gossip.go
@@ -16,10 +16,9 @@
 	marginGain      = 2.0    // margin as a multiple of the peers' spending between two level updates
 )
 
-// setLimiters records through which limiters an account's requests come and which of them get updates
-// of the spending here: all of them if they are few. With many, two aggregators, chosen by a hash of the
-// account, get every update and publish the level when it matters. Updates then arrive in two hops, and
-// nothing counts twice, as a level replaces what was known.
+// setLimiters records an account's limiters and which of them get updates of the spending here: all, or
+// with many of them two aggregators, chosen by a hash of the account, which publish the level when it
+// matters. Updates then take two hops, and nothing counts twice, as a level replaces what was known.
 func (l *Limiter) setLimiters(now float64, acct *account, spread, first int) {
 	limiters := l.cfg.Balancers
 	acct.spread, acct.first = max(1, min(spread, limiters)), ((first%limiters)+limiters)%limiters
@@ -40,6 +39,7 @@
 	}
 }
 
+// sendUpdates sends the due changes to peers in round-robin order, within the message budget.
 func (l *Limiter) sendUpdates(now float64) {
 	l.budget.Tick(tickMs, l.cfg.PeerInPerS, len(l.peers))
 	l.publishLevels(now)
--- a/limiter/health.go
+++ b/limiter/health.go
@@ -33,11 +33,11 @@
 			ejected++
 		}
 	}
-	// The number of failures to be expected at the pool's overall failure share does not count.
+	// Only failures beyond those expected from the pool's overall failure share count.
 	expected := p.failureShare * p.recentSends(now) * float64(l.cfg.Balancers) / float64(len(p.servers))
 	if float64(record.count) >= ejectAfter+expected && 2*(ejected+1) <= len(p.servers) {
 		if now >= record.until {
-			if record.repeats++; now > record.until+ejectionMs { // no failures for a while
+			if record.repeats++; now > record.until+ejectionMs { // it worked for a while since
 				record.repeats = 0
 			}
 			l.log("server %d: ejected for class %d after repeated failures", srv.info.ID, class)
--- a/limiter/state.go
+++ b/limiter/state.go
@@ -131,7 +131,7 @@
 	ended  bool
 }
 
-// account is a customer's state at this limiter.
+// account is the state of one account, the unit of quotas and ceilings, at this limiter.
 type account struct {
 	id             uint64
 	plan           int
