--- a/limiter/api.go
+++ b/limiter/api.go
@@ -38,9 +38,9 @@
 	Repeat     Repeat
 	Group      Group
 	AimMs      float64 // an answer within this time earns the full worth
-	DeadlineMs float64
+	DeadlineMs float64 // time that a client waits in total, including its retries
 	WindowMs   float64 // how long servers remember the key of a Keyed request
-	Worth      float64
+	Worth      float64 // of an answer within AimMs, on any scale
 	LateShare  float64 // share of the worth that an answer after AimMs earns
 }
 
@@ -105,15 +105,15 @@
 type Submit struct {
 	ID        string
 	ExpiresMs float64 // time until the client gives up
-	Units     float64
-	Class     int
-	Plan      int
-	Retry     bool   // the client has marked it as a retry
-	Customer  uint64 // ID of the account
-	Spread    int    // number of limiters that the account's requests come through
-	First     int    // position of the first of them; the others follow it
-	Pool      uint64 // pool whose servers may take it; 0 if there is only one
-	Attempts  int    // maximum attempts, if fewer than Caps.Attempts; 0: no own limit
+	Units     float64 // cost of the request
+	Class     int     // index into Settings.Classes
+	Plan      int     // index into Settings.Plans
+	Retry     bool    // the client has marked it as a retry
+	Customer  uint64  // ID of the account
+	Spread    int     // number of limiters that the account's requests come through
+	First     int     // position of the first of them; the others follow it
+	Pool      uint64  // pool whose servers may take it; 0 if there is only one
+	Attempts  int     // maximum attempts, if fewer than Caps.Attempts; 0: no own limit
 	// Leased is the number of units that an [Ask] has leased here for this request. The lease pays for
 	// the request and ends with it. 0: the request is charged itself.
 	Leased float64
@@ -142,10 +142,10 @@
 // Outcome is the end of one attempt.
 type Outcome struct {
 	ID      string
-	Try     int
+	Try     int // number of the attempt of the request, from 0
 	Server  uint64
 	Result  Result
-	SpentMs float64
+	SpentMs float64 // time since the attempt was sent
 	Done    bool    // the client has its final answer
 	Cost    float64 // actual units with Settings.TrueUp; otherwise 0
 	Load    Load
@@ -187,7 +187,7 @@
 
 // PeerMessage is a message from another limiter, sent by its [Tell].
 type PeerMessage struct {
-	From int
+	From int // position of the sender
 	Data []byte
 }
 
@@ -321,7 +321,7 @@
 // Timer requests an [Alarm] at a time.
 type Timer struct {
 	At     float64
-	Handle string
+	Handle string // passed back with the Alarm
 }
 
 // Probe requests a health check of a server, answered by [Probed].
@@ -329,7 +329,7 @@
 
 // Tell sends a message to another limiter, which gets it as a [PeerMessage].
 type Tell struct {
-	To   int
+	To   int // position of the recipient
 	Data []byte
 }
 
--- a/limiter/choice_test.go
+++ b/limiter/choice_test.go
@@ -200,9 +200,9 @@
 // A report that a server's slots are used keeps requests away from it while another server has free ones. A report of
 // free slots has no effect, and a later report replaces an earlier one.
 func TestOccupiedServersWait(t *testing.T) {
-	sends := func(told ...InHand) map[uint64]int {
+	countSends := func(occupancies ...InHand) map[uint64]int {
 		s := newScript(t, testSettings(), makeServers(2)...)
-		s.handle(Occupied{Servers: told})
+		s.handle(Occupied{Servers: occupancies})
 		got := map[uint64]int{}
 		for range 40 {
 			id, a := s.submit(Submit{Customer: 5})
@@ -216,16 +216,16 @@
 		}
 		return got
 	}
-	if n := sends(InHand{1, 2, 2}, InHand{99, 1, 1}); n[1] > 0 {
+	if n := countSends(InHand{1, 2, 2}, InHand{99, 1, 1}); n[1] > 0 {
 		t.Errorf("a full server gets %d of 40", n[1])
 	}
-	if with, without := sends(InHand{1, 1, 2}), sends(); with[1] != without[1] {
+	if with, without := countSends(InHand{1, 1, 2}), countSends(); with[1] != without[1] {
 		t.Errorf("a server with a free slot gets %d, %d without reports", with[1], without[1])
 	}
-	if with, without := sends(InHand{1, 9, 2}, InHand{1, 0, 2}), sends(); with[1] != without[1] {
+	if with, without := countSends(InHand{1, 9, 2}, InHand{1, 0, 2}), countSends(); with[1] != without[1] {
 		t.Errorf("a server whose slots became free gets %d, %d without reports", with[1], without[1])
 	}
-	if with, without := sends(InHand{1, -9, 2}, InHand{2, 5, 0}), sends(); with[1] != without[1] {
+	if with, without := countSends(InHand{1, -9, 2}, InHand{2, 5, 0}), countSends(); with[1] != without[1] {
 		t.Errorf("with an invalid report %d, %d without reports", with[1], without[1])
 	}
 }
--- a/limiter/memory_test.go
+++ b/limiter/memory_test.go
@@ -148,9 +148,9 @@
 func completeHandover(l *Limiter, now float64) *Memory {
 	m := l.HandOver(now)
 	for more := true; more; {
-		var told []AccountMemory
-		told, more = l.Leave(now, 2)
-		m.Handover.Accounts = append(m.Handover.Accounts, told...)
+		var entries []AccountMemory
+		entries, more = l.Leave(now, 2)
+		m.Handover.Accounts = append(m.Handover.Accounts, entries...)
 	}
 	return m
 }
--- a/limiter/reserve_test.go
+++ b/limiter/reserve_test.go
@@ -92,9 +92,9 @@
 			}
 			var partial *accountFile
 			for more := true; more; {
-				var told []AccountMemory
-				told, more, _ = h.l.Accounts(h.now, 2)
-				for _, a := range told {
+				var entries []AccountMemory
+				entries, more, _ = h.l.Accounts(h.now, 2)
+				for _, a := range entries {
 					next.accounts[a.ID] = a
 				}
 				if partial == nil || r.IntN(2) == 0 {
