--- a/limiter/reason.go
+++ b/limiter/reason.go
@@ -1,28 +1,28 @@
 package limiter
 
-// Reason is why a request was refused, for operators: the decisions don't go by it.
+// Reason says why a request was refused, for operators; it does not affect decisions.
 type Reason int
 
 // The reasons of refusals.
 const (
-	NoReason      Reason = iota // what the request names does not exist
-	QuotaShort                  // its account has too little left, as far as is known here
-	PeersUnheard                // and a part of the burst is held back until peers are heard
+	NoReason      Reason = iota // the request names an unknown class or plan
+	QuotaShort                  // the account has too little quota left, as far as this limiter knows
+	PeersUnheard                // likewise, and part of the burst is withheld until the peers have answered
 	CeilingShort                // this limiter's part of the ceiling has too little left
-	AtOnceShort                 // too many attempts of the account are out
-	Advised                     // plug-ins said so
-	NoTime                      // no answer could come in time any more
-	NoServer                    // no server would answer in time
-	AfterAttempts               // attempts failed without having run, or harmlessly
+	AtOnceShort                 // too many attempts of the account are in flight
+	Advised                     // a plug-in refused it
+	NoTime                      // it is too late for an answer in time
+	NoServer                    // no server is expected to answer in time
+	AfterAttempts               // attempts failed, and a retry by the client does no harm
 )
 
 var reasonNames = [...]string{"none", "quota", "peers_unheard", "ceiling", "at_once", "advised", "no_time", "no_server", "after_attempts"}
 
 func (r Reason) String() string { return reasonNames[r] }
 
-// reason is why a request is turned away that admit has decided on.
-func (l *Limiter) reason(c *customer, e *Submit, aim float64, allowed bool) Reason {
-	p, units := l.cfg.Plans[c.plan], max(0, e.Units)
+// reason returns why admit refuses a request.
+func (l *Limiter) reason(acct *account, e *Submit, aim float64, allowed bool) Reason {
+	limits, units := l.cfg.Plans[acct.plan], max(0, e.Units)
 	switch {
 	case e.Advice.Refuse:
 		return Advised
@@ -30,47 +30,47 @@
 		return NoTime
 	case allowed:
 		return NoServer
-	case p.CeilingRate > 0 && l.spendable(c) < units:
+	case limits.CeilingRate > 0 && l.spendable(acct) < units:
 		return CeilingShort
-	case p.AtOnce > 0 && c.outAll() >= p.AtOnce:
+	case limits.AtOnce > 0 && acct.totalOutstanding() >= limits.AtOnce:
 		return AtOnceShort
-	case c.held > 0 && c.balance+c.held >= units:
+	case acct.withheld > 0 && acct.balance+acct.withheld >= units:
 		return PeersUnheard
 	}
 	return QuotaShort
 }
 
-// Regard is what a limiter takes a server for.
+// Regard is a limiter's view of whether a server can be used.
 type Regard int
 
-// What servers are taken for.
+// The views of a server.
 const (
 	Usable    Regard = iota
-	Unlisted         // it is not listed, or as draining or gone
-	TakenDown        // it does not answer
-	TakenIll         // requests of the class fail there
-	Silent           // it owes answers for long
-	Full             // it turned requests away a moment ago
-	TooCold          // this limiter's part of what a cold one can do is used up
+	Unlisted         // it is not listed, draining or removed
+	TakenDown        // connections or probes fail
+	TakenIll         // it is ejected for the class
+	Silent           // it has owed answers for too long
+	Full             // it has just refused requests for overload
+	TooCold          // it warms up, and this limiter's part of its capacity is used up
 )
 
-// Regards is what a server is taken for, for requests of a class. Nothing changes by looking.
+// Regards returns whether a server can be used for requests of a class, and why not. It changes no state.
 func (l *Limiter) Regards(now float64, id uint64, class int) Regard {
-	s := l.servers[id]
+	srv := l.serversByID[id]
 	switch {
-	case s == nil || s.info.Phase != Up:
+	case srv == nil || srv.info.Phase != Up:
 		return Unlisted
-	case s.down:
+	case srv.down:
 		return TakenDown
-	case now < s.ills[class].to:
+	case now < srv.ejections[class].until:
 		return TakenIll
-	case now < s.fullTo:
+	case now < srv.fullUntil:
 		return Full
-	case l.warmth(now, s) < 1 && s.cold < 1:
+	case l.warmth(now, srv) < 1 && srv.coldCredit < 1:
 		return TooCold
 	}
-	look, all := *s, *s.pool
-	if look.pool = &all; l.stalled(now, &look) { // which fades the sums of what it looks at
+	serverCopy, poolCopy := *srv, *srv.pool
+	if serverCopy.pool = &poolCopy; l.stalled(now, &serverCopy) { // on copies, as stalled decays averages
 		return Silent
 	}
 	return Usable
