--- a/traffic/allowance/allowance.go
+++ b/traffic/allowance/allowance.go
@@ -1,6 +1,6 @@
-// Package allowance says how much of what binds all limiters together one of them may use: of
-// tenants' quotas, of further tries, of what cold servers bear. It does no input or output and
-// reads no clock.
+// Package allowance computes how much of a limit that all limiters share a single limiter may use: of
+// tenants' quotas, of the retry budget, and of the capacity of servers that are warming up. It does no I/O
+// and reads no clock.
 package allowance
 
 import (
@@ -12,65 +12,66 @@
 	"example.org/madderdrum/control/places"
 )
 
-// Rules are the figures of the rules in force.
+// Rules holds the limits that the configuration sets for all limiters together.
 type Rules struct {
 	QuotaWindow     time.Duration
-	QuotaOvershoot  float64 // share by which a tenant may be over its quota in a window ...
-	QuotaSlack      float64 // ... and requests besides
-	RetryRatio      float64 // arrivals beyond the first of each request, by requests ...
-	RetrySlack      float64 // ... and a number besides
-	WarmupOvershoot float64 // factor on what a cold server bears ...
-	WarmupSlack     float64 // ... and requests besides, in one second
+	QuotaOvershoot  float64 // share by which a tenant may exceed its quota in a window ...
+	QuotaSlack      float64 // ... plus this many requests
+	RetryRatio      float64 // upstream attempts beyond the first of each request, as a share of requests ...
+	RetrySlack      float64 // ... plus this many attempts
+	WarmupOvershoot float64 // factor on the rate that a cold server can take ...
+	WarmupSlack     float64 // ... plus this many requests, in any one second
 }
 
 const (
-	// Parts of the rule's slack that go into caps, and that limiters begin with.
-	capSlack   = 0.6
-	beginSlack = 0.3
-	// Part of what the rule lets a tenant have beyond its rate that goes into caps: the rest
-	// is for what is under way at the ends of a window.
-	capOvershoot = 0.8
-	// A limiter that begins anew has been down for half a second at least.
-	leastDown = 0.5 // s
+	// Shares of QuotaSlack that are added to ceilings, and that restarted limiters may use at once.
+	ceilingSlackShare = 0.6
+	restartSlackShare = 0.3
+	// Share of the overshoot allowance that is added to ceilings. The rest covers requests that are in flight
+	// at either end of a window.
+	ceilingOvershootShare = 0.8
+	// A limiter that restarts has been down for at least half a second.
+	minDowntimeSeconds = 0.5
 )
 
-// Ceiling is what all limiters together may pass of a tenant: a bucket of its own.
+// Ceiling is a token bucket that limits what all limiters together may admit for one tenant.
 type Ceiling struct {
-	Rate  float64 // requests a second; 0: no ceiling
+	Rate  float64 // requests per second; 0: no ceiling
 	Burst float64
 }
 
-// Ceiling is that of a tenant's quota: what the rule allows, less what may be under way at the
-// ends of a window.
+// Ceiling returns the ceiling for a tenant's quota: what the rules allow, less a reserve for requests in
+// flight at either end of a window.
 func (r Rules) Ceiling(rate, burst float64) Ceiling {
 	if rate <= 0 {
 		return Ceiling{}
 	}
 	window := max(1, r.QuotaWindow.Seconds())
-	return Ceiling{rate, max(1, burst*(1+r.QuotaOvershoot)+capSlack*r.QuotaSlack+capOvershoot*r.QuotaOvershoot*rate*window)}
+	return Ceiling{rate, max(1, burst*(1+r.QuotaOvershoot)+ceilingSlackShare*r.QuotaSlack+
+		ceilingOvershootShare*r.QuotaOvershoot*rate*window)}
 }
 
-// Begins is what limiters that begin anew, all of them at most, have of a ceiling at once. Their
-// parts may have been spent before, so it is what is left of the slack, and what has come up
-// while they were down.
+// RestartBurst returns the number of tokens that all limiters which restart at the same time may have of a
+// ceiling at once. They may have used up their parts before the restart, so this is what remains of the
+// slack plus what accrued while they were down.
 func (r Rules) Begins(c Ceiling) float64 {
-	return min(c.Burst, beginSlack*r.QuotaSlack+leastDown*c.Rate)
+	return min(c.Burst, restartSlackShare*r.QuotaSlack+minDowntimeSeconds*c.Rate)
 }
 
 const (
-	// leastPart is the number of requests that an equal part must hold to be of use.
-	leastPart = 2.0
-	// keeperPart is what a keeper's part is to hold, and leastKeepers how many a region has
-	// at least: one that is lost takes its part with it.
-	keeperPart   = 8.0
-	leastKeepers = 2
+	// minPartRequests is the number of requests that an equal part must hold to be usable.
+	minPartRequests = 2.0
+	// keeperPartRequests is the number of requests that a keeper's part should hold. minKeepersPerRegion is
+	// the least number of keepers in a region: a keeper that fails takes its part with it.
+	keeperPartRequests  = 8.0
+	minKeepersPerRegion = 2
 )
 
-// Place is that of one limiter. One without a name is free.
+// Place is the slot of one limiter. A place without a name is free.
 type Place struct{ Name, Region string }
 
-// PlacesOf are the places of limiters by slot, in each set of a table that somebody may still go by, the
-// newest last. region tells where a zone is.
+// PlaceSets returns the places of limiters by slot, for each set in the table that some limiter may still
+// be using, newest last. region returns the region of a zone.
 func PlacesOf(t places.Table, region func(zone string) string) (all [][]Place) {
 	for _, set := range t.Sets() {
 		members := make([]Place, len(t.Places))
@@ -83,29 +84,29 @@
 	return all
 }
 
-// KeeperShares are the shares of a tenant's ceiling that limiters may use by slot, while somebody may
-// still go by one of some sets of places: the least that a slot has in any of them. nil where equal
-// parts are of use in all of them.
+// KeeperShares returns, by slot, the share of a tenant's ceiling that each limiter may use while limiters
+// may be using any of the given sets of places: the smallest share that the slot has in any set. It
+// returns nil if equal parts are usable in all of them.
 func KeeperShares(tenant string, c Ceiling, sets [][]Place) []float64 {
 	var shares []float64
-	gathered := false
+	split := false
 	for _, set := range sets {
 		keepers := Keepers(tenant, c, set)
-		gathered = gathered || keepers != nil
-		shares = least(shares, sharesOf(keepers, set))
+		split = split || keepers != nil
+		shares = minShares(shares, sharesBySlot(keepers, set))
 	}
-	if !gathered {
+	if !split {
 		return nil
 	}
 	return shares
 }
 
-// sharesOf are the shares of a ceiling by slot in one set: those of its keepers or, where there are none,
-// equal ones.
-func sharesOf(keepers []int, set []Place) []float64 {
+// sharesBySlot returns the shares of a ceiling in one set: split among its keepers or, if there are none,
+// equally among all limiters.
+func sharesBySlot(keepers []int, set []Place) []float64 {
 	shares := make([]float64, len(set))
 	if keepers == nil {
-		n := count(set)
+		n := countOccupied(set)
 		for slot, p := range set {
 			if p.Name != "" {
 				shares[slot] = 1 / float64(n)
@@ -118,8 +119,8 @@
 	return shares
 }
 
-// least is the lesser of two shares for each slot; those of nil are not counted.
-func least(a, b []float64) []float64 {
+// minShares returns the smaller of the two shares of each slot. If a is nil, b is returned as it is.
+func minShares(a, b []float64) []float64 {
 	if a == nil {
 		return b
 	}
@@ -129,7 +130,7 @@
 	return b
 }
 
-func count(set []Place) (n int) {
+func countOccupied(set []Place) (n int) {
 	for _, p := range set {
 		if p.Name != "" {
 			n++
@@ -138,11 +139,12 @@
 	return n
 }
 
-// Keepers are the places at which a tenant's ceiling is gathered, the same wherever they are
-// worked out; nil where equal parts are of use. Each region has as many.
-func Keepers(tenant string, c Ceiling, places []Place) (all []int) {
-	n := float64(max(1, count(places)))
-	if c.Rate <= 0 || c.Burst/n >= leastPart {
+// Keepers returns the slots of the limiters among which a tenant's ceiling is split when equal parts for
+// all limiters would be too small to be usable; nil if equal parts are usable. Every limiter computes the
+// same keepers, and each region has the same number of them, as far as it has enough limiters.
+func Keepers(tenant string, c Ceiling, places []Place) (keepers []int) {
+	n := float64(max(1, countOccupied(places)))
+	if c.Rate <= 0 || c.Burst/n >= minPartRequests {
 		return nil
 	}
 	byRegion := map[string][]int{}
@@ -151,93 +153,94 @@
 			byRegion[p.Region] = append(byRegion[p.Region], i)
 		}
 	}
-	each := max(leastKeepers, int(c.Burst/(keeperPart*float64(len(byRegion)))))
-	for _, of := range byRegion {
-		slices.SortFunc(of, func(a, b int) int {
-			return cmp.Or(cmp.Compare(weight(tenant, places[a]), weight(tenant, places[b])), cmp.Compare(a, b))
+	perRegion := max(minKeepersPerRegion, int(c.Burst/(keeperPartRequests*float64(len(byRegion)))))
+	for _, slots := range byRegion {
+		slices.SortFunc(slots, func(a, b int) int {
+			return cmp.Or(cmp.Compare(rendezvousWeight(tenant, places[a]), rendezvousWeight(tenant, places[b])), cmp.Compare(a, b))
 		})
-		all = append(all, of[:min(each, len(of))]...)
+		keepers = append(keepers, slots[:min(perRegion, len(slots))]...)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(keepers)
+	return keepers
 }
 
-func weight(tenant string, p Place) uint64 {
+func rendezvousWeight(tenant string, p Place) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(tenant + p.Name))
 	return h.Sum64()
 }
 
 const (
-	coldShare = 0.9                   // of what a cold server may get
-	coldSlack = 25 * time.Millisecond // by which arrivals may come closer than sends
+	coldShare     = 0.9                   // share of the permitted rate that cold servers are given
+	arrivalJitter = 25 * time.Millisecond // by how much requests may bunch up between sender and server
 )
 
-// ColdPause is the least time between two requests of one limiter to one cold server, which
-// bears so many a second. Only limiters of the server's own zone send to it while it is cold,
-// and near is how many of them have places: one more may join. The sum keeps the rule, whoever
-// is out of touch.
-func (r Rules) ColdPause(perS float64, near int) time.Duration {
-	each := int((perS*r.WarmupOvershoot + r.WarmupSlack) * coldShare / float64(near+1))
-	if each < 1 {
+// ColdInterval returns the least time between two requests from one limiter to one cold server that can
+// take perSecond requests per second. Only limiters in the server's zone send to it while it is cold.
+// zoneLimiters is how many of them hold places; one more may be joining. The limiters together stay within
+// the rules even if they can't reach each other.
+func (r Rules) ColdPause(perSecond float64, zoneLimiters int) time.Duration {
+	perLimiter := int((perSecond*r.WarmupOvershoot + r.WarmupSlack) * coldShare / float64(zoneLimiters+1))
+	if perLimiter < 1 {
 		return time.Hour
 	}
-	return time.Second/time.Duration(each) + coldSlack
+	return time.Second/time.Duration(perLimiter) + arrivalJitter
 }
 
-// Tries is a limiter's budget of arrivals beyond the first of each request. It is earned by
-// requests alone, and what all limiters have saved up stays under the rule's slack, so that the
-// sum keeps the rule as long as an equal part of that slack holds one arrival.
-type Tries struct{ have float64 }
+// RetryBudget is a limiter's budget of upstream attempts beyond the first of each request. Only requests
+// earn it, and what all limiters together have saved stays below the slack in the rules. So the total
+// stays within the rules as long as an equal part of the slack holds one attempt.
+type Tries struct{ tokens float64 }
 
 const (
-	triesPart = 0.8 // of the ratio of the rule
-	triesMost = 3.0 // that a limiter may have saved up
-	triesAll  = 0.9 // of the slack of the rule that all limiters may have saved up
-	// Part of that slack that the limiters of a system that starts for the first time have
-	// together at once. One that starts later has to earn it: how many do is not known.
-	triesFirst = 0.5
+	earnedShare     = 0.8 // of RetryRatio
+	maxRetryTokens  = 3.0 // per limiter
+	savedSlackShare = 0.9 // of RetrySlack, for all limiters together
+	// Share of RetrySlack that limiters have together when a system starts for the first time. A limiter that
+	// starts later must earn its budget, because the number of limiters that start with it is unknown.
+	initialSlackShare = 0.5
 )
 
-// First is a budget as the limiters that begin together have it, each of so many.
+// InitialRetryBudget returns the budget of each of the given number of limiters when a system starts for
+// the first time.
 func (r Rules) First(limiters int) *Tries {
-	return &Tries{min(triesMost, triesFirst*r.RetrySlack/float64(max(1, limiters)))}
+	return &Tries{min(maxRetryTokens, initialSlackShare*r.RetrySlack/float64(max(1, limiters)))}
 }
 
-// Earn adds what one request earns to the budget of one of so many limiters.
+// Earn credits the budget of one of the given number of limiters for one request.
 func (t *Tries) Earn(r Rules, limiters int) {
-	most := min(triesMost, max(1, triesAll*r.RetrySlack/float64(max(1, limiters))))
-	t.have = max(t.have, min(most, t.have+triesPart*r.RetryRatio))
+	limit := min(maxRetryTokens, max(1, savedSlackShare*r.RetrySlack/float64(max(1, limiters))))
+	t.tokens = max(t.tokens, min(limit, t.tokens+earnedShare*r.RetryRatio))
 }
 
-// Take takes one further arrival, if there is one left.
+// Take spends one attempt if the budget holds one.
 func (t *Tries) Take() bool {
-	if t.have < 1 {
+	if t.tokens < 1 {
 		return false
 	}
-	t.have--
+	t.tokens--
 	return true
 }
 
-// Asks says when a limiter whose part of a tenant's ceiling is short asks another for a single
-// token. While others have none either the asks become rare: a tenant that sends many times its
-// quota must not have every refusal cost two messages. Times are in milliseconds on a clock that
-// does not go backwards. The zero value asks at once.
+// AskBackoff decides when a limiter whose part of a tenant's ceiling is used up asks another limiter for a
+// single token. While the others have none either, asks become rare: for a tenant that sends many times
+// its quota, not every rejection may cost two messages. Times are monotonic, in milliseconds. The zero
+// value allows an ask at once.
 type Asks struct{ notBefore, pause float64 }
 
 const (
-	asksPause = 100.0  // ms without asks after a refusal, doubled by each further one
-	asksMost  = 1600.0 // ms
+	minAskPauseMs = 100.0 // pause after a refusal, doubled by each further one
+	maxAskPauseMs = 1600.0
 )
 
-// Due tells whether another may be asked now.
+// Due reports whether another limiter may be asked now.
 func (a *Asks) Due(now float64) bool { return now >= a.notBefore }
 
-// Paid notes that another had a token.
+// Granted records that another limiter granted a token, and ends the pause.
 func (a *Asks) Paid() { *a = Asks{} }
 
-// Refused notes that nobody who was asked had one.
+// Refused records that none of the limiters asked had a token, and lengthens the pause.
 func (a *Asks) Refused(now float64) {
-	a.pause = min(asksMost, max(asksPause, 2*a.pause))
+	a.pause = min(maxAskPauseMs, max(minAskPauseMs, 2*a.pause))
 	a.notBefore = now + a.pause
 }
--- a/traffic/allowance/allowance_test.go
+++ b/traffic/allowance/allowance_test.go
@@ -8,8 +8,8 @@
 
 var rules = Rules{QuotaWindow: 5 * time.Second, QuotaOvershoot: 0.1, QuotaSlack: 20, RetryRatio: 0.2, RetrySlack: 58, WarmupOvershoot: 1.5, WarmupSlack: 5}
 
-// In no window do all limiters pass more than the rule allows: not with a full bucket and its
-// rate, nor where all begin anew after half a second.
+// In no window do all limiters together admit more than the rules allow: neither with a full bucket plus
+// the rate, nor if all restart after half a second.
 func TestCeilingKeepsTheRule(t *testing.T) {
 	for _, rate := range []float64{0.5, 2, 9, 45, 400} {
 		for _, burst := range []float64{0, 1, rate, 5 * rate} {
@@ -18,8 +18,8 @@
 			if most := c.Burst + 5*c.Rate; most > allowed {
 				t.Errorf("rate %g, burst %g: %.1f in a window, %.1f allowed", rate, burst, most, allowed)
 			}
-			if most := c.Burst + (5-leastDown)*c.Rate + rules.Begins(c); most > allowed {
-				t.Errorf("rate %g, burst %g: %.1f in a window in which all begin anew, %.1f allowed", rate, burst, most, allowed)
+			if most := c.Burst + (5-minDowntimeSeconds)*c.Rate + rules.Begins(c); most > allowed {
+				t.Errorf("rate %g, burst %g: %.1f in a window in which all limiters restart, %.1f allowed", rate, burst, most, allowed)
 			}
 		}
 	}
@@ -28,8 +28,8 @@
 	}
 }
 
-// Parts that would hold less than two requests are gathered: each region has two keepers or
-// more, the same ones whoever works it out.
+// Equal parts of fewer than two requests are split among keepers: at least two per region, and every
+// limiter computes the same ones.
 func TestKeepers(t *testing.T) {
 	var places []Place
 	for i := range 85 {
@@ -40,19 +40,19 @@
 	for _, k := range a {
 		byRegion[places[k].Region]++
 	}
-	if len(byRegion) != 3 || byRegion["r0"] < leastKeepers || byRegion["r1"] < leastKeepers || byRegion["r2"] < leastKeepers {
+	if len(byRegion) != 3 || byRegion["r0"] < minKeepersPerRegion || byRegion["r1"] < minKeepersPerRegion || byRegion["r2"] < minKeepersPerRegion {
 		t.Errorf("keepers by region: %v", byRegion)
 	}
 	if fmt.Sprint(a) != fmt.Sprint(Keepers("t", Ceiling{9, 26}, places)) {
-		t.Error("two limiters work out other keepers")
+		t.Error("two limiters compute different keepers")
 	}
 	if Keepers("t", Ceiling{200, 300}, places) != nil {
-		t.Error("parts of three requests and more are of use as they are")
+		t.Error("equal parts of three requests or more are split among keepers")
 	}
 }
 
-// However many limiters a zone has, with one that joins, a cold server gets no more than the
-// rule allows in any second.
+// A cold server gets no more requests in any second than the rules allow, for any number of limiters in
+// its zone plus one that is joining.
 func TestColdPauseKeepsTheRule(t *testing.T) {
 	for _, perS := range []float64{0.5, 3.6, 6.9, 20} {
 		for near := range 12 {
@@ -62,20 +62,20 @@
 				most = 0
 			}
 			if allowed := perS*1.5 + 5; most > allowed {
-				t.Errorf("%g a second, %d limiters: %.0f in a second, %.1f allowed", perS, near, most, allowed)
+				t.Errorf("%g requests per second, %d limiters: %.0f in a second, %.1f allowed", perS, near, most, allowed)
 			}
 		}
 	}
 }
 
-// Further tries of all limiters stay under the ratio and its slack in any window, as those that
-// begin together have them and with all that may be saved up before.
+// The attempts beyond the first of all limiters stay below the ratio plus the slack, including the initial
+// budgets and all that was saved before.
 func TestTries(t *testing.T) {
 	for _, limiters := range []int{1, 9, 58} {
 		requests, taken := 1000, 0
 		for range limiters {
 			b := rules.First(limiters)
-			for range 200 { // so much is saved up
+			for range 200 { // fill the budget
 				b.Earn(rules, limiters)
 			}
 			for range requests {
@@ -86,7 +86,7 @@
 			}
 		}
 		if all := float64(requests * limiters); float64(taken) > rules.RetryRatio*all+rules.RetrySlack || float64(taken) < 0.14*all {
-			t.Errorf("%d limiters: %d further tries for %.0f requests", limiters, taken, all)
+			t.Errorf("%d limiters: %d attempts beyond the first for %.0f requests", limiters, taken, all)
 		}
 	}
 	first := 0
@@ -96,26 +96,25 @@
 		}
 	}
 	if first == 0 || float64(first) > rules.RetrySlack {
-		t.Errorf("%d further tries before any request, the slack is %g", first, rules.RetrySlack)
+		t.Errorf("%d attempts beyond the first before any request, the slack is %g", first, rules.RetrySlack)
 	}
 }
 
-// Asks for single tokens become rare while nobody has one, and are made at once again after one
-// that was paid.
+// While no limiter has a token the asks become rare; after a grant they are allowed at once again.
 func TestAsksBecomeRare(t *testing.T) {
 	var a Asks
 	asks := 0
-	for now := 0.0; now < 20_000; now++ { // short of a token every millisecond
+	for now := 0.0; now < 20_000; now++ { // a token is needed every millisecond
 		if a.Due(now) {
 			asks++
 			a.Refused(now)
 		}
 	}
 	if asks > 20 {
-		t.Errorf("%d asks in 20 s while nobody has a token", asks)
+		t.Errorf("%d asks in 20 s while no limiter has a token", asks)
 	}
 	a.Paid()
 	if !a.Due(20_000) {
-		t.Error("after a token that was paid nobody is asked")
+		t.Error("no ask is allowed after a granted token")
 	}
 }
--- a/traffic/quotaloan/enquiry.go
+++ b/traffic/quotaloan/enquiry.go
@@ -1,59 +1,60 @@
 package quotaloan
 
 const (
-	// The next limiter is asked where the one before has no token or does not answer soon. A
-	// download may be before an ask on a link, which takes a tenth of a second on the narrowest:
-	// answers are waited for so long behind the last ask.
-	askNextMs    = 60.0
-	nearWithinMs = 180.0
-	farWithinMs  = 250.0
-	// What a refusal of others says of when to come back is taken within these.
-	leastWaitMs, mostWaitMs = 75.0, 1000.0
+	// The next limiter is asked when the previous one refuses or does not answer soon. A download that is
+	// ahead of an ask on a link takes a tenth of a second on the slowest links, so answers are accepted for
+	// longer after the last ask.
+	nextAskDelayMs = 60.0
+	nearTimeoutMs  = 180.0
+	farTimeoutMs   = 250.0
+	// Bounds for the retry-after times in other limiters' refusals.
+	minRetryAfterMs, maxRetryAfterMs = 75.0, 1000.0
 )
 
-// Enquiry asks others for one token, one after the other, until one of them pays. It does no
-// input or output and reads no clock: whoever holds it sends the asks and hands in what comes.
-type Enquiry struct {
-	askees []int
-	near   int // so many of them stand in the own region
-	asked  int
-	open   int     // asks without an answer
-	WaitMs float64 // until it may be of use to come back, as far as those asked have said; 0: nobody has
-	Why    string  // of the latest refusal; empty: nobody has answered
+// TokenAsk asks other limiters for a single token, one after the other, until one grants it. It does
+// no I/O and reads no clock: the caller sends the asks and passes in the refusals.
+type TokenAsk struct {
+	slots      []int
+	near       int // number of slots, from the first, that are in this limiter's region
+	askedCount int
+	pending    int     // asks without an answer
+	WaitMs     float64 // when retrying may succeed, by the latest refusal that said so; 0: unknown
+	Why        string  // of the latest refusal; empty: no answer yet
 }
 
-// Enquire begins an enquiry at some limiters, of which the first ones are near.
-func Enquire(askees []int, near int) *Enquiry { return &Enquiry{askees: askees, near: near} }
+// NewTokenAsk returns a request to the limiters in the given slots, of which the first near ones are in this
+// limiter's region.
+func Enquire(slots []int, near int) *TokenAsk { return &TokenAsk{slots: slots, near: near} }
 
-// Next is whom to ask now, and for how long to wait for answers before Next is called again. ok is
-// false where nobody is left, or the time left is too short.
-func (q *Enquiry) Next(leftMs float64) (place int, waitMs float64, ok bool) {
-	if q.asked >= len(q.askees) {
+// Next returns the limiter to ask now, and how long to wait for answers before Next is called again. ok is
+// false if no limiter is left or leftMs, the time left for the request, is too short.
+func (q *TokenAsk) Next(leftMs float64) (slot int, waitMs float64, ok bool) {
+	if q.askedCount >= len(q.slots) {
 		return 0, 0, false
 	}
-	waitMs = nearWithinMs
-	if q.asked >= q.near {
-		waitMs = farWithinMs
+	waitMs = nearTimeoutMs
+	if q.askedCount >= q.near {
+		waitMs = farTimeoutMs
 	}
 	if leftMs < waitMs {
 		return 0, 0, false
 	}
-	place = q.askees[q.asked]
-	q.asked++
-	q.open++
-	if q.asked < len(q.askees) {
-		waitMs = askNextMs
+	slot = q.slots[q.askedCount]
+	q.askedCount++
+	q.pending++
+	if q.askedCount < len(q.slots) {
+		waitMs = nextAskDelayMs
 	}
-	return place, waitMs, true
+	return slot, waitMs, true
 }
 
-// Refused takes in that one of those asked has no token. It tells whether all have answered, so
-// that the next one may be asked at once.
-func (q *Enquiry) Refused(waitMs float64, why string) (all bool) {
-	q.Why = why
+// Refused records that one of the limiters asked has no token. It reports whether all of them have
+// answered, so that the next one may be asked at once.
+func (q *TokenAsk) Refused(waitMs float64, reason string) (allAnswered bool) {
+	q.Why = reason
 	if waitMs > 0 {
-		q.WaitMs = min(max(waitMs, leastWaitMs), mostWaitMs)
+		q.WaitMs = min(max(waitMs, minRetryAfterMs), maxRetryAfterMs)
 	}
-	q.open--
-	return q.open == 0
+	q.pending--
+	return q.pending == 0
 }
--- a/traffic/quotaloan/holding.go
+++ b/traffic/quotaloan/holding.go
@@ -7,128 +7,133 @@
 	"example.org/madderdrum/traffic/allowance"
 )
 
-// Demand is what was asked for at this limiter of one account with a ceiling.
+// Demand is the number of requests that this limiter has received for an account with a ceiling.
 type Demand struct {
 	ID    uint64
-	Asked float64 // requests, since the process began
+	Asked float64 // since the process started
 }
 
-// Holding is what one limiter may use of all ceilings: by loans from others and to them and,
-// where parts are gathered, as a keeper. Like a [Desk] it reads no clock.
+// Holding computes the parts of all accounts' ceilings that one limiter may use: its own part and its
+// loans or, for accounts whose ceiling is split among keepers only, its part as a keeper. Like [Ledger] it
+// reads no clock.
 type Holding struct {
 	Desk        *Desk
-	place, size int
+	slot, slots int
 	Ceilings    map[uint64]allowance.Ceiling // by account
-	Keepers     map[uint64][]int             // of accounts whose parts are gathered, or were a moment ago
-	KeeperPart  map[uint64]float64           // this limiter's parts of these, where it has any
-	of          map[uint64]float64           // parts that are in force
+	Keepers     map[uint64][]int             // by account, if its ceiling is or recently was split among keepers
+	KeeperParts map[uint64]float64           // this limiter's parts as a keeper, by account
+	byAccount   map[uint64]float64           // parts in force, by account
 	rest        float64
-	until       float64 // they hold no longer than this; 0: for good
+	validUntil  float64 // when the parts in force expire; 0: never
 }
 
-// Hold returns what a limiter holds that begins at a place among so many.
-func Hold(d *Desk, place, size int) *Holding {
-	h := &Holding{Desk: d, place: place, size: size, rest: 1}
+// NewHolding returns the holding of the limiter in a slot, with the given number of slots in total.
+func Hold(d *Desk, slot, slots int) *Holding {
+	h := &Holding{Desk: d, slot: slot, slots: slots, rest: 1}
 	h.Clear()
 	return h
 }
 
-// Keeps tells that an account's parts are gathered, and that this limiter is one of its keepers.
-func (h *Holding) Keeps(id uint64) (gathered, keeper bool) {
-	k, gathered := h.Keepers[id]
-	return gathered, slices.Contains(k, h.place)
+// KeeperStatus reports whether an account's ceiling is split among keepers only, and whether this limiter
+// is one of them.
+func (h *Holding) Keeps(id uint64) (split, keeper bool) {
+	keepers, split := h.Keepers[id]
+	return split, slices.Contains(keepers, h.slot)
 }
 
-// Gather sets how an account's ceiling is gathered, by the shares of it that keepers may use, by slot. No
-// shares at all have equal parts be of use.
+// SetKeeperShares sets the share of an account's ceiling that each keeper may use, by slot. nil means that
+// the ceiling is split equally among all limiters.
 func (h *Holding) Gather(id uint64, shares []float64) {
 	delete(h.Keepers, id)
-	delete(h.KeeperPart, id)
+	delete(h.KeeperParts, id)
 	if shares == nil {
 		return
 	}
 	keepers := []int{}
-	for slot, share := range shares {
+	for keeper, share := range shares {
 		if share > 0 {
-			keepers = append(keepers, slot)
+			keepers = append(keepers, keeper)
 		}
 	}
 	h.Keepers[id] = keepers
-	h.KeeperPart[id] = shares[h.place] * float64(h.size)
+	h.KeeperParts[id] = shares[h.slot] * float64(h.slots)
 }
 
-// Clear forgets all ceilings.
+// Clear removes all ceilings.
 func (h *Holding) Clear() {
-	h.Ceilings, h.Keepers, h.KeeperPart = map[uint64]allowance.Ceiling{}, map[uint64][]int{}, map[uint64]float64{}
+	h.Ceilings, h.Keepers, h.KeeperParts = map[uint64]allowance.Ceiling{}, map[uint64][]int{}, map[uint64]float64{}
 }
 
-// Look returns what to ask others for.
+// UpdateDemand records the demand for accounts and returns the messages that ask other limiters for loans.
 func (h *Holding) Look(now float64, demands []Demand) []Letter {
-	var all []Account
-	n := float64(h.size)
-	for _, d := range demands {
-		if _, gathered := h.Keepers[d.ID]; !gathered {
-			c := h.Ceilings[d.ID]
-			all = append(all, Account{ID: d.ID, Rate: c.Rate / n, Burst: c.Burst / n, Asked: d.Asked})
+	var accounts []Account
+	n := float64(h.slots)
+	for _, demand := range demands {
+		if _, split := h.Keepers[demand.ID]; !split {
+			ceiling := h.Ceilings[demand.ID]
+			accounts = append(accounts, Account{ID: demand.ID, Rate: ceiling.Rate / n,
+				Burst: ceiling.Burst / n, Asked: demand.Asked})
 		}
 	}
-	return h.Desk.Look(now, all)
+	return h.Desk.Look(now, accounts)
 }
 
-// Parts are what this limiter may use from now on, in equal parts: of some accounts, and of the
-// rest. changed tells that they are others than before.
-func (h *Holding) Parts(now float64) (of map[uint64]float64, rest float64, changed bool) {
-	of, rest, h.until = h.Desk.Parts(now)
+// Parts returns the parts that this limiter may use from now on, as multiples of an equal part: by
+// account, and for all other accounts. changed reports whether they differ from those of the previous
+// call.
+func (h *Holding) Parts(now float64) (byAccount map[uint64]float64, rest float64, changed bool) {
+	byAccount, rest, h.validUntil = h.Desk.Parts(now)
 	for id := range h.Keepers {
-		of[id] = 0
-		if !h.Desk.lapsed(now) {
-			of[id] = h.KeeperPart[id]
+		byAccount[id] = 0
+		if !h.Desk.leaseLapsed(now) {
+			byAccount[id] = h.KeeperParts[id]
 		}
 	}
-	changed = rest != h.rest || !maps.Equal(of, h.of)
-	h.of, h.rest = of, rest
-	return of, rest, changed
+	changed = rest != h.rest || !maps.Equal(byAccount, h.byAccount)
+	h.byAccount, h.rest = byAccount, rest
+	return byAccount, rest, changed
 }
 
-// Due tells that some of the parts in force have ended: also where the process stood still
-// meanwhile.
-func (h *Holding) Due(now float64) bool { return h.until > 0 && now >= h.until }
+// Expired reports whether any of the parts in force have expired. Callers must also check it after the
+// process was suspended.
+func (h *Holding) Due(now float64) bool { return h.validUntil > 0 && now >= h.validUntil }
 
-// Begins is what a limiter that begins anew has of an account's ceiling at once: all that may
-// begin with something have no more together than the rules say.
+// RestartBurst returns how many tokens of an account's ceiling a limiter has at once after a restart. All
+// limiters that may restart together stay within the rules.
 func (h *Holding) Begins(r allowance.Rules, id uint64) float64 {
 	part := h.Desk.share
-	if gathered, _ := h.Keeps(id); gathered {
-		part = h.KeeperPart[id]
+	if split, _ := h.Keeps(id); split {
+		part = h.KeeperParts[id]
 	}
-	return r.Begins(h.Ceilings[id]) * part / float64(h.size)
+	return r.Begins(h.Ceilings[id]) * part / float64(h.slots)
 }
 
-// Asked for a single token are so many others, those of the own region first.
+// How many other limiters are asked for a single token, in this region and in others.
 const (
-	askNear = 2
-	askFar  = 1
+	maxNearAsks = 2
+	maxFarAsks  = 1
 )
 
-// Askees are whom to ask for a token of an account, one after the other, and how many of them are
-// near: its keepers or, where its parts are not gathered, others of the region. out tells who is
-// out of reach, shuffle is as in math/rand.
-func (h *Holding) Askees(id uint64, places []allowance.Place, out func(name string) bool, shuffle func(int, func(int, int))) (all []int, near int) {
-	keepers, gathered := h.Keepers[id]
-	region := places[h.place].Region
-	var close, far []int
-	for i, p := range places[:min(h.size, len(places))] {
+// TokenCandidates returns the limiters to ask for a token of an account, in order, and how many of them
+// are in this region. They are the account's keepers or, if its ceiling is split equally, other limiters
+// of the region. out reports whether a limiter is unreachable; shuffle is as in math/rand.
+func (h *Holding) Askees(id uint64, places []allowance.Place, out func(name string) bool,
+	shuffle func(int, func(int, int))) (order []int, near int) {
+	keepers, split := h.Keepers[id]
+	region := places[h.slot].Region
+	var nearby, far []int
+	for i, place := range places[:min(h.slots, len(places))] {
 		switch {
-		case i == h.place, p.Name == "", out(p.Name), gathered && !slices.Contains(keepers, i):
-		case p.Region == region:
-			close = append(close, i)
-		case gathered:
+		case i == h.slot, place.Name == "", out(place.Name), split && !slices.Contains(keepers, i):
+		case place.Region == region:
+			nearby = append(nearby, i)
+		case split:
 			far = append(far, i)
 		}
 	}
-	for _, k := range [][]int{close, far} {
-		shuffle(len(k), func(i, j int) { k[i], k[j] = k[j], k[i] })
+	for _, group := range [][]int{nearby, far} {
+		shuffle(len(group), func(i, j int) { group[i], group[j] = group[j], group[i] })
 	}
-	near = min(askNear, len(close))
-	return append(close[:near], far[:min(askFar, len(far))]...), near
+	near = min(maxNearAsks, len(nearby))
+	return append(nearby[:near], far[:min(maxFarAsks, len(far))]...), near
 }
--- a/traffic/quotaloan/quotaloan.go
+++ b/traffic/quotaloan/quotaloan.go
@@ -1,23 +1,22 @@
-// Package quotaloan has limiters lend each other parts of tenants' ceilings for a time, after which the
-// lender has them back without a word. A ceiling is held
-// by escrow, one equal part a limiter; a limiter where more of a tenant's requests arrive than
-// its part takes asks one with some to spare.
+// Package quotaloan lets limiters lend each other parts of tenants' ceilings for a limited time. Loans
+// expire without a message. Each limiter holds an equal part of a ceiling as escrow; a limiter that
+// receives more of a tenant's requests than its part admits asks one that has some to spare.
 //
-// The sum of all parts never exceeds the ceiling, whatever is lost, late, doubled or begun
-// again. A lender gives up what it lends before it answers, and takes it back a span after it
-// heard the last ask; the borrower counts the same span, less a margin, from when it asked.
-// Nobody lends more than half of its own part, and a limiter that has just begun, which may
-// have lent before, uses half of it until those that may have borrowed have told what they
-// still hold of it, or until it must have ended.
+// The sum of all parts never exceeds the ceiling, even if messages are lost, late or duplicated, or
+// limiters restart. A lender gives up a part before it answers the ask, and reclaims it a fixed time after
+// it received the last ask; the borrower counts the same time, less a margin, from when it sent the ask.
+// No limiter lends more than half of its own part. A limiter that has just restarted may have lent before,
+// so it uses half of its part until all possible borrowers have reported what they still hold of it, or
+// until any such loan must have expired.
 //
-// A limiter's own part stands by a lease (see package places). It uses nothing, borrowed or own, after
-// the lease has ended, and lends nothing that would outlive it.
+// A limiter's own part is valid under a lease (see package places). After the lease has expired it uses
+// neither its own nor borrowed parts, and it makes no loans that would outlast the lease.
 //
-// Parts are counted in equal parts of the slots that there are for limiters, so many for all together.
+// Parts are multiples of an equal part: one slot's share of the ceiling, with the same number of slots for
+// all limiters.
 //
-// A [Desk] does no input or output and reads no clock: times are handed in, in milliseconds on
-// a clock that does not go backwards. Clocks of different limiters need not agree, only run at
-// the same pace. It is not safe for concurrent use.
+// [Ledger] does no I/O and reads no clock: times are passed in, monotonic and in milliseconds. The clocks
+// of different limiters need not agree, but must run at the same rate. It is not safe for concurrent use.
 package quotaloan
 
 import (
@@ -27,49 +26,50 @@
 )
 
 const (
-	// SpanMs is how long a loan holds from its latest ask.
-	SpanMs = 6000.0
-	// marginMs is by how much a borrower gives up sooner: clocks run alike within a hundredth.
-	marginMs = 200.0
-	// Lendable is the share of an equal part that may be lent.
-	Lendable = 0.5
-	renewMs  = 2500.0 // a loan that is still needed is asked for again after this
-	rateMs   = 4000.0 // over which demand is averaged
-
-	// A part is to hold demand with room for what comes in clusters: requests come by chance,
-	// so that one second's number scatters by its root.
-	rateRoom  = 1.35
-	leastRate = 0.05 // requests a second
-	burstRoom = 2.0  // roots of a second's requests
-	leastRoom = 2.5  // requests
-	leastAsk  = 0.1  // of an equal part
+	// LoanMs is the duration of a loan, from its latest ask.
+	LoanMs = 6000.0
+	// clockMarginMs is how much earlier a borrower gives up a loan: clock rates differ by less than one
+	// percent.
+	clockMarginMs = 200.0
+	// LendableShare is the share of its own part that a limiter may lend.
+	LendableShare = 0.5
+	renewAfterMs  = 2500.0 // a loan that is still needed is renewed after this time
+	rateWindowMs  = 4000.0 // time constant of the average demand
+
+	// A part must leave headroom above the average demand for bursts: arrivals are random, so the number in
+	// one second varies by its square root.
+	rateHeadroom  = 1.35
+	minRate       = 0.05 // requests per second
+	burstHeadroom = 2.0  // in square roots of the requests per second
+	minBurst      = 2.5  // requests
+	minAskPart    = 0.1  // of an equal part
 )
 
 // Account is one tenant's ceiling as this limiter sees it.
 type Account struct {
 	ID    uint64
-	Rate  float64 // requests a second of an equal part
+	Rate  float64 // requests per second of an equal part
 	Burst float64 // requests that an equal part holds at most
-	Asked float64 // requests that came here, since the process began
+	Asked float64 // received here since the process started
 }
 
-// Item is an amount of one account, in equal parts.
+// AccountPart is a part of one account's ceiling, as a multiple of an equal part.
 type Item struct {
 	ID   uint64  `cbor:"1,keyasint"`
 	Part float64 `cbor:"2,keyasint"`
 }
 
-// Message is an ask or a recall, or the answer to one.
+// Message is an ask for a loan, a recall after a restart, or the answer to one of them.
 type Message struct {
-	Answer bool   `cbor:"1,keyasint,omitempty"`
-	Recall bool   `cbor:"5,keyasint,omitempty"` // tell what you hold of mine
-	Serial uint64 `cbor:"2,keyasint"`           // of the ask
-	Life   uint64 `cbor:"3,keyasint"`           // of the borrower's process
-	Items  []Item `cbor:"4,keyasint"`
-	Size   int    `cbor:"6,keyasint,omitempty"` // slots that the sender counts parts by; 0: as the receiver
+	Answer   bool   `cbor:"1,keyasint,omitempty"`
+	Recall   bool   `cbor:"5,keyasint,omitempty"` // the receiver is to report what it holds of the sender's part
+	Serial   uint64 `cbor:"2,keyasint"`           // of the ask or recall
+	Instance uint64 `cbor:"3,keyasint"`           // process instance of the limiter that sent the ask or recall
+	Items    []Item `cbor:"4,keyasint"`
+	Slots    int    `cbor:"6,keyasint,omitempty"` // slots by which the sender counts parts; 0: as the receiver
 }
 
-// Letter is a message on its way.
+// Envelope is a message with the slot of its recipient.
 type Letter struct {
 	To      int
 	Message Message
@@ -82,82 +82,83 @@
 
 type account struct {
 	Account
-	rate float64 // of demand, requests a second
-	at   float64
-	lent map[int]loan // by borrower
-	had  map[int]loan // by lender
+	demandRate float64      // average demand, requests per second
+	at         float64      // last update
+	lent       map[int]loan // by borrower
+	borrowed   map[int]loan // by lender
 }
 
-type asked struct {
+type pendingAsk struct {
 	to int
-	at float64
+	at float64 // when it was sent
 }
 
-// Desk lends and borrows for one limiter.
+// Ledger tracks the parts that one limiter lends and borrows.
 type Desk struct {
-	me, size int
-	life     uint64
-	begun    float64
-	serial   uint64
-	accounts map[uint64]*account
-	out      map[uint64]asked // asks without an answer
-	near     []int            // whom to ask, the nearest first
-	share    float64          // the part that is this limiter's own
-	until    float64          // its lease ends then
-	leaving  bool             // nothing is lent any more
-	unsure   map[int]bool     // of them those that may hold something of a former life
-	turn     int
+	self, slots int
+	instance    uint64
+	started     float64
+	serial      uint64
+	accounts    map[uint64]*account
+	asks        map[uint64]pendingAsk // asks without an answer, by serial
+	peers       []int                 // limiters to ask, nearest first
+	share       float64               // this limiter's own part
+	until       float64               // when this limiter's lease expires
+	leaving     bool                  // the limiter shuts down and no longer lends
+	debtors     map[int]bool          // peers that may hold a loan from before a restart of this limiter
+	round       int                   // rotates the asks among the peers
 }
 
-// New returns the desk of the limiter at a position in a set of so many. near are those that it
-// may ask, life is of this process.
-func New(now float64, me, size int, near []int, life uint64) *Desk {
-	d := &Desk{me: me, size: size, life: life, begun: now, near: near, share: 1, until: math.Inf(1), accounts: map[uint64]*account{}, out: map[uint64]asked{}, unsure: map[int]bool{}}
-	for _, k := range near {
-		d.unsure[k] = true
+// New returns the ledger of the limiter in slot self, with the given number of slots in total. peers
+// are the limiters that it may ask, nearest first. instance identifies the limiter's process.
+func New(now float64, self, slots int, peers []int, instance uint64) *Desk {
+	d := &Desk{self: self, slots: slots, instance: instance, started: now, peers: peers, share: 1, until: math.Inf(1),
+		accounts: map[uint64]*account{}, asks: map[uint64]pendingAsk{}, debtors: map[int]bool{}}
+	for _, k := range peers {
+		d.debtors[k] = true
 	}
 	return d
 }
 
-// First notes that no former life of this limiter can have lent anything.
-func (d *Desk) First() { clear(d.unsure) }
+// SkipRecall records that no earlier process of this limiter can have lent anything.
+func (d *Desk) First() { clear(d.debtors) }
 
-// Hold sets the part that is this limiter's own, and when its lease ends.
+// SetShare sets this limiter's own part, and when its lease expires.
 func (d *Desk) Hold(share, until float64) {
 	d.share, d.until = max(0, share), until
 	if d.share > 0 {
 		return
 	}
-	clear(d.out) // what is answered now comes too late
+	clear(d.asks) // a loan granted to an earlier ask would come too late
 	for _, a := range d.accounts {
-		clear(a.had)
+		clear(a.borrowed)
 	}
 }
 
-// StopLending has nothing lent any more, by a limiter that leaves.
+// StopLending stops all further loans, before the limiter shuts down.
 func (d *Desk) StopLending() { d.leaving = true }
 
-// Resize has parts counted by another number of slots, for a limiter that may stand in another one
-// and may ask others.
-func (d *Desk) Resize(me, size int, near []int) {
-	scale := float64(size) / float64(d.size)
+// Resize changes the number of slots by which parts are counted. The limiter may have moved to another
+// slot and have other peers.
+func (d *Desk) Resize(self, slots int, peers []int) {
+	scale := float64(slots) / float64(d.slots)
 	for _, a := range d.accounts {
-		for _, loans := range []map[int]loan{a.lent, a.had} {
+		for _, loans := range []map[int]loan{a.lent, a.borrowed} {
 			for k, l := range loans {
 				l.part *= scale
 				loans[k] = l
 			}
 		}
 	}
-	d.me, d.size, d.near = me, size, near
+	d.self, d.slots, d.peers = self, slots, peers
 	d.share *= scale
 }
 
-// LoansEndIn is in how many ms others use nothing more that this limiter may have lent beyond the part
-// that is its own now.
+// LoansEndIn returns the time in milliseconds until no other limiter uses any loan beyond this limiter's
+// own part; 0 if the loans fit into that part.
 func (d *Desk) LoansEndIn(now float64) (ms float64) {
-	if d.young(now) {
-		return d.begun + SpanMs - now
+	if d.recalling(now) {
+		return d.started + LoanMs - now
 	}
 	for _, a := range d.accounts {
 		lent, last := 0.0, now
@@ -173,26 +174,27 @@
 	return ms
 }
 
-// lapsed tells that nothing may be used here.
-func (d *Desk) lapsed(now float64) bool { return d.share <= 0 || now >= d.until }
+// leaseLapsed reports whether this limiter may use nothing, because it has no part of its own or its lease
+// has expired.
+func (d *Desk) leaseLapsed(now float64) bool { return d.share <= 0 || now >= d.until }
 
-func (d *Desk) get(id uint64) *account {
+func (d *Desk) accountOf(id uint64) *account {
 	a := d.accounts[id]
 	if a == nil {
-		a = &account{Account: Account{ID: id}, lent: map[int]loan{}, had: map[int]loan{}}
+		a = &account{Account: Account{ID: id}, lent: map[int]loan{}, borrowed: map[int]loan{}}
 		d.accounts[id] = a
 	}
 	return a
 }
 
-// young tells that a former life's loans may still be in use.
-func (d *Desk) young(now float64) bool { return len(d.unsure) > 0 && now < d.begun+SpanMs }
+// recalling reports whether loans from before a restart may still be in use.
+func (d *Desk) recalling(now float64) bool { return len(d.debtors) > 0 && now < d.started+LoanMs }
 
-// own is the part of an account that this limiter has by itself now.
-func (d *Desk) own(now float64, a *account) float64 {
-	x := d.share
-	if d.young(now) {
-		x *= 1 - Lendable
+// ownPart returns what remains to this limiter of its own part of an account, without loans.
+func (d *Desk) ownPart(now float64, a *account) float64 {
+	limit := d.share
+	if d.recalling(now) {
+		limit *= 1 - LendableShare
 	}
 	lent := 0.0
 	for to, l := range a.lent {
@@ -202,62 +204,63 @@
 		}
 		lent += l.part
 	}
-	if d.lapsed(now) {
+	if d.leaseLapsed(now) {
 		return 0
 	}
-	return max(0, min(x, d.share-lent))
+	return max(0, min(limit, d.share-lent))
 }
 
-func (d *Desk) borrowed(now float64, a *account) (sum float64) {
-	for from, l := range a.had {
+func (d *Desk) borrowedPart(now float64, a *account) (sum float64) {
+	for from, l := range a.borrowed {
 		if now >= l.until {
-			delete(a.had, from)
+			delete(a.borrowed, from)
 			continue
 		}
 		sum += l.part
 	}
-	if d.lapsed(now) {
+	if d.leaseLapsed(now) {
 		return 0
 	}
 	return sum
 }
 
-// wants is the part that demand here needs.
-func (a *account) wants() float64 {
-	if a.rate < leastRate || a.Rate <= 0 || a.Burst <= 0 {
+// neededPart returns the part that the demand at this limiter requires.
+func (a *account) neededPart() float64 {
+	if a.demandRate < minRate || a.Rate <= 0 || a.Burst <= 0 {
 		return 0
 	}
-	return max(rateRoom*a.rate/a.Rate, (leastRoom+burstRoom*math.Sqrt(a.rate))/a.Burst)
+	return max(rateHeadroom*a.demandRate/a.Rate, (minBurst+burstHeadroom*math.Sqrt(a.demandRate))/a.Burst)
 }
 
-// Look takes in how much was asked for and returns what to ask others.
-func (d *Desk) Look(now float64, all []Account) []Letter {
-	for _, x := range all {
-		a := d.get(x.ID)
+// UpdateDemand records the demand for accounts and returns the messages to send: recalls after a restart,
+// or asks for loans.
+func (d *Desk) Look(now float64, updates []Account) []Letter {
+	for _, x := range updates {
+		a := d.accountOf(x.ID)
 		if a.at > 0 && now > a.at && x.Asked >= a.Asked {
-			w := 1 - math.Exp(-(now-a.at)/rateMs)
-			a.rate += w * ((x.Asked-a.Asked)/(now-a.at)*1000 - a.rate)
+			weight := 1 - math.Exp(-(now-a.at)/rateWindowMs)
+			a.demandRate += weight * ((x.Asked-a.Asked)/(now-a.at)*1000 - a.demandRate)
 		}
 		a.Account, a.at = x, now
 	}
-	for s, o := range d.out {
-		if now-o.at > SpanMs {
-			delete(d.out, s)
+	for s, ask := range d.asks {
+		if now-ask.at > LoanMs {
+			delete(d.asks, s)
 		}
 	}
-	var out []Letter
-	if d.young(now) {
-		for _, to := range keys(d.unsure) {
+	var asks []Letter
+	if d.recalling(now) {
+		for _, to := range sortedKeys(d.debtors) {
 			d.serial++
-			d.out[d.serial] = asked{to, now}
-			out = append(out, Letter{to, Message{Recall: true, Serial: d.serial, Life: d.life, Size: d.size}})
+			d.asks[d.serial] = pendingAsk{to, now}
+			asks = append(asks, Letter{to, Message{Recall: true, Serial: d.serial, Instance: d.instance, Slots: d.slots}})
 		}
-		return out
+		return asks
 	}
-	if len(d.near) == 0 || d.lapsed(now) {
+	if len(d.peers) == 0 || d.leaseLapsed(now) {
 		return nil
 	}
-	by := map[int][]Item{}
+	itemsByPeer := map[int][]Item{}
 	ids := make([]uint64, 0, len(d.accounts))
 	for id := range d.accounts {
 		ids = append(ids, id)
@@ -265,34 +268,34 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		a := d.accounts[id]
-		// What is had and still needed is asked for again in time; a new need goes round.
-		have := d.own(now, a) + d.borrowed(now, a)
-		need := a.wants() - d.own(now, a)
-		for _, from := range keys(a.had) {
-			l := a.had[from]
-			if need <= leastAsk/2 {
+		// Loans that are still needed are renewed in time. Asks for more rotate among the peers.
+		have := d.ownPart(now, a) + d.borrowedPart(now, a)
+		need := a.neededPart() - d.ownPart(now, a)
+		for _, from := range sortedKeys(a.borrowed) {
+			l := a.borrowed[from]
+			if need <= minAskPart/2 {
 				break
 			}
-			if x := min(l.part, need); l.until-now < SpanMs-marginMs-renewMs {
-				by[from] = append(by[from], Item{id, x})
+			if x := min(l.part, need); l.until-now < LoanMs-clockMarginMs-renewAfterMs {
+				itemsByPeer[from] = append(itemsByPeer[from], Item{id, x})
 			}
 			need -= l.part
 		}
-		if lack := a.wants() - have; lack > leastAsk {
-			to := d.near[d.turn%len(d.near)]
-			by[to] = append(by[to], Item{id, lack + a.had[to].part})
+		if missing := a.neededPart() - have; missing > minAskPart {
+			to := d.peers[d.round%len(d.peers)]
+			itemsByPeer[to] = append(itemsByPeer[to], Item{id, missing + a.borrowed[to].part})
 		}
 	}
-	d.turn++
-	for _, to := range keys(by) {
+	d.round++
+	for _, to := range sortedKeys(itemsByPeer) {
 		d.serial++
-		d.out[d.serial] = asked{to, now}
-		out = append(out, Letter{to, Message{Serial: d.serial, Life: d.life, Items: by[to], Size: d.size}})
+		d.asks[d.serial] = pendingAsk{to, now}
+		asks = append(asks, Letter{to, Message{Serial: d.serial, Instance: d.instance, Items: itemsByPeer[to], Slots: d.slots}})
 	}
-	return out
+	return asks
 }
 
-func keys[K cmp.Ordered, V any](m map[K]V) []K {
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	all := make([]K, 0, len(m))
 	for k := range m {
 		all = append(all, k)
@@ -301,128 +304,129 @@
 	return all
 }
 
-// Hear takes in a message and returns the answer, if there is one to give.
+// Receive processes a message and returns the answer, if any.
 func (d *Desk) Hear(now float64, from int, m Message) (Letter, bool) {
-	if from < 0 || from >= d.size || from == d.me || m.Size < 0 {
+	if from < 0 || from >= d.slots || from == d.self || m.Slots < 0 {
 		return Letter{}, false
 	}
-	m.Items = d.inOwnParts(m)
+	m.Items = d.rescaleItems(m)
 	switch {
 	case m.Answer && m.Recall:
-		d.recalled(now, from, m)
+		d.receiveRecall(now, from, m)
 		return Letter{}, false
 	case m.Answer:
-		d.had(now, from, m)
+		d.borrowed(now, from, m)
 		return Letter{}, false
 	case m.Recall:
-		return Letter{from, d.held(now, from, m)}, true
+		return Letter{from, d.answerRecall(now, from, m)}, true
 	}
-	a := Message{Answer: true, Serial: m.Serial, Life: m.Life, Size: d.size}
+	answer := Message{Answer: true, Serial: m.Serial, Instance: m.Instance, Slots: d.slots}
 	for _, it := range m.Items {
-		if x := d.lend(now, from, it); x > 0 {
-			a.Items = append(a.Items, Item{it.ID, x})
+		if part := d.lend(now, from, it); part > 0 {
+			answer.Items = append(answer.Items, Item{it.ID, part})
 		}
 	}
-	return Letter{from, a}, len(a.Items) > 0
+	return Letter{from, answer}, len(answer.Items) > 0
 }
 
-// inOwnParts are a message's items, counted by the slots that there are here.
-func (d *Desk) inOwnParts(m Message) []Item {
-	if m.Size == 0 || m.Size == d.size {
+// rescaleItems returns a message's items, converted to this limiter's number of slots.
+func (d *Desk) rescaleItems(m Message) []Item {
+	if m.Slots == 0 || m.Slots == d.slots {
 		return m.Items
 	}
 	items := make([]Item, len(m.Items))
 	for i, it := range m.Items {
-		items[i] = Item{it.ID, it.Part * float64(d.size) / float64(m.Size)}
+		items[i] = Item{it.ID, it.Part * float64(d.slots) / float64(m.Slots)}
 	}
 	return items
 }
 
-// lend gives up a part for a borrower and tells how much it may have. What it has already
-// stays its until that ends: it may be using it.
+// lend lends a part to a borrower and returns how much the borrower may use. An existing loan is not
+// reduced before it expires, because the borrower may be using it.
 func (d *Desk) lend(now float64, to int, it Item) float64 {
-	if !(it.Part > 0) || d.young(now) || d.leaving || d.lapsed(now) || now+SpanMs > d.until {
+	if !(it.Part > 0) || d.recalling(now) || d.leaving || d.leaseLapsed(now) || now+LoanMs > d.until {
 		return 0
 	}
-	a := d.get(it.ID)
-	mine := d.own(now, a)
-	old := min(a.lent[to].part, d.share)
-	spare := mine - max((1-Lendable)*d.share, a.wants()) // beyond what is lent already
-	x := max(old, min(it.Part, old+max(0, spare)))
-	if x <= 0 {
+	a := d.accountOf(it.ID)
+	own := d.ownPart(now, a)
+	existing := min(a.lent[to].part, d.share)
+	spare := own - max((1-LendableShare)*d.share, a.neededPart()) // beyond the existing loan
+	amount := max(existing, min(it.Part, existing+max(0, spare)))
+	if amount <= 0 {
 		return 0
 	}
-	a.lent[to] = loan{x, now + SpanMs}
-	return x
+	a.lent[to] = loan{amount, now + LoanMs}
+	return amount
 }
 
-// had takes in what a lender gives.
-func (d *Desk) had(now float64, from int, m Message) {
-	o, ok := d.out[m.Serial]
-	if !ok || m.Life != d.life || o.to != from {
+// borrowed records the loans in a lender's answer.
+func (d *Desk) borrowed(now float64, from int, m Message) {
+	ask, ok := d.asks[m.Serial]
+	if !ok || m.Instance != d.instance || ask.to != from {
 		return
 	}
-	delete(d.out, m.Serial)
-	most := Lendable * max(1, float64(d.size)/2) // at least one other holds as much as the lender
+	delete(d.asks, m.Serial)
+	// At least one other limiter has an equal part like the lender.
+	maxPart := LendableShare * max(1, float64(d.slots)/2)
 	for _, it := range m.Items {
-		a := d.get(it.ID)
-		until := o.at + SpanMs - marginMs
-		if l := a.had[from]; !(it.Part > 0) || it.Part > most || l.until > until {
+		a := d.accountOf(it.ID)
+		until := ask.at + LoanMs - clockMarginMs
+		if l := a.borrowed[from]; !(it.Part > 0) || it.Part > maxPart || l.until > until {
 			continue
 		}
-		a.had[from] = loan{it.Part, until}
+		a.borrowed[from] = loan{it.Part, until}
 	}
 }
 
-// held tells a limiter that has begun anew what is held here of its former life. Asks that it
-// may still have answered are given up.
-func (d *Desk) held(now float64, from int, m Message) Message {
-	a := Message{Answer: true, Recall: true, Serial: m.Serial, Life: m.Life, Size: d.size}
-	for s, o := range d.out {
-		if o.to == from {
-			delete(d.out, s)
+// answerRecall tells a limiter that has restarted which of its loans are still held here. Asks that it may
+// have answered before the restart are abandoned.
+func (d *Desk) answerRecall(now float64, from int, m Message) Message {
+	answer := Message{Answer: true, Recall: true, Serial: m.Serial, Instance: m.Instance, Slots: d.slots}
+	for serial, ask := range d.asks {
+		if ask.to == from {
+			delete(d.asks, serial)
 		}
 	}
-	for _, id := range keys(d.accounts) {
-		if l := d.accounts[id].had[from]; now < l.until {
-			a.Items = append(a.Items, Item{id, l.part})
+	for _, id := range sortedKeys(d.accounts) {
+		if l := d.accounts[id].borrowed[from]; now < l.until {
+			answer.Items = append(answer.Items, Item{id, l.part})
 		}
 	}
-	return a
+	return answer
 }
 
-// recalled takes in what another holds of a former life.
-func (d *Desk) recalled(now float64, from int, m Message) {
-	o, ok := d.out[m.Serial]
-	if !ok || m.Life != d.life || o.to != from || !d.unsure[from] {
+// receiveRecall records which loans from before a restart another limiter still holds.
+func (d *Desk) receiveRecall(now float64, from int, m Message) {
+	ask, ok := d.asks[m.Serial]
+	if !ok || m.Instance != d.instance || ask.to != from || !d.debtors[from] {
 		return
 	}
-	delete(d.out, m.Serial)
+	delete(d.asks, m.Serial)
 	for _, it := range m.Items {
-		d.get(it.ID).lent[from] = loan{it.Part, now + SpanMs}
+		d.accountOf(it.ID).lent[from] = loan{it.Part, now + LoanMs}
 	}
-	delete(d.unsure, from)
+	delete(d.debtors, from)
 }
 
-// Parts are what this limiter may use of each account now that is not an equal part, and of
-// the rest; next is when one of them ends, or 0.
-func (d *Desk) Parts(now float64) (of map[uint64]float64, rest, next float64) {
-	if d.lapsed(now) {
+// Parts returns the parts of accounts that this limiter may use now, as far as they differ from the part
+// of all other accounts, which is rest. next is when any of them expires; 0: never.
+func (d *Desk) Parts(now float64) (byAccount map[uint64]float64, rest, next float64) {
+	if d.leaseLapsed(now) {
 		return map[uint64]float64{}, 0, 0
 	}
 	rest, next = d.share, d.until
-	if d.young(now) {
-		rest, next = (1-Lendable)*d.share, min(next, d.begun+SpanMs)
+	if d.recalling(now) {
+		rest, next = (1-LendableShare)*d.share, min(next, d.started+LoanMs)
 	}
 	if math.IsInf(next, 1) {
 		next = 0
 	}
-	of = map[uint64]float64{}
+	byAccount = map[uint64]float64{}
 	for id, a := range d.accounts {
-		if x := d.own(now, a) + d.borrowed(now, a); x != rest {
-			of[id] = x
+		if part := d.ownPart(now, a) + d.borrowedPart(now, a); part != rest {
+			byAccount[id] = part
 		}
-		for _, l := range a.had {
+		for _, l := range a.borrowed {
 			if next == 0 || l.until < next {
 				next = l.until
 			}
@@ -433,13 +437,13 @@
 			}
 		}
 	}
-	return of, rest, next
+	return byAccount, rest, next
 }
 
-// Rate is the demand for an account here, in requests a second.
+// Rate returns the average demand for an account at this limiter, in requests per second.
 func (d *Desk) Rate(id uint64) float64 {
 	if a := d.accounts[id]; a != nil {
-		return a.rate
+		return a.demandRate
 	}
 	return 0
 }
