--- a/traffic/failurereports/failurereports.go
+++ b/traffic/failurereports/failurereports.go
@@ -1,134 +1,135 @@
-// Package failurereports is how limiters of a region tell each other where requests fail. One that
-// meets a failure tells it in the next probes of package membership, which are sent anyway; whoever hears
-// it for the first time tells it on as often, so that all know within a few looks, and no message
-// is sent for it. What is told is single failures, not verdicts: each limiter judges by all that
-// it has met and heard.
+// Package failurereports spreads reports of failed requests among the limiters of a region by gossip. A limiter that
+// observes a failure adds it to its next messages of package membership, which are sent anyway. A limiter
+// that receives it for the first time forwards it as often, so that all know of it within a few probe
+// intervals and no extra message is sent. Reports describe single failures, not verdicts: each limiter
+// judges servers by all failures that it has observed or received.
 //
-// What others tell is believed as far as it can do little harm: it is bounded in number by source
-// and in age, and who judges keeps half of a pool's servers in use whatever is told.
+// Reports from others can do little harm: they are limited in rate per source and in age, and the code
+// that judges keeps half of a pool's servers in use whatever is reported.
 //
-// A [Desk] does no input or output and reads no clock: times are handed in, in milliseconds on a
-// clock that does not go backwards. It is not safe for concurrent use.
+// [Gossip] does no I/O and reads no clock: times are passed in, monotonic and in milliseconds. It is not
+// safe for concurrent use.
 package failurereports
 
 const (
-	inMessage = 5      // sightings in one message
-	tellTimes = 4      // messages in which each limiter tells one
-	oldMs     = 3000.0 // an older one is told no further
-	perS      = 2.0    // of one source, taken in and told on
-	atOnce    = 4.0    // of them at once
-	sources   = 512    // that are remembered
-	waiting   = 64     // sightings that wait to be told
+	maxReportsPerMessage = 5
+	sendsPerReport       = 4      // by each limiter
+	maxAgeMs             = 3000.0 // older reports are neither sent nor accepted
+	sourceRatePerSecond  = 2.0    // accepted from one source, and forwarded
+	sourceBurst          = 4.0
+	maxSources           = 512 // that are remembered
+	maxQueuedReports     = 64  // in the queue to be sent
 )
 
-// Sighting is one failure of a request at a server.
+// Report describes one failed request at a server.
 type Sighting struct {
-	Server uint64 `cbor:"1,keyasint"`           // by the number that all limiters give it
-	Class  uint64 `cbor:"2,keyasint,omitempty"` // of the request, by a number that all give it
-	Source uint32 `cbor:"3,keyasint"`           // the life of the limiter that met it
-	Serial uint32 `cbor:"4,keyasint"`           // rises with each one of a source
-	AgeMs  uint32 `cbor:"5,keyasint,omitempty"` // when it is told
+	Server uint64 `cbor:"1,keyasint"`           // number of the server, the same at all limiters
+	Class  uint64 `cbor:"2,keyasint,omitempty"` // number of the request's class, the same at all limiters
+	Source uint32 `cbor:"3,keyasint"`           // process instance of the limiter that observed the failure
+	Serial uint32 `cbor:"4,keyasint"`           // increases with each report of a source
+	AgeMs  uint32 `cbor:"5,keyasint,omitempty"` // at the time of sending
 }
 
-type told struct {
+type queuedReport struct {
 	Sighting
-	at    float64 // when it was met
-	tells int
+	seenAt    float64 // when the failure was observed
+	sendsLeft int
 }
 
 type source struct {
-	serial uint32 // the latest heard
-	before uint64 // bits of those heard up to 64 before it
-	tokens float64
-	at     float64
+	serial     uint32 // highest serial received
+	seenBefore uint64 // bitmap of the 64 serials before serial that were received
+	tokens     float64
+	refilledAt float64
 }
 
-// Desk is what one limiter has met and heard.
+// Gossip holds the failures that one limiter has observed or received, and queues them to be sent.
 type Desk struct {
-	me     uint32
-	serial uint32
-	queue  []told // the one told least often lately first
-	heard  map[uint32]*source
+	self    uint32
+	serial  uint32
+	queue   []queuedReport // the report sent least recently first
+	sources map[uint32]*source
 }
 
-// New returns the desk of a limiter. life is of this process, and not 0.
-func New(life uint32) *Desk { return &Desk{me: life, heard: map[uint32]*source{}} }
+// New returns the gossip state of a limiter. instance identifies the limiter's process and must not be 0.
+func New(instance uint32) *Desk { return &Desk{self: instance, sources: map[uint32]*source{}} }
 
-// Saw notes a failure met here. Beyond a few a second they are not told: a trouble of many servers
-// tells itself.
+// Observe records a failure at this limiter. Failures beyond the rate limit are not reported: when many
+// servers fail, other limiters observe it themselves.
 func (d *Desk) Saw(now float64, server, class uint64) {
-	if !d.source(d.me).takes(now) {
+	if !d.source(d.self).allow(now) {
 		return
 	}
 	d.serial++
-	d.add(told{Sighting{Server: server, Class: class, Source: d.me, Serial: d.serial}, now, tellTimes})
+	d.enqueue(queuedReport{Sighting{Server: server, Class: class, Source: d.self, Serial: d.serial}, now, sendsPerReport})
 }
 
-// Next returns what the next message is to tell.
+// NextReports returns the reports to include in the next message.
 func (d *Desk) Next(now float64) (out []Sighting) {
-	var again []told
-	rest := d.queue[:0]
+	var resend []queuedReport
+	unsent := d.queue[:0]
 	for _, t := range d.queue {
 		switch {
-		case now-t.at > oldMs:
-		case len(out) < inMessage:
-			t.AgeMs = uint32(max(0, now-t.at))
+		case now-t.seenAt > maxAgeMs:
+		case len(out) < maxReportsPerMessage:
+			t.AgeMs = uint32(max(0, now-t.seenAt))
 			out = append(out, t.Sighting)
-			if t.tells--; t.tells > 0 {
-				again = append(again, t)
+			if t.sendsLeft--; t.sendsLeft > 0 {
+				resend = append(resend, t)
 			}
 		default:
-			rest = append(rest, t)
+			unsent = append(unsent, t)
 		}
 	}
-	d.queue = append(rest, again...)
+	d.queue = append(unsent, resend...)
 	return out
 }
 
-// Hear takes in what a message tells and returns what is new.
-func (d *Desk) Hear(now float64, all []Sighting) (fresh []Sighting) {
-	for _, s := range all[:min(len(all), inMessage)] {
-		if s.Source == d.me || float64(s.AgeMs) > oldMs {
+// Receive processes the reports in a message and returns those that are new.
+func (d *Desk) Hear(now float64, reports []Sighting) (fresh []Sighting) {
+	for _, s := range reports[:min(len(reports), maxReportsPerMessage)] {
+		if s.Source == d.self || float64(s.AgeMs) > maxAgeMs {
 			continue
 		}
 		from := d.source(s.Source)
-		if !from.first(s.Serial) || !from.takes(now) {
+		if !from.markSeen(s.Serial) || !from.allow(now) {
 			continue
 		}
 		fresh = append(fresh, s)
-		d.add(told{s, now - float64(s.AgeMs), tellTimes})
+		d.enqueue(queuedReport{s, now - float64(s.AgeMs), sendsPerReport})
 	}
 	return fresh
 }
 
-func (d *Desk) add(t told) {
-	if len(d.queue) >= waiting {
+func (d *Desk) enqueue(t queuedReport) {
+	if len(d.queue) >= maxQueuedReports {
 		d.queue = d.queue[1:]
 	}
 	d.queue = append(d.queue, t)
 }
 
-func (d *Desk) source(life uint32) *source {
-	s := d.heard[life]
+func (d *Desk) source(instance uint32) *source {
+	s := d.sources[instance]
 	if s == nil {
-		if len(d.heard) >= sources {
-			oldest := life
-			for k, o := range d.heard {
-				if best := d.heard[oldest]; best == nil || o.at < best.at || o.at == best.at && k < oldest {
-					oldest = k
+		if len(d.sources) >= maxSources {
+			oldest := instance
+			for id, other := range d.sources {
+				if candidate := d.sources[oldest]; candidate == nil || other.refilledAt < candidate.refilledAt ||
+					other.refilledAt == candidate.refilledAt && id < oldest {
+					oldest = id
 				}
 			}
-			delete(d.heard, oldest)
+			delete(d.sources, oldest)
 		}
-		s = &source{tokens: atOnce}
-		d.heard[life] = s
+		s = &source{tokens: sourceBurst}
+		d.sources[instance] = s
 	}
 	return s
 }
 
-// takes tells whether one more of the source is taken in now.
-func (s *source) takes(now float64) bool {
-	s.tokens, s.at = min(atOnce, s.tokens+(now-s.at)/1000*perS), now
+// allow reports whether the rate limit accepts one more report of the source now.
+func (s *source) allow(now float64) bool {
+	s.tokens, s.refilledAt = min(sourceBurst, s.tokens+(now-s.refilledAt)/1000*sourceRatePerSecond), now
 	if s.tokens < 1 {
 		return false
 	}
@@ -136,21 +137,22 @@
 	return true
 }
 
-// first tells whether a serial is heard for the first time, as far as is remembered.
-func (s *source) first(serial uint32) bool {
-	switch back := int64(s.serial) - int64(serial); {
-	case back < 0:
-		if shift := uint(-back); shift < 64 {
-			s.before = s.before<<shift | 1<<(shift-1)
+// markSeen marks a serial as received. It reports whether it is new; serials more than 64 below the
+// highest count as received before.
+func (s *source) markSeen(serial uint32) bool {
+	switch lag := int64(s.serial) - int64(serial); {
+	case lag < 0:
+		if shift := uint(-lag); shift < 64 {
+			s.seenBefore = s.seenBefore<<shift | 1<<(shift-1)
 		} else {
-			s.before = 0
+			s.seenBefore = 0
 		}
 		s.serial = serial
 		return true
-	case back == 0 || back > 64 || s.before&(1<<uint(back-1)) != 0:
+	case lag == 0 || lag > 64 || s.seenBefore&(1<<uint(lag-1)) != 0:
 		return false
 	default:
-		s.before |= 1 << uint(back-1)
+		s.seenBefore |= 1 << uint(lag-1)
 		return true
 	}
 }
--- a/traffic/failurereports/failurereports_test.go
+++ b/traffic/failurereports/failurereports_test.go
@@ -5,91 +5,92 @@
 	"testing"
 )
 
-// region is a number of limiters that look at each other in turn, with loss.
+// region is a group of limiters that send each other messages over a lossy network.
 type region struct {
-	rng   *rand.Rand
-	desks []*Desk
-	now   float64
-	heard map[[2]uint32]int // sightings, and how many have them
-	told  int
+	rng      *rand.Rand
+	limiters []*Desk
+	now      float64
+	received map[[2]uint32]int // number of limiters that have received a report, by source and serial
+	sent     int
 }
 
 func newRegion(seed uint64, n int) *region {
-	r := &region{rng: rand.New(rand.NewPCG(seed, 1)), heard: map[[2]uint32]int{}}
+	r := &region{rng: rand.New(rand.NewPCG(seed, 1)), received: map[[2]uint32]int{}}
 	for i := range n {
-		r.desks = append(r.desks, New(uint32(i+1)))
+		r.limiters = append(r.limiters, New(uint32(i+1)))
 	}
 	return r
 }
 
-// run has each limiter send a message to another every 200 ms: a look or an answer.
+// run has each limiter send a message to a random limiter every 200 ms on average.
 func (r *region) run(ms float64) {
 	for end := r.now + ms; r.now < end; r.now += 10 {
-		for i, d := range r.desks {
+		for i, d := range r.limiters {
 			if r.rng.Float64() >= 10.0/200 {
 				continue
 			}
-			k := r.rng.IntN(len(r.desks))
+			k := r.rng.IntN(len(r.limiters))
 			out := d.Next(r.now)
-			r.told += len(out)
+			r.sent += len(out)
 			if k == i || r.rng.Float64() < 0.05 {
 				continue
 			}
-			for _, s := range r.desks[k].Hear(r.now, out) {
-				r.heard[[2]uint32{s.Source, s.Serial}]++
+			for _, s := range r.limiters[k].Hear(r.now, out) {
+				r.received[[2]uint32{s.Source, s.Serial}]++
 			}
 		}
 	}
 }
 
-// What one limiter meets nearly all know 2.5 s later, each once.
-func TestAllHear(t *testing.T) {
+// A failure observed by one limiter is known to nearly all others 2.5 s later, and is returned as new only
+// once.
+func TestAllLimitersReceive(t *testing.T) {
 	for _, n := range []int{3, 30, 90} {
-		sum, most, single := 0, 0, 40
-		for seed := range uint64(single) {
+		sum, most, runs := 0, 0, 40
+		for seed := range uint64(runs) {
 			r := newRegion(seed, n)
-			r.desks[0].Saw(r.now, 7, 0)
+			r.limiters[0].Saw(r.now, 7, 0)
 			r.run(2500)
-			k := r.heard[[2]uint32{1, 1}]
+			k := r.received[[2]uint32{1, 1}]
 			sum, most = sum+k, max(most, k)
 		}
-		if share := float64(sum) / float64(single*(n-1)); share < 0.85 || most > n-1 {
-			t.Errorf("%d limiters: %.2f of the others know 2.5 s later, %d at most", n, share, most)
+		if share := float64(sum) / float64(runs*(n-1)); share < 0.85 || most > n-1 {
+			t.Errorf("%d limiters: 2.5 s later a share of %.2f of the others know on average, %d at most", n, share, most)
 		}
 	}
 }
 
-// What is told is bounded whatever happens: failures by the thousand, or a neighbour that floods.
+// The number of reports is bounded, with thousands of failures as well as with a neighbour that floods.
 func TestBounds(t *testing.T) {
 	r := newRegion(1, 30)
 	for range 500 {
-		for i := range r.desks {
+		for i := range r.limiters {
 			for range 10 {
-				r.desks[i].Saw(r.now, r.rng.Uint64(), 0)
+				r.limiters[i].Saw(r.now, r.rng.Uint64(), 0)
 			}
 		}
 		r.run(20)
 	}
-	if per := float64(r.told) / 30 / 10; per > 5*inMessage {
-		t.Errorf("%.0f sightings a second of a limiter", per)
+	if per := float64(r.sent) / 30 / 10; per > 5*maxReportsPerMessage {
+		t.Errorf("%.0f reports per second from a limiter", per)
 	}
 	d, fresh := New(1), 0
-	for i := range uint32(5000) { // one source in 10 s
+	for i := range uint32(5000) { // one source, for 10 s
 		fresh += len(d.Hear(float64(i)*2, []Sighting{{Server: 1, Source: 9, Serial: i + 1}}))
 	}
-	if fresh > 10*perS+atOnce {
-		t.Errorf("%d sightings of one source are believed in 10 s", fresh)
+	if fresh > 10*sourceRatePerSecond+sourceBurst {
+		t.Errorf("%d reports of one source are accepted in 10 s", fresh)
 	}
 	for i := range uint32(5000) {
 		d.Hear(10_000, []Sighting{{Server: 1, Source: 100 + i, Serial: 1}})
 	}
-	if len(d.heard) > sources || len(d.queue) > waiting {
-		t.Errorf("%d sources and %d sightings are kept", len(d.heard), len(d.queue))
+	if len(d.sources) > maxSources || len(d.queue) > maxQueuedReports {
+		t.Errorf("%d sources and %d reports are kept", len(d.sources), len(d.queue))
 	}
 }
 
-// One that is old, doubled, overtaken or this limiter's own.
-func TestOddSightings(t *testing.T) {
+// Reports that are too old, duplicated, reordered or this limiter's own.
+func TestRejectedReports(t *testing.T) {
 	d := New(1)
 	for i, x := range []struct {
 		s     Sighting
@@ -97,7 +98,7 @@
 	}{
 		{Sighting{Source: 2, Serial: 5}, true},
 		{Sighting{Source: 2, Serial: 5}, false},
-		{Sighting{Source: 2, Serial: 3}, true}, // overtaken
+		{Sighting{Source: 2, Serial: 3}, true}, // reordered
 		{Sighting{Source: 2, Serial: 3}, false},
 		{Sighting{Source: 2, Serial: 90}, true},
 		{Sighting{Source: 2, Serial: 5}, false},
@@ -105,7 +106,7 @@
 		{Sighting{Source: 1, Serial: 1}, false},
 	} {
 		if got := len(d.Hear(float64(i)*1000, []Sighting{x.s})) == 1; got != x.fresh {
-			t.Errorf("%d: %+v is new: %v", i, x.s, got)
+			t.Errorf("%d: %+v counts as new: %v", i, x.s, got)
 		}
 	}
 }
--- a/traffic/loadreports/loadreports.go
+++ b/traffic/loadreports/loadreports.go
@@ -1,17 +1,17 @@
-// Package loadreports is how neighbouring limiters tell each other how occupied servers are. Each tells its neighbours, the limiters
-// of its zone, what it has in hand at which server; nobody collects it. What is told is counted
-// for as long as requests take, by a weight that falls with age: a request that was told and takes
-// 200 ms is half gone after 100. So whoever is cut off, or hears nobody, comes back to what it
-// sees itself within the time of one request, and two halves never share out a room that neither
-// sees.
+// Package loadreports exchanges the load of servers among neighbouring limiters, the limiters of one zone.
+// Each limiter reports to its neighbours how many requests it has in flight at which server; there is no
+// central collector. A report is counted with a weight that falls linearly with its age to zero over the
+// duration of a request: of a request that takes 200 ms half is counted after 100 ms. So a limiter that is
+// cut off, or receives no reports, returns to its own view within the duration of one request, and when a
+// network partition splits the zone, no side relies on capacity that it can no longer observe.
 //
-// A word is the whole of what its source has in hand and replaces the one before, by the source's
-// own count: words that are lost, doubled or out of order lead to the same belief. Counts only
-// add: who tells nothing, or that everything is empty, takes away no more than its own part of what
-// is known; who says that everything is full is believed for so much a server and so many servers.
+// A report contains all in-flight requests of its source and replaces the source's previous report,
+// ordered by the source's serial number: lost, duplicated or reordered reports lead to the same state.
+// Reports only add load: a limiter that reports nothing hides no more than its own requests, and one that
+// reports every server as full is limited in the load per server and in the number of servers.
 //
-// A [Desk] does no input or output and reads no clock: times are handed in, in milliseconds on a
-// clock that does not go backwards. It is not safe for concurrent use.
+// [Tracker] does no I/O and reads no clock: times are passed in, monotonic and in milliseconds. It is not
+// safe for concurrent use.
 package loadreports
 
 import (
@@ -24,117 +24,116 @@
 )
 
 const (
-	version = 1
-	// What is told goes by what it is told for: a word that is older than half of a request
-	// steers worse than none. While much is in hand words come every pressedMs, else every
-	// calmMs, and none where nothing is in hand.
-	pressedMs = 50.0
-	calmMs    = 200.0
-	// A service is pressed when the zone's limiters have so much in hand against what the zone's
-	// servers hold, until it is less than calmAt.
-	pressedAt = 0.6
-	calmAt    = 0.5
+	formatVersion = 1
+	// Interval between reports while a service is under pressure, and otherwise. No reports are sent while
+	// nothing is in flight. A report older than half a request's duration makes routing worse than no report.
+	pressedIntervalMs = 50.0
+	calmIntervalMs    = 200.0
+	// A service is under pressure (pressed) when its requests in flight from the zone's limiters exceed this
+	// share of the slots of the zone's servers, until they fall below calmThreshold.
+	pressedThreshold = 0.6
+	calmThreshold    = 0.5
 
-	meanMs      = 500.0 // over which what is in hand is averaged
-	zonesMost   = 16
-	zoneMs      = 3000.0 // what was told of a zone before is let go
-	waitSteps   = 8
-	waitMost    = 4.0
-	entriesMost = 64 // servers in one word
-	countMost   = 4  // requests of one source at one server that are believed
-	sourcesMost = 64
-	entryBytes  = 6
-	timeStep    = 8.0 // ms: the unit of times in a word
-	timeWeight  = 0.1 // of one answer in the mean time of a service
-	timeFirst   = 200.0
-	freshMs     = 400.0 // a neighbour that was heard of since is heard
-	forgetMs    = 10_000.0
-	knowsAt     = 0.7 // share of the neighbours that have to be heard
+	averagingMs       = 500.0 // time constant of the averages
+	maxZones          = 16
+	zoneReportTTLMs   = 3000.0 // reports from another zone expire after this
+	waitSteps         = 8      // per unit of a rounded wait
+	maxWait           = 4.0    // relative to the service time
+	maxEntries        = 64     // servers in one report
+	maxCountPerEntry  = 4      // cap on one source's requests at one server
+	maxSources        = 64
+	entryBytes        = 6
+	durationStepMs    = 8.0 // ms: unit of durations in a report
+	durationWeight    = 0.1 // weight of one response in a service's mean duration
+	initialDurationMs = 200.0
+	freshAgeMs        = 400.0 // a neighbour with a report younger than this counts as heard from
+	forgetAgeMs       = 10_000.0
+	minHeardShare     = 0.7 // share of the neighbours that must be heard from
 )
 
-// Word is what one limiter has in hand. Its layout is versioned: words of another version are let
-// go.
+// Report is the wire format of one limiter's requests in flight. It is versioned: reports of another
+// version are dropped.
 type Word struct {
 	Version uint8  `cbor:"1,keyasint"`
-	Source  uint32 `cbor:"2,keyasint"` // a life of a limiter
-	Serial  uint32 `cbor:"3,keyasint"` // rises with each word of a source
-	Sent    uint64 `cbor:"5,keyasint"` // ms by the source's own clock
-	// Entries are six bytes each: a server's number in four, requests in one, and in one the time
-	// that they take, in steps of 8 ms.
+	Source  uint32 `cbor:"2,keyasint"` // process instance of the sending limiter
+	Serial  uint32 `cbor:"3,keyasint"` // increases with each report of a source
+	Sent    uint64 `cbor:"5,keyasint"` // ms on the source's clock
+	// Entries has six bytes per server: four for the server's number, one for the number of requests in
+	// flight, and one for their duration in steps of 8 ms.
 	Entries []byte `cbor:"4,keyasint,omitempty"`
 }
 
 type entry struct {
-	server uint32
-	count  float64
-	takes  float64 // ms
+	server     uint32
+	count      float64
+	durationMs float64
 }
 
-// source is what a neighbour has told last.
+// source holds the latest report of a neighbour.
 type source struct {
-	id      uint32
-	serial  uint32
-	at      float64 // when it was told
-	least   float64 // difference of the clocks, by the word that came soonest
-	entries []entry
+	id             uint32
+	serial         uint32
+	sentAt         float64 // when the report was sent, on the local clock
+	minClockOffset float64 // local clock minus the source's, by its report with the shortest delay
+	entries        []entry
 }
 
-// Server is one that requests can go to.
+// Server is a server that requests can be sent to.
 type Server struct {
 	Service string
 	Slots   int
 	Zone    string
-	Near    bool // it stands in this limiter's zone
+	Near    bool // is in the same zone as this limiter
 }
 
-// service is what is known of one.
+// service holds the load of one service.
 type service struct {
-	slots   int     // of its near servers
-	takes   float64 // mean time of an answer here, ms
-	share   float64 // in hand at its near servers against their slots, in the mean
-	wait    float64 // of one more request there, in times of its work, in the mean
-	pressed bool
-	zones   map[string]told
+	slots      int     // of its servers in this zone
+	durationMs float64 // mean duration of this limiter's requests
+	occupancy  float64 // averaged ratio of requests in flight to slots in this zone
+	wait       float64 // averaged wait of one more request in this zone, relative to its service time
+	pressed    bool
+	zones      map[string]zoneReport
 }
 
-// told is what was heard of another zone's servers of a service.
-type told struct{ wait, at float64 }
+// zoneReport holds what another zone has reported for a service.
+type zoneReport struct{ wait, receivedAt float64 }
 
-// Desk is what one limiter knows of its neighbours' requests.
+// Tracker holds what one limiter knows of its neighbours' requests in flight.
 type Desk struct {
-	me       uint32
-	serial   uint32
-	nextAt   float64
-	own      map[uint32]int // requests in hand here, by server
-	servers  map[uint32]Server
-	services map[string]*service
-	addedAt  float64
-	knows    bool // enough neighbours are heard
-	// How many neighbours there are that can be heard of.
+	self         uint32
+	serial       uint32
+	nextReportAt float64
+	inFlight     map[uint32]int // this limiter's requests, by server
+	servers      map[uint32]Server
+	services     map[string]*service
+	averagedAt   float64
+	enoughHeard  bool // whether enough neighbours are heard from
+	// The number of neighbours that can be reached.
 	neighbours int
-	heard      []*source // by id: sums are the same whoever was heard first
+	sources    []*source // sorted by id, so that sums don't depend on the order of arrival
 }
 
-// New returns the desk of a limiter. life is of this process, and not 0.
-func New(life uint32) *Desk {
-	return &Desk{me: life, own: map[uint32]int{}, services: map[string]*service{}}
+// New returns the tracker of a limiter. instance identifies the limiter's process and must not be 0.
+func New(instance uint32) *Desk {
+	return &Desk{self: instance, inFlight: map[uint32]int{}, services: map[string]*service{}}
 }
 
-// Expect says how many neighbours there are, beside those that are known to be out of reach.
+// SetNeighbours sets the number of neighbours, without those known to be unreachable.
 func (d *Desk) Expect(neighbours int) { d.neighbours = neighbours }
 
-// Serve says which servers there are, by their numbers. Each has a slot at least.
+// SetServers sets the servers that requests can be sent to, by number. Each must have at least one slot.
 func (d *Desk) Serve(servers map[uint32]Server) {
 	d.servers = servers
 	slots := map[string]int{}
-	for _, x := range servers {
-		if slots[x.Service] += 0; x.Near {
-			slots[x.Service] += x.Slots
+	for _, server := range servers {
+		if slots[server.Service] += 0; server.Near {
+			slots[server.Service] += server.Slots
 		}
 	}
 	maps.DeleteFunc(d.services, func(name string, _ *service) bool {
-		_, still := slots[name]
-		return !still
+		_, used := slots[name]
+		return !used
 	})
 	for name, n := range slots {
 		d.service(name).slots = n
@@ -144,110 +143,115 @@
 func (d *Desk) service(name string) *service {
 	s := d.services[name]
 	if s == nil {
-		s = &service{takes: timeFirst, zones: map[string]told{}}
+		s = &service{durationMs: initialDurationMs, zones: map[string]zoneReport{}}
 		d.services[name] = s
 	}
 	return s
 }
 
-// Began notes a request that goes to a server now.
-func (d *Desk) Began(server uint32) { d.own[server]++ }
+// RequestStarted records a request that is sent to a server.
+func (d *Desk) Began(server uint32) { d.inFlight[server]++ }
 
-// Ended notes the end of one. answered tells that it took ms as answers do.
+// RequestEnded records the end of a request. If answered, its duration of ms milliseconds counts towards
+// the mean duration of the service.
 func (d *Desk) Ended(server uint32, answered bool, ms float64) {
-	if d.own[server]--; d.own[server] <= 0 {
-		delete(d.own, server)
+	if d.inFlight[server]--; d.inFlight[server] <= 0 {
+		delete(d.inFlight, server)
 	}
-	if x, known := d.servers[server]; known && answered {
-		s := d.service(x.Service)
-		s.takes += timeWeight * (ms - s.takes)
+	if info, known := d.servers[server]; known && answered {
+		s := d.service(info.Service)
+		s.durationMs += durationWeight * (ms - s.durationMs)
 	}
 }
 
-// Next returns the word that is due now, if one is.
-func (d *Desk) Next(now float64) (w Word, due bool) {
-	if now < d.nextAt || len(d.own) == 0 {
+// NextReport returns the report to send if one is due.
+func (d *Desk) Next(now float64) (report Word, due bool) {
+	if now < d.nextReportAt || len(d.inFlight) == 0 {
 		return Word{}, false
 	}
-	d.nextAt = now + d.pace()
-	type held struct {
+	d.nextReportAt = now + d.reportInterval()
+	type serverCount struct {
 		server uint32
 		count  int
 	}
-	var all []held
-	for server, n := range d.own {
-		all = append(all, held{server, n})
+	var counts []serverCount
+	for server, n := range d.inFlight {
+		counts = append(counts, serverCount{server, n})
 	}
-	slices.SortFunc(all, func(a, b held) int { return cmp.Or(b.count-a.count, cmp.Compare(a.server, b.server)) })
+	slices.SortFunc(counts, func(a, b serverCount) int { return cmp.Or(b.count-a.count, cmp.Compare(a.server, b.server)) })
 	d.serial++
-	w = Word{Version: version, Source: d.me, Serial: d.serial, Sent: uint64(max(0, now))}
-	for _, h := range all[:min(len(all), entriesMost)] {
-		takes := timeFirst
+	report = Word{Version: formatVersion, Source: d.self, Serial: d.serial, Sent: uint64(max(0, now))}
+	for _, h := range counts[:min(len(counts), maxEntries)] {
+		durationMs := initialDurationMs
 		if s := d.services[d.servers[h.server].Service]; s != nil {
-			takes = s.takes
+			durationMs = s.durationMs
 		}
-		w.Entries = binary.BigEndian.AppendUint32(w.Entries, h.server)
-		w.Entries = append(w.Entries, byte(min(h.count, 255)), byte(max(1, min(255, math.Round(takes/timeStep)))))
+		report.Entries = binary.BigEndian.AppendUint32(report.Entries, h.server)
+		report.Entries = append(report.Entries, byte(min(h.count, 255)),
+			byte(max(1, min(255, math.Round(durationMs/durationStepMs)))))
 	}
-	return w, true
+	return report, true
 }
 
-// pace is the time between two words.
-func (d *Desk) pace() float64 {
+// reportInterval returns the time between two reports, in milliseconds.
+func (d *Desk) reportInterval() float64 {
 	for _, s := range d.services {
 		if s.pressed {
-			return pressedMs
+			return pressedIntervalMs
 		}
 	}
-	return calmMs
+	return calmIntervalMs
 }
 
-// Hear takes in a neighbour's word. It tells whether it is news.
-func (d *Desk) Hear(now float64, w Word) bool {
-	if w.Version != version || w.Source == d.me || w.Source == 0 || len(w.Entries)%entryBytes != 0 || len(w.Entries) > entriesMost*entryBytes {
+// Receive processes a neighbour's report. It returns whether the report is valid and new.
+func (d *Desk) Hear(now float64, report Word) bool {
+	if report.Version != formatVersion || report.Source == d.self || report.Source == 0 ||
+		len(report.Entries)%entryBytes != 0 || len(report.Entries) > maxEntries*entryBytes {
 		return false
 	}
-	i, known := slices.BinarySearchFunc(d.heard, w.Source, func(s *source, id uint32) int { return cmp.Compare(s.id, id) })
-	if known && int32(w.Serial-d.heard[i].serial) <= 0 || !known && len(d.heard) >= sourcesMost {
+	i, known := slices.BinarySearchFunc(d.sources, report.Source, func(s *source, id uint32) int { return cmp.Compare(s.id, id) })
+	if known && int32(report.Serial-d.sources[i].serial) <= 0 || !known && len(d.sources) >= maxSources {
 		return false
 	}
 	if !known {
-		d.heard = slices.Insert(d.heard, i, &source{id: w.Source, least: math.Inf(1)})
+		d.sources = slices.Insert(d.sources, i, &source{id: report.Source, minClockOffset: math.Inf(1)})
 	}
-	s := d.heard[i]
-	apart := now - float64(w.Sent)
-	s.least = min(s.least, apart) // a word that is later than others of its source was under way for longer
-	s.serial, s.at, s.entries = w.Serial, now-(apart-s.least), s.entries[:0]
-	for e := w.Entries; len(e) > 0; e = e[entryBytes:] {
-		s.entries = append(s.entries, entry{binary.BigEndian.Uint32(e), float64(min(e[4], countMost)), float64(e[5]) * timeStep})
+	s := d.sources[i]
+	offset := now - float64(report.Sent)
+	// Reports that arrive later than others of their source took longer on the network.
+	s.minClockOffset = min(s.minClockOffset, offset)
+	s.serial, s.sentAt, s.entries = report.Serial, now-(offset-s.minClockOffset), s.entries[:0]
+	for e := report.Entries; len(e) > 0; e = e[entryBytes:] {
+		s.entries = append(s.entries, entry{binary.BigEndian.Uint32(e), float64(min(e[4], maxCountPerEntry)),
+			float64(e[5]) * durationStepMs})
 	}
 	return true
 }
 
-// Others tells what others have in hand now, by server, as far as it is known, at the servers of
-// pressed services: while there is room, where they are matters little. It is nothing at all, and
-// each limiter goes by its own view, while too few neighbours are heard: a part of what is in hand
-// would make full servers look empty. A server of another zone, of which no more is known, counts
-// as those of its zone do in the mean, by what limiters there tell, or else as half as full as this
-// zone: what is known must not look much fuller than what is not, and who hears of no other zone
-// must not take all of them for empty.
+// RemoteLoad returns the requests that other limiters have in flight, by server, as far as known, at the
+// servers of services under pressure: while there is capacity to spare, the placement of requests matters
+// little. It returns nil while too few neighbours are heard from, so that each limiter uses its own view
+// only: partial load would make full servers look empty. For a server in another zone at least the average
+// load of its zone is returned, as reported by limiters there or, without a report, assumed to be half of
+// this zone's wait. So servers with known load don't look much fuller than those without, and a limiter
+// that receives no reports of other zones doesn't take them all for empty.
 func (d *Desk) Others(now float64) map[uint32]float64 {
 	others := map[uint32]float64{}
-	d.heard = slices.DeleteFunc(d.heard, func(s *source) bool { return now-s.at > forgetMs })
+	d.sources = slices.DeleteFunc(d.sources, func(s *source) bool { return now-s.sentAt > forgetAgeMs })
 	fresh := 0
-	for _, s := range d.heard {
-		age := now - s.at
-		if age < freshMs {
+	for _, s := range d.sources {
+		age := now - s.sentAt
+		if age < freshAgeMs {
 			fresh++
 		}
 		for _, e := range s.entries {
-			if left := e.count * (1 - age/max(1, e.takes)); left > 0 {
+			if left := e.count * (1 - age/max(1, e.durationMs)); left > 0 {
 				others[e.server] += left
 			}
 		}
 	}
-	d.addUp(now, others)
-	if d.knows = float64(fresh) >= knowsAt*float64(d.neighbours); !d.knows {
+	d.updateAverages(now, others)
+	if d.enoughHeard = float64(fresh) >= minHeardShare*float64(d.neighbours); !d.enoughHeard {
 		return nil
 	}
 	for server := range others {
@@ -255,126 +259,128 @@
 			delete(others, server)
 		}
 	}
-	for server, x := range d.servers {
-		if s := d.services[x.Service]; !x.Near {
-			if w := s.waits(now, x.Zone); w > 0 {
-				others[server] = max(others[server], float64(x.Slots)*(1+w)-1)
+	for server, info := range d.servers {
+		if s := d.services[info.Service]; !info.Near {
+			if wait := s.waitIn(now, info.Zone); wait > 0 {
+				others[server] = max(others[server], float64(info.Slots)*(1+wait)-1)
 			}
 		}
 	}
 	return others
 }
 
-// addUp brings the services' figures up to date.
-func (d *Desk) addUp(now float64, others map[uint32]float64) {
-	weight := 1 - math.Exp((d.addedAt-now)/meanMs)
-	d.addedAt = now
-	inHand, wait := map[string]float64{}, map[string]float64{}
-	for server, x := range d.servers {
-		if x.Near {
-			n, slots := others[server]+float64(d.own[server]), float64(x.Slots)
-			inHand[x.Service] += n
-			wait[x.Service] += max(0, n+1-slots) // of one more request, by slots
+// updateAverages updates the averages of all services.
+func (d *Desk) updateAverages(now float64, others map[uint32]float64) {
+	weight := 1 - math.Exp((d.averagedAt-now)/averagingMs)
+	d.averagedAt = now
+	inFlightSums, wait := map[string]float64{}, map[string]float64{}
+	for server, info := range d.servers {
+		if info.Near {
+			count, slots := others[server]+float64(d.inFlight[server]), float64(info.Slots)
+			inFlightSums[info.Service] += count
+			wait[info.Service] += max(0, count+1-slots) // of one more request, in slots
 		}
 	}
 	for name, s := range d.services {
 		slots := float64(max(1, s.slots))
-		s.share += weight * (inHand[name]/slots - s.share)
+		s.occupancy += weight * (inFlightSums[name]/slots - s.occupancy)
 		s.wait += weight * (wait[name]/slots - s.wait)
 	}
 }
 
-// waits is by how many times its work a request waits at the servers of a zone, in steps, so that
-// it changes seldom.
-func (s *service) waits(now float64, zone string) float64 {
-	x, told := s.zones[zone]
-	if !told || now-x.at > zoneMs {
-		if x.wait = s.wait / 2; !s.pressed {
-			x.wait = 0
+// waitIn returns how long a request waits at the servers of a zone, relative to its service time. The
+// value is rounded to steps so that it rarely changes.
+func (s *service) waitIn(now float64, zone string) float64 {
+	report, known := s.zones[zone]
+	if !known || now-report.receivedAt > zoneReportTTLMs {
+		if report.wait = s.wait / 2; !s.pressed {
+			report.wait = 0
 		}
 	}
-	return math.Round(x.wait*waitSteps) / waitSteps
+	return math.Round(report.wait*waitSteps) / waitSteps
 }
 
-// Wait is by how many times its work one more request waits at a zone's servers of a service, in
-// the mean.
+// Wait is the average time that one more request would wait at a zone's servers of a service, relative to
+// its service time.
 type Wait struct {
 	Service string
 	Of      float64
 }
 
-// Waits are those of this limiter's zone, of pressed services. They are not known while too few
-// neighbours are heard.
+// LocalWaits returns the waits in this limiter's zone, for services under pressure. known is false while
+// too few neighbours are heard from.
 func (d *Desk) Waits() (all []Wait, known bool) {
 	for _, name := range slices.Sorted(maps.Keys(d.services)) {
 		if s := d.services[name]; s.pressed {
 			all = append(all, Wait{name, s.wait})
 		}
 	}
-	return all, d.knows
+	return all, d.enoughHeard
 }
 
-// Zone takes in what a limiter of another zone tells of that zone: all that waits there. Of a service
-// that is not named nothing does.
-func (d *Desk) Zone(now float64, zone string, all []Wait) {
+// ReceiveZoneWaits processes the waits that a limiter in another zone reports for its zone. Services that
+// are not listed have no wait there.
+func (d *Desk) Zone(now float64, zone string, waits []Wait) {
 	for name, s := range d.services {
-		if _, known := s.zones[zone]; !known && len(s.zones) >= zonesMost {
+		if _, known := s.zones[zone]; !known && len(s.zones) >= maxZones {
 			continue
 		}
-		x := told{at: now}
-		for _, w := range all {
+		report := zoneReport{receivedAt: now}
+		for _, w := range waits {
 			if w.Service == name {
-				x.wait = max(0, min(waitMost, w.Of))
+				report.wait = max(0, min(maxWait, w.Of))
 			}
 		}
-		s.zones[zone] = x
+		s.zones[zone] = report
 	}
 }
 
-// Own is what this limiter has in hand at a server.
-func (d *Desk) Own(server uint32) int { return d.own[server] }
+// InFlight returns the number of requests that this limiter has in flight at a server.
+func (d *Desk) Own(server uint32) int { return d.inFlight[server] }
 
-// Step is a service that has become pressed, or calm again.
-type Step struct {
+// PressureChange is a service that has come under pressure, or is no longer under it.
+type PressureChange struct {
 	Service string
 	Pressed bool
-	Share   float64 // in hand at the zone's servers against their slots
+	Share   float64 // ratio of requests in flight to slots in this zone
 }
 
-// Steps tells which services have become pressed or calm since it was last asked, by what
-// [Desk.Others] added up last.
-func (d *Desk) Steps() (all []Step) {
+// PressureChanges updates which services are under pressure, by the averages of the last call of
+// [Tracker.RemoteLoad], and returns those that have changed since the previous call.
+func (d *Desk) Steps() (changes []PressureChange) {
 	for _, name := range slices.Sorted(maps.Keys(d.services)) {
 		s := d.services[name]
-		was, share := s.pressed, s.share
-		if s.pressed = share >= pressedAt || was && share >= calmAt; s.pressed != was {
-			all = append(all, Step{name, s.pressed, share})
-			if s.pressed { // neighbours are to know at once
-				d.nextAt = 0
+		before, occupancy := s.pressed, s.occupancy
+		if s.pressed = occupancy >= pressedThreshold || before && occupancy >= calmThreshold; s.pressed != before {
+			changes = append(changes, PressureChange{name, s.pressed, occupancy})
+			if s.pressed { // send a report to the neighbours at once
+				d.nextReportAt = 0
 			}
 		}
 	}
-	return all
+	return changes
 }
 
-// Report tells what is believed of each service, and from whom, as lines of key=value pairs.
+// StatusLines describes the known load of each service and the neighbours heard from, as lines of
+// key=value pairs.
 func (d *Desk) Report(now float64) (lines []string) {
 	fresh, oldest := 0, 0.0
-	for _, s := range d.heard {
-		if age := now - s.at; age < freshMs {
+	for _, s := range d.sources {
+		if age := now - s.sentAt; age < freshAgeMs {
 			fresh++
 			oldest = max(oldest, age)
 		}
 	}
-	goesBy := "own_view"
-	if d.knows {
-		goesBy = "neighbours"
+	basis := "own_view"
+	if d.enoughHeard {
+		basis = "neighbours"
 	}
-	lines = append(lines, fmt.Sprintf("blocks goes_by=%s neighbours=%d heard=%d oldest_ms=%.0f every_ms=%.0f", goesBy, d.neighbours, fresh, oldest, d.pace()))
+	lines = append(lines, fmt.Sprintf("blocks goes_by=%s neighbours=%d heard=%d oldest_ms=%.0f every_ms=%.0f",
+		basis, d.neighbours, fresh, oldest, d.reportInterval()))
 	for _, name := range slices.Sorted(maps.Keys(d.services)) {
 		s := d.services[name]
 		lines = append(lines, fmt.Sprintf("load service=%s slots=%d share=%.2f wait=%.2f pressed=%v takes_ms=%.0f zones=%d",
-			name, s.slots, s.share, s.wait, s.pressed, s.takes, len(s.zones)))
+			name, s.slots, s.occupancy, s.wait, s.pressed, s.durationMs, len(s.zones)))
 	}
 	return lines
 }
--- a/traffic/membership/membership.go
+++ b/traffic/membership/membership.go
@@ -1,13 +1,15 @@
-// Package membership is how the limiters of a region know which of them are in reach. Each looks at one other in turn; where that does not answer, three third
-// parties of other zones are asked to look too; where nobody gets an answer it is suspected, which
-// all are told, itself among them if it hears; it has a while to object, or to be heard by third
-// parties that are asked again; then it is out, until it is heard of again.
+// Package membership detects which limiters of a region are unreachable, with a SWIM-like gossip protocol.
+// Each limiter probes one other in turn. If the target doesn't answer, three others, in other zones if
+// possible, are asked to probe it as well. If none of them gets an answer the target becomes suspect, and
+// that claim is spread to all limiters, the target included if it can be reached. The suspect has some
+// time to refute the claim, or to be reached by others that are asked again. After that it counts as
+// unreachable until it refutes that too.
 //
-// Whom there is to look at comes from the book of the registries. What is found here says only
-// who is out of reach now: nobody's part of anything is given away by it.
+// The list of limiters comes from the registries. The result says only which limiters are unreachable now:
+// it never reassigns any limiter's share of a quota.
 //
-// A [Line] does no input or output and reads no clock: times are handed in, in milliseconds.
-// It is not safe for concurrent use.
+// [Detector] does no I/O and reads no clock: times are passed in, in milliseconds. It is not safe for
+// concurrent use.
 package membership
 
 import (
@@ -16,287 +18,290 @@
 )
 
 const (
-	lookMs    = 400.0 // between two looks of one limiter
-	answerMs  = 120.0 // for an answer, before third parties are asked
-	secondMs  = 300.0 // for theirs
-	objectMs  = 700.0 // for a suspect to object
-	third     = 3     // parties that are asked
-	claimsMax = 6     // in one message
-	tellTimes = 4     // a claim is told in so many messages
-	outLooks  = 3     // one look in so many goes to those that are out
+	probeIntervalMs       = 400.0 // between two probes by one limiter
+	ackTimeoutMs          = 120.0 // for an ack, before others are asked to probe
+	indirectTimeoutMs     = 300.0 // for an ack through the others
+	suspectTimeoutMs      = 700.0 // for a suspect to refute the claim
+	indirectProbeCount    = 3     // limiters that are asked to probe
+	maxClaims             = 6     // per message
+	sendsPerClaim         = 4     // messages in which each limiter spreads a claim
+	unreachableProbeEvery = 3     // one in this many probes may go to an unreachable limiter
 )
 
-// State is how a limiter stands.
+// State is the reachability of a limiter.
 type State uint8
 
-// The states. Of two claims of one incarnation the greater one holds.
+// States in ascending precedence: of two claims with the same incarnation the higher state wins.
 const (
-	Here State = iota
+	Alive State = iota
 	Suspect
 	Out
 )
 
-// Claim says how a limiter stands. It objects with a greater incarnation.
+// Claim asserts the state of a limiter. The limiter refutes it with a higher incarnation.
 type Claim struct {
 	ID          string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint,omitempty"`
 	State       State  `cbor:"3,keyasint,omitempty"`
 }
 
-// Kind is that of a message.
+// Kind is the type of a message.
 type Kind uint8
 
-// The kinds of messages.
+// Message kinds.
 const (
-	Look   Kind = iota // answer me
-	Answer             // to a look, or to an ask
-	Ask                // look at Target for me
+	Probe        Kind = iota // asks the receiver for an Ack
+	Ack                      // answers a Probe or a ProbeRequest
+	ProbeRequest             // asks the receiver to probe Target
 )
 
-// Message is one datagram.
+// Message is the content of one datagram.
 type Message struct {
 	Kind   Kind    `cbor:"1,keyasint,omitempty"`
 	Serial uint64  `cbor:"2,keyasint,omitempty"`
 	From   string  `cbor:"3,keyasint"`
-	Target string  `cbor:"4,keyasint,omitempty"` // of Ask
+	Target string  `cbor:"4,keyasint,omitempty"` // of a ProbeRequest
 	Claims []Claim `cbor:"5,keyasint,omitempty"`
 }
 
-// Letter is a message on its way.
+// Envelope is a message with its recipient.
 type Letter struct {
 	To      string
 	Message Message
 }
 
 type member struct {
-	zone        string
-	incarnation uint64
-	state       State
-	since       float64
-	tell        int // messages in which its claim is still to be told
-	askedAt     float64
-	mine        bool // this limiter was the one to suspect it
+	zone          string
+	incarnation   uint64
+	state         State
+	stateSince    float64
+	sendsLeft     int // messages in which its claim is still to be sent
+	notifiedAt    float64
+	suspectedHere bool // this limiter was the first to suspect it
 }
 
-type look struct {
-	target string
-	at     float64
-	asked  bool
-	// for whom it is, and the number that they gave it; "": for this one
-	client string
-	serial uint64
+type probe struct {
+	target   string
+	sentAt   float64
+	indirect bool
+	// The limiter that requested the probe, and the serial of its request; "" for this limiter's own probes.
+	requester string
+	serial    uint64
 }
 
-// Line is what one limiter knows of the others of its region.
+// Detector holds one limiter's view of the other limiters in its region.
 type Line struct {
-	me, zone    string
+	self, zone  string
 	incarnation uint64
 	rng         *rand.Rand
 	members     map[string]*member
-	order       []string // those to look at next
-	looks       map[uint64]*look
+	probeOrder  []string // targets of the next probes
+	probes      map[uint64]*probe
 	serial      uint64
-	lookAt      float64
-	count       int
+	nextProbeAt float64
+	probeCount  int
 	changed     bool
 }
 
-// New returns the line of a limiter that knows nobody yet. me is unique to this life of it.
-func New(me string, seed uint64) *Line {
-	return &Line{me: me, rng: rand.New(rand.NewPCG(seed, 7)), members: map[string]*member{}, looks: map[uint64]*look{}}
+// New returns a detector without members. self identifies the limiter's process and is unique to it.
+func New(self string, seed uint64) *Line {
+	return &Line{self: self, rng: rand.New(rand.NewPCG(seed, 7)), members: map[string]*member{}, probes: map[uint64]*probe{}}
 }
 
-// Set says whom there is to look at, and in which zone each stands. This limiter's own zone is
-// there too, if it is known.
+// SetMembers sets the limiters of the region and their zones. The map may include this limiter, for its
+// own zone.
 func (l *Line) Set(zones map[string]string) {
-	l.zone = zones[l.me]
+	l.zone = zones[l.self]
 	for id := range l.members {
-		if _, there := zones[id]; !there {
+		if _, listed := zones[id]; !listed {
 			delete(l.members, id)
 		}
 	}
 	for id, zone := range zones {
-		if id != l.me && l.members[id] == nil {
+		if id != l.self && l.members[id] == nil {
 			l.members[id] = &member{zone: zone}
 		}
 	}
 }
 
-// State is how a limiter stands, as far as is known here.
+// State returns the state of a limiter in this limiter's view. An unknown limiter counts as alive.
 func (l *Line) State(id string) State {
 	if m := l.members[id]; m != nil {
 		return m.state
 	}
-	return Here
+	return Alive
 }
 
-// Changed tells that somebody has gone out, or come back, since it was last asked.
+// Changed reports whether a limiter has become unreachable or come back since the last call.
 func (l *Line) Changed() bool {
-	c := l.changed
+	result := l.changed
 	l.changed = false
-	return c
+	return result
 }
 
-// Tick does what is due, and returns what to send. It is to be called every 50 ms or so.
+// Tick performs the actions that are due and returns the messages to send. It should be called about every
+// 50 ms.
 func (l *Line) Tick(now float64) (out []Letter) {
-	for _, serial := range sorted(l.looks) {
-		k := l.looks[serial]
-		m := l.members[k.target]
+	for _, serial := range sortedKeys(l.probes) {
+		sent := l.probes[serial]
+		m := l.members[sent.target]
 		switch {
 		case m == nil:
-			delete(l.looks, serial)
-		case k.client != "":
-			if now-k.at > secondMs {
-				delete(l.looks, serial)
+			delete(l.probes, serial)
+		case sent.requester != "":
+			if now-sent.sentAt > indirectTimeoutMs {
+				delete(l.probes, serial)
 			}
-		case !k.asked && now-k.at > answerMs:
-			k.asked, k.at = true, now
-			for _, id := range l.parties(k.target, third) {
-				out = append(out, l.letter(id, Message{Kind: Ask, Serial: serial, Target: k.target}))
+		case !sent.indirect && now-sent.sentAt > ackTimeoutMs:
+			sent.indirect, sent.sentAt = true, now
+			for _, id := range l.indirectProbers(sent.target, indirectProbeCount) {
+				out = append(out, l.envelope(id, Message{Kind: ProbeRequest, Serial: serial, Target: sent.target}))
 			}
-		case k.asked && now-k.at > secondMs:
-			delete(l.looks, serial)
-			if m.state == Here {
-				l.claim(now, k.target, Claim{k.target, m.incarnation, Suspect})
-				m.mine = true
+		case sent.indirect && now-sent.sentAt > indirectTimeoutMs:
+			delete(l.probes, serial)
+			if m.state == Alive {
+				l.applyClaim(now, sent.target, Claim{sent.target, m.incarnation, Suspect})
+				m.suspectedHere = true
 			}
 		}
 	}
-	for _, id := range sorted(l.members) {
+	for _, id := range sortedKeys(l.members) {
 		m := l.members[id]
 		switch {
 		case m.state != Suspect:
-		case now-m.since > objectMs:
-			l.claim(now, id, Claim{id, m.incarnation, Out})
-		case now-m.askedAt > answerMs: // it is told, so that it can object
-			m.askedAt = now
+		case now-m.stateSince > suspectTimeoutMs:
+			l.applyClaim(now, id, Claim{id, m.incarnation, Out})
+		case now-m.notifiedAt > ackTimeoutMs: // probe the suspect, which carries the claim, so that it can refute it
+			m.notifiedAt = now
 			l.serial++
-			out = append(out, l.letter(id, Message{Kind: Look, Serial: l.serial}))
-			if m.mine { // who suspects first goes on to ask others, whom it may reach
+			out = append(out, l.envelope(id, Message{Kind: Probe, Serial: l.serial}))
+			if m.suspectedHere { // the limiter that first suspected it also asks others, which may reach it
 				l.serial++
-				l.looks[l.serial] = &look{target: id, at: now, asked: true}
-				for _, to := range l.parties(id, third) {
-					out = append(out, l.letter(to, Message{Kind: Ask, Serial: l.serial, Target: id}))
+				l.probes[l.serial] = &probe{target: id, sentAt: now, indirect: true}
+				for _, to := range l.indirectProbers(id, indirectProbeCount) {
+					out = append(out, l.envelope(to, Message{Kind: ProbeRequest, Serial: l.serial, Target: id}))
 				}
 			}
 		}
 	}
-	if now >= l.lookAt {
-		l.lookAt = now + lookMs*(0.8+0.4*l.rng.Float64())
-		if id := l.next(); id != "" {
+	if now >= l.nextProbeAt {
+		l.nextProbeAt = now + probeIntervalMs*(0.8+0.4*l.rng.Float64())
+		if id := l.nextTarget(); id != "" {
 			l.serial++
-			l.looks[l.serial] = &look{target: id, at: now}
-			out = append(out, l.letter(id, Message{Kind: Look, Serial: l.serial}))
+			l.probes[l.serial] = &probe{target: id, sentAt: now}
+			out = append(out, l.envelope(id, Message{Kind: Probe, Serial: l.serial}))
 		}
 	}
 	return out
 }
 
-// next is whom to look at now: each in turn, those that are out more seldom.
-func (l *Line) next() string {
-	l.count++
+// nextTarget returns the limiter to probe next: each in turn, unreachable ones less often.
+func (l *Line) nextTarget() string {
+	l.probeCount++
 	for range 2 {
-		for len(l.order) > 0 {
-			id := l.order[0]
-			l.order = l.order[1:]
-			if m := l.members[id]; m != nil && (m.state != Out || l.count%outLooks == 0) {
+		for len(l.probeOrder) > 0 {
+			id := l.probeOrder[0]
+			l.probeOrder = l.probeOrder[1:]
+			if m := l.members[id]; m != nil && (m.state != Out || l.probeCount%unreachableProbeEvery == 0) {
 				return id
 			}
 		}
 		for id := range l.members {
-			l.order = append(l.order, id)
+			l.probeOrder = append(l.probeOrder, id)
 		}
-		slices.Sort(l.order)
-		l.rng.Shuffle(len(l.order), func(i, k int) { l.order[i], l.order[k] = l.order[k], l.order[i] })
+		slices.Sort(l.probeOrder)
+		l.rng.Shuffle(len(l.probeOrder), func(i, k int) { l.probeOrder[i], l.probeOrder[k] = l.probeOrder[k], l.probeOrder[i] })
 	}
 	return ""
 }
 
-// parties draws some that are here to look at a target too: most of them in zones that are neither
-// this limiter's nor the target's, one in its own. What is cut between two zones is cut for all
-// that stand there, and a third one may reach both; or it is the third one that this zone does not
-// reach.
-func (l *Line) parties(target string, n int) (all []string) {
-	var here []string
+// indirectProbers draws up to n alive limiters to probe a target as well. It prefers zones other than this
+// limiter's and the target's, and varies them, so that one prober may be in this limiter's own zone. If
+// the link between two zones is cut, it is cut for all limiters in them, and a third zone may still reach
+// both; if this zone can't reach the third one, the prober in its own zone helps.
+func (l *Line) indirectProbers(target string, n int) (probers []string) {
+	var alive []string
 	for id, m := range l.members {
-		if id != target && m.state == Here {
-			here = append(here, id)
+		if id != target && m.state == Alive {
+			alive = append(alive, id)
 		}
 	}
-	slices.Sort(here)
-	l.rng.Shuffle(len(here), func(i, k int) { here[i], here[k] = here[k], here[i] })
-	met := map[string]int{l.zone: 1}
-	met[l.members[target].zone] += n
-	for len(all) < n && len(here) > 0 {
+	slices.Sort(alive)
+	l.rng.Shuffle(len(alive), func(i, k int) { alive[i], alive[k] = alive[k], alive[i] })
+	zoneUse := map[string]int{l.zone: 1}
+	zoneUse[l.members[target].zone] += n
+	for len(probers) < n && len(alive) > 0 {
 		best := 0
-		for i, id := range here {
-			if met[l.members[id].zone] < met[l.members[here[best]].zone] {
+		for i, id := range alive {
+			if zoneUse[l.members[id].zone] < zoneUse[l.members[alive[best]].zone] {
 				best = i
 			}
 		}
-		met[l.members[here[best]].zone] += 2
-		all = append(all, here[best])
-		here = slices.Delete(here, best, best+1)
+		zoneUse[l.members[alive[best]].zone] += 2
+		probers = append(probers, alive[best])
+		alive = slices.Delete(alive, best, best+1)
 	}
-	return all
+	return probers
 }
 
-// letter adds what is to be told. Whoever is taken for more than here is told so itself.
-func (l *Line) letter(to string, m Message) Letter {
-	m.From = l.me
-	if t := l.members[to]; t != nil && t.state != Here {
+// envelope addresses a message and adds the claims to spread. A recipient that is suspect or unreachable
+// receives the claim about itself first.
+func (l *Line) envelope(to string, m Message) Letter {
+	m.From = l.self
+	if t := l.members[to]; t != nil && t.state != Alive {
 		m.Claims = append(m.Claims, Claim{to, t.incarnation, t.state})
 	}
-	for _, id := range sorted(l.members) {
-		if t := l.members[id]; t.tell > 0 && id != to && len(m.Claims) < claimsMax {
-			t.tell--
+	for _, id := range sortedKeys(l.members) {
+		if t := l.members[id]; t.sendsLeft > 0 && id != to && len(m.Claims) < maxClaims {
+			t.sendsLeft--
 			m.Claims = append(m.Claims, Claim{id, t.incarnation, t.state})
 		}
 	}
 	if l.incarnation > 0 {
-		m.Claims = append(m.Claims, Claim{l.me, l.incarnation, Here})
+		m.Claims = append(m.Claims, Claim{l.self, l.incarnation, Alive})
 	}
 	return Letter{to, m}
 }
 
-// Hear takes in a message and returns what to send.
+// Receive processes a message and returns the messages to send.
 func (l *Line) Hear(now float64, m Message) (out []Letter) {
 	for _, c := range m.Claims {
-		l.claim(now, m.From, c)
+		l.applyClaim(now, m.From, c)
 	}
 	if from := l.members[m.From]; from != nil && from.state == Suspect {
-		// It is there after all. One that is out comes back by its own word alone.
-		l.claim(now, m.From, Claim{m.From, from.incarnation + 1, Here})
+		// The sender is alive after all. An unreachable limiter comes back only by its own refutation.
+		l.applyClaim(now, m.From, Claim{m.From, from.incarnation + 1, Alive})
 	}
 	switch m.Kind {
-	case Look:
-		out = append(out, l.letter(m.From, Message{Kind: Answer, Serial: m.Serial}))
-	case Ask:
+	case Probe:
+		out = append(out, l.envelope(m.From, Message{Kind: Ack, Serial: m.Serial}))
+	case ProbeRequest:
 		if l.members[m.Target] != nil {
 			l.serial++
-			l.looks[l.serial] = &look{target: m.Target, at: now, client: m.From, serial: m.Serial}
-			out = append(out, l.letter(m.Target, Message{Kind: Look, Serial: l.serial}))
+			l.probes[l.serial] = &probe{target: m.Target, sentAt: now, requester: m.From, serial: m.Serial}
+			out = append(out, l.envelope(m.Target, Message{Kind: Probe, Serial: l.serial}))
 		}
-	case Answer:
-		k := l.looks[m.Serial]
-		if k == nil {
+	case Ack:
+		sent := l.probes[m.Serial]
+		if sent == nil {
 			break
 		}
-		delete(l.looks, m.Serial)
-		if t := l.members[k.target]; t != nil && t.state == Suspect && m.From != k.target { // a third party heard it
-			l.claim(now, m.From, Claim{k.target, t.incarnation + 1, Here})
+		delete(l.probes, m.Serial)
+		// Another limiter may have reached a suspect.
+		if suspect := l.members[sent.target]; suspect != nil && suspect.state == Suspect && m.From != sent.target {
+			l.applyClaim(now, m.From, Claim{sent.target, suspect.incarnation + 1, Alive})
 		}
-		if k.client != "" {
-			out = append(out, l.letter(k.client, Message{Kind: Answer, Serial: k.serial}))
+		if sent.requester != "" {
+			out = append(out, l.envelope(sent.requester, Message{Kind: Ack, Serial: sent.serial}))
 		}
 	}
 	return out
 }
 
-// claim takes in how somebody stands.
-func (l *Line) claim(now float64, from string, c Claim) {
-	if c.ID == l.me {
-		if c.State != Here && c.Incarnation >= l.incarnation { // not so
+// applyClaim updates the state of a limiter by a claim.
+func (l *Line) applyClaim(now float64, from string, c Claim) {
+	if c.ID == l.self {
+		if c.State != Alive && c.Incarnation >= l.incarnation { // refute the claim
 			l.incarnation = c.Incarnation + 1
 		}
 		return
@@ -306,10 +311,10 @@
 		return
 	}
 	l.changed = l.changed || (c.State == Out) != (m.state == Out)
-	m.incarnation, m.state, m.since, m.tell, m.mine = c.Incarnation, c.State, now, tellTimes, false
+	m.incarnation, m.state, m.stateSince, m.sendsLeft, m.suspectedHere = c.Incarnation, c.State, now, sendsPerClaim, false
 }
 
-func sorted[K ~string | ~uint64, V any](m map[K]V) []K {
+func sortedKeys[K ~string | ~uint64, V any](m map[K]V) []K {
 	all := make([]K, 0, len(m))
 	for k := range m {
 		all = append(all, k)
