--- a/traffic/directory/directory.go
+++ b/traffic/directory/directory.go
@@ -1,5 +1,5 @@
-// Package directory says which limiters clients of a zone are sent to. It does no input or output; chance
-// is handed in.
+// Package directory selects the limiters that clients of a zone are told to connect to. It does no I/O;
+// the source of randomness is passed in.
 package directory
 
 import (
@@ -7,22 +7,24 @@
 	"slices"
 )
 
-// Limiter is one that is ready.
+// Limiter is a limiter that is ready to serve.
 type Limiter struct {
 	Address, Zone, Region string
 }
 
-// least are the limiters in an answer, if so many are ready: where a region has fewer, others
-// are named too, but never those of regions that may not serve what the clients ask for: requests are
-// not led out of their homes, not even where nobody is left there.
-const least = 2
+// minAddresses is the number of limiters that an answer names at least, if that many are ready. A region
+// with fewer is supplemented by other regions, but never by regions that may not serve the clients'
+// requests: requests stay in their permitted regions even if no limiter is left there.
+const minAddresses = 2
 
-// Answer lists the addresses for clients of a zone, near ones first, and most of them at most.
-// The whole region is named: where a zone goes dark its clients still have somebody to go to, and
-// clients that move to another zone find the same limiters. Of more than fit a part is drawn by
-// shuffle, as in math/rand, so that over many answers all get as many clients. serves tells whether a
-// region may serve what the clients ask for.
-func Answer(all []Limiter, zone, region string, serves func(region string) bool, most int, shuffle func(int, func(int, int))) (out []string) {
+// Answer returns the addresses of at most limit limiters for clients of a zone, nearest first. It names
+// the whole region, so that clients have an alternative if their zone fails, and find the same limiters if
+// they move to another zone. If there are more limiters than limit, shuffle (as in math/rand) draws a
+// random subset, so that over many answers all limiters get an equal number of clients. serves reports
+// whether a region may serve the clients' requests.
+func Answer(limiters []Limiter, zone, region string, serves func(region string) bool, limit int,
+	shuffle func(int, func(int, int))) (addresses []string) {
+	// far ranks a limiter by distance: same zone, same region, other permitted region, not permitted.
 	far := func(l Limiter) int {
 		switch {
 		case l.Zone == zone:
@@ -34,24 +36,24 @@
 		}
 		return 3
 	}
-	all = slices.Clone(all)
-	shuffle(len(all), func(i, k int) { all[i], all[k] = all[k], all[i] })
-	near, fit := 0, 0
-	for _, l := range all {
+	limiters = slices.Clone(limiters)
+	shuffle(len(limiters), func(i, k int) { limiters[i], limiters[k] = limiters[k], limiters[i] })
+	inRegion, eligible := 0, 0
+	for _, l := range limiters {
 		if far(l) < 2 {
-			near++
+			inRegion++
 		}
 		if far(l) < 3 {
-			fit++
+			eligible++
 		}
 	}
-	// Those of the region first, in the order of chance: which of them are left out must not go
-	// by their zone.
-	slices.SortStableFunc(all, func(a, b Limiter) int { return cmp.Compare(max(1, far(a)), max(1, far(b))) })
-	all = all[:min(most, max(near, min(least, fit)))]
-	slices.SortFunc(all, func(a, b Limiter) int { return cmp.Or(cmp.Compare(far(a), far(b)), cmp.Compare(a.Address, b.Address)) })
-	for _, l := range all {
-		out = append(out, l.Address)
+	// Sort the region's limiters first, in random order: the zone must not affect which of them are cut off by
+	// the limit.
+	slices.SortStableFunc(limiters, func(a, b Limiter) int { return cmp.Compare(max(1, far(a)), max(1, far(b))) })
+	limiters = limiters[:min(limit, max(inRegion, min(minAddresses, eligible)))]
+	slices.SortFunc(limiters, func(a, b Limiter) int { return cmp.Or(cmp.Compare(far(a), far(b)), cmp.Compare(a.Address, b.Address)) })
+	for _, l := range limiters {
+		addresses = append(addresses, l.Address)
 	}
-	return out
+	return addresses
 }
--- a/traffic/directory/directory_test.go
+++ b/traffic/directory/directory_test.go
@@ -10,25 +10,25 @@
 
 func anywhere(string) bool { return true }
 
-// A region with one limiter left is helped out by regions that may serve what its clients ask for, and by
-// no other; so is one that has none left, and where no region may serve them nobody is named.
-func TestAnswerKeepsHomes(t *testing.T) {
+// An answer for a region with one limiter or none is supplemented by regions that may serve its clients,
+// and by no others; if no such region has a limiter, the answer is empty.
+func TestAnswerKeepsPermittedRegions(t *testing.T) {
 	all := []Limiter{{"n1", "n", "north"}, {"s1", "s", "south"}, {"s2", "s", "south"}, {"i1", "i", "isles"}}
-	homes := func(region string) bool { return region == "north" || region == "isles" }
+	permitted := func(region string) bool { return region == "north" || region == "isles" }
 	for range 20 {
-		if d := cmp.Diff([]string{"n1", "i1"}, Answer(all, "n", "north", homes, 64, rand.Shuffle)); d != "" {
+		if d := cmp.Diff([]string{"n1", "i1"}, Answer(all, "n", "north", permitted, 64, rand.Shuffle)); d != "" {
 			t.Fatal(d)
 		}
-		if d := cmp.Diff([]string{"n1"}, Answer(all[:3], "n", "north", homes, 64, rand.Shuffle)); d != "" {
+		if d := cmp.Diff([]string{"n1"}, Answer(all[:3], "n", "north", permitted, 64, rand.Shuffle)); d != "" {
 			t.Fatal(d)
 		}
-		if d := cmp.Diff([]string{"s1", "s2"}, Answer(all, "s", "south", homes, 64, rand.Shuffle)); d != "" {
+		if d := cmp.Diff([]string{"s1", "s2"}, Answer(all, "s", "south", permitted, 64, rand.Shuffle)); d != "" {
 			t.Fatal(d)
 		}
-		if got := Answer(all[1:], "n", "north", homes, 64, rand.Shuffle); len(got) != 1 || got[0] != "i1" {
+		if got := Answer(all[1:], "n", "north", permitted, 64, rand.Shuffle); len(got) != 1 || got[0] != "i1" {
 			t.Fatal(got)
 		}
-		if got := Answer(all[1:3], "n", "north", homes, 64, rand.Shuffle); len(got) != 0 {
+		if got := Answer(all[1:3], "n", "north", permitted, 64, rand.Shuffle); len(got) != 0 {
 			t.Fatal(got)
 		}
 	}
@@ -40,7 +40,7 @@
 		zone, region string
 		want         []string
 	}{
-		{"b", "r", []string{"b1", "b2", "a1"}}, // the whole region, its own zone first
+		{"b", "r", []string{"b1", "b2", "a1"}}, // the whole region, the client's zone first
 		{"a", "r", []string{"a1", "b1", "b2"}},
 		{"c", "q", []string{"c1", "c2"}},
 	} {
@@ -48,7 +48,7 @@
 			t.Errorf("%s: %s", x.zone, d)
 		}
 	}
-	// Of a region with one limiter, and with none, others are named too.
+	// Regions with one limiter or none are supplemented by others.
 	if got := Answer(all[:3], "c", "q", anywhere, 64, rand.Shuffle); len(got) != 2 || got[0] != "c1" {
 		t.Error(got)
 	}
@@ -60,8 +60,8 @@
 	}
 }
 
-// Of more than an answer holds all are named as often as each other.
-func TestEvenBoards(t *testing.T) {
+// If there are more limiters than an answer holds, all are named equally often.
+func TestAnswersNameAllEqually(t *testing.T) {
 	var all []Limiter
 	for i := range 283 {
 		all = append(all, Limiter{fmt.Sprint("l", i), fmt.Sprint("z", i%3), "r"})
@@ -79,7 +79,7 @@
 	}
 	for _, l := range all {
 		if n := named[l.Address]; n < 500 || n > 860 { // 678 on average
-			t.Errorf("%s is named %d times in 3000 answers", l.Address, n)
+			t.Errorf("%s is named in %d of 3000 answers", l.Address, n)
 		}
 	}
 }
--- a/traffic/pacing/pacing.go
+++ b/traffic/pacing/pacing.go
@@ -1,66 +1,66 @@
-// Package pacing keeps a distance between the pieces of long bodies on a narrow link, so that what is short never waits behind a whole body: requests,
-// answers of a few kilobytes, datagrams of other limiters. A body is passed in pieces; each
-// piece waits until the link can have carried what was booked before it. What is short is
-// booked and does not wait.
+// Package pacing limits the rate at which long bodies are sent over a narrow link, so that short traffic
+// (requests, answers of a few kilobytes, datagrams of other limiters) never waits behind a whole body. A
+// long body is sent in chunks; each chunk waits until the link can have carried what was reserved before
+// it. Short traffic is recorded and does not wait.
 //
-// A [Line] is one direction of one link. It does no input or output and reads no clock: times
-// are handed in, in milliseconds on a clock that does not go backwards. It is not safe for
-// concurrent use.
+// A [Pacer] covers one direction of one link. It does no I/O and reads no clock: times are passed in,
+// monotonic and in milliseconds. It is not safe for concurrent use.
 package pacing
 
 const (
-	// A link that carries so much needs no distance: a body of a megabyte takes 80 ms there.
-	wideMbps = 100.0
-	pieceMs  = 6.0 // that a piece takes on the link
-	least    = 1 << 10
-	most     = 64 << 10
-	// So far ahead the link may be booked before a piece waits: timers go off late, and a link
-	// that stands idle meanwhile is lost.
-	aheadMs = 8.0
-	// A piece waits no longer than this, whatever is booked: short traffic that fills the link
-	// by itself must not stop a body for good.
-	waitMs = 250.0
+	// Links this fast are not paced: a body of one megabyte takes 80 ms on them.
+	unpacedMbps   = 100.0
+	chunkMs       = 6.0 // transmission time of one chunk on the link
+	minChunkBytes = 1 << 10
+	maxChunkBytes = 64 << 10
+	// How far ahead of time the link may be reserved before a chunk waits: timers fire late, and the link
+	// would be idle meanwhile.
+	maxLeadMs = 8.0
+	// A chunk waits no longer than this, whatever is reserved: short traffic that fills the link must not
+	// block a body forever.
+	maxWaitMs = 250.0
 )
 
-// Line is one direction of a link.
+// Pacer paces one direction of a link.
 type Line struct {
-	perMs float64 // bytes that the link carries
-	free  float64 // when it has carried all that was booked
+	bytesPerMs float64 // capacity of the link
+	freeAt     float64 // when the link has carried everything reserved
 }
 
-// New returns a line of a link that carries so many megabits a second; nil for one that is so
-// wide, or not known, that nothing has to wait. A nil Line books nothing.
+// New returns a pacer for a link with a capacity of mbps megabits per second, or nil if the link needs no
+// pacing or its capacity is unknown. A nil Pacer never waits.
 func New(mbps float64) *Line {
-	if mbps <= 0 || mbps >= wideMbps {
+	if mbps <= 0 || mbps >= unpacedMbps {
 		return nil
 	}
-	return &Line{perMs: mbps * 1e6 / 8 / 1000}
+	return &Line{bytesPerMs: mbps * 1e6 / 8 / 1000}
 }
 
-// Piece is how many bytes of a body are to be passed at once.
+// ChunkSize returns how many bytes of a body to send at once.
 func (l *Line) Piece() int {
 	if l == nil {
-		return most
+		return maxChunkBytes
 	}
-	return min(most, max(least, int(l.perMs*pieceMs)))
+	return min(maxChunkBytes, max(minChunkBytes, int(l.bytesPerMs*chunkMs)))
 }
 
-// Long tells that a body of so many bytes is to be passed in pieces.
+// NeedsChunks reports whether a body of n bytes is to be sent in chunks.
 func (l *Line) Long(n int64) bool { return l != nil && n > 2*int64(l.Piece()) }
 
-// Short books bytes that do not wait.
+// RecordUnpaced reserves the link for n bytes that are sent without waiting.
 func (l *Line) Short(now float64, n int) {
 	if l != nil {
-		l.free = max(l.free, now) + float64(n)/l.perMs
+		l.freeAt = max(l.freeAt, now) + float64(n)/l.bytesPerMs
 	}
 }
 
-// Next books a piece of a long body and returns for how long it has to wait, in milliseconds.
+// ReserveChunk reserves the link for n bytes of a long body and returns how long to wait before sending
+// them, in milliseconds.
 func (l *Line) Next(now float64, n int) (wait float64) {
 	if l == nil {
 		return 0
 	}
-	at := max(now, l.free)
-	l.free = at + float64(n)/l.perMs
-	return min(waitMs, max(0, at-now-aheadMs))
+	start := max(now, l.freeAt)
+	l.freeAt = start + float64(n)/l.bytesPerMs
+	return min(maxWaitMs, max(0, start-now-maxLeadMs))
 }
--- a/traffic/shutdown/shutdown.go
+++ b/traffic/shutdown/shutdown.go
@@ -1,41 +1,43 @@
-// Package shutdown decides how a proxy ends after SIGTERM: for how long it takes requests, and when its
-// process may end. It does no I/O and reads no clock: times are handed in.
+// Package shutdown decides how a proxy shuts down after SIGTERM: how long it accepts requests and when its
+// process may exit. It does no I/O and reads no clock: times are passed in.
 //
-// A proxy that is to end is first taken out of the directory. Clients learn of that when their answers
-// run out, and some keep using the connections that they have open until these are closed, so that the end
-// of intake is the proxy's to decide. It comes in the first half of the grace period: what has been taken by
-// then has the other half to be answered in.
+// A proxy that shuts down is first removed from the directory. Clients learn of that when their cached
+// answers expire, and some keep using connections that are already open, so the proxy must end the intake
+// itself. It does so within the first half of the grace period, which leaves the other half to answer the
+// requests accepted until then.
 //
-// The platform counts the grace period from when it sends SIGTERM, and a process that stands still hears of that
-// late. See StallDetector.
+// The platform counts the grace period from when it sends SIGTERM, and a suspended process receives the
+// signal late; see StallDetector.
 package shutdown
 
 import "time"
 
 const (
-	// DirectoryMargin is what the proxy's leaving takes to reach the directory at all proxies, beyond the
-	// time to live of the directory's answers.
+	// DirectoryMargin is how long the proxy's removal takes to reach the directories of all proxies, in
+	// addition to the time to live of the directory's answers.
 	DirectoryMargin = 500 * time.Millisecond
-	// ExitMargin is how long before the end of the grace period, when SIGKILL comes, the process ends by itself.
+	// ExitMargin is how long before the end of the grace period, when SIGKILL arrives, the process exits by
+	// itself.
 	ExitMargin = 300 * time.Millisecond
-	// answerPart is the part of the grace period, at its end, in which whatever is still in hand is answered: nobody
-	// else can tell its client what became of it. It is longer than writing answers takes, as a busy machine may have
-	// the process hear SIGTERM late.
-	answerPart = 7
-	// FlushWithin is how long answers that are given after the exit time may take to be written.
-	FlushWithin = 100 * time.Millisecond
-	// DefaultGrace is the grace period where the settings name none.
+	// answerFraction is the divisor that gives the final part of the grace period: when it begins, all
+	// remaining requests are answered, because no one else can tell the clients what became of them. This part
+	// is longer than writing the answers takes, because on a busy machine the process may receive SIGTERM
+	// late.
+	answerFraction = 7
+	// FlushTimeout limits how long writing answers may take that were given after the exit time.
+	FlushTimeout = 100 * time.Millisecond
+	// DefaultGrace is the grace period if the configuration sets none.
 	DefaultGrace = 6 * time.Second
 )
 
-// Plan holds the times of one shutdown. All are counted from SIGTERM.
+// Plan holds the deadlines of a shutdown, as durations since SIGTERM.
 type Plan struct {
 	grace time.Duration
 	ttl   time.Duration
 }
 
-// NewPlan returns the plan for a grace period, 0 being the default one, and for directory answers that
-// live for ttl.
+// NewPlan returns the plan for a grace period (0 for the default) and for directory answers with the given
+// time to live.
 func NewPlan(grace, ttl time.Duration) Plan {
 	if grace <= 0 {
 		grace = DefaultGrace
@@ -43,54 +45,56 @@
 	return Plan{grace: grace, ttl: ttl}
 }
 
-// IntakeEnd is when the proxy stops taking connections and requests: once clients have had the time to
-// hear of its leaving, and in the first half of the grace period.
+// IntakeEnd returns when the proxy stops accepting connections and requests: when clients have had time to
+// learn of its removal, but within the first half of the grace period.
 func (p Plan) IntakeEnd() time.Duration {
 	return min(p.ttl+DirectoryMargin, p.grace/2)
 }
 
-// ExitBy is when the process ends whatever it has in hand.
+// ExitBy returns when the process exits even if requests are in flight.
 func (p Plan) ExitBy() time.Duration { return p.grace - min(ExitMargin, p.grace/8) }
 
-// AnswerBy is when whatever is in hand is answered as it stands. It lies in the last sixth of the grace period:
-// until then a server that is at work may still answer.
-func (p Plan) AnswerBy() time.Duration { return p.grace - p.grace/answerPart }
+// AnswerBy returns when all requests in flight are answered, whatever state they are in. It is in the last
+// sixth of the grace period: until then a server that is working may still answer.
+func (p Plan) AnswerBy() time.Duration { return p.grace - p.grace/answerFraction }
 
-// Progress is how far a shutdown has come.
+// Progress is the current state of a shutdown.
 type Progress struct {
-	Since         time.Duration // SIGTERM
-	Requests      int           // in hand
-	Connections   int           // of clients, that are open
-	PlaceReturned bool          // the control plane knows that the proxy holds nothing any more
-	Answered      bool          // what was in hand at the end has been given its answer
-	AnsweredFor   time.Duration // how long ago
+	Since         time.Duration // since SIGTERM
+	Requests      int           // in flight
+	Connections   int           // open client connections
+	PlaceReturned bool          // the control plane knows that the proxy no longer holds a place
+	Answered      bool          // the requests that were in flight at AnswerBy have been answered
+	AnsweredFor   time.Duration // time since then
 }
 
-// TakesRequests tells that connections and requests are still taken.
-func (p Plan) TakesRequests(at Progress) bool { return at.Since < p.IntakeEnd() }
+// AcceptsRequests reports whether connections and requests are still accepted.
+func (p Plan) TakesRequests(state Progress) bool { return state.Since < p.IntakeEnd() }
 
-// Drained tells that nothing is in hand and nothing can come: what the proxy holds may be returned.
-func (p Plan) Drained(at Progress) bool { return !p.TakesRequests(at) && at.Requests == 0 }
+// Drained reports whether no request is in flight and none can arrive, so that the proxy may return its
+// place.
+func (p Plan) Drained(state Progress) bool { return !p.TakesRequests(state) && state.Requests == 0 }
 
-// MustAnswer tells that what is in hand gets its answer now, whatever it waits for.
-func (p Plan) MustAnswer(at Progress) bool { return at.Since >= p.AnswerBy() }
+// MustAnswer reports whether requests in flight must be answered now, whatever they are waiting for.
+func (p Plan) MustAnswer(state Progress) bool { return state.Since >= p.AnswerBy() }
 
-// MayExit tells that the process may end: nothing is left to do, or time is up. It does not stay longer than
-// it is of use, as its successor can't start before. One that has stood still until after its exit time still writes
-// the answers of what it has in hand.
-func (p Plan) MayExit(at Progress) bool {
-	if at.Since >= p.ExitBy() {
-		return at.Connections == 0 || !at.Answered && at.Requests == 0 || at.Answered && at.AnsweredFor >= FlushWithin
+// MayExit reports whether the process may exit: nothing is left to do, or the time is up. It exits as soon
+// as it can, because its successor can't start before. A process that was suspended until after its exit
+// time still writes the answers of its requests in flight.
+func (p Plan) MayExit(state Progress) bool {
+	if state.Since >= p.ExitBy() {
+		return state.Connections == 0 || !state.Answered && state.Requests == 0 ||
+			state.Answered && state.AnsweredFor >= FlushTimeout
 	}
-	idle := at.Requests == 0 && at.Connections == 0 && at.PlaceReturned
-	return idle && !p.TakesRequests(at)
+	idle := state.Requests == 0 && state.Connections == 0 && state.PlaceReturned
+	return idle && !p.TakesRequests(state)
 }
 
-// LookAgain is when to look at the progress anew, after step at most: at the end of the intake just then, so that
-// the listener takes no connection that is not served.
-func (p Plan) LookAgain(at Progress, step time.Duration) time.Duration {
-	if !p.TakesRequests(at) {
+// NextCheck returns how long to wait before checking the progress again: step, or less so as to check
+// exactly at the end of intake, when the listener must not accept connections that are not served.
+func (p Plan) LookAgain(state Progress, step time.Duration) time.Duration {
+	if !p.TakesRequests(state) {
 		return step
 	}
-	return min(step, p.IntakeEnd()-at.Since)
+	return min(step, p.IntakeEnd()-state.Since)
 }
--- a/traffic/shutdown/shutdown_test.go
+++ b/traffic/shutdown/shutdown_test.go
@@ -21,10 +21,10 @@
 	} {
 		p := NewPlan(x.grace, x.ttl)
 		if by := p.AnswerBy(); p.MustAnswer(Progress{Since: by - 1, Requests: 1}) || !p.MustAnswer(Progress{Since: by, Requests: 1}) {
-			t.Errorf("grace %v: what is in hand is not answered just from %v on", x.grace, by)
+			t.Errorf("grace %v: requests in flight must be answered from %v on, and not before", x.grace, by)
 		}
 		if p.IntakeEnd() != x.intake || p.ExitBy() != x.exit {
-			t.Errorf("grace %v, ttl %v: intake ends at %v, exit by %v; %v and %v wanted", x.grace, x.ttl, p.IntakeEnd(), p.ExitBy(), x.intake, x.exit)
+			t.Errorf("grace %v, ttl %v: intake ends at %v, exit by %v; want %v and %v", x.grace, x.ttl, p.IntakeEnd(), p.ExitBy(), x.intake, x.exit)
 		}
 	}
 }
@@ -35,16 +35,16 @@
 		at   Progress
 		want bool
 	}{
-		"idle, clients may come":    {Progress{Since: 2499 * time.Millisecond, PlaceReturned: true}, false},
-		"idle":                      {Progress{Since: 2500 * time.Millisecond, PlaceReturned: true}, true},
-		"a request in hand":         {Progress{Since: 5 * time.Second, Requests: 1, PlaceReturned: true}, false},
-		"a connection open":         {Progress{Since: 5 * time.Second, Connections: 1, PlaceReturned: true}, false},
-		"the place not returned":    {Progress{Since: 5 * time.Second}, false},
-		"everything, at the end":    {Progress{Since: 5700 * time.Millisecond, Requests: 1, Connections: 1, Answered: true, AnsweredFor: FlushWithin}, true},
-		"idle, at the end":          {Progress{Since: 5700 * time.Millisecond, Connections: 1}, true},
-		"it stood still until now":  {Progress{Since: 5750 * time.Millisecond, Requests: 1, Connections: 1}, false},
-		"answers are being written": {Progress{Since: 5750 * time.Millisecond, Requests: 1, Connections: 1, Answered: true}, false},
-		"everything, just before":   {Progress{Since: 5699 * time.Millisecond, Requests: 1, Connections: 1}, false},
+		"idle before the end of intake":          {Progress{Since: 2499 * time.Millisecond, PlaceReturned: true}, false},
+		"idle":                                   {Progress{Since: 2500 * time.Millisecond, PlaceReturned: true}, true},
+		"a request in flight":                    {Progress{Since: 5 * time.Second, Requests: 1, PlaceReturned: true}, false},
+		"a connection open":                      {Progress{Since: 5 * time.Second, Connections: 1, PlaceReturned: true}, false},
+		"the place not returned":                 {Progress{Since: 5 * time.Second}, false},
+		"requests answered, after the exit time": {Progress{Since: 5700 * time.Millisecond, Requests: 1, Connections: 1, Answered: true, AnsweredFor: FlushTimeout}, true},
+		"idle connection, after the exit time":   {Progress{Since: 5700 * time.Millisecond, Connections: 1}, true},
+		"suspended until after the exit time":    {Progress{Since: 5750 * time.Millisecond, Requests: 1, Connections: 1}, false},
+		"answers are being written":              {Progress{Since: 5750 * time.Millisecond, Requests: 1, Connections: 1, Answered: true}, false},
+		"a request just before the exit time":    {Progress{Since: 5699 * time.Millisecond, Requests: 1, Connections: 1}, false},
 	} {
 		if got := p.MayExit(x.at); got != x.want {
 			t.Errorf("%s: %v", name, got)
@@ -52,18 +52,19 @@
 	}
 }
 
-func TestLookAgain(t *testing.T) {
+func TestNextCheck(t *testing.T) {
 	p := NewPlan(6*time.Second, ttl)
 	const step = 20 * time.Millisecond
 	for since, want := range map[time.Duration]time.Duration{0: step, 2490 * time.Millisecond: 10 * time.Millisecond, 2500 * time.Millisecond: step, 5 * time.Second: step} {
 		if got := p.LookAgain(Progress{Since: since}, step); got != want {
-			t.Errorf("%v after SIGTERM: in %v, %v wanted", since, got, want)
+			t.Errorf("%v after SIGTERM: next check in %v, want %v", since, got, want)
 		}
 	}
 }
 
-// For whatever grace period and time to live: intake ends in the first half, what is in hand is answered and the
-// process ends before SIGKILL and in the last sixth, and nothing is returned while requests may still come.
+// For any grace period and time to live: the intake ends in the first half; requests in flight are
+// answered, and the process exits, before SIGKILL and in the last sixth; and the place is not returned
+// while requests may still arrive.
 func TestOrder(t *testing.T) {
 	holds := func(graceMs, ttlMs, sinceMs uint16, requests uint8, returned bool) bool {
 		grace := time.Duration(graceMs)*time.Millisecond + time.Millisecond
--- a/traffic/shutdown/stall.go
+++ b/traffic/shutdown/stall.go
@@ -3,59 +3,59 @@
 import "time"
 
 const (
-	// StallAfter is a pause between two ticks by which a process has stood still: it was stopped, or had no
-	// processor. Ticks come every tenth of it, or more often.
-	StallAfter = 500 * time.Millisecond
-	// SettleWithin is for how long after a stall no request that was read is begun: signals that came meanwhile are
-	// still on their way through the process.
+	// StallThreshold is the gap between two ticks above which the process counts as stalled: it was suspended,
+	// or got no CPU time. Ticks come at intervals of at most a tenth of it.
+	StallThreshold = 500 * time.Millisecond
+	// SettleTime is how long after a stall no request that was read is started: signals that arrived during
+	// the stall may not have been handled yet.
 	SettleWithin = 250 * time.Millisecond
-	// SignalWithin is how long that may take on a machine without a free processor. A signal that is heard so soon
-	// after a stall may have been sent in it.
-	SignalWithin = time.Second
+	// SignalDelay is how long handling a signal may take on a machine without a free CPU. A signal handled
+	// within this time after a stall may have been sent during the stall.
+	SignalDelay = time.Second
 )
 
-// StallDetector finds out that its process stood still, by ticks that did not come. Times are monotonic, from any
-// beginning. The zero value has had its first tick at 0.
+// StallDetector detects, by missing ticks, that its process was stalled. Times are monotonic, from any
+// origin. The zero value has had its first tick at 0.
 type StallDetector struct {
-	ticked  time.Duration // the latest tick
-	before  time.Duration // the latest one before the latest stall
-	resumed time.Duration // the first one behind it; 0: there was no stall
-	stalls  int
-	longest time.Duration
+	lastTick    time.Duration
+	beforeStall time.Duration // last tick before the latest stall
+	resumedAt   time.Duration // first tick after the latest stall; 0: there was none
+	stallCount  int
+	longest     time.Duration
 }
 
-// Tick tells that the process runs.
+// Tick records that the process is running. It must be called regularly.
 func (d *StallDetector) Tick(now time.Duration) {
-	if gap := now - d.ticked; gap > StallAfter {
-		d.before, d.resumed = d.ticked, now
-		d.stalls++
+	if gap := now - d.lastTick; gap > StallThreshold {
+		d.beforeStall, d.resumedAt = d.lastTick, now
+		d.stallCount++
 		d.longest = max(d.longest, gap)
 	}
-	d.ticked = now
+	d.lastTick = now
 }
 
-// Settling tells that the process has just gone on, or stood still until this moment: what was sent to it
-// meanwhile may not have been heard.
+// Settling reports whether the process is stalled or resumed less than SettleTime ago, so that a signal
+// sent meanwhile may not have been handled yet.
 func (d *StallDetector) Settling(now time.Duration) bool {
-	return d.since(now, SettleWithin)
+	return d.stalledWithin(now, SettleWithin)
 }
 
-// since tells that the process stood still until now, or went on so shortly ago.
-func (d *StallDetector) since(now, within time.Duration) bool {
-	return now-d.ticked > StallAfter || d.resumed > 0 && now-d.resumed < within
+// stalledWithin reports whether the process is stalled or resumed less than within ago.
+func (d *StallDetector) stalledWithin(now, within time.Duration) bool {
+	return now-d.lastTick > StallThreshold || d.resumedAt > 0 && now-d.resumedAt < within
 }
 
-// SentFrom is the earliest moment at which a signal that is heard now may have been sent: now, or when the process
-// had last run if it has just gone on.
+// EarliestSent returns the earliest time at which a signal handled now may have been sent: now, or the
+// last tick before the stall if the process has just resumed.
 func (d *StallDetector) SentFrom(now time.Duration) time.Duration {
 	switch {
-	case !d.since(now, SignalWithin):
+	case !d.stalledWithin(now, SignalDelay):
 		return now
-	case now-d.ticked > StallAfter && (d.resumed == 0 || d.ticked-d.resumed >= SignalWithin):
-		return d.ticked
+	case now-d.lastTick > StallThreshold && (d.resumedAt == 0 || d.lastTick-d.resumedAt >= SignalDelay):
+		return d.lastTick
 	}
-	return d.before
+	return d.beforeStall
 }
 
-// Stalls is how many there were, and how long the longest one was.
-func (d *StallDetector) Stalls() (count int, longest time.Duration) { return d.stalls, d.longest }
+// Stalls returns the number of stalls and the longest one.
+func (d *StallDetector) Stalls() (count int, longest time.Duration) { return d.stallCount, d.longest }
