--- a/internal/proxy/asks.go
+++ b/internal/proxy/asks.go
@@ -39,14 +39,14 @@
 // requestToken asks other limiters in turn for one token of the call's tenant until one of them grants it.
 func (proxy *Proxy) requestToken(c *call) (ok bool, waitMs float64, reason string) {
 	proxy.mu.Lock()
-	candidates, nearCount := c.assignedEngine.quota.Askees(accountID(c.tenant.Name), c.assignedEngine.places,
+	candidates, nearCount := c.assignedEngine.quota.TokenCandidates(accountID(c.tenant.Name), c.assignedEngine.places,
 		func(name string) bool { return proxy.unreachable[name] }, rand.Shuffle)
 	proxy.mu.Unlock()
-	enquiry, replies := quotaloan.Enquire(candidates, nearCount), make(chan tokenReply, len(candidates))
+	enquiry, replies := quotaloan.NewTokenAsk(candidates, nearCount), make(chan tokenReply, len(candidates))
 	for {
 		place, replyWithinMs, found := enquiry.Next(ms(time.Until(c.deadline)))
 		if !found {
-			return false, cmp.Or(enquiry.WaitMs, defaultRetryAfterMs), "keepers_" + cmp.Or(enquiry.Why, "silent")
+			return false, cmp.Or(enquiry.RetryAfterMs, defaultRetryAfterMs), "keepers_" + cmp.Or(enquiry.Reason, "silent")
 		}
 		serial := proxy.sendTokenRequest(c, place, replies)
 		defer proxy.dropTokenRequest(serial)
@@ -102,7 +102,7 @@
 	proxy.mu.Lock()
 	throttle := proxy.tokenThrottles[id]
 	if throttle == nil {
-		throttle = &allowance.Asks{}
+		throttle = &allowance.AskBackoff{}
 		proxy.tokenThrottles[id] = throttle
 	}
 	due := throttle.Due(proxy.now())
@@ -114,7 +114,7 @@
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	if ok {
-		throttle.Paid()
+		throttle.Granted()
 	} else {
 		throttle.Refused(proxy.now())
 	}
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -110,9 +110,9 @@
 	c.id = strconv.Itoa(c.assignedEngine.requestCount) + "/" + id
 	retryBudget := proxy.retryBudgets[c.service]
 	if retryBudget == nil {
-		retryBudget = &allowance.Tries{}
+		retryBudget = &allowance.RetryBudget{}
 		if proxy.settings.Bootstrap {
-			retryBudget = proxy.rules.First(proxy.limiterCount)
+			retryBudget = proxy.rules.InitialRetryBudget(proxy.limiterCount)
 		}
 		proxy.retryBudgets[c.service] = retryBudget
 	}
@@ -120,7 +120,7 @@
 	gathered, isKeeper := false, false
 	if tenant != nil {
 		c.needsShare = c.assignedEngine.quota.Ceilings[accountID(tenant.Name)].Rate > 0
-		gathered, isKeeper = c.assignedEngine.quota.Keeps(accountID(tenant.Name))
+		gathered, isKeeper = c.assignedEngine.quota.KeeperStatus(accountID(tenant.Name))
 	}
 	if gathered && !isKeeper {
 		proxy.mu.Unlock()
--- a/internal/proxy/departure.go
+++ b/internal/proxy/departure.go
@@ -69,7 +69,7 @@
 		"heard_late_ms": receivedAt.Sub(base).Milliseconds()}).Info("leaves")
 	intakeStopped := false
 	for progress := proxy.shutdownProgress(base); !plan.MayExit(progress); progress = proxy.shutdownProgress(base) {
-		if !plan.TakesRequests(progress) && !intakeStopped {
+		if !plan.AcceptsRequests(progress) && !intakeStopped {
 			intakeStopped = true
 			frontend.Close()
 			proxy.stopIntake()
@@ -80,7 +80,7 @@
 		if plan.Drained(progress) {
 			proxy.returnPlace()
 		}
-		time.Sleep(plan.LookAgain(progress, shutdownPollInterval))
+		time.Sleep(plan.NextCheck(progress, shutdownPollInterval))
 	}
 	proxy.logExit()
 }
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -138,7 +138,7 @@
 		e.planByAccount[accountID(tenant.Name)] = len(settings.Plans)
 		settings.Plans = append(settings.Plans, plan)
 		held.Ceilings[accountID(tenant.Name)] = ceiling
-		held.Gather(accountID(tenant.Name), allowance.KeeperShares(tenant.Name, ceiling, placeSets))
+		held.SetKeeperShares(accountID(tenant.Name), allowance.KeeperShares(tenant.Name, ceiling, placeSets))
 	}
 	return settings, classIndex, planIndex
 }
@@ -169,7 +169,7 @@
 			continue
 		}
 		account := limiter.AccountMemory{ID: accountID(tenant), Plan: i, Spread: e.slotCount, Balance: ceiling.Burst,
-			Share: e.quota.Begins(e.proxy.rules, accountID(tenant))}
+			Share: e.quota.RestartBurst(e.proxy.rules, accountID(tenant))}
 		if old, ok := previous[account.ID]; ok {
 			account.Balance, account.Share, account.Flow = min(ceiling.Burst, old.Balance), old.Share, old.Flow
 		} else if e.proxy.register.Places[slot].Life == e.proxy.instanceID {
@@ -211,7 +211,7 @@
 		}
 		proxy.openLoans(newSlot, slotCount)
 		e = &engine{proxy: proxy, slotCount: slotCount, slot: newSlot,
-			quota: quotaloan.Hold(proxy.loans, newSlot, slotCount), calls: map[string]*call{},
+			quota: quotaloan.NewHolding(proxy.loans, newSlot, slotCount), calls: map[string]*call{},
 			pools: map[poolKey]*pool{}, memberIDs: map[poolMember]uint64{}, servers: map[uint64]*serverEntry{},
 			inFlight: map[uint64]int{}}
 		e.label(table)
@@ -303,7 +303,7 @@
 		phase := limiter.Draining
 		if server.usable {
 			loadServer := loadreports.Server{Service: r.Service, Slots: max(1, r.Slots), Zone: r.Zone,
-				Near: r.Zone == proxy.settings.Zone}
+				SameZone: r.Zone == proxy.settings.Zone}
 			serving[server.instanceHash], e.capacity[server.instanceHash] = loadServer, float64(loadServer.Slots)
 			proxy.updateWarmup(server, &r, now)
 			if !server.cold(now) || r.Zone == proxy.settings.Zone && !now.Before(server.nextColdRequestAt) {
@@ -327,7 +327,7 @@
 			listed = append(listed, info)
 		}
 	})
-	proxy.loadReports.Serve(serving)
+	proxy.loadReports.SetServers(serving)
 	e.handle(limiter.Endpoints{Scope: limiter.Complete, Servers: listed})
 }
 
@@ -401,7 +401,7 @@
 	if s == nil {
 		return time.Hour
 	}
-	return proxy.rules.ColdPause(s.ColdPerS, proxy.zoneLimiterCount)
+	return proxy.rules.ColdInterval(s.ColdPerS, proxy.zoneLimiterCount)
 }
 
 // handle passes an event to the limiter.Limiter and executes the resulting actions. Events that arise meanwhile
--- a/internal/proxy/exit_test.go
+++ b/internal/proxy/exit_test.go
@@ -129,7 +129,7 @@
 	d.sigterm = now.Add(-stall)
 	left := make(chan time.Duration, 1)
 	var received atomic.Bool
-	time.AfterFunc(shutdown.SettleWithin/2, func() { // the signal arrives some time after the process has resumed
+	time.AfterFunc(shutdown.SettleTime/2, func() { // the signal arrives some time after the process has resumed
 		received.Store(true)
 		left <- d.terminate()
 	})
--- a/internal/proxy/lease.go
+++ b/internal/proxy/lease.go
@@ -69,7 +69,7 @@
 	}
 	share, until := proxy.lease.Use(proxy.register.PlaceTable(), ownSlot)
 	proxy.shareEnds.Store(int64(until))
-	proxy.loans.Hold(share*float64(e.slotCount), ms(until))
+	proxy.loans.SetShare(share*float64(e.slotCount), ms(until))
 	if proxy.holdsShare() {
 		proxy.hasHeldShare = true
 	}
@@ -78,7 +78,7 @@
 // placeSets returns the places of limiters by slot, in each set that any limiter may still use, newest last. The
 // mutex is held.
 func (proxy *Proxy) placeSets() [][]allowance.Place {
-	return allowance.PlacesOf(proxy.register.PlaceTable(),
+	return allowance.PlaceSets(proxy.register.PlaceTable(),
 		func(zone string) string { return proxy.settings.Zones[zone] })
 }
 
--- a/internal/proxy/lease_test.go
+++ b/internal/proxy/lease_test.go
@@ -67,7 +67,7 @@
 	proxy.deliver(registerWithPlaces(2, 1, otherPlace("e2", 1),
 		ownPlace(places.Place{From: 2, Life: proxy.instanceID})))
 	proxy.mu.Lock()
-	of, rest, _ := proxy.engine.quota.Desk.Parts(proxy.now())
+	of, rest, _ := proxy.engine.quota.Ledger.Parts(proxy.now())
 	proxy.mu.Unlock()
 	if proxy.ready() || rest != 0 || len(of) != 0 {
 		t.Errorf("before the place is settled: ready %v, parts %v, default part %g", proxy.ready(), of, rest)
@@ -75,7 +75,7 @@
 	proxy.deliver(registerWithPlaces(3, 2, otherPlace("e2", 1),
 		ownPlace(places.Place{From: 2, Life: proxy.instanceID})))
 	proxy.mu.Lock()
-	_, rest, _ = proxy.engine.quota.Desk.Parts(proxy.now())
+	_, rest, _ = proxy.engine.quota.Ledger.Parts(proxy.now())
 	proxy.mu.Unlock()
 	if !proxy.ready() || rest != 1 {
 		t.Errorf("after the place is settled: ready %v, default part %g", proxy.ready(), rest)
@@ -144,7 +144,7 @@
 		t.Error("place returned before any core machine knows of it")
 	}
 	proxy.mu.Lock()
-	_, rest, _ := proxy.engine.quota.Desk.Parts(proxy.now())
+	_, rest, _ := proxy.engine.quota.Ledger.Parts(proxy.now())
 	proxy.mu.Unlock()
 	if rest != 0 || proxy.holdsShare() {
 		t.Errorf("a part of %g is still used", rest)
--- a/internal/proxy/link.go
+++ b/internal/proxy/link.go
@@ -12,7 +12,7 @@
 // link paces long bodies on the limiter's own network link (see package pacing).
 type link struct {
 	mu        sync.Mutex
-	in, out   *pacing.Line
+	in, out   *pacing.Pacer
 	startedAt time.Time
 }
 
@@ -23,16 +23,16 @@
 func (l *link) now() float64 { return ms(time.Since(l.startedAt)) }
 
 // bookShort accounts for bytes that are sent without waiting.
-func (l *link) bookShort(line *pacing.Line, n int) {
+func (l *link) bookShort(line *pacing.Pacer, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	line.Short(l.now(), n)
+	line.RecordUnpaced(l.now(), n)
 }
 
 // waitForPiece waits until the next piece of a long body may be sent.
-func (l *link) waitForPiece(line *pacing.Line, n int) {
+func (l *link) waitForPiece(line *pacing.Pacer, n int) {
 	l.mu.Lock()
-	wait := line.Next(l.now(), n)
+	wait := line.ReserveChunk(l.now(), n)
 	l.mu.Unlock()
 	if wait > 0 {
 		time.Sleep(time.Duration(wait * float64(time.Millisecond)))
@@ -46,7 +46,7 @@
 }
 
 func (r pacedReader) Read(b []byte) (int, error) {
-	if n := r.link.in.Piece(); len(b) > n {
+	if n := r.link.in.ChunkSize(); len(b) > n {
 		b = b[:n]
 	}
 	r.link.waitForPiece(r.link.in, len(b))
@@ -55,7 +55,7 @@
 
 // body returns a reader of a body of the given length; a negative length is unknown.
 func (l *link) body(from io.Reader, length int64) io.Reader {
-	if l.in.Long(length) {
+	if l.in.NeedsChunks(length) {
 		return pacedReader{from, l}
 	}
 	l.bookShort(l.in, int(max(0, length)))
@@ -64,13 +64,13 @@
 
 // writeAnswer writes an answer. Long answers are written in paced pieces.
 func (l *link) writeAnswer(c net.Conn, out []byte) error {
-	if !l.out.Long(int64(len(out))) {
+	if !l.out.NeedsChunks(int64(len(out))) {
 		l.bookShort(l.out, len(out))
 		_, err := c.Write(out)
 		return err
 	}
 	for len(out) > 0 {
-		n := min(len(out), l.out.Piece())
+		n := min(len(out), l.out.ChunkSize())
 		l.waitForPiece(l.out, n)
 		c.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := c.Write(out[:n]); err != nil {
--- a/internal/proxy/listeners.go
+++ b/internal/proxy/listeners.go
@@ -62,10 +62,10 @@
 		proxy.disconnects.connections, proxy.disconnects.requests, proxy.disconnects.sentAfterDisconnect,
 		proxy.disconnects.abortedAttempts, proxy.disconnects.overruns, proxy.disconnects.longestOverrun.Milliseconds()))
 	lines = append(lines, proxy.departure.statusLine(proxy.clients.count()))
-	lines = append(lines, proxy.loadReports.Report(proxy.now())...)
+	lines = append(lines, proxy.loadReports.StatusLines(proxy.now())...)
 	lines = append(lines, proxy.records.Report(proxy.now())...)
 	if e := proxy.engine; e != nil {
-		of, rest, _ := e.quota.Desk.Parts(proxy.now())
+		of, rest, _ := e.quota.Ledger.Parts(proxy.now())
 		lines = append(lines, fmt.Sprintf("parts rest=%.3f limiters=%d", rest, e.slotCount))
 		for i, t := range proxy.configSnapshot.Load().table.Tenants {
 			part, ok := of[accountID(t.Name)]
@@ -73,7 +73,7 @@
 				part = rest
 			}
 			lines = append(lines, fmt.Sprintf("tenant=%s place=%d rate_per_s=%g part=%.3f demand_per_s=%.2f", t.Name,
-				i, t.Rate, part, e.quota.Desk.Rate(accountID(t.Name))))
+				i, t.Rate, part, e.quota.Ledger.Rate(accountID(t.Name))))
 		}
 	}
 	return rpc.Status{Lines: lines}, nil
--- a/internal/proxy/load.go
+++ b/internal/proxy/load.go
@@ -31,9 +31,9 @@
 			addresses = append(addresses, place.IP)
 		}
 	}
-	proxy.loadReports.Expect(max(len(addresses), proxy.countReachableInZone()))
+	proxy.loadReports.SetNeighbours(max(len(addresses), proxy.countReachableInZone()))
 	proxy.updateOthersInFlight()
-	report, due := proxy.loadReports.Next(proxy.now())
+	report, due := proxy.loadReports.NextReport(proxy.now())
 	proxy.mu.Unlock()
 	if !due {
 		return
@@ -58,9 +58,9 @@
 
 // updateOthersInFlight passes the engine the load at servers that is not its own. The mutex is held.
 func (proxy *Proxy) updateOthersInFlight() {
-	others := proxy.loadReports.Others(proxy.now())
-	for _, step := range proxy.loadReports.Steps() {
-		proxy.log.WithFields(logrus.Fields{"service": step.Service, "share": float64(int(step.Share*100)) / 100,
+	others := proxy.loadReports.RemoteLoad(proxy.now())
+	for _, step := range proxy.loadReports.PressureChanges() {
+		proxy.log.WithFields(logrus.Fields{"service": step.Service, "share": float64(int(step.Occupancy*100)) / 100,
 			"pressed": step.Pressed}).Info("load of a service changes")
 	}
 	e := proxy.engine
@@ -71,7 +71,7 @@
 	for server, n := range others {
 		for _, member := range e.membersByInstance[server] {
 			othersInFlight[member] = limiter.InHand{Server: member,
-				Others: n + float64(proxy.loadReports.Own(server)-e.inFlight[member]), Slots: e.capacity[server]}
+				Others: n + float64(proxy.loadReports.InFlight(server)-e.inFlight[member]), Slots: e.capacity[server]}
 		}
 	}
 	var changed []limiter.InHand
@@ -93,14 +93,14 @@
 // attemptStarted counts an attempt as in flight until attemptEnded. The mutex is held.
 func (e *engine) attemptStarted(server *upstream, member uint64) {
 	e.inFlight[member]++
-	e.proxy.loadReports.Began(server.instanceHash)
+	e.proxy.loadReports.RequestStarted(server.instanceHash)
 }
 
 func (e *engine) attemptEnded(server *upstream, member uint64, result limiter.Result, spentMs float64) {
 	if e.inFlight[member]--; e.inFlight[member] <= 0 {
 		delete(e.inFlight, member)
 	}
-	e.proxy.loadReports.Ended(server.instanceHash, result == limiter.Pass || result == limiter.TooSlow, spentMs)
+	e.proxy.loadReports.RequestEnded(server.instanceHash, result == limiter.Pass || result == limiter.TooSlow, spentMs)
 }
 
 // selectNeighbours returns the limiters that a node reports its load to: those of its zone and, if these are too
--- a/internal/proxy/loans.go
+++ b/internal/proxy/loans.go
@@ -45,7 +45,7 @@
 	}
 	proxy.loans = quotaloan.New(proxy.now(), slot, slotCount, near, rand.Uint64())
 	if proxy.register.Places[slot].Life == proxy.instanceID {
-		proxy.loans.First()
+		proxy.loans.SkipRecall()
 	}
 }
 
@@ -58,9 +58,9 @@
 	}
 	var demands []quotaloan.Demand
 	for _, d := range e.decider.Demands() {
-		demands = append(demands, quotaloan.Demand{ID: d.Account, Asked: d.Asked})
+		demands = append(demands, quotaloan.Demand{ID: d.Account, Requests: d.Asked})
 	}
-	for _, l := range e.quota.Look(proxy.now(), demands) {
+	for _, l := range e.quota.UpdateDemand(proxy.now(), demands) {
 		e.sendLoanMessage(l)
 	}
 	e.applyParts()
@@ -71,7 +71,7 @@
 	})
 }
 
-func (e *engine) sendLoanMessage(letter quotaloan.Letter) {
+func (e *engine) sendLoanMessage(letter quotaloan.Envelope) {
 	if letter.To < len(e.proxy.register.Places) && e.proxy.register.Places[letter.To].IP != "" {
 		e.proxy.sendDatagram(e.proxy.settings.Internal(e.proxy.register.Places[letter.To].IP, nodesettings.ProxyPort),
 			datagramLoans, rpc.Encode(letter.Message))
@@ -90,7 +90,7 @@
 
 // applyDueParts calls applyParts if some part has expired. The mutex is held.
 func (e *engine) applyDueParts() {
-	if e.proxy.engine == e && e.quota.Due(e.proxy.now()) {
+	if e.proxy.engine == e && e.quota.Expired(e.proxy.now()) {
 		e.applyParts()
 	}
 }
@@ -130,10 +130,10 @@
 		return
 	}
 	if kind == datagramLoad {
-		var report loadreports.Word
+		var report loadreports.Report
 		if slices.ContainsFunc(proxy.register.Places,
 			func(place places.Place) bool { return place.Held() && place.IP == ip }) && rpc.Decode(data, &report) == nil {
-			proxy.loadReports.Hear(proxy.now(), report)
+			proxy.loadReports.Receive(proxy.now(), report)
 		}
 		return
 	}
@@ -160,7 +160,7 @@
 			if rpc.Decode(data, &m) != nil {
 				return
 			}
-			if l, ok := e.quota.Desk.Hear(proxy.now(), i, m); ok {
+			if l, ok := e.quota.Ledger.Receive(proxy.now(), i, m); ok {
 				e.applyParts() // give up what is lent before the borrower learns of it
 				e.sendLoanMessage(l)
 			} else if m.Answer { // more is held, or a loan is confirmed
--- a/internal/proxy/membership.go
+++ b/internal/proxy/membership.go
@@ -47,10 +47,10 @@
 
 // probeMessage is a membership message together with the reports that are piggybacked on it.
 type probeMessage struct {
-	Membership membership.Message        `cbor:"1,keyasint"`
-	Failures   []failurereports.Sighting `cbor:"2,keyasint,omitempty"`
-	Waits      []serviceWait             `cbor:"3,keyasint,omitempty"`
-	WaitsKnown bool                      `cbor:"4,keyasint,omitempty"` // Waits is meaningful even if it is empty
+	Membership membership.Message      `cbor:"1,keyasint"`
+	Failures   []failurereports.Report `cbor:"2,keyasint,omitempty"`
+	Waits      []serviceWait           `cbor:"3,keyasint,omitempty"`
+	WaitsKnown bool                    `cbor:"4,keyasint,omitempty"` // Waits is meaningful even if it is empty
 }
 
 // serviceWait is the mean waiting time at the servers of a service in the sender's zone.
@@ -61,9 +61,9 @@
 
 // zoneWaits returns the waiting times in this limiter's zone.
 func (proxy *Proxy) zoneWaits() (all []serviceWait, known bool) {
-	zoneWaits, known := proxy.loadReports.Waits()
+	zoneWaits, known := proxy.loadReports.LocalWaits()
 	for _, w := range zoneWaits {
-		all = append(all, serviceWait{hash32(w.Service), uint16(math.Round(100 * w.Of))})
+		all = append(all, serviceWait{hash32(w.Service), uint16(math.Round(100 * w.Ratio))})
 	}
 	return all, known
 }
@@ -76,19 +76,19 @@
 		for name := range config.table.Services {
 			for _, w := range reported {
 				if w.Service == hash32(name) {
-					waits = append(waits, loadreports.Wait{Service: name, Of: float64(w.Percent) / 100})
+					waits = append(waits, loadreports.Wait{Service: name, Ratio: float64(w.Percent) / 100})
 				}
 			}
 		}
-		proxy.loadReports.Zone(proxy.now(), r.Zone, waits)
+		proxy.loadReports.ReceiveZoneWaits(proxy.now(), r.Zone, waits)
 	}
 }
 
 // sendProbes sends membership messages together with recent request failures and waiting times. The mutex is held.
-func (proxy *Proxy) sendProbes(messages []membership.Letter) {
+func (proxy *Proxy) sendProbes(messages []membership.Envelope) {
 	for _, l := range messages {
 		if ip := proxy.memberIPs[l.To]; ip != "" {
-			m := probeMessage{Membership: l.Message, Failures: proxy.failureReports.Next(proxy.now())}
+			m := probeMessage{Membership: l.Message, Failures: proxy.failureReports.NextReports(proxy.now())}
 			m.Waits, m.WaitsKnown = proxy.zoneWaits()
 			proxy.sendDatagram(proxy.settings.Internal(ip, nodesettings.ProxyPort), datagramProbe, rpc.Encode(m))
 		}
@@ -101,7 +101,7 @@
 	if rpc.Decode(data, &m) != nil || proxy.memberIPs[m.Membership.From] != ip {
 		return
 	}
-	for _, s := range proxy.failureReports.Hear(proxy.now(), m.Failures) {
+	for _, s := range proxy.failureReports.Receive(proxy.now(), m.Failures) {
 		if e := proxy.engine; e != nil {
 			if class, known := e.classByRouteID[s.Class]; known {
 				e.handle(limiter.Sighting{Server: s.Server, Class: class})
@@ -111,7 +111,7 @@
 	if m.WaitsKnown {
 		proxy.recordZoneWaits(m.Membership.From, m.Waits)
 	}
-	proxy.sendProbes(proxy.members.Hear(proxy.now(), m.Membership))
+	proxy.sendProbes(proxy.members.Receive(proxy.now(), m.Membership))
 	proxy.updateUnreachable()
 }
 
@@ -119,7 +119,7 @@
 func (c *call) reportFailure(server uint64) {
 	c.proxy.mu.Lock()
 	defer c.proxy.mu.Unlock()
-	c.proxy.failureReports.Saw(c.proxy.now(), server, routeID(c.route.Name))
+	c.proxy.failureReports.Observe(c.proxy.now(), server, routeID(c.route.Name))
 }
 
 // updateMembers sets the members of the region from the catalog. The mutex is held.
@@ -133,7 +133,7 @@
 			proxy.memberIPs[r.ID] = nodesettings.HostOf(r.Address)
 		}
 	})
-	proxy.members.Set(zones)
+	proxy.members.SetMembers(zones)
 }
 
 // updateUnreachable recomputes which limiters are unreachable and logs changes. The mutex is held.
@@ -143,7 +143,7 @@
 	}
 	current := map[string]bool{}
 	for id := range proxy.memberIPs {
-		if proxy.members.State(id) == membership.Out {
+		if proxy.members.State(id) == membership.Unreachable {
 			name, _, _ := strings.Cut(id, "#")
 			current[name] = true
 			if !proxy.unreachable[name] {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -67,30 +67,30 @@
 	replacedInstances    map[string]bool      // by instance ID; another server answered at the instance's address
 	engine               *engine
 	upstreams            map[string]*upstream
-	retryBudgets         map[string]*allowance.Tries // by service; attempts beyond the first of a request
+	retryBudgets         map[string]*allowance.RetryBudget // by service; attempts beyond the first of a request
 	lastWarning          time.Time
-	members              *membership.Line     // reachability of the other limiters of the region
-	failureReports       *failurereports.Desk // recent request failures, exchanged within the region
-	loadReports          *loadreports.Desk    // requests that neighbouring limiters have in flight at servers
+	members              *membership.Detector   // reachability of the other limiters of the region
+	failureReports       *failurereports.Gossip // recent request failures, exchanged within the region
+	loadReports          *loadreports.Tracker   // requests that neighbouring limiters have in flight at servers
 	neighbours           []places.Place
 	lease                places.Lease
-	loans                *quotaloan.Desk            // quota parts lent to and borrowed from other limiters
-	share                float64                    // this limiter's fraction of all quotas, by the place table in force
-	limiterCount         int                        // largest number of limiters that may share the quotas
-	zoneLimiterCount     int                        // limiters in this zone
-	hasHeldShare         bool                       // this process has held a share at some time
-	returningPlace       bool                       // no more requests are sent, so the place may be given up
-	placeReturnConfirmed bool                       // the core machines know that the place was returned
-	memberIPs            map[string]string          // IP address by instance ID
-	unreachable          map[string]bool            // by name; limiters that cannot be reached
-	pendingTokenRequests map[uint64]chan tokenReply // by serial number; where to deliver the reply
-	tokenThrottles       map[uint64]*allowance.Asks // by account; limits how often single tokens are requested
-	tokenSerial          uint64                     // serial number of the latest token request
-	serverUpdateTimer    *time.Timer                // runs updateServers
-	serverUpdateAt       time.Time                  // when serverUpdateTimer fires; zero: not scheduled
-	disconnects          disconnectStats            // clients that disconnected with requests in flight
-	departure            shutdownStats              // progress after SIGTERM
-	answerCounts         map[ending]int             // since the process started
+	loans                *quotaloan.Ledger                // quota parts lent to and borrowed from other limiters
+	share                float64                          // this limiter's fraction of all quotas, by the place table in force
+	limiterCount         int                              // largest number of limiters that may share the quotas
+	zoneLimiterCount     int                              // limiters in this zone
+	hasHeldShare         bool                             // this process has held a share at some time
+	returningPlace       bool                             // no more requests are sent, so the place may be given up
+	placeReturnConfirmed bool                             // the core machines know that the place was returned
+	memberIPs            map[string]string                // IP address by instance ID
+	unreachable          map[string]bool                  // by name; limiters that cannot be reached
+	pendingTokenRequests map[uint64]chan tokenReply       // by serial number; where to deliver the reply
+	tokenThrottles       map[uint64]*allowance.AskBackoff // by account; limits how often single tokens are requested
+	tokenSerial          uint64                           // serial number of the latest token request
+	serverUpdateTimer    *time.Timer                      // runs updateServers
+	serverUpdateAt       time.Time                        // when serverUpdateTimer fires; zero: not scheduled
+	disconnects          disconnectStats                  // clients that disconnected with requests in flight
+	departure            shutdownStats                    // progress after SIGTERM
+	answerCounts         map[ending]int                   // since the process started
 }
 
 // configSnapshot is the part of a configuration version that requests need. It is immutable.
@@ -152,9 +152,9 @@
 		seeds: settings.Cores(), cores: settings.Cores(), pullNow: make(chan struct{}, 1),
 		exiting: make(chan struct{}), records: catalog.New(""), register: &controlstate.Register{},
 		evacuatedZones: map[string]bool{}, coldUntil: map[string]time.Time{}, replacedInstances: map[string]bool{},
-		upstreams: map[string]*upstream{}, retryBudgets: map[string]*allowance.Tries{},
+		upstreams: map[string]*upstream{}, retryBudgets: map[string]*allowance.RetryBudget{},
 		answerCounts: map[ending]int{}, pendingTokenRequests: map[uint64]chan tokenReply{},
-		tokenThrottles: map[uint64]*allowance.Asks{}, memberIPs: map[string]string{},
+		tokenThrottles: map[uint64]*allowance.AskBackoff{}, memberIPs: map[string]string{},
 		unreachable: map[string]bool{}}
 	bounds := &settings.Bounds
 	proxy.rules = allowance.Rules{QuotaWindow: bounds.QuotaWindow, QuotaOvershoot: bounds.QuotaOvershoot,
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -75,7 +75,7 @@
 func (proxy *testProxy) earnRetries(requests int) {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
-	tries := &allowance.Tries{}
+	tries := &allowance.RetryBudget{}
 	for range requests {
 		tries.Earn(proxy.rules, 1)
 	}
@@ -543,7 +543,7 @@
 		proxy.mu.Lock()
 		proxy.base = time.Now().Add(-time.Hour)
 		proxy.memberIPs["e2#1"] = "127.0.0.2" // never replies
-		proxy.members.Set(map[string]string{"e2#1": "z"})
+		proxy.members.SetMembers(map[string]string{"e2#1": "z"})
 		proxy.mu.Unlock()
 		for range 100 {
 			proxy.probeMembers()
@@ -658,11 +658,11 @@
 	f.Add(datagramTokenRequest, rpc.Encode(tokenRequest{1, 2, "read", "s"}))
 	f.Add(datagramTokenReply, rpc.Encode(tokenReply{Serial: 1, OK: true}))
 	f.Add(datagramLoans, rpc.Encode(quotaloan.Message{Serial: 1,
-		Items: []quotaloan.Item{{ID: 1, Part: -1}, {ID: 2, Part: 1e300}}}))
+		Items: []quotaloan.AccountPart{{ID: 1, Part: -1}, {ID: 2, Part: 1e300}}}))
 	f.Add(datagramProbe, rpc.Encode(probeMessage{membership.Message{From: "e2#1",
 		Claims: []membership.Claim{{ID: "e1", State: 200}}},
-		[]failurereports.Sighting{{Server: 1, Class: 9, Source: 2, Serial: 3}}, []serviceWait{{1, 65000}}, true}))
-	f.Add(datagramLoad, rpc.Encode(loadreports.Word{Version: 1, Source: 3, Serial: 1,
+		[]failurereports.Report{{Server: 1, Class: 9, Source: 2, Serial: 3}}, []serviceWait{{1, 65000}}, true}))
+	f.Add(datagramLoad, rpc.Encode(loadreports.Report{Version: 1, Source: 3, Serial: 1,
 		Entries: []byte{0, 0, 0, 5, 255, 255}}))
 	f.Add(datagramSpending, []byte{1, 2, 3, 4, 5, 6, 7, 8, 9})
 	f.Fuzz(func(t *testing.T, kind byte, data []byte) {
@@ -675,7 +675,7 @@
 		}
 		proxy.mu.Lock()
 		defer proxy.mu.Unlock()
-		of, rest, _ := proxy.engine.quota.Desk.Parts(proxy.now())
+		of, rest, _ := proxy.engine.quota.Ledger.Parts(proxy.now())
 		for id, part := range of {
 			if part > 1 {
 				t.Errorf("account %d: part %g without a loan", id, part)
--- a/internal/proxy/stalls.go
+++ b/internal/proxy/stalls.go
@@ -39,7 +39,7 @@
 	if w.first.IsZero() {
 		return now
 	}
-	return w.first.Add(w.detector.SentFrom(now.Sub(w.first)))
+	return w.first.Add(w.detector.EarliestSent(now.Sub(w.first)))
 }
 
 func (w *stallWatch) metricValues() []metrics.Figure {
@@ -60,6 +60,6 @@
 // one of them may be SIGTERM, and the intake may have ended.
 func (proxy *Proxy) awaitSettled() {
 	if proxy.stalls.settling(time.Now()) {
-		time.Sleep(shutdown.SettleWithin)
+		time.Sleep(shutdown.SettleTime)
 	}
 }
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -59,7 +59,7 @@
 			until = deadline
 		}
 		u.from.SetReadDeadline(until)
-		n, err := u.rest.Read(buf[:min(len(buf), l.out.Piece())])
+		n, err := u.rest.Read(buf[:min(len(buf), l.out.ChunkSize())])
 		if u.length < 0 {
 			if u.remaining -= int64(n); u.remaining < 0 {
 				u.tooLong = true
--- a/internal/testring/cores.go
+++ b/internal/testring/cores.go
@@ -146,7 +146,7 @@
 	}
 	ask, held := registry.Pull{Vector: maps.Clone(n.vector), HoldMs: holdMs, Me: me, Seq: n.version, Done: n.done}, holdMs
 	if n.holding != nil {
-		ask.LoansMs = uint64(math.Ceil(n.holding.Desk.LoansEndIn(w.now)))
+		ask.LoansMs = uint64(math.Ceil(n.holding.Ledger.LoansEndIn(w.now)))
 	}
 	givesBack := n.done && n.table.SlotOf(n.name, n.name) < 0
 	if givesBack {
@@ -199,7 +199,7 @@
 			}
 		})
 	}
-	n.line.Set(zones)
+	n.line.SetMembers(zones)
 }
 
 // beat has a server say that it is there, again and again, at a registry that answers.
--- a/internal/testring/places.go
+++ b/internal/testring/places.go
@@ -193,7 +193,7 @@
 
 // sets are the places by slot in each set that somebody may still go by.
 func (w *World) sets(t *places.Table) [][]allowance.Place {
-	return allowance.PlacesOf(*t, func(zone string) string { // zones are numbered round the regions
+	return allowance.PlaceSets(*t, func(zone string) string { // zones are numbered round the regions
 		n, _ := strconv.Atoi(zone)
 		return fmt.Sprint(n % w.Regions)
 	})
@@ -206,7 +206,7 @@
 	for _, t := range w.tenants {
 		c := w.Rules.Ceiling(t.rate, t.burst)
 		n.holding.Ceilings[t.id] = c
-		n.holding.Gather(t.id, allowance.KeeperShares(fmt.Sprint(t.id), c, sets))
+		n.holding.SetKeeperShares(t.id, allowance.KeeperShares(fmt.Sprint(t.id), c, sets))
 	}
 }
 
@@ -218,7 +218,7 @@
 	}
 	share, until := n.lease.Use(n.table, slot)
 	end := float64(until) / float64(time.Millisecond)
-	n.holding.Desk.Hold(share*float64(w.slots()), end)
+	n.holding.Ledger.SetShare(share*float64(w.slots()), end)
 	if share > 0 && w.now < end {
 		n.serving = true
 	}
@@ -234,7 +234,7 @@
 	n.leaving = true
 	life := n.life
 	if n.holding != nil {
-		n.holding.Desk.StopLending()
+		n.holding.Ledger.StopLending()
 	}
 	w.after(leaveMs, func() {
 		if !n.up || n.life != life {
--- a/internal/testring/requests.go
+++ b/internal/testring/requests.go
@@ -57,7 +57,7 @@
 	n.serial++
 	id := fmt.Sprint(n.serial)
 	ev := limiter.Submit{ID: id, ExpiresMs: 3000, Units: 1, Plan: int(t.id), Customer: t.id, Spread: w.slots()}
-	gathered, keeps := n.holding.Keeps(t.id)
+	gathered, keeps := n.holding.KeeperStatus(t.id)
 	submit := func(refused func(short bool)) {
 		n.calls[id] = func(ok, short bool, server uint64) {
 			delete(n.calls, id)
@@ -74,7 +74,7 @@
 			})
 			end(true)
 		}
-		if n.holding.Due(w.now) {
+		if n.holding.Expired(w.now) {
 			w.parts(n)
 		}
 		w.handle(n, ev)
@@ -94,7 +94,7 @@
 	submit(func(short bool) {
 		a := n.asks[t.id]
 		if a == nil {
-			a = &allowance.Asks{}
+			a = &allowance.AskBackoff{}
 			n.asks[t.id] = a
 		}
 		if !(keeps || short) || !a.Due(w.now) {
@@ -103,7 +103,7 @@
 		}
 		w.token(n, t, func(ok bool) {
 			if ok {
-				a.Paid()
+				a.Granted()
 			} else {
 				a.Refused(w.now)
 			}
@@ -116,7 +116,7 @@
 func (w *World) token(n *node, t *tenant, end func(ok bool)) {
 	life, over := n.life, false
 	newest := w.sets(&n.table)
-	q := quotaloan.Enquire(n.holding.Askees(t.id, newest[len(newest)-1], func(name string) bool { return w.outFor(n, name) }, w.rng.Shuffle))
+	q := quotaloan.NewTokenAsk(n.holding.TokenCandidates(t.id, newest[len(newest)-1], func(name string) bool { return w.outFor(n, name) }, w.rng.Shuffle))
 	asked := 0
 	var next func()
 	next = func() {
@@ -136,7 +136,7 @@
 		}
 		w.datagram("asks", n, k, 40, func() {
 			paid := false
-			if k.holding != nil && k.holding.Due(w.now) {
+			if k.holding != nil && k.holding.Expired(w.now) {
 				w.parts(k)
 			}
 			k.granted = &paid
@@ -169,5 +169,5 @@
 // outFor tells whether a limiter takes another for out of reach.
 func (w *World) outFor(n *node, name string) bool {
 	o := w.byName[name]
-	return o.region == n.region && n.line.State(o.id()) == membership.Out
+	return o.region == n.region && n.line.State(o.id()) == membership.Unreachable
 }
--- a/internal/testring/rush.go
+++ b/internal/testring/rush.go
@@ -75,7 +75,7 @@
 type rushLimiter struct {
 	zone  int
 	lim   *limiter.Limiter
-	desk  *loadreports.Desk
+	desk  *loadreports.Tracker
 	calls map[string]func(server uint64) // nil server: 0
 	told  map[uint64]limiter.InHand
 	queue []limiter.Event
@@ -148,10 +148,10 @@
 			far = 0
 		}
 		list = append(list, limiter.ServerInfo{ID: uint64(k + 1), Phase: limiter.Up, Far: far})
-		known[uint32(k+1)] = loadreports.Server{Service: "desk", Slots: w.Slots, Zone: fmt.Sprint(s.zone), Near: s.zone == n.zone}
+		known[uint32(k+1)] = loadreports.Server{Service: "desk", Slots: w.Slots, Zone: fmt.Sprint(s.zone), SameZone: s.zone == n.zone}
 	}
-	n.desk.Serve(known)
-	n.desk.Expect(w.Limiters - 1)
+	n.desk.SetServers(known)
+	n.desk.SetNeighbours(w.Limiters - 1)
 	w.after(0, func() { w.handle(n, limiter.Endpoints{Scope: limiter.Complete, Servers: list}) })
 	if w.View == Told {
 		w.after(rushBlocks*w.rng.Float64(), func() { w.blocks(i) })
@@ -162,10 +162,10 @@
 // blocks tells neighbours of the zone what a limiter has in hand, and its decisions what they have.
 func (w *rush) blocks(i int) {
 	n := w.limiters[i]
-	w.believe(n, n.desk.Others(w.now))
-	n.desk.Steps()
+	w.believe(n, n.desk.RemoteLoad(w.now))
+	n.desk.PressureChanges()
 	silent := w.Silent != nil && w.Silent(w.now, i)
-	if word, due := n.desk.Next(w.now); due && !silent {
+	if word, due := n.desk.NextReport(w.now); due && !silent {
 		if w.Liar && i < w.Zones {
 			word.Entries = nil
 			for k, s := range w.servers {
@@ -182,7 +182,7 @@
 			w.res.Words, w.res.Bytes = w.res.Words+1, w.res.Bytes+size
 			w.after(rushNearMs+w.late(), func() {
 				if w.Silent == nil || !w.Silent(w.now, k) {
-					o.desk.Hear(w.now, word)
+					o.desk.Receive(w.now, word)
 				}
 			})
 		}
@@ -200,9 +200,9 @@
 // look tells a limiter of another zone how full this one is, as the line does.
 func (w *rush) look(i int) {
 	n := w.limiters[i]
-	waits, known := n.desk.Waits()
+	waits, known := n.desk.LocalWaits()
 	if o := w.limiters[w.rng.IntN(len(w.limiters))]; known && o.zone != n.zone && (w.Silent == nil || !w.Silent(w.now, i)) {
-		w.after(rushFarMs+w.late(), func() { o.desk.Zone(w.now, fmt.Sprint(n.zone), waits) })
+		w.after(rushFarMs+w.late(), func() { o.desk.ReceiveZoneWaits(w.now, fmt.Sprint(n.zone), waits) })
 	}
 	w.after(130, func() { w.look(i) }) // looks, and answers to others' looks
 }
@@ -276,7 +276,7 @@
 		others := map[uint32]float64{}
 		for k, s := range w.servers {
 			if s.inHand > 0 {
-				others[uint32(k+1)] = float64(s.inHand) - float64(n.desk.Own(uint32(k+1)))
+				others[uint32(k+1)] = float64(s.inHand) - float64(n.desk.InFlight(uint32(k+1)))
 			}
 		}
 		w.believe(n, others)
@@ -284,7 +284,7 @@
 	over := func(server uint64, result limiter.Result) {
 		delete(n.calls, id)
 		took := w.now - begun
-		n.desk.Ended(uint32(server), result == limiter.Pass, took)
+		n.desk.RequestEnded(uint32(server), result == limiter.Pass, took)
 		w.handle(n, limiter.Outcome{ID: id, Server: server, Result: result, SpentMs: took, Done: true})
 		if result != limiter.Pass {
 			f.Lost++
@@ -300,7 +300,7 @@
 			f.Refused++
 			return
 		}
-		n.desk.Began(uint32(server))
+		n.desk.RequestStarted(uint32(server))
 		s := w.servers[server-1]
 		way := rushNearMs
 		if s.zone != n.zone {
--- a/internal/testring/testring.go
+++ b/internal/testring/testring.go
@@ -113,12 +113,12 @@
 	choked  float64 // until when its link is full, so that what it says is late
 	lim     *limiter.Limiter
 	holding *quotaloan.Holding
-	desk    *quotaloan.Desk
-	line    *membership.Line
+	desk    *quotaloan.Ledger
+	line    *membership.Detector
 	book    *catalog.Book
 	vector  catalog.Vector
 	core    int
-	asks    map[uint64]*allowance.Asks
+	asks    map[uint64]*allowance.AskBackoff
 	calls   map[string]func(ok bool, short bool, server uint64)
 	granted *bool
 	queue   []limiter.Event
@@ -258,7 +258,7 @@
 	n := w.nodes[i]
 	n.life++
 	n.up, n.core = true, w.rng.IntN(len(w.cores))
-	n.vector, n.asks, n.calls, n.queue, n.working = catalog.Vector{}, map[uint64]*allowance.Asks{}, map[string]func(bool, bool, uint64){}, nil, false
+	n.vector, n.asks, n.calls, n.queue, n.working = catalog.Vector{}, map[uint64]*allowance.AskBackoff{}, map[string]func(bool, bool, uint64){}, nil, false
 	n.line = membership.New(n.id(), w.rng.Uint64())
 	if !w.Light {
 		n.book = catalog.New("")
@@ -287,10 +287,10 @@
 	} else {
 		n.desk = quotaloan.New(w.now, slot, w.slots(), near, w.rng.Uint64())
 		if n.table.Places[slot].Life == n.id() {
-			n.desk.First()
+			n.desk.SkipRecall()
 		}
 	}
-	n.holding = quotaloan.Hold(n.desk, slot, w.slots())
+	n.holding = quotaloan.NewHolding(n.desk, slot, w.slots())
 	s := limiter.Settings{Position: n.place, Balancers: w.slots(), PeerInPerS: 3, Classes: []limiter.Class{{AimMs: 3000, DeadlineMs: 1, Worth: 1}},
 		Plans: []limiter.Plan{{Price: 1}}, Caps: limiter.Caps{Attempts: 2, Peers: true, RetryAfter: true, MaxWaitMs: 1000, ConnectMs: 300}, Rules: limiter.Rules{FallMs: 1000}}
 	from := &limiter.Handover{Position: n.place, Balancers: w.slots(), HeadMs: 1e-6}
@@ -304,7 +304,7 @@
 	for k, t := range w.tenants {
 		a := limiter.AccountMemory{ID: t.id, Plan: k + 1, Spread: w.slots(), Balance: n.holding.Ceilings[t.id].Burst}
 		if n.table.Places[slot].Life != n.id() {
-			a.Share = n.holding.Begins(w.Rules, t.id)
+			a.Share = n.holding.RestartBurst(w.Rules, t.id)
 		}
 		from.Accounts = append(from.Accounts, a)
 	}
@@ -389,11 +389,11 @@
 }
 
 // say sends what a limiter's line has to say.
-func (w *World) say(n *node, out []membership.Letter) {
+func (w *World) say(n *node, out []membership.Envelope) {
 	for _, l := range out {
 		name, _, _ := strings.Cut(l.To, "#")
 		if to := w.byName[name]; to != nil && to.up && to.id() == l.To {
-			w.datagram("line", n, to, len(rpc.Encode(l.Message))+1, func() { w.say(to, to.line.Hear(w.now, l.Message)) })
+			w.datagram("line", n, to, len(rpc.Encode(l.Message))+1, func() { w.say(to, to.line.Receive(w.now, l.Message)) })
 		}
 	}
 }
@@ -412,15 +412,15 @@
 	}
 	var demands []quotaloan.Demand
 	for _, d := range n.lim.Demands() {
-		demands = append(demands, quotaloan.Demand{ID: d.Account, Asked: d.Asked})
+		demands = append(demands, quotaloan.Demand{ID: d.Account, Requests: d.Asked})
 	}
-	for _, l := range n.holding.Look(w.now, demands) {
+	for _, l := range n.holding.UpdateDemand(w.now, demands) {
 		w.letter(n, l)
 	}
 	w.parts(n)
 }
 
-func (w *World) letter(n *node, l quotaloan.Letter) {
+func (w *World) letter(n *node, l quotaloan.Envelope) {
 	to := w.at(n, l.To)
 	if to == nil {
 		return
@@ -429,7 +429,7 @@
 		if to.holding == nil {
 			return
 		}
-		if a, ok := to.holding.Desk.Hear(w.now, n.place, l.Message); ok {
+		if a, ok := to.holding.Ledger.Receive(w.now, n.place, l.Message); ok {
 			w.parts(to)
 			w.letter(to, a)
 		} else if l.Message.Answer {
@@ -448,7 +448,7 @@
 func (w *World) Out() (wrong int) {
 	for _, n := range w.nodes {
 		for _, o := range w.nodes {
-			if n != o && n.up && o.up && n.region == o.region && n.line.State(o.id()) == membership.Out {
+			if n != o && n.up && o.up && n.region == o.region && n.line.State(o.id()) == membership.Unreachable {
 				wrong++
 			}
 		}
--- a/traffic/allowance/allowance.go
+++ b/traffic/allowance/allowance.go
@@ -54,7 +54,7 @@
 // RestartBurst returns the number of tokens that all limiters which restart at the same time may have of a
 // ceiling at once. They may have used up their parts before the restart, so this is what remains of the
 // slack plus what accrued while they were down.
-func (r Rules) Begins(c Ceiling) float64 {
+func (r Rules) RestartBurst(c Ceiling) float64 {
 	return min(c.Burst, restartSlackShare*r.QuotaSlack+minDowntimeSeconds*c.Rate)
 }
 
@@ -72,7 +72,7 @@
 
 // PlaceSets returns the places of limiters by slot, for each set in the table that some limiter may still
 // be using, newest last. region returns the region of a zone.
-func PlacesOf(t places.Table, region func(zone string) string) (all [][]Place) {
+func PlaceSets(t places.Table, region func(zone string) string) (all [][]Place) {
 	for _, set := range t.Sets() {
 		members := make([]Place, len(t.Places))
 		for _, slot := range set {
@@ -179,7 +179,7 @@
 // take perSecond requests per second. Only limiters in the server's zone send to it while it is cold.
 // zoneLimiters is how many of them hold places; one more may be joining. The limiters together stay within
 // the rules even if they can't reach each other.
-func (r Rules) ColdPause(perSecond float64, zoneLimiters int) time.Duration {
+func (r Rules) ColdInterval(perSecond float64, zoneLimiters int) time.Duration {
 	perLimiter := int((perSecond*r.WarmupOvershoot + r.WarmupSlack) * coldShare / float64(zoneLimiters+1))
 	if perLimiter < 1 {
 		return time.Hour
@@ -190,7 +190,7 @@
 // RetryBudget is a limiter's budget of upstream attempts beyond the first of each request. Only requests
 // earn it, and what all limiters together have saved stays below the slack in the rules. So the total
 // stays within the rules as long as an equal part of the slack holds one attempt.
-type Tries struct{ tokens float64 }
+type RetryBudget struct{ tokens float64 }
 
 const (
 	earnedShare     = 0.8 // of RetryRatio
@@ -203,18 +203,18 @@
 
 // InitialRetryBudget returns the budget of each of the given number of limiters when a system starts for
 // the first time.
-func (r Rules) First(limiters int) *Tries {
-	return &Tries{min(maxRetryTokens, initialSlackShare*r.RetrySlack/float64(max(1, limiters)))}
+func (r Rules) InitialRetryBudget(limiters int) *RetryBudget {
+	return &RetryBudget{min(maxRetryTokens, initialSlackShare*r.RetrySlack/float64(max(1, limiters)))}
 }
 
 // Earn credits the budget of one of the given number of limiters for one request.
-func (t *Tries) Earn(r Rules, limiters int) {
+func (t *RetryBudget) Earn(r Rules, limiters int) {
 	limit := min(maxRetryTokens, max(1, savedSlackShare*r.RetrySlack/float64(max(1, limiters))))
 	t.tokens = max(t.tokens, min(limit, t.tokens+earnedShare*r.RetryRatio))
 }
 
 // Take spends one attempt if the budget holds one.
-func (t *Tries) Take() bool {
+func (t *RetryBudget) Take() bool {
 	if t.tokens < 1 {
 		return false
 	}
@@ -226,7 +226,7 @@
 // single token. While the others have none either, asks become rare: for a tenant that sends many times
 // its quota, not every rejection may cost two messages. Times are monotonic, in milliseconds. The zero
 // value allows an ask at once.
-type Asks struct{ notBefore, pause float64 }
+type AskBackoff struct{ notBefore, pause float64 }
 
 const (
 	minAskPauseMs = 100.0 // pause after a refusal, doubled by each further one
@@ -234,13 +234,13 @@
 )
 
 // Due reports whether another limiter may be asked now.
-func (a *Asks) Due(now float64) bool { return now >= a.notBefore }
+func (a *AskBackoff) Due(now float64) bool { return now >= a.notBefore }
 
 // Granted records that another limiter granted a token, and ends the pause.
-func (a *Asks) Paid() { *a = Asks{} }
+func (a *AskBackoff) Granted() { *a = AskBackoff{} }
 
 // Refused records that none of the limiters asked had a token, and lengthens the pause.
-func (a *Asks) Refused(now float64) {
+func (a *AskBackoff) Refused(now float64) {
 	a.pause = min(maxAskPauseMs, max(minAskPauseMs, 2*a.pause))
 	a.notBefore = now + a.pause
 }
--- a/traffic/allowance/allowance_test.go
+++ b/traffic/allowance/allowance_test.go
@@ -18,7 +18,7 @@
 			if most := c.Burst + 5*c.Rate; most > allowed {
 				t.Errorf("rate %g, burst %g: %.1f in a window, %.1f allowed", rate, burst, most, allowed)
 			}
-			if most := c.Burst + (5-minDowntimeSeconds)*c.Rate + rules.Begins(c); most > allowed {
+			if most := c.Burst + (5-minDowntimeSeconds)*c.Rate + rules.RestartBurst(c); most > allowed {
 				t.Errorf("rate %g, burst %g: %.1f in a window in which all limiters restart, %.1f allowed", rate, burst, most, allowed)
 			}
 		}
@@ -56,7 +56,7 @@
 func TestColdPauseKeepsTheRule(t *testing.T) {
 	for _, perS := range []float64{0.5, 3.6, 6.9, 20} {
 		for near := range 12 {
-			pause := rules.ColdPause(perS, near)
+			pause := rules.ColdInterval(perS, near)
 			most := float64(near+1) * float64(1+time.Second/pause)
 			if pause == time.Hour {
 				most = 0
@@ -74,7 +74,7 @@
 	for _, limiters := range []int{1, 9, 58} {
 		requests, taken := 1000, 0
 		for range limiters {
-			b := rules.First(limiters)
+			b := rules.InitialRetryBudget(limiters)
 			for range 200 { // fill the budget
 				b.Earn(rules, limiters)
 			}
@@ -91,7 +91,7 @@
 	}
 	first := 0
 	for range 9 {
-		for b := rules.First(9); b.Take(); {
+		for b := rules.InitialRetryBudget(9); b.Take(); {
 			first++
 		}
 	}
@@ -102,7 +102,7 @@
 
 // While no limiter has a token the asks become rare; after a grant they are allowed at once again.
 func TestAsksBecomeRare(t *testing.T) {
-	var a Asks
+	var a AskBackoff
 	asks := 0
 	for now := 0.0; now < 20_000; now++ { // a token is needed every millisecond
 		if a.Due(now) {
@@ -113,7 +113,7 @@
 	if asks > 20 {
 		t.Errorf("%d asks in 20 s while no limiter has a token", asks)
 	}
-	a.Paid()
+	a.Granted()
 	if !a.Due(20_000) {
 		t.Error("no ask is allowed after a granted token")
 	}
--- a/traffic/failurereports/failurereports.go
+++ b/traffic/failurereports/failurereports.go
@@ -22,7 +22,7 @@
 )
 
 // Report describes one failed request at a server.
-type Sighting struct {
+type Report struct {
 	Server uint64 `cbor:"1,keyasint"`           // number of the server, the same at all limiters
 	Class  uint64 `cbor:"2,keyasint,omitempty"` // number of the request's class, the same at all limiters
 	Source uint32 `cbor:"3,keyasint"`           // process instance of the limiter that observed the failure
@@ -31,7 +31,7 @@
 }
 
 type queuedReport struct {
-	Sighting
+	Report
 	seenAt    float64 // when the failure was observed
 	sendsLeft int
 }
@@ -44,7 +44,7 @@
 }
 
 // Gossip holds the failures that one limiter has observed or received, and queues them to be sent.
-type Desk struct {
+type Gossip struct {
 	self    uint32
 	serial  uint32
 	queue   []queuedReport // the report sent least recently first
@@ -52,20 +52,20 @@
 }
 
 // New returns the gossip state of a limiter. instance identifies the limiter's process and must not be 0.
-func New(instance uint32) *Desk { return &Desk{self: instance, sources: map[uint32]*source{}} }
+func New(instance uint32) *Gossip { return &Gossip{self: instance, sources: map[uint32]*source{}} }
 
 // Observe records a failure at this limiter. Failures beyond the rate limit are not reported: when many
 // servers fail, other limiters observe it themselves.
-func (d *Desk) Saw(now float64, server, class uint64) {
+func (d *Gossip) Observe(now float64, server, class uint64) {
 	if !d.source(d.self).allow(now) {
 		return
 	}
 	d.serial++
-	d.enqueue(queuedReport{Sighting{Server: server, Class: class, Source: d.self, Serial: d.serial}, now, sendsPerReport})
+	d.enqueue(queuedReport{Report{Server: server, Class: class, Source: d.self, Serial: d.serial}, now, sendsPerReport})
 }
 
 // NextReports returns the reports to include in the next message.
-func (d *Desk) Next(now float64) (out []Sighting) {
+func (d *Gossip) NextReports(now float64) (out []Report) {
 	var resend []queuedReport
 	unsent := d.queue[:0]
 	for _, t := range d.queue {
@@ -73,7 +73,7 @@
 		case now-t.seenAt > maxAgeMs:
 		case len(out) < maxReportsPerMessage:
 			t.AgeMs = uint32(max(0, now-t.seenAt))
-			out = append(out, t.Sighting)
+			out = append(out, t.Report)
 			if t.sendsLeft--; t.sendsLeft > 0 {
 				resend = append(resend, t)
 			}
@@ -86,7 +86,7 @@
 }
 
 // Receive processes the reports in a message and returns those that are new.
-func (d *Desk) Hear(now float64, reports []Sighting) (fresh []Sighting) {
+func (d *Gossip) Receive(now float64, reports []Report) (fresh []Report) {
 	for _, s := range reports[:min(len(reports), maxReportsPerMessage)] {
 		if s.Source == d.self || float64(s.AgeMs) > maxAgeMs {
 			continue
@@ -101,14 +101,14 @@
 	return fresh
 }
 
-func (d *Desk) enqueue(t queuedReport) {
+func (d *Gossip) enqueue(t queuedReport) {
 	if len(d.queue) >= maxQueuedReports {
 		d.queue = d.queue[1:]
 	}
 	d.queue = append(d.queue, t)
 }
 
-func (d *Desk) source(instance uint32) *source {
+func (d *Gossip) source(instance uint32) *source {
 	s := d.sources[instance]
 	if s == nil {
 		if len(d.sources) >= maxSources {
--- a/traffic/failurereports/failurereports_test.go
+++ b/traffic/failurereports/failurereports_test.go
@@ -8,7 +8,7 @@
 // region is a group of limiters that send each other messages over a lossy network.
 type region struct {
 	rng      *rand.Rand
-	limiters []*Desk
+	limiters []*Gossip
 	now      float64
 	received map[[2]uint32]int // number of limiters that have received a report, by source and serial
 	sent     int
@@ -30,12 +30,12 @@
 				continue
 			}
 			k := r.rng.IntN(len(r.limiters))
-			out := d.Next(r.now)
+			out := d.NextReports(r.now)
 			r.sent += len(out)
 			if k == i || r.rng.Float64() < 0.05 {
 				continue
 			}
-			for _, s := range r.limiters[k].Hear(r.now, out) {
+			for _, s := range r.limiters[k].Receive(r.now, out) {
 				r.received[[2]uint32{s.Source, s.Serial}]++
 			}
 		}
@@ -49,7 +49,7 @@
 		sum, most, runs := 0, 0, 40
 		for seed := range uint64(runs) {
 			r := newRegion(seed, n)
-			r.limiters[0].Saw(r.now, 7, 0)
+			r.limiters[0].Observe(r.now, 7, 0)
 			r.run(2500)
 			k := r.received[[2]uint32{1, 1}]
 			sum, most = sum+k, max(most, k)
@@ -66,7 +66,7 @@
 	for range 500 {
 		for i := range r.limiters {
 			for range 10 {
-				r.limiters[i].Saw(r.now, r.rng.Uint64(), 0)
+				r.limiters[i].Observe(r.now, r.rng.Uint64(), 0)
 			}
 		}
 		r.run(20)
@@ -76,13 +76,13 @@
 	}
 	d, fresh := New(1), 0
 	for i := range uint32(5000) { // one source, for 10 s
-		fresh += len(d.Hear(float64(i)*2, []Sighting{{Server: 1, Source: 9, Serial: i + 1}}))
+		fresh += len(d.Receive(float64(i)*2, []Report{{Server: 1, Source: 9, Serial: i + 1}}))
 	}
 	if fresh > 10*sourceRatePerSecond+sourceBurst {
 		t.Errorf("%d reports of one source are accepted in 10 s", fresh)
 	}
 	for i := range uint32(5000) {
-		d.Hear(10_000, []Sighting{{Server: 1, Source: 100 + i, Serial: 1}})
+		d.Receive(10_000, []Report{{Server: 1, Source: 100 + i, Serial: 1}})
 	}
 	if len(d.sources) > maxSources || len(d.queue) > maxQueuedReports {
 		t.Errorf("%d sources and %d reports are kept", len(d.sources), len(d.queue))
@@ -93,19 +93,19 @@
 func TestRejectedReports(t *testing.T) {
 	d := New(1)
 	for i, x := range []struct {
-		s     Sighting
+		s     Report
 		fresh bool
 	}{
-		{Sighting{Source: 2, Serial: 5}, true},
-		{Sighting{Source: 2, Serial: 5}, false},
-		{Sighting{Source: 2, Serial: 3}, true}, // reordered
-		{Sighting{Source: 2, Serial: 3}, false},
-		{Sighting{Source: 2, Serial: 90}, true},
-		{Sighting{Source: 2, Serial: 5}, false},
-		{Sighting{Source: 3, Serial: 1, AgeMs: 4000}, false},
-		{Sighting{Source: 1, Serial: 1}, false},
+		{Report{Source: 2, Serial: 5}, true},
+		{Report{Source: 2, Serial: 5}, false},
+		{Report{Source: 2, Serial: 3}, true}, // reordered
+		{Report{Source: 2, Serial: 3}, false},
+		{Report{Source: 2, Serial: 90}, true},
+		{Report{Source: 2, Serial: 5}, false},
+		{Report{Source: 3, Serial: 1, AgeMs: 4000}, false},
+		{Report{Source: 1, Serial: 1}, false},
 	} {
-		if got := len(d.Hear(float64(i)*1000, []Sighting{x.s})) == 1; got != x.fresh {
+		if got := len(d.Receive(float64(i)*1000, []Report{x.s})) == 1; got != x.fresh {
 			t.Errorf("%d: %+v counts as new: %v", i, x.s, got)
 		}
 	}
--- a/traffic/loadreports/loadreports.go
+++ b/traffic/loadreports/loadreports.go
@@ -53,7 +53,7 @@
 
 // Report is the wire format of one limiter's requests in flight. It is versioned: reports of another
 // version are dropped.
-type Word struct {
+type Report struct {
 	Version uint8  `cbor:"1,keyasint"`
 	Source  uint32 `cbor:"2,keyasint"` // process instance of the sending limiter
 	Serial  uint32 `cbor:"3,keyasint"` // increases with each report of a source
@@ -80,10 +80,10 @@
 
 // Server is a server that requests can be sent to.
 type Server struct {
-	Service string
-	Slots   int
-	Zone    string
-	Near    bool // is in the same zone as this limiter
+	Service  string
+	Slots    int
+	Zone     string
+	SameZone bool // is in the same zone as this limiter
 }
 
 // service holds the load of one service.
@@ -100,7 +100,7 @@
 type zoneReport struct{ wait, receivedAt float64 }
 
 // Tracker holds what one limiter knows of its neighbours' requests in flight.
-type Desk struct {
+type Tracker struct {
 	self         uint32
 	serial       uint32
 	nextReportAt float64
@@ -115,19 +115,19 @@
 }
 
 // New returns the tracker of a limiter. instance identifies the limiter's process and must not be 0.
-func New(instance uint32) *Desk {
-	return &Desk{self: instance, inFlight: map[uint32]int{}, services: map[string]*service{}}
+func New(instance uint32) *Tracker {
+	return &Tracker{self: instance, inFlight: map[uint32]int{}, services: map[string]*service{}}
 }
 
 // SetNeighbours sets the number of neighbours, without those known to be unreachable.
-func (d *Desk) Expect(neighbours int) { d.neighbours = neighbours }
+func (d *Tracker) SetNeighbours(neighbours int) { d.neighbours = neighbours }
 
 // SetServers sets the servers that requests can be sent to, by number. Each must have at least one slot.
-func (d *Desk) Serve(servers map[uint32]Server) {
+func (d *Tracker) SetServers(servers map[uint32]Server) {
 	d.servers = servers
 	slots := map[string]int{}
 	for _, server := range servers {
-		if slots[server.Service] += 0; server.Near {
+		if slots[server.Service] += 0; server.SameZone {
 			slots[server.Service] += server.Slots
 		}
 	}
@@ -140,7 +140,7 @@
 	}
 }
 
-func (d *Desk) service(name string) *service {
+func (d *Tracker) service(name string) *service {
 	s := d.services[name]
 	if s == nil {
 		s = &service{durationMs: initialDurationMs, zones: map[string]zoneReport{}}
@@ -150,11 +150,11 @@
 }
 
 // RequestStarted records a request that is sent to a server.
-func (d *Desk) Began(server uint32) { d.inFlight[server]++ }
+func (d *Tracker) RequestStarted(server uint32) { d.inFlight[server]++ }
 
 // RequestEnded records the end of a request. If answered, its duration of ms milliseconds counts towards
 // the mean duration of the service.
-func (d *Desk) Ended(server uint32, answered bool, ms float64) {
+func (d *Tracker) RequestEnded(server uint32, answered bool, ms float64) {
 	if d.inFlight[server]--; d.inFlight[server] <= 0 {
 		delete(d.inFlight, server)
 	}
@@ -165,9 +165,9 @@
 }
 
 // NextReport returns the report to send if one is due.
-func (d *Desk) Next(now float64) (report Word, due bool) {
+func (d *Tracker) NextReport(now float64) (report Report, due bool) {
 	if now < d.nextReportAt || len(d.inFlight) == 0 {
-		return Word{}, false
+		return Report{}, false
 	}
 	d.nextReportAt = now + d.reportInterval()
 	type serverCount struct {
@@ -180,7 +180,7 @@
 	}
 	slices.SortFunc(counts, func(a, b serverCount) int { return cmp.Or(b.count-a.count, cmp.Compare(a.server, b.server)) })
 	d.serial++
-	report = Word{Version: formatVersion, Source: d.self, Serial: d.serial, Sent: uint64(max(0, now))}
+	report = Report{Version: formatVersion, Source: d.self, Serial: d.serial, Sent: uint64(max(0, now))}
 	for _, h := range counts[:min(len(counts), maxEntries)] {
 		durationMs := initialDurationMs
 		if s := d.services[d.servers[h.server].Service]; s != nil {
@@ -194,7 +194,7 @@
 }
 
 // reportInterval returns the time between two reports, in milliseconds.
-func (d *Desk) reportInterval() float64 {
+func (d *Tracker) reportInterval() float64 {
 	for _, s := range d.services {
 		if s.pressed {
 			return pressedIntervalMs
@@ -204,7 +204,7 @@
 }
 
 // Receive processes a neighbour's report. It returns whether the report is valid and new.
-func (d *Desk) Hear(now float64, report Word) bool {
+func (d *Tracker) Receive(now float64, report Report) bool {
 	if report.Version != formatVersion || report.Source == d.self || report.Source == 0 ||
 		len(report.Entries)%entryBytes != 0 || len(report.Entries) > maxEntries*entryBytes {
 		return false
@@ -235,7 +235,7 @@
 // load of its zone is returned, as reported by limiters there or, without a report, assumed to be half of
 // this zone's wait. So servers with known load don't look much fuller than those without, and a limiter
 // that receives no reports of other zones doesn't take them all for empty.
-func (d *Desk) Others(now float64) map[uint32]float64 {
+func (d *Tracker) RemoteLoad(now float64) map[uint32]float64 {
 	others := map[uint32]float64{}
 	d.sources = slices.DeleteFunc(d.sources, func(s *source) bool { return now-s.sentAt > forgetAgeMs })
 	fresh := 0
@@ -260,7 +260,7 @@
 		}
 	}
 	for server, info := range d.servers {
-		if s := d.services[info.Service]; !info.Near {
+		if s := d.services[info.Service]; !info.SameZone {
 			if wait := s.waitIn(now, info.Zone); wait > 0 {
 				others[server] = max(others[server], float64(info.Slots)*(1+wait)-1)
 			}
@@ -270,12 +270,12 @@
 }
 
 // updateAverages updates the averages of all services.
-func (d *Desk) updateAverages(now float64, others map[uint32]float64) {
+func (d *Tracker) updateAverages(now float64, others map[uint32]float64) {
 	weight := 1 - math.Exp((d.averagedAt-now)/averagingMs)
 	d.averagedAt = now
 	inFlightSums, wait := map[string]float64{}, map[string]float64{}
 	for server, info := range d.servers {
-		if info.Near {
+		if info.SameZone {
 			count, slots := others[server]+float64(d.inFlight[server]), float64(info.Slots)
 			inFlightSums[info.Service] += count
 			wait[info.Service] += max(0, count+1-slots) // of one more request, in slots
@@ -304,12 +304,12 @@
 // its service time.
 type Wait struct {
 	Service string
-	Of      float64
+	Ratio   float64
 }
 
 // LocalWaits returns the waits in this limiter's zone, for services under pressure. known is false while
 // too few neighbours are heard from.
-func (d *Desk) Waits() (all []Wait, known bool) {
+func (d *Tracker) LocalWaits() (all []Wait, known bool) {
 	for _, name := range slices.Sorted(maps.Keys(d.services)) {
 		if s := d.services[name]; s.pressed {
 			all = append(all, Wait{name, s.wait})
@@ -320,7 +320,7 @@
 
 // ReceiveZoneWaits processes the waits that a limiter in another zone reports for its zone. Services that
 // are not listed have no wait there.
-func (d *Desk) Zone(now float64, zone string, waits []Wait) {
+func (d *Tracker) ReceiveZoneWaits(now float64, zone string, waits []Wait) {
 	for name, s := range d.services {
 		if _, known := s.zones[zone]; !known && len(s.zones) >= maxZones {
 			continue
@@ -328,7 +328,7 @@
 		report := zoneReport{receivedAt: now}
 		for _, w := range waits {
 			if w.Service == name {
-				report.wait = max(0, min(maxWait, w.Of))
+				report.wait = max(0, min(maxWait, w.Ratio))
 			}
 		}
 		s.zones[zone] = report
@@ -336,18 +336,18 @@
 }
 
 // InFlight returns the number of requests that this limiter has in flight at a server.
-func (d *Desk) Own(server uint32) int { return d.inFlight[server] }
+func (d *Tracker) InFlight(server uint32) int { return d.inFlight[server] }
 
 // PressureChange is a service that has come under pressure, or is no longer under it.
 type PressureChange struct {
-	Service string
-	Pressed bool
-	Share   float64 // ratio of requests in flight to slots in this zone
+	Service   string
+	Pressed   bool
+	Occupancy float64 // ratio of requests in flight to slots in this zone
 }
 
 // PressureChanges updates which services are under pressure, by the averages of the last call of
 // [Tracker.RemoteLoad], and returns those that have changed since the previous call.
-func (d *Desk) Steps() (changes []PressureChange) {
+func (d *Tracker) PressureChanges() (changes []PressureChange) {
 	for _, name := range slices.Sorted(maps.Keys(d.services)) {
 		s := d.services[name]
 		before, occupancy := s.pressed, s.occupancy
@@ -363,7 +363,7 @@
 
 // StatusLines describes the known load of each service and the neighbours heard from, as lines of
 // key=value pairs.
-func (d *Desk) Report(now float64) (lines []string) {
+func (d *Tracker) StatusLines(now float64) (lines []string) {
 	fresh, oldest := 0, 0.0
 	for _, s := range d.sources {
 		if age := now - s.sentAt; age < freshAgeMs {
--- a/traffic/membership/membership.go
+++ b/traffic/membership/membership.go
@@ -35,7 +35,7 @@
 const (
 	Alive State = iota
 	Suspect
-	Out
+	Unreachable
 )
 
 // Claim asserts the state of a limiter. The limiter refutes it with a higher incarnation.
@@ -65,7 +65,7 @@
 }
 
 // Envelope is a message with its recipient.
-type Letter struct {
+type Envelope struct {
 	To      string
 	Message Message
 }
@@ -90,7 +90,7 @@
 }
 
 // Detector holds one limiter's view of the other limiters in its region.
-type Line struct {
+type Detector struct {
 	self, zone  string
 	incarnation uint64
 	rng         *rand.Rand
@@ -104,13 +104,13 @@
 }
 
 // New returns a detector without members. self identifies the limiter's process and is unique to it.
-func New(self string, seed uint64) *Line {
-	return &Line{self: self, rng: rand.New(rand.NewPCG(seed, 7)), members: map[string]*member{}, probes: map[uint64]*probe{}}
+func New(self string, seed uint64) *Detector {
+	return &Detector{self: self, rng: rand.New(rand.NewPCG(seed, 7)), members: map[string]*member{}, probes: map[uint64]*probe{}}
 }
 
 // SetMembers sets the limiters of the region and their zones. The map may include this limiter, for its
 // own zone.
-func (l *Line) Set(zones map[string]string) {
+func (l *Detector) SetMembers(zones map[string]string) {
 	l.zone = zones[l.self]
 	for id := range l.members {
 		if _, listed := zones[id]; !listed {
@@ -125,7 +125,7 @@
 }
 
 // State returns the state of a limiter in this limiter's view. An unknown limiter counts as alive.
-func (l *Line) State(id string) State {
+func (l *Detector) State(id string) State {
 	if m := l.members[id]; m != nil {
 		return m.state
 	}
@@ -133,7 +133,7 @@
 }
 
 // Changed reports whether a limiter has become unreachable or come back since the last call.
-func (l *Line) Changed() bool {
+func (l *Detector) Changed() bool {
 	result := l.changed
 	l.changed = false
 	return result
@@ -141,7 +141,7 @@
 
 // Tick performs the actions that are due and returns the messages to send. It should be called about every
 // 50 ms.
-func (l *Line) Tick(now float64) (out []Letter) {
+func (l *Detector) Tick(now float64) (out []Envelope) {
 	for _, serial := range sortedKeys(l.probes) {
 		sent := l.probes[serial]
 		m := l.members[sent.target]
@@ -170,7 +170,7 @@
 		switch {
 		case m.state != Suspect:
 		case now-m.stateSince > suspectTimeoutMs:
-			l.applyClaim(now, id, Claim{id, m.incarnation, Out})
+			l.applyClaim(now, id, Claim{id, m.incarnation, Unreachable})
 		case now-m.notifiedAt > ackTimeoutMs: // probe the suspect, which carries the claim, so that it can refute it
 			m.notifiedAt = now
 			l.serial++
@@ -196,13 +196,13 @@
 }
 
 // nextTarget returns the limiter to probe next: each in turn, unreachable ones less often.
-func (l *Line) nextTarget() string {
+func (l *Detector) nextTarget() string {
 	l.probeCount++
 	for range 2 {
 		for len(l.probeOrder) > 0 {
 			id := l.probeOrder[0]
 			l.probeOrder = l.probeOrder[1:]
-			if m := l.members[id]; m != nil && (m.state != Out || l.probeCount%unreachableProbeEvery == 0) {
+			if m := l.members[id]; m != nil && (m.state != Unreachable || l.probeCount%unreachableProbeEvery == 0) {
 				return id
 			}
 		}
@@ -219,7 +219,7 @@
 // limiter's and the target's, and varies them, so that one prober may be in this limiter's own zone. If
 // the link between two zones is cut, it is cut for all limiters in them, and a third zone may still reach
 // both; if this zone can't reach the third one, the prober in its own zone helps.
-func (l *Line) indirectProbers(target string, n int) (probers []string) {
+func (l *Detector) indirectProbers(target string, n int) (probers []string) {
 	var alive []string
 	for id, m := range l.members {
 		if id != target && m.state == Alive {
@@ -246,7 +246,7 @@
 
 // envelope addresses a message and adds the claims to spread. A recipient that is suspect or unreachable
 // receives the claim about itself first.
-func (l *Line) envelope(to string, m Message) Letter {
+func (l *Detector) envelope(to string, m Message) Envelope {
 	m.From = l.self
 	if t := l.members[to]; t != nil && t.state != Alive {
 		m.Claims = append(m.Claims, Claim{to, t.incarnation, t.state})
@@ -260,11 +260,11 @@
 	if l.incarnation > 0 {
 		m.Claims = append(m.Claims, Claim{l.self, l.incarnation, Alive})
 	}
-	return Letter{to, m}
+	return Envelope{to, m}
 }
 
 // Receive processes a message and returns the messages to send.
-func (l *Line) Hear(now float64, m Message) (out []Letter) {
+func (l *Detector) Receive(now float64, m Message) (out []Envelope) {
 	for _, c := range m.Claims {
 		l.applyClaim(now, m.From, c)
 	}
@@ -299,7 +299,7 @@
 }
 
 // applyClaim updates the state of a limiter by a claim.
-func (l *Line) applyClaim(now float64, from string, c Claim) {
+func (l *Detector) applyClaim(now float64, from string, c Claim) {
 	if c.ID == l.self {
 		if c.State != Alive && c.Incarnation >= l.incarnation { // refute the claim
 			l.incarnation = c.Incarnation + 1
@@ -310,7 +310,7 @@
 	if m == nil || c.Incarnation < m.incarnation || c.Incarnation == m.incarnation && c.State <= m.state {
 		return
 	}
-	l.changed = l.changed || (c.State == Out) != (m.state == Out)
+	l.changed = l.changed || (c.State == Unreachable) != (m.state == Unreachable)
 	m.incarnation, m.state, m.stateSince, m.sendsLeft, m.suspectedHere = c.Incarnation, c.State, now, sendsPerClaim, false
 }
 
--- a/traffic/membership/membership_test.go
+++ b/traffic/membership/membership_test.go
@@ -8,14 +8,14 @@
 
 type datagram struct {
 	arrivesAt float64
-	Letter
+	Envelope
 }
 
 // network simulates a region of limiters and a network with loss and delay.
 type network struct {
 	rng       *rand.Rand
 	now       float64
-	detectors map[string]*Line
+	detectors map[string]*Detector
 	ids       []string
 	zones     map[string]string
 	stopped   map[string]bool // crashed or suspended
@@ -26,19 +26,19 @@
 }
 
 func newNetwork(seed uint64, n int) *network {
-	w := &network{rng: rand.New(rand.NewPCG(seed, 1)), detectors: map[string]*Line{}, zones: map[string]string{}, stopped: map[string]bool{}, cut: func(string, string) bool { return false }}
+	w := &network{rng: rand.New(rand.NewPCG(seed, 1)), detectors: map[string]*Detector{}, zones: map[string]string{}, stopped: map[string]bool{}, cut: func(string, string) bool { return false }}
 	for i := range n {
 		w.ids = append(w.ids, fmt.Sprintf("e%d", i))
 		w.zones[w.ids[i]] = fmt.Sprint("z", i%3)
 	}
 	for i, id := range w.ids {
 		w.detectors[id] = New(id, seed*100+uint64(i))
-		w.detectors[id].Set(w.zones)
+		w.detectors[id].SetMembers(w.zones)
 	}
 	return w
 }
 
-func (w *network) send(from string, out []Letter) {
+func (w *network) send(from string, out []Envelope) {
 	for _, l := range out {
 		w.sent++
 		if w.rng.Float64() >= w.loss && !w.cut(from, l.To) {
@@ -61,7 +61,7 @@
 		w.inTransit = remaining
 		for _, f := range due {
 			if !w.stopped[f.To] {
-				w.send(f.To, w.detectors[f.To].Hear(w.now, f.Message))
+				w.send(f.To, w.detectors[f.To].Receive(w.now, f.Message))
 			}
 		}
 		for _, id := range w.ids {
@@ -75,7 +75,7 @@
 // unreachableFor returns how many running limiters consider a limiter unreachable.
 func (w *network) unreachableFor(id string) (n int) {
 	for _, o := range w.ids {
-		if o != id && !w.stopped[o] && w.detectors[o].State(id) == Out {
+		if o != id && !w.stopped[o] && w.detectors[o].State(id) == Unreachable {
 			n++
 		}
 	}
--- a/traffic/pacing/pacing.go
+++ b/traffic/pacing/pacing.go
@@ -22,22 +22,22 @@
 )
 
 // Pacer paces one direction of a link.
-type Line struct {
+type Pacer struct {
 	bytesPerMs float64 // capacity of the link
 	freeAt     float64 // when the link has carried everything reserved
 }
 
 // New returns a pacer for a link with a capacity of mbps megabits per second, or nil if the link needs no
 // pacing or its capacity is unknown. A nil Pacer never waits.
-func New(mbps float64) *Line {
+func New(mbps float64) *Pacer {
 	if mbps <= 0 || mbps >= unpacedMbps {
 		return nil
 	}
-	return &Line{bytesPerMs: mbps * 1e6 / 8 / 1000}
+	return &Pacer{bytesPerMs: mbps * 1e6 / 8 / 1000}
 }
 
 // ChunkSize returns how many bytes of a body to send at once.
-func (l *Line) Piece() int {
+func (l *Pacer) ChunkSize() int {
 	if l == nil {
 		return maxChunkBytes
 	}
@@ -45,10 +45,10 @@
 }
 
 // NeedsChunks reports whether a body of n bytes is to be sent in chunks.
-func (l *Line) Long(n int64) bool { return l != nil && n > 2*int64(l.Piece()) }
+func (l *Pacer) NeedsChunks(n int64) bool { return l != nil && n > 2*int64(l.ChunkSize()) }
 
 // RecordUnpaced reserves the link for n bytes that are sent without waiting.
-func (l *Line) Short(now float64, n int) {
+func (l *Pacer) RecordUnpaced(now float64, n int) {
 	if l != nil {
 		l.freeAt = max(l.freeAt, now) + float64(n)/l.bytesPerMs
 	}
@@ -56,7 +56,7 @@
 
 // ReserveChunk reserves the link for n bytes of a long body and returns how long to wait before sending
 // them, in milliseconds.
-func (l *Line) Next(now float64, n int) (wait float64) {
+func (l *Pacer) ReserveChunk(now float64, n int) (wait float64) {
 	if l == nil {
 		return 0
 	}
--- a/traffic/pacing/pacing_test.go
+++ b/traffic/pacing/pacing_test.go
@@ -36,14 +36,14 @@
 			bodies = append(bodies, &body{left: 30_000 + rng.IntN(120_000), at: now})
 		}
 		if rng.Float64() < 0.1*l.bytesPerMs/1500 {
-			pacer.Short(now, 1500)
+			pacer.RecordUnpaced(now, 1500)
 			late := l.send(now, 1500) - now
 			shorts, sum, worst = shorts+1, sum+late, max(worst, late)
 		}
 		for _, b := range bodies {
 			for b.left > 0 && b.at <= now {
-				n := min(b.left, pacer.Piece())
-				if wait := pacer.Next(now, n); wait > 0 {
+				n := min(b.left, pacer.ChunkSize())
+				if wait := pacer.ReserveChunk(now, n); wait > 0 {
 					b.at = now + wait
 				}
 				b.left -= n
@@ -75,14 +75,14 @@
 func TestBodiesUseFullCapacity(t *testing.T) {
 	l := New(5.8)
 	now, n := 0.0, 600_000
-	for left := n; left > 0; left -= l.Piece() {
-		now += l.Next(now, min(left, l.Piece()))
+	for left := n; left > 0; left -= l.ChunkSize() {
+		now += l.ReserveChunk(now, min(left, l.ChunkSize()))
 	}
 	if due := float64(n) / (5.8 * 125); now > 1.02*due {
 		t.Errorf("a body of %d bytes takes %.0f ms, the link %.0f", n, now, due)
 	}
-	l.Short(now, 1<<30)
-	if wait := l.Next(now, 1000); wait > maxWaitMs {
+	l.RecordUnpaced(now, 1<<30)
+	if wait := l.ReserveChunk(now, 1000); wait > maxWaitMs {
 		t.Errorf("a chunk waits %.0f ms", wait)
 	}
 }
@@ -91,8 +91,8 @@
 func TestWideLinks(t *testing.T) {
 	for _, mbps := range []float64{0, 100, 1000} {
 		l := New(mbps)
-		l.Short(0, 1<<20)
-		if l.Long(1<<40) || l.Next(0, 1<<30) != 0 {
+		l.RecordUnpaced(0, 1<<20)
+		if l.NeedsChunks(1<<40) || l.ReserveChunk(0, 1<<30) != 0 {
 			t.Errorf("%g Mbit/s: bodies wait", mbps)
 		}
 	}
--- a/traffic/quotaloan/enquiry.go
+++ b/traffic/quotaloan/enquiry.go
@@ -14,17 +14,17 @@
 // TokenAsk asks other limiters for a single token, one after the other, until one grants it. It does
 // no I/O and reads no clock: the caller sends the asks and passes in the refusals.
 type TokenAsk struct {
-	slots      []int
-	near       int // number of slots, from the first, that are in this limiter's region
-	askedCount int
-	pending    int     // asks without an answer
-	WaitMs     float64 // when retrying may succeed, by the latest refusal that said so; 0: unknown
-	Why        string  // of the latest refusal; empty: no answer yet
+	slots        []int
+	near         int // number of slots, from the first, that are in this limiter's region
+	askedCount   int
+	pending      int     // asks without an answer
+	RetryAfterMs float64 // when retrying may succeed, by the latest refusal that said so; 0: unknown
+	Reason       string  // of the latest refusal; empty: no answer yet
 }
 
 // NewTokenAsk returns a request to the limiters in the given slots, of which the first near ones are in this
 // limiter's region.
-func Enquire(slots []int, near int) *TokenAsk { return &TokenAsk{slots: slots, near: near} }
+func NewTokenAsk(slots []int, near int) *TokenAsk { return &TokenAsk{slots: slots, near: near} }
 
 // Next returns the limiter to ask now, and how long to wait for answers before Next is called again. ok is
 // false if no limiter is left or leftMs, the time left for the request, is too short.
@@ -51,9 +51,9 @@
 // Refused records that one of the limiters asked has no token. It reports whether all of them have
 // answered, so that the next one may be asked at once.
 func (q *TokenAsk) Refused(waitMs float64, reason string) (allAnswered bool) {
-	q.Why = reason
+	q.Reason = reason
 	if waitMs > 0 {
-		q.WaitMs = min(max(waitMs, minRetryAfterMs), maxRetryAfterMs)
+		q.RetryAfterMs = min(max(waitMs, minRetryAfterMs), maxRetryAfterMs)
 	}
 	q.pending--
 	return q.pending == 0
--- a/traffic/quotaloan/holding.go
+++ b/traffic/quotaloan/holding.go
@@ -9,15 +9,15 @@
 
 // Demand is the number of requests that this limiter has received for an account with a ceiling.
 type Demand struct {
-	ID    uint64
-	Asked float64 // since the process started
+	ID       uint64
+	Requests float64 // since the process started
 }
 
 // Holding computes the parts of all accounts' ceilings that one limiter may use: its own part and its
 // loans or, for accounts whose ceiling is split among keepers only, its part as a keeper. Like [Ledger] it
 // reads no clock.
 type Holding struct {
-	Desk        *Desk
+	Ledger      *Ledger
 	slot, slots int
 	Ceilings    map[uint64]allowance.Ceiling // by account
 	Keepers     map[uint64][]int             // by account, if its ceiling is or recently was split among keepers
@@ -28,22 +28,22 @@
 }
 
 // NewHolding returns the holding of the limiter in a slot, with the given number of slots in total.
-func Hold(d *Desk, slot, slots int) *Holding {
-	h := &Holding{Desk: d, slot: slot, slots: slots, rest: 1}
+func NewHolding(d *Ledger, slot, slots int) *Holding {
+	h := &Holding{Ledger: d, slot: slot, slots: slots, rest: 1}
 	h.Clear()
 	return h
 }
 
 // KeeperStatus reports whether an account's ceiling is split among keepers only, and whether this limiter
 // is one of them.
-func (h *Holding) Keeps(id uint64) (split, keeper bool) {
+func (h *Holding) KeeperStatus(id uint64) (split, keeper bool) {
 	keepers, split := h.Keepers[id]
 	return split, slices.Contains(keepers, h.slot)
 }
 
 // SetKeeperShares sets the share of an account's ceiling that each keeper may use, by slot. nil means that
 // the ceiling is split equally among all limiters.
-func (h *Holding) Gather(id uint64, shares []float64) {
+func (h *Holding) SetKeeperShares(id uint64, shares []float64) {
 	delete(h.Keepers, id)
 	delete(h.KeeperParts, id)
 	if shares == nil {
@@ -65,27 +65,27 @@
 }
 
 // UpdateDemand records the demand for accounts and returns the messages that ask other limiters for loans.
-func (h *Holding) Look(now float64, demands []Demand) []Letter {
+func (h *Holding) UpdateDemand(now float64, demands []Demand) []Envelope {
 	var accounts []Account
 	n := float64(h.slots)
 	for _, demand := range demands {
 		if _, split := h.Keepers[demand.ID]; !split {
 			ceiling := h.Ceilings[demand.ID]
 			accounts = append(accounts, Account{ID: demand.ID, Rate: ceiling.Rate / n,
-				Burst: ceiling.Burst / n, Asked: demand.Asked})
+				Burst: ceiling.Burst / n, Requests: demand.Requests})
 		}
 	}
-	return h.Desk.Look(now, accounts)
+	return h.Ledger.UpdateDemand(now, accounts)
 }
 
 // Parts returns the parts that this limiter may use from now on, as multiples of an equal part: by
 // account, and for all other accounts. changed reports whether they differ from those of the previous
 // call.
 func (h *Holding) Parts(now float64) (byAccount map[uint64]float64, rest float64, changed bool) {
-	byAccount, rest, h.validUntil = h.Desk.Parts(now)
+	byAccount, rest, h.validUntil = h.Ledger.Parts(now)
 	for id := range h.Keepers {
 		byAccount[id] = 0
-		if !h.Desk.leaseLapsed(now) {
+		if !h.Ledger.leaseLapsed(now) {
 			byAccount[id] = h.KeeperParts[id]
 		}
 	}
@@ -96,16 +96,16 @@
 
 // Expired reports whether any of the parts in force have expired. Callers must also check it after the
 // process was suspended.
-func (h *Holding) Due(now float64) bool { return h.validUntil > 0 && now >= h.validUntil }
+func (h *Holding) Expired(now float64) bool { return h.validUntil > 0 && now >= h.validUntil }
 
 // RestartBurst returns how many tokens of an account's ceiling a limiter has at once after a restart. All
 // limiters that may restart together stay within the rules.
-func (h *Holding) Begins(r allowance.Rules, id uint64) float64 {
-	part := h.Desk.share
-	if split, _ := h.Keeps(id); split {
+func (h *Holding) RestartBurst(r allowance.Rules, id uint64) float64 {
+	part := h.Ledger.share
+	if split, _ := h.KeeperStatus(id); split {
 		part = h.KeeperParts[id]
 	}
-	return r.Begins(h.Ceilings[id]) * part / float64(h.slots)
+	return r.RestartBurst(h.Ceilings[id]) * part / float64(h.slots)
 }
 
 // How many other limiters are asked for a single token, in this region and in others.
@@ -117,7 +117,7 @@
 // TokenCandidates returns the limiters to ask for a token of an account, in order, and how many of them
 // are in this region. They are the account's keepers or, if its ceiling is split equally, other limiters
 // of the region. out reports whether a limiter is unreachable; shuffle is as in math/rand.
-func (h *Holding) Askees(id uint64, places []allowance.Place, out func(name string) bool,
+func (h *Holding) TokenCandidates(id uint64, places []allowance.Place, out func(name string) bool,
 	shuffle func(int, func(int, int))) (order []int, near int) {
 	keepers, split := h.Keepers[id]
 	region := places[h.slot].Region
--- a/traffic/quotaloan/lease_test.go
+++ b/traffic/quotaloan/lease_test.go
@@ -7,21 +7,21 @@
 
 // borrow has the borrower ask the lender for a part of account 7 and process the answer. It returns what
 // the borrower then holds in loans.
-func borrow(borrower, lender *Desk, from, to int, now, part float64) float64 {
+func borrow(borrower, lender *Ledger, from, to int, now, part float64) float64 {
 	borrower.serial++
 	borrower.asks[borrower.serial] = pendingAsk{to, now}
-	m := Message{Serial: borrower.serial, Instance: borrower.instance, Items: []Item{{7, part}}, Slots: borrower.slots}
-	letter, ok := lender.Hear(now, from, m)
+	m := Message{Serial: borrower.serial, Instance: borrower.instance, Items: []AccountPart{{7, part}}, Slots: borrower.slots}
+	letter, ok := lender.Receive(now, from, m)
 	if !ok {
 		return 0
 	}
-	borrower.Hear(now, to, letter.Message)
+	borrower.Receive(now, to, letter.Message)
 	return borrower.borrowedPart(now, borrower.accountOf(7))
 }
 
-func newSettledLedger(me, size int) *Desk {
+func newSettledLedger(me, size int) *Ledger {
 	d := New(0, me, size, nil, uint64(me)+1)
-	d.First()
+	d.SkipRecall()
 	return d
 }
 
@@ -29,15 +29,15 @@
 // loans after its own lease has expired.
 func TestLoansEndWithLeases(t *testing.T) {
 	lender, borrower := newSettledLedger(0, 4), newSettledLedger(1, 4)
-	lender.Hold(1, LoanMs-1)
+	lender.SetShare(1, LoanMs-1)
 	if got := borrow(borrower, lender, 1, 0, 0, 0.3); got != 0 {
 		t.Errorf("%g is lent beyond the end of the lender's lease", got)
 	}
-	lender.Hold(1, LoanMs)
+	lender.SetShare(1, LoanMs)
 	if got := borrow(borrower, lender, 1, 0, 0, 0.3); got != 0.3 {
 		t.Errorf("%g is lent, want 0.3", got)
 	}
-	borrower.Hold(1, 1000)
+	borrower.SetShare(1, 1000)
 	if of, _, next := borrower.Parts(999); of[7] != 1.3 || next != 1000 {
 		t.Errorf("before its lease expires the borrower may use %v until %g", of, next)
 	}
@@ -58,7 +58,7 @@
 	if ms := lender.LoansEndIn(200); ms != 0 {
 		t.Errorf("loans within the lender's part expire in %g ms, want 0", ms)
 	}
-	lender.Hold(0.3, math.Inf(1))
+	lender.SetShare(0.3, math.Inf(1))
 	if ownPart, ms := lender.ownPart(200, lender.accountOf(7)), lender.LoansEndIn(200); ownPart != 0 || ms != LoanMs-100 {
 		t.Errorf("the lender uses %g itself, and loans expire in %g ms", ownPart, ms)
 	}
--- a/traffic/quotaloan/quotaloan.go
+++ b/traffic/quotaloan/quotaloan.go
@@ -47,30 +47,30 @@
 
 // Account is one tenant's ceiling as this limiter sees it.
 type Account struct {
-	ID    uint64
-	Rate  float64 // requests per second of an equal part
-	Burst float64 // requests that an equal part holds at most
-	Asked float64 // received here since the process started
+	ID       uint64
+	Rate     float64 // requests per second of an equal part
+	Burst    float64 // requests that an equal part holds at most
+	Requests float64 // received here since the process started
 }
 
 // AccountPart is a part of one account's ceiling, as a multiple of an equal part.
-type Item struct {
+type AccountPart struct {
 	ID   uint64  `cbor:"1,keyasint"`
 	Part float64 `cbor:"2,keyasint"`
 }
 
 // Message is an ask for a loan, a recall after a restart, or the answer to one of them.
 type Message struct {
-	Answer   bool   `cbor:"1,keyasint,omitempty"`
-	Recall   bool   `cbor:"5,keyasint,omitempty"` // the receiver is to report what it holds of the sender's part
-	Serial   uint64 `cbor:"2,keyasint"`           // of the ask or recall
-	Instance uint64 `cbor:"3,keyasint"`           // process instance of the limiter that sent the ask or recall
-	Items    []Item `cbor:"4,keyasint"`
-	Slots    int    `cbor:"6,keyasint,omitempty"` // slots by which the sender counts parts; 0: as the receiver
+	Answer   bool          `cbor:"1,keyasint,omitempty"`
+	Recall   bool          `cbor:"5,keyasint,omitempty"` // the receiver is to report what it holds of the sender's part
+	Serial   uint64        `cbor:"2,keyasint"`           // of the ask or recall
+	Instance uint64        `cbor:"3,keyasint"`           // process instance of the limiter that sent the ask or recall
+	Items    []AccountPart `cbor:"4,keyasint"`
+	Slots    int           `cbor:"6,keyasint,omitempty"` // slots by which the sender counts parts; 0: as the receiver
 }
 
 // Envelope is a message with the slot of its recipient.
-type Letter struct {
+type Envelope struct {
 	To      int
 	Message Message
 }
@@ -94,7 +94,7 @@
 }
 
 // Ledger tracks the parts that one limiter lends and borrows.
-type Desk struct {
+type Ledger struct {
 	self, slots int
 	instance    uint64
 	started     float64
@@ -111,8 +111,8 @@
 
 // New returns the ledger of the limiter in slot self, with the given number of slots in total. peers
 // are the limiters that it may ask, nearest first. instance identifies the limiter's process.
-func New(now float64, self, slots int, peers []int, instance uint64) *Desk {
-	d := &Desk{self: self, slots: slots, instance: instance, started: now, peers: peers, share: 1, until: math.Inf(1),
+func New(now float64, self, slots int, peers []int, instance uint64) *Ledger {
+	d := &Ledger{self: self, slots: slots, instance: instance, started: now, peers: peers, share: 1, until: math.Inf(1),
 		accounts: map[uint64]*account{}, asks: map[uint64]pendingAsk{}, debtors: map[int]bool{}}
 	for _, k := range peers {
 		d.debtors[k] = true
@@ -121,10 +121,10 @@
 }
 
 // SkipRecall records that no earlier process of this limiter can have lent anything.
-func (d *Desk) First() { clear(d.debtors) }
+func (d *Ledger) SkipRecall() { clear(d.debtors) }
 
 // SetShare sets this limiter's own part, and when its lease expires.
-func (d *Desk) Hold(share, until float64) {
+func (d *Ledger) SetShare(share, until float64) {
 	d.share, d.until = max(0, share), until
 	if d.share > 0 {
 		return
@@ -136,11 +136,11 @@
 }
 
 // StopLending stops all further loans, before the limiter shuts down.
-func (d *Desk) StopLending() { d.leaving = true }
+func (d *Ledger) StopLending() { d.leaving = true }
 
 // Resize changes the number of slots by which parts are counted. The limiter may have moved to another
 // slot and have other peers.
-func (d *Desk) Resize(self, slots int, peers []int) {
+func (d *Ledger) Resize(self, slots int, peers []int) {
 	scale := float64(slots) / float64(d.slots)
 	for _, a := range d.accounts {
 		for _, loans := range []map[int]loan{a.lent, a.borrowed} {
@@ -156,7 +156,7 @@
 
 // LoansEndIn returns the time in milliseconds until no other limiter uses any loan beyond this limiter's
 // own part; 0 if the loans fit into that part.
-func (d *Desk) LoansEndIn(now float64) (ms float64) {
+func (d *Ledger) LoansEndIn(now float64) (ms float64) {
 	if d.recalling(now) {
 		return d.started + LoanMs - now
 	}
@@ -176,9 +176,9 @@
 
 // leaseLapsed reports whether this limiter may use nothing, because it has no part of its own or its lease
 // has expired.
-func (d *Desk) leaseLapsed(now float64) bool { return d.share <= 0 || now >= d.until }
+func (d *Ledger) leaseLapsed(now float64) bool { return d.share <= 0 || now >= d.until }
 
-func (d *Desk) accountOf(id uint64) *account {
+func (d *Ledger) accountOf(id uint64) *account {
 	a := d.accounts[id]
 	if a == nil {
 		a = &account{Account: Account{ID: id}, lent: map[int]loan{}, borrowed: map[int]loan{}}
@@ -188,10 +188,10 @@
 }
 
 // recalling reports whether loans from before a restart may still be in use.
-func (d *Desk) recalling(now float64) bool { return len(d.debtors) > 0 && now < d.started+LoanMs }
+func (d *Ledger) recalling(now float64) bool { return len(d.debtors) > 0 && now < d.started+LoanMs }
 
 // ownPart returns what remains to this limiter of its own part of an account, without loans.
-func (d *Desk) ownPart(now float64, a *account) float64 {
+func (d *Ledger) ownPart(now float64, a *account) float64 {
 	limit := d.share
 	if d.recalling(now) {
 		limit *= 1 - LendableShare
@@ -210,7 +210,7 @@
 	return max(0, min(limit, d.share-lent))
 }
 
-func (d *Desk) borrowedPart(now float64, a *account) (sum float64) {
+func (d *Ledger) borrowedPart(now float64, a *account) (sum float64) {
 	for from, l := range a.borrowed {
 		if now >= l.until {
 			delete(a.borrowed, from)
@@ -234,12 +234,12 @@
 
 // UpdateDemand records the demand for accounts and returns the messages to send: recalls after a restart,
 // or asks for loans.
-func (d *Desk) Look(now float64, updates []Account) []Letter {
+func (d *Ledger) UpdateDemand(now float64, updates []Account) []Envelope {
 	for _, x := range updates {
 		a := d.accountOf(x.ID)
-		if a.at > 0 && now > a.at && x.Asked >= a.Asked {
+		if a.at > 0 && now > a.at && x.Requests >= a.Requests {
 			weight := 1 - math.Exp(-(now-a.at)/rateWindowMs)
-			a.demandRate += weight * ((x.Asked-a.Asked)/(now-a.at)*1000 - a.demandRate)
+			a.demandRate += weight * ((x.Requests-a.Requests)/(now-a.at)*1000 - a.demandRate)
 		}
 		a.Account, a.at = x, now
 	}
@@ -248,19 +248,19 @@
 			delete(d.asks, s)
 		}
 	}
-	var asks []Letter
+	var asks []Envelope
 	if d.recalling(now) {
 		for _, to := range sortedKeys(d.debtors) {
 			d.serial++
 			d.asks[d.serial] = pendingAsk{to, now}
-			asks = append(asks, Letter{to, Message{Recall: true, Serial: d.serial, Instance: d.instance, Slots: d.slots}})
+			asks = append(asks, Envelope{to, Message{Recall: true, Serial: d.serial, Instance: d.instance, Slots: d.slots}})
 		}
 		return asks
 	}
 	if len(d.peers) == 0 || d.leaseLapsed(now) {
 		return nil
 	}
-	itemsByPeer := map[int][]Item{}
+	itemsByPeer := map[int][]AccountPart{}
 	ids := make([]uint64, 0, len(d.accounts))
 	for id := range d.accounts {
 		ids = append(ids, id)
@@ -277,20 +277,20 @@
 				break
 			}
 			if x := min(l.part, need); l.until-now < LoanMs-clockMarginMs-renewAfterMs {
-				itemsByPeer[from] = append(itemsByPeer[from], Item{id, x})
+				itemsByPeer[from] = append(itemsByPeer[from], AccountPart{id, x})
 			}
 			need -= l.part
 		}
 		if missing := a.neededPart() - have; missing > minAskPart {
 			to := d.peers[d.round%len(d.peers)]
-			itemsByPeer[to] = append(itemsByPeer[to], Item{id, missing + a.borrowed[to].part})
+			itemsByPeer[to] = append(itemsByPeer[to], AccountPart{id, missing + a.borrowed[to].part})
 		}
 	}
 	d.round++
 	for _, to := range sortedKeys(itemsByPeer) {
 		d.serial++
 		d.asks[d.serial] = pendingAsk{to, now}
-		asks = append(asks, Letter{to, Message{Serial: d.serial, Instance: d.instance, Items: itemsByPeer[to], Slots: d.slots}})
+		asks = append(asks, Envelope{to, Message{Serial: d.serial, Instance: d.instance, Items: itemsByPeer[to], Slots: d.slots}})
 	}
 	return asks
 }
@@ -305,45 +305,45 @@
 }
 
 // Receive processes a message and returns the answer, if any.
-func (d *Desk) Hear(now float64, from int, m Message) (Letter, bool) {
+func (d *Ledger) Receive(now float64, from int, m Message) (Envelope, bool) {
 	if from < 0 || from >= d.slots || from == d.self || m.Slots < 0 {
-		return Letter{}, false
+		return Envelope{}, false
 	}
 	m.Items = d.rescaleItems(m)
 	switch {
 	case m.Answer && m.Recall:
 		d.receiveRecall(now, from, m)
-		return Letter{}, false
+		return Envelope{}, false
 	case m.Answer:
 		d.borrowed(now, from, m)
-		return Letter{}, false
+		return Envelope{}, false
 	case m.Recall:
-		return Letter{from, d.answerRecall(now, from, m)}, true
+		return Envelope{from, d.answerRecall(now, from, m)}, true
 	}
 	answer := Message{Answer: true, Serial: m.Serial, Instance: m.Instance, Slots: d.slots}
 	for _, it := range m.Items {
 		if part := d.lend(now, from, it); part > 0 {
-			answer.Items = append(answer.Items, Item{it.ID, part})
+			answer.Items = append(answer.Items, AccountPart{it.ID, part})
 		}
 	}
-	return Letter{from, answer}, len(answer.Items) > 0
+	return Envelope{from, answer}, len(answer.Items) > 0
 }
 
 // rescaleItems returns a message's items, converted to this limiter's number of slots.
-func (d *Desk) rescaleItems(m Message) []Item {
+func (d *Ledger) rescaleItems(m Message) []AccountPart {
 	if m.Slots == 0 || m.Slots == d.slots {
 		return m.Items
 	}
-	items := make([]Item, len(m.Items))
+	items := make([]AccountPart, len(m.Items))
 	for i, it := range m.Items {
-		items[i] = Item{it.ID, it.Part * float64(d.slots) / float64(m.Slots)}
+		items[i] = AccountPart{it.ID, it.Part * float64(d.slots) / float64(m.Slots)}
 	}
 	return items
 }
 
 // lend lends a part to a borrower and returns how much the borrower may use. An existing loan is not
 // reduced before it expires, because the borrower may be using it.
-func (d *Desk) lend(now float64, to int, it Item) float64 {
+func (d *Ledger) lend(now float64, to int, it AccountPart) float64 {
 	if !(it.Part > 0) || d.recalling(now) || d.leaving || d.leaseLapsed(now) || now+LoanMs > d.until {
 		return 0
 	}
@@ -360,7 +360,7 @@
 }
 
 // borrowed records the loans in a lender's answer.
-func (d *Desk) borrowed(now float64, from int, m Message) {
+func (d *Ledger) borrowed(now float64, from int, m Message) {
 	ask, ok := d.asks[m.Serial]
 	if !ok || m.Instance != d.instance || ask.to != from {
 		return
@@ -380,7 +380,7 @@
 
 // answerRecall tells a limiter that has restarted which of its loans are still held here. Asks that it may
 // have answered before the restart are abandoned.
-func (d *Desk) answerRecall(now float64, from int, m Message) Message {
+func (d *Ledger) answerRecall(now float64, from int, m Message) Message {
 	answer := Message{Answer: true, Recall: true, Serial: m.Serial, Instance: m.Instance, Slots: d.slots}
 	for serial, ask := range d.asks {
 		if ask.to == from {
@@ -389,14 +389,14 @@
 	}
 	for _, id := range sortedKeys(d.accounts) {
 		if l := d.accounts[id].borrowed[from]; now < l.until {
-			answer.Items = append(answer.Items, Item{id, l.part})
+			answer.Items = append(answer.Items, AccountPart{id, l.part})
 		}
 	}
 	return answer
 }
 
 // receiveRecall records which loans from before a restart another limiter still holds.
-func (d *Desk) receiveRecall(now float64, from int, m Message) {
+func (d *Ledger) receiveRecall(now float64, from int, m Message) {
 	ask, ok := d.asks[m.Serial]
 	if !ok || m.Instance != d.instance || ask.to != from || !d.debtors[from] {
 		return
@@ -410,7 +410,7 @@
 
 // Parts returns the parts of accounts that this limiter may use now, as far as they differ from the part
 // of all other accounts, which is rest. next is when any of them expires; 0: never.
-func (d *Desk) Parts(now float64) (byAccount map[uint64]float64, rest, next float64) {
+func (d *Ledger) Parts(now float64) (byAccount map[uint64]float64, rest, next float64) {
 	if d.leaseLapsed(now) {
 		return map[uint64]float64{}, 0, 0
 	}
@@ -441,7 +441,7 @@
 }
 
 // Rate returns the average demand for an account at this limiter, in requests per second.
-func (d *Desk) Rate(id uint64) float64 {
+func (d *Ledger) Rate(id uint64) float64 {
 	if a := d.accounts[id]; a != nil {
 		return a.demandRate
 	}
--- a/traffic/quotaloan/quotaloan_test.go
+++ b/traffic/quotaloan/quotaloan_test.go
@@ -9,7 +9,7 @@
 type network struct {
 	t         *testing.T
 	rng       *rand.Rand
-	ledgers   []*Desk
+	ledgers   []*Ledger
 	requests  [][]float64
 	inTransit []delayedMessage
 	now       float64
@@ -19,12 +19,12 @@
 type delayedMessage struct {
 	arrivesAt float64
 	from      int
-	Letter
+	Envelope
 }
 
 func newNetwork(t *testing.T, seed uint64, n int) *network {
 	w := &network{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 1}
-	w.ledgers, w.requests = make([]*Desk, n), make([][]float64, n)
+	w.ledgers, w.requests = make([]*Ledger, n), make([][]float64, n)
 	for i := range n {
 		w.start(i)
 	}
@@ -43,7 +43,7 @@
 	w.requests[i] = make([]float64, 2)
 }
 
-func (w *network) send(from int, l Letter, lossy bool) {
+func (w *network) send(from int, l Envelope, lossy bool) {
 	for range 2 {
 		if lossy && w.rng.Float64() < 0.3 {
 			continue
@@ -72,13 +72,13 @@
 	}
 	w.inTransit = append([]delayedMessage(nil), remaining...)
 	for _, f := range due {
-		if a, ok := w.ledgers[f.To].Hear(w.now, f.from, f.Message); ok {
+		if a, ok := w.ledgers[f.To].Receive(w.now, f.from, f.Message); ok {
 			w.send(f.To, a, lossy)
 		}
 	}
 	for i, d := range w.ledgers {
 		w.requests[i][0] += rates[i] * ms / 1000
-		for _, l := range d.Look(w.now, []Account{{ID: 7, Rate: 1, Burst: 3, Asked: w.requests[i][0]}}) {
+		for _, l := range d.UpdateDemand(w.now, []Account{{ID: 7, Rate: 1, Burst: 3, Requests: w.requests[i][0]}}) {
 			w.send(i, l, lossy)
 		}
 	}
@@ -161,7 +161,7 @@
 // A token request asks the next candidate when all have answered or time is up, candidates of this region
 // first, and stops when too little time is left.
 func TestTokenAsk(t *testing.T) {
-	q := Enquire([]int{4, 7, 9}, 2)
+	q := NewTokenAsk([]int{4, 7, 9}, 2)
 	place, wait, ok := q.Next(1000)
 	if place != 4 || wait != nextAskDelayMs || !ok {
 		t.Error(place, wait, ok)
@@ -172,7 +172,7 @@
 	if q.Refused(10, "ceiling") {
 		t.Error("all have answered, after one of two answers")
 	}
-	if !q.Refused(5000, "quota") || q.WaitMs != maxRetryAfterMs || q.Why != "quota" {
+	if !q.Refused(5000, "quota") || q.RetryAfterMs != maxRetryAfterMs || q.Reason != "quota" {
 		t.Errorf("%+v", q)
 	}
 	if _, _, ok = q.Next(200); ok {
--- a/traffic/shutdown/shutdown.go
+++ b/traffic/shutdown/shutdown.go
@@ -69,11 +69,11 @@
 }
 
 // AcceptsRequests reports whether connections and requests are still accepted.
-func (p Plan) TakesRequests(state Progress) bool { return state.Since < p.IntakeEnd() }
+func (p Plan) AcceptsRequests(state Progress) bool { return state.Since < p.IntakeEnd() }
 
 // Drained reports whether no request is in flight and none can arrive, so that the proxy may return its
 // place.
-func (p Plan) Drained(state Progress) bool { return !p.TakesRequests(state) && state.Requests == 0 }
+func (p Plan) Drained(state Progress) bool { return !p.AcceptsRequests(state) && state.Requests == 0 }
 
 // MustAnswer reports whether requests in flight must be answered now, whatever they are waiting for.
 func (p Plan) MustAnswer(state Progress) bool { return state.Since >= p.AnswerBy() }
@@ -87,13 +87,13 @@
 			state.Answered && state.AnsweredFor >= FlushTimeout
 	}
 	idle := state.Requests == 0 && state.Connections == 0 && state.PlaceReturned
-	return idle && !p.TakesRequests(state)
+	return idle && !p.AcceptsRequests(state)
 }
 
 // NextCheck returns how long to wait before checking the progress again: step, or less so as to check
 // exactly at the end of intake, when the listener must not accept connections that are not served.
-func (p Plan) LookAgain(state Progress, step time.Duration) time.Duration {
-	if !p.TakesRequests(state) {
+func (p Plan) NextCheck(state Progress, step time.Duration) time.Duration {
+	if !p.AcceptsRequests(state) {
 		return step
 	}
 	return min(step, p.IntakeEnd()-state.Since)
--- a/traffic/shutdown/shutdown_test.go
+++ b/traffic/shutdown/shutdown_test.go
@@ -56,7 +56,7 @@
 	p := NewPlan(6*time.Second, ttl)
 	const step = 20 * time.Millisecond
 	for since, want := range map[time.Duration]time.Duration{0: step, 2490 * time.Millisecond: 10 * time.Millisecond, 2500 * time.Millisecond: step, 5 * time.Second: step} {
-		if got := p.LookAgain(Progress{Since: since}, step); got != want {
+		if got := p.NextCheck(Progress{Since: since}, step); got != want {
 			t.Errorf("%v after SIGTERM: next check in %v, want %v", since, got, want)
 		}
 	}
@@ -72,7 +72,7 @@
 		at := Progress{Since: time.Duration(sinceMs) * time.Millisecond, Requests: int(requests), PlaceReturned: returned}
 		exit := p.ExitBy()
 		ordered := p.IntakeEnd() <= grace/2 && exit < grace && p.AnswerBy() <= exit && p.AnswerBy() >= grace*5/6-time.Millisecond
-		return ordered && !(p.TakesRequests(at) && (p.Drained(at) || p.MayExit(at)))
+		return ordered && !(p.AcceptsRequests(at) && (p.Drained(at) || p.MayExit(at)))
 	}
 	if err := quick.Check(holds, &quick.Config{MaxCount: 20000}); err != nil {
 		t.Error(err)
--- a/traffic/shutdown/stall.go
+++ b/traffic/shutdown/stall.go
@@ -8,7 +8,7 @@
 	StallThreshold = 500 * time.Millisecond
 	// SettleTime is how long after a stall no request that was read is started: signals that arrived during
 	// the stall may not have been handled yet.
-	SettleWithin = 250 * time.Millisecond
+	SettleTime = 250 * time.Millisecond
 	// SignalDelay is how long handling a signal may take on a machine without a free CPU. A signal handled
 	// within this time after a stall may have been sent during the stall.
 	SignalDelay = time.Second
@@ -37,7 +37,7 @@
 // Settling reports whether the process is stalled or resumed less than SettleTime ago, so that a signal
 // sent meanwhile may not have been handled yet.
 func (d *StallDetector) Settling(now time.Duration) bool {
-	return d.stalledWithin(now, SettleWithin)
+	return d.stalledWithin(now, SettleTime)
 }
 
 // stalledWithin reports whether the process is stalled or resumed less than within ago.
@@ -47,7 +47,7 @@
 
 // EarliestSent returns the earliest time at which a signal handled now may have been sent: now, or the
 // last tick before the stall if the process has just resumed.
-func (d *StallDetector) SentFrom(now time.Duration) time.Duration {
+func (d *StallDetector) EarliestSent(now time.Duration) time.Duration {
 	switch {
 	case !d.stalledWithin(now, SignalDelay):
 		return now
--- a/traffic/shutdown/stall_test.go
+++ b/traffic/shutdown/stall_test.go
@@ -30,7 +30,7 @@
 		"handled before the stall":                      {false, stopped + tick, false, stopped + tick, 0, 0},
 		"handled before the first tick after the stall": {false, resumedAt, true, stopped, 0, 0},
 		"handled just after that tick":                  {true, resumedAt + tick, true, stopped, 1, resumedAt - stopped},
-		"handled when requests are started again":       {true, resumedAt + SettleWithin, false, stopped, 1, resumedAt - stopped},
+		"handled when requests are started again":       {true, resumedAt + SettleTime, false, stopped, 1, resumedAt - stopped},
 		"sent after SignalDelay":                        {true, resumedAt + SignalDelay, false, resumedAt + SignalDelay, 1, resumedAt - stopped},
 	} {
 		d := detectorRunUntil(stopped)
@@ -38,8 +38,8 @@
 			d.Tick(at)
 		}
 		count, longest := d.Stalls()
-		if d.Settling(x.handled) != x.settling || d.SentFrom(x.handled) != x.from || count != x.stalls || longest < x.longestAtLeast {
-			t.Errorf("%s: settling %v, sent from %v, %d stalls, longest %v", name, d.Settling(x.handled), d.SentFrom(x.handled), count, longest)
+		if d.Settling(x.handled) != x.settling || d.EarliestSent(x.handled) != x.from || count != x.stalls || longest < x.longestAtLeast {
+			t.Errorf("%s: settling %v, sent from %v, %d stalls, longest %v", name, d.Settling(x.handled), d.EarliestSent(x.handled), count, longest)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 		for at := resumedAt; random.IntN(4) > 0 && at <= handled; at += time.Duration(random.Int64N(int64(2 * tick))) {
 			d.Tick(at)
 		}
-		from := d.SentFrom(handled)
+		from := d.EarliestSent(handled)
 		if stall > StallThreshold && from > sent {
 			t.Fatalf("sent at %v in a stall from %v to %v, handled at %v, counted from %v", sent, now, resumedAt, handled, from)
 		}
