--- a/control/controlstate/controlstate.go
+++ b/control/controlstate/controlstate.go
@@ -1,6 +1,6 @@
-// Package controlstate is the state that the core machines agree on: the configuration, the
-// zones that are evacuated and the places of the limiters. Orders change it one after the
-// other; each change makes one new version. It does no input or output.
+// Package controlstate defines the replicated state of the core machines: the configuration, the
+// evacuated zones and the places of the limiters. Orders are applied to it one after the other, and each
+// change produces one new version. The package does no I/O.
 package controlstate
 
 import (
@@ -15,228 +15,235 @@
 	"example.org/madderdrum/control/places"
 )
 
-// Register is one version of the agreed state. Its zero value is that before any order.
+// Register is one version of the replicated state. The zero value is the state before any order.
 type Register struct {
-	Seq     uint64           `cbor:"1,keyasint"`           // rises by one with each change
-	Version uint64           `cbor:"2,keyasint"`           // of the configuration
-	Config  []byte           `cbor:"3,keyasint,omitempty"` // its text
-	Evac    []string         `cbor:"4,keyasint,omitempty"` // zones, sorted
-	Places  []places.Place   `cbor:"5,keyasint,omitempty"` // of limiters, by slot
-	Applied []AppliedCommand `cbor:"6,keyasint,omitempty"` // the latest changes, oldest first
-	// Revoked is the Seq of the latest change that took a key away.
+	Seq     uint64           `cbor:"1,keyasint"`           // version of the register, plus one with each change
+	Version uint64           `cbor:"2,keyasint"`           // version of the configuration
+	Config  []byte           `cbor:"3,keyasint,omitempty"` // text of the configuration
+	Evac    []string         `cbor:"4,keyasint,omitempty"` // sorted
+	Places  []places.Place   `cbor:"5,keyasint,omitempty"` // places of the limiters, by slot
+	Applied []AppliedCommand `cbor:"6,keyasint,omitempty"` // the latest changes of the configuration, oldest first
+	// RevocationSeq is the Seq of the latest change that revoked an API key.
 	Revoked uint64 `cbor:"7,keyasint,omitempty"`
-	// Voters are the machines that agree, sorted; none before the first change, when it is those
-	// that everyone began with. Prior
-	// are those before them, while it is not known that the change of voters is chosen.
+	// Voters are the IDs of the voters, sorted. It is empty before the first change, when the initial
+	// voters apply. Prior are the voters before the last change of voters, kept until that change is known
+	// to be chosen.
 	Voters []string `cbor:"8,keyasint,omitempty"`
 	Prior  []string `cbor:"9,keyasint,omitempty"`
-	// VoterChanges counts the changes of voters: the term of a set of voters.
+	// VoterChanges counts the changes of the voter set. It determines the term (see [Register.Term]).
 	VoterChanges uint64 `cbor:"10,keyasint,omitempty"`
-	// ZoneChanges holds the Seq of the latest change of each zone's evacuation, sorted by zone.
+	// ZoneChanges holds, for each zone, when its evacuation last changed; sorted by zone.
 	ZoneChanges []ZoneChange `cbor:"11,keyasint,omitempty"`
-	// PlacesSettled is the Seq of the oldest register whose places a limiter may still go by.
+	// PlacesSettled is the Seq of the oldest register whose places a limiter may still use.
 	PlacesSettled uint64 `cbor:"12,keyasint,omitempty"`
 }
 
-// ZoneChange is when the evacuation of a zone was last begun or finished.
+// ZoneChange records the register Seq at which the evacuation of a zone was last begun or finished.
 type ZoneChange struct {
 	Zone string `cbor:"1,keyasint"`
 	Seq  uint64 `cbor:"2,keyasint"`
 }
 
-// PlaceTable is the table of places, whose version is the register's Seq. It shares its memory with the
+// PlaceTable returns the table of places, whose version is the register's Seq. It shares memory with the
 // register.
 func (r *Register) PlaceTable() places.Table {
 	return places.Table{Places: r.Places, Settled: r.PlacesSettled}
 }
 
-// changePlaces has a change made to the table of places.
-func (r *Register) changePlaces(change func(t *places.Table, version uint64) bool) (changed bool) {
-	t := r.PlaceTable()
-	changed = change(&t, r.Seq+1)
-	r.Places, r.PlacesSettled = t.Places, t.Settled
+// changePlaces applies change to the table of places, under the Seq that the register gets if it changes.
+func (r *Register) changePlaces(change func(table *places.Table, version uint64) bool) (changed bool) {
+	table := r.PlaceTable()
+	changed = change(&table, r.Seq+1)
+	r.Places, r.PlacesSettled = table.Places, table.Settled
 	return changed
 }
 
-// AppliedCommand is a change that was taken, so that the same call can be known when it comes again.
+// AppliedCommand identifies a configuration change that was applied, so that a repeated call is recognized.
 type AppliedCommand struct {
 	Version uint64   `cbor:"1,keyasint"`
 	Sum     [16]byte `cbor:"2,keyasint"`
 }
 
-const appliedMost = 256
+// maxAppliedCommands is how many applied configuration changes a register remembers.
+const maxAppliedCommands = 256
 
-// OrderKind says what an order changes.
+// OrderKind is the type of change that an order makes.
 type OrderKind uint8
 
 // The kinds of orders.
 const (
-	Replace          OrderKind = iota // the whole configuration
-	Update                            // named items of it
-	Begin                             // evacuate a zone
-	Finish                            // and take it back
-	RegisterLimiters                  // give limiters their places
-	ChangeVoters                      // let core machines vote, or have them vote no more
-	ReleasePlaces                     // end the places of limiters
-	SettlePlaces                      // note that nobody goes by older places any more
+	Replace          OrderKind = iota // replace the whole configuration
+	Update                            // change named items of the configuration
+	Begin                             // begin the evacuation of a zone
+	Finish                            // end the evacuation of a zone
+	RegisterLimiters                  // assign places to limiters
+	ChangeVoters                      // add and remove voters
+	ReleasePlaces                     // release places of limiters
+	SettlePlaces                      // record that no limiter uses older places any more
 )
 
-// Order is one change that somebody asks for.
+// Order is a command of the replicated state machine: one requested change of the register.
 type Order struct {
 	Kind   OrderKind      `cbor:"1,keyasint"`
-	Body   []byte         `cbor:"2,keyasint,omitempty"` // of Replace and Update
-	Zone   string         `cbor:"3,keyasint,omitempty"` // of Begin and Finish
-	Places []places.Place `cbor:"4,keyasint,omitempty"` // of RegisterLimiters: to be made
-	Seats  []string       `cbor:"5,keyasint,omitempty"` // of ChangeVoters: those to be voters, with those that are
-	First  []string       `cbor:"6,keyasint,omitempty"` // of ChangeVoters: the voters that everyone began with
-	Leave  []string       `cbor:"7,keyasint,omitempty"` // of ChangeVoters: those to vote no more
-	// Term of ChangeVoters is that of the voters that the change was decided by: it is refused under
-	// any other. Zero is for operators' commands, which hold under every term.
+	Body   []byte         `cbor:"2,keyasint,omitempty"` // of ReplaceConfig and UpdateConfig
+	Zone   string         `cbor:"3,keyasint,omitempty"` // of BeginEvacuation and FinishEvacuation
+	Places []places.Place `cbor:"4,keyasint,omitempty"` // of RegisterLimiters: the places to create
+	Seats  []string       `cbor:"5,keyasint,omitempty"` // of ChangeVoters: IDs to add to the voters
+	First  []string       `cbor:"6,keyasint,omitempty"` // of ChangeVoters: the voters that bootstrapped the system
+	Leave  []string       `cbor:"7,keyasint,omitempty"` // of ChangeVoters: IDs to remove from the voters
+	// Term of ChangeVoters is the term in which the change was decided. The order is refused in any other
+	// term. Operators' commands use zero, which is valid in every term.
 	Term uint64 `cbor:"8,keyasint,omitempty"`
-	// Seen of Begin, Finish and RegisterLimiters is the Seq of the register that was in force where the
-	// order came in. One that was overtaken by another one for the same zone or limiter is not carried out.
+	// SeenSeq of BeginEvacuation, FinishEvacuation and RegisterLimiters is the Seq of the register that was
+	// known where the order was received. The order is not applied if another one for the same zone or
+	// limiter was applied since.
 	Seen uint64 `cbor:"9,keyasint,omitempty"`
-	// Holders of ReleasePlaces are those whose places end.
+	// Holders of ReleasePlaces are the holders whose places are released (see places.Place.Holder).
 	Holders []string `cbor:"10,keyasint,omitempty"`
-	// Settled of SettlePlaces is the Seq of the oldest register whose places anybody still goes by.
+	// SettledSeq of SettlePlaces is the Seq of the oldest register whose places any limiter may still use.
 	Settled uint64 `cbor:"11,keyasint,omitempty"`
 }
 
-// Outcome is what became of an order.
+// Outcome is the result of an order.
 type Outcome struct {
-	Status int    `cbor:"1,keyasint"` // as in HTTP: 200, 400, 409, 412; 503 is no clear answer
+	Status int    `cbor:"1,keyasint"` // HTTP status; 503: result unknown, or order overtaken
 	Code   string `cbor:"2,keyasint,omitempty"`
 	Text   string `cbor:"3,keyasint,omitempty"`
-	Seq    uint64 `cbor:"4,keyasint"` // of the version that holds it
+	Seq    uint64 `cbor:"4,keyasint"` // of the register version that contains the result
 }
 
-// Encode is a register as it is agreed on and kept on disk.
+// Encode returns the register in CBOR, the form in which it is replicated and stored on disk.
 func (r *Register) Encode() ([]byte, error) { return cbor.Marshal(r) }
 
-// Decode reads an encoded register. No bytes are the register before any order.
+// Decode parses an encoded register. An empty value is the register before any order.
 func Decode(value []byte) (*Register, error) {
 	r := &Register{}
 	if len(value) == 0 {
 		return r, nil
 	}
 	if err := cbor.Unmarshal(value, r); err != nil {
-		return nil, fmt.Errorf("controlstate: read a register: %w", err)
+		return nil, fmt.Errorf("controlstate: decode register: %w", err)
 	}
 	return r, nil
 }
 
-// Clone is a copy that can be changed by itself. Texts are shared: they do not change.
+// Clone returns a copy that can be changed independently. The copy shares Config, which is never modified
+// in place.
 func (r *Register) Clone() *Register {
-	c := *r
-	c.Evac, c.Places, c.Applied = slices.Clone(r.Evac), slices.Clone(r.Places), slices.Clone(r.Applied)
-	c.Voters, c.Prior = slices.Clone(r.Voters), slices.Clone(r.Prior)
-	c.ZoneChanges = slices.Clone(r.ZoneChanges)
-	return &c
+	clone := *r
+	clone.Evac, clone.Places, clone.Applied = slices.Clone(r.Evac), slices.Clone(r.Places), slices.Clone(r.Applied)
+	clone.Voters, clone.Prior = slices.Clone(r.Voters), slices.Clone(r.Prior)
+	clone.ZoneChanges = slices.Clone(r.ZoneChanges)
+	return &clone
 }
 
-func sum(o *Order) (s [16]byte) {
-	h := sha256.Sum256(o.Body)
-	copy(s[:], h[:])
-	s[0] ^= byte(o.Kind)
-	return s
+// digestOf identifies the content of a configuration order by its kind and body.
+func digestOf(order *Order) (digest [16]byte) {
+	hash := sha256.Sum256(order.Body)
+	copy(digest[:], hash[:])
+	digest[0] ^= byte(order.Kind)
+	return digest
 }
 
-// Apply carries out an order. Where nothing changes the register stays as it is.
-func (r *Register) Apply(o *Order) Outcome {
-	changed, out := r.apply(o)
+// Apply applies an order and increments Seq if the register changed.
+func (r *Register) Apply(order *Order) Outcome {
+	changed, outcome := r.apply(order)
 	if changed {
 		r.Seq++
 	}
-	if out.Seq == 0 {
-		out.Seq = r.Seq
+	if outcome.Seq == 0 {
+		outcome.Seq = r.Seq
 	}
-	return out
+	return outcome
 }
 
-func (r *Register) apply(o *Order) (bool, Outcome) {
-	switch o.Kind {
+// apply applies an order without incrementing Seq and reports whether the register changed.
+func (r *Register) apply(order *Order) (bool, Outcome) {
+	switch order.Kind {
 	case Replace, Update:
-		return r.change(o)
+		return r.changeConfiguration(order)
 	case Begin, Finish:
-		return r.evacuate(o)
+		return r.evacuate(order)
 	case RegisterLimiters:
-		return r.changePlaces(func(t *places.Table, version uint64) bool { return t.Join(version, o.Seen, o.Places) }), Outcome{Status: 200}
+		return r.changePlaces(func(table *places.Table, version uint64) bool { return table.Join(version, order.Seen, order.Places) }), Outcome{Status: 200}
 	case ReleasePlaces:
-		return r.changePlaces(func(t *places.Table, version uint64) bool { return t.Release(version, o.Holders) }), Outcome{Status: 200}
+		return r.changePlaces(func(table *places.Table, version uint64) bool { return table.Release(version, order.Holders) }), Outcome{Status: 200}
 	case SettlePlaces:
-		if o.Settled > r.Seq {
-			return false, Outcome{Status: 409, Code: "not_yet", Text: fmt.Sprintf("places of register %d can't be settled: the newest is %d", o.Settled, r.Seq)}
+		if order.Settled > r.Seq {
+			return false, Outcome{Status: 409, Code: "not_yet", Text: fmt.Sprintf("places of register %d can't be settled: the newest is %d", order.Settled, r.Seq)}
 		}
-		return r.changePlaces(func(t *places.Table, _ uint64) bool { return t.Settle(o.Settled) }), Outcome{Status: 200}
+		return r.changePlaces(func(table *places.Table, _ uint64) bool { return table.Settle(order.Settled) }), Outcome{Status: 200}
 	case ChangeVoters:
-		return r.changeVoters(o)
+		return r.changeVoters(order)
 	}
-	return false, Outcome{Status: 400, Code: configuration.Unreadable, Text: fmt.Sprintf("order of kind %d is not known", o.Kind)}
+	return false, Outcome{Status: 400, Code: configuration.Unreadable, Text: fmt.Sprintf("order of kind %d is not known", order.Kind)}
 }
 
-// evacuate begins or finishes the evacuation of a zone. What is so already is acknowledged. An order
-// that would change something is carried out only if the zone has not been changed since the order
-// came in: one that was held up on its way must not undo a later one.
-func (r *Register) evacuate(o *Order) (bool, Outcome) {
-	at, evacuated := slices.BinarySearch(r.Evac, o.Zone)
-	if evacuated == (o.Kind == Begin) {
+// evacuate begins or finishes the evacuation of a zone. An order that would change nothing is acknowledged.
+// Any other is applied only if the zone has not changed since the order was received, so that a delayed
+// order does not undo a later one.
+func (r *Register) evacuate(order *Order) (bool, Outcome) {
+	zoneIndex, evacuated := slices.BinarySearch(r.Evac, order.Zone)
+	if evacuated == (order.Kind == Begin) {
 		return false, Outcome{Status: 200}
 	}
-	k, changed := slices.BinarySearchFunc(r.ZoneChanges, o.Zone, func(c ZoneChange, zone string) int { return strings.Compare(c.Zone, zone) })
-	if changed && r.ZoneChanges[k].Seq > o.Seen {
+	changeIndex, changed := slices.BinarySearchFunc(r.ZoneChanges, order.Zone,
+		func(c ZoneChange, zone string) int { return strings.Compare(c.Zone, zone) })
+	if changed && r.ZoneChanges[changeIndex].Seq > order.Seen {
 		return false, Outcome{Status: 503, Code: "overtaken", Text: "another order for the zone was carried out since this one came in: send it again if it is still wanted"}
 	}
 	if evacuated {
-		r.Evac = slices.Delete(r.Evac, at, at+1)
+		r.Evac = slices.Delete(r.Evac, zoneIndex, zoneIndex+1)
 	} else {
-		r.Evac = slices.Insert(r.Evac, at, o.Zone)
+		r.Evac = slices.Insert(r.Evac, zoneIndex, order.Zone)
 	}
-	change := ZoneChange{Zone: o.Zone, Seq: r.Seq + 1}
+	change := ZoneChange{Zone: order.Zone, Seq: r.Seq + 1}
 	if changed {
-		r.ZoneChanges[k] = change
+		r.ZoneChanges[changeIndex] = change
 	} else {
-		r.ZoneChanges = slices.Insert(r.ZoneChanges, k, change)
+		r.ZoneChanges = slices.Insert(r.ZoneChanges, changeIndex, change)
 	}
 	return true, Outcome{Status: 200}
 }
 
-// change takes a configuration. The same call again is answered as it was at first. One that is
-// older than all calls that are remembered may have been taken: it gets no clear answer.
-func (r *Register) change(o *Order) (bool, Outcome) {
-	c, f := configuration.ReadCall(o.Body, o.Kind == Update)
-	if f != nil {
-		return false, fault(f)
+// changeConfiguration replaces or updates the configuration. A repeated call is acknowledged again without
+// a change. A call older than all remembered ones may or may not have been applied, so it gets status 503.
+func (r *Register) changeConfiguration(order *Order) (bool, Outcome) {
+	call, fault := configuration.ReadCall(order.Body, order.Kind == Update)
+	if fault != nil {
+		return false, faultOutcome(fault)
 	}
-	s := sum(o)
+	digest := digestOf(order)
 	for _, t := range r.Applied {
-		if t.Version == c.Version && t.Sum == s {
+		if t.Version == call.Version && t.Sum == digest {
 			return false, Outcome{Status: 200}
 		}
 	}
-	if len(r.Applied) == appliedMost && c.Version < r.Applied[0].Version {
-		return false, Outcome{Status: 503, Code: "forgotten", Text: fmt.Sprintf("r%d is older than the last %d changes: whether it was taken is not known any more", c.Version, appliedMost)}
+	if len(r.Applied) == maxAppliedCommands && call.Version < r.Applied[0].Version {
+		return false, Outcome{Status: 503, Code: "forgotten", Text: fmt.Sprintf("r%d is older than the last %d changes: whether it was taken is not known any more", call.Version, maxAppliedCommands)}
 	}
-	next, f := configuration.Apply(r.Config, r.Version, c)
-	if f != nil {
-		return false, fault(f)
+	next, fault := configuration.Apply(r.Config, r.Version, call)
+	if fault != nil {
+		return false, faultOutcome(fault)
 	}
-	if old, bad := configuration.Read(r.Config); bad == nil && len(r.Config) > 0 {
-		if t, bad := configuration.Read(next); bad == nil && configuration.Lost(old, t) {
+	if old, unreadable := configuration.Read(r.Config); unreadable == nil && len(r.Config) > 0 {
+		if t, unreadable := configuration.Read(next); unreadable == nil && configuration.Lost(old, t) {
 			r.Revoked = r.Seq + 1
 		}
 	}
-	r.Config, r.Version = next, c.Version
-	r.Applied = append(r.Applied, AppliedCommand{c.Version, s})
-	if n := len(r.Applied) - appliedMost; n > 0 {
-		r.Applied = slices.Delete(r.Applied, 0, n)
+	r.Config, r.Version = next, call.Version
+	r.Applied = append(r.Applied, AppliedCommand{call.Version, digest})
+	if excess := len(r.Applied) - maxAppliedCommands; excess > 0 {
+		r.Applied = slices.Delete(r.Applied, 0, excess)
 	}
 	return true, Outcome{Status: 200}
 }
 
-func fault(f *configuration.Fault) Outcome {
+// faultOutcome converts a configuration fault to an outcome: 412 for a wrong base version, else 400.
+func faultOutcome(fault *configuration.Fault) Outcome {
 	status := 400
-	if f.Code == configuration.WrongBase {
+	if fault.Code == configuration.WrongBase {
 		status = 412
 	}
-	return Outcome{Status: status, Code: f.Code, Text: f.Error()}
+	return Outcome{Status: status, Code: fault.Code, Text: fault.Error()}
 }
--- a/control/controlstate/controlstate_test.go
+++ b/control/controlstate/controlstate_test.go
@@ -8,86 +8,90 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// config returns the text of a configuration whose one tenant has the given API keys.
 func config(version, base int, keys string) []byte {
 	return fmt.Appendf(nil, `{"config_version":"r%d","base_revision":"r%d","tenants":[{"name":"t","api_keys":[%s]}],"listeners":[],"clusters":[]}`, version, base, keys)
 }
 
+// Applies a sequence of orders with repeated, conflicting and delayed ones. A refused order must leave the
+// register unchanged.
 func TestOrders(t *testing.T) {
 	var r Register
-	give := func(what string, o Order, status int) {
+	apply := func(name string, order Order, status int) {
 		t.Helper()
 		before := r.Clone()
-		out := r.Apply(&o)
+		out := r.Apply(&order)
 		if out.Status != status {
-			t.Fatalf("%s: %d %s, %d wanted", what, out.Status, out.Text, status)
+			t.Fatalf("%s: got %d %s, want %d", name, out.Status, out.Text, status)
 		}
 		if status != 200 {
 			if diff := cmp.Diff(before, &r); diff != "" {
-				t.Fatalf("%s: an order that is refused has changed the register: %s", what, diff)
+				t.Fatalf("%s: a refused order has changed the register: %s", name, diff)
 			}
 		}
 	}
 	first := Order{Kind: Replace, Body: config(3, 0, `"k1","k2"`)}
-	give("the first", first, 200)
+	apply("the first configuration", first, 200)
 	seq := r.Seq
-	give("the same call again", first, 200)
+	apply("the same call repeated", first, 200)
 	if r.Seq != seq {
-		t.Error("the same call again has made a version")
+		t.Error("the repeated call has created a version")
 	}
-	mine, theirs := Order{Kind: Replace, Body: config(5, 3, `"k1"`)}, Order{Kind: Replace, Body: config(5, 3, `"k2"`)}
-	give("the first of a race", mine, 200)
+	winner, loser := Order{Kind: Replace, Body: config(5, 3, `"k1"`)}, Order{Kind: Replace, Body: config(5, 3, `"k2"`)}
+	apply("the first of two concurrent changes", winner, 200)
 	if r.Revoked != r.Seq {
-		t.Error("a key was taken away by the latest version")
+		t.Error("the latest version revoked a key, but RevocationSeq does not say so")
 	}
-	give("the other of a race", theirs, 412)
-	give("the winner again", mine, 200)
-	give("a further one", Order{Kind: Replace, Body: config(8, 5, `"k1"`)}, 200)
+	apply("the second of two concurrent changes", loser, 412)
+	apply("the first of them repeated", winner, 200)
+	apply("a further configuration", Order{Kind: Replace, Body: config(8, 5, `"k1"`)}, 200)
 	if r.Revoked == r.Seq {
-		t.Error("nothing was taken away by the latest version")
+		t.Error("RevocationSeq advanced although the latest version revoked no key")
 	}
-	give("an older one again, which was taken", mine, 200)
-	give("no configuration", Order{Kind: Replace, Body: []byte(`{"config_version"`)}, 400)
-	give("an evacuation", Order{Kind: Begin, Zone: "z"}, 200)
+	apply("an older applied call repeated", winner, 200)
+	apply("an unreadable configuration", Order{Kind: Replace, Body: []byte(`{"config_version"`)}, 400)
+	apply("the evacuation of a zone", Order{Kind: Begin, Zone: "z"}, 200)
 	seq = r.Seq
-	give("the same", Order{Kind: Begin, Zone: "z"}, 200)
+	apply("the same evacuation repeated", Order{Kind: Begin, Zone: "z"}, 200)
 	if r.Seq != seq || len(r.Evac) != 1 {
-		t.Error("the same evacuation again has made a version")
+		t.Error("the repeated evacuation has created a version")
 	}
-	begun := r.Seq
-	give("its end", Order{Kind: Finish, Zone: "z", Seen: r.Seq}, 200)
-	give("its beginning again, which was held up on its way", Order{Kind: Begin, Zone: "z", Seen: begun - 1}, 503)
-	give("its end again", Order{Kind: Finish, Zone: "z", Seen: begun - 1}, 200)
-	give("another evacuation", Order{Kind: Begin, Zone: "z", Seen: r.Seq}, 200)
-	give("the end of the former one, which was held up", Order{Kind: Finish, Zone: "z", Seen: begun}, 503)
-	give("its own end", Order{Kind: Finish, Zone: "z", Seen: r.Seq}, 200)
-	give("places", Order{Kind: RegisterLimiters, Seen: r.Seq, Places: []places.Place{{Name: "b", IP: "2", Zone: "z"}, {Name: "a", IP: "1", Zone: "z"}}}, 200)
-	since := r.Seq
-	give("another machine under a name", Order{Kind: RegisterLimiters, Seen: r.Seq, Places: []places.Place{{Name: "a", IP: "9", Zone: "z"}, {Name: "c", IP: "3", Zone: "z"}}}, 200)
-	want := []places.Place{{Name: "b", IP: "2", Zone: "z", From: since}, {Name: "a", IP: "1", Zone: "z", From: since, To: since + 1},
-		{Name: "a", IP: "9", Zone: "z", From: since + 1}, {Name: "c", IP: "3", Zone: "z", From: since + 1}}
-	if diff := cmp.Diff(want, r.Places); diff != "" || r.PlacesSettled != since {
-		t.Errorf("the former machine is another holder: settled %d, %s", r.PlacesSettled, diff)
+	beginSeq := r.Seq
+	apply("the end of the evacuation", Order{Kind: Finish, Zone: "z", Seen: r.Seq}, 200)
+	apply("a delayed repetition of its beginning", Order{Kind: Begin, Zone: "z", Seen: beginSeq - 1}, 503)
+	apply("its end repeated", Order{Kind: Finish, Zone: "z", Seen: beginSeq - 1}, 200)
+	apply("another evacuation of the zone", Order{Kind: Begin, Zone: "z", Seen: r.Seq}, 200)
+	apply("the delayed end of the former evacuation", Order{Kind: Finish, Zone: "z", Seen: beginSeq}, 503)
+	apply("the end of the new evacuation", Order{Kind: Finish, Zone: "z", Seen: r.Seq}, 200)
+	apply("limiters join", Order{Kind: RegisterLimiters, Seen: r.Seq, Places: []places.Place{{Name: "b", IP: "2", Zone: "z"}, {Name: "a", IP: "1", Zone: "z"}}}, 200)
+	joinedSeq := r.Seq
+	apply("another machine joins under an existing name", Order{Kind: RegisterLimiters, Seen: r.Seq, Places: []places.Place{{Name: "a", IP: "9", Zone: "z"}, {Name: "c", IP: "3", Zone: "z"}}}, 200)
+	want := []places.Place{{Name: "b", IP: "2", Zone: "z", From: joinedSeq}, {Name: "a", IP: "1", Zone: "z", From: joinedSeq, To: joinedSeq + 1},
+		{Name: "a", IP: "9", Zone: "z", From: joinedSeq + 1}, {Name: "c", IP: "3", Zone: "z", From: joinedSeq + 1}}
+	if diff := cmp.Diff(want, r.Places); diff != "" || r.PlacesSettled != joinedSeq {
+		t.Errorf("the former machine is a different holder: settled %d, %s", r.PlacesSettled, diff)
 	}
-	give("places are settled that are not agreed on", Order{Kind: SettlePlaces, Settled: r.Seq + 1}, 409)
-	give("places are settled", Order{Kind: SettlePlaces, Settled: r.Seq}, 200)
+	apply("places of a future version are settled", Order{Kind: SettlePlaces, Settled: r.Seq + 1}, 409)
+	apply("places are settled", Order{Kind: SettlePlaces, Settled: r.Seq}, 200)
 	before := r.Seq
-	give("a place is released", Order{Kind: ReleasePlaces, Holders: []string{places.HolderOf("b", "2")}}, 200)
-	give("a join that was overtaken by that", Order{Kind: RegisterLimiters, Seen: before, Places: []places.Place{{Name: "b", IP: "2", Zone: "z"}}}, 200)
-	give("and that is settled", Order{Kind: SettlePlaces, Settled: r.Seq}, 200)
+	apply("a place is released", Order{Kind: ReleasePlaces, Holders: []string{places.HolderOf("b", "2")}}, 200)
+	apply("a join that is older than the release", Order{Kind: RegisterLimiters, Seen: before, Places: []places.Place{{Name: "b", IP: "2", Zone: "z"}}}, 200)
+	apply("the release is settled", Order{Kind: SettlePlaces, Settled: r.Seq}, 200)
 	if want := []places.Place{{}, {}, want[2], want[3]}; !cmp.Equal(want, r.Places) {
-		t.Errorf("slots that are settled are free: %s", cmp.Diff(want, r.Places))
+		t.Errorf("slots of settled releases are not free: %s", cmp.Diff(want, r.Places))
 	}
-	give("a join that was overtaken by that", Order{Kind: RegisterLimiters, Seen: before, Places: []places.Place{{Name: "b", IP: "2", Zone: "z"}}}, 200)
+	apply("a join that is older than the release", Order{Kind: RegisterLimiters, Seen: before, Places: []places.Place{{Name: "b", IP: "2", Zone: "z"}}}, 200)
 	if r.Places[0].Name != "" {
-		t.Error("a limiter that has left has got a place again")
+		t.Error("a delayed join has given a place to a limiter that left")
 	}
 }
 
-// After any number of changes a call that comes again is acknowledged or gets no clear answer.
+// A repeated call that was applied must never be refused, however many changes followed: it is acknowledged
+// while it is remembered, and gets status 503 after that.
 func TestRepeatedCallsAreNeverRefused(t *testing.T) {
 	var r Register
 	var calls []Order
-	for i := range 3 * appliedMost {
+	for i := range 3 * maxAppliedCommands {
 		calls = append(calls, Order{Kind: Replace, Body: config(i+1, i, `"k"`)})
 		if out := r.Apply(&calls[i]); out.Status != 200 {
 			t.Fatalf("change %d: %+v", i, out)
@@ -103,24 +107,24 @@
 	}
 	for i := range calls {
 		want := 503
-		if i >= len(calls)-appliedMost {
+		if i >= len(calls)-maxAppliedCommands {
 			want = 200
 		}
 		if out := restored.Apply(&calls[i]); out.Status != want {
-			t.Fatalf("change %d of %d again: %+v, %d wanted", i, len(calls), out, want)
+			t.Fatalf("change %d of %d repeated: %+v, want status %d", i, len(calls), out, want)
 		}
 	}
 	if restored.Seq != r.Seq {
-		t.Error("a repeated call has made a version")
+		t.Error("a repeated call has created a version")
 	}
-	// The test of this test: a snapshot that forgets what was taken refuses the newest call.
+	// Check of the test itself: a register without Applied refuses the newest call.
 	forgetful := restored.Clone()
 	forgetful.Applied = nil
 	if out := forgetful.Apply(&calls[len(calls)-1]); out.Status != 400 && out.Status != 412 {
-		t.Errorf("a snapshot without the identity of orders is not found: %+v", out)
+		t.Errorf("a register without Applied does not refuse a repeated call: %+v", out)
 	}
-	race := Order{Kind: Replace, Body: config(len(calls), len(calls)-1, `"other"`)}
-	if out := restored.Apply(&race); out.Status != 412 {
-		t.Errorf("another change under the newest number: %+v", out)
+	conflicting := Order{Kind: Replace, Body: config(len(calls), len(calls)-1, `"other"`)}
+	if out := restored.Apply(&conflicting); out.Status != 412 {
+		t.Errorf("another change with the newest version number: %+v", out)
 	}
 }
--- a/control/controlstate/places_test.go
+++ b/control/controlstate/places_test.go
@@ -7,16 +7,17 @@
 	"example.org/madderdrum/control/places"
 )
 
-// A register of 760 limiters, of whom 1,900 are replaced a day, is no larger after 30 days than after one hour.
+// Guards against a register that grows as limiters are replaced: 760 limiters with 1,900 replacements a day
+// must need about as much space after 30 days as at first.
 func TestRegisterOfPlacesStaysBounded(t *testing.T) {
-	const living, replaced, days = 760, 1900, 30
+	const limiters, replacedPerDay, days = 760, 1900, 30
 	place := func(i int) places.Place {
 		name := fmt.Sprintf("edge-north-a-%06d", i)
 		return places.Place{Name: name, IP: fmt.Sprintf("10.%d.%d.%d", 64+i>>16, i>>8&255, i&255), Zone: "north-a", Life: name + "#204bdd61"}
 	}
 	r := &Register{}
-	give := func(o Order) {
-		if out := r.Apply(&o); out.Status != 200 {
+	apply := func(order Order) {
+		if out := r.Apply(&order); out.Status != 200 {
 			t.Fatal(out)
 		}
 	}
@@ -27,28 +28,28 @@
 		}
 		return len(value)
 	}
-	for i := range living {
-		give(Order{Kind: RegisterLimiters, Seen: r.Seq, Places: []places.Place{place(i)}})
+	for i := range limiters {
+		apply(Order{Kind: RegisterLimiters, Seen: r.Seq, Places: []places.Place{place(i)}})
 	}
-	give(Order{Kind: SettlePlaces, Settled: r.Seq})
-	begin := size()
-	const together = 5 // that are replaced with one change
-	for k := 0; k < replaced*days; k += together {
+	apply(Order{Kind: SettlePlaces, Settled: r.Seq})
+	initialSize := size()
+	const batchSize = 5 // limiters replaced by one order
+	for joined := 0; joined < replacedPerDay*days; joined += batchSize {
 		var joining []places.Place
 		var released []string
-		for i := k; i < k+together; i++ {
+		for i := joined; i < joined+batchSize; i++ {
 			old := place(i)
-			joining, released = append(joining, place(living+i)), append(released, old.Holder())
+			joining, released = append(joining, place(limiters+i)), append(released, old.Holder())
 		}
-		give(Order{Kind: RegisterLimiters, Seen: r.Seq, Places: joining})
-		give(Order{Kind: ReleasePlaces, Holders: released})
-		if k%(3*together) == 0 {
-			give(Order{Kind: SettlePlaces, Settled: r.Seq})
+		apply(Order{Kind: RegisterLimiters, Seen: r.Seq, Places: joining})
+		apply(Order{Kind: ReleasePlaces, Holders: released})
+		if joined%(3*batchSize) == 0 {
+			apply(Order{Kind: SettlePlaces, Settled: r.Seq})
 		}
 	}
-	end := size()
-	t.Logf("%d bytes at first, %d after %d days: %d slots", begin, end, days, len(r.Places))
-	if end > begin+begin/10 || len(r.Places) > living+4*together {
-		t.Errorf("%d bytes and %d slots after %d days, %d bytes at first", end, len(r.Places), days, begin)
+	finalSize := size()
+	t.Logf("%d bytes at first, %d after %d days with %d slots", initialSize, finalSize, days, len(r.Places))
+	if finalSize > initialSize+initialSize/10 || len(r.Places) > limiters+4*batchSize {
+		t.Errorf("%d bytes and %d slots after %d days, %d bytes at first", finalSize, len(r.Places), days, initialSize)
 	}
 }
--- a/control/controlstate/size_test.go
+++ b/control/controlstate/size_test.go
@@ -9,10 +9,10 @@
 	"example.org/madderdrum/control/configuration"
 )
 
-// sizes are numbers of tenants; routes and services grow with them to 1,700 and 240.
+// sizes are the numbers of tenants. Routes and services grow in proportion, to 1,700 and 240.
 var sizes = []int{100, 1000, 10000, 64000}
 
-// configurationOf is a whole configuration of so many tenants.
+// configurationOf returns a whole configuration with the given number of tenants.
 func configurationOf(tenants int) []byte {
 	var b bytes.Buffer
 	routes, services := max(4, 1700*tenants/64000), max(2, 240*tenants/64000)
@@ -41,15 +41,15 @@
 	return b.Bytes()
 }
 
-// oneTenant is a change of one tenant's rate.
+// oneTenant returns an order that changes the rate of one tenant.
 func oneTenant(version int) *Order {
 	return &Order{Kind: Update, Body: fmt.Appendf(nil,
 		`{"config_version":"r%d","base_revision":"r%d","upsert":{"tenants":[{"name":"t17","api_keys":["s989anu6wsjnba%06d"],"priority":1,"rate_per_s":%d,"burst_size":45,"allowed_regions":[]}]}}`,
 		version, version-1, 17, 40+version%7)}
 }
 
-// BenchmarkChange is what a change of one tenant costs the store that proposes it, by the number of
-// tenants: CPU, and bytes of the register and of what travels.
+// BenchmarkChange measures what a change of one tenant costs the proposing store, by the number of tenants:
+// CPU time, the size of the register and the size of the delta that is sent.
 func BenchmarkChange(b *testing.B) {
 	for _, tenants := range sizes {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// BenchmarkTable is what a limiter does with a configuration: it reads the whole, and keeps the table.
+// BenchmarkTable measures how a limiter parses a whole configuration into its table.
 func BenchmarkTable(b *testing.B) {
 	for _, tenants := range sizes {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
@@ -103,7 +103,7 @@
 	}
 }
 
-// A change of one tenant travels in a few hundred bytes whatever the size of the configuration.
+// A change of one tenant is sent as a delta of a few hundred bytes, whatever the size of the configuration.
 func TestChangeTravelsSmall(t *testing.T) {
 	for _, tenants := range sizes[:3] {
 		r := &Register{}
@@ -119,7 +119,7 @@
 			t.Fatal(err)
 		}
 		if len(delta) > 2000 {
-			t.Errorf("%d tenants: %d bytes for a change in %d", tenants, len(delta), len(r.Config))
+			t.Errorf("%d tenants: a change needs %d bytes, with a configuration of %d", tenants, len(delta), len(r.Config))
 		}
 	}
 }
--- a/control/controlstate/voters.go
+++ b/control/controlstate/voters.go
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// leastVoters are left at least: two can't lose one.
-const leastVoters = 3
+// minVoters is the smallest voter set that a change may leave: with two, no failure is tolerated.
+const minVoters = 3
 
-// VoterID names a voter: a core machine by its IP number, with the identity of its disk. A machine
-// that comes back with another disk is another voter. Those that began the system have disk 0 and
-// are named by the IP number alone.
+// VoterID returns the ID of a voter: the IP address of a core machine and the identity of its disk. A
+// machine that returns with another disk is a different voter. The machines that bootstrapped the system
+// have disk 0, and their ID is the IP address alone.
 func VoterID(ip string, disk uint64) string {
 	if disk == 0 {
 		return ip
@@ -20,18 +20,18 @@
 	return ip + "/" + strconv.FormatUint(disk, 36)
 }
 
-// VoterIP is the IP number of a voter's machine.
+// VoterIP returns the IP address of a voter's machine.
 func VoterIP(id string) string {
 	ip, _, _ := strings.Cut(id, "/")
 	return ip
 }
 
-// Sets are the sets of voters by which a register counts; first are those that everyone began
-// with.
-func (r *Register) Sets(first []string) [][]string {
+// VoterSets returns the voter sets from which a round needs majorities: the voters, or during a change of
+// voters the prior and the new ones. initialVoters apply until the register names its voters.
+func (r *Register) Sets(initialVoters []string) [][]string {
 	voters := r.Voters
 	if len(voters) == 0 {
-		voters = first
+		voters = initialVoters
 	}
 	if len(r.Prior) > 0 {
 		return [][]string{r.Prior, voters}
@@ -39,45 +39,45 @@
 	return [][]string{voters}
 }
 
-// Term is that of the present voters. It rises with each change of them.
+// Term returns the term of the current voters, which increases with each change of voters.
 func (r *Register) Term() uint64 { return r.VoterChanges + 1 }
 
-// changeVoters changes who votes. One change of voters is chosen before the next one.
-func (r *Register) changeVoters(o *Order) (changed bool, out Outcome) {
-	old := r.Sets(o.First)[0]
+// changeVoters adds and removes voters. It refuses a change until the previous one is chosen.
+func (r *Register) changeVoters(order *Order) (changed bool, outcome Outcome) {
+	old := r.Sets(order.First)[0]
 	voters := slices.Clone(old)
-	for _, s := range o.Seats {
-		if i, have := slices.BinarySearch(voters, s); !have {
-			voters, changed = slices.Insert(voters, i, s), true
+	for _, voter := range order.Seats {
+		if i, found := slices.BinarySearch(voters, voter); !found {
+			voters, changed = slices.Insert(voters, i, voter), true
 		}
 	}
-	for _, s := range o.Leave {
-		if i, have := slices.BinarySearch(voters, s); have {
+	for _, voter := range order.Leave {
+		if i, found := slices.BinarySearch(voters, voter); found {
 			voters, changed = slices.Delete(voters, i, i+1), true
 		}
 	}
 	switch {
-	case o.Term != 0 && o.Term != r.Term():
-		return false, Outcome{Status: 409, Code: "term", Text: fmt.Sprintf("the change was decided in term %d of the voters and this is term %d", o.Term, r.Term())}
+	case order.Term != 0 && order.Term != r.Term():
+		return false, Outcome{Status: 409, Code: "term", Text: fmt.Sprintf("the change was decided in term %d of the voters and this is term %d", order.Term, r.Term())}
 	case len(r.Prior) > 0:
 		return false, Outcome{Status: 409, Code: "busy", Text: "another change of voters is under way: ask again"}
 	case !changed:
 		return false, Outcome{Status: 200}
-	case twice(voters) != "":
-		return false, Outcome{Status: 409, Code: "twice", Text: fmt.Sprintf("machine %s would have two seats: unseat its earlier one with the same order", twice(voters))}
-	case len(voters) < leastVoters && len(voters) < len(old):
-		return false, Outcome{Status: 400, Code: "too_few", Text: fmt.Sprintf("%d voters would be left: seat another machine with the same order, %d are the least", len(voters), leastVoters)}
+	case duplicateMachine(voters) != "":
+		return false, Outcome{Status: 409, Code: "twice", Text: fmt.Sprintf("machine %s would have two seats: unseat its earlier one with the same order", duplicateMachine(voters))}
+	case len(voters) < minVoters && len(voters) < len(old):
+		return false, Outcome{Status: 400, Code: "too_few", Text: fmt.Sprintf("%d voters would be left: seat another machine with the same order, %d are the least", len(voters), minVoters)}
 	}
 	r.Prior, r.Voters = slices.Clone(old), voters
 	r.VoterChanges++
 	return true, Outcome{Status: 200}
 }
 
-// twice is a machine that has two seats, or nothing.
-func twice(voters []string) string {
+// duplicateMachine returns the IP address of a machine that appears twice among the voters, or "".
+func duplicateMachine(voters []string) string {
 	seen := map[string]bool{}
-	for _, v := range voters {
-		ip := VoterIP(v)
+	for _, voter := range voters {
+		ip := VoterIP(voter)
 		if seen[ip] {
 			return ip
 		}
@@ -86,22 +86,24 @@
 	return ""
 }
 
-// Proposal is what a round makes of the newest register that its majority told.
+// Proposal is the result of applying a round's orders to the newest register among its promises.
 type Proposal struct {
-	// Need are the sets of voters that the register counts by, where the round has counted by
-	// others: it has to begin again with these.
-	Need     [][]string
-	Outcomes [][]Outcome // of each batch of orders
-	Changed  bool        // the register is another one now
-	Brings   []string    // voters that the votes have to count by too; nil: none
+	// RequiredSets are the register's voter sets if the round has collected promises from other sets: the
+	// round has to be restarted with these.
+	RequiredSets [][]string
+	Outcomes     [][]Outcome // by batch of orders
+	Changed      bool        // the register has changed
+	NewVoterSet  []string    // new voters, from which the vote needs a majority too; nil if unchanged
 }
 
-// Propose gives a round's orders to the newest register told. first are the voters that everyone
-// began with, counted the sets that the round has counted promises by, and chosen tells that the
-// register is known to be chosen, and with it the change of voters that it may hold.
-func (r *Register) Propose(first []string, counted [][]string, chosen bool, batches [][]Order) (p Proposal) {
-	if need := r.Sets(first); !slices.EqualFunc(need, counted, slices.Equal) {
-		return Proposal{Need: need}
+// Propose applies a round's orders to r, the newest register among its promises. initialVoters are the
+// voters that bootstrapped the system, and promisedSets the voter sets that the round has promises from.
+// chosen means that the register is known to be chosen, and with it any change of voters that it contains,
+// which is then complete.
+func (r *Register) Propose(initialVoters []string, promisedSets [][]string, chosen bool,
+	batches [][]Order) (proposal Proposal) {
+	if required := r.Sets(initialVoters); !slices.EqualFunc(required, promisedSets, slices.Equal) {
+		return Proposal{RequiredSets: required}
 	}
 	seq := r.Seq
 	if chosen && len(r.Prior) > 0 {
@@ -110,19 +112,19 @@
 	}
 	for _, orders := range batches {
 		var outcomes []Outcome
-		for k := range orders {
-			outcomes = append(outcomes, r.Apply(&orders[k]))
+		for i := range orders {
+			outcomes = append(outcomes, r.Apply(&orders[i]))
 		}
-		p.Outcomes = append(p.Outcomes, outcomes)
+		proposal.Outcomes = append(proposal.Outcomes, outcomes)
 	}
-	if p.Changed = r.Seq != seq; p.Changed && len(r.Voters) == 0 {
-		// From its first change on the register names its voters itself: a machine that begins
-		// again with other seeds would take those for the voters.
-		r.Voters = slices.Clone(first)
+	if proposal.Changed = r.Seq != seq; proposal.Changed && len(r.Voters) == 0 {
+		// From its first change on, the register names its voters. Otherwise a machine that restarts with
+		// other seed addresses would take those for the voters.
+		r.Voters = slices.Clone(initialVoters)
 	}
-	sets := r.Sets(first)
-	if voters := sets[len(sets)-1]; !slices.Equal(voters, counted[len(counted)-1]) {
-		p.Brings = voters
+	sets := r.Sets(initialVoters)
+	if voters := sets[len(sets)-1]; !slices.Equal(voters, promisedSets[len(promisedSets)-1]) {
+		proposal.NewVoterSet = voters
 	}
-	return p
+	return proposal
 }
--- a/control/controlstate/voters_test.go
+++ b/control/controlstate/voters_test.go
@@ -9,228 +9,235 @@
 	"example.org/madderdrum/control/paxos"
 )
 
-// The model of a change of voters: proposers change the register by rounds, one of them lets
-// two further machines vote, the others evacuate zones. Messages arrive in any order or are
-// lost, rounds are given up and begun again, and a proposer may learn of what is chosen late.
+// voting models a change of voters. Proposers change the register by rounds: one adds or replaces voters,
+// the others evacuate zones. Messages are reordered or lost, rounds are abandoned and restarted, and a
+// proposer may learn late what was chosen.
 type voting struct {
-	rng    *rand.Rand
-	acc    map[string]*paxos.Acceptor
-	values []*Register // by number; a value on the wire is its number
-	props  []*proposer
-	chosen []choice // in the order of their ballots, which may be seen out of order
-	stale  bool     // the rule broken: a round goes on with the sets it began with
+	rng            *rand.Rand
+	acceptors      map[string]*paxos.Acceptor
+	values         []*Register // proposed registers; the encoded value is an index into these
+	proposers      []*proposer
+	chosen         []choice // sorted by ballot; they may be chosen in another order
+	keepsVoterSets bool     // deliberate violation: a round keeps the voter sets that it began with
 }
 
+// choice is a chosen register with its ballot.
 type choice struct {
 	ballot paxos.Ballot
 	*Register
 }
 
+// proposer is one proposer of the model.
 type proposer struct {
-	node   uint64
-	orders []Order
-	known  paxos.Ballot
-	reg    *Register
-	hint   [][]string
-	number uint64
-	round  *paxos.Round
-	sets   [][]string
-	next   *Register
-	value  []byte
-	flying []string // acceptors that are still to hear the present message
+	node         uint64
+	orders       []Order
+	known        paxos.Ballot
+	register     *Register
+	voterSetHint [][]string
+	number       uint64
+	round        *paxos.Round
+	voterSets    [][]string
+	next         *Register
+	value        []byte
+	inFlight     []string // acceptors that the current request has not reached yet
 }
 
-var first = []string{"1", "2", "3"}
+var initialVoters = []string{"1", "2", "3"}
 
+// begin starts a new round.
 func (v *voting) begin(p *proposer) {
 	p.number++
-	p.sets = p.reg.Sets(first)
-	if p.hint != nil {
-		p.sets = p.hint
+	p.voterSets = p.register.Sets(initialVoters)
+	if p.voterSetHint != nil {
+		p.voterSets = p.voterSetHint
 	}
-	p.round = paxos.NewRound(paxos.Ballot{Number: p.number, Node: p.node}, p.sets...)
-	p.flying = all(p.sets)
+	p.round = paxos.NewRound(paxos.Ballot{Number: p.number, Node: p.node}, p.voterSets...)
+	p.inFlight = union(p.voterSets)
 }
 
-func all(sets [][]string) (voters []string) {
-	for _, s := range sets {
+// union returns the sorted union of the sets.
+func union(voterSets [][]string) (voters []string) {
+	for _, s := range voterSets {
 		voters = append(voters, s...)
 	}
 	slices.Sort(voters)
 	return slices.Compact(voters)
 }
 
-// step delivers one message of one proposer, or loses it.
+// step delivers or loses one message of a random proposer, or starts its next round.
 func (v *voting) step() {
-	p := v.props[v.rng.IntN(len(v.props))]
-	if p.round == nil || p.round.Phase() == paxos.Beaten || len(p.flying) == 0 || v.rng.IntN(20) == 0 {
+	p := v.proposers[v.rng.IntN(len(v.proposers))]
+	if p.round == nil || p.round.Phase() == paxos.Preempted || len(p.inFlight) == 0 || v.rng.IntN(20) == 0 {
 		v.begin(p)
 		return
 	}
-	k := v.rng.IntN(len(p.flying))
-	to := v.acc[p.flying[k]]
-	name := p.flying[k]
-	p.flying = slices.Delete(p.flying, k, k+1)
+	k := v.rng.IntN(len(p.inFlight))
+	to := v.acceptors[p.inFlight[k]]
+	name := p.inFlight[k]
+	p.inFlight = slices.Delete(p.inFlight, k, k+1)
 	if v.rng.IntN(5) == 0 {
 		return
 	}
 	if p.round.Phase() == paxos.Preparing {
 		reply, _ := to.Prepare(paxos.Prepare{Ballot: p.round.Ballot})
 		p.number = max(p.number, reply.Promised.Number)
-		if p.round.Promise(name, reply) {
-			v.turn(p)
+		if p.round.HandlePromise(name, reply) {
+			v.propose(p)
 		}
 		return
 	}
 	reply, _ := to.Accept(paxos.Accept{Ballot: p.round.Ballot, Value: p.value})
-	if p.round.Vote(name, reply) {
+	if p.round.HandleVote(name, reply) {
 		v.chosen = append(v.chosen, choice{p.round.Ballot, p.next})
 		slices.SortFunc(v.chosen, func(a, b choice) int { return a.ballot.Compare(b.ballot) })
-		p.known, p.reg, p.hint, p.round = p.round.Ballot, p.next, nil, nil
+		p.known, p.register, p.voterSetHint, p.round = p.round.Ballot, p.next, nil, nil
 	}
 }
 
-func (v *voting) turn(p *proposer) {
-	newest, value := p.round.Newest()
-	reg := &Register{}
+// propose builds a proposer's new value once a majority has promised.
+func (v *voting) propose(p *proposer) {
+	newest, value := p.round.NewestAccepted()
+	register := &Register{}
 	if len(value) > 0 {
-		reg = v.values[value[0]].Clone()
+		register = v.values[value[0]].Clone()
 	}
-	counted := p.sets
-	if v.stale {
-		counted = reg.Sets(first)
+	promisedSets := p.voterSets
+	if v.keepsVoterSets {
+		promisedSets = register.Sets(initialVoters)
 	}
-	t := reg.Propose(first, counted, newest == p.known && newest != paxos.Ballot{}, [][]Order{p.orders})
-	if t.Need != nil {
-		p.hint, p.round = t.Need, nil
+	proposal := register.Propose(initialVoters, promisedSets, newest == p.known && newest != paxos.Ballot{}, [][]Order{p.orders})
+	if proposal.RequiredSets != nil {
+		p.voterSetHint, p.round = proposal.RequiredSets, nil
 		return
 	}
-	p.flying = all(p.sets)
-	if t.Brings != nil && !v.stale {
-		p.round.Widen(t.Brings)
-		p.flying = all(append(slices.Clone(p.sets), t.Brings))
+	p.inFlight = union(p.voterSets)
+	if proposal.NewVoterSet != nil && !v.keepsVoterSets {
+		p.round.AddVoterSet(proposal.NewVoterSet)
+		p.inFlight = union(append(slices.Clone(p.voterSets), proposal.NewVoterSet))
 	}
-	p.next, p.value = reg, []byte{byte(len(v.values))}
-	v.values = append(v.values, reg)
-	// The next order of a proposer is another one.
+	p.next, p.value = register, []byte{byte(len(v.values))}
+	v.values = append(v.values, register)
+	// The proposer's next round has a new order.
 	if p.orders[0].Kind == Begin {
 		p.orders = []Order{{Kind: Begin, Zone: fmt.Sprintf("z%d-%d", p.node, len(v.values))}}
 	}
 }
 
-// wrong tells that something chosen is not built on what was chosen before it.
-func (v *voting) wrong() error {
+// checkChain returns an error if a chosen register lacks an evacuation that was chosen under an earlier ballot.
+func (v *voting) checkChain() error {
 	for i := 1; i < len(v.chosen); i++ {
 		a, b := v.chosen[i-1], v.chosen[i]
 		for _, z := range a.Evac {
 			if !slices.Contains(b.Evac, z) {
-				return fmt.Errorf("%v was chosen, and then %v without it", a.Evac, b.Evac)
+				return fmt.Errorf("%v was chosen and later %v, which lacks a zone of it", a.Evac, b.Evac)
 			}
 		}
 	}
 	return nil
 }
 
-// play has voters change: two more come to vote or, with replace, one takes the place of another.
-func play(seed uint64, stale, replace bool) (*voting, error) {
-	v := &voting{rng: rand.New(rand.NewPCG(seed, 11)), acc: map[string]*paxos.Acceptor{}, stale: stale}
+// runSchedule runs one schedule in which two voters are added or, with replace, one replaces another.
+func runSchedule(seed uint64, keepsVoterSets, replace bool) (*voting, error) {
+	v := &voting{rng: rand.New(rand.NewPCG(seed, 11)), acceptors: map[string]*paxos.Acceptor{}, keepsVoterSets: keepsVoterSets}
 	for _, name := range []string{"1", "2", "3", "4", "5"} {
-		v.acc[name] = &paxos.Acceptor{}
+		v.acceptors[name] = &paxos.Acceptor{}
 	}
 	for i := range 3 {
-		p := &proposer{node: uint64(i + 1), reg: &Register{}, orders: []Order{{Kind: Begin, Zone: fmt.Sprint("z", i)}}}
+		p := &proposer{node: uint64(i + 1), register: &Register{}, orders: []Order{{Kind: Begin, Zone: fmt.Sprint("z", i)}}}
 		if i == 0 {
-			p.orders = []Order{{Kind: ChangeVoters, Seats: []string{"4", "5"}, First: first}, {Kind: Begin, Zone: "seat"}}
+			p.orders = []Order{{Kind: ChangeVoters, Seats: []string{"4", "5"}, First: initialVoters}, {Kind: Begin, Zone: "seat"}}
 			if replace {
 				p.orders[0].Seats, p.orders[0].Leave = []string{"4"}, []string{"1"}
 			}
 		}
-		v.props = append(v.props, p)
+		v.proposers = append(v.proposers, p)
 	}
 	for range 400 {
 		if len(v.values) < 200 {
 			v.step()
 		}
-		if err := v.wrong(); err != nil {
+		if err := v.checkChain(); err != nil {
 			return v, err
 		}
 	}
 	return v, nil
 }
 
+// Nothing that was chosen is lost when the voter set grows from three to five. Rounds that keep the voter
+// sets they began with must be detected as a violation.
 func TestVotersChange(t *testing.T) {
-	five := 0
+	completed := 0
 	for seed := range uint64(3000) {
-		v, err := play(seed, false, false)
+		v, err := runSchedule(seed, false, false)
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		if n := len(v.chosen); n > 0 && len(v.chosen[n-1].Voters) == 5 && len(v.chosen[n-1].Prior) == 0 {
-			five++
+			completed++
 		}
 	}
-	if five < 300 {
-		t.Errorf("five vote at the end of %d of 3000 schedules", five)
+	if completed < 300 {
+		t.Errorf("the change to five voters was completed in only %d of 3000 schedules", completed)
 	}
 	for seed := range uint64(20000) {
-		if _, err := play(seed, true, false); err != nil {
+		if _, err := runSchedule(seed, true, false); err != nil {
 			return
 		}
 	}
-	t.Error("nothing is found wrong where rounds go on with the sets that they began with")
+	t.Error("no violation is detected although rounds keep the voter sets that they began with")
 }
 
-// One machine takes the place of another, and nothing that was chosen is lost by it.
+// Nothing that was chosen is lost when one machine replaces another as a voter.
 func TestVoterReplaced(t *testing.T) {
-	done := 0
+	completed := 0
 	for seed := range uint64(3000) {
-		v, err := play(seed, false, true)
+		v, err := runSchedule(seed, false, true)
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		if n := len(v.chosen); n > 0 && slices.Equal(v.chosen[n-1].Voters, []string{"2", "3", "4"}) && len(v.chosen[n-1].Prior) == 0 {
-			done++
+			completed++
 		}
 	}
-	if done < 300 {
-		t.Errorf("the other machine votes at the end of %d of 3000 schedules", done)
+	if completed < 300 {
+		t.Errorf("the replacement was completed in only %d of 3000 schedules", completed)
 	}
 	r := &Register{}
-	if out := r.Apply(&Order{Kind: ChangeVoters, Leave: []string{"1"}, First: first}); out.Status != 400 || r.Seq != 0 {
-		t.Errorf("two are left: %+v", out)
+	if out := r.Apply(&Order{Kind: ChangeVoters, Leave: []string{"1"}, First: initialVoters}); out.Status != 400 || r.Seq != 0 {
+		t.Errorf("a change that leaves two voters: %+v", out)
 	}
-	if out := r.Apply(&Order{Kind: ChangeVoters, Seats: []string{"4"}, Leave: []string{"1"}, First: first}); out.Status != 200 {
-		t.Errorf("one for another: %+v", out)
+	if out := r.Apply(&Order{Kind: ChangeVoters, Seats: []string{"4"}, Leave: []string{"1"}, First: initialVoters}); out.Status != 200 {
+		t.Errorf("replacement of a voter: %+v", out)
 	}
-	if out := r.Apply(&Order{Kind: ChangeVoters, Seats: []string{"5"}, First: first}); out.Status != 409 {
-		t.Errorf("a second change before the first one is chosen: %+v", out)
+	if out := r.Apply(&Order{Kind: ChangeVoters, Seats: []string{"5"}, First: initialVoters}); out.Status != 409 {
+		t.Errorf("a second change before the first is chosen: %+v", out)
 	}
 }
 
-// No machine has two seats, by two disks.
+// A machine must not hold two seats under two disk identities.
 func TestOneSeatAMachine(t *testing.T) {
 	r := &Register{}
-	again := VoterID("2", 7)
-	if out := r.Apply(&Order{Kind: ChangeVoters, Seats: []string{again}, First: first}); out.Status != 409 || r.Seq != 0 {
-		t.Errorf("a second seat: %+v", out)
+	newDisk := VoterID("2", 7)
+	if out := r.Apply(&Order{Kind: ChangeVoters, Seats: []string{newDisk}, First: initialVoters}); out.Status != 409 || r.Seq != 0 {
+		t.Errorf("a second seat for the same machine: %+v", out)
 	}
-	if out := r.Apply(&Order{Kind: ChangeVoters, Seats: []string{again}, Leave: []string{"2"}, First: first}); out.Status != 200 {
-		t.Errorf("another disk in place of the first: %+v", out)
+	if out := r.Apply(&Order{Kind: ChangeVoters, Seats: []string{newDisk}, Leave: []string{"2"}, First: initialVoters}); out.Status != 200 {
+		t.Errorf("a new disk in place of the first: %+v", out)
 	}
 }
 
-// A machine that begins again without its disk is told other seeds than it was at first. It must
-// not count by those: two of them and two of the voters may share nobody.
+// A machine that restarts without its disk may be configured with other seeds than at first. It must not
+// use them as voters: a majority of the seeds and a majority of the voters may have no member in common.
 func TestVotersOutliveSeeds(t *testing.T) {
 	r := &Register{}
-	if turn := r.Propose(first, [][]string{first}, false, [][]Order{{{Kind: Begin, Zone: "north-a"}}}); !turn.Changed || turn.Brings != nil {
-		t.Fatalf("%+v", turn)
-	}
-	later := []string{"1", "4", "5"}
-	for _, counted := range [][][]string{{later}, {first}} {
-		turn := r.Clone().Propose(later, counted, true, [][]Order{{{Kind: Finish, Zone: "north-a"}}})
-		if begins := turn.Need != nil; begins != !slices.Equal(counted[0], first) || begins && !slices.Equal(turn.Need[0], first) {
-			t.Errorf("counted by %v with the seeds %v: %+v", counted, later, turn)
+	if proposal := r.Propose(initialVoters, [][]string{initialVoters}, false, [][]Order{{{Kind: Begin, Zone: "north-a"}}}); !proposal.Changed || proposal.NewVoterSet != nil {
+		t.Fatalf("%+v", proposal)
+	}
+	seeds := []string{"1", "4", "5"}
+	for _, promisedSets := range [][][]string{{seeds}, {initialVoters}} {
+		proposal := r.Clone().Propose(seeds, promisedSets, true, [][]Order{{{Kind: Finish, Zone: "north-a"}}})
+		if restarts := proposal.RequiredSets != nil; restarts != !slices.Equal(promisedSets[0], initialVoters) || restarts && !slices.Equal(proposal.RequiredSets[0], initialVoters) {
+			t.Errorf("promises from %v with the seeds %v: %+v", promisedSets, seeds, proposal)
 		}
 	}
 }
--- a/control/coremembers/coremembers.go
+++ b/control/coremembers/coremembers.go
@@ -1,16 +1,16 @@
-// Package coremembers decides which core machines vote. Each store reports about itself to the
-// others at intervals. From these reports a voter works out when a learner, a machine without a
-// vote that holds the agreed state, is to take a seat: that of a machine which leaves, which came
-// back without its disk, or which is gone for good.
+// Package coremembers decides which core machines vote. Each store sends a report about itself to the
+// others at intervals. From these reports a voter works out when a learner (a machine that holds the
+// replicated state but does not vote) is to take the seat of a voter that leaves, that returned without
+// its disk, or that is gone for good.
 //
-// Nobody holds a standing duty. A change is proposed under the term of the voters that it was
-// decided by, and the agreed state refuses it under any other, so that of several proposers one
-// succeeds and a late one does no harm. A machine that is cut off, frozen or without power for a
-// while keeps its seat: a learner takes it at once only if it was first heard after the machine was
-// last heard, in the same zone, and a majority of the voters finds so; else after [GoneAfter].
+// There is no coordinator. A change is proposed under the term of the voters in which it was decided, and
+// the replicated state refuses it in any other term: of several proposers one succeeds, and a late
+// proposal does no harm. A machine that is partitioned, frozen or without power for a while keeps its seat.
+// A learner takes the seat early only if it was first heard after the voter was last heard, is in the same
+// zone, and a majority of the voters agrees; otherwise only after [GoneAfter].
 //
-// Nothing here does input or output, reads a clock or starts a goroutine. Times are spans on a
-// steady clock since the process began.
+// Nothing here does I/O, reads a clock or starts a goroutine. Times are offsets on a monotonic clock since
+// the process started.
 package coremembers
 
 import (
@@ -22,125 +22,126 @@
 )
 
 const (
-	// DarkAfter is how long a voter must not have been heard before a successor can take its seat.
+	// UnreachableAfter is how long a voter must be silent before a successor can take its seat.
 	DarkAfter = 1200 * time.Millisecond
-	// GoneAfter is how long a voter must not have been heard before a learner that is no successor
-	// of it takes its seat. It is longer than the cuts that machines come back from.
+	// GoneAfter is how long a voter must be silent before a learner that was already present, or is in
+	// another zone, takes its seat. It is longer than the outages that machines recover from.
 	GoneAfter = 60 * time.Second
-	// presentWithin is how recently a machine must have reported to be counted as present.
+	// presentWithin is how recently a machine must have reported to count as present.
 	presentWithin = 1500 * time.Millisecond
-	// stalledAfter is the pause between two calls of Observe after which this process itself has
-	// stood still: what it has not heard meanwhile says nothing about others.
+	// stalledAfter is the gap between two time updates after which this process is assumed to have been
+	// stalled. Reports missed during a stall say nothing about the other machines.
 	stalledAfter = 1200 * time.Millisecond
-	// rankDelay keeps voters from proposing the same change at the same moment: the k-th of those
-	// present waits k times as long.
+	// rankDelay keeps voters from proposing the same change at once: the k-th voter present, counted
+	// from zero, waits k times this delay.
 	rankDelay = 300 * time.Millisecond
-	// mostBehind is by how many versions a learner may be behind and count as caught up: the
-	// change that seats it brings it the newest one.
-	mostBehind = 64
-	// forgetAfter is how long reports of machines that are gone are kept.
+	// maxVersionsBehind is by how many versions a learner may lag and still count as caught up. It receives
+	// the newest version with the change that seats it.
+	maxVersionsBehind = 64
+	// forgetAfter is how long the last report of a silent machine that is not a voter is kept.
 	forgetAfter = 10 * time.Minute
 )
 
-// Report is what a store tells of itself.
+// Report is what a store periodically sends to the others about itself.
 type Report struct {
 	Voter   string `cbor:"1,keyasint"` // see controlstate.VoterID
 	Zone    string `cbor:"2,keyasint,omitempty"`
-	Seq     uint64 `cbor:"3,keyasint,omitempty"` // of the newest register that is on its disk
-	Leaving bool   `cbor:"4,keyasint,omitempty"` // its process is being ended in good order
-	Joining bool   `cbor:"5,keyasint,omitempty"` // it began with the system: a seat of its own is due to it
-	// Succeeded are the voters that this store finds to be gone, each with its successor.
+	Seq     uint64 `cbor:"3,keyasint,omitempty"` // version of the newest register on its disk
+	Leaving bool   `cbor:"4,keyasint,omitempty"` // its process is shutting down gracefully
+	Joining bool   `cbor:"5,keyasint,omitempty"` // it is an initial machine, which gets a seat of its own
+	// Successions are the seats that this store considers due to pass to a learner.
 	Succeeded []Succession `cbor:"6,keyasint,omitempty"`
 }
 
-// Succession is a seat that passes from one machine to another.
+// Succession is the transfer of a voter's seat to a learner. Both are voter IDs.
 type Succession struct {
 	Voter     string `cbor:"1,keyasint"`
 	Successor string `cbor:"2,keyasint"`
 }
 
-// State is what a store knows to be agreed.
+// State is the part of the newest chosen register that the planner needs.
 type State struct {
 	Voters []string // sorted
-	Prior  bool     // a change of voters is not known to be completed
+	Prior  bool     // a change of voters is not known to be complete
 	Term   uint64
 	Seq    uint64
 }
 
-// Change is a change of voters to be proposed.
+// Change is a change of voters that a store is to propose.
 type Change struct {
 	Seat, Leave []string
 	Term        uint64
-	// Complete tells that a change is chosen and has only to be completed.
+	// CompletePending means that there is no new change to propose: an earlier one is still to be completed.
 	Complete bool
 }
 
 type peer struct {
-	report Report
-	first  time.Duration // when it was heard for the first time
-	last   time.Duration
+	report        Report
+	firstReportAt time.Duration // when its first report arrived
+	lastReportAt  time.Duration
 }
 
-// Planner decides for one store.
+// Planner decides for one store which change of voters it is to propose, and when.
 type Planner struct {
-	self   Report
-	wanted int // voters, at least
-	peers  map[string]*peer
-	seen   time.Duration // the latest time handed in
-	begun  time.Duration
-	due    Change        // what was last found to be due
-	dueAt  time.Duration // since when
+	self           Report
+	minVoters      int // how many voters the system is to have at least
+	peers          map[string]*peer
+	latestTime     time.Duration // the latest time passed to a method
+	observingSince time.Duration // start of the process or end of its latest stall
+	dueChange      Change        // the change found due by the latest Plan
+	dueSince       time.Duration // since when that change has been due
 }
 
-// New returns the planner of a store. wanted is how many voters the system is to have at least.
-func New(self Report, wanted int, now time.Duration) *Planner {
-	return &Planner{self: self, wanted: wanted, peers: map[string]*peer{}, seen: now, begun: now}
+// New returns the planner of a store that reports self. minVoters is how many voters the system is to have
+// at least.
+func New(self Report, minVoters int, now time.Duration) *Planner {
+	return &Planner{self: self, minVoters: minVoters, peers: map[string]*peer{}, latestTime: now, observingSince: now}
 }
 
-// Leave has the store give its seat up as soon as a learner can take it.
+// Leave makes the store report that it is leaving, so that a learner takes its seat as soon as possible.
 func (p *Planner) Leave() { p.self.Leaving = true }
 
-// Rename tells the store's own identity, once it is known.
+// SetVoterID sets the store's own voter ID, once it is known.
 func (p *Planner) Rename(voter string) { p.self.Voter = voter }
 
-// tick takes note of the time. After a standstill all are taken for heard just now.
-func (p *Planner) tick(now time.Duration) {
-	if now-p.seen > stalledAfter {
-		p.begun = now
-		for _, o := range p.peers {
-			o.last = now
+// updateTime records the current time. After a stall of this process, all machines count as just heard.
+func (p *Planner) updateTime(now time.Duration) {
+	if now-p.latestTime > stalledAfter {
+		p.observingSince = now
+		for _, other := range p.peers {
+			other.lastReportAt = now
 		}
 	}
-	p.seen = max(p.seen, now)
+	p.latestTime = max(p.latestTime, now)
 }
 
-// Heard takes in another store's report.
-func (p *Planner) Heard(now time.Duration, r Report) {
-	p.tick(now)
-	if r.Voter == "" || r.Voter == p.self.Voter {
+// Heard processes a report of another store.
+func (p *Planner) Heard(now time.Duration, incoming Report) {
+	p.updateTime(now)
+	if incoming.Voter == "" || incoming.Voter == p.self.Voter {
 		return
 	}
-	o := p.peers[r.Voter]
-	if o == nil {
-		o = &peer{first: now}
-		p.peers[r.Voter] = o
+	other := p.peers[incoming.Voter]
+	if other == nil {
+		other = &peer{firstReportAt: now}
+		p.peers[incoming.Voter] = other
 	}
-	o.report, o.last = r, now
+	other.report, other.lastReportAt = incoming, now
 }
 
-// Report is what this store tells of itself now.
-func (p *Planner) Report(now time.Duration, s State) Report {
-	p.tick(now)
-	r := p.self
-	r.Seq = s.Seq
-	r.Succeeded = p.successions(now, s)
-	return r
+// Report returns the report that this store is to send now.
+func (p *Planner) Report(now time.Duration, state State) Report {
+	p.updateTime(now)
+	report := p.self
+	report.Seq = state.Seq
+	report.Succeeded = p.successions(now, state)
+	return report
 }
 
-// Learners are the machines without a vote that were heard of late: they are to be told news too.
+// Learners returns the machines without a vote that have reported recently. They receive new registers too.
 func (p *Planner) Learners(now time.Duration, voters []string) (ids []string) {
-	for id, o := range p.peers {
-		if now-o.last <= 2*presentWithin && !slices.Contains(voters, id) {
+	for id, other := range p.peers {
+		if now-other.lastReportAt <= 2*presentWithin && !slices.Contains(voters, id) {
 			ids = append(ids, id)
 		}
 	}
@@ -148,7 +149,7 @@
 	return ids
 }
 
-// Silence is for how long a voter has not been heard.
+// Silence returns how long a voter has not been heard. For the store itself it is zero.
 func (p *Planner) Silence(now time.Duration, voter string) time.Duration {
 	if voter == p.self.Voter {
 		return 0
@@ -156,183 +157,188 @@
 	return now - p.lastHeard(voter)
 }
 
+// lastHeard returns when a voter was last heard. One that has not been heard since observation began counts
+// as heard at that moment.
 func (p *Planner) lastHeard(voter string) time.Duration {
-	if o := p.peers[voter]; o != nil {
-		return max(o.last, p.begun)
+	if other := p.peers[voter]; other != nil {
+		return max(other.lastReportAt, p.observingSince)
 	}
-	return p.begun
+	return p.observingSince
 }
 
-// candidates are the learners that could take a seat, those heard first at first.
-func (p *Planner) candidates(now time.Duration, s State) (all []*peer) {
-	for id, o := range p.peers {
+// candidates returns the learners that can take a seat: present, caught up and not leaving. Those heard
+// first come first.
+func (p *Planner) candidates(now time.Duration, state State) (learners []*peer) {
+	for id, other := range p.peers {
 		switch {
-		case slices.Contains(s.Voters, id), o.report.Leaving, now-o.last > presentWithin:
-		case o.report.Seq+mostBehind < s.Seq, o.report.Seq == 0 && s.Seq > 0:
+		case slices.Contains(state.Voters, id), other.report.Leaving, now-other.lastReportAt > presentWithin:
+		case other.report.Seq+maxVersionsBehind < state.Seq, other.report.Seq == 0 && state.Seq > 0:
 		default:
-			all = append(all, o)
+			learners = append(learners, other)
 		}
 	}
-	slices.SortFunc(all, func(a, b *peer) int {
-		if a.first != b.first {
-			return int(a.first - b.first)
+	slices.SortFunc(learners, func(a, b *peer) int {
+		if a.firstReportAt != b.firstReportAt {
+			return int(a.firstReportAt - b.firstReportAt)
 		}
 		return strings.Compare(a.report.Voter, b.report.Voter)
 	})
-	return all
+	return learners
 }
 
-// successions are the seats that are to pass on, as far as this store can tell by itself.
-func (p *Planner) successions(now time.Duration, s State) (all []Succession) {
+// successions returns the seats that are due to pass to a learner, judged by this store alone.
+func (p *Planner) successions(now time.Duration, state State) (due []Succession) {
 	taken := map[string]bool{}
-	candidates := p.candidates(now, s)
-	for _, voter := range s.Voters {
-		for _, c := range candidates {
-			if id := c.report.Voter; !taken[id] && p.succeeds(now, voter, c, s) {
-				all = append(all, Succession{Voter: voter, Successor: id})
+	candidates := p.candidates(now, state)
+	for _, voter := range state.Voters {
+		for _, candidate := range candidates {
+			if id := candidate.report.Voter; !taken[id] && p.canSucceed(now, voter, candidate, state) {
+				due = append(due, Succession{Voter: voter, Successor: id})
 				taken[id] = true
 				break
 			}
 		}
 	}
-	return all
+	return due
 }
 
-// succeeds tells that a learner is to take a voter's seat.
-func (p *Planner) succeeds(now time.Duration, voter string, c *peer, s State) bool {
-	ip := controlstate.VoterIP(c.report.Voter)
+// canSucceed reports whether a learner may take a voter's seat, judged by this store alone.
+func (p *Planner) canSucceed(now time.Duration, voter string, learner *peer, state State) bool {
+	ip := controlstate.VoterIP(learner.report.Voter)
 	if ip == controlstate.VoterIP(voter) {
-		// The same machine with another disk. Late reports of a disk that it had before say nothing.
-		return c.first >= p.lastHeard(voter)
+		// The same machine with another disk. Delayed reports of an earlier disk must not count.
+		return learner.firstReportAt >= p.lastHeard(voter)
 	}
-	if slices.ContainsFunc(s.Voters, func(v string) bool { return controlstate.VoterIP(v) == ip }) {
-		return false // it has the seat of its own machine to take
+	if slices.ContainsFunc(state.Voters, func(v string) bool { return controlstate.VoterIP(v) == ip }) {
+		return false // it can only take the seat of its own machine
 	}
 	silence := p.Silence(now, voter)
 	if silence < DarkAfter {
 		return false
 	}
 	known := p.peers[voter]
-	sameZone := known == nil || known.report.Zone == c.report.Zone
-	return sameZone && c.first >= p.lastHeard(voter) || silence >= GoneAfter
+	sameZone := known == nil || known.report.Zone == learner.report.Zone
+	return sameZone && learner.firstReportAt >= p.lastHeard(voter) || silence >= GoneAfter
 }
 
-// agreed tells that a majority of the voters finds the same succession.
-func (p *Planner) agreed(now time.Duration, s State, want Succession, own []Succession) bool {
-	n := 0
-	for _, voter := range s.Voters {
-		switch o := p.peers[voter]; {
+// majorityAgrees reports whether a majority of the voters considers the succession due.
+func (p *Planner) majorityAgrees(now time.Duration, state State, succession Succession, own []Succession) bool {
+	count := 0
+	for _, voter := range state.Voters {
+		switch other := p.peers[voter]; {
 		case voter == p.self.Voter:
-			if slices.Contains(own, want) {
-				n++
+			if slices.Contains(own, succession) {
+				count++
 			}
-		case o != nil && now-o.last <= presentWithin && slices.Contains(o.report.Succeeded, want):
-			n++
+		case other != nil && now-other.lastReportAt <= presentWithin && slices.Contains(other.report.Succeeded, succession):
+			count++
 		}
 	}
-	return n > len(s.Voters)/2
+	return count > len(state.Voters)/2
 }
 
-// Plan tells whether this store is to propose a change of voters now.
-func (p *Planner) Plan(now time.Duration, s State) (Change, bool) {
-	p.tick(now)
-	due, is := p.plan(now, s)
-	if !is {
-		p.due, p.dueAt = Change{}, 0
+// Plan returns the change of voters that this store is to propose now, and false if there is none.
+func (p *Planner) Plan(now time.Duration, state State) (Change, bool) {
+	p.updateTime(now)
+	dueChange, found := p.plan(now, state)
+	if !found {
+		p.dueChange, p.dueSince = Change{}, 0
 		return Change{}, false
 	}
-	if !same(due, p.due) || p.dueAt == 0 {
-		p.due, p.dueAt = due, now
+	if !sameChange(dueChange, p.dueChange) || p.dueSince == 0 {
+		p.dueChange, p.dueSince = dueChange, now
 	}
-	if now-p.dueAt < time.Duration(p.rank(now, s))*rankDelay {
+	if now-p.dueSince < time.Duration(p.rank(now, state))*rankDelay {
 		return Change{}, false
 	}
-	return due, true
+	return dueChange, true
 }
 
-func same(a, b Change) bool {
+func sameChange(a, b Change) bool {
 	return a.Term == b.Term && a.Complete == b.Complete && slices.Equal(a.Seat, b.Seat) && slices.Equal(a.Leave, b.Leave)
 }
 
-// rank is this store's number among the voters that are present.
-func (p *Planner) rank(now time.Duration, s State) (rank int) {
-	for _, voter := range s.Voters {
+// rank returns how many voters that are present and not leaving precede this store in the voter set.
+func (p *Planner) rank(now time.Duration, state State) (rank int) {
+	for _, voter := range state.Voters {
 		if voter == p.self.Voter {
 			return rank
 		}
-		if o := p.peers[voter]; o != nil && now-o.last <= presentWithin && !o.report.Leaving {
+		if other := p.peers[voter]; other != nil && now-other.lastReportAt <= presentWithin && !other.report.Leaving {
 			rank++
 		}
 	}
 	return rank
 }
 
-func (p *Planner) plan(now time.Duration, s State) (Change, bool) {
-	if !slices.Contains(s.Voters, p.self.Voter) {
+// plan returns the change of voters that is due, regardless of the store's rank.
+func (p *Planner) plan(now time.Duration, state State) (Change, bool) {
+	if !slices.Contains(state.Voters, p.self.Voter) {
 		return Change{}, false
 	}
-	if s.Prior {
-		return Change{Term: s.Term, Complete: true}, true
+	if state.Prior {
+		return Change{Term: state.Term, Complete: true}, true
 	}
-	own := p.successions(now, s)
+	own := p.successions(now, state)
 	for _, succession := range own {
-		if p.agreed(now, s, succession, own) {
-			return Change{Seat: []string{succession.Successor}, Leave: []string{succession.Voter}, Term: s.Term}, true
+		if p.majorityAgrees(now, state, succession, own) {
+			return Change{Seat: []string{succession.Successor}, Leave: []string{succession.Voter}, Term: state.Term}, true
 		}
 	}
-	candidates := slices.DeleteFunc(p.candidates(now, s), func(c *peer) bool {
-		return slices.ContainsFunc(own, func(o Succession) bool { return o.Successor == c.report.Voter })
+	candidates := slices.DeleteFunc(p.candidates(now, state), func(candidate *peer) bool {
+		return slices.ContainsFunc(own, func(o Succession) bool { return o.Successor == candidate.report.Voter })
 	})
 	if len(candidates) == 0 {
 		return Change{}, false
 	}
-	for _, voter := range s.Voters {
+	for _, voter := range state.Voters {
 		if p.leaving(now, voter) {
-			return Change{Seat: []string{p.nearest(candidates, voter)}, Leave: []string{voter}, Term: s.Term}, true
+			return Change{Seat: []string{p.nearest(candidates, voter)}, Leave: []string{voter}, Term: state.Term}, true
 		}
 	}
-	for _, c := range candidates {
-		if c.report.Joining || len(s.Voters) < p.wanted {
-			return Change{Seat: []string{c.report.Voter}, Term: s.Term}, true
+	for _, candidate := range candidates {
+		if candidate.report.Joining || len(state.Voters) < p.minVoters {
+			return Change{Seat: []string{candidate.report.Voter}, Term: state.Term}, true
 		}
 	}
 	return Change{}, false
 }
 
+// leaving reports whether a voter that is present is leaving.
 func (p *Planner) leaving(now time.Duration, voter string) bool {
 	if voter == p.self.Voter {
 		return p.self.Leaving
 	}
-	o := p.peers[voter]
-	return o != nil && o.report.Leaving && now-o.last <= presentWithin
+	other := p.peers[voter]
+	return other != nil && other.report.Leaving && now-other.lastReportAt <= presentWithin
 }
 
-// nearest is the first candidate of a voter's zone, or else the first.
+// nearest returns the first candidate in the voter's zone, or the first of all if there is none.
 func (p *Planner) nearest(candidates []*peer, voter string) string {
 	zone := p.self.Zone
-	if o := p.peers[voter]; o != nil {
-		zone = o.report.Zone
+	if other := p.peers[voter]; other != nil {
+		zone = other.report.Zone
 	}
-	for _, c := range candidates {
-		if c.report.Zone == zone {
-			return c.report.Voter
+	for _, candidate := range candidates {
+		if candidate.report.Zone == zone {
+			return candidate.report.Voter
 		}
 	}
 	return candidates[0].report.Voter
 }
 
-// Forget drops what was heard long ago of machines without a vote. A process runs for months and
-// machines are replaced all the time.
+// Forget removes old reports of machines that are not voters. A process runs for months while machines
+// are replaced, so the reports would accumulate.
 func (p *Planner) Forget(now time.Duration, voters []string) {
-	for id, o := range p.peers {
-		if now-o.last > forgetAfter && !slices.Contains(voters, id) {
+	for id, other := range p.peers {
+		if now-other.lastReportAt > forgetAfter && !slices.Contains(voters, id) {
 			delete(p.peers, id)
 		}
 	}
 }
 
-// CanLeave tells whether a store that leaves should wait for a learner to take its seat: there is
-// one, and the store is a voter.
-func (p *Planner) CanLeave(now time.Duration, s State) (wait bool) {
-	return slices.Contains(s.Voters, p.self.Voter) && len(p.candidates(now, s)) > 0
+// ShouldWaitToLeave reports whether a leaving store should wait for a learner to take its seat: the store is a
+// voter, and there is a learner that can take it.
+func (p *Planner) CanLeave(now time.Duration, state State) (wait bool) {
+	return slices.Contains(state.Voters, p.self.Voter) && len(p.candidates(now, state)) > 0
 }
--- a/control/freshness/freshness.go
+++ b/control/freshness/freshness.go
@@ -1,9 +1,9 @@
-// Package freshness decides what a process may still do after it last heard from others: whether a
-// registry hears a majority, whether enough registries hold what is to be acknowledged, how old the
-// proof is that a register is current, and whether a limiter goes on asking the same registry.
+// Package freshness decides what a process may still do, given when it last heard from others: whether a
+// registry is in contact with a majority, whether enough registries hold a record to acknowledge it, how
+// old the proof is that a register is current, and whether a limiter keeps using its registry.
 //
-// Nothing here does input or output, reads a clock or starts a goroutine. Times are spans on a
-// steady clock of the process that asks.
+// Nothing here does I/O, reads a clock or starts a goroutine. Times are offsets on a monotonic clock of
+// the calling process.
 package freshness
 
 import (
@@ -12,95 +12,96 @@
 	"example.org/madderdrum/control/paxos"
 )
 
-// Contacts is when other machines were last heard, by IP number.
+// Contacts records when each other machine, by IP address, last answered.
 type Contacts struct {
 	self  string
 	heard map[string]time.Duration
 }
 
-// NewContacts returns the contacts of a machine that has heard nobody.
+// NewContacts returns empty contacts for the machine with IP address self.
 func NewContacts(self string) *Contacts {
 	return &Contacts{self: self, heard: map[string]time.Duration{}}
 }
 
-// Heard takes note that a machine has answered a call that was made at a time.
+// Heard records that a machine has answered a call that was sent at the given time.
 func (c *Contacts) Heard(ip string, at time.Duration) {
 	if last, ok := c.heard[ip]; !ok || at > last {
 		c.heard[ip] = at
 	}
 }
 
-// Silence is for how long a machine has not been heard; ok is false where it never was.
+// Silence returns the time since a machine was last heard. ok is false if it was never heard.
 func (c *Contacts) Silence(ip string, now time.Duration) (silence time.Duration, ok bool) {
 	at, ok := c.heard[ip]
 	return now - at, ok
 }
 
-// Forget drops a machine.
+// Forget removes the record of a machine, for example one that is no longer a core machine.
 func (c *Contacts) Forget(ip string) { delete(c.heard, ip) }
 
-// Majority tells that a majority of each set was heard within a span, this machine counted where it
-// is a member. Of no sets there is no majority.
+// HasMajority reports whether a majority of each set was heard less than within ago. This machine counts
+// in the sets it is a member of. Without any sets the result is false.
 func (c *Contacts) Majority(sets [][]string, now, within time.Duration) bool {
-	return len(sets) > 0 && paxos.Agreed(sets, func(ip string) bool {
+	return len(sets) > 0 && paxos.MajorityOfEach(sets, func(ip string) bool {
 		silence, ok := c.Silence(ip, now)
 		return ip == c.self || ok && silence < within
 	})
 }
 
-// Copies counts which machines hold a record that is to be acknowledged.
+// Copies tracks which machines hold a record, to decide when it can be acknowledged.
 type Copies struct {
 	sets [][]string
 	held map[string]bool
 }
 
-// NewCopies begins with the machine that holds the record already.
+// NewCopies returns the copies of a record that so far only the machine self holds.
 func NewCopies(self string, sets [][]string) *Copies {
 	return &Copies{sets: sets, held: map[string]bool{self: true}}
 }
 
-// Stored takes note that a machine holds the record.
+// Stored records that a machine holds a copy.
 func (c *Copies) Stored(ip string) { c.held[ip] = true }
 
-// Enough tells that a majority of each set holds the record: it can be acknowledged.
+// HasMajority reports whether a majority of each set holds the record, so that it can be acknowledged.
 func (c *Copies) Enough() bool {
-	return len(c.sets) > 0 && paxos.Agreed(c.sets, func(ip string) bool { return c.held[ip] })
+	return len(c.sets) > 0 && paxos.MajorityOfEach(c.sets, func(ip string) bool { return c.held[ip] })
 }
 
-// Proof is when a register was known to be the newest one that was chosen.
+// Proof holds the latest time at which a register was proven to be the newest chosen one. The zero value
+// holds no proof.
 type Proof struct {
 	at    time.Duration
 	valid bool
 }
 
-// Advance takes in an answer to a call that was made at a time: the answer was held for a while
-// before it was given, and the proof was so old then. How long the answer was on its way counts as
-// part of its age.
-func (p *Proof) Advance(asked, held, age time.Duration) {
-	at := asked + held - age
+// Advance updates the proof from an answer. The call was sent at askedAt, the server held it for heldFor
+// before answering, and the server's proof had the given age at that moment. The network delay, which is
+// not known, counts as part of the age.
+func (p *Proof) Advance(askedAt, heldFor, age time.Duration) {
+	at := askedAt + heldFor - age
 	if !p.valid || at > p.at {
 		p.at, p.valid = at, true
 	}
 }
 
-// Age is how old the proof is; ok is false where there is none.
+// Age returns the time since the register was proven current. ok is false if there is no proof.
 func (p *Proof) Age(now time.Duration) (age time.Duration, ok bool) { return now - p.at, p.valid }
 
-// Fresh tells that the proof is younger than a limit.
+// Fresh reports whether there is a proof that is younger than limit.
 func (p *Proof) Fresh(now, limit time.Duration) bool {
 	age, ok := p.Age(now)
 	return ok && age < limit
 }
 
-// ProofStale is the age of its proof at which a limiter leaves a registry for another.
-const ProofStale = 1600 * time.Millisecond
+// MaxProofAge is the age of a registry's proof at which a limiter switches to another registry.
+const MaxProofAge = 1600 * time.Millisecond
 
-// Source is what a registry tells of itself with an answer.
+// RegistryStatus is what a registry reports about itself with each answer.
 type Source struct {
-	Apart  bool // it does not hear a majority of the registries
-	Proven bool
-	Age    time.Duration // of its proof
+	Apart  bool          // it is not in contact with a majority of the registries
+	Proven bool          // it has a proof that its register is current
+	Age    time.Duration // of that proof
 }
 
-// Usable tells that a limiter may go on asking this registry.
-func (s Source) Usable() bool { return !s.Apart && s.Proven && s.Age < ProofStale }
+// Usable reports whether a limiter may keep using this registry.
+func (s Source) Usable() bool { return !s.Apart && s.Proven && s.Age < MaxProofAge }
--- a/control/paxos/paxos_test.go
+++ b/control/paxos/paxos_test.go
@@ -9,11 +9,12 @@
 	"testing"
 )
 
-// The model: proposers change one register, each appending its letter, over acceptors of which
-// one may lose its disk. Every order in which messages arrive or are lost is played, with the
-// loss at every point: a state is what acceptors hold, what proposers know and what flies.
+// The model: proposers change one register, each by appending its own letter, and one acceptor may lose
+// its disk. Schedules differ in the order in which messages arrive and in when the disk is lost. A state
+// consists of the acceptors' records, the proposers' rounds and the messages in flight.
 
-type flying struct {
+// inFlight is a request on its way from a proposer to an acceptor.
+type inFlight struct {
 	from, to int
 	prepare  bool
 	ballot   Ballot
@@ -21,62 +22,62 @@
 }
 
 type state struct {
-	names  []string
-	acc    []Acceptor
-	rounds []*Round
-	chosen []string // by proposer; "" is none
-	flying []flying
-	lost   int // acceptor that lost its disk and has another one; -1: none yet
+	names     []string
+	acceptors []Acceptor
+	rounds    []*Round
+	chosen    []string // by proposer; "" if none
+	inFlight  []inFlight
+	lostDisk  int // the acceptor whose disk was lost and replaced; -1 if none
 }
 
-func begin(acceptors, proposers int) *state {
-	s := &state{acc: make([]Acceptor, acceptors), chosen: make([]string, proposers), lost: -1}
-	for i := range acceptors {
+func newState(acceptorCount, proposerCount int) *state {
+	s := &state{acceptors: make([]Acceptor, acceptorCount), chosen: make([]string, proposerCount), lostDisk: -1}
+	for i := range acceptorCount {
 		s.names = append(s.names, string(rune('0'+i)))
 	}
-	for i := range proposers {
+	for i := range proposerCount {
 		r := NewRound(Ballot{Number: uint64(1 + i), Node: uint64(1 + i)}, s.names)
 		s.rounds = append(s.rounds, r)
-		for k := range acceptors {
-			s.flying = append(s.flying, flying{i, k, true, r.Ballot, ""})
+		for k := range acceptorCount {
+			s.inFlight = append(s.inFlight, inFlight{i, k, true, r.Ballot, ""})
 		}
 	}
 	return s
 }
 
 func (s *state) clone() *state {
-	c := &state{names: s.names, acc: slices.Clone(s.acc), chosen: slices.Clone(s.chosen), flying: slices.Clone(s.flying), lost: s.lost}
+	c := &state{names: s.names, acceptors: slices.Clone(s.acceptors), chosen: slices.Clone(s.chosen), inFlight: slices.Clone(s.inFlight), lostDisk: s.lostDisk}
 	for _, r := range s.rounds {
-		x := *r
-		x.promised, x.voted = maps.Clone(r.promised), maps.Clone(r.voted)
-		c.rounds = append(c.rounds, &x)
+		round := *r
+		round.promised, round.voted = maps.Clone(r.promised), maps.Clone(r.voted)
+		c.rounds = append(c.rounds, &round)
 	}
 	return c
 }
 
 func (s *state) key() string {
-	text := fmt.Sprint(s.acc, s.chosen, s.lost)
+	text := fmt.Sprint(s.acceptors, s.chosen, s.lostDisk)
 	for _, r := range s.rounds {
 		text += fmt.Sprint(r.phase, r.promised, r.voted, r.newest)
 	}
-	for _, m := range s.flying {
+	for _, m := range s.inFlight {
 		text += fmt.Sprint(m)
 	}
 	return text
 }
 
-// Ways to break the rules on purpose.
+// Deliberate violations of the protocol, which the invariants must detect.
 const (
-	votesAtOnce     = "votes for its lost disk with an empty one"
-	forgetsAccepted = "takes no notice of what was accepted"
-	oneIsEnough     = "takes one answer for a majority"
-	lowersPromise   = "takes back a promise when it learns an older value"
+	reusesIdentity     = "keeps the identity of its lost disk with an empty disk"
+	ignoresAccepted    = "ignores accepted values"
+	acceptsSingleReply = "treats one reply as a majority"
+	lowersPromise      = "lowers its promise when it learns an older value"
 )
 
-// newDisk identifies the disk that a machine has after the loss of the first one.
+// newDisk identifies the disk that replaces a lost one.
 const newDisk = 7
 
-// voter is the name under which an acceptor's answer counts.
+// voter returns the voter that an acceptor's reply counts for.
 func (s *state) voter(k int, reply Reply) string {
 	if reply.Disk == newDisk {
 		return s.names[k] + "/new"
@@ -84,74 +85,75 @@
 	return s.names[k]
 }
 
+// deliver carries one request to its acceptor and the reply back to the proposer.
 func (s *state) deliver(k int, broken string) {
-	m := s.flying[k]
-	s.flying = slices.Delete(s.flying, k, k+1)
+	m := s.inFlight[k]
+	s.inFlight = slices.Delete(s.inFlight, k, k+1)
 	r := s.rounds[m.from]
-	if broken == oneIsEnough {
-		r.sets = [][]string{{s.names[m.to]}}
+	if broken == acceptsSingleReply {
+		r.voterSets = [][]string{{s.names[m.to]}}
 	}
 	if !m.prepare {
-		reply, _ := s.acc[m.to].Accept(Accept{m.ballot, []byte(m.value)})
-		if r.Vote(s.voter(m.to, reply), reply) {
+		reply, _ := s.acceptors[m.to].Accept(Accept{m.ballot, []byte(m.value)})
+		if r.HandleVote(s.voter(m.to, reply), reply) {
 			s.chosen[m.from] = m.value
 		}
 		return
 	}
-	reply, _ := s.acc[m.to].Prepare(Prepare{Ballot: m.ballot})
-	if !r.Promise(s.voter(m.to, reply), reply) {
+	reply, _ := s.acceptors[m.to].Prepare(Prepare{Ballot: m.ballot})
+	if !r.HandlePromise(s.voter(m.to, reply), reply) {
 		return
 	}
-	_, value := r.Newest()
-	if broken == forgetsAccepted {
+	_, value := r.NewestAccepted()
+	if broken == ignoresAccepted {
 		value = nil
 	}
 	next := string(value) + string(rune('a'+m.from))
-	for i := range s.acc {
-		s.flying = append(s.flying, flying{m.from, i, false, m.ballot, next})
+	for i := range s.acceptors {
+		s.inFlight = append(s.inFlight, inFlight{m.from, i, false, m.ballot, next})
 	}
 }
 
-// next are the states after this one.
-func (s *state) next(broken string, loses bool) (all []*state) {
-	for k := range s.flying {
+// next returns all states that can follow this one. With loses a disk may be lost.
+func (s *state) next(broken string, loses bool) (states []*state) {
+	for k := range s.inFlight {
 		c := s.clone()
 		c.deliver(k, broken)
-		all = append(all, c)
+		states = append(states, c)
 	}
-	if s.lost == -1 && loses {
-		for k := range s.acc {
+	if s.lostDisk == -1 && loses {
+		for k := range s.acceptors {
 			c := s.clone()
-			c.acc[k] = Acceptor{Record{Disk: newDisk}}
-			if broken == votesAtOnce {
-				c.acc[k] = Acceptor{}
+			c.acceptors[k] = Acceptor{Record{Disk: newDisk}}
+			if broken == reusesIdentity {
+				c.acceptors[k] = Acceptor{}
 			}
-			c.lost = k
-			all = append(all, c)
+			c.lostDisk = k
+			states = append(states, c)
 		}
 	}
-	// What is chosen is told to acceptors, which keep it on their disks.
+	// Proposers announce chosen values to acceptors, which store them.
 	for i, value := range s.chosen {
-		for k := range s.acc {
+		for k := range s.acceptors {
 			if value == "" {
 				continue
 			}
 			c := s.clone()
-			if !c.acc[k].Learn(c.rounds[i].Ballot, []byte(value)) {
+			if !c.acceptors[k].Learn(c.rounds[i].Ballot, []byte(value)) {
 				continue
 			}
 			if broken == lowersPromise {
-				c.acc[k].Record.Promised = c.rounds[i].Ballot
+				c.acceptors[k].Record.Promised = c.rounds[i].Ballot
 			}
-			all = append(all, c)
+			states = append(states, c)
 		}
 	}
-	return all
+	return states
 }
 
-// wrong tells what no state may be like: two values chosen of which neither is built on the
-// other, or a majority from which a later round would not learn of one.
-func (s *state) wrong() error {
+// checkInvariants returns an error if two values are chosen of which neither builds on the other, or if
+// some majority would not report a chosen value to a later round.
+func (s *state) checkInvariants() error {
 	for i, a := range s.chosen {
 		for _, b := range s.chosen[:i] {
 			if a != "" && b != "" && !bytes.HasPrefix([]byte(a), []byte(b)) && !bytes.HasPrefix([]byte(b), []byte(a)) {
@@ -159,20 +161,20 @@
 			}
 		}
 	}
-	for mask := range 1 << len(s.acc) {
+	for mask := range 1 << len(s.acceptors) {
 		r := NewRound(Ballot{Number: 99}, s.names)
 		ready := false
-		for k := range s.acc {
+		for k := range s.acceptors {
 			if mask>>k&1 == 1 && !ready {
-				a := s.acc[k]
+				a := s.acceptors[k]
 				reply, _ := a.Prepare(Prepare{Ballot: r.Ballot})
-				ready = r.Promise(s.voter(k, reply), reply)
+				ready = r.HandlePromise(s.voter(k, reply), reply)
 			}
 		}
-		if _, value := r.Newest(); ready {
+		if _, value := r.NewestAccepted(); ready {
 			for _, c := range s.chosen {
 				if c != "" && !bytes.HasPrefix(value, []byte(c)) {
-					return fmt.Errorf("%q is chosen and acceptors %b tell %q", c, mask, value)
+					return fmt.Errorf("%q is chosen but acceptors %b report %q", c, mask, value)
 				}
 			}
 		}
@@ -180,13 +182,13 @@
 	return nil
 }
 
-// explore visits every state and returns their number, or the first that is wrong.
+// explore visits every reachable state. It returns their number, or the first violated invariant.
 func explore(s *state, broken string, loses bool) (int, error) {
 	seen := map[string]bool{s.key(): true}
 	for queue := []*state{s}; len(queue) > 0; queue = queue[1:] {
 		for _, c := range queue[0].next(broken, loses) {
 			if k := c.key(); !seen[k] {
-				if err := c.wrong(); err != nil {
+				if err := c.checkInvariants(); err != nil {
 					return len(seen), err
 				}
 				seen[k] = true
@@ -197,27 +199,27 @@
 	return len(seen), nil
 }
 
-// Two proposers and three acceptors, in every order.
+// Explores every order of messages between two proposers and three acceptors.
 func TestEveryOrderOfTwoProposers(t *testing.T) {
-	n, err := explore(begin(3, 2), "", false)
+	n, err := explore(newState(3, 2), "", false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("%d states", n)
 }
 
-// walk plays random orders with a loss, and returns the first state that is wrong.
-func walk(acceptors, proposers int, seeds uint64, broken string) error {
+// randomWalk runs random schedules with a lost disk and returns the first violated invariant.
+func randomWalk(acceptors, proposers int, seeds uint64, broken string) error {
 	for seed := range seeds {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		s := begin(acceptors, proposers)
+		s := newState(acceptors, proposers)
 		for {
-			all := s.next(broken, rng.IntN(12) == 0)
-			if len(all) == 0 {
+			states := s.next(broken, rng.IntN(12) == 0)
+			if len(states) == 0 {
 				break
 			}
-			s = all[rng.IntN(len(all))]
-			if err := s.wrong(); err != nil {
+			s = states[rng.IntN(len(states))]
+			if err := s.checkInvariants(); err != nil {
 				return fmt.Errorf("seed %d: %w", seed, err)
 			}
 		}
@@ -225,37 +227,37 @@
 	return nil
 }
 
-// A disk is lost at any point, with three acceptors and with five: the machine is another voter from
-// then on, and what its lost disk had promised or accepted is counted for nobody else.
+// A disk is lost at any point, with three and with five acceptors. The machine is then a different voter,
+// so the promises and votes of its lost disk are not counted for the new one.
 func TestLostDisk(t *testing.T) {
 	for _, n := range []int{3, 5} {
-		if err := walk(n, 2, 3000, ""); err != nil {
+		if err := randomWalk(n, 2, 3000, ""); err != nil {
 			t.Errorf("%d acceptors: %v", n, err)
 		}
 	}
 }
 
-// Each rule that is broken on purpose is found.
+// Each deliberate violation is detected, so the invariants are strong enough.
 func TestBrokenRulesAreFound(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		broken    string
 		proposers int
-	}{{votesAtOnce, 2}, {forgetsAccepted, 2}, {oneIsEnough, 2}, {lowersPromise, 3}} {
-		if walk(3, x.proposers, 20000, x.broken) == nil {
-			t.Errorf("nothing is found wrong when a machine %s", x.broken)
+	}{{reusesIdentity, 2}, {ignoresAccepted, 2}, {acceptsSingleReply, 2}, {lowersPromise, 3}} {
+		if randomWalk(3, test.proposers, 20000, test.broken) == nil {
+			t.Errorf("no violation is detected when a machine %s", test.broken)
 		}
 	}
 }
 
-// A confirmation is proven by a majority of each set that has accepted nothing newer, and by no less.
+// A confirmation needs a majority of each voter set that has accepted nothing newer.
 func TestConfirmation(t *testing.T) {
 	known, newer := Ballot{Number: 5}, Ballot{Number: 6}
 	old, now := []string{"1", "2", "3"}, []string{"2", "3", "4"}
 	c := NewConfirmation(known, [][]string{old, now})
 	if c.Proven() {
-		t.Error("proven by nobody")
+		t.Error("proven without replies")
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		from     string
 		accepted Ballot
 		newer    bool
@@ -264,14 +266,14 @@
 		{"2", known, false, false}, {"2", known, false, false}, {"3", newer, true, false}, {"2/new", known, false, false},
 		{"1", Ballot{}, false, false}, {"4", known, false, true},
 	} {
-		if got := c.Hear(x.from, Reply{OK: true, Accepted: x.accepted}); got != x.newer {
-			t.Errorf("%s with %v: newer %v", x.from, x.accepted, got)
+		if got := c.HandleReply(test.from, Reply{OK: true, Accepted: test.accepted}); got != test.newer {
+			t.Errorf("%s with %v: newer %v", test.from, test.accepted, got)
 		}
-		if c.Proven() != x.proven {
-			t.Errorf("after %s: proven %v, %v wanted", x.from, c.Proven(), x.proven)
+		if c.Proven() != test.proven {
+			t.Errorf("after %s: proven %v, want %v", test.from, c.Proven(), test.proven)
 		}
 	}
 	if c := NewConfirmation(known, [][]string{nil}); c.Proven() {
-		t.Error("proven though the voters are not known")
+		t.Error("proven although the voters are not known")
 	}
 }
--- a/control/replica/attempt.go
+++ b/control/replica/attempt.go
@@ -8,90 +8,92 @@
 	"example.org/madderdrum/control/paxos"
 )
 
-// Step is what is to be done after an answer in a round.
+// Step is what the host has to do after a reply in a round.
 type Step int
 
-// The steps of a round.
+// The steps of a round, in [Attempt.HandlePromise] and [Attempt.HandleAccepted].
 const (
 	Wait    Step = iota
-	Vote         // send Accept to Voters
-	Restart      // the round has counted by other voters than the newest register: begin again
-	Settled      // what was asked is answered: see Outcomes
+	Vote         // send Attempt.Accept to Attempt.Voters
+	Restart      // the newest register has other voter sets than the round: begin a new one
+	Settled      // the round is over: see Attempt.Outcomes
 )
 
-// Attempt is one round of ballots for orders that wait.
+// Attempt is one round for a group of waiting orders.
 type Attempt struct {
 	Prepare paxos.Prepare
 	Accept  paxos.Accept
-	Voters  []string // who is to be sent the present message
-	// Base is the newest value that was told, on which Accept's builds, and BaseBallot its ballot.
+	Voters  []string // recipients of the current request
+	// Base is the newest value among the promises, from which Accept's value was made. BaseBallot is its
+	// ballot.
 	Base       []byte
 	BaseBallot paxos.Ballot
 
-	replica  *Replica
-	round    *paxos.Round
-	own      []byte // the value of Prepare.Known
-	sets     [][]string
-	batches  [][]controlstate.Order
-	outcomes [][]controlstate.Outcome
+	replica   *Replica
+	round     *paxos.Round
+	ownValue  []byte // the value of Prepare.Known, which replies leave out
+	voterSets [][]string
+	batches   [][]controlstate.Order
+	outcomes  [][]controlstate.Outcome
 }
 
-// Begin begins a round. Without orders it completes what another proposer has left half done, and
-// completes a change of voters that is chosen.
+// Begin begins a round; the caller then sends Prepare to Voters. Without orders, a round only completes a
+// value that another proposer left unfinished, and a change of voters that is already chosen.
 func (r *Replica) Begin(batches [][]controlstate.Order) *Attempt {
-	r.number++
-	ballot := paxos.Ballot{Number: r.number, Node: r.node, Life: r.life}
-	sets := r.Sets()
+	r.ballotNumber++
+	ballot := paxos.Ballot{Number: r.ballotNumber, Node: r.node, Incarnation: r.incarnation}
+	voterSets := r.Sets()
 	return &Attempt{
-		Prepare: paxos.Prepare{Ballot: ballot, Known: r.chosen}, Voters: Union(sets...),
-		replica: r, round: paxos.NewRound(ballot, sets...), own: r.value, sets: sets, batches: batches,
+		Prepare: paxos.Prepare{Ballot: ballot, Known: r.chosen}, Voters: Union(voterSets...),
+		replica: r, round: paxos.NewRound(ballot, voterSets...), ownValue: r.value, voterSets: voterSets, batches: batches,
 	}
 }
 
-// Outcomes are what became of the orders, batch by batch, once the round is settled.
+// Outcomes returns the results of the orders, batch by batch, once the round is finished.
 func (a *Attempt) Outcomes() [][]controlstate.Outcome { return a.outcomes }
 
-// Promise takes in an answer to Prepare.
-func (a *Attempt) Promise(from string, m paxos.Reply) (Step, error) {
-	a.replica.Saw(m.Promised.Number)
-	if !a.round.Promise(from, m) {
+// HandlePromise processes a reply to Prepare. When a majority has promised, it applies the orders to the
+// newest register and prepares Accept.
+func (a *Attempt) Promise(from string, reply paxos.Reply) (Step, error) {
+	a.replica.Saw(reply.Promised.Number)
+	if !a.round.HandlePromise(from, reply) {
 		return Wait, nil
 	}
-	newest, value := a.round.Newest()
+	newest, value := a.round.NewestAccepted()
 	if value == nil && newest == a.Prepare.Known {
-		value = a.own
+		value = a.ownValue
 	}
 	register, err := controlstate.Decode(value)
 	if err != nil {
-		return Wait, fmt.Errorf("replica: an accepted value: %w", err)
+		return Wait, fmt.Errorf("replica: decode an accepted value: %w", err)
 	}
-	p := register.Propose(a.replica.first, a.sets, newest == a.Prepare.Known, a.batches)
-	if p.Need != nil {
-		a.replica.hint = p.Need
+	proposal := register.Propose(a.replica.initialVoters, a.voterSets, newest == a.Prepare.Known, a.batches)
+	if proposal.RequiredSets != nil {
+		a.replica.voterSetHint = proposal.RequiredSets
 		return Restart, nil
 	}
-	a.outcomes = p.Outcomes
-	if !p.Changed && (a.round.Unanimous() || newest == paxos.Ballot{}) {
+	a.outcomes = proposal.Outcomes
+	if !proposal.Changed && (a.round.NewestIsChosen() || newest == paxos.Ballot{}) {
 		_, err := a.replica.Learn(newest, value)
 		return Settled, err
 	}
 	next, err := register.Encode()
 	if err != nil {
-		return Wait, fmt.Errorf("replica: encode a register: %w", err)
+		return Wait, fmt.Errorf("replica: encode the register: %w", err)
 	}
-	if p.Brings != nil {
-		a.round.Widen(p.Brings)
-		a.Voters = Union(append(slices.Clone(a.sets), p.Brings)...)
+	if proposal.NewVoterSet != nil {
+		a.round.AddVoterSet(proposal.NewVoterSet)
+		a.Voters = Union(append(slices.Clone(a.voterSets), proposal.NewVoterSet)...)
 	}
 	a.Accept = paxos.Accept{Ballot: a.Prepare.Ballot, Value: next}
 	a.Base, a.BaseBallot = value, newest
 	return Vote, nil
 }
 
-// Voted takes in an answer to Accept.
-func (a *Attempt) Voted(from string, m paxos.Reply) (Step, error) {
-	a.replica.Saw(m.Promised.Number)
-	if !a.round.Vote(from, m) {
+// HandleAccepted processes a reply to Accept. When a majority has voted, the replica learns the new value.
+func (a *Attempt) Voted(from string, reply paxos.Reply) (Step, error) {
+	a.replica.Saw(reply.Promised.Number)
+	if !a.round.HandleVote(from, reply) {
 		return Wait, nil
 	}
 	_, err := a.replica.Learn(a.Accept.Ballot, a.Accept.Value)
--- a/control/replica/model_test.go
+++ b/control/replica/model_test.go
@@ -12,71 +12,74 @@
 	"example.org/madderdrum/control/paxos"
 )
 
-// The model: stores with their disks, of which one is replaced and one loses its disk, and messages
-// that are lost, doubled and late. Each step does one thing at one store, so that a crash can come
-// between any two. Nothing waits and nothing reads a clock: time is the number of steps.
+// The model: stores with their disks, of which up to two are replaced or lose their disks, and messages
+// that are lost, duplicated and delayed. Each step performs one action at one store, so that a crash can
+// occur between any two actions. Time is the number of steps.
 
-// Faults that are built into a model on purpose, to see that its checks find them.
+// Deliberate protocol violations, which the checks of the model must detect.
 const (
 	faithful          = ""
-	sameIdentity      = "a machine votes at once, after the loss of its disk, as the voter that it was"
-	oldSetNotAsked    = "a new voter is seated by the new set alone"
-	newSetNotAsked    = "a change of voters does not count by the set that it brings"
-	acknowledgesEarly = "an acceptor answers before its record is on the disk"
-	provesAlone       = "a store extends its proof alone"
+	sameIdentity      = "a machine keeps its voter ID after losing its disk"
+	oldSetNotAsked    = "a change of voters needs no majority of the old set"
+	newSetNotAsked    = "a change of voters needs no majority of the new set"
+	acknowledgesEarly = "an acceptor replies before its record is on disk"
+	provesAlone       = "a store confirms its register without the other voters"
 )
 
+// packet is a request or a reply in flight.
 type packet struct {
 	from, to int // indices of stores
-	attempt  int // of the sender, to which it belongs
+	attempt  int // serial number of the proposer's attempt or confirmation
 	call     string
 	prepare  paxos.Prepare
 	accept   paxos.Accept
-	reply    *paxos.Reply // nil: a request
+	reply    *paxos.Reply // nil in a request
 }
 
+// store is one simulated core machine.
 type store struct {
-	ip       string
-	up       bool
-	acceptor paxos.Acceptor
-	synced   paxos.Record // what a crash leaves
-	replica  *Replica
-	attempt  *Attempt
-	serial   int // of the attempt
-	order    *controlstate.Order
-	confirm  *Confirmation
-	asked    int // the step at which the confirmation began
-	begunAt  int // the step at which the attempt began
+	ip             string
+	up             bool
+	acceptor       paxos.Acceptor
+	synced         paxos.Record // the record on disk, which survives a crash
+	replica        *Replica
+	attempt        *Attempt
+	serial         int // identifies the current attempt
+	order          *controlstate.Order
+	confirm        *Confirmation
+	confirmBegunAt int // the step at which the confirmation began
+	attemptBegunAt int // the step at which the attempt began
 }
 
+// model is one simulated schedule of messages and faults.
 type model struct {
-	rng    *rand.Rand
-	fault  string
-	first  []string
-	stores []*store
-	flying []packet
-	steps  int
-	orders int
-	disks  uint64
-	acked  map[string]ack // zones of acknowledged orders
-	events int
-	lostAt int // the step of the latest loss
-	err    error
+	rng           *rand.Rand
+	fault         string
+	initialVoters []string
+	stores        []*store
+	inFlight      []packet
+	steps         int
+	orderCount    int
+	lastDisk      uint64
+	acknowledged  map[string]ack // acknowledged evacuations, by zone
+	losses        int
+	lostAt        int // the step of the latest lost disk or machine
+	err           error
 }
 
-// ack is when an order was acknowledged, and by which ballot it was chosen.
+// ack records when an order was acknowledged and which ballot chose it.
 type ack struct {
 	step   int
 	ballot paxos.Ballot
 }
 
 func newModel(seed uint64, voters int, fault string) *model {
-	m := &model{rng: rand.New(rand.NewPCG(seed, 29)), fault: fault, acked: map[string]ack{}}
+	m := &model{rng: rand.New(rand.NewPCG(seed, 29)), fault: fault, acknowledged: map[string]ack{}}
 	for i := range voters {
-		m.first = append(m.first, fmt.Sprint("m", i))
+		m.initialVoters = append(m.initialVoters, fmt.Sprint("m", i))
 	}
 	for i := range voters {
-		m.stores = append(m.stores, &store{ip: m.first[i], up: true, replica: New(uint64(i+1), 0, m.first)})
+		m.stores = append(m.stores, &store{ip: m.initialVoters[i], up: true, replica: New(uint64(i+1), 0, m.initialVoters)})
 	}
 	return m
 }
@@ -87,7 +90,7 @@
 	return slices.IndexFunc(m.stores, func(s *store) bool { return s.ip == ip })
 }
 
-// send has messages on their way to the machines of voters.
+// send puts a request to each voter's machine in flight.
 func (m *model) send(from int, voters []string, call string) {
 	s := m.stores[from]
 	for _, ip := range Machines(voters) {
@@ -104,15 +107,15 @@
 		case "read":
 			p.prepare.Known = s.confirm.Known()
 		}
-		m.flying = append(m.flying, p)
+		m.inFlight = append(m.inFlight, p)
 	}
 }
 
-// begin has a store hold a round for an order.
+// begin starts a round for a store's order, or one without orders.
 func (m *model) begin(i int) {
 	s := m.stores[i]
 	s.serial++
-	s.begunAt = m.steps
+	s.attemptBegunAt = m.steps
 	var batch [][]controlstate.Order
 	if s.order != nil {
 		batch = [][]controlstate.Order{{*s.order}}
@@ -121,11 +124,11 @@
 	m.send(i, s.attempt.Voters, "prepare")
 }
 
-// deliver carries one message.
+// deliver delivers one message, or loses or duplicates it.
 func (m *model) deliver(k int) {
-	p := m.flying[k]
-	if m.rng.IntN(12) != 0 { // else it comes once more
-		m.flying = slices.Delete(m.flying, k, k+1)
+	p := m.inFlight[k]
+	if m.rng.IntN(12) != 0 { // otherwise it is delivered again later
+		m.inFlight = slices.Delete(m.inFlight, k, k+1)
 	}
 	to := m.stores[p.to]
 	if m.rng.IntN(10) == 0 || !to.up {
@@ -138,7 +141,7 @@
 	m.takeReply(p, to)
 }
 
-// answer has an acceptor answer a request. Its record is on the disk before the answer leaves.
+// answer has an acceptor answer a request. Its record is on disk before the reply is sent.
 func (m *model) answer(p packet, s *store) {
 	var reply paxos.Reply
 	switch p.call {
@@ -153,18 +156,18 @@
 		s.synced = s.acceptor.Record
 	}
 	p.from, p.to, p.reply = p.to, p.from, &reply
-	m.flying = append(m.flying, p)
+	m.inFlight = append(m.inFlight, p)
 }
 
-// takeReply has a proposer take an answer in.
+// takeReply has a proposer process a reply.
 func (m *model) takeReply(p packet, s *store) {
 	from := controlstate.VoterID(m.stores[p.from].ip, p.reply.Disk)
 	if p.call == "read" {
-		if s.confirm == nil || p.attempt != s.asked {
+		if s.confirm == nil || p.attempt != s.confirmBegunAt {
 			return
 		}
 		_, err := s.confirm.Hear(from, *p.reply)
-		m.fail(err)
+		m.recordError(err)
 		m.checkChain(s)
 		if s.confirm.Proven() {
 			m.checkCurrent(s)
@@ -178,31 +181,32 @@
 	switch p.call {
 	case "prepare":
 		step, err := s.attempt.Promise(from, *p.reply)
-		m.fail(err)
+		m.recordError(err)
 		m.follow(p.to, s, step)
 	case "accept":
 		step, err := s.attempt.Voted(from, *p.reply)
-		m.fail(err)
+		m.recordError(err)
 		m.follow(p.to, s, step)
 	}
 }
 
+// follow carries out the step that an attempt asks for.
 func (m *model) follow(i int, s *store, step Step) {
 	switch step {
 	case Restart:
 		m.begin(i)
 	case Vote:
-		m.spoil(s)
+		m.breakVoterSets(s)
 		m.send(i, s.attempt.Voters, "accept")
 	case Settled:
-		m.settled(s)
+		m.finishAttempt(s)
 	}
 }
 
-// spoil changes by which sets a round counts votes.
-func (m *model) spoil(s *store) {
+// breakVoterSets makes a round that changes the voters ignore the old or the new voter set, if the fault says so.
+func (m *model) breakVoterSets(s *store) {
 	register, err := controlstate.Decode(s.attempt.Accept.Value)
-	m.fail(err)
+	m.recordError(err)
 	if err != nil || len(register.Prior) == 0 {
 		return
 	}
@@ -215,24 +219,25 @@
 	default:
 		return
 	}
-	// A round that has its promises, and counts votes by other sets.
+	// A round that already has its promises and counts votes from other sets.
 	counted := paxos.NewRound(s.attempt.Prepare.Ballot, [][]string{}...)
-	counted.Promise("any", paxos.Reply{OK: true})
+	counted.HandlePromise("any", paxos.Reply{OK: true})
 	for _, set := range sets {
-		counted.Widen(set)
+		counted.AddVoterSet(set)
 	}
 	s.attempt.round = counted
 	s.attempt.Voters = Union(sets...)
 }
 
-func (m *model) settled(s *store) {
+// finishAttempt records the outcome of a finished attempt and checks the invariants.
+func (m *model) finishAttempt(s *store) {
 	defer func() { s.attempt = nil }()
 	if s.order == nil || len(s.attempt.Outcomes()) == 0 {
 		return
 	}
 	if out := s.attempt.Outcomes()[0][0]; out.Status == 200 && s.order.Kind == controlstate.Begin {
-		if _, again := m.acked[s.order.Zone]; !again {
-			m.acked[s.order.Zone] = ack{m.steps, s.replica.Chosen()}
+		if _, again := m.acknowledged[s.order.Zone]; !again {
+			m.acknowledged[s.order.Zone] = ack{m.steps, s.replica.Chosen()}
 		}
 	}
 	m.checkChain(s)
@@ -240,13 +245,13 @@
 	s.order = nil
 }
 
-// checkCopies has a majority of each set of voters hold on its disks what was just acknowledged,
-// unless a disk was lost since the round began.
+// checkCopies checks that a majority of each voter set has the acknowledged value on disk, unless a disk was
+// lost since the round began.
 func (m *model) checkCopies(s *store) {
-	if m.lostAt >= s.begunAt {
+	if m.lostAt >= s.attemptBegunAt {
 		return
 	}
-	for _, set := range s.replica.Register().Sets(m.first) {
+	for _, set := range s.replica.Register().Sets(m.initialVoters) {
 		copies := 0
 		for _, other := range m.stores {
 			if slices.Contains(set, m.id(other)) && other.synced.Accepted.Compare(s.replica.Chosen()) >= 0 {
@@ -254,82 +259,85 @@
 			}
 		}
 		if copies < paxos.Majority(len(set)) {
-			m.fail(fmt.Errorf("step %d: what was acknowledged by ballot %v is on %d disks of %v", m.steps, s.replica.Chosen(), copies, set))
+			m.recordError(fmt.Errorf("step %d: the value acknowledged under ballot %v is on %d disks of %v", m.steps, s.replica.Chosen(), copies, set))
 		}
 	}
 }
 
-// checkChain has what a store knows to be chosen hold all that was chosen by earlier ballots.
+// checkChain checks that a store's chosen register contains everything chosen by earlier ballots.
 func (m *model) checkChain(s *store) {
-	for zone, a := range m.acked {
+	for zone, a := range m.acknowledged {
 		if a.ballot.Compare(s.replica.Chosen()) <= 0 {
 			m.checkHolds(s, zone, a)
 		}
 	}
 }
 
-func (m *model) fail(err error) {
+// recordError records the first error.
+func (m *model) recordError(err error) {
 	if err != nil && m.err == nil {
 		m.err = err
 	}
 }
 
+// checkHolds checks that a store's register contains an acknowledged evacuation.
 func (m *model) checkHolds(s *store, zone string, a ack) {
 	if !slices.Contains(s.replica.Register().Evac, zone) {
-		m.fail(fmt.Errorf("step %d: %s holds %v, without %s, which was acknowledged at step %d", m.steps, m.id(s), s.replica.Register().Evac, zone, a.step))
+		m.recordError(fmt.Errorf("step %d: %s holds %v, without %s, which was acknowledged at step %d", m.steps, m.id(s), s.replica.Register().Evac, zone, a.step))
 	}
 }
 
-// checkCurrent has what is proven to be current hold all that was acknowledged when the proof began.
+// checkCurrent checks that a register proven to be current contains everything acknowledged before the
+// confirmation began.
 func (m *model) checkCurrent(s *store) {
-	for zone, a := range m.acked {
-		if a.step < s.asked {
+	for zone, a := range m.acknowledged {
+		if a.step < s.confirmBegunAt {
 			m.checkHolds(s, zone, a)
 		}
 	}
 }
 
-// crash ends a process and starts it again: what is not on its disk is gone.
+// crash restarts a process, which loses everything that is not on its disk.
 func (m *model) crash(i int) {
 	s := m.stores[i]
 	s.acceptor.Record = s.synced
-	first := m.first
+	initialVoters := m.initialVoters
 	if s.acceptor.Record.Disk != 0 {
-		first = nil
+		initialVoters = nil
 	}
-	s.replica = New(uint64(i+1), uint64(m.steps), first)
+	s.replica = New(uint64(i+1), uint64(m.steps), initialVoters)
 	s.replica.Saw(s.synced.Promised.Number)
 	s.attempt, s.confirm, s.serial = nil, nil, s.serial+1000
 }
 
-// wipe has a machine lose its disk.
+// wipe restarts a machine with an empty disk.
 func (m *model) wipe(i int) {
 	s := m.stores[i]
-	m.disks++
-	s.synced = paxos.Record{Disk: m.disks}
+	m.lastDisk++
+	s.synced = paxos.Record{Disk: m.lastDisk}
 	if m.fault == sameIdentity {
 		s.synced.Disk = 0
 	}
 	m.crash(i)
-	s.replica.first = nil
+	s.replica.initialVoters = nil
 	if m.fault == sameIdentity {
-		s.replica.first = m.first
+		s.replica.initialVoters = m.initialVoters
 	}
 }
 
-// replace has a machine gone for good and another one come.
+// replace shuts a machine down and adds another one.
 func (m *model) replace(i int) {
 	m.stores[i].up = false
-	m.disks++
+	m.lastDisk++
 	s := &store{ip: fmt.Sprint("m", len(m.stores)), up: true, replica: New(uint64(len(m.stores)+1), 0, nil)}
-	s.synced = paxos.Record{Disk: m.disks}
+	s.synced = paxos.Record{Disk: m.lastDisk}
 	s.acceptor.Record = s.synced
 	m.stores = append(m.stores, s)
 }
 
-// reseat is the order by which a machine takes a seat that is free: that of its own lost disk, or of
-// a machine that is gone.
-func (m *model) reseat(by *store) *controlstate.Order {
+// takeOverOrder returns the order by which a machine takes over a seat: that of its own lost disk or that of a
+// machine that is down. It returns nil if there is no such seat.
+func (m *model) takeOverOrder(by *store) *controlstate.Order {
 	register := by.replica.Register()
 	voters := register.Sets(by.replica.First())
 	for _, s := range m.stores {
@@ -347,32 +355,32 @@
 	return nil
 }
 
-// confirmAt has a store ask whether what it knows is current.
+// confirmAt has a store ask the voters whether its register is current.
 func (m *model) confirmAt(i int) {
 	s := m.stores[i]
-	s.confirm, s.asked = s.replica.Confirm(time.Duration(m.steps)), m.steps
+	s.confirm, s.confirmBegunAt = s.replica.Confirm(time.Duration(m.steps)), m.steps
 	if m.fault == provesAlone {
 		s.confirm.paxos = paxos.NewConfirmation(s.confirm.Known(), [][]string{{m.id(s)}})
 	}
 	serial := s.serial
-	s.serial = s.asked
-	m.send(i, Union(append(s.replica.Sets(), m.first)...), "read")
+	s.serial = s.confirmBegunAt
+	m.send(i, Union(append(s.replica.Sets(), m.initialVoters)...), "read")
 	s.serial = serial
-	for _, other := range m.stores { // a machine that knows no voters asks who began
+	for _, other := range m.stores { // a machine that does not know the initial voters asks the others
 		if s.replica.First() == nil && other.up && other.replica.First() != nil {
 			s.replica.LearnFirst(other.replica.First())
 		}
 	}
 }
 
-// turnSteps is for how long one proposer is left alone once the faults have ended.
+// turnSteps is how many steps each proposer in turn may propose alone once the faults have ended.
 const turnSteps = 250
 
-// step does one thing somewhere.
+// step performs one random action at one store. In calm steps there are no crashes.
 func (m *model) step(calm bool) {
 	m.steps++
-	if len(m.flying) > 0 && m.rng.IntN(10) < 8 {
-		m.deliver(m.rng.IntN(len(m.flying)))
+	if len(m.inFlight) > 0 && m.rng.IntN(10) < 8 {
+		m.deliver(m.rng.IntN(len(m.inFlight)))
 		return
 	}
 	i := m.rng.IntN(len(m.stores))
@@ -382,19 +390,19 @@
 	}
 	switch m.rng.IntN(6) {
 	case 0, 1, 2:
-		if calm && (m.steps/turnSteps)%len(m.stores) != i { // pauses of different lengths keep proposers apart
+		if calm && (m.steps/turnSteps)%len(m.stores) != i { // the proposers take turns, so that their rounds do not preempt each other
 			return
 		}
 		if s.order == nil {
-			m.orders++
-			s.order = &controlstate.Order{Kind: controlstate.Begin, Zone: fmt.Sprintf("z%03d", m.orders)}
-			if change := m.reseat(s); change != nil && m.rng.IntN(2) == 0 {
+			m.orderCount++
+			s.order = &controlstate.Order{Kind: controlstate.Begin, Zone: fmt.Sprintf("z%03d", m.orderCount)}
+			if change := m.takeOverOrder(s); change != nil && m.rng.IntN(2) == 0 {
 				s.order = change
 			} else if len(s.replica.Register().Prior) > 0 {
 				s.order = nil
 			}
 		}
-		if s.attempt == nil || !calm && m.rng.IntN(4) == 0 || m.steps-s.begunAt > turnSteps/4 {
+		if s.attempt == nil || !calm && m.rng.IntN(4) == 0 || m.steps-s.attemptBegunAt > turnSteps/4 {
 			m.begin(i)
 		}
 	case 3:
@@ -410,8 +418,8 @@
 	}
 }
 
-// comeBack has a machine that was taken for gone run again: it was only cut off.
-func (m *model) comeBack() {
+// reconnect reconnects a machine that was taken for gone but had only been partitioned.
+func (m *model) reconnect() {
 	for _, s := range m.stores {
 		if !s.up && m.rng.IntN(40) == 0 {
 			s.up = true
@@ -419,15 +427,16 @@
 	}
 }
 
-// disturb has one of the two losses happen. The second one waits until the seat of the first is taken.
-func (m *model) disturb() {
-	if m.events == 2 || m.rng.IntN(60) != 0 {
+// injectLoss triggers one of the two losses at random. The second one waits until the first lost seat has been
+// taken over.
+func (m *model) injectLoss() {
+	if m.losses == 2 || m.rng.IntN(60) != 0 {
 		return
 	}
 	for _, s := range m.stores {
 		register := s.replica.Register()
-		if m.events > 0 && s.up && (len(register.Prior) > 0 || m.reseat(s) != nil) {
-			return // the loss before is not made good yet, as far as this one knows
+		if m.losses > 0 && s.up && (len(register.Prior) > 0 || m.takeOverOrder(s) != nil) {
+			return // as far as this store knows, the seat of the first loss is still free
 		}
 	}
 	i := m.rng.IntN(len(m.stores))
@@ -435,53 +444,53 @@
 		return
 	}
 	m.lostAt = m.steps
-	if m.events++; m.rng.IntN(2) == 0 {
+	if m.losses++; m.rng.IntN(2) == 0 {
 		m.wipe(i)
 	} else {
 		m.replace(i)
 	}
 }
 
-var errStuck = errors.New("no order was agreed on after the faults had ended")
+var errStuck = errors.New("no order was acknowledged after the faults had ended")
 
-// play runs one schedule with faults, and then until one more order is agreed on.
-func play(seed uint64, voters int, fault string) (*model, error) {
+// runSchedule runs one schedule with faults, and then without faults until one more order is acknowledged.
+func runSchedule(seed uint64, voters int, fault string) (*model, error) {
 	m := newModel(seed, voters, fault)
 	for range 200 * voters {
 		m.step(false)
-		m.disturb()
-		m.comeBack()
+		m.injectLoss()
+		m.reconnect()
 		if m.err != nil {
 			return m, fmt.Errorf("seed %d: %w", seed, m.err)
 		}
 	}
-	before := len(m.acked)
+	before := len(m.acknowledged)
 	for range 6000 {
 		m.step(true)
 		if m.err != nil {
 			return m, fmt.Errorf("seed %d: %w", seed, m.err)
 		}
-		if len(m.acked) > before {
+		if len(m.acknowledged) > before {
 			return m, nil
 		}
-		if len(m.flying) > 60 { // the oldest are lost
-			m.flying = m.flying[20:]
+		if len(m.inFlight) > 60 { // lose the oldest
+			m.inFlight = m.inFlight[20:]
 		}
 	}
 	return m, fmt.Errorf("seed %d: %w", seed, errStuck)
 }
 
-// Three and five stores, of which up to two are replaced or lose their disks one after the other.
+// Runs schedules of three and five stores, of which up to two in turn are replaced or lose their disks.
 func TestModel(t *testing.T) {
 	for _, voters := range []int{3, 5} {
-		steps, acked, reseated := 0, 0, 0
+		steps, acknowledged, reseated := 0, 0, 0
 		for seed := range uint64(1500) {
-			m, err := play(seed, voters, faithful)
+			m, err := runSchedule(seed, voters, faithful)
 			if err != nil {
 				t.Fatalf("%d voters: %v", voters, err)
 			}
 			steps += m.steps
-			acked += len(m.acked)
+			acknowledged += len(m.acknowledged)
 			for _, s := range m.stores {
 				if s.up && s.replica.Register().VoterChanges > 0 {
 					reseated++
@@ -489,26 +498,26 @@
 				}
 			}
 		}
-		t.Logf("%d voters: 1500 schedules, %d steps, %d orders acknowledged, voters changed in %d", voters, steps, acked, reseated)
+		t.Logf("%d voters: 1500 schedules, %d steps, %d orders acknowledged, voters changed in %d", voters, steps, acknowledged, reseated)
 		if reseated < 400 {
-			t.Errorf("%d voters: seats were taken in %d schedules of 1500", voters, reseated)
+			t.Errorf("%d voters: seats were taken over in only %d of 1500 schedules", voters, reseated)
 		}
 	}
 }
 
-// Each fault that is built in is found.
+// Each deliberate violation is detected, so the checks are strong enough.
 func TestModelFindsFaults(t *testing.T) {
 	for _, fault := range []string{sameIdentity, oldSetNotAsked, newSetNotAsked, acknowledgesEarly, provesAlone} {
 		found := false
 		for seed := range uint64(6000) {
-			if _, err := play(seed, 3, fault); err != nil {
+			if _, err := runSchedule(seed, 3, fault); err != nil {
 				t.Logf("%s: %v", fault, err)
 				found = true
 				break
 			}
 		}
 		if !found {
-			t.Errorf("nothing is found wrong where %s", fault)
+			t.Errorf("no violation is detected although %s", fault)
 		}
 	}
 }
--- a/control/replica/refusal_test.go
+++ b/control/replica/refusal_test.go
@@ -8,14 +8,15 @@
 	"example.org/madderdrum/control/paxos"
 )
 
-// replaceOrder is an order for a whole configuration.
+// replaceOrder returns an order that replaces the whole configuration.
 func replaceOrder(version, base int) controlstate.Order {
 	body := fmt.Appendf(nil, `{"config_version":"r%d","base_revision":"r%d","tenants":[],"listeners":[],"clusters":[]}`, version, base)
 	return controlstate.Order{Kind: controlstate.Replace, Body: body}
 }
 
-// A store that was away knows an older version. An order on top of the newest one is taken there, and
-// one on top of its own is refused: both by what a majority tells.
+// A store that was partitioned knows only an older configuration. An order based on the newest version must
+// be accepted there, and one based on the store's own version refused, because the majority's newest
+// register decides.
 func TestRefusalsGoByTheNewest(t *testing.T) {
 	voters := []string{"1", "2", "3"}
 	newest := &controlstate.Register{}
@@ -35,20 +36,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		order  controlstate.Order
 		status int
-		alone  int // what the store would say by what it knows
+		alone  int // the status that the store's own register would give
 	}{{replaceOrder(7, 5), 200, 412}, {replaceOrder(6, 2), 412, 200}, {replaceOrder(5, 2), 200, 200}} {
 		r := New(1, 1, voters)
 		if _, err := r.Learn(paxos.Ballot{Number: 1, Node: 2}, known); err != nil {
 			t.Fatal(err)
 		}
-		// The test of this test: by its own knowledge the store would answer otherwise.
-		if out := r.Register().Clone().Apply(&x.order); out.Status != x.alone {
-			t.Errorf("alone: %+v, %d wanted", out, x.alone)
+		// Check of the test itself: the store's own register gives a different answer.
+		if out := r.Register().Clone().Apply(&test.order); out.Status != test.alone {
+			t.Errorf("by its own register: %+v, want status %d", out, test.alone)
 		}
-		attempt := r.Begin([][]controlstate.Order{{x.order}})
+		attempt := r.Begin([][]controlstate.Order{{test.order}})
 		accepted := paxos.Ballot{Number: 4, Node: 3}
 		for _, voter := range []string{"2", "3"} {
 			_, err = attempt.Promise(voter, paxos.Reply{OK: true, Promised: attempt.Prepare.Ballot, Accepted: accepted, Value: value})
@@ -56,8 +57,8 @@
 				t.Fatal(err)
 			}
 		}
-		if out := attempt.Outcomes(); len(out) != 1 || out[0][0].Status != x.status {
-			t.Errorf("%s: %+v, %d wanted", x.order.Body, out, x.status)
+		if out := attempt.Outcomes(); len(out) != 1 || out[0][0].Status != test.status {
+			t.Errorf("%s: %+v, want status %d", test.order.Body, out, test.status)
 		}
 	}
 }
--- a/control/replica/replica.go
+++ b/control/replica/replica.go
@@ -1,9 +1,9 @@
-// Package replica is what one store decides: which value it knows to be chosen, by which voters it
-// counts, how a round of ballots goes for the orders that wait, and whether what it knows is proven
-// to be current. The host carries messages, keeps the acceptor's record on disk and tells the time.
+// Package replica holds the decisions of one store of the replicated register: which value it knows to be
+// chosen, which voters it needs, how a round of ballots proceeds for waiting orders, and whether its
+// value is proven to be current. The host delivers messages, stores the acceptor's record on disk and
+// supplies the time.
 //
-// Nothing here does input or output, reads a clock or starts a goroutine. It is not safe for
-// concurrent use.
+// Nothing here does I/O, reads a clock or starts a goroutine. It is not safe for concurrent use.
 package replica
 
 import (
@@ -15,73 +15,75 @@
 	"example.org/madderdrum/control/paxos"
 )
 
-// resolveAfter is how long another proposer's value that is accepted and not known to be chosen is
-// left to that proposer.
+// resolveAfter is how long another proposer has to finish a value that is accepted but not known to be
+// chosen, before this store completes it with a round of its own.
 const resolveAfter = 250 * time.Millisecond
 
-// Replica is what a store knows. Values are encoded registers.
+// Replica is a store's view of the replicated register. Values are encoded registers.
 type Replica struct {
-	node, life uint64
-	first      []string // the voters that everyone began with; nil: not known yet
-	chosen     paxos.Ballot
-	value      []byte
-	register   *controlstate.Register
-	number     uint64     // of the latest ballot seen
-	hint       [][]string // sets of voters that a round has met, newer than those of the register
-	proved     time.Duration
-	isProved   bool
-	unresolved time.Duration // since when another's value is accepted and not known to be chosen
-	isPending  bool
+	node, incarnation uint64
+	initialVoters     []string // the voters that bootstrapped the system; nil if not yet known
+	chosen            paxos.Ballot
+	value             []byte
+	register          *controlstate.Register
+	ballotNumber      uint64     // the highest one seen
+	voterSetHint      [][]string // voter sets of a newer register, found in a round or a confirmation
+	provenAt          time.Duration
+	hasProof          bool
+	unresolvedSince   time.Duration // when an accepted value not known to be chosen was first seen
+	hasUnresolved     bool
 }
 
-// New returns the replica of a store that knows nothing. node is unique to the machine and life to
-// the process. first are the voters that everyone began with, nil for a machine that joins later.
-func New(node, life uint64, first []string) *Replica {
-	return &Replica{node: node, life: life, first: first, register: &controlstate.Register{}}
+// New returns the replica of a store that knows no chosen value. node is unique to the machine and
+// incarnation to the process. initialVoters are the voters that bootstrapped the system; nil on a
+// machine that joins later.
+func New(node, incarnation uint64, initialVoters []string) *Replica {
+	return &Replica{node: node, incarnation: incarnation, initialVoters: initialVoters, register: &controlstate.Register{}}
 }
 
-// Register is the newest register that is known to be chosen. It is not to be changed.
+// Register returns the newest register that is known to be chosen. Callers must not modify it.
 func (r *Replica) Register() *controlstate.Register { return r.register }
 
-// Chosen is the ballot by which that register was chosen.
+// Chosen returns the ballot under which the newest known value was chosen.
 func (r *Replica) Chosen() paxos.Ballot { return r.chosen }
 
-// Value is that register as it is encoded.
+// Value returns the encoded form of the newest value that is known to be chosen.
 func (r *Replica) Value() []byte { return r.value }
 
-// First are the voters that everyone began with, nil where they are not known.
-func (r *Replica) First() []string { return r.first }
+// InitialVoters returns the voters that bootstrapped the system, or nil if they are not known.
+func (r *Replica) First() []string { return r.initialVoters }
 
-// LearnFirst takes over from another store which voters everyone began with.
-func (r *Replica) LearnFirst(first []string) {
-	if len(r.first) == 0 && len(first) > 0 {
-		r.first = slices.Clone(first)
+// LearnInitialVoters stores the initial voters reported by another store, if they were not known before.
+func (r *Replica) LearnFirst(initialVoters []string) {
+	if len(r.initialVoters) == 0 && len(initialVoters) > 0 {
+		r.initialVoters = slices.Clone(initialVoters)
 	}
 }
 
-// Sets are the sets of voters to ask, as far as they are known here.
+// VoterSets returns the newest known voter sets, from which a round needs majorities.
 func (r *Replica) Sets() [][]string {
-	if r.hint != nil {
-		return r.hint
+	if r.voterSetHint != nil {
+		return r.voterSetHint
 	}
-	return r.register.Sets(r.first)
+	return r.register.Sets(r.initialVoters)
 }
 
-// Saw takes note of a ballot's number: the next ballot of this store is ahead of it.
-func (r *Replica) Saw(number uint64) { r.number = max(r.number, number) }
+// ObserveBallotNumber records a ballot number. The next ballot of this store gets a higher one.
+func (r *Replica) Saw(ballotNumber uint64) { r.ballotNumber = max(r.ballotNumber, ballotNumber) }
 
-// Learn takes in a chosen value. It tells whether the register is another one now.
+// Learn stores a value that is known to be chosen and reports whether the register changed. A value that
+// is not newer than the known one is ignored.
 func (r *Replica) Learn(ballot paxos.Ballot, value []byte) (changed bool, err error) {
 	if ballot.Compare(r.chosen) <= 0 {
 		return false, nil
 	}
 	register, err := controlstate.Decode(value)
 	if err != nil {
-		return false, fmt.Errorf("replica: the value of ballot %d: %w", ballot.Number, err)
+		return false, fmt.Errorf("replica: decode the value of ballot %d: %w", ballot.Number, err)
 	}
 	changed = register.Seq != r.register.Seq
-	r.chosen, r.value, r.hint = ballot, value, nil
-	r.isPending = false
+	r.chosen, r.value, r.voterSetHint = ballot, value, nil
+	r.hasUnresolved = false
 	r.Saw(ballot.Number)
 	if changed {
 		r.register = register
@@ -89,11 +91,11 @@
 	return changed, nil
 }
 
-// Proved is when the known register was the newest chosen one; ok is false where that never was
-// known.
-func (r *Replica) Proved() (at time.Duration, ok bool) { return r.proved, r.isProved }
+// ProvenAt returns the latest time at which the known register was proven to be the newest chosen one.
+// ok is false if that was never proven.
+func (r *Replica) Proved() (at time.Duration, ok bool) { return r.provenAt, r.hasProof }
 
-// Union is every member of some sets once, sorted.
+// Union returns the sorted union of the sets.
 func Union(sets ...[]string) (all []string) {
 	for _, set := range sets {
 		all = append(all, set...)
@@ -102,87 +104,90 @@
 	return slices.Compact(all)
 }
 
-// Machines are the IP numbers of the machines of voters, each once, sorted.
+// VoterIPs returns the IP addresses of the voters' machines, sorted and without duplicates.
 func Machines(voters []string) (ips []string) {
-	for _, v := range voters {
-		ips = append(ips, controlstate.VoterIP(v))
+	for _, voter := range voters {
+		ips = append(ips, controlstate.VoterIP(voter))
 	}
 	return Union(ips)
 }
 
-// Confirmation is one question to the voters whether anything newer was chosen, as its store sees
-// it. What the answers tell of newer values is learnt from them.
+// Confirmation is one quorum read, which asks the voters whether anything newer was chosen. If the
+// replies show that a newer value is chosen, the replica learns it.
 type Confirmation struct {
-	replica *Replica
-	paxos   *paxos.Confirmation
-	begun   time.Duration
-	known   paxos.Ballot
-	newer   map[string]paxos.Ballot // what was told by those who accepted something newer
-	proven  bool
+	replica       *Replica
+	paxos         *paxos.Confirmation
+	startedAt     time.Duration
+	known         paxos.Ballot
+	newerAccepted map[string]paxos.Ballot // by voter: the accepted ballot, if newer than known
+	proven        bool
 }
 
-// Confirm begins a confirmation.
+// Confirm begins a confirmation of the register that is known now. The caller then sends a read with
+// Known to the voters.
 func (r *Replica) Confirm(now time.Duration) *Confirmation {
-	return &Confirmation{replica: r, paxos: paxos.NewConfirmation(r.chosen, r.register.Sets(r.first)), begun: now, known: r.chosen, newer: map[string]paxos.Ballot{}}
+	return &Confirmation{replica: r, paxos: paxos.NewConfirmation(r.chosen, r.register.Sets(r.initialVoters)),
+		startedAt: now, known: r.chosen, newerAccepted: map[string]paxos.Ballot{}}
 }
 
-// Known is the ballot whose value need not be told.
+// Known returns the ballot of the value under confirmation. Replies leave out the value of that ballot.
 func (c *Confirmation) Known() paxos.Ballot { return c.known }
 
-// Hear takes in the answer of a voter to a read. It tells whether the register is another one now.
-func (c *Confirmation) Hear(from string, m paxos.Reply) (changed bool, err error) {
-	if c.paxos.Hear(from, m) {
-		c.newer[from] = m.Accepted
-		return c.replica.learnFromVoters(m.Accepted, m.Value, c.newer)
+// HandleReply processes a voter's reply to a read and reports whether the register changed.
+func (c *Confirmation) Hear(from string, reply paxos.Reply) (changed bool, err error) {
+	if c.paxos.HandleReply(from, reply) {
+		c.newerAccepted[from] = reply.Accepted
+		return c.replica.learnFromVoters(reply.Accepted, reply.Value, c.newerAccepted)
 	}
 	if !c.proven && c.paxos.Proven() && c.replica.chosen == c.known {
 		c.proven = true
-		if !c.replica.isProved || c.begun > c.replica.proved {
-			c.replica.proved, c.replica.isProved = c.begun, true
+		if !c.replica.hasProof || c.startedAt > c.replica.provenAt {
+			c.replica.provenAt, c.replica.hasProof = c.startedAt, true
 		}
 	}
 	return false, nil
 }
 
-// Proven tells that a majority has confirmed what was known.
+// Proven reports whether a majority has confirmed that the known value is the newest chosen one.
 func (c *Confirmation) Proven() bool { return c.proven }
 
-// End closes the confirmation. learnt tells that something newer was learnt meanwhile, whose proof
-// is still to come; resolve that a value which another proposer has left half done is to be
-// completed by a round without orders; pending that there is one, which is left to its proposer yet.
+// End closes the confirmation. learnt reports that a newer value was learnt in the meantime, which needs
+// a confirmation of its own. pending reports that some voter has accepted a newer value that is not known
+// to be chosen. resolve reports that its proposer has had [resolveAfter] to finish it, so that a round
+// without orders is to complete it.
 func (c *Confirmation) End() (learnt, resolve, pending bool) {
 	r := c.replica
 	if r.chosen != c.known {
-		r.isPending = false
+		r.hasUnresolved = false
 		return true, false, false
 	}
-	if len(c.newer) == 0 {
-		r.isPending = false
+	if len(c.newerAccepted) == 0 {
+		r.hasUnresolved = false
 		return false, false, false
 	}
-	if !r.isPending {
-		r.isPending, r.unresolved = true, c.begun
+	if !r.hasUnresolved {
+		r.hasUnresolved, r.unresolvedSince = true, c.startedAt
 		return false, false, true
 	}
-	return false, c.begun-r.unresolved > resolveAfter, true
+	return false, c.startedAt-r.unresolvedSince > resolveAfter, true
 }
 
-// learnFromVoters learns a value that those who told of it have chosen, whoever asked for it: a
-// majority of each set that it counts by itself has accepted it.
-func (r *Replica) learnFromVoters(ballot paxos.Ballot, value []byte, told map[string]paxos.Ballot) (changed bool, err error) {
+// learnFromVoters learns a value if the replies show that it is chosen: a majority of each voter set that
+// the value itself defines has accepted it, no matter who proposed it.
+func (r *Replica) learnFromVoters(ballot paxos.Ballot, value []byte, accepted map[string]paxos.Ballot) (changed bool, err error) {
 	if len(value) == 0 {
 		return false, nil
 	}
 	register, err := controlstate.Decode(value)
 	if err != nil {
-		return false, fmt.Errorf("replica: the value of ballot %d: %w", ballot.Number, err)
+		return false, fmt.Errorf("replica: decode the value of ballot %d: %w", ballot.Number, err)
 	}
-	sets := register.Sets(r.first)
-	if paxos.Agreed(sets, func(voter string) bool { return told[voter] == ballot }) {
+	sets := register.Sets(r.initialVoters)
+	if paxos.MajorityOfEach(sets, func(voter string) bool { return accepted[voter] == ballot }) {
 		return r.Learn(ballot, value)
 	}
 	if !slices.EqualFunc(sets, r.Sets(), slices.Equal) {
-		r.hint = sets // others have to be asked too
+		r.voterSetHint = sets // the value has voters that were not asked
 	}
 	return false, nil
 }
