--- a/control/coremembers/coremembers_test.go
+++ b/control/coremembers/coremembers_test.go
@@ -8,15 +8,15 @@
 
 const ms = time.Millisecond
 
-// heard describes a machine whose reports arrive every 400 ms, from one time until another.
-type heard struct {
+// reporter describes a machine whose reports arrive at voter 1 every 400 ms, from one time until another.
+type reporter struct {
 	voter, zone string
 	from, until time.Duration
 	leaving     bool
 }
 
 // plan returns the change that voter 1 of three proposes at a time. Voter 2 agrees with it about successions.
-func plan(at time.Duration, wanted int, machines ...heard) (Change, bool) {
+func plan(at time.Duration, wanted int, machines ...reporter) (Change, bool) {
 	p := New(Report{Voter: "1", Zone: "a"}, wanted, 0)
 	state := State{Voters: []string{"1", "2", "3"}, Term: 4, Seq: 9}
 	for now := time.Duration(0); now <= at; now += 100 * ms {
@@ -37,27 +37,27 @@
 // Each case gives the reports that voter 1 receives and the change of voters that it then proposes.
 func TestPlan(t *testing.T) {
 	always := 10 * time.Minute
-	two, three := heard{"2", "b", 0, always, false}, heard{"3", "a", 0, always, false}
-	gone := heard{"3", "a", 0, 2000 * ms, false}
+	two, three := reporter{"2", "b", 0, always, false}, reporter{"3", "a", 0, always, false}
+	gone := reporter{"3", "a", 0, 2000 * ms, false}
 	for _, test := range []struct {
 		name        string
 		at          time.Duration
 		wanted      int
-		machines    []heard
+		machines    []reporter
 		seat, leave string
 	}{
-		{"all voters are present", 5000 * ms, 3, []heard{two, three}, "", ""},
-		{"all voters are present, and a learner is ready", 5000 * ms, 3, []heard{two, three, {"4/x", "a", 0, always, false}}, "", ""},
-		{"a voter is silent, and there is no learner", 9000 * ms, 3, []heard{two, gone}, "", ""},
-		{"a voter is silent, and the learner was present before that", 20000 * ms, 3, []heard{two, gone, {"4/x", "a", 0, always, false}}, "", ""},
-		{"a voter is silent, and a learner appeared after that", 4800 * ms, 3, []heard{two, gone, {"4/x", "a", 2800 * ms, always, false}}, "4/x", "3"},
-		{"the learner that appeared is in another zone", 20000 * ms, 3, []heard{two, gone, {"4/x", "c", 2800 * ms, always, false}}, "", ""},
-		{"the same, after GoneAfter", GoneAfter + 4000*ms, 3, []heard{two, gone, {"4/x", "c", 2800 * ms, always, false}}, "4/x", "3"},
-		{"a machine returned without its disk", 4000 * ms, 3, []heard{two, gone, {"3/y", "a", 2800 * ms, always, false}}, "3/y", "3"},
-		{"delayed report of a disk that a voter had before", 4000 * ms, 3, []heard{two, three, {"3/y", "a", 0, 800 * ms, false}}, "", ""},
-		{"a voter leaves", 5200 * ms, 3, []heard{two, {"3", "a", 0, always, true}, {"4/x", "a", 0, always, false}}, "4/x", "3"},
-		{"both a voter and the learner leave", 5200 * ms, 3, []heard{two, {"3", "a", 0, always, true}, {"4/x", "a", 0, always, true}}, "", ""},
-		{"there are too few voters", 5000 * ms, 5, []heard{two, three, {"4/x", "c", 0, always, false}}, "4/x", ""},
+		{"all voters are present", 5000 * ms, 3, []reporter{two, three}, "", ""},
+		{"all voters are present, and a learner is ready", 5000 * ms, 3, []reporter{two, three, {"4/x", "a", 0, always, false}}, "", ""},
+		{"a voter is silent, and there is no learner", 9000 * ms, 3, []reporter{two, gone}, "", ""},
+		{"a voter is silent, and the learner was present before that", 20000 * ms, 3, []reporter{two, gone, {"4/x", "a", 0, always, false}}, "", ""},
+		{"a voter is silent, and a learner appeared after that", 4800 * ms, 3, []reporter{two, gone, {"4/x", "a", 2800 * ms, always, false}}, "4/x", "3"},
+		{"the learner that appeared is in another zone", 20000 * ms, 3, []reporter{two, gone, {"4/x", "c", 2800 * ms, always, false}}, "", ""},
+		{"the same, after GoneAfter", GoneAfter + 4000*ms, 3, []reporter{two, gone, {"4/x", "c", 2800 * ms, always, false}}, "4/x", "3"},
+		{"a machine returned without its disk", 4000 * ms, 3, []reporter{two, gone, {"3/y", "a", 2800 * ms, always, false}}, "3/y", "3"},
+		{"delayed report of a disk that a voter had before", 4000 * ms, 3, []reporter{two, three, {"3/y", "a", 0, 800 * ms, false}}, "", ""},
+		{"a voter leaves", 5200 * ms, 3, []reporter{two, {"3", "a", 0, always, true}, {"4/x", "a", 0, always, false}}, "4/x", "3"},
+		{"both a voter and the learner leave", 5200 * ms, 3, []reporter{two, {"3", "a", 0, always, true}, {"4/x", "a", 0, always, true}}, "", ""},
+		{"there are too few voters", 5000 * ms, 5, []reporter{two, three, {"4/x", "c", 0, always, false}}, "4/x", ""},
 	} {
 		change, due := plan(test.at, test.wanted, test.machines...)
 		var seat, leave []string
--- a/control/freshness/freshness.go
+++ b/control/freshness/freshness.go
@@ -14,30 +14,30 @@
 
 // Contacts records when each other machine, by IP address, last answered.
 type Contacts struct {
-	self  string
-	heard map[string]time.Duration
+	self      string
+	lastHeard map[string]time.Duration
 }
 
 // NewContacts returns empty contacts for the machine with IP address self.
 func NewContacts(self string) *Contacts {
-	return &Contacts{self: self, heard: map[string]time.Duration{}}
+	return &Contacts{self: self, lastHeard: map[string]time.Duration{}}
 }
 
 // Heard records that a machine has answered a call that was sent at the given time.
 func (c *Contacts) Heard(ip string, at time.Duration) {
-	if last, ok := c.heard[ip]; !ok || at > last {
-		c.heard[ip] = at
+	if last, ok := c.lastHeard[ip]; !ok || at > last {
+		c.lastHeard[ip] = at
 	}
 }
 
 // Silence returns the time since a machine was last heard. ok is false if it was never heard.
 func (c *Contacts) Silence(ip string, now time.Duration) (silence time.Duration, ok bool) {
-	at, ok := c.heard[ip]
+	at, ok := c.lastHeard[ip]
 	return now - at, ok
 }
 
 // Forget removes the record of a machine, for example one that is no longer a core machine.
-func (c *Contacts) Forget(ip string) { delete(c.heard, ip) }
+func (c *Contacts) Forget(ip string) { delete(c.lastHeard, ip) }
 
 // HasMajority reports whether a majority of each set was heard less than within ago. This machine counts
 // in the sets it is a member of. Without any sets the result is false.
--- a/control/freshness/freshness_test.go
+++ b/control/freshness/freshness_test.go
@@ -11,11 +11,11 @@
 func TestContacts(t *testing.T) {
 	now := 10 * time.Second
 	for _, test := range []struct {
-		name  string
-		self  string
-		sets  [][]string
-		heard map[string]time.Duration
-		want  bool
+		name      string
+		self      string
+		sets      [][]string
+		lastHeard map[string]time.Duration
+		want      bool
 	}{
 		{"no voters are known", "a", nil, nil, false},
 		{"no contact with the others", "a", [][]string{{"a", "b", "c"}}, nil, false},
@@ -27,7 +27,7 @@
 		{"a majority of only one of two sets", "a", [][]string{{"a", "b", "c"}, {"c", "d", "e"}}, map[string]time.Duration{"b": now}, false},
 	} {
 		c := NewContacts(test.self)
-		for ip, at := range test.heard {
+		for ip, at := range test.lastHeard {
 			c.Heard(ip, at)
 			c.Heard(ip, at-time.Second) // a late answer to an older call changes nothing
 		}
--- a/control/replica/model_test.go
+++ b/control/replica/model_test.go
@@ -28,9 +28,9 @@
 
 // packet is a request or a reply in flight.
 type packet struct {
-	from, to int // indices of stores
-	attempt  int // serial number of the proposer's attempt or confirmation
-	call     string
+	from, to int    // indices of stores
+	attempt  int    // serial number of the proposer's attempt or confirmation
+	call     string // "prepare", "accept" or "read"
 	prepare  paxos.Prepare
 	accept   paxos.Accept
 	reply    *paxos.Reply // nil in a request
@@ -84,8 +84,10 @@
 	return m
 }
 
+// id returns the voter ID of a store with its current disk.
 func (m *model) id(s *store) string { return controlstate.VoterID(s.ip, s.acceptor.Record.Disk) }
 
+// find returns the index of the store with an IP address, or -1.
 func (m *model) find(ip string) int {
 	return slices.IndexFunc(m.stores, func(s *store) bool { return s.ip == ip })
 }
