--- a/internal/node/advise.go
+++ b/internal/node/advise.go
@@ -22,10 +22,10 @@
 }
 
 // advisePart is the part of a request's time that all plug-ins may take together.
-const advisePart = 4
+const pluginTimeDivisor = 4
 
 // Counsel is what came of asking a target's plug-ins.
-type Counsel struct {
+type PluginAdvice struct {
 	Advice limiter.Advice
 	Labels []string
 	By     string // the plug-in that refuses, if one does
@@ -34,12 +34,12 @@
 
 // Advise has the target's plug-ins asked, if it has any. left is what the request has of
 // its time.
-func (t *Target) Advise(ctx context.Context, s *advice.Subject, left time.Duration) Counsel {
+func (t *Target) Advise(ctx context.Context, s *advice.Subject, left time.Duration) PluginAdvice {
 	if t.Adviser == nil {
-		return Counsel{}
+		return PluginAdvice{}
 	}
-	all := t.Adviser.Advise(ctx, s, max(time.Microsecond, left/advisePart))
-	c := Counsel{Labels: all.Labels, Advice: counsel.Of(&all, t.Tiers)}
+	all := t.Adviser.Advise(ctx, s, max(time.Microsecond, left/pluginTimeDivisor))
+	c := PluginAdvice{Labels: all.Labels, Advice: counsel.Of(&all, t.Tiers)}
 	if all.Refuse {
 		c.By, c.Reason = t.Adviser.Name(all.By), all.Reason
 	}
@@ -56,35 +56,35 @@
 // advise asks the plug-ins about a request that is about to go to the module, and tells
 // whether its client still waits. Of one that has left nothing may go on: it would get past
 // a plug-in that guards something.
-func (n *Node) advise(hr *http.Request, v *version, r *request, ev *limiter.Submit) bool {
-	if r.to.Adviser == nil || !counsel.Due(ev) {
+func (n *Node) consultPlugins(hr *http.Request, v *revision, r *request, ev *limiter.Submit) bool {
+	if r.destination.Adviser == nil || !counsel.Due(ev) {
 		return true
 	}
-	s := &advice.Subject{Whole: r.body, Header: func(name string) string { return one(hr.Header, name) },
+	subject := &advice.Subject{Whole: r.body, Header: func(name string) string { return singleHeader(hr.Header, name) },
 		Request: advice.Request{Account: ev.Customer, Plan: ev.Plan, Class: ev.Class, Method: hr.Method, Path: hr.URL.Path,
-			PlanName: hr.Header.Get("Plan"), ClassName: v.classes[ev.Class], Units: ev.Units, Retry: ev.Retry}}
-	s.Balance, s.Pressure = n.Glance(ev.Customer, ev.Plan, ev.Pool)
-	left := time.Until(r.stopAt)
-	s.LeftMs = float64(left) / float64(time.Millisecond)
-	r.counsel = r.to.Advise(hr.Context(), s, left)
+			PlanName: hr.Header.Get("Plan"), ClassName: v.classNames[ev.Class], Units: ev.Units, Retry: ev.Retry}}
+	subject.Balance, subject.Pressure = n.Glance(ev.Customer, ev.Plan, ev.Pool)
+	remaining := time.Until(r.deadline)
+	subject.LeftMs = float64(remaining) / float64(time.Millisecond)
+	r.counsel = r.destination.Advise(hr.Context(), subject, remaining)
 	ev.Advice = r.counsel.Advice
 	if ev.Advice.Refuse {
-		n.advised.warn("a plug-in has a request refused", "plugin", r.counsel.By, "reason", r.counsel.Reason, "labels", r.counsel.Labels,
-			"request", r.id, "class", s.ClassName, "plan", s.PlanName)
+		n.pluginRefusalLog.warn("a plug-in has a request refused", "plugin", r.counsel.By, "reason", r.counsel.Reason, "labels", r.counsel.Labels,
+			"request", r.id, "class", subject.ClassName, "plan", subject.PlanName)
 	}
 	return hr.Context().Err() == nil
 }
 
 // reason is the body of an answer that a plug-in's refusal brought about.
-func (r *request) reason(a *answer) {
+func (r *request) setRefusalBody(a *answer) {
 	if c := &r.counsel; c.Advice.Refuse && a.status == http.StatusTooManyRequests && c.Reason != "" {
-		a.body, a.content = []byte(c.Reason+"\n"), "text/plain; charset=utf-8"
+		a.body, a.contentType = []byte(c.Reason+"\n"), "text/plain; charset=utf-8"
 	}
 }
 
 // mostLabels bounds the labels that are counted apart; a further one counts as otherLabel.
 const (
-	mostLabels = 64
+	maxLabels  = 64
 	otherLabel = "(others)"
 )
 
@@ -95,7 +95,7 @@
 }
 
 // tally counts a request's end by its labels.
-func (n *Node) tally(r *request, a *answer) {
+func (n *Node) countLabels(r *request, a *answer) {
 	if len(r.counsel.Labels) == 0 {
 		return
 	}
@@ -104,7 +104,7 @@
 	for _, label := range r.counsel.Labels {
 		c := n.labels[label]
 		if c == nil {
-			if len(n.labels) >= mostLabels {
+			if len(n.labels) >= maxLabels {
 				label = otherLabel
 			}
 			if c = n.labels[label]; c == nil {
--- a/internal/node/ages_test.go
+++ b/internal/node/ages_test.go
@@ -13,27 +13,27 @@
 func TestAgesLearn(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	a := &ages{at: now}
-	a.judge()
-	if a.limit != ageForever {
+	a := &idleStats{decayedAt: now}
+	a.updateLimit()
+	if a.limit != noIdleLimit {
 		t.Fatalf("limit %v before anything was seen", a.limit)
 	}
 	for range 50 {
-		a.add(now, ageGroup(10*time.Millisecond), false)
-		a.add(now, ageGroup(80*time.Millisecond), false)
+		a.add(now, idleGroup(10*time.Millisecond), false)
+		a.add(now, idleGroup(80*time.Millisecond), false)
 	}
-	a.add(now, ageGroup(150*time.Millisecond), true)
-	if a.limit != ageForever {
+	a.add(now, idleGroup(150*time.Millisecond), true)
+	if a.limit != noIdleLimit {
 		t.Errorf("limit %v after one break", a.limit)
 	}
-	a.add(now, ageGroup(150*time.Millisecond), true)
-	a.add(now, ageGroup(150*time.Millisecond), true)
+	a.add(now, idleGroup(150*time.Millisecond), true)
+	a.add(now, idleGroup(150*time.Millisecond), true)
 	if a.limit != 100*time.Millisecond {
 		t.Errorf("limit %v, want 100ms", a.limit)
 	}
-	a.fade(now.Add(3 * ageMemory))
-	a.judge()
-	if a.limit != ageForever {
+	a.decay(now.Add(3 * statsDecay))
+	a.updateLimit()
+	if a.limit != noIdleLimit {
 		t.Errorf("limit %v long after", a.limit)
 	}
 }
@@ -42,12 +42,12 @@
 func TestAgesAgainstNew(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	a := &ages{at: now}
+	a := &idleStats{decayedAt: now}
 	for i := range 90 {
-		a.add(now, newConns, i%3 == 0)
-		a.add(now, ageGroup(150*time.Millisecond), i%3 == 0)
+		a.add(now, newConnGroup, i%3 == 0)
+		a.add(now, idleGroup(150*time.Millisecond), i%3 == 0)
 	}
-	if a.limit != ageForever {
+	if a.limit != noIdleLimit {
 		t.Errorf("limit %v", a.limit)
 	}
 }
@@ -57,8 +57,8 @@
 func TestStaleConnections(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
-	p := newPool(8, patience, patience)
-	h := &host{id: 1, dial: srv.addr, up: true}
+	p := newServerPool(8, patience, patience)
+	h := &host{id: 1, dialAddr: srv.addr, accepting: true}
 	p.hosts[1] = h
 	call := &call{method: "GET", target: "/api", host: "x", requestID: "r"}
 	for i := 0; ; i++ {
@@ -74,12 +74,12 @@
 			s.request()
 			s.answer("200 OK", "")
 		}()
-		if rep, end := c.exchange(call, time.Now().Add(patience), nil); rep.result != limiter.Pass || end != reusable {
+		if rep, end := c.exchange(call, time.Now().Add(patience), nil); rep.result != limiter.Pass || end != connReusable {
 			t.Fatalf("result %v", rep.result)
 		}
 		p.put(c)
-		c.idleAt = time.Now().Add(-300 * time.Millisecond)
-		if p.take(h) == nil {
+		c.idleSince = time.Now().Add(-300 * time.Millisecond)
+		if p.takeIdle(h) == nil {
 			if i < 2 {
 				t.Errorf("given up after %d breaks", i)
 			}
@@ -89,7 +89,7 @@
 			s.request()
 			s.Close()
 		}()
-		if rep, end := c.exchange(call, time.Now().Add(patience), nil); rep.result != limiter.Cut || end != dead {
+		if rep, end := c.exchange(call, time.Now().Add(patience), nil); rep.result != limiter.Cut || end != connBroken {
 			t.Fatalf("result %v", rep.result)
 		}
 		c.close()
--- a/internal/node/asks.go
+++ b/internal/node/asks.go
@@ -26,7 +26,7 @@
 const askID = "\x00ask"
 
 // asked is the answer to an Ask.
-type asked struct {
+type pendingAsk struct {
 	granted bool
 	wait    time.Duration
 }
@@ -43,10 +43,10 @@
 		return false, time.Second
 	}
 	a.ID = askID
-	n.asked = &asked{}
+	n.pendingAsk = &pendingAsk{}
 	n.handle(a)
-	answer := n.asked
-	n.asked = nil
+	answer := n.pendingAsk
+	n.pendingAsk = nil
 	return answer.granted, answer.wait
 }
 
@@ -69,12 +69,12 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.peers != nil && !n.closed {
-		n.peers.tell(to, data)
+		n.peers.send(to, data)
 	}
 }
 
 // redeem sees whether units were leased for a request here.
-func (n *Node) redeem(hr *http.Request, ev *limiter.Submit) {
+func (n *Node) redeemLease(hr *http.Request, ev *limiter.Submit) {
 	if token := hr.Header.Get(grantHeader); token != "" {
 		ev.Leased, ev.Vouched = n.grants.Redeem(token, grant.Terms{Account: ev.Customer, Plan: ev.Plan, Class: ev.Class, Units: ev.Units})
 	}
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -16,9 +16,9 @@
 )
 
 // try carries out an attempt and returns what came of it.
-func (n *Node) try(at *attempt) reply {
+func (n *Node) runAttempt(att *attempt) reply {
 	for {
-		rep, stale := n.tryOnce(at)
+		rep, stale := n.runAttemptOnce(att)
 		if !stale {
 			return rep
 		}
@@ -27,26 +27,26 @@
 
 // tryOnce carries out an attempt on one connection. It is stale if the kept
 // connection turned out to be of no use before anything was written on it.
-func (n *Node) tryOnce(at *attempt) (rep reply, stale bool) {
-	c := n.servers.take(at.host)
+func (n *Node) runAttemptOnce(att *attempt) (rep reply, stale bool) {
+	c := n.servers.takeIdle(att.host)
 	if c == nil {
-		ctx, cancel := context.WithDeadline(context.Background(), at.stopAt)
+		ctx, cancel := context.WithDeadline(context.Background(), att.deadline)
 		defer cancel()
 		n.mu.Lock()
-		at.cancel = cancel
-		over := at.over
+		att.cancel = cancel
+		ended := att.ended
 		n.mu.Unlock()
-		if over {
+		if ended {
 			return reply{result: limiter.NoRoute, load: noLoad}, false
 		}
 		var err error
-		c, err = n.servers.connect(ctx, at.host)
-		if errors.Is(err, errNoRoom) {
+		c, err = n.servers.connect(ctx, att.host)
+		if errors.Is(err, errConnBudget) {
 			return reply{result: limiter.NoRoom, load: noLoad}, false
 		}
 		if err != nil {
 			if ctx.Err() != context.Canceled { // given up: says nothing about the server
-				n.servers.broken(at.host)
+				n.servers.markBroken(att.host)
 			}
 			return reply{result: limiter.NoRoute, load: noLoad}, false
 		}
@@ -54,118 +54,118 @@
 	// A connect takes time: what was decided before it may no longer hold. The
 	// grace of a drain and the client's time count from the first byte sent.
 	n.mu.Lock()
-	stopAt := n.endBy(at.stopAt) // SIGTERM may have come after the request
-	off := at.over || !n.servers.wanted(at.host) || !time.Now().Before(stopAt)
-	if at.cancel = nil; !off {
-		at.conn = c
+	deadline := n.endBy(att.deadline) // SIGTERM may have come after the request
+	cancelled := att.ended || !n.servers.accepts(att.host) || !time.Now().Before(deadline)
+	if att.cancel = nil; !cancelled {
+		att.conn = c
 	}
 	n.mu.Unlock()
-	if off {
+	if cancelled {
 		// No longer the attempt's: giving it up must not close a connection that
 		// another attempt has taken meanwhile.
 		n.servers.put(c)
 		return reply{result: limiter.NoRoute, load: noLoad}, false
 	}
-	rep, end := c.exchange(&at.req.call, stopAt, n.goingOn(at))
-	if end == streaming {
+	rep, outcome := c.exchange(&att.req.call, deadline, n.attemptHooks(att))
+	if outcome == connStreaming {
 		return rep, false
 	}
 	n.mu.Lock()
-	at.conn = nil
-	over := at.over
+	att.conn = nil
+	ended := att.ended
 	n.mu.Unlock()
-	if end == reusable && !over {
+	if outcome == connReusable && !ended {
 		n.servers.put(c)
 	} else {
 		c.close() // before the next attempt can go out
 	}
-	if end == dead && !over { // not where giving up closed it
-		n.servers.broken(at.host)
+	if outcome == connBroken && !ended { // not where giving up closed it
+		n.servers.markBroken(att.host)
 	}
 	if rep.result == limiter.Spoilt {
-		n.badInput.warn("an answer can't be used", "server", at.host.id, "err", rep.err)
+		n.badInputLog.warn("an answer can't be used", "server", att.host.id, "err", rep.err)
 	}
-	return rep, end == unused && !over
+	return rep, outcome == connStale && !ended
 }
 
 // ending is what is left of a connection after an exchange.
-type ending int
+type connOutcome int
 
 const (
-	finished ending = iota // of no further use
-	reusable
-	unused    // kept, but closed or spoilt meanwhile: nothing was written on it
-	dead      // the connection itself broke
-	streaming // the answer is still to come on it
+	connDiscard connOutcome = iota // of no further use
+	connReusable
+	connStale     // kept, but closed or spoilt meanwhile: nothing was written on it
+	connBroken    // the connection itself broke
+	connStreaming // the answer is still to come on it
 )
 
 // exchange writes one request and reads its answer. It knows whether the last
 // byte was written: a failure before that proves that nothing ran.
-func (c *conn) exchange(call *call, stopAt time.Time, h *hooks) (rep reply, end ending) {
+func (c *conn) exchange(call *call, deadline time.Time, h *hooks) (rep reply, outcome connOutcome) {
 	rep = reply{result: limiter.NoRoute, load: noLoad}
-	req := call.request(time.Until(stopAt))
+	req := call.httpRequest(time.Until(deadline))
 	var out bytes.Buffer
-	if call.rest == nil {
+	if call.bodyRest == nil {
 		if err := req.Write(&out); err != nil {
-			return rep, finished
+			return rep, connDiscard
 		}
 	}
-	if c.SetDeadline(stopAt) != nil {
-		return rep, dead
+	if c.SetDeadline(deadline) != nil {
+		return rep, connBroken
 	}
 	// As late as can be: what a server sends behind an answer, also long after it,
 	// must not be taken for the next one, and one that it has closed would cut an
 	// unsafe request for good.
 	if c.used && !c.quiet() {
-		return rep, unused
+		return rep, connStale
 	}
-	group := newConns
+	group := newConnGroup
 	if c.used {
-		group = ageGroup(time.Since(c.idleAt))
+		group = idleGroup(time.Since(c.idleSince))
 	}
-	defer func() { c.pool.note(group, end == dead) }()
-	c.used, c.from.left = true, maxAnswer
-	if call.rest != nil {
+	defer func() { c.serverPool.recordExchange(group, outcome == connBroken) }()
+	c.used, c.src.remaining = true, maxAnswerBytes
+	if call.bodyRest != nil {
 		err := c.writeLong(req, call, h)
-		switch rep.gone = call.rest.err; {
-		case rep.gone != nil: // which says nothing about the server
+		switch rep.requestErr = call.bodyRest.err; {
+		case rep.requestErr != nil: // which says nothing about the server
 			rep.result = limiter.Undone
-			return rep, finished
-		case errors.Is(err, errAnswered):
-			return c.early(req, rep)
+			return rep, connDiscard
+		case errors.Is(err, errEarlyAnswer):
+			return c.readEarlyAnswer(req, rep)
 		case err != nil:
-			return rep, dead
+			return rep, connBroken
 		}
 	} else if _, err := c.Write(out.Bytes()); err != nil {
-		return rep, dead
+		return rep, connBroken
 	}
-	if h != nil && h.whole != nil {
-		if later := h.whole(); !later.IsZero() {
-			stopAt = later
+	if h != nil && h.requestWritten != nil {
+		if extended := h.requestWritten(); !extended.IsZero() {
+			deadline = extended
 		}
 	}
-	resp, err := c.read(req, stopAt)
+	resp, err := c.readHead(req, deadline)
 	if err == nil {
-		rep.body, rep.stream, err = c.readAnswer(resp, stopAt)
+		rep.body, rep.stream, err = c.readAnswer(resp, deadline)
 		if rep.stream == nil {
 			defer resp.Body.Close()
 		}
 	}
 	switch {
-	case c.from.died != nil && err != nil:
+	case c.src.connErr != nil && err != nil:
 		rep.result, rep.err = limiter.Cut, err
-		return rep, dead
-	case err == errSilent:
+		return rep, connBroken
+	case err == errNoAnswer:
 		rep.result = limiter.TooSlow
-		return rep, finished
+		return rep, connDiscard
 	case err != nil:
 		// It may have run, and says nothing about the server: such answers come from
 		// any, and the next one may be good.
 		rep.result, rep.err = limiter.Spoilt, err
-		return rep, finished
+		return rep, connDiscard
 	}
 	rep.load = parseLoad(resp.Header.Get("X-Server-Load"))
-	rep.content = resp.Header.Get("Content-Type")
+	rep.contentType = resp.Header.Get("Content-Type")
 	switch code := resp.StatusCode; {
 	case code == http.StatusOK:
 		rep.result = limiter.Pass
@@ -177,53 +177,53 @@
 	}
 	switch {
 	case rep.stream != nil:
-		end = streaming
-	case !resp.Close && c.in.Buffered() == 0:
-		end = reusable
+		outcome = connStreaming
+	case !resp.Close && c.reader.Buffered() == 0:
+		outcome = connReusable
 	}
-	return rep, end
+	return rep, outcome
 }
 
 // early reads the answer of a server that has not waited for the whole request. Whatever it
 // says, nothing ran: it has turned the request away.
-func (c *conn) early(req *http.Request, rep reply) (reply, ending) {
-	resp, err := c.read(req, time.Now().Add(restTime))
+func (c *conn) readEarlyAnswer(req *http.Request, rep reply) (reply, connOutcome) {
+	resp, err := c.readHead(req, time.Now().Add(nextByteTimeout))
 	if err != nil {
-		return rep, dead
+		return rep, connBroken
 	}
 	resp.Body.Close()
 	rep.result, rep.load = limiter.NoRoom, parseLoad(resp.Header.Get("X-Server-Load"))
-	return rep, finished
+	return rep, connDiscard
 }
 
 // errSilent tells that no answer has begun in time.
-var errSilent = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
 // read reads the head of the answer and passes over those that only announce it.
 // Guards against an answer that begins and never ends: it is given up while there
 // is time for another attempt.
-func (c *conn) read(req *http.Request, stopAt time.Time) (*http.Response, error) {
+func (c *conn) readHead(req *http.Request, deadline time.Time) (*http.Response, error) {
 	for {
-		if err := c.SetReadDeadline(stopAt); err != nil {
+		if err := c.SetReadDeadline(deadline); err != nil {
 			return nil, err
 		}
-		if _, err := c.in.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
-			return nil, errSilent
+		if _, err := c.reader.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
+			return nil, errNoAnswer
 		}
-		if err := c.SetReadDeadline(soon(stopAt)); err != nil {
+		if err := c.SetReadDeadline(nextByteDeadline(deadline)); err != nil {
 			return nil, err
 		}
-		resp, err := http.ReadResponse(c.in, req)
+		resp, err := http.ReadResponse(c.reader, req)
 		if err != nil || resp.StatusCode >= 200 {
 			return resp, err
 		}
 	}
 }
 
-var errTooLong = errors.New("the answer is too long")
+var errAnswerTooLong = errors.New("the answer is too long")
 
 // request is the call in the form of net/http.
-func (c *call) request(left time.Duration) *http.Request {
+func (c *call) httpRequest(left time.Duration) *http.Request {
 	h := http.Header{
 		"User-Agent":   {""}, // none
 		"X-Request-Id": {c.requestID},
@@ -232,8 +232,8 @@
 	if c.key != "" {
 		h["Idempotency-Key"] = []string{c.key}
 	}
-	if c.content != "" {
-		h["Content-Type"] = []string{c.content}
+	if c.contentType != "" {
+		h["Content-Type"] = []string{c.contentType}
 	}
 	// Opaque is written as it stands, where Path and RawQuery may be encoded anew.
 	r := &http.Request{Method: c.method, URL: &url.URL{Opaque: c.target}, Host: c.host, Header: h}
@@ -268,35 +268,35 @@
 
 // probe asks a server for its health and reports the result to the module.
 func (n *Node) probe(id uint64) {
-	begun := time.Now()
+	started := time.Now()
 	ev := limiter.Probed{Server: id, Result: limiter.NoRoute, Load: noLoad}
 	if h := n.servers.host(id); h != nil {
-		ctx, cancel := context.WithDeadline(context.Background(), begun.Add(probeTimeout))
+		ctx, cancel := context.WithDeadline(context.Background(), started.Add(probeTimeout))
 		defer cancel()
 		var err error
-		for end := unused; end == unused; {
-			c := n.servers.take(h)
+		for outcome := connStale; outcome == connStale; {
+			c := n.servers.takeIdle(h)
 			if c == nil {
 				if c, err = n.servers.connect(ctx, h); err != nil {
 					break
 				}
 			}
 			var rep reply
-			rep, end = c.exchange(&call{method: http.MethodGet, target: healthPath, host: h.dial}, begun.Add(probeTimeout), nil)
+			rep, outcome = c.exchange(&call{method: http.MethodGet, target: healthPath, host: h.dialAddr}, started.Add(probeTimeout), nil)
 			ev.Result, ev.Load = rep.result, rep.load
-			if end == reusable {
+			if outcome == connReusable {
 				n.servers.put(c)
 			} else {
 				c.close()
 			}
 		}
 		switch {
-		case errors.Is(err, errNoRoom):
+		case errors.Is(err, errConnBudget):
 			ev.Result = limiter.NoRoom
 		case ev.Result == limiter.NoRoute, ev.Result == limiter.Cut, ev.Result == limiter.TooSlow:
-			n.servers.broken(h)
+			n.servers.markBroken(h)
 		}
 	}
-	ev.SpentMs = msSince(begun)
-	n.looked(ev)
+	ev.SpentMs = msSince(started)
+	n.reportProbe(ev)
 }
--- a/internal/node/clientconns.go
+++ b/internal/node/clientconns.go
@@ -11,33 +11,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// clientConns counts the clients' connections and bounds those without a request.
-// All it does on a change of one connection takes the same time however many there are.
+// clientConns tracks the clients' connections and limits those without a request. Each change of one connection
+// takes constant time, however many there are.
 type clientConns struct {
 	budget int
 
-	mu    sync.Mutex
-	open  map[net.Conn]*clientConn
-	fresh list.List // of net.Conn: never had a request, oldest first
-	idle  list.List // between requests, unused longest first
+	mu        sync.Mutex
+	open      map[net.Conn]*clientConn
+	neverUsed list.List // of net.Conn that never had a request, oldest first
+	idle      list.List // of net.Conn between two requests, least recently used first
 
-	ending int // told to end, and neither closed nor at work again yet
+	ending int // connections that were told to end, but neither closed nor became active yet
 }
 
-// clientConn is what is known of one connection.
+// clientConn is the state of one connection.
 type clientConn struct {
-	waits  *list.List    // fresh or idle; nil with a request in hand
-	place  *list.Element // in it
-	since  time.Time     // when it began to wait
-	ending bool          // see clientConns
+	waiting      *list.List    // neverUsed or idle; nil while a request is in progress
+	element      *list.Element // its element in that list
+	waitingSince time.Time     // start of waiting
+	ending       bool          // counted in clientConns.ending
 }
 
 func newClientConns(budget int) *clientConns {
 	return &clientConns{budget: budget, open: map[net.Conn]*clientConn{}}
 }
 
-// changed is the server's ConnState hook.
-func (c *clientConns) changed(nc net.Conn, state http.ConnState) {
+// connStateChanged is the server's ConnState hook.
+func (c *clientConns) connStateChanged(nc net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cc := c.open[nc]
@@ -48,42 +48,42 @@
 	if cc == nil {
 		return
 	}
-	if cc.waits != nil {
-		cc.waits.Remove(cc.place)
-		cc.waits, cc.place = nil, nil
+	if cc.waiting != nil {
+		cc.waiting.Remove(cc.element)
+		cc.waiting, cc.element = nil, nil
 	}
 	if cc.ending && (state == http.StateActive || state == http.StateClosed) {
 		cc.ending = false
 		c.ending--
 	}
-	if x, ok := nc.(ender); ok && state == http.StateActive {
-		x.works()
+	if x, ok := nc.(endableConn); ok && state == http.StateActive {
+		x.working()
 	} else if ok && state == http.StateIdle {
-		x.waits()
+		x.waiting()
 	}
 	switch state {
 	case http.StateNew:
-		cc.waits = &c.fresh
+		cc.waiting = &c.neverUsed
 	case http.StateIdle:
-		cc.waits = &c.idle
+		cc.waiting = &c.idle
 	case http.StateClosed, http.StateHijacked:
 		delete(c.open, nc)
 	}
-	if cc.waits == nil {
+	if cc.waiting == nil {
 		return
 	}
-	cc.place, cc.since = cc.waits.PushBack(nc), time.Now()
+	cc.element, cc.waitingSince = cc.waiting.PushBack(nc), time.Now()
 	if len(c.open) > c.budget {
 		c.makeRoom()
-		c.settle()
+		c.waitForClosing()
 	}
 }
 
-// settle has the next connection wait a moment, which is accepted behind this call, while many
-// that were told to end still hold their descriptors. The mutex is held.
-func (c *clientConns) settle() {
-	for range settleMost {
-		if c.ending <= endingMost {
+// waitForClosing delays the next accept, which follows this call, while many connections that were told to end
+// still hold their descriptors. The mutex is held.
+func (c *clientConns) waitForClosing() {
+	for range maxSettleMs {
+		if c.ending <= maxEnding {
 			return
 		}
 		c.mu.Unlock()
@@ -92,99 +92,98 @@
 	}
 }
 
-// halfWithin is for how long a request that has begun to come keeps its connection from making
-// room: one whose head comes at once is read by then. Guards against half heads that keep
-// their places while new connections, whose requests are on their way, lose theirs.
-const halfWithin = 25 * time.Millisecond
+// partialHeadGrace is how long a partly received request protects its connection from being closed to make
+// room: a header sent in one go has been read by then. Without the limit, incomplete headers would keep their
+// places while new connections, whose requests are on their way, lose theirs.
+const partialHeadGrace = 25 * time.Millisecond
 
 const (
-	// endingMost is how many connections that were told to end may hold descriptors beyond
-	// the clients' part; they come from those that are reserved.
-	endingMost = reservedSockets / 2
-	settleMost = 20 // ms
+	// maxEnding is how many connections that were told to end may hold descriptors beyond the clients' budget;
+	// these come from the reserved ones.
+	maxEnding   = reservedSockets / 2
+	maxSettleMs = 20 // ms
 )
 
-// ender is a connection that can be told to end without eating a request.
-type ender interface {
-	end(patience time.Duration) bool
-	waits()
-	works()
+// endableConn is a connection that can be told to end without losing a request.
+type endableConn interface {
+	tryEnd(patience time.Duration) bool
+	waiting()
+	working()
 }
 
-// makeRoom closes a connection without a request. Silent clients by the hundred only
-// drive out each other, as those that never had a request go first once they hold half
-// of the budget; below that the one unused longest goes. Guards against closing a new
-// connection whose request is on its way, where many clients ask once and stay.
+// makeRoom closes a connection without a request. Connections that never had a request go first once they use
+// half of the budget, so that silent clients in large numbers only displace each other; below that the least
+// recently used goes. Otherwise, where many clients ask once and stay connected, a new connection whose request
+// is on its way would be closed.
 func (c *clientConns) makeRoom() {
-	first, then := &c.idle, &c.fresh
-	if c.idle.Len() == 0 || c.fresh.Len() > c.budget/2 {
+	first, then := &c.idle, &c.neverUsed
+	if c.idle.Len() == 0 || c.neverUsed.Len() > c.budget/2 {
 		first, then = then, first
 	}
 	for _, waits := range []*list.List{first, then} {
 		for e := waits.Front(); e != nil; e = e.Next() {
-			if c.drop(e.Value.(net.Conn), halfWithin) {
+			if c.endConn(e.Value.(net.Conn), partialHeadGrace) {
 				return
 			}
 		}
 	}
 }
 
-// drop ends a connection without a request, and tells whether it does. A client sends a
-// request that crosses this once more.
-func (c *clientConns) drop(nc net.Conn, patience time.Duration) bool {
-	if x, ok := nc.(ender); ok && !x.end(patience) {
+// endConn ends a connection without a request, and reports whether it did. A client whose request crosses the
+// close sends it again.
+func (c *clientConns) endConn(nc net.Conn, patience time.Duration) bool {
+	if x, ok := nc.(endableConn); ok && !x.tryEnd(patience) {
 		return false
 	} else if !ok {
 		nc.Close()
 	}
 	cc := c.open[nc]
-	cc.waits.Remove(cc.place)
-	cc.waits, cc.place, cc.ending = nil, nil, true
+	cc.waiting.Remove(cc.element)
+	cc.waiting, cc.element, cc.ending = nil, nil, true
 	c.ending++
 	return true
 }
 
-// dropUnused ends the connections that have stood between two requests, or without any yet,
-// for so long.
-func (c *clientConns) dropUnused(idle, fresh time.Duration) {
+// endUnused ends the connections that have been idle, or without any request yet, for at least the given times.
+func (c *clientConns) endUnused(idle, neverUsed time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	for waits, longer := range map[*list.List]time.Duration{&c.fresh: fresh, &c.idle: idle} {
-		until := now.Add(-longer)
+	for waits, waited := range map[*list.List]time.Duration{&c.neverUsed: neverUsed, &c.idle: idle} {
+		until := now.Add(-waited)
 		for e := waits.Front(); e != nil; {
 			nc := e.Value.(net.Conn)
-			if c.open[nc].since.After(until) {
+			if c.open[nc].waitingSince.After(until) {
 				break
 			}
 			e = e.Next()
-			c.drop(nc, 0)
+			c.endConn(nc, 0)
 		}
 	}
 }
 
-// allow changes how many connections may be open.
-func (c *clientConns) allow(budget int) {
+// setBudget changes how many connections may be open.
+func (c *clientConns) setBudget(budget int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.budget = budget
 }
 
-// count is how many connections are open.
-func (c *clientConns) count() int {
+// openCount returns how many connections are open.
+func (c *clientConns) openCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open)
 }
 
-// boundBuffer bounds what the system buffers of a client's bytes on the connections
-// that a listener accepts: some send 60 MB that nobody reads.
-func boundBuffer(_, _ string, raw syscall.RawConn) error {
-	return setOption(raw, syscall.SO_RCVBUF, clientBuffer)
+// limitReceiveBuffer limits the kernel's receive buffer of the connections that a listener accepts: some
+// clients send 60 MB that nobody reads.
+func limitReceiveBuffer(_, _ string, raw syscall.RawConn) error {
+	return setOption(raw, syscall.SO_RCVBUF, clientReceiveBuffer)
 }
 
-// sharedAddress lets the process after this one listen at the same address.
-func sharedAddress(_, _ string, raw syscall.RawConn) error {
+// reusePort lets the next process listen on the same address.
+func reusePort(_, _ string, raw syscall.RawConn) error {
 	return setOption(raw, unix.SO_REUSEPORT, 1)
 }
 
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -18,32 +18,31 @@
 
 const (
 	defaultSockets  = 1024
-	reservedSockets = 32 // listener, discovery, peers, files
-	leastSockets    = 2 * reservedSockets
+	reservedSockets = 32 // for listeners, discovery, peers and files
+	minSockets      = 2 * reservedSockets
 
-	// headTimeout is how long a head may take, from connecting or its first byte: slow
+	// headerTimeout limits how long a request header may take, from connecting or from its first byte; slow
 	// clients take 2 s. For bodies see upload.
-	headTimeout = 2500 * time.Millisecond
-	idleTimeout = 2 * time.Second // for a connection between requests
-	writeSlack  = 5 * time.Second // for an answer, past the longest deadline
-	maxHead     = 16 << 10
-	maxIDLength = 128
-	// clientBuffer is what the system buffers at most of what a client sends unread.
-	clientBuffer = 128 << 10
+	headerTimeout  = 2500 * time.Millisecond
+	idleTimeout    = 2 * time.Second // for a connection between requests
+	writeSlack     = 5 * time.Second // for writing an answer, past the longest deadline
+	maxHeaderBytes = 16 << 10
+	maxIDLength    = 128
+	// clientReceiveBuffer limits how many unread bytes of a client the kernel buffers.
+	clientReceiveBuffer = 128 << 10
 
-	// An attempt ends so long before the client gives up, that the answer which
-	// follows is out in time; of short times this part at the most.
-	answerMargin = 10 * time.Millisecond
-	marginPart   = 4
+	// Attempts end this long before the client's deadline, so that the answer is sent in time; at most the
+	// given fraction of a short deadline.
+	answerMargin  = 10 * time.Millisecond
+	marginDivisor = 4
 
-	healthPath = "/healthz"
-	fullAdvice = 50.0 // ms to stay away from a limiter that is full
+	healthPath       = "/healthz"
+	fullRetryAfterMs = 50.0 // ms a client should stay away from a limiter at capacity
 )
 
-// socketBudget divides the descriptors between servers and clients, so that
-// connections to servers never take those that clients need. Usual clients hold a
-// third at most with requests, and each of these needs one to a server: what is left
-// takes up connections without a request.
+// socketBudget divides the file descriptors between servers and clients, so that connections to servers never
+// use up those that clients need. At most a third of the clients' connections usually has a request, each of
+// which needs one connection to a server: the rest is for connections without a request.
 func socketBudget(sockets int) (upstream, clients int) {
 	if sockets == 0 {
 		sockets = defaultSockets
@@ -52,39 +51,39 @@
 	return upstream, sockets - reservedSockets - upstream
 }
 
-// connKey is where a request's context has its connection.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 // newServer returns the HTTP server for clients.
-func (n *Node) newServer(errors *log.Logger) *http.Server {
-	// No ServeMux: it would redirect a path that it would write otherwise.
+func (n *Node) newServer(errorLog *log.Logger) *http.Server {
+	// No ServeMux: it would redirect requests whose path is not in its normal form.
 	return &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, hr *http.Request) {
 			if err := checkFraming(hr); err != nil {
-				n.turnAway(w, hr, err)
+				n.rejectRequest(w, hr, err)
 			} else if hr.URL.Path == healthPath && hr.Method == http.MethodGet {
-				n.health(w)
+				n.serveHealth(w)
 			} else {
 				n.serve(w, hr)
 			}
 		}),
-		ReadHeaderTimeout: headTimeout,
+		ReadHeaderTimeout: headerTimeout,
 		WriteTimeout:      n.writeTimeout(),
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHead,
-		ErrorLog:          errors,
-		ConnState:         n.conns.changed,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          errorLog,
+		ConnState:         n.conns.connStateChanged,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			if framed, ok := c.(*framedConn); ok {
-				ctx = framed.ahead.watch(ctx)
+				ctx = framed.ahead.withCancel(ctx)
 			}
 			return context.WithValue(ctx, connKey{}, c)
 		},
 	}
 }
 
-// health says 200 when the node can serve: it knows servers and isn't stopping.
-func (n *Node) health(w http.ResponseWriter) {
+// serveHealth answers 200 when the node can serve: it knows servers and isn't stopping.
+func (n *Node) serveHealth(w http.ResponseWriter) {
 	_, ok := n.Phase()
 	if n.closing.Load() {
 		w.Header().Set("Connection", "close")
@@ -96,207 +95,206 @@
 	io.WriteString(w, "ok\n")
 }
 
-// badRequest is an error with its status.
-type badRequest struct {
+// requestError is an error with the HTTP status to answer.
+type requestError struct {
 	status int
 	text   string
 }
 
-func (b *badRequest) Error() string { return b.text }
+func (b *requestError) Error() string { return b.text }
 
-func bad(format string, args ...any) error {
-	return &badRequest{http.StatusBadRequest, fmt.Sprintf(format, args...)}
+func badRequestf(format string, args ...any) error {
+	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// checkFraming turns away what may be read otherwise by another. Of a request with
-// both Content-Length and Transfer-Encoding net/http drops one header silently and
-// takes what follows for the next request, which may be one hidden in a body; of an
-// HTTP/1.0 request it drops Transfer-Encoding. Nothing further is read from such a
-// connection (RFC 9112, 6.3).
+// checkFraming rejects requests that another HTTP implementation may delimit differently. For a request with
+// both Content-Length and Transfer-Encoding, net/http silently drops one header and treats the bytes that
+// follow as the next request, which may be one smuggled in a body; for an HTTP/1.0 request it drops
+// Transfer-Encoding. Nothing further is read from such a connection (RFC 9112, 6.3).
 func checkFraming(hr *http.Request) error {
 	switch {
 	case !hr.ProtoAtLeast(1, 1):
-		return &badRequest{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed"}
-	case len(hr.TransferEncoding) > 0 && smuggles(hr):
-		return &badRequest{http.StatusBadRequest, "Content-Length and Transfer-Encoding exclude each other"}
-	case hr.ContentLength > maxStream:
+		return &requestError{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed"}
+	case len(hr.TransferEncoding) > 0 && hasBothLengths(hr):
+		return &requestError{http.StatusBadRequest, "Content-Length and Transfer-Encoding exclude each other"}
+	case hr.ContentLength > maxBodyBytes:
 		return errBodyTooLong
 	}
 	return nil
 }
 
-// smuggles tells that a head on the request's connection has had two lengths.
-func smuggles(hr *http.Request) bool {
+// hasBothLengths reports whether a request header on this connection had both Content-Length and
+// Transfer-Encoding.
+func hasBothLengths(hr *http.Request) bool {
 	c, ok := hr.Context().Value(connKey{}).(*framedConn)
 	return ok && c.heads.Both()
 }
 
-// errFull tells that there is no place for another request.
-var errFull = errors.New("no place for another request")
+// errAtCapacity is returned when the memory for request bodies is used up.
+var errAtCapacity = errors.New("no place for another request")
 
-// statusOf is the status for an error.
+// statusOf returns the HTTP status for an error.
 func statusOf(err error) int {
-	var b *badRequest
+	var b *requestError
 	if errors.As(err, &b) {
 		return b.status
 	}
 	return http.StatusBadRequest
 }
 
-// turnAway answers a malformed request. Its connection closes: what follows on it
-// can't be trusted, and its body is not waited for.
-func (n *Node) turnAway(w http.ResponseWriter, hr *http.Request, err error) {
+// rejectRequest answers a malformed request. Its connection is closed: the bytes that follow can't be trusted,
+// and its body is not waited for.
+func (n *Node) rejectRequest(w http.ResponseWriter, hr *http.Request, err error) {
 	status := statusOf(err)
-	if v := n.version.Load(); len(hr.Header["X-Priority-Class"]) == 1 {
-		if class, ok := v.settings.ClassNames[hr.Header["X-Priority-Class"][0]]; ok {
-			n.ended(v, class, status)
+	if v := n.revision.Load(); len(hr.Header["X-Priority-Class"]) == 1 {
+		if class, ok := v.settings.ClassIndex[hr.Header["X-Priority-Class"][0]]; ok {
+			n.countEnd(v, class, status)
 		}
 	}
-	n.badInput.warn("turned a malformed request away", "from", hr.RemoteAddr, "err", err)
+	n.badInputLog.warn("turned a malformed request away", "from", hr.RemoteAddr, "err", err)
 	w.Header().Set("Connection", "close")
 	http.Error(w, err.Error(), status)
-	takeIn(w, hr)
+	discardBody(w, hr)
 }
 
-// serve takes a request and gives it one final answer.
+// serve processes a request and sends its final answer.
 func (n *Node) serve(w http.ResponseWriter, hr *http.Request) {
 	arrived := time.Now()
-	v := n.version.Load()
-	r, ev, err := v.parse(hr, arrived)
-	var took time.Duration // for the body
+	rev := n.revision.Load()
+	req, event, err := rev.parse(hr, arrived)
+	var bodyTime time.Duration // time spent reading the body
 	if err == nil {
-		err = n.readCall(w, hr, r, arrived)
-		took = time.Since(arrived)
-		defer n.release(r)
+		err = n.readBody(w, hr, req, arrived)
+		bodyTime = time.Since(arrived)
+		defer n.releaseBody(req)
 	}
-	if err == errFull || err == nil && n.tooManyInHand() {
-		n.ended(v, ev.Class, http.StatusServiceUnavailable)
+	if err == errAtCapacity || err == nil && n.atCapacity() {
+		n.countEnd(rev, event.Class, http.StatusServiceUnavailable)
 		w.Header().Set("Connection", "close")
-		n.write(w, &answer{status: http.StatusServiceUnavailable, retryAfter: fullAdvice})
-		takeIn(w, hr)
+		n.writeAnswer(w, &answer{status: http.StatusServiceUnavailable, retryAfterMs: fullRetryAfterMs})
+		discardBody(w, hr)
 		return
 	}
 	if err == nil && n.grants != nil {
-		n.redeem(hr, &ev)
+		n.redeemLease(hr, &event)
 	}
-	if err == nil && v.settings.Longest > n.cfg.Settings.Longest { // longer than the server was told
-		err = http.NewResponseController(w).SetWriteDeadline(arrived.Add(v.settings.Longest + writeSlack))
+	if err == nil && rev.settings.MaxDeadline > n.cfg.Settings.MaxDeadline { // than when the server's timeouts were set
+		err = http.NewResponseController(w).SetWriteDeadline(arrived.Add(rev.settings.MaxDeadline + writeSlack))
 	}
 	if err == nil {
-		if r.rest == nil {
-			n.taken(r)
+		if req.bodyRest == nil {
+			n.countInProgress(req)
 		}
-		defer func(r *request) {
-			if r.counted {
+		defer func(req *request) {
+			if req.countedInProgress {
 				n.totals.inProgress.Add(-1)
 			}
-		}(r)
+		}(req)
 	}
 	for err == nil {
-		if !n.advise(hr, v, r, &ev) {
-			n.ended(v, ev.Class, gone.status)
+		if !n.consultPlugins(hr, rev, req, &event) {
+			n.countEnd(rev, event.Class, clientGone.status)
 			panic(http.ErrAbortHandler)
 		}
-		if err = n.submit(r, ev, v); err == nil {
+		if err = n.submit(req, event, rev); err == nil {
 			break
 		}
-		n.Settle(limiter.Settle{Customer: ev.Customer, Units: ev.Leased, Back: true})
-		if err == errStale { // once more, by the new version; a lease has ended with the old one
-			body, rest := r.body, r.rest
-			v = n.version.Load()
-			if r, ev, err = v.parse(hr, arrived); err == nil {
-				r.body, r.rest, r.counted = body, rest, false // the first one is counted
-				r.stopAt = r.stopAt.Add(took)
+		n.Settle(limiter.Settle{Customer: event.Customer, Units: event.Leased, Back: true})
+		if err == errConfigChanged { // read the request again with the new revision; the lease was settled with the old one
+			body, bodyRest := req.body, req.bodyRest
+			rev = n.revision.Load()
+			if req, event, err = rev.parse(hr, arrived); err == nil {
+				req.body, req.bodyRest, req.countedInProgress = body, bodyRest, false // the first request has been counted
+				req.deadline = req.deadline.Add(bodyTime)
 			}
 		}
 	}
 	if err == errNoRoute {
-		n.unrouted.warn("no route takes a request", "from", hr.RemoteAddr, "method", hr.Method, "host", hr.Host, "path", hr.URL.Path)
-		n.write(w, &answer{status: http.StatusNotFound, body: []byte("no route takes this request\n"), content: "text/plain; charset=utf-8"})
+		n.unroutedLog.warn("no route takes a request", "from", hr.RemoteAddr, "method", hr.Method, "host", hr.Host, "path", hr.URL.Path)
+		n.writeAnswer(w, &answer{status: http.StatusNotFound, body: []byte("no route takes this request\n"), contentType: "text/plain; charset=utf-8"})
 		return
 	}
 	if err != nil {
-		n.turnAway(w, hr, err)
+		n.rejectRequest(w, hr, err)
 		return
 	}
-	defer n.forget(r)
-	if gone := func() { n.abandon(r) }; r.rest == nil {
-		stop := context.AfterFunc(hr.Context(), gone)
+	defer n.removeRequest(req)
+	if clientGone := func() { n.abandon(req) }; req.bodyRest == nil {
+		stop := context.AfterFunc(hr.Context(), clientGone)
 		defer stop()
 	} else {
-		r.watch = func() { context.AfterFunc(hr.Context(), gone) } // once it is answered, that has no effect
+		req.watchClient = func() { context.AfterFunc(hr.Context(), clientGone) } // has no effect after the request was answered
 	}
 	for {
-		at, final := n.next(r)
+		att, final := n.nextStep(req)
 		if final == nil {
-			n.finish(at, n.try(at))
+			n.finishAttempt(att, n.runAttempt(att))
 			continue
 		}
-		n.deliver(w, hr, r, v.ends[ev.Class], final, took)
+		n.deliver(w, hr, req, rev.endCounts[event.Class], final, bodyTime)
 		return
 	}
 }
 
-// deliver writes a request's final answer and counts its one end. took is how long its body
-// took to come.
-func (n *Node) deliver(w http.ResponseWriter, hr *http.Request, r *request, end *ends, a *answer, took time.Duration) {
-	if a == gone {
+// deliver writes a request's final answer and counts its end. bodyTime is the time spent reading the request's
+// body.
+func (n *Node) deliver(w http.ResponseWriter, hr *http.Request, r *request, end *endCounts, a *answer, bodyTime time.Duration) {
+	if a == clientGone {
 		end.add(a.status)
 		panic(http.ErrAbortHandler) // closes the connection without an answer
 	}
-	r.reason(a)
-	n.tally(r, a)
+	r.setRefusalBody(a)
+	n.countLabels(r, a)
 	if a.stream != nil {
 		if !n.stream(w, r, a) {
 			end.add(http.StatusBadGateway)
-			panic(http.ErrAbortHandler) // so that the client can tell
+			panic(http.ErrAbortHandler) // so that the client detects the truncated answer
 		}
 		end.add(a.status)
 		return
 	}
 	end.add(a.status)
-	if r.rest != nil && !r.rest.ended {
+	if r.bodyRest != nil && !r.bodyRest.complete {
 		n.answerEarly(hr.Context(), w, r, a)
 		return
 	}
-	if took > writeSlack/2 || r.rest != nil { // the time for the answer began with the head
+	if bodyTime > writeSlack/2 || r.bodyRest != nil { // the write deadline was counted from the header
 		http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeSlack))
 	}
-	n.write(w, a)
+	n.writeAnswer(w, a)
 }
 
-// tooManyInHand tells that the limiter holds as many requests as it may, or has
-// connections to servers for. Connections without a request don't count: silent
-// clients must not keep the usual ones out.
-func (n *Node) tooManyInHand() bool {
-	most := int(n.servers.budget.Load())
-	if m := n.version.Load().settings.MaxOpen; m > 0 {
-		most = min(most, m)
+// atCapacity reports whether the limiter holds as many requests as it is allowed, or has connections to servers
+// for. Connections without a request don't count: silent clients must not keep others out.
+func (n *Node) atCapacity() bool {
+	limit := int(n.servers.budget.Load())
+	if configured := n.revision.Load().settings.MaxRequests; configured > 0 {
+		limit = min(limit, configured)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.requests) >= most
+	return len(n.requests) >= limit
 }
 
-// head sets the headers of a final answer, but for its length.
-func (n *Node) head(w http.ResponseWriter, a *answer) {
+// setAnswerHeaders sets the headers of a final answer, except Content-Length.
+func (n *Node) setAnswerHeaders(w http.ResponseWriter, a *answer) {
 	h := w.Header()
 	if n.closing.Load() {
 		h.Set("Connection", "close")
 	}
-	if a.content != "" {
-		h["Content-Type"] = []string{a.content}
+	if a.contentType != "" {
+		h["Content-Type"] = []string{a.contentType}
 	} else {
-		h["Content-Type"] = nil // none, rather than a guess
+		h["Content-Type"] = nil // disables content sniffing
 	}
-	if a.retryAfter > 0 {
-		h["Retry-After"] = []string{strconv.FormatFloat(a.retryAfter/1000, 'f', 3, 64)}
+	if a.retryAfterMs > 0 {
+		h["Retry-After"] = []string{strconv.FormatFloat(a.retryAfterMs/1000, 'f', 3, 64)}
 	}
 }
 
-// write writes a final answer.
-func (n *Node) write(w http.ResponseWriter, a *answer) {
-	n.head(w, a)
+// writeAnswer writes a final answer.
+func (n *Node) writeAnswer(w http.ResponseWriter, a *answer) {
+	n.setAnswerHeaders(w, a)
 	w.Header()["Content-Length"] = []string{itoa(int64(len(a.body)))}
 	w.WriteHeader(a.status)
 	w.Write(a.body)
@@ -304,92 +302,92 @@
 
 func itoa(n int64) string { return strconv.FormatInt(n, 10) }
 
-// writeTimeout is how long an answer may take, from the head of its request on.
+// writeTimeout is the time limit for an answer, counted from the header of its request.
 func (n *Node) writeTimeout() time.Duration {
-	return n.cfg.Settings.Longest + headTimeout + writeSlack
+	return n.cfg.Settings.MaxDeadline + headerTimeout + writeSlack
 }
 
-// parse checks a request's head and finds its route.
-func (v *version) parse(hr *http.Request, arrived time.Time) (*request, limiter.Submit, error) {
-	var ev limiter.Submit
+// parse validates a request's header and finds its route.
+func (v *revision) parse(hr *http.Request, arrived time.Time) (*request, limiter.Submit, error) {
+	var submit limiter.Submit
 	h := hr.Header
-	to, err := v.target(hr)
+	destination, err := v.target(hr)
 	if err != nil {
-		return nil, ev, err
+		return nil, submit, err
 	}
-	if to.MaxBody >= 0 && hr.ContentLength > to.MaxBody {
-		return nil, ev, &badRequest{http.StatusRequestEntityTooLarge, "the body is too long for its route"}
+	if destination.MaxBody >= 0 && hr.ContentLength > destination.MaxBody {
+		return nil, submit, &requestError{http.StatusRequestEntityTooLarge, "the body is too long for its route"}
 	}
-	for _, name := range single {
-		if len(h[name]) > 1 { // which of them counts?
-			return nil, ev, bad("%s stands there more than once", name)
+	for _, name := range singleHeaders {
+		if len(h[name]) > 1 { // ambiguous
+			return nil, submit, badRequestf("%s stands there more than once", name)
 		}
 	}
 	id := h.Get("X-Request-ID")
 	if id == "" || len(id) > maxIDLength {
-		return nil, ev, bad("X-Request-ID is missing or too long")
+		return nil, submit, badRequestf("X-Request-ID is missing or too long")
 	}
 	if !printable(id) {
-		return nil, ev, bad("X-Request-ID %q", id)
+		return nil, submit, badRequestf("X-Request-ID %q", id)
 	}
-	class, ok := v.settings.ClassNames[h.Get("X-Priority-Class")]
-	if _, named := h["X-Priority-Class"]; !named && to.Class >= 0 {
-		class, ok = to.Class, true
+	class, ok := v.settings.ClassIndex[h.Get("X-Priority-Class")]
+	if _, named := h["X-Priority-Class"]; !named && destination.Class >= 0 {
+		class, ok = destination.Class, true
 	}
 	if !ok {
-		return nil, ev, bad("unknown X-Priority-Class %q", h.Get("X-Priority-Class"))
+		return nil, submit, badRequestf("unknown X-Priority-Class %q", h.Get("X-Priority-Class"))
 	}
-	plan, ok := v.settings.PlanNames[h.Get("Plan")]
+	plan, ok := v.settings.PlanIndex[h.Get("Plan")]
 	if !ok {
-		return nil, ev, bad("unknown Plan %q", h.Get("Plan"))
+		return nil, submit, badRequestf("unknown Plan %q", h.Get("Plan"))
 	}
 	key := hr.URL.Query()["key"]
 	if len(key) != 1 || len(key[0]) != 16 {
-		return nil, ev, bad("the query needs one key of 16 hex digits")
+		return nil, submit, badRequestf("the query needs one key of 16 hex digits")
 	}
 	customer, err := strconv.ParseUint(key[0], 16, 64)
 	if err != nil || customer >= 1<<33 {
-		return nil, ev, bad("key %q", key[0])
+		return nil, submit, badRequestf("key %q", key[0])
 	}
-	timeout := to.Deadline
+	timeout := destination.Deadline
 	if _, named := h["X-Timeout"]; named || timeout == 0 {
 		if timeout, err = parseTimeout(h.Get("X-Timeout")); err != nil {
-			return nil, ev, err
+			return nil, submit, err
 		}
 	}
 	timeout = min(timeout, millis(v.settings.Module.Classes[class].DeadlineMs))
-	if to.Deadline > 0 {
-		timeout = min(timeout, to.Deadline)
+	if destination.Deadline > 0 {
+		timeout = min(timeout, destination.Deadline)
 	}
-	once := h.Get("Idempotency-Key")
-	if err := checkMethod(v.settings.Module.Classes[class].Repeat, hr, once); err != nil {
-		return nil, ev, err
+	idempotencyKey := h.Get("Idempotency-Key")
+	if err := checkMethod(v.settings.Module.Classes[class].Repeat, hr, idempotencyKey); err != nil {
+		return nil, submit, err
 	}
-	ev = limiter.Submit{ID: id, Class: class, Plan: plan, Retry: h.Get("X-Retried") == "1", Customer: customer, Pool: to.ID, Attempts: to.Attempts}
-	if err := parseQuotaInfo(h.Get("Quota-Info"), v.settings.Module.Balancers, v.settings.MostUnits, &ev); err != nil {
-		return nil, ev, err
+	submit = limiter.Submit{ID: id, Class: class, Plan: plan, Retry: h.Get("X-Retried") == "1", Customer: customer, Pool: destination.ID, Attempts: destination.Attempts}
+	if err := parseQuotaInfo(h.Get("Quota-Info"), v.settings.Module.Balancers, v.settings.MaxUnits, &submit); err != nil {
+		return nil, submit, err
 	}
 	target := hr.RequestURI
 	if !strings.HasPrefix(target, "/") || strings.HasPrefix(target, "//") {
 		target = hr.URL.RequestURI()
 	}
-	if !printable(target) { // a server could not read it
-		return nil, ev, bad("the path or query holds what has to be escaped")
+	if !printable(target) { // a server could not parse it
+		return nil, submit, badRequestf("the path or query holds what has to be escaped")
 	}
 	return &request{
-		id:       id,
-		to:       to,
-		stopAt:   arrived.Add(timeout - min(answerMargin, timeout/marginPart)),
-		patience: timeout - min(answerMargin, timeout/marginPart),
-		call: call{method: hr.Method, target: target, host: hr.Host, requestID: id, key: once,
-			content: h.Get("Content-Type")},
-	}, ev, nil
+		id:             id,
+		destination:    destination,
+		deadline:       arrived.Add(timeout - min(answerMargin, timeout/marginDivisor)),
+		attemptTimeout: timeout - min(answerMargin, timeout/marginDivisor),
+		call: call{method: hr.Method, target: target, host: hr.Host, requestID: id, key: idempotencyKey,
+			contentType: h.Get("Content-Type")},
+	}, submit, nil
 }
 
-// single are the headers that count, none of which may be repeated.
-var single = []string{"X-Request-Id", "X-Priority-Class", "Plan", "X-Timeout", "Idempotency-Key", "X-Retried", "Quota-Info"}
+// singleHeaders are the headers with a meaning for the limiter; none of them may be repeated.
+var singleHeaders = []string{"X-Request-Id", "X-Priority-Class", "Plan", "X-Timeout", "Idempotency-Key", "X-Retried", "Quota-Info"}
 
-// printable tells that a text holds visible ASCII alone.
+// printable reports whether text consists of visible ASCII characters only.
 func printable(text string) bool {
 	for _, c := range []byte(text) {
 		if c <= ' ' || c > '~' {
@@ -399,7 +397,7 @@
 	return true
 }
 
-// checkMethod holds the method, the key and the body against the class.
+// checkMethod validates method, idempotency key and body for the class of a request.
 func checkMethod(repeat limiter.Repeat, hr *http.Request, key string) error {
 	want := http.MethodPost
 	if repeat == limiter.Safe {
@@ -407,18 +405,18 @@
 	}
 	switch {
 	case hr.Method != want:
-		return &badRequest{http.StatusMethodNotAllowed, "this class goes by " + want}
+		return &requestError{http.StatusMethodNotAllowed, "this class goes by " + want}
 	case repeat == limiter.Safe && hr.ContentLength > 0:
-		return bad("this class has no body")
+		return badRequestf("this class has no body")
 	case repeat == limiter.Keyed && (key == "" || len(key) > maxIDLength || !printable(key)):
-		return bad("Idempotency-Key is missing, too long or not plain")
-	case repeat != limiter.Keyed && key != "": // a server would take it for another class
-		return bad("this class has no Idempotency-Key")
+		return badRequestf("Idempotency-Key is missing, too long or not plain")
+	case repeat != limiter.Keyed && key != "": // a server would treat it as a request of a keyed class
+		return badRequestf("this class has no Idempotency-Key")
 	}
 	return nil
 }
 
-// parseTimeout reads a number and its unit, m or u.
+// parseTimeout reads a number with a unit: m for milliseconds or u for microseconds.
 func parseTimeout(text string) (time.Duration, error) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(text, "m")
@@ -428,36 +426,36 @@
 	}
 	v, err := strconv.ParseFloat(number, 64)
 	if !ok || err != nil || !(v > 0) || v*float64(unit) > math.MaxInt64/2 {
-		return 0, bad("X-Timeout %q", text)
+		return 0, badRequestf("X-Timeout %q", text)
 	}
 	return time.Duration(v * float64(unit)), nil
 }
 
-// parseQuotaInfo reads units, spread and first. Figures out of range must not reach
-// the module: they would stay with the customer in whose name they came.
-func parseQuotaInfo(text string, balancers int, most float64, ev *limiter.Submit) error {
+// parseQuotaInfo reads units, spread and first. Values out of range must not reach the module: they would
+// remain in the account of the customer named in the request.
+func parseQuotaInfo(text string, balancers int, maxUnits float64, submit *limiter.Submit) error {
 	const units, spread, first = 1, 2, 4
-	seen := 0
+	found := 0
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-			return bad("Quota-Info %q", text)
+			return badRequestf("Quota-Info %q", text)
 		}
 		whole := v == math.Trunc(v)
 		switch {
-		case name == "units" && v > 0 && v <= most:
-			ev.Units, seen = v, seen|units
+		case name == "units" && v > 0 && v <= maxUnits:
+			submit.Units, found = v, found|units
 		case name == "spread" && whole && v >= 1 && v <= float64(balancers):
-			ev.Spread, seen = int(v), seen|spread
+			submit.Spread, found = int(v), found|spread
 		case name == "first" && whole && v >= 0 && v < float64(balancers):
-			ev.First, seen = int(v), seen|first
+			submit.First, found = int(v), found|first
 		case name == "units", name == "spread", name == "first":
-			return bad("Quota-Info %q", text)
-		} // others are figures of later days
+			return badRequestf("Quota-Info %q", text)
+		} // other names are ignored for compatibility with later versions
 	}
-	if seen != units|spread|first {
-		return bad("Quota-Info %q needs units, spread and first", text)
+	if found != units|spread|first {
+		return badRequestf("Quota-Info %q needs units, spread and first", text)
 	}
 	return nil
 }
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -129,7 +129,7 @@
 func TestTooManyInHand(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
-	r := startWith(t, func(c *Config) { c.Settings.MaxOpen = 1 }, server("s-1", srv.addr))
+	r := startWith(t, func(c *Config) { c.Settings.MaxRequests = 1 }, server("s-1", srv.addr))
 	out := r.send(r.newRequest("send-bulk-paid", "enterprise", ""))
 	c := srv.accept()
 	c.request()
@@ -146,8 +146,8 @@
 // new ones are accepted all the same.
 func TestConnectionBudget(t *testing.T) {
 	t.Parallel()
-	r := startWith(t, func(c *Config) { c.Limits.Sockets = leastSockets }, server("s-1", echo(t)))
-	_, budget := socketBudget(leastSockets)
+	r := startWith(t, func(c *Config) { c.Limits.Sockets = minSockets }, server("s-1", echo(t)))
+	_, budget := socketBudget(minSockets)
 	var conns []net.Conn
 	for range budget + 1 {
 		c, _ := r.dial()
@@ -167,7 +167,7 @@
 // which needs one to a server: with fewer of them sound requests ended as NoRoom.
 func TestSocketBudget(t *testing.T) {
 	t.Parallel()
-	for _, sockets := range []int{0, leastSockets, 256, 1024} {
+	for _, sockets := range []int{0, minSockets, 256, 1024} {
 		upstream, clients := socketBudget(sockets)
 		limit := sockets
 		if limit == 0 {
@@ -219,7 +219,7 @@
 		r.node.conns.mu.Lock()
 		defer r.node.conns.mu.Unlock()
 		c := r.node.conns
-		return len(c.open) <= 1 && c.fresh.Len() == 0 && c.idle.Len() == len(c.open) && budget > 0
+		return len(c.open) <= 1 && c.neverUsed.Len() == 0 && c.idle.Len() == len(c.open) && budget > 0
 	})
 	kept.Close()
 	until(t, "the last one is forgotten", func() bool {
@@ -295,7 +295,7 @@
 		"two sets":         text(sound(), "1.1", "Quota-Info: units=1,spread=1,first=0") + hidden,
 		"key for unsafe":   text(sound(), "1.1", "Idempotency-Key: k") + hidden,
 		"malformed, then":  text(sound(), "1.1", "Plan: none") + hidden,
-		"long body":        text(sound(), "1.1", fmt.Sprintf("Content-Length: %d", maxStream+1)) + hidden,
+		"long body":        text(sound(), "1.1", fmt.Sprintf("Content-Length: %d", maxBodyBytes+1)) + hidden,
 		"negative":         text(sound(), "1.1", "Content-Length: -1") + hidden,
 		"huge":             text(sound(), "1.1", "Content-Length: 99999999999999999999") + hidden,
 		"body for a check": text(r.newRequest("status-check", "enterprise", ""), "1.1", fmt.Sprintf("Content-Length: %d", len(hidden))) + hidden,
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,6 +1,5 @@
-// Package node is the real limiter: it connects the decision module, which
-// does no input or output, to clients, servers, discovery and peers on
-// sockets.
+// Package node runs a limiter on real sockets: it connects the decision module, which does no input or output,
+// to clients, servers, discovery agents and peers.
 package node
 
 import (
@@ -21,54 +20,54 @@
 	"example.org/madderdrum/limiter"
 )
 
-// Config is what a limiter is told at its start.
+// Config is the configuration of a limiter process.
 type Config struct {
-	Name       string
-	Listen     string // where clients connect
-	Discovery  string
-	Seed       uint64
-	Limits     Limits
-	PeerListen string // empty: no talk with peers
-	Peers      []netip.AddrPort
-	PeersAll   netip.AddrPort // reaches every peer at once
-	Known      serverList     // as last held, perhaps stale
-	Settings   Settings
-	AdminAddr  string   // where operators call; empty: none
-	AlsoListen []string // further addresses where clients connect
-	Routes     Routes   // none: all requests go to all servers
-	Sources    []Source // agents that tell the servers of single pools
-	Looks      Looks    // that other limiters have for this one; nil: none
-
-	Streams   map[string]admin.Stream // further calls on the operators' address
-	TempDir   string                  // where processes of one limiter find each other; used with AdminAddr alone
-	UseMemory func(share float64)     // if set: use so much of the limit; called while another process is there
-
-	path            string // of the file, to read it again
+	Name           string
+	Listen         string // address for clients
+	Discovery      string
+	Seed           uint64
+	Limits         Limits
+	PeerListen     string // empty: no messages between limiters
+	Peers          []netip.AddrPort
+	PeersAll       netip.AddrPort // multicast or broadcast address of all peers
+	InitialServers serverList     // the last known list, which may be out of date
+	Settings       Settings
+	AdminAddr      string   // address for operators' calls; empty: none
+	AlsoListen     []string // further addresses for clients
+	Routes         Routes   // empty: all requests go to all servers
+	Sources        []Source // discovery agents of single pools
+	Looks          Looks    // lets other limiters probe and watch for this one; nil: no sharing
+
+	Streams   map[string]admin.Stream // additional calls on the admin address
+	TempDir   string                  // where processes of one limiter find each other; only used with AdminAddr
+	UseMemory func(share float64)     // if set, called with the share of the memory limit to use, below 1 while another process of this limiter runs
+
+	path            string // of the configuration file, for reloads
 	getenv          func(string) string
 	discoveryInFile string
 }
 
-// Limits are those of the limiter's machine; 0 is no limit.
+// Limits are the resource limits of the limiter's machine; 0 means no limit.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Settings are those of the deployment: the module's, and what the sockets need.
+// Settings are the settings of the deployment: those of the module and those of the sockets.
 type Settings struct {
 	Module      limiter.Settings
-	ClassNames  map[string]int
-	PlanNames   map[string]int
+	ClassIndex  map[string]int
+	PlanIndex   map[string]int
 	Zones       []string
-	ConnIdle    time.Duration // a server closes a connection that is idle this long
+	ConnIdle    time.Duration // servers close connections that are idle for this long
 	ConnTimeout time.Duration
-	MaxOpen     int           // requests in hand; 0: no limit
-	MostUnits   float64       // units that one request takes
-	Longest     time.Duration // the longest deadline of a class
+	MaxRequests int           // concurrent requests; 0: no limit
+	MaxUnits    float64       // maximum cost of one request in units
+	MaxDeadline time.Duration // longest deadline of all classes
 }
 
-// defaultConnTimeout and defaultConnIdle hold where the settings name none.
+// Defaults for settings that are not given.
 const (
 	defaultConnTimeout = 250 * time.Millisecond
 	defaultConnIdle    = 30 * time.Second
@@ -76,21 +75,21 @@
 
 // file is the layout of the configuration file.
 type file struct {
-	Name       string          `json:"name"`
-	Listen     string          `json:"listen"`
-	Discovery  string          `json:"discovery"`
-	Seed       string          `json:"seed"`
-	Limits     Limits          `json:"limits"`
-	AdminAddr  string          `json:"admin_addr"`
-	PeerListen string          `json:"peer_listen"`
-	Peers      []string        `json:"peers"`
-	PeersAll   string          `json:"peers_all"`
-	Known      serverList      `json:"known"`
-	Settings   json.RawMessage `json:"settings"`
+	Name           string          `json:"name"`
+	Listen         string          `json:"listen"`
+	Discovery      string          `json:"discovery"`
+	Seed           string          `json:"seed"`
+	Limits         Limits          `json:"limits"`
+	AdminAddr      string          `json:"admin_addr"`
+	PeerListen     string          `json:"peer_listen"`
+	Peers          []string        `json:"peers"`
+	PeersAll       string          `json:"peers_all"`
+	InitialServers serverList      `json:"known"`
+	Settings       json.RawMessage `json:"settings"`
 }
 
-// LoadConfig reads the file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN,
-// NODE_DISCOVERY and NODE_ADMIN_ADDR, where set, go before what the file says.
+// LoadConfig reads the file named by NODE_CONFIG. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_ADMIN_ADDR,
+// where set, override the values of the file.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
@@ -99,8 +98,8 @@
 	return loadFile(path, getenv, func(file, env string) string { return cmp.Or(env, file) })
 }
 
-// loadFile reads a configuration file. The address of discovery is chosen between
-// what the file says and what the environment does.
+// loadFile reads a configuration file. The function discovery chooses between the discovery addresses of the
+// file and the environment.
 func loadFile(path string, getenv func(string) string, discovery func(file, env string) string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -124,9 +123,9 @@
 	return c, nil
 }
 
-// config checks the file's values.
+// config validates the file's values and converts them.
 func (f *file) config() (*Config, error) {
-	c := &Config{Name: f.Name, Limits: f.Limits, Known: f.Known}
+	c := &Config{Name: f.Name, Limits: f.Limits, InitialServers: f.InitialServers}
 	for _, a := range []struct {
 		name, from string
 		to         *string
@@ -146,7 +145,7 @@
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
 	}
-	if l := f.Limits; l.Cores < 0 || l.MemoryMB < 0 || l.Sockets < 0 || l.Sockets > 0 && l.Sockets < leastSockets {
+	if l := f.Limits; l.Cores < 0 || l.MemoryMB < 0 || l.Sockets < 0 || l.Sockets > 0 && l.Sockets < minSockets {
 		return nil, fmt.Errorf("limits: %+v can't hold a limiter", l)
 	}
 	if c.Settings, err = parseSettings(f.Settings); err != nil {
@@ -178,8 +177,8 @@
 	return c, nil
 }
 
-// parseSettings reads the settings object through the parser of the
-// simulator's wire, so that both hosts read the same names the same way.
+// parseSettings reads the settings object with the parser of the simulator's wire format, so that the simulator
+// and the node interpret names in the same way.
 func parseSettings(data json.RawMessage) (s Settings, err error) {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.UseNumber()
@@ -193,25 +192,25 @@
 	if s.Module, err = p.Settings(); err != nil {
 		return s, err
 	}
-	if s.ClassNames, err = names(p, "request_classes"); err != nil {
+	if s.ClassIndex, err = nameIndex(p, "request_classes"); err != nil {
 		return s, err
 	}
-	if s.PlanNames, err = names(p, "packages"); err != nil {
+	if s.PlanIndex, err = nameIndex(p, "packages"); err != nil {
 		return s, err
 	}
 	s.Zones = strings.Split(p.Text("failure_domains"), ",")
 	s.ConnIdle = cmp.Or(millis(p.Number("caps.conn_idle_ms")), defaultConnIdle)
 	s.ConnTimeout = cmp.Or(millis(s.Module.Caps.ConnectMs), defaultConnTimeout)
-	s.MaxOpen = p.Integer("caps.max_open")
-	s.MostUnits = cmp.Or(p.Number("family_info.units_top"), math.MaxFloat64)
+	s.MaxRequests = p.Integer("caps.max_open")
+	s.MaxUnits = cmp.Or(p.Number("family_info.units_top"), math.MaxFloat64)
 	for _, c := range s.Module.Classes {
-		s.Longest = max(s.Longest, millis(c.DeadlineMs))
+		s.MaxDeadline = max(s.MaxDeadline, millis(c.DeadlineMs))
 	}
 	return s, p.Err()
 }
 
-// names maps the names of a list of settings to their places.
-func names(p *wire.Pairs, list string) (map[string]int, error) {
+// nameIndex maps the names in a list of settings to their positions.
+func nameIndex(p *wire.Pairs, list string) (map[string]int, error) {
 	m := map[string]int{}
 	for i := range p.Count(list) {
 		name := p.Text(fmt.Sprintf("%s.%d.name", list, i))
@@ -223,8 +222,8 @@
 	return m, nil
 }
 
-// flatten writes nested settings as path=value: lists of plain values joined
-// with commas, lists of objects with their length under .count.
+// flatten writes nested settings as path=value: lists of plain values joined with commas, lists of objects with
+// their length under .count.
 func flatten(path string, v any, out map[string]string) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -251,5 +250,5 @@
 	}
 }
 
-// millis turns the settings' milliseconds into a duration.
+// millis converts milliseconds to a duration.
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -15,12 +15,12 @@
 	t.Parallel()
 	c := testConfig(t, "127.0.0.1:8500", server("s-1", "127.0.0.1:3000"))
 	s := c.Settings
-	if c.Name != "n0" || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 1024 || len(c.Known.Hosts) != 1 || c.Known.Seq != 1 {
+	if c.Name != "n0" || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 1024 || len(c.InitialServers.Hosts) != 1 || c.InitialServers.Seq != 1 {
 		t.Errorf("config %+v", c)
 	}
 	if s.Module.Classes[1].Repeat != limiter.Keyed || s.Module.Classes[1].Group != limiter.GroupCell ||
-		s.Module.Plans[1].Rate != 1000 || s.ClassNames["send-bulk-paid"] != 2 || s.PlanNames["enterprise"] != 1 ||
-		len(s.Zones) != 2 || s.Zones[1] != "room-b" || s.ConnIdle != 30*time.Second || s.Longest != 15*time.Second {
+		s.Module.Plans[1].Rate != 1000 || s.ClassIndex["send-bulk-paid"] != 2 || s.PlanIndex["enterprise"] != 1 ||
+		len(s.Zones) != 2 || s.Zones[1] != "room-b" || s.ConnIdle != 30*time.Second || s.MaxDeadline != 15*time.Second {
 		t.Errorf("settings %+v", s)
 	}
 }
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -9,7 +9,7 @@
 	"example.org/madderdrum/limiter"
 )
 
-const countEvery = time.Second
+const counterInterval = time.Second
 
 // counters count what this limiter does and sees, for one line of the log a second at
 // the debug level, and write one for each attempt that has ended. They are nil, and cost
@@ -25,7 +25,7 @@
 // counts are those of one second.
 type counts struct {
 	submits, sends, fails, aborts, probes, probesFailed int
-	tells, toldBytes, heard                             int
+	peerSends, peerSendBytes, peerReceived              int
 	refused                                             [limiter.Reasons]int
 	ended                                               [limiter.Results]int
 }
@@ -39,7 +39,7 @@
 }
 
 // event counts what the module is told.
-func (c *counters) event(ev limiter.Event) {
+func (c *counters) countEvent(ev limiter.Event) {
 	if c == nil {
 		return
 	}
@@ -50,7 +50,7 @@
 		c.ended[e.Result]++
 		c.log.Debug("attempt", "server", e.Server, "try", e.Try, "result", e.Result.String(), "ms", int(e.SpentMs))
 	case limiter.PeerMessage:
-		c.heard++
+		c.peerReceived++
 	case limiter.Probed:
 		if e.Result != limiter.Pass {
 			c.probesFailed++
@@ -59,7 +59,7 @@
 }
 
 // action counts what the module asks for.
-func (c *counters) action(a limiter.Action) {
+func (c *counters) countAction(a limiter.Action) {
 	if c == nil {
 		return
 	}
@@ -75,8 +75,8 @@
 	case limiter.Probe:
 		c.probes++
 	case limiter.Tell:
-		c.tells++
-		c.toldBytes += len(a.Data)
+		c.peerSends++
+		c.peerSendBytes += len(a.Data)
 	}
 }
 
@@ -88,7 +88,7 @@
 }
 
 // listCall counts a call to discovery.
-func (c *counters) listCall() {
+func (c *counters) countListCall() {
 	if c != nil {
 		c.listCalls.Add(1)
 	}
@@ -115,9 +115,9 @@
 	add("aborts", c.aborts)
 	add("probes", c.probes)
 	add("probes_failed", c.probesFailed)
-	add("tells", c.tells)
-	add("told_bytes", c.toldBytes)
-	add("heard", c.heard)
+	add("tells", c.peerSends)
+	add("told_bytes", c.peerSendBytes)
+	add("heard", c.peerReceived)
 	add("connects", int(c.connects.Swap(0)))
 	add("list_calls", int(c.listCalls.Swap(0)))
 	c.counts = counts{}
@@ -129,8 +129,8 @@
 }
 
 // count writes a line each second until the context ends.
-func (n *Node) count(ctx context.Context) {
-	for sleep(ctx, countEvery); ctx.Err() == nil; sleep(ctx, countEvery) {
+func (n *Node) logCounters(ctx context.Context) {
+	for sleep(ctx, counterInterval); ctx.Err() == nil; sleep(ctx, counterInterval) {
 		n.mu.Lock()
 		line := n.counters.line(n.limiter.View(n.now()))
 		n.mu.Unlock()
--- a/internal/node/counters_test.go
+++ b/internal/node/counters_test.go
@@ -16,13 +16,13 @@
 	c := newCounters(slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	for _, ev := range []limiter.Event{limiter.Submit{}, limiter.Submit{}, limiter.PeerMessage{},
 		limiter.Outcome{Server: 7, Result: limiter.NoRoom}, limiter.Probed{Result: limiter.TooSlow}} {
-		c.event(ev)
+		c.countEvent(ev)
 	}
 	for _, a := range []limiter.Action{limiter.PassOn{}, limiter.Refuse{Why: limiter.NoServer}, limiter.Tell{Data: make([]byte, 20)}, limiter.Fail{}} {
-		c.action(a)
+		c.countAction(a)
 	}
 	c.connect()
-	c.listCall()
+	c.countListCall()
 	line := func() string {
 		var b bytes.Buffer
 		slog.New(slog.NewTextHandler(&b, nil)).Info("counters", c.line(limiter.View{Up: 60})...)
@@ -45,8 +45,8 @@
 	if off != nil {
 		t.Fatal("counts at the level info")
 	}
-	off.event(limiter.Submit{})
-	off.action(limiter.PassOn{})
+	off.countEvent(limiter.Submit{})
+	off.countAction(limiter.PassOn{})
 	off.connect()
-	off.listCall()
+	off.countListCall()
 }
--- a/internal/node/crowded_test.go
+++ b/internal/node/crowded_test.go
@@ -50,7 +50,7 @@
 		}
 		made++
 		if pauses[c.limiter] == nil {
-			pauses[c.limiter] = crowdedRetries(limiters)
+			pauses[c.limiter] = overloadBackoff(limiters)
 		}
 		again := func(failed time.Duration) {
 			heap.Push(&calls, moment{failed + pauses[c.limiter].NextBackOff(), c.limiter})
@@ -74,8 +74,8 @@
 
 // A few limiters go on calling at the pace that they always had.
 func TestFewAreNotSlowed(t *testing.T) {
-	b := crowdedRetries(3)
-	if b.InitialInterval > 100*time.Millisecond || b.MaxInterval > retryMost {
+	b := overloadBackoff(3)
+	if b.InitialInterval > 100*time.Millisecond || b.MaxInterval > retryMax {
 		t.Errorf("three limiters pause from %v to %v", b.InitialInterval, b.MaxInterval)
 	}
 }
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	watchWait   = 20 * time.Second // how long discovery may hold a watch
+	watchHold   = 20 * time.Second // how long discovery may hold a watch
 	watchSlack  = 2 * time.Second  // and how much later its answer is given up
-	retryFirst  = 50 * time.Millisecond
-	retryMost   = time.Second
+	retryMin    = 50 * time.Millisecond
+	retryMax    = time.Second
 	maxListSize = 4 << 20
 	// An answer without news before its time is followed by the next call after
 	// this pause: short of the 200 ms after which a watch is over, but no spinning.
@@ -107,91 +107,91 @@
 }
 
 // takeList hands what discovery tells to the pool and the module.
-func (n *Node) takeList(l serverList) {
-	if l.Whole {
-		n.take(limiter.Complete, l)
-	} else if len(l.Hosts) > 0 {
-		n.take(limiter.Partial, l)
+func (n *Node) applyDiscoveryAnswer(list serverList) {
+	if list.Whole {
+		n.applyList(limiter.Complete, list)
+	} else if len(list.Hosts) > 0 {
+		n.applyList(limiter.Partial, list)
 	}
 }
 
 // take hands a list to the pool and the module.
-func (n *Node) take(scope limiter.Scope, l serverList) {
+func (n *Node) applyList(scope limiter.Scope, list serverList) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.takeLocked(scope, l)
+	n.applyListLocked(scope, list)
 }
 
 // takeLocked is take under the mutex.
-func (n *Node) takeLocked(scope limiter.Scope, l serverList) {
-	ev := limiter.Endpoints{Scope: scope}
+func (n *Node) applyListLocked(scope limiter.Scope, list serverList) {
+	endpoints := limiter.Endpoints{Scope: scope}
 	listed := map[uint64]bool{}
-	for _, item := range l.Hosts {
-		info, err := item.info(n.version.Load().settings.Zones)
+	for _, item := range list.Hosts {
+		info, err := item.info(n.revision.Load().settings.Zones)
 		if err == nil && listed[info.ID] {
 			err = fmt.Errorf("host %q is listed twice", item.Host)
 		}
 		if err != nil {
-			n.badInput.warn("dropped a list entry", "err", err)
+			n.badInputLog.warn("dropped a list entry", "err", err)
 			continue
 		}
 		listed[info.ID] = true
 		if n.servers.update(info, item.Dial) {
 			n.log.Info("server", "host", item.Host, "number", info.ID, "health", item.Health, "dial", item.Dial)
 		}
-		ev.Servers = append(ev.Servers, info)
+		endpoints.Servers = append(endpoints.Servers, info)
 	}
-	n.upgrade.listed(scope, l)
+	n.upgrade.listed(scope, list)
 	if scope != limiter.Partial {
-		n.servers.keepOnly(listed)
+		n.servers.retainListed(listed)
 	}
 	if len(listed) > 0 {
 		n.life.Listed(time.Now())
 	}
-	n.handle(ev)
+	n.handle(endpoints)
 }
 
 // listIndex is the version of the list that a watch goes on from, if there is one.
 type listIndex struct {
-	seq  int64
-	have bool
+	seq   int64
+	known bool
 }
 
 // watch follows discovery at an address until the context ends and hands on what it tells: whole
 // lists, or what has changed, which may be nothing, in calls that are held so long. What is known stays in use while discovery is
 // silent, down or talks nonsense; failed tells of that.
-func (n *Node) watch(ctx context.Context, addr string, index listIndex, hold time.Duration, take func(serverList), failed func()) {
+func (n *Node) watchDiscovery(ctx context.Context, addr string, index listIndex, hold time.Duration, apply func(serverList), failed func()) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, MaxConnsPerHost: 2,
 		IdleConnTimeout: time.Minute}}
 	defer client.CloseIdleConnections()
-	broken, crowded := retries(retryFirst, retryMost, 0.5), crowdedRetries(n.cfg.Settings.Module.Balancers)
+	failures, overload := newBackoff(retryMin, retryMax, 0.5), overloadBackoff(n.cfg.Settings.Module.Balancers)
 	for ctx.Err() == nil {
 		// The whole list comes at once, or the call is made anew.
-		path, within := "/v1/servers", watchSlack
-		if index.have {
+		path, timeout := "/v1/servers", watchSlack
+		if index.known {
 			path = fmt.Sprintf("/v1/servers?index=%d&wait=%d", index.seq, hold.Milliseconds())
-			within += hold
+			timeout += hold
 		}
 		asked := time.Now()
-		n.counters.listCall()
-		l, err := ask(ctx, client, "http://"+addr+path, within)
+		n.counters.countListCall()
+		l, err := fetchList(ctx, client, "http://"+addr+path, timeout)
 		switch {
 		case ctx.Err() != nil:
 			return
 		case err != nil:
 			n.discoveryLog.warn("discovery does not answer", "err", err)
 			failed()
-			if errors.Is(err, errCrowded) {
-				sleep(ctx, crowded.NextBackOff())
+			if errors.Is(err, errOverloaded) {
+				sleep(ctx, overload.NextBackOff())
 			} else {
-				sleep(ctx, broken.NextBackOff())
+				sleep(ctx, failures.NextBackOff())
 			}
 			continue
 		}
-		broken.Reset()
-		crowded.Reset()
-		take(l)
-		if l.Seq == index.seq && index.have && time.Since(asked) < idlePause {
+		failures.Reset()
+		overload.Reset()
+		apply(l)
+		if l.Seq == index.seq && index.known && time.Since(asked) < idlePause {
 			sleep(ctx, idlePause)
 		}
 		index = listIndex{l.Seq, true}
@@ -200,25 +200,25 @@
 
 // retries are pauses that double from first to most, each longer or shorter by a random
 // part of it up to jitter.
-func retries(first, most time.Duration, jitter float64) *backoff.ExponentialBackOff {
-	b := &backoff.ExponentialBackOff{InitialInterval: first, MaxInterval: most, Multiplier: 2, RandomizationFactor: jitter}
+func newBackoff(initial, limit time.Duration, jitter float64) *backoff.ExponentialBackOff {
+	b := &backoff.ExponentialBackOff{InitialInterval: initial, MaxInterval: limit, Multiplier: 2, RandomizationFactor: jitter}
 	b.Reset()
 	return b
 }
 
 // crowdedRetries are the pauses of one limiter of so many after discovery has turned a
 // call away as it is overloaded, which it then is for all of them.
-func crowdedRetries(limiters int) *backoff.ExponentialBackOff {
-	first, most := peering.CallPause(limiters)
-	return retries(max(retryFirst, first), max(retryMost, most), 1)
+func overloadBackoff(limiters int) *backoff.ExponentialBackOff {
+	initial, limit := peering.CallPause(limiters)
+	return newBackoff(max(retryMin, initial), max(retryMax, limit), 1)
 }
 
 // errCrowded tells that discovery has more calls than it can answer.
-var errCrowded = errors.New("discovery is overloaded")
+var errOverloaded = errors.New("discovery is overloaded")
 
 // ask makes one call to discovery, which may take so long at most.
-func ask(ctx context.Context, client *http.Client, url string, most time.Duration) (l serverList, err error) {
-	ctx, cancel := context.WithTimeout(ctx, most)
+func fetchList(ctx context.Context, client *http.Client, url string, timeout time.Duration) (l serverList, err error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -232,7 +232,7 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return l, fmt.Errorf("status %s: %w", resp.Status, errCrowded)
+		return l, fmt.Errorf("status %s: %w", resp.Status, errOverloaded)
 	default:
 		return l, fmt.Errorf("status %s", resp.Status)
 	}
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -54,7 +54,7 @@
 	begun := time.Now()
 	until(t, "several calls", func() bool { return calls.Load() >= 8 })
 	// Each is followed by a pause of idlePause or half of retryFirst at the least.
-	if took := time.Since(begun); took < 6*min(idlePause, retryFirst/2) {
+	if took := time.Since(begun); took < 6*min(idlePause, retryMin/2) {
 		t.Errorf("8 calls in %v", took)
 	}
 	if status, _, _ := r.do(r.newRequest("status-check", "enterprise", "")); status != 200 {
--- a/internal/node/drop_test.go
+++ b/internal/node/drop_test.go
@@ -73,7 +73,7 @@
 	var tasks sync.WaitGroup
 	tasks.Go(func() {
 		for ctx.Err() == nil {
-			r.node.conns.dropUnused(0, 0)
+			r.node.conns.endUnused(0, 0)
 		}
 	})
 	for range 8 {
@@ -152,7 +152,7 @@
 		default:
 			t.Fatalf("a client that works gets %d %q after %d", res.status, res.body, served)
 		}
-		if r.node.conns.count() > most+endingMost+1 {
+		if r.node.conns.openCount() > most+maxEnding+1 {
 			over++
 		}
 		select {
@@ -172,7 +172,7 @@
 			c.Close()
 		}
 	}
-	until(t, "the crowd is forgotten", func() bool { return r.node.conns.count() <= 1 })
+	until(t, "the crowd is forgotten", func() bool { return r.node.conns.openCount() <= 1 })
 }
 
 // A request that had been sent on a kept connection while the limiter ended was served, and its connection closed
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -11,7 +11,7 @@
 )
 
 // lookWithin bounds how long the figures wait for the module; after it they tell what it last said.
-const lookWithin = 50 * time.Millisecond
+const viewTimeout = 50 * time.Millisecond
 
 // ClassFigures are the ends of a class's requests since the process began.
 type ClassFigures struct {
@@ -30,10 +30,10 @@
 }
 
 // ends counts the ends of one class.
-type ends struct{ passed, dropped, badGateway atomic.Int64 }
+type endCounts struct{ passed, dropped, badGateway atomic.Int64 }
 
 // add counts one end by its status. 0 is a request whose client had gone.
-func (e *ends) add(status int) {
+func (e *endCounts) add(status int) {
 	switch status {
 	case http.StatusOK:
 		e.passed.Add(1)
@@ -46,22 +46,22 @@
 
 // totals count what this process has done since its start. It is safe for concurrent use.
 type totals struct {
-	inProgress, tries atomic.Int64
+	inProgress, attempts atomic.Int64
 
 	mu      sync.Mutex
-	classes map[string]*ends // also of classes that a reload has taken away
+	classes map[string]*endCounts // also of classes that a reload has taken away
 
-	looked atomic.Pointer[limiter.View]
+	lastView atomic.Pointer[limiter.View]
 }
 
 // of returns the counts of classes by their names.
-func (t *totals) of(names []string) []*ends {
+func (t *totals) classCounts(names []string) []*endCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all := make([]*ends, len(names))
+	all := make([]*endCounts, len(names))
 	for i, name := range names {
 		if t.classes[name] == nil {
-			t.classes[name] = &ends{}
+			t.classes[name] = &endCounts{}
 		}
 		all[i] = t.classes[name]
 	}
@@ -70,8 +70,8 @@
 
 // Figures tells what the limiter has done and sees now.
 func (n *Node) Figures() Figures {
-	v := n.look()
-	f := Figures{Handled: map[string]ClassFigures{}, InProgress: n.totals.inProgress.Load(), UpstreamTries: n.totals.tries.Load(),
+	v := n.moduleView()
+	f := Figures{Handled: map[string]ClassFigures{}, InProgress: n.totals.inProgress.Load(), UpstreamTries: n.totals.attempts.Load(),
 		KnownServers: v.Known, SkippedServers: v.Skipped}
 	n.totals.mu.Lock()
 	defer n.totals.mu.Unlock()
@@ -82,34 +82,34 @@
 }
 
 // look asks the module, or tells what it last said while that is busy.
-func (n *Node) look() limiter.View {
-	for until := time.Now().Add(lookWithin); ; time.Sleep(time.Millisecond) {
+func (n *Node) moduleView() limiter.View {
+	for until := time.Now().Add(viewTimeout); ; time.Sleep(time.Millisecond) {
 		if n.mu.TryLock() {
 			v := n.limiter.View(n.now())
 			n.mu.Unlock()
-			n.totals.looked.Store(&v)
+			n.totals.lastView.Store(&v)
 			return v
 		}
 		if time.Now().After(until) {
 			break
 		}
 	}
-	if v := n.totals.looked.Load(); v != nil {
+	if v := n.totals.lastView.Load(); v != nil {
 		return *v
 	}
 	return limiter.View{}
 }
 
 // taken counts a request as in progress: its last byte has come.
-func (n *Node) taken(r *request) {
-	if !r.counted {
-		r.counted = true
+func (n *Node) countInProgress(r *request) {
+	if !r.countedInProgress {
+		r.countedInProgress = true
 		n.totals.inProgress.Add(1)
 	}
 }
 
 // line is the figures in one line of JSON.
-func (f Figures) line() (string, error) {
+func (f Figures) jsonLine() (string, error) {
 	b, err := json.Marshal(f)
 	return string(b) + "\n", err
 }
--- a/internal/node/fixed.go
+++ b/internal/node/fixed.go
@@ -29,16 +29,16 @@
 // FixedConfig returns the configuration of a limiter whose list of servers
 // changes by Apply alone. Name, Listen, Seed and Limits are the caller's to set.
 func FixedConfig(d Deployment) *Config {
-	c := &Config{Routes: d.Routes, Sources: d.Sources, Known: serverList{Seq: 1, Whole: true}, Settings: Settings{
-		Module: d.Module, ClassNames: places(d.Classes), PlanNames: places(d.Plans), Zones: d.Rooms,
-		ConnIdle: millis(d.ConnIdle), ConnTimeout: millis(d.ConnLimit), MostUnits: 1e9,
+	c := &Config{Routes: d.Routes, Sources: d.Sources, InitialServers: serverList{Seq: 1, Whole: true}, Settings: Settings{
+		Module: d.Module, ClassIndex: indexByName(d.Classes), PlanIndex: indexByName(d.Plans), Zones: d.Rooms,
+		ConnIdle: millis(d.ConnIdle), ConnTimeout: millis(d.ConnLimit), MaxUnits: 1e9,
 	}}
 	for _, s := range d.Servers {
-		c.Known.Hosts = append(c.Known.Hosts, serverItem{Host: s.Name, Dial: s.Dial, Site: d.Rooms[s.Room],
+		c.InitialServers.Hosts = append(c.InitialServers.Hosts, serverItem{Host: s.Name, Dial: s.Dial, Site: d.Rooms[s.Room],
 			Block: s.Pod, Health: "ready", Share: 1, pool: PoolID(s.Pool), tier: s.Tier})
 	}
 	for _, class := range d.Module.Classes {
-		c.Settings.Longest = max(c.Settings.Longest, millis(class.DeadlineMs))
+		c.Settings.MaxDeadline = max(c.Settings.MaxDeadline, millis(class.DeadlineMs))
 	}
 	m := &c.Settings.Module
 	if m.Caps.Peers = m.Caps.Peers && len(d.Peers) == m.Balancers; m.Caps.Peers {
@@ -47,7 +47,7 @@
 	return c
 }
 
-func places(names []string) map[string]int {
+func indexByName(names []string) map[string]int {
 	m := map[string]int{}
 	for i, name := range names {
 		m[name] = i
--- a/internal/node/framing.go
+++ b/internal/node/framing.go
@@ -27,10 +27,10 @@
 	net.Conn
 	heads framing.Watch
 
-	mu      sync.Mutex // round what follows, and the deadline for reading
-	started bool       // something has been read since the connection began to wait
-	since   time.Time  // when
-	ended   bool       // nothing is to be waited for any more
+	mu        sync.Mutex // round what follows, and the deadline for reading
+	started   bool       // something has been read since the connection began to wait
+	startedAt time.Time  // when
+	ending    bool       // nothing is to be waited for any more
 	// deadline is the one for reading that is in force.
 	deadline time.Time
 
@@ -38,34 +38,34 @@
 }
 
 func newFramedConn(c net.Conn) *framedConn {
-	return &framedConn{Conn: c, ahead: readAhead{leave: func() {}}}
+	return &framedConn{Conn: c, ahead: readAhead{clientLeft: func() {}}}
 }
 
 // longPast is a deadline that has passed.
-var longPast = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
 
 // waits says that the connection is between two requests.
-func (c *framedConn) waits() {
+func (c *framedConn) waiting() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.started = false
 }
 
 // works says that a request has come on it.
-func (c *framedConn) works() {
+func (c *framedConn) working() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.begin(time.Time{})
+	c.start(time.Time{})
 }
 
 // begin notes that something has come. A connection that was to end goes on.
-func (c *framedConn) begin(deadline time.Time) {
+func (c *framedConn) start(deadline time.Time) {
 	if !c.started {
-		c.started, c.since = true, time.Now()
+		c.started, c.startedAt = true, time.Now()
 	}
-	if c.ended {
-		c.ended = false
-		c.set(deadline)
+	if c.ending {
+		c.ending = false
+		c.setReadDeadline(deadline)
 	}
 }
 
@@ -74,18 +74,18 @@
 // and that its client can't know to be unread: the reader gives up by its deadline, and goes
 // on if something came first. One that has begun a request patience ago and not ended it is
 // closed; 0 is never.
-func (c *framedConn) end(patience time.Duration) bool {
+func (c *framedConn) tryEnd(patience time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.started {
-		if patience == 0 || time.Since(c.since) < patience {
+		if patience == 0 || time.Since(c.startedAt) < patience {
 			return false
 		}
 		c.Conn.Close()
 		return true
 	}
-	c.ended = true
-	c.set(longPast)
+	c.ending = true
+	c.setReadDeadline(pastDeadline)
 	return true
 }
 
@@ -93,44 +93,44 @@
 func (c *framedConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended {
-		t = longPast
+	if c.ending {
+		t = pastDeadline
 	}
-	return c.set(t)
+	return c.setReadDeadline(t)
 }
 
 // set puts a deadline for reading in force. The mutex is held.
-func (c *framedConn) set(t time.Time) error {
+func (c *framedConn) setReadDeadline(t time.Time) error {
 	c.deadline = t
 	return c.Conn.SetReadDeadline(t)
 }
 
 // Read passes on what comes, and has it looked at.
 func (c *framedConn) Read(b []byte) (int, error) {
-	n, err := c.take(b)
+	n, err := c.readBuffered(b)
 	if n > 0 {
 		c.mu.Lock()
-		if !c.started || c.ended {
-			c.begin(time.Now().Add(headTimeout))
+		if !c.started || c.ending {
+			c.start(time.Now().Add(headerTimeout))
 		}
 		c.mu.Unlock()
 	}
 	c.heads.Look(b[:n])
 	if n == 1 && len(b) == 1 { // net/http looks for the client's departure, and found a further request
-		c.ahead.begin(c.Conn)
+		c.ahead.start(c.Conn)
 	}
 	return n, err
 }
 
 // take reads from what was read ahead, or else from the connection.
-func (c *framedConn) take(b []byte) (int, error) {
+func (c *framedConn) readBuffered(b []byte) (int, error) {
 	if c.ahead.interrupt(c.Conn) {
 		c.mu.Lock()
 		c.Conn.SetReadDeadline(c.deadline)
 		c.mu.Unlock()
 	}
-	if n := copy(b, c.ahead.held); n > 0 {
-		c.ahead.held = c.ahead.held[n:]
+	if n := copy(b, c.ahead.buffered); n > 0 {
+		c.ahead.buffered = c.ahead.buffered[n:]
 		return n, nil
 	}
 	return c.Conn.Read(b)
@@ -138,6 +138,6 @@
 
 // Close closes the connection. Its requests have nobody to answer.
 func (c *framedConn) Close() error {
-	c.ahead.leave()
+	c.ahead.clientLeft()
 	return c.Conn.Close()
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -27,49 +27,49 @@
 		fmt.Fprintf(c, "NO %v\n", err)
 		return
 	}
-	if !n.upgrade.busy.CompareAndSwap(false, true) {
-		fmt.Fprintf(c, "NO %v\n", errTakenOver)
+	if !n.upgrade.takeoverInProgress.CompareAndSwap(false, true) {
+		fmt.Fprintf(c, "NO %v\n", errTakeoverInProgress)
 		return
 	}
 	if err := n.handOver(c, in); err != nil {
 		n.log.Warn("goes on: the new process did not take over", "err", err)
-		n.upgrade.busy.Store(false)
+		n.upgrade.takeoverInProgress.Store(false)
 		return
 	}
 	n.log.Info("a new process has taken over")
 	close(n.upgrade.replaced)
-	<-n.upgrade.over // its end tells the new process that this one has gone
+	<-n.upgrade.runEnded // its end tells the new process that this one has gone
 }
 
 // handOver gives the state to the process on a connection. With an error all is as before.
 func (n *Node) handOver(c net.Conn, in *bufio.Reader) error {
-	c.SetDeadline(time.Now().Add(stepWithin))
+	c.SetDeadline(time.Now().Add(handoverStepTimeout))
 	if _, err := io.WriteString(c, "YES\n"); err != nil {
 		return err
 	}
 	if line, err := in.ReadString('\n'); err != nil || strings.TrimSpace(line) != takeLine {
 		return fmt.Errorf("it says %.20q (%v)", line, err)
 	}
-	s, err := n.freeze()
+	state, err := n.freeze()
 	if err != nil {
 		return err
 	}
-	taken := false
+	accepted := false
 	defer func() {
-		if !taken {
+		if !accepted {
 			n.thaw()
 		}
 	}()
-	frame, err := s.Encode()
+	frame, err := state.Encode()
 	if err != nil {
 		return err
 	}
-	c.SetDeadline(time.Now().Add(stepWithin))
+	c.SetDeadline(time.Now().Add(handoverStepTimeout))
 	if _, err := c.Write(frame); err != nil {
 		return err
 	}
 	line, err := in.ReadString('\n')
-	if taken = err == nil && strings.TrimSpace(line) == takenLine; !taken {
+	if accepted = err == nil && strings.TrimSpace(line) == takenLine; !accepted {
 		return fmt.Errorf("it says %.20q (%v)", line, err)
 	}
 	c.SetDeadline(time.Time{})
@@ -81,34 +81,34 @@
 
 // freeze takes the state at the moment from which the new process decides.
 func (n *Node) freeze() (*handover.State, error) {
-	s := &handover.State{Who: n.upgrade.who}
-	err := n.live(func(l *lifecycle.Life) error {
+	state := &handover.State{Who: n.upgrade.identity}
+	err := n.updateLife(func(l *lifecycle.Life) error {
 		if err := l.HandOver(time.Now()); err != nil {
 			return err
 		}
 		now := n.now()
-		s.Memory = n.limiter.HandOver(now)
-		s.Memory.Handover.Accounts, _ = n.limiter.Leave(now, math.MaxInt)
-		s.Discovery, s.List, s.Drained = n.upgrade.from, n.upgrade.list(), l.Drained()
+		state.Memory = n.limiter.HandOver(now)
+		state.Memory.Handover.Accounts, _ = n.limiter.Leave(now, math.MaxInt)
+		state.Discovery, state.List, state.Drained = n.upgrade.listAgent, n.upgrade.encodeList(), l.Drained()
 		n.upgrade.frozen = true
 		return nil
 	})
 	if err != nil {
 		return nil, err
 	}
-	n.conns.dropUnused(0, math.MaxInt64)
-	n.servers.rest()
-	s.Sockets = n.conns.count() + n.servers.count() + reservedSockets
-	n.shrink(s.Sockets)
-	return s, nil
+	n.conns.endUnused(0, math.MaxInt64)
+	n.servers.closeAllIdle()
+	state.Sockets = n.conns.openCount() + n.servers.openCount() + reservedSockets
+	n.reduceLimits(state.Sockets)
+	return state, nil
 }
 
 // thaw goes on as before freeze.
 func (n *Node) thaw() {
-	n.live(func(l *lifecycle.Life) error {
+	n.updateLife(func(l *lifecycle.Life) error {
 		l.HandBack(time.Now())
 		n.upgrade.frozen = false
 		return nil
 	})
-	n.grow()
+	n.restoreLimits()
 }
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -9,8 +9,8 @@
 
 // Of one kind of trouble logBurst lines are written in each logEvery.
 const (
-	logEvery = 10 * time.Second
-	logBurst = 5
+	logPeriod = 10 * time.Second
+	logBurst  = 5
 )
 
 // boundedLog writes warnings at a bounded rate, so that bad input can't fill
@@ -18,26 +18,26 @@
 type boundedLog struct {
 	to *slog.Logger
 
-	mu      sync.Mutex
-	since   time.Time
-	written int
-	left    int
+	mu          sync.Mutex
+	periodStart time.Time
+	written     int
+	suppressed  int
 }
 
 func (b *boundedLog) warn(msg string, args ...any) {
 	b.mu.Lock()
-	if now := time.Now(); now.Sub(b.since) > logEvery {
-		b.since, b.written = now, 0
+	if now := time.Now(); now.Sub(b.periodStart) > logPeriod {
+		b.periodStart, b.written = now, 0
 	}
 	if b.written >= logBurst {
-		b.left++
+		b.suppressed++
 		b.mu.Unlock()
 		return
 	}
 	b.written++
-	if b.left > 0 {
-		args = append(args, "left_out_before", b.left)
-		b.left = 0
+	if b.suppressed > 0 {
+		args = append(args, "left_out_before", b.suppressed)
+		b.suppressed = 0
 	}
 	b.mu.Unlock()
 	b.to.Warn(msg, args...)
--- a/internal/node/looks.go
+++ b/internal/node/looks.go
@@ -24,14 +24,14 @@
 }
 
 // want has a box looked at, by others or by this limiter. The mutex is held.
-func (n *Node) want(box uint64) {
+func (n *Node) requestProbe(box uint64) {
 	if n.cfg.Looks == nil || !n.cfg.Looks.Want(box) {
 		go n.probe(box)
 	}
 }
 
 // looked tells the module, and others, how a look has ended.
-func (n *Node) looked(ev limiter.Probed) {
+func (n *Node) reportProbe(ev limiter.Probed) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.handle(ev)
@@ -82,7 +82,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	s := n.source(pool)
-	if s == nil || !s.index.have {
+	if s == nil || !s.index.known {
 		return 0, nil, false
 	}
 	all := []serverItem{}
@@ -102,7 +102,7 @@
 		return err
 	}
 	if s := n.source(pool); s != nil {
-		n.takeFrom(s, l, false)
+		n.applySourceList(s, l, false)
 	}
 	return nil
 }
@@ -114,7 +114,7 @@
 	defer n.mu.Unlock()
 	if s := n.source(pool); s != nil && s.hold != hold {
 		s.hold = hold
-		s.turned()
+		s.restart()
 	}
 }
 
@@ -123,11 +123,11 @@
 	for ctx.Err() == nil {
 		turn, end := context.WithCancel(ctx)
 		n.mu.Lock()
-		s.turned = end
+		s.restart = end
 		hold, index := s.hold, s.index
 		n.mu.Unlock()
 		if hold > 0 {
-			n.watch(turn, s.Addr, index, hold, func(l serverList) { n.takeFrom(s, l, true) }, func() {
+			n.watchDiscovery(turn, s.Addr, index, hold, func(l serverList) { n.applySourceList(s, l, true) }, func() {
 				if n.cfg.Looks != nil {
 					n.mu.Lock()
 					defer n.mu.Unlock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -22,119 +22,118 @@
 	"example.org/madderdrum/limiter"
 )
 
-// Node is one limiter on sockets. It is the only caller of the module.
+// Node runs one limiter on sockets. It is the only caller of the decision module (package limiter).
 type Node struct {
-	cfg          *Config
-	log          *slog.Logger
-	badInput     *boundedLog
-	discoveryLog *boundedLog
-	unrouted     *boundedLog
-	advised      *boundedLog
-	servers      *pool
-	conns        *clientConns
-	peers        *peerLink // nil where limiters don't talk
-	listeners    []net.Listener
-	web          *http.Server
-	start        time.Time
-	startMs      float64 // start in Unix milliseconds
-
-	counters *counters // nil where the log has no debug lines
-
-	version atomic.Pointer[version]
-	sources []*source
-	grants  Grants // nil where nobody asks
-
-	recalled *limiter.Memory // of the limiter before this one
-	begun    chan struct{}   // closed behind it
-
-	reload    chan struct{} // the configuration is to be read again
-	discovery chan string   // a new address of discovery
-
-	closing        atomic.Bool   // answers say Connection: close
-	changed        chan struct{} // the life has changed
-	admin          *admin.Server // nil: no address for operators
-	upgrade        *upgrade      // nil where there is none
-	joins          bool          // a process before this one is still to be asked for its sockets
-	totals         totals
-	short          *hooks       // of requests that are held whole
-	held, heldMost atomic.Int64 // bytes of bodies that are held, and may be; 0: no bound
+	cfg              *Config
+	log              *slog.Logger
+	badInputLog      *boundedLog
+	discoveryLog     *boundedLog
+	unroutedLog      *boundedLog
+	pluginRefusalLog *boundedLog
+	servers          *serverPool
+	conns            *clientConns
+	peers            *peerLink // nil if limiters don't exchange messages
+	listeners        []net.Listener
+	httpServer       *http.Server
+	start            time.Time
+	startMs          float64 // start in Unix milliseconds
+
+	counters *counters // nil unless debug logging is enabled
+
+	revision atomic.Pointer[revision]
+	sources  []*source
+	grants   Grants // nil without a forward-auth front end
+
+	initialMemory *limiter.Memory // state recovered from an earlier process
+	started       chan struct{}   // closed once initialMemory has been applied
+
+	reloadRequests chan struct{} // requests to read the configuration file again
+	discoveryAddrs chan string   // new addresses of the discovery agent
+
+	closing                 atomic.Bool   // answers carry Connection: close
+	phaseChanged            chan struct{} // the lifecycle phase has changed
+	admin                   *admin.Server // nil without an admin address
+	upgrade                 *upgrade      // nil without an admin address
+	takesOver               bool          // an earlier process has to be asked for its sockets first
+	totals                  totals
+	shortHooks              *hooks       // shared by all requests whose body is held completely
+	heldBytes, maxHeldBytes atomic.Int64 // bytes of held request bodies, and their limit; 0: no limit
 
 	labelMu sync.Mutex
 	labels  map[string]*LabelCount
 
-	mu       sync.Mutex // round each call of the module and its actions
-	limiter  *limiter.Limiter
-	queue    []limiter.Event
-	requests map[string]*request
-	life     lifecycle.Life
-	closed   bool
-	asked    *asked // the Ask that the module answers just now
+	mu         sync.Mutex // guards each call of the module and the execution of its actions
+	limiter    *limiter.Limiter
+	queue      []limiter.Event
+	requests   map[string]*request
+	life       lifecycle.Life
+	closed     bool
+	pendingAsk *pendingAsk // the Ask that the module is handling
 }
 
-// request is a client's request from its arrival to its final answer. The
-// client's goroutine carries out its attempts, one at a time.
+// request is a client's request from its arrival to its final answer. The client's goroutine carries out its
+// attempts, one at a time.
 type request struct {
 	call
-	id     string
-	stopAt time.Time // attempts end by then, so that the answer comes in time
-
-	patience time.Duration // how long attempts may take from the last byte on
-	reserved int64         // bytes that are held for it
-	counted  bool          // it is in progress for the figures
-	// watch begins to look whether the client goes away. While its body comes the reader sees
-	// that; and net/http takes one whose time for the body is over for gone, which is still
-	// owed an answer.
-	watch func()
-
-	to      *Target
-	counsel Counsel // of the plug-ins
-
-	// Under the node's mutex:
-	tries  int
-	out    *attempt // the attempt that is out or about to go out
-	final  *answer
-	last   limiter.Result
-	signal chan struct{} // the client's goroutine waits for news
+	id       string
+	deadline time.Time // attempts end by then, so that the answer is sent in time
+
+	attemptTimeout    time.Duration // time for attempts, counted from the last byte of the body
+	reservedBytes     int64         // bytes of body held for this request
+	countedInProgress bool          // counted as in progress in the figures
+	// watchClient starts detecting a client disconnect. While the body is being read the reader detects it;
+	// net/http also treats a client whose body read timed out as gone, although it still has to get an answer.
+	watchClient func()
+
+	destination *Target
+	counsel     PluginAdvice // result of the target's plug-ins
+
+	// The following fields are guarded by the node's mutex.
+	attempts    int
+	current     *attempt // the attempt that is running or about to start
+	finalAnswer *answer
+	lastResult  limiter.Result
+	signal      chan struct{} // wakes the client's goroutine
 }
 
-// call is what of a request goes on to a server unchanged.
+// call is the part of a request that is forwarded to a server unchanged.
 type call struct {
-	method, target, host    string
-	requestID, key, content string  // headers
-	body                    []byte  // all of it, or its beginning
-	rest                    *upload // what follows; nil: nothing
+	method, target, host        string
+	requestID, key, contentType string  // X-Request-ID, Idempotency-Key and Content-Type headers
+	body                        []byte  // the whole body, or its beginning
+	bodyRest                    *upload // the remainder of the body; nil: none
 }
 
-// attempt is one PassOn.
+// attempt is the execution of one PassOn action.
 type attempt struct {
-	req    *request
-	try    int
-	host   *host
-	stopAt time.Time
-	sentAt time.Time
-
-	// Under the node's mutex:
-	taken  bool // the client's goroutine carries it out
-	over   bool // it has its Outcome
-	conn   *conn
-	cancel context.CancelFunc // ends a connect
+	req      *request
+	number   int
+	host     *host
+	deadline time.Time
+	sentAt   time.Time
+
+	// The following fields are guarded by the node's mutex.
+	started bool // the client's goroutine carries it out
+	ended   bool // its Outcome has been reported
+	conn    *conn
+	cancel  context.CancelFunc // cancels connecting
 }
 
 // answer is the final answer to a client.
 type answer struct {
-	status     int
-	body       []byte
-	content    string // content type
-	retryAfter float64
-
-	stream  *answerStream // nil: body is all
-	at      *attempt      // that it is of
-	load    limiter.Load
-	spentMs float64 // until it began
+	status       int
+	body         []byte
+	contentType  string // value of Content-Type
+	retryAfterMs float64
+
+	stream    *answerStream // nil: body is the complete answer
+	att       *attempt      // the attempt that produced the stream
+	load      limiter.Load
+	elapsedMs float64 // ms until the first byte
 }
 
-// gone stands for the answer that nobody waits for any more.
-var gone = &answer{}
+// clientGone takes the place of the answer when the client has disconnected.
+var clientGone = &answer{}
 
 // New returns a Node that listens but does not serve yet.
 func New(cfg *Config, logger *slog.Logger) (*Node, error) {
@@ -145,47 +144,47 @@
 	now := time.Now()
 	n := &Node{
 		cfg: cfg, log: logger, limiter: limiter, requests: map[string]*request{},
-		badInput: &boundedLog{to: logger}, discoveryLog: &boundedLog{to: logger}, unrouted: &boundedLog{to: logger}, advised: &boundedLog{to: logger}, labels: map[string]*LabelCount{},
+		badInputLog: &boundedLog{to: logger}, discoveryLog: &boundedLog{to: logger}, unroutedLog: &boundedLog{to: logger}, pluginRefusalLog: &boundedLog{to: logger}, labels: map[string]*LabelCount{},
 		start: now, startMs: float64(wall.Now().UnixMicro()) / 1000,
-		counters: newCounters(logger), totals: totals{classes: map[string]*ends{}}, changed: make(chan struct{}, 1),
-		begun: make(chan struct{}), reload: make(chan struct{}, 1), discovery: make(chan string),
+		counters: newCounters(logger), totals: totals{classes: map[string]*endCounts{}}, phaseChanged: make(chan struct{}, 1),
+		started: make(chan struct{}), reloadRequests: make(chan struct{}, 1), discoveryAddrs: make(chan string),
 	}
 	upstream, clients := socketBudget(cfg.Limits.Sockets)
-	n.servers = newPool(upstream, cfg.Settings.ConnTimeout, cfg.Settings.ConnIdle/2)
+	n.servers = newServerPool(upstream, cfg.Settings.ConnTimeout, cfg.Settings.ConnIdle/2)
 	n.servers.counters = n.counters
 	n.conns = newClientConns(clients)
-	n.version.Store(n.newVersion(cfg.Settings, cfg.Routes))
+	n.revision.Store(n.newRevision(cfg.Settings, cfg.Routes))
 	for _, s := range cfg.Sources {
-		n.sources = append(n.sources, &source{Source: s, hosts: map[string]serverItem{}, hold: watchWait, turned: func() {}})
+		n.sources = append(n.sources, &source{Source: s, hosts: map[string]serverItem{}, hold: watchHold, restart: func() {}})
 	}
-	n.short = &hooks{whole: func() time.Time { n.totals.tries.Add(1); return time.Time{} }}
-	n.holdBodies(1)
+	n.shortHooks = &hooks{requestWritten: func() time.Time { n.totals.attempts.Add(1); return time.Time{} }}
+	n.setHeldBodyLimit(1)
 	if err := n.listenAdmin(); err != nil {
 		return nil, err
 	}
 	if n.upgrade != nil {
 		_, err := os.Lstat(n.notePath())
-		n.joins = err == nil
+		n.takesOver = err == nil
 	}
-	if !n.joins {
+	if !n.takesOver {
 		if err := n.listen(); err != nil {
 			return nil, err
 		}
 	}
-	n.web = n.newServer(log.New(n.badInput, "", 0))
+	n.httpServer = n.newServer(log.New(n.badInputLog, "", 0))
 	return n, nil
 }
 
 // listen opens the sockets for clients and peers.
 func (n *Node) listen() error {
-	control := boundBuffer
+	control := limitReceiveBuffer
 	if n.upgrade != nil {
 		control = func(network, address string, raw syscall.RawConn) error {
-			return errors.Join(boundBuffer(network, address, raw), sharedAddress(network, address, raw))
+			return errors.Join(limitReceiveBuffer(network, address, raw), reusePort(network, address, raw))
 		}
 	}
 	listen := net.ListenConfig{Control: control}
-	listen.SetMultipathTCP(false) // no client asks for it, and its sockets can't be steered
+	listen.SetMultipathTCP(false) // no client asks for it, and its sockets take no reuse-port program
 	for _, addr := range append([]string{n.cfg.Listen}, n.cfg.AlsoListen...) {
 		ln, err := listen.Listen(context.Background(), "tcp", addr)
 		if err != nil {
@@ -207,7 +206,7 @@
 	return nil
 }
 
-// Addr is where the node takes requests, the first of its addresses.
+// Addr returns the first address on which the node accepts requests.
 func (n *Node) Addr() net.Addr { return n.listeners[0].Addr() }
 
 func (n *Node) closeListeners() {
@@ -222,7 +221,7 @@
 	}
 }
 
-// Run serves until the context ends, then finishes what it has taken.
+// Run serves until the context ends, then completes the requests in progress.
 func (n *Node) Run(ctx context.Context) error {
 	background, stop := context.WithCancel(context.Background())
 	var tasks sync.WaitGroup
@@ -231,49 +230,49 @@
 	var replaced chan struct{}
 	if n.admin != nil {
 		replaced = n.upgrade.replaced
-		defer close(n.upgrade.over)
+		defer close(n.upgrade.runEnded)
 		tasks.Go(func() { n.admin.Run(background) })
-		tasks.Go(func() { n.sendAway(background) })
+		tasks.Go(func() { n.closeUnusedConns(background) })
 	}
-	var before *predecessor
+	var old *predecessor
 	var state *handover.State
-	if n.joins {
+	if n.takesOver {
 		var err error
-		if before, state, err = n.succeed(ctx); err != nil {
+		if old, state, err = n.takeOver(ctx); err != nil {
 			return err
 		}
 	}
 	if state != nil {
-		n.shrink(handover.Sockets(n.cfg.Limits.Sockets, state.Sockets, leastSockets))
-		n.begin(state)
+		n.reduceLimits(handover.Sockets(n.cfg.Limits.Sockets, state.Sockets, minSockets))
+		n.restoreState(state)
 	} else {
-		n.take(limiter.Persisted, n.cfg.Known)
+		n.applyList(limiter.Persisted, n.cfg.InitialServers)
 	}
-	if n.recalled != nil {
-		n.dispatch(limiter.Recall{Memory: n.recalled})
-		n.recalled = nil
+	if n.initialMemory != nil {
+		n.dispatch(limiter.Recall{Memory: n.initialMemory})
+		n.initialMemory = nil
 	}
-	close(n.begun)
-	if n.cfg.Discovery != "" { // else the list is fixed
-		tasks.Go(func() { n.follow(background) })
-		tasks.Go(func() { n.reloads(background) })
+	close(n.started)
+	if n.cfg.Discovery != "" { // otherwise the server list is fixed
+		tasks.Go(func() { n.followDiscovery(background) })
+		tasks.Go(func() { n.handleReloads(background) })
 	}
 	for _, s := range n.sources {
 		tasks.Go(func() { n.watchSource(background, s) })
 	}
 	tasks.Go(func() { n.servers.sweep(background) })
 	if n.counters != nil {
-		tasks.Go(func() { n.count(background) })
+		tasks.Go(func() { n.logCounters(background) })
 	}
 	if n.peers != nil {
 		tasks.Go(n.sendPeers)
-		tasks.Go(n.hearPeers)
+		tasks.Go(n.receivePeers)
 	}
 	served := make(chan error, len(n.listeners))
 	for _, ln := range n.listeners {
-		go func() { served <- n.web.Serve(framedListener{ln}) }()
+		go func() { served <- n.httpServer.Serve(framedListener{ln}) }()
 	}
-	n.live(func(l *lifecycle.Life) error {
+	n.updateLife(func(l *lifecycle.Life) error {
 		l.Taking(time.Now())
 		if state != nil && state.Drained {
 			return l.Drain(time.Now())
@@ -284,26 +283,26 @@
 		n.writeNote()
 		defer n.removeNote()
 	}
-	if before != nil {
-		fmt.Fprintln(before, takenLine)
-		tasks.Go(func() { n.awaitEnd(background, before) })
+	if old != nil {
+		fmt.Fprintln(old, takenLine)
+		tasks.Go(func() { n.awaitPredecessorExit(background, old) })
 	}
 	var err error
 	select {
 	case <-replaced:
-		err = n.finishUp()
+		err = n.shutDown()
 	case err = <-served:
 	case <-ctx.Done():
-		err = n.finishUp()
+		err = n.shutDown()
 	}
 	n.mu.Lock()
 	n.closed = true
 	n.mu.Unlock()
 	if n.peers != nil {
 		n.peers.conn.Close()
-		close(n.peers.queue) // nothing is told any more: closed is set
+		close(n.peers.queue) // nothing is sent any more, as closed is set
 	}
-	n.web.Close()
+	n.httpServer.Close()
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serving clients: %w", err)
 	}
@@ -311,117 +310,116 @@
 }
 
 const (
-	drainStep  = 10 * time.Millisecond  // between two looks at connections that are to end
-	closeSlack = 100 * time.Millisecond // in which the last answers are written
+	drainPollInterval = 10 * time.Millisecond  // interval of checks for open connections while stopping
+	closeGrace        = 100 * time.Millisecond // time for writing the last answers
 )
 
-// finishUp ends the service without losing a request. Connections are accepted for a while: closing the
-// listener at once would reset what is on its way to it.
-func (n *Node) finishUp() error {
-	begun := time.Now()
-	n.live(func(l *lifecycle.Life) error { l.Stop(begun, n.version.Load().settings.Longest); return nil })
+// shutDown ends the service without losing a request. Connections are still accepted for a while: closing the
+// listener at once would reset connections that are being established.
+func (n *Node) shutDown() error {
+	began := time.Now()
+	n.updateLife(func(l *lifecycle.Life) error { l.Stop(began, n.revision.Load().settings.MaxDeadline); return nil })
 	n.mu.Lock()
 	stopBy := n.life.StopBy()
 	n.mu.Unlock()
 	n.log.Info("stopping")
-	time.Sleep(lifecycle.KeepAccepting) // answers say Connection: close by now
+	time.Sleep(lifecycle.KeepAccepting) // answers carry Connection: close from now on
 	expire := time.AfterFunc(time.Until(stopBy), n.expire)
 	defer expire.Stop()
 	for _, ln := range n.listeners {
 		ln.Close()
 	}
-	if open := n.drainConns(stopBy.Add(closeSlack)); open > 0 {
+	if open := n.drainConns(stopBy.Add(closeGrace)); open > 0 {
 		n.log.Warn("stopped with connections open", "open", open)
 	}
-	n.log.Info("stopped", "after", time.Since(begun).Round(time.Millisecond).String(), "admitted_after_handover", n.late())
+	n.log.Info("stopped", "after", time.Since(began).Round(time.Millisecond).String(), "admitted_after_handover", n.lateRequests())
 	return nil
 }
 
-// drainConns ends clients' connections as they come to stand between two requests, and returns how many are open
-// when there is none left or time is up. It is not http.Server.Shutdown's work, which closes a connection under a
-// request that is being read: that would run without an answer.
+// drainConns closes clients' connections as they become idle, and returns how many are open when none is left
+// or time is up. It replaces http.Server.Shutdown, which may close a connection while a request on it is being
+// read; that request would be processed without an answer.
 func (n *Node) drainConns(until time.Time) (open int) {
 	for {
-		n.conns.dropUnused(0, 0)
-		if open = n.conns.count(); open == 0 || !time.Now().Before(until) {
+		n.conns.endUnused(0, 0)
+		if open = n.conns.openCount(); open == 0 || !time.Now().Before(until) {
 			return open
 		}
-		time.Sleep(drainStep)
+		time.Sleep(drainPollInterval)
 	}
 }
 
-// now is the module's clock: Unix milliseconds at the start, from there on the
-// monotonic clock, so that a server's born_ms is on the same clock.
+// now is the module's clock: the Unix time at the start in ms, advanced by the monotonic clock, so that a
+// server's born_ms is on the same clock.
 func (n *Node) now() float64 { return n.startMs + float64(time.Since(n.start).Microseconds())/1000 }
 
-// dispatch gives the module an event and carries out what it asks for.
+// dispatch passes an event to the module and executes the resulting actions.
 func (n *Node) dispatch(ev limiter.Event) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.handle(ev)
 }
 
-// handle is dispatch under the mutex. Events that actions bring about queue up
-// behind: Handle is never entered again while its actions are carried out, as
-// they are valid until its next call.
+// handle is dispatch for callers that hold the mutex. Events caused by actions are queued: Handle must not be
+// called again while its actions are being executed, as they are only valid until the next call.
 func (n *Node) handle(ev limiter.Event) {
 	if n.closed {
 		return
 	}
 	n.queue = append(n.queue, ev)
-	n.work()
+	n.processQueue()
 }
 
-// work gives the module the events that wait.
-func (n *Node) work() {
+// processQueue passes the queued events to the module.
+func (n *Node) processQueue() {
 	for i := 0; i < len(n.queue); i++ {
-		n.counters.event(n.queue[i])
+		n.counters.countEvent(n.queue[i])
 		for _, a := range n.limiter.Handle(n.now(), n.queue[i]) {
-			n.counters.action(a)
-			n.do(a)
+			n.counters.countAction(a)
+			n.execute(a)
 		}
 	}
 	clear(n.queue)
 	n.queue = n.queue[:0]
 }
 
-// do carries out one action. Nothing in it blocks.
-func (n *Node) do(a limiter.Action) {
+// execute carries out one action. It does not block.
+func (n *Node) execute(a limiter.Action) {
 	switch a := a.(type) {
 	case limiter.PassOn:
 		n.passOn(a)
 	case limiter.Grant:
-		if n.asked != nil {
-			n.asked.granted = true
+		if n.pendingAsk != nil {
+			n.pendingAsk.granted = true
 		}
 	case limiter.Refuse:
-		if n.asked != nil && a.ID == askID {
-			n.asked.wait = millis(cmp.Or(a.WaitMs, fullAdvice))
+		if n.pendingAsk != nil && a.ID == askID {
+			n.pendingAsk.wait = millis(cmp.Or(a.WaitMs, fullRetryAfterMs))
 			return
 		}
-		// With no advice of the module's a client would be back at once.
-		n.conclude(a.ID, &answer{status: http.StatusTooManyRequests, retryAfter: cmp.Or(a.WaitMs, fullAdvice)})
+		// Without a wait time from the module the client would retry at once.
+		n.setFinalAnswer(a.ID, &answer{status: http.StatusTooManyRequests, retryAfterMs: cmp.Or(a.WaitMs, fullRetryAfterMs)})
 	case limiter.Fail:
-		n.conclude(a.ID, &answer{status: http.StatusBadGateway})
+		n.setFinalAnswer(a.ID, &answer{status: http.StatusBadGateway})
 	case limiter.AbortAttempt:
-		if r := n.requests[a.ID]; r != nil && r.out != nil && r.out.try == a.Try {
-			n.giveUp(r.out)
+		if r := n.requests[a.ID]; r != nil && r.current != nil && r.current.number == a.Try {
+			n.cancelAttempt(r.current)
 		}
 	case limiter.Timer:
 		wait := millis(a.At - n.now())
 		time.AfterFunc(max(0, wait), func() { n.dispatch(limiter.Alarm{Handle: a.Handle}) })
 	case limiter.Probe:
-		if !n.silent() {
-			n.want(a.Server)
+		if !n.handedOver() {
+			n.requestProbe(a.Server)
 		}
 	case limiter.Tell:
-		if n.peers != nil && !n.silent() {
-			n.peers.tell(a.To, a.Data)
+		if n.peers != nil && !n.handedOver() {
+			n.peers.send(a.To, a.Data)
 		}
 	case limiter.Log:
 		n.log.Info(a.Line)
 	case limiter.Listen, limiter.QueryAll:
-		// The watch runs all the time and brings what these ask for.
+		// Nothing to do: discovery is watched all the time.
 	}
 }
 
@@ -431,64 +429,64 @@
 	if r == nil {
 		return
 	}
-	at := &attempt{req: r, try: r.tries, sentAt: time.Now(), stopAt: r.stopAt}
-	r.tries++
+	att := &attempt{req: r, number: r.attempts, sentAt: time.Now(), deadline: r.deadline}
+	r.attempts++
 	if a.CapMs != 0 {
-		if stop := at.sentAt.Add(millis(a.CapMs)); stop.Before(at.stopAt) {
-			at.stopAt = stop
+		if stop := att.sentAt.Add(millis(a.CapMs)); stop.Before(att.deadline) {
+			att.deadline = stop
 		}
 	}
-	at.host = n.servers.host(a.Server)
-	most := n.version.Load().settings.Module.Caps.Attempts
+	att.host = n.servers.host(a.Server)
+	maxAttempts := n.revision.Load().settings.Module.Caps.Attempts
 	switch {
-	case r.final != nil, !at.sentAt.Before(r.stopAt), most > 0 && at.try >= most:
-		n.outcome(at, a.Server, limiter.StaleSend)
-	case at.host == nil, r.out != nil && !r.out.over: // servers that the list has, one at a time
-		n.outcome(at, a.Server, limiter.NoRoute)
+	case r.finalAnswer != nil, !att.sentAt.Before(r.deadline), maxAttempts > 0 && att.number >= maxAttempts:
+		n.queueOutcome(att, a.Server, limiter.StaleSend)
+	case att.host == nil, r.current != nil && !r.current.ended: // the server has to be listed and no other attempt running
+		n.queueOutcome(att, a.Server, limiter.NoRoute)
 	default:
-		// An attempt that was given up may still hold the client's goroutine, which
-		// closes its connection before it takes this one. Guards against turning
-		// down what the module sends on as soon as it hears of an Undone.
-		r.out = at
+		// A cancelled attempt may still occupy the client's goroutine, which closes that connection before it
+		// starts this one. This makes it possible to accept a PassOn that the module issues in response to
+		// Undone.
+		r.current = att
 		r.wake()
 	}
 }
 
-// outcome queues the one Outcome of an attempt that no answer ended.
-func (n *Node) outcome(at *attempt, server uint64, result limiter.Result) {
-	at.over = true
-	at.req.last = result
-	n.queue = append(n.queue, limiter.Outcome{ID: at.req.id, Try: at.try, Server: server, Result: result,
-		SpentMs: msSince(at.sentAt), Done: at.req.final != nil, Load: noLoad})
+// queueOutcome queues the Outcome of an attempt that ended without an answer.
+func (n *Node) queueOutcome(att *attempt, server uint64, result limiter.Result) {
+	att.ended = true
+	att.req.lastResult = result
+	n.queue = append(n.queue, limiter.Outcome{ID: att.req.id, Try: att.number, Server: server, Result: result,
+		SpentMs: msSince(att.sentAt), Done: att.req.finalAnswer != nil, Load: noLoad})
 }
 
-// giveUp stops waiting for an attempt. Its connection is closed before the
-// client's goroutine can take up another one.
-func (n *Node) giveUp(at *attempt) {
-	if at.over {
+// cancelAttempt stops waiting for an attempt. Its connection is closed before the client's goroutine can start
+// another attempt.
+func (n *Node) cancelAttempt(att *attempt) {
+	if att.ended {
 		return
 	}
-	n.outcome(at, at.host.id, limiter.Undone)
-	if at.conn != nil {
-		at.conn.close()
+	n.queueOutcome(att, att.host.id, limiter.Undone)
+	if att.conn != nil {
+		att.conn.close()
 	}
-	if at.cancel != nil {
-		at.cancel()
+	if att.cancel != nil {
+		att.cancel()
 	}
 }
 
-// conclude sets the final answer of a request. The first one stands.
-func (n *Node) conclude(id string, a *answer) {
+// setFinalAnswer sets the final answer of a request, unless it already has one.
+func (n *Node) setFinalAnswer(id string, a *answer) {
 	r := n.requests[id]
-	if r == nil || r.final != nil {
+	if r == nil || r.finalAnswer != nil {
 		return
 	}
-	if a.status == http.StatusBadGateway && r.last == limiter.TooSlow {
+	if a.status == http.StatusBadGateway && r.lastResult == limiter.TooSlow {
 		a.status = http.StatusGatewayTimeout
 	}
-	r.final = a
-	if r.out != nil {
-		n.giveUp(r.out)
+	r.finalAnswer = a
+	if r.current != nil {
+		n.cancelAttempt(r.current)
 	}
 	r.wake()
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -186,7 +186,7 @@
 		change(cfg)
 	}
 	r := newRig(t, d, cfg)
-	if r.addr = cfg.Listen; !r.node.joins {
+	if r.addr = cfg.Listen; !r.node.takesOver {
 		r.addr = r.node.Addr().String()
 	}
 	r.run()
--- a/internal/node/operate.go
+++ b/internal/node/operate.go
@@ -10,7 +10,7 @@
 )
 
 // lookEvery is how often connections without a request are looked at while clients are sent away.
-const lookEvery = 50 * time.Millisecond
+const unusedPollInterval = 50 * time.Millisecond
 
 // listenAdmin opens the operators' address, if there is one.
 func (n *Node) listenAdmin() (err error) {
@@ -42,7 +42,7 @@
 }
 
 // live changes the life of this process, and has what follows from that carried out.
-func (n *Node) live(change func(*lifecycle.Life) error) error {
+func (n *Node) updateLife(change func(*lifecycle.Life) error) error {
 	n.mu.Lock()
 	before := n.life.Phase()
 	err := change(&n.life)
@@ -52,7 +52,7 @@
 	if phase != before {
 		n.log.Info("phase", "is", phase.String(), "was", before.String())
 		select {
-		case n.changed <- struct{}{}:
+		case n.phaseChanged <- struct{}{}:
 		default:
 		}
 	}
@@ -69,8 +69,8 @@
 }
 
 func (n *Node) answerFigures([]string) (string, error) {
-	line, err := n.Figures().line()
-	return line + "END\n", err
+	jsonLine, err := n.Figures().jsonLine()
+	return jsonLine + "END\n", err
 }
 
 func (n *Node) answerDrain([]string) (string, error) { return admin.Yes, n.Drain() }
@@ -79,12 +79,12 @@
 
 // Drain sends clients away.
 func (n *Node) Drain() error {
-	return n.live(func(l *lifecycle.Life) error { return l.Drain(time.Now()) })
+	return n.updateLife(func(l *lifecycle.Life) error { return l.Drain(time.Now()) })
 }
 
 // Resume ends a drain.
 func (n *Node) Resume() error {
-	return n.live(func(l *lifecycle.Life) error { return l.Resume(time.Now()) })
+	return n.updateLife(func(l *lifecycle.Life) error { return l.Resume(time.Now()) })
 }
 
 // Phase is how far the life of this process is, and whether a front should send clients here.
@@ -99,38 +99,38 @@
 
 // sendAway closes connections without a request while the life says so, until the context
 // ends. It sleeps while the limiter serves.
-func (n *Node) sendAway(ctx context.Context) {
+func (n *Node) closeUnusedConns(ctx context.Context) {
 	for ctx.Err() == nil {
 		n.mu.Lock()
 		fresh, idle, bounded := n.life.Unused(time.Now())
-		away := n.life.Closing() && n.life.Phase() != lifecycle.Stopping // which has its own end
+		closing := n.life.Closing() && n.life.Phase() != lifecycle.Stopping // which has its own end
 		n.mu.Unlock()
-		if away && bounded {
-			n.conns.dropUnused(idle, fresh)
+		if closing && bounded {
+			n.conns.endUnused(idle, fresh)
 		}
-		var again <-chan time.Time
-		if away {
-			again = time.After(lookEvery)
+		var poll <-chan time.Time
+		if closing {
+			poll = time.After(unusedPollInterval)
 		}
 		select {
-		case <-n.changed:
-		case <-again:
+		case <-n.phaseChanged:
+		case <-poll:
 		case <-ctx.Done():
 		}
 	}
 }
 
 // silent tells that another process speaks for this limiter. The node's mutex is held.
-func (n *Node) silent() bool { return n.upgrade != nil && n.upgrade.frozen }
+func (n *Node) handedOver() bool { return n.upgrade != nil && n.upgrade.frozen }
 
 // late is how many requests this process has decided on after it handed its state over.
-func (n *Node) late() int {
+func (n *Node) lateRequests() int {
 	if n.upgrade == nil {
 		return 0
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.upgrade.late
+	return n.upgrade.lateRequests
 }
 
 // endBy is when something that may go on until t has to be over. The node's mutex is held.
@@ -142,4 +142,4 @@
 }
 
 // ended counts a request's one end.
-func (n *Node) ended(v *version, class, status int) { v.ends[class].add(status) }
+func (n *Node) countEnd(v *revision, class, status int) { v.endCounts[class].add(status) }
--- a/internal/node/operate_test.go
+++ b/internal/node/operate_test.go
@@ -167,7 +167,7 @@
 	until(t, "the silent connection is counted", func() bool {
 		r.node.conns.mu.Lock()
 		defer r.node.conns.mu.Unlock()
-		return r.node.conns.fresh.Len() == 1
+		return r.node.conns.neverUsed.Len() == 1
 	})
 	held, heldIn := r.dial()
 	if err := r.newRequest("send-bulk-paid", "enterprise", "").Write(held); err != nil {
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	maxDatagram = 256
-	tellQueue   = 256 // messages waiting to be written; more are dropped, as the network may
+	maxDatagram     = 256
+	sendQueueLength = 256 // messages waiting to be written; more are dropped, as the network may
 )
 
 // peerLink exchanges datagrams with the other limiters.
 type peerLink struct {
-	conn  *net.UDPConn
-	addrs []netip.AddrPort
-	all   netip.AddrPort
-	from  map[netip.AddrPort]int
-	queue chan datagram
+	conn      *net.UDPConn
+	addrs     []netip.AddrPort
+	broadcast netip.AddrPort
+	position  map[netip.AddrPort]int
+	queue     chan datagram
 }
 
 type datagram struct {
@@ -38,31 +38,31 @@
 	}
 	var listen net.ListenConfig
 	if shared {
-		listen.Control = sharedAddress
+		listen.Control = reusePort
 	}
 	conn, err := listen.ListenPacket(context.Background(), "udp", at.String())
 	if err != nil {
 		return nil, fmt.Errorf("listening to peers: %w", err)
 	}
-	p := &peerLink{conn: conn.(*net.UDPConn), addrs: cfg.Peers, all: cfg.PeersAll, from: map[netip.AddrPort]int{},
-		queue: make(chan datagram, tellQueue)}
+	p := &peerLink{conn: conn.(*net.UDPConn), addrs: cfg.Peers, broadcast: cfg.PeersAll, position: map[netip.AddrPort]int{},
+		queue: make(chan datagram, sendQueueLength)}
 	for i, a := range cfg.Peers {
 		if i != cfg.Settings.Module.Position {
-			p.from[a] = i
+			p.position[a] = i
 		}
 	}
 	return p, nil
 }
 
 // tell queues a message to one peer, or to all for -1. It never blocks.
-func (p *peerLink) tell(to int, data []byte) {
-	if to == -1 && !p.all.IsValid() { // no address reaches all of them
-		for _, i := range p.from {
-			p.tell(i, data)
+func (p *peerLink) send(to int, data []byte) {
+	if to == -1 && !p.broadcast.IsValid() { // no address reaches all of them
+		for _, i := range p.position {
+			p.send(i, data)
 		}
 		return
 	}
-	addr := p.all
+	addr := p.broadcast
 	if to >= 0 && to < len(p.addrs) {
 		addr = p.addrs[to]
 	}
@@ -79,13 +79,13 @@
 func (n *Node) sendPeers() {
 	for d := range n.peers.queue {
 		if _, err := n.peers.conn.WriteToUDPAddrPort(d.data, d.to); err != nil {
-			n.badInput.warn("could not write to a peer", "err", err)
+			n.badInputLog.warn("could not write to a peer", "err", err)
 		}
 	}
 }
 
 // hearPeers takes in messages until the link closes.
-func (n *Node) hearPeers() {
+func (n *Node) receivePeers() {
 	buf := make([]byte, maxDatagram+1)
 	for {
 		size, addr, err := n.peers.conn.ReadFromUDPAddrPort(buf)
@@ -93,13 +93,13 @@
 			return
 		}
 		if err != nil { // what a peer's machine sent back for a message to it
-			n.badInput.warn("could not read from a peer", "err", err)
-			time.Sleep(retryFirst)
+			n.badInputLog.warn("could not read from a peer", "err", err)
+			time.Sleep(retryMin)
 			continue
 		}
-		from, ok := n.peers.from[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
+		position, ok := n.peers.position[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
 		if !ok || size > maxDatagram {
-			n.badInput.warn("dropped a datagram", "from", addr, "bytes", size)
+			n.badInputLog.warn("dropped a datagram", "from", addr, "bytes", size)
 			continue
 		}
 		if size > 0 && buf[0] == grant.WordMagic {
@@ -108,6 +108,6 @@
 			}
 			continue
 		}
-		n.dispatch(limiter.PeerMessage{From: from, Data: buf[:size]}) // the module keeps no part of it
+		n.dispatch(limiter.PeerMessage{From: position, Data: buf[:size]}) // the module keeps no part of it
 	}
 }
--- a/internal/node/ports_test.go
+++ b/internal/node/ports_test.go
@@ -50,7 +50,7 @@
 		taken.Close()
 		t.Errorf("%s can be had by others", address)
 	}
-	shared := net.ListenConfig{Control: sharedAddress}
+	shared := net.ListenConfig{Control: reusePort}
 	limiter, err := shared.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		t.Fatalf("a limiter can't listen at %s: %v", address, err)
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -8,25 +8,25 @@
 )
 
 // readAheadMost is how much is read ahead of a client's further requests at most.
-const readAheadMost = 16 << 10
+const maxReadAhead = 16 << 10
 
 // readAhead goes on reading from a client's connection while its request is at work and a further one has
 // begun to come, so that the client is seen to leave: net/http looks for that with one byte, and looks no
 // more once that byte has come. All but begin's goroutine is the reader's.
 type readAhead struct {
-	leave context.CancelFunc // ends the context of the connection's requests
-	held  []byte             // read, and not passed on yet
-	done  chan struct{}      // closed when the goroutine has ended; nil: there is none
+	clientLeft context.CancelFunc // ends the context of the connection's requests
+	buffered   []byte             // read, and not passed on yet
+	done       chan struct{}      // closed when the goroutine has ended; nil: there is none
 }
 
 // watch gives the connection's requests a context that ends when the client leaves.
-func (a *readAhead) watch(ctx context.Context) context.Context {
-	ctx, a.leave = context.WithCancel(ctx)
+func (a *readAhead) withCancel(ctx context.Context) context.Context {
+	ctx, a.clientLeft = context.WithCancel(ctx)
 	return ctx
 }
 
 // begin reads ahead until it is interrupted, the client leaves or as much is held as may be.
-func (a *readAhead) begin(c net.Conn) {
+func (a *readAhead) start(c net.Conn) {
 	if a.done != nil {
 		return
 	}
@@ -35,14 +35,14 @@
 	go func() {
 		defer close(done)
 		piece := make([]byte, 1<<10)
-		for len(a.held) < readAheadMost {
+		for len(a.buffered) < maxReadAhead {
 			n, err := c.Read(piece)
-			a.held = append(a.held, piece[:n]...)
+			a.buffered = append(a.buffered, piece[:n]...)
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				return
 			}
 			if err != nil {
-				a.leave()
+				a.clientLeft()
 				return
 			}
 		}
@@ -55,7 +55,7 @@
 	if a.done == nil {
 		return false
 	}
-	c.SetReadDeadline(longPast)
+	c.SetReadDeadline(pastDeadline)
 	<-a.done
 	a.done = nil
 	return true
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -8,49 +8,49 @@
 
 // reloadMost is the longest pause between two readings of a file that can't be
 // used; the first is retryFirst.
-const reloadMost = time.Second
+const maxReloadRetry = time.Second
 
 // Reload has the configuration file read again. Of what it says, the address of
 // discovery takes effect; all else holds from the next start on.
 func (n *Node) Reload() {
 	select {
-	case n.reload <- struct{}{}:
+	case n.reloadRequests <- struct{}{}:
 	default: // one that waits reads the same file
 	}
 }
 
 // reloads carries out what Reload asks for, until the context ends. A file that
 // can't be used changes nothing: it may be half written, and is read again soon.
-func (n *Node) reloads(ctx context.Context) {
-	bad := &boundedLog{to: n.log}
-	pause, inFile := retryFirst, n.cfg.discoveryInFile
-	var again <-chan time.Time
+func (n *Node) handleReloads(ctx context.Context) {
+	errorLog := &boundedLog{to: n.log}
+	pause, inFile := retryMin, n.cfg.discoveryInFile
+	var retry <-chan time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.reload:
-			pause = retryFirst
-		case <-again:
+		case <-n.reloadRequests:
+			pause = retryMin
+		case <-retry:
 		}
-		again = nil
-		cfg, err := n.cfg.reread()
+		retry = nil
+		cfg, err := n.cfg.reload()
 		if err != nil {
-			bad.warn("kept the configuration: the new one can't be used", "err", err)
-			again = time.After(pause)
-			pause = min(2*pause, reloadMost)
+			errorLog.warn("kept the configuration: the new one can't be used", "err", err)
+			retry = time.After(pause)
+			pause = min(2*pause, maxReloadRetry)
 			continue
 		}
 		n.log.Info("read the configuration again", "discovery", cfg.Discovery)
 		if cfg.AdminAddr != n.cfg.AdminAddr {
-			bad.warn("a changed admin_addr needs a restart", "is", n.cfg.AdminAddr, "new", cfg.AdminAddr)
+			errorLog.warn("a changed admin_addr needs a restart", "is", n.cfg.AdminAddr, "new", cfg.AdminAddr)
 		}
 		if cfg.discoveryInFile == inFile {
 			continue // the watch goes on, also where NODE_DISCOVERY named its address
 		}
 		inFile = cfg.discoveryInFile
 		select {
-		case n.discovery <- cfg.Discovery:
+		case n.discoveryAddrs <- cfg.Discovery:
 		case <-ctx.Done():
 		}
 	}
@@ -59,16 +59,16 @@
 // reread reads the configuration as at the start, but for the address of
 // discovery: there a new file goes before the environment, which can't change
 // and still names the address of the start.
-func (c *Config) reread() (*Config, error) {
+func (c *Config) reload() (*Config, error) {
 	return loadFile(c.path, c.getenv, func(file, env string) string { return cmp.Or(file, env) })
 }
 
 // watches notes which agent the list is from by now.
-func (n *Node) watches(addr string) {
+func (n *Node) setListAgent(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.upgrade != nil {
-		n.upgrade.from = addr
+		n.upgrade.listAgent = addr
 		clear(n.upgrade.hosts) // until the whole list of the new one has come there is none to hand over
 	}
 }
@@ -76,19 +76,19 @@
 // follow watches discovery until the context ends, at one address after the
 // other. Guards against waiting on a watch at an address that is given up: it
 // would hold until its time is up, and its list is no longer the one that counts.
-func (n *Node) follow(ctx context.Context) {
-	at, index := n.cfg.Discovery, listIndex{n.cfg.Known.Seq, len(n.cfg.Known.Hosts) > 0}
+func (n *Node) followDiscovery(ctx context.Context) {
+	at, index := n.cfg.Discovery, listIndex{n.cfg.InitialServers.Seq, len(n.cfg.InitialServers.Hosts) > 0}
 	for ctx.Err() == nil {
 		watching, end := context.WithCancel(ctx)
 		ended := make(chan struct{})
 		go func() {
-			n.watch(watching, at, index, watchWait, n.takeList, func() {})
+			n.watchDiscovery(watching, at, index, watchHold, n.applyDiscoveryAnswer, func() {})
 			close(ended)
 		}()
 		select {
 		case <-ctx.Done():
-		case at = <-n.discovery:
-			n.watches(at)
+		case at = <-n.discoveryAddrs:
+			n.setListAgent(at)
 			index = listIndex{} // another one counts anew: ask for the whole list
 		}
 		end()
--- a/internal/node/remember.go
+++ b/internal/node/remember.go
@@ -3,7 +3,7 @@
 import "example.org/madderdrum/limiter"
 
 // Begun is closed once the module has its first list of servers and what was recalled.
-func (n *Node) Begun() <-chan struct{} { return n.begun }
+func (n *Node) Begun() <-chan struct{} { return n.started }
 
 // Remember returns what the module has learnt by now.
 func (n *Node) Remember() *limiter.Memory {
@@ -57,4 +57,4 @@
 
 // Recall has Run begin with what a limiter before this one has learnt, behind the list of
 // servers that is known and before the first request. It must be called before Run.
-func (n *Node) Recall(m *limiter.Memory) { n.recalled = m }
+func (n *Node) Recall(m *limiter.Memory) { n.initialMemory = m }
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -10,47 +10,47 @@
 )
 
 // errStale tells that another version of the configuration has come.
-var errStale = errors.New("the configuration has changed")
+var errConfigChanged = errors.New("the configuration has changed")
 
 // errInHand tells of an id that is in hand already: the module would leave the second
 // request without an answer.
-var errInHand = &badRequest{http.StatusConflict, "a request with this X-Request-ID is in hand"}
+var errDuplicateID = &requestError{http.StatusConflict, "a request with this X-Request-ID is in hand"}
 
 // submit hands a request, read by a version, to the module.
-func (n *Node) submit(r *request, ev limiter.Submit, v *version) error {
+func (n *Node) submit(r *request, ev limiter.Submit, v *revision) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.version.Load() != v {
-		return errStale
+	if n.revision.Load() != v {
+		return errConfigChanged
 	}
 	if n.requests[r.id] != nil {
-		return errInHand
+		return errDuplicateID
 	}
 	n.requests[r.id] = r
-	r.stopAt = n.endBy(r.stopAt)
-	if n.silent() {
-		n.upgrade.late++
+	r.deadline = n.endBy(r.deadline)
+	if n.handedOver() {
+		n.upgrade.lateRequests++
 	}
-	ev.ExpiresMs = float64(time.Until(r.stopAt)) / float64(time.Millisecond)
+	ev.ExpiresMs = float64(time.Until(r.deadline)) / float64(time.Millisecond)
 	n.handle(ev)
 	return nil
 }
 
 // next waits for what is to be done for a request: an attempt, or the answer.
-func (n *Node) next(r *request) (*attempt, *answer) {
+func (n *Node) nextStep(r *request) (*attempt, *answer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for {
-		if at := r.out; at != nil && !at.taken && !at.over {
-			at.taken = true
-			return at, nil
+		if att := r.current; att != nil && !att.started && !att.ended {
+			att.started = true
+			return att, nil
 		}
-		if r.final != nil {
-			return nil, r.final
+		if r.finalAnswer != nil {
+			return nil, r.finalAnswer
 		}
-		left := time.Until(r.stopAt)
+		left := time.Until(r.deadline)
 		if left <= 0 { // held to the end: the client is still owed an answer
-			n.conclude(r.id, &answer{status: http.StatusGatewayTimeout})
+			n.setFinalAnswer(r.id, &answer{status: http.StatusGatewayTimeout})
 			n.handle(limiter.Aborted{ID: r.id})
 			continue
 		}
@@ -80,56 +80,56 @@
 
 // finish reports how an attempt ended. Of one that was given up meanwhile the
 // module has heard already.
-func (n *Node) finish(at *attempt, rep reply) {
+func (n *Node) finishAttempt(att *attempt, rep reply) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r := at.req
-	if r.out == at {
-		r.out = nil
+	r := att.req
+	if r.current == att {
+		r.current = nil
 	}
-	if at.over {
+	if att.ended {
 		if rep.stream != nil {
 			rep.stream.conn.close()
 		}
 		return
 	}
 	if rep.stream != nil {
-		r.out, at.conn = at, rep.stream.conn
-		r.final = &answer{status: http.StatusOK, content: rep.content, stream: rep.stream, at: at, load: rep.load, spentMs: msSince(at.sentAt)}
-		n.handle(limiter.FirstByte{ID: r.id, Try: at.try})
+		r.current, att.conn = att, rep.stream.conn
+		r.finalAnswer = &answer{status: http.StatusOK, contentType: rep.contentType, stream: rep.stream, att: att, load: rep.load, elapsedMs: msSince(att.sentAt)}
+		n.handle(limiter.FirstByte{ID: r.id, Try: att.number})
 		return
 	}
-	at.over = true
-	r.last = rep.result
-	if r.rest != nil && r.rest.used() {
-		n.goesOn(at, true)
+	att.ended = true
+	r.lastResult = rep.result
+	if r.bodyRest != nil && r.bodyRest.consumed() {
+		n.reportProgress(att, true)
 	}
-	if rep.gone != nil && r.final == nil { // the client, before its request was whole
-		r.final = &answer{status: statusOf(rep.gone), body: []byte(rep.gone.Error() + "\n"), content: "text/plain; charset=utf-8"}
+	if rep.requestErr != nil && r.finalAnswer == nil { // the client, before its request was whole
+		r.finalAnswer = &answer{status: statusOf(rep.requestErr), body: []byte(rep.requestErr.Error() + "\n"), contentType: "text/plain; charset=utf-8"}
 	}
-	if rep.result == limiter.Pass && r.final == nil {
-		r.final = &answer{status: http.StatusOK, body: rep.body, content: rep.content}
+	if rep.result == limiter.Pass && r.finalAnswer == nil {
+		r.finalAnswer = &answer{status: http.StatusOK, body: rep.body, contentType: rep.contentType}
 	}
 	if n.cfg.Looks != nil && (rep.result == limiter.NoRoute || rep.result == limiter.Cut) {
-		n.cfg.Looks.Failed(at.host.id)
+		n.cfg.Looks.Failed(att.host.id)
 	}
-	n.handle(limiter.Outcome{ID: r.id, Try: at.try, Server: at.host.id, Result: rep.result,
-		SpentMs: cmp.Or(rep.spentMs, msSince(at.sentAt)), Done: r.final != nil, Load: rep.load})
+	n.handle(limiter.Outcome{ID: r.id, Try: att.number, Server: att.host.id, Result: rep.result,
+		SpentMs: cmp.Or(rep.elapsedMs, msSince(att.sentAt)), Done: r.finalAnswer != nil, Load: rep.load})
 }
 
 // abandon ends a request whose client is gone.
 func (n *Node) abandon(r *request) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if r.final != nil {
+	if r.finalAnswer != nil {
 		return
 	}
-	n.conclude(r.id, gone)
+	n.setFinalAnswer(r.id, clientGone)
 	n.handle(limiter.Aborted{ID: r.id})
 }
 
 // forget drops a request that has its answer.
-func (n *Node) forget(r *request) {
+func (n *Node) removeRequest(r *request) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.requests, r.id)
@@ -140,12 +140,12 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, r := range n.requests {
-		r.stopAt = n.life.StopBy()
-		if r.out != nil && r.out.conn != nil {
-			r.out.conn.SetDeadline(r.stopAt)
+		r.deadline = n.life.StopBy()
+		if r.current != nil && r.current.conn != nil {
+			r.current.conn.SetDeadline(r.deadline)
 		}
-		if r.out != nil && r.out.cancel != nil {
-			r.out.cancel()
+		if r.current != nil && r.current.cancel != nil {
+			r.current.cancel()
 		}
 	}
 }
--- a/internal/node/servers_test.go
+++ b/internal/node/servers_test.go
@@ -144,7 +144,7 @@
 func TestBodyTooLongOrShort(t *testing.T) {
 	t.Parallel()
 	for name, text := range map[string]string{
-		"long":  fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxStream+1) + strings.Repeat("x", 65537),
+		"long":  fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBodyBytes+1) + strings.Repeat("x", 65537),
 		"short": "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
 		"chunk": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
 		"none":  "HTTP/1.1 2",
@@ -203,8 +203,8 @@
 func TestExchangeKnowsWhetherTheLastByteWasWritten(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
-	p := newPool(8, patience, patience)
-	h := &host{id: 1, dial: srv.addr, up: true}
+	p := newServerPool(8, patience, patience)
+	h := &host{id: 1, dialAddr: srv.addr, accepting: true}
 	call := &call{method: "POST", target: "/api", host: "x", requestID: "r", body: []byte("body")}
 	connect := func() *conn {
 		c, err := p.connect(context.Background(), h)
@@ -215,7 +215,7 @@
 	}
 	c := connect()
 	c.Conn.(*net.TCPConn).CloseWrite()
-	if rep, end := c.exchange(call, time.Now().Add(patience), nil); rep.result != limiter.NoRoute || end != dead {
+	if rep, end := c.exchange(call, time.Now().Add(patience), nil); rep.result != limiter.NoRoute || end != connBroken {
 		t.Errorf("a write that failed gave %v", rep.result)
 	}
 	c = connect()
@@ -225,15 +225,15 @@
 		s.request()
 		s.Close()
 	}()
-	if rep, end := c.exchange(call, time.Now().Add(patience), nil); rep.result != limiter.Cut || end != dead {
+	if rep, end := c.exchange(call, time.Now().Add(patience), nil); rep.result != limiter.Cut || end != connBroken {
 		t.Errorf("a connection that broke after the request gave %v", rep.result)
 	}
 	c = connect()
-	if rep, end := c.exchange(call, time.Now().Add(20*time.Millisecond), nil); rep.result != limiter.TooSlow || end != finished {
+	if rep, end := c.exchange(call, time.Now().Add(20*time.Millisecond), nil); rep.result != limiter.TooSlow || end != connDiscard {
 		t.Errorf("silence gave %v", rep.result)
 	}
 	c = connect()
-	if rep, end := c.exchange(call, time.Now().Add(-time.Second), nil); rep.result != limiter.NoRoute || end == reusable {
+	if rep, end := c.exchange(call, time.Now().Add(-time.Second), nil); rep.result != limiter.NoRoute || end == connReusable {
 		t.Errorf("with no time left the request was written: %v", rep.result)
 	}
 }
@@ -252,9 +252,9 @@
 	until(t, "the second server is known", func() bool { return r.node.servers.host(ServerID("s-b")) != nil })
 	// Known to the pool is known to the module once the mutex is free.
 	r.node.mu.Lock()
-	r.node.do(limiter.AbortAttempt{ID: req.Header.Get("X-Request-ID"), Try: 0})
-	r.node.work()
-	r.node.do(limiter.AbortAttempt{ID: req.Header.Get("X-Request-ID"), Try: 0}) // again: no second Outcome
+	r.node.execute(limiter.AbortAttempt{ID: req.Header.Get("X-Request-ID"), Try: 0})
+	r.node.processQueue()
+	r.node.execute(limiter.AbortAttempt{ID: req.Header.Get("X-Request-ID"), Try: 0}) // again: no second Outcome
 	if len(r.node.queue) != 0 {
 		t.Errorf("queued %+v", r.node.queue)
 	}
@@ -279,12 +279,12 @@
 	n := r.node
 	h := n.servers.host(ServerID("s-1"))
 	at := &attempt{req: &request{call: call{method: "POST", target: "/api", host: "x", requestID: "r"}}, host: h,
-		stopAt: time.Now().Add(patience)}
+		deadline: time.Now().Add(patience)}
 	draining := server("s-1", srv.addr)
 	draining.Health = "draining"
 	r.discovery.set(draining)
-	until(t, "the drain is known", func() bool { return !n.servers.wanted(h) })
-	if rep := n.try(at); rep.result != limiter.NoRoute {
+	until(t, "the drain is known", func() bool { return !n.servers.accepts(h) })
+	if rep := n.runAttempt(at); rep.result != limiter.NoRoute {
 		t.Errorf("result %v", rep.result)
 	}
 	srv.accept().closed()
@@ -321,8 +321,8 @@
 func TestIdleConnections(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
-	p := newPool(2, patience, patience)
-	h := &host{id: 1, dial: srv.addr, up: true}
+	p := newServerPool(2, patience, patience)
+	h := &host{id: 1, dialAddr: srv.addr, accepting: true}
 	p.hosts[1] = h
 	var cs [2]*conn
 	for i := range cs {
@@ -332,12 +332,12 @@
 		}
 		cs[i] = c
 	}
-	if _, err := p.connect(context.Background(), h); err != errNoRoom {
+	if _, err := p.connect(context.Background(), h); err != errConnBudget {
 		t.Errorf("past the budget: %v", err)
 	}
 	p.put(cs[0])
 	p.put(cs[1])
-	if c := p.take(h); c != cs[1] {
+	if c := p.takeIdle(h); c != cs[1] {
 		t.Error("not the latest used")
 	}
 	p.put(cs[1])
@@ -346,12 +346,12 @@
 	} else {
 		c.close()
 	}
-	if len(h.idle) != 1 || h.idle[0] != cs[1] || p.open != 1 {
-		t.Errorf("%d idle, %d open", len(h.idle), p.open)
+	if len(h.idle) != 1 || h.idle[0] != cs[1] || p.openConns != 1 {
+		t.Errorf("%d idle, %d open", len(h.idle), p.openConns)
 	}
-	cs[1].idleAt = time.Now().Add(-2 * patience)
-	if c := p.take(h); c != nil || p.open != 0 {
-		t.Errorf("an old connection was taken, %d open", p.open)
+	cs[1].idleSince = time.Now().Add(-2 * patience)
+	if c := p.takeIdle(h); c != nil || p.openConns != 0 {
+		t.Errorf("an old connection was taken, %d open", p.openConns)
 	}
 }
 
@@ -584,7 +584,7 @@
 	r.discovery.set(server("s-old", srv.addr), server("s-new", srv.addr))
 	until(t, "the new server is known", func() bool { return r.node.servers.host(ServerID("s-new")) != nil })
 	c.closed()
-	if r.node.servers.wanted(old) {
+	if r.node.servers.accepts(old) {
 		t.Error("the old server is still sent something")
 	}
 	out = r.send(r.newRequest("send-bulk-paid", "enterprise", ""))
@@ -601,8 +601,8 @@
 func TestKeptPastTheDeadline(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
-	p := newPool(2, patience, patience)
-	h := &host{id: 1, dial: srv.addr, up: true}
+	p := newServerPool(2, patience, patience)
+	h := &host{id: 1, dialAddr: srv.addr, accepting: true}
 	p.hosts[1] = h
 	c, err := p.connect(context.Background(), h)
 	if err != nil {
@@ -610,7 +610,7 @@
 	}
 	c.SetDeadline(time.Now().Add(-time.Second))
 	p.put(c)
-	if p.take(h) != c {
+	if p.takeIdle(h) != c {
 		t.Error("a sound connection was closed")
 	}
 }
--- a/internal/node/soak_test.go
+++ b/internal/node/soak_test.go
@@ -19,7 +19,7 @@
 	})))
 	client := &http.Client{Timeout: patience}
 	defer client.CloseIdleConnections()
-	long := make([]byte, 4*maxBody)
+	long := make([]byte, 4*maxHeldBody)
 	round := func() {
 		for i := range 20 {
 			class, plan := "status-check", "enterprise"
--- a/internal/node/sources.go
+++ b/internal/node/sources.go
@@ -20,43 +20,43 @@
 type source struct {
 	Source
 	// Under the node's mutex:
-	hosts  map[string]serverItem // those that are gone are not in it
-	index  listIndex
-	hold   time.Duration // how long the agent may hold a call; 0: another limiter tells what it says
-	turned func()        // has hold looked at again
+	hosts   map[string]serverItem // those that are gone are not in it
+	index   listIndex
+	hold    time.Duration // how long the agent may hold a call; 0: another limiter tells what it says
+	restart func()        // has hold looked at again
 }
 
 // takeFrom takes in what an agent tells, or another limiter for it. A whole list says nothing
 // of the servers of others, so that the module is only ever told what changes.
-func (n *Node) takeFrom(s *source, l serverList, itself bool) {
+func (n *Node) applySourceList(s *source, list serverList, fromAgent bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if itself && (s.hold == 0 || !l.Whole && l.Seq < s.index.seq) {
+	if fromAgent && (s.hold == 0 || !list.Whole && list.Seq < s.index.seq) {
 		return // it came when another limiter's word counted already
 	}
-	s.index = listIndex{l.Seq, true}
-	if itself && n.cfg.Looks != nil {
-		hosts, err := json.Marshal(l.Hosts)
+	s.index = listIndex{list.Seq, true}
+	if fromAgent && n.cfg.Looks != nil {
+		hosts, err := json.Marshal(list.Hosts)
 		if err == nil {
-			n.cfg.Looks.Listed(s.Pool, l.Seq, l.Whole, hosts)
+			n.cfg.Looks.Listed(s.Pool, list.Seq, list.Whole, hosts)
 		}
 	}
-	news := serverList{Seq: l.Seq}
-	if l.Whole {
+	changes := serverList{Seq: list.Seq}
+	if list.Whole {
 		listed := map[string]bool{}
-		for _, item := range l.Hosts {
+		for _, item := range list.Hosts {
 			listed[s.Pool+"/"+item.Host] = true
 		}
 		for _, name := range slices.Sorted(maps.Keys(s.hosts)) {
 			if !listed[name] {
 				item := s.hosts[name]
 				item.Health = "gone"
-				news.Hosts = append(news.Hosts, item)
+				changes.Hosts = append(changes.Hosts, item)
 				delete(s.hosts, name)
 			}
 		}
 	}
-	for _, item := range l.Hosts {
+	for _, item := range list.Hosts {
 		if item.Host != "" { // of another pool a server of this name is another one
 			item.Host = s.Pool + "/" + item.Host
 		}
@@ -66,15 +66,15 @@
 		} else {
 			s.hosts[item.Host] = item
 		}
-		news.Hosts = append(news.Hosts, item)
+		changes.Hosts = append(changes.Hosts, item)
 	}
-	if len(news.Hosts) > 0 || l.Whole {
-		n.takeLocked(limiter.Partial, news)
+	if len(changes.Hosts) > 0 || list.Whole {
+		n.applyListLocked(limiter.Partial, changes)
 	}
 }
 
 // discovered are the servers that all agents have told of. The mutex is held.
-func (n *Node) discovered() (all []serverItem) {
+func (n *Node) discoveredServers() (all []serverItem) {
 	for _, s := range n.sources {
 		for _, name := range slices.Sorted(maps.Keys(s.hosts)) {
 			all = append(all, s.hosts[name])
--- a/internal/node/stream_test.go
+++ b/internal/node/stream_test.go
@@ -35,7 +35,7 @@
 // Bodies of every length and framing go on unchanged, once, whatever the pieces they come in.
 func TestBodiesGoOnUnchanged(t *testing.T) {
 	t.Parallel()
-	for _, size := range []int{0, 1, maxBody - 1, maxBody, maxBody + 1, 3<<20 + 7} {
+	for _, size := range []int{0, 1, maxHeldBody - 1, maxHeldBody, maxHeldBody + 1, 3<<20 + 7} {
 		for _, chunked := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d chunked %v", size, chunked), func(t *testing.T) {
 				t.Parallel()
@@ -69,7 +69,7 @@
 				if f := r.figures(); f.UpstreamTries != 1 || f.Handled["send-bulk-paid"].Passed != 1 {
 					t.Errorf("%+v", f)
 				}
-				if n := r.node.held.Load(); n != 0 {
+				if n := r.node.heldBytes.Load(); n != 0 {
 					t.Errorf("%d bytes are still held", n)
 				}
 			})
@@ -217,8 +217,8 @@
 		req.Body, req.ContentLength = nil, 0
 		var head bytes.Buffer
 		req.Write(&head)
-		io.WriteString(c, strings.Replace(head.String(), "Content-Length: 0\r\n", fmt.Sprintf("Content-Length: %d\r\n", 4*maxBody), 1))
-		c.Write(make([]byte, maxBody))
+		io.WriteString(c, strings.Replace(head.String(), "Content-Length: 0\r\n", fmt.Sprintf("Content-Length: %d\r\n", 4*maxHeldBody), 1))
+		c.Write(make([]byte, maxHeldBody))
 		return c, in
 	}
 	finish := func(name string, c net.Conn, in *bufio.Reader, want ...int) {
@@ -231,7 +231,7 @@
 		}
 		io.Copy(io.Discard, resp.Body)
 		// The rest is taken in, so that a client that writes first is not cut off.
-		if _, err := c.Write(make([]byte, 3*maxBody)); err != nil {
+		if _, err := c.Write(make([]byte, 3*maxHeldBody)); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -241,7 +241,7 @@
 		t.Fatal(err)
 	}
 	io.WriteString(s, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
-	c.Write(make([]byte, maxBody)) // so that the limiter looks
+	c.Write(make([]byte, maxHeldBody)) // so that the limiter looks
 	finish("turned away by the server", c, in, 503, 429)
 	// One beyond its quota is refused without an attempt. Two are within it, and a server
 	// that closes at once has not run them.
@@ -290,7 +290,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.CopyN(io.Discard, got.Body, 5*maxBody) // more than is held
+	io.CopyN(io.Discard, got.Body, 5*maxHeldBody) // more than is held
 	s.Close()
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil || resp.StatusCode == 200 {
@@ -361,20 +361,20 @@
 // A client that writes 64 kB a second is never given up, one that stalls or drips is.
 func TestPaceOfABody(t *testing.T) {
 	begun := time.Unix(1000, 0)
-	u := &upload{began: begun}
+	u := &upload{start: begun}
 	for now := begun; now.Before(begun.Add(10 * time.Minute)); now = now.Add(time.Second) {
-		if u.by(now).Before(now.Add(time.Second)) {
-			t.Fatalf("given up after %v with %d bytes", now.Sub(begun), u.got)
+		if u.readDeadline(now).Before(now.Add(time.Second)) {
+			t.Fatalf("given up after %v with %d bytes", now.Sub(begun), u.received)
 		}
-		u.got += 64000
+		u.received += 64000
 	}
-	u.got = 100 // and then nothing, or a byte now and then
-	if by := u.by(begun.Add(time.Second)); by.After(begun.Add(silentBody + time.Second)) {
-		t.Errorf("one that drips is waited for until %v", by.Sub(begun))
+	u.received = 100 // and then nothing, or a byte now and then
+	if readDeadline := u.readDeadline(begun.Add(time.Second)); readDeadline.After(begun.Add(bodyReadTimeout + time.Second)) {
+		t.Errorf("one that drips is waited for until %v", readDeadline.Sub(begun))
 	}
-	u.got = 1 << 30
-	if by := u.by(begun.Add(time.Minute)); by != begun.Add(time.Minute+silentBody) {
-		t.Errorf("one that stalls is waited for until %v", by.Sub(begun))
+	u.received = 1 << 30
+	if readDeadline := u.readDeadline(begun.Add(time.Minute)); readDeadline != begun.Add(time.Minute+bodyReadTimeout) {
+		t.Errorf("one that stalls is waited for until %v", readDeadline.Sub(begun))
 	}
 }
 
@@ -385,15 +385,15 @@
 	r := startWith(t, func(c *Config) { withAdmin(c); c.Limits.MemoryMB = 1 }, server("s-1", srv.addr)) // 256 KiB for bodies
 	var outs []<-chan result
 	for range 3 {
-		req := r.newRequest("send-bulk-paid", "enterprise", strings.Repeat("x", maxBody))
+		req := r.newRequest("send-bulk-paid", "enterprise", strings.Repeat("x", maxHeldBody))
 		outs = append(outs, r.send(req))
 	}
-	until(t, "three are held", func() bool { return r.node.held.Load() == 3*maxBody })
-	r.node.reserve(maxBody)
-	if status, _, h := r.do(r.newRequest("send-bulk-paid", "enterprise", strings.Repeat("x", maxBody))); status != 503 || h.Get("Retry-After") == "" {
+	until(t, "three are held", func() bool { return r.node.heldBytes.Load() == 3*maxHeldBody })
+	r.node.reserveBody(maxHeldBody)
+	if status, _, h := r.do(r.newRequest("send-bulk-paid", "enterprise", strings.Repeat("x", maxHeldBody))); status != 503 || h.Get("Retry-After") == "" {
 		t.Errorf("one more gets %d", status)
 	}
-	r.node.held.Add(-maxBody)
+	r.node.heldBytes.Add(-maxHeldBody)
 	for range outs {
 		c := srv.accept()
 		go func() { c.request(); c.answer("200 OK", "") }()
@@ -401,7 +401,7 @@
 	for _, out := range outs {
 		r.got(out)
 	}
-	until(t, "all is given back", func() bool { return r.node.held.Load() == 0 })
+	until(t, "all is given back", func() bool { return r.node.heldBytes.Load() == 0 })
 }
 
 // An answer given without the body of a request arrives whole, also at a client that has said
@@ -409,10 +409,10 @@
 func TestAnswersWithoutTheBodyAreNotReset(t *testing.T) {
 	t.Parallel()
 	r := startWith(t, func(c *Config) { withAdmin(c); c.Limits.MemoryMB = 1 }, server("s-1", newRawServer(t).addr))
-	r.node.reserve(4 * maxBody)
+	r.node.reserveBody(4 * maxHeldBody)
 	for class, status := range map[string]int{"send-bulk-paid": 503, "no such class": 400} {
 		c, in := r.dial()
-		req := r.newRequest("send-bulk-paid", "enterprise", strings.Repeat("x", maxBody))
+		req := r.newRequest("send-bulk-paid", "enterprise", strings.Repeat("x", maxHeldBody))
 		req.Header.Set("X-Priority-Class", class)
 		req.Close = true
 		var text bytes.Buffer
@@ -468,8 +468,8 @@
 		req.Body, req.ContentLength = nil, 0
 		var head bytes.Buffer
 		req.Write(&head)
-		io.WriteString(c, strings.Replace(head.String(), "Content-Length: 0\r\n", fmt.Sprintf("Content-Length: %d\r\n", 4*maxBody), 1))
-		c.Write(make([]byte, maxBody))
+		io.WriteString(c, strings.Replace(head.String(), "Content-Length: 0\r\n", fmt.Sprintf("Content-Length: %d\r\n", 4*maxHeldBody), 1))
+		c.Write(make([]byte, maxHeldBody))
 		s := srv.accept()
 		if _, err := s.in.Peek(1); err != nil {
 			t.Fatal(err)
--- a/internal/node/succeed.go
+++ b/internal/node/succeed.go
@@ -32,7 +32,7 @@
 // findPredecessor asks the process that a note tells of whether it hands over. With nil this
 // process starts fresh.
 func (n *Node) findPredecessor(ctx context.Context) *predecessor {
-	ctx, cancel := context.WithTimeout(ctx, succeedWithin)
+	ctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		note, err := n.readNote()
@@ -42,34 +42,34 @@
 			}
 			return nil
 		}
-		p, err := callOld(ctx, note)
+		p, err := dialPredecessor(ctx, note)
 		if err == nil {
 			return p
 		}
-		if !errors.Is(err, errTakenOver) {
+		if !errors.Is(err, errTakeoverInProgress) {
 			n.log.Info("starts fresh: no process hands over", "note", n.notePath(), "err", err)
 			return nil
 		}
-		sleep(ctx, askAgain)
+		sleep(ctx, takeoverRetry)
 	}
-	n.log.Warn("starts fresh: another process is still taking over", "after", succeedWithin.String())
+	n.log.Warn("starts fresh: another process is still taking over", "after", takeoverTimeout.String())
 	return nil
 }
 
 // callOld asks the process of a note whether it hands over.
-func callOld(ctx context.Context, note handover.Note) (*predecessor, error) {
-	c, err := (&net.Dialer{Timeout: dialWithin}).DialContext(ctx, "tcp", note.Admin)
+func dialPredecessor(ctx context.Context, note handover.Note) (*predecessor, error) {
+	c, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", note.Admin)
 	if err != nil {
 		return nil, err
 	}
-	by, _ := ctx.Deadline()
-	c.SetDeadline(by)
+	deadline, _ := ctx.Deadline()
+	c.SetDeadline(deadline)
 	p := &predecessor{c, bufio.NewReader(c)}
 	fmt.Fprintf(c, "%s %s\n", handoverCall, note.Token)
 	line, err := p.line()
 	if err == nil && line != "YES" {
-		if err = fmt.Errorf("it says %.80q", line); strings.HasSuffix(line, errTakenOver.Error()) {
-			err = errTakenOver
+		if err = fmt.Errorf("it says %.80q", line); strings.HasSuffix(line, errTakeoverInProgress.Error()) {
+			err = errTakeoverInProgress
 		}
 	}
 	if err != nil {
@@ -80,8 +80,8 @@
 }
 
 // take takes the state over. Before this call the old process decides, from it on this one.
-func (p *predecessor) take(who handover.Who) (*handover.State, error) {
-	asked := time.Now()
+func (p *predecessor) receiveState(who handover.Who) (*handover.State, error) {
+	requestedAt := time.Now()
 	if _, err := fmt.Fprintln(p, takeLine); err != nil {
 		return nil, err
 	}
@@ -97,12 +97,12 @@
 	if _, err := io.ReadFull(p.in, data); err != nil {
 		return nil, fmt.Errorf("reading the state: %w", err)
 	}
-	return handover.Decode(head, data, who, time.Since(asked))
+	return handover.Decode(head, data, who, time.Since(requestedAt))
 }
 
 // succeed takes over from a process before this one, if one is there: it opens this limiter's
 // sockets, which the old one still uses, and has the module begin with its state.
-func (n *Node) succeed(ctx context.Context) (*predecessor, *handover.State, error) {
+func (n *Node) takeOver(ctx context.Context) (*predecessor, *handover.State, error) {
 	p := n.findPredecessor(ctx)
 	if err := n.listen(); err != nil {
 		if p != nil {
@@ -113,10 +113,10 @@
 	if p == nil {
 		return nil, nil, nil
 	}
-	if err := n.steer(); err != nil {
+	if err := n.steerConnections(); err != nil {
 		n.log.Warn("new connections still reach the process before", "err", err)
 	}
-	s, err := p.take(n.upgrade.who)
+	s, err := p.receiveState(n.upgrade.identity)
 	if err != nil {
 		p.Close()
 		n.log.Warn("starts fresh: the process before did not hand over", "err", err)
@@ -128,7 +128,7 @@
 // steer has new connections come to this process's sockets alone. Of the sockets at one
 // address the system lets a program choose: one instruction that names the second one, which
 // is this one until the first is gone, and then no socket's number, which counts as no choice.
-func (n *Node) steer() error {
+func (n *Node) steerConnections() error {
 	prog := [1]unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 1}}
 	for _, ln := range n.listeners {
 		raw, err := ln.(*net.TCPListener).SyscallConn()
@@ -149,32 +149,32 @@
 }
 
 // begin has the module begin with a state.
-func (n *Node) begin(s *handover.State) {
-	known := n.cfg.Known
+func (n *Node) restoreState(s *handover.State) {
+	known := n.cfg.InitialServers
 	if list := s.ListOf(n.cfg.Discovery); len(list) > 0 {
 		var l serverList
 		if err := json.Unmarshal(list, &l); err != nil {
-			n.badInput.warn("the list that was handed over can't be read", "err", err)
+			n.badInputLog.warn("the list that was handed over can't be read", "err", err)
 		} else {
 			known = l
-			n.cfg.Known = l // the watch goes on from there
+			n.cfg.InitialServers = l // the watch goes on from there
 		}
 	}
-	n.take(limiter.Persisted, known)
+	n.applyList(limiter.Persisted, known)
 	n.dispatch(limiter.Recall{Memory: s.Memory})
 	n.log.Info("took over from the process before", "accounts", len(s.Memory.Handover.Accounts), "servers", len(known.Hosts),
 		"drained", s.Drained, "its_descriptors", s.Sockets)
 }
 
 // awaitEnd waits until the process before has gone.
-func (n *Node) awaitEnd(ctx context.Context, p *predecessor) {
+func (n *Node) awaitPredecessorExit(ctx context.Context, p *predecessor) {
 	stop := context.AfterFunc(ctx, func() { p.Close() })
 	defer stop()
 	p.SetDeadline(time.Time{})
 	io.Copy(io.Discard, p.in)
 	p.Close()
 	if ctx.Err() == nil {
-		n.grow()
+		n.restoreLimits()
 		n.log.Info("the process before has ended")
 	}
 }
--- a/internal/node/upgrade_test.go
+++ b/internal/node/upgrade_test.go
@@ -222,7 +222,7 @@
 		}
 		defer conn.Close()
 	}
-	until(t, "all new connections come to the new process", func() bool { return n.node.conns.count() == 20 })
+	until(t, "all new connections come to the new process", func() bool { return n.node.conns.openCount() == 20 })
 	c.answer("200 OK", "late")
 	if res := r.got(out); res.status != 200 || res.body != "late" {
 		t.Errorf("the request in hand got %d %q", res.status, res.body)
@@ -247,7 +247,7 @@
 			t.Fatalf("%s: %q", name, line)
 		}
 		// A second one hears that it has to wait.
-		if _, err := callOld(deadline(t), note); err != errTakenOver {
+		if _, err := dialPredecessor(deadline(t), note); err != errTakeoverInProgress {
 			t.Errorf("%s: another one hears %v", name, err)
 		}
 		io.WriteString(c, says)
@@ -259,7 +259,7 @@
 			}
 		}
 		c.Close()
-		until(t, "the old one goes on", func() bool { return r.phase() == lifecycle.Serving && !r.node.upgrade.busy.Load() })
+		until(t, "the old one goes on", func() bool { return r.phase() == lifecycle.Serving && !r.node.upgrade.takeoverInProgress.Load() })
 		if status, _, _ := r.do(r.newRequest("status-check", "enterprise", "")); status != 200 || !r.healthy() {
 			t.Errorf("%s: afterwards it answers %d", name, status)
 		}
--- a/internal/node/upgradenote.go
+++ b/internal/node/upgradenote.go
@@ -12,7 +12,7 @@
 )
 
 // notePath is where the note of the running process is.
-func (n *Node) notePath() string { return filepath.Join(n.cfg.TempDir, n.upgrade.who.File()) }
+func (n *Node) notePath() string { return filepath.Join(n.cfg.TempDir, n.upgrade.identity.File()) }
 
 // readNote finds the process before this one. A file of somebody else's is none.
 func (n *Node) readNote() (handover.Note, error) {
@@ -32,12 +32,12 @@
 	if err != nil {
 		return handover.Note{}, err
 	}
-	return handover.ParseNote(data, n.upgrade.who)
+	return handover.ParseNote(data, n.upgrade.identity)
 }
 
 // writeNote leaves the note of this process, whole or not at all.
 func (n *Node) writeNote() {
-	note := handover.Note{Who: n.upgrade.who, Admin: n.AdminAddr(), Token: n.upgrade.token}
+	note := handover.Note{Who: n.upgrade.identity, Admin: n.AdminAddr(), Token: n.upgrade.token}
 	err := func() error {
 		f, err := os.CreateTemp(n.cfg.TempDir, "madderdrum-*.tmp") // 0600
 		if err != nil {
--- a/internal/node/version.go
+++ b/internal/node/version.go
@@ -14,10 +14,10 @@
 // version is one state of the configuration. A request goes by one version from end to
 // end: it is read and routed by one, and is read again if another one has come before
 // the module has it.
-type version struct {
-	settings Settings
-	classes  []string // names by their places
-	ends     []*ends  // of their requests
+type revision struct {
+	settings   Settings
+	classNames []string     // names by their places
+	endCounts  []*endCounts // of their requests
 	*Router
 }
 
@@ -43,25 +43,25 @@
 	Tiers   []string
 }
 
-func (n *Node) newVersion(s Settings, r Routes) *version {
-	v := &version{settings: s, Router: NewRouter(r), classes: make([]string, len(s.Module.Classes))}
-	for name, i := range s.ClassNames {
-		v.classes[i] = name
+func (n *Node) newRevision(s Settings, r Routes) *revision {
+	v := &revision{settings: s, Router: NewRouter(r), classNames: make([]string, len(s.Module.Classes))}
+	for name, i := range s.ClassIndex {
+		v.classNames[i] = name
 	}
-	v.ends = n.totals.of(v.classes)
+	v.endCounts = n.totals.classCounts(v.classNames)
 	return v
 }
 
 // Router finds the targets of requests, for every front alike. It never changes.
 type Router struct {
-	table   *route.Table // nil: all requests go to rest
-	targets []Target     // by route
-	rest    Target
+	table    *route.Table // nil: all requests go to rest
+	targets  []Target     // by route
+	fallback Target
 }
 
 // NewRouter returns one for a deployment's routes.
 func NewRouter(r Routes) *Router {
-	x := &Router{rest: Target{Pool: r.Pool, ID: PoolID(r.Pool), Class: -1, MaxBody: -1, Adviser: r.Adviser, Tiers: r.Tiers}}
+	x := &Router{fallback: Target{Pool: r.Pool, ID: PoolID(r.Pool), Class: -1, MaxBody: -1, Adviser: r.Adviser, Tiers: r.Tiers}}
 	if len(r.Matches) > 0 {
 		x.table = route.New(r.Matches)
 		for _, t := range r.Targets {
@@ -76,7 +76,7 @@
 // takes it.
 func (x *Router) Find(q *route.Request) *Target {
 	if x.table == nil {
-		return &x.rest
+		return &x.fallback
 	}
 	if i := x.table.Find(q); i >= 0 {
 		return &x.targets[i]
@@ -95,20 +95,20 @@
 }
 
 // errNoRoute tells that no route takes a request.
-var errNoRoute = &badRequest{http.StatusNotFound, "no route takes this request"}
+var errNoRoute = &requestError{http.StatusNotFound, "no route takes this request"}
 
 // target finds where a request goes. It looks at what routes have conditions on before
 // the protocol is checked: what no route takes need not speak it.
-func (v *version) target(hr *http.Request) (*Target, error) {
+func (v *revision) target(hr *http.Request) (*Target, error) {
 	if v.table == nil { // the request is not looked at
-		return &v.rest, nil
+		return &v.fallback, nil
 	}
 	path, err := route.Canonical(hr.URL)
 	if err != nil {
-		return nil, bad("%v", err)
+		return nil, badRequestf("%v", err)
 	}
-	q := route.Request{Host: hr.Host, Path: path, Method: hr.Method, Plan: one(hr.Header, "Plan"),
-		Header: func(name string) string { return one(hr.Header, name) }}
+	q := route.Request{Host: hr.Host, Path: path, Method: hr.Method, Plan: singleHeader(hr.Header, "Plan"),
+		Header: func(name string) string { return singleHeader(hr.Header, name) }}
 	if key := hr.URL.Query()["key"]; len(key) == 1 {
 		q.Account, _ = strconv.ParseUint(key[0], 16, 64) // what is no number is no account of a route
 	}
@@ -120,7 +120,7 @@
 }
 
 // one is the value of a header that stands there once.
-func one(h http.Header, name string) string {
+func singleHeader(h http.Header, name string) string {
 	if v := h[name]; len(v) == 1 {
 		return v[0]
 	}
@@ -136,21 +136,21 @@
 	c := FixedConfig(d)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	old, s := n.version.Load(), c.Settings
-	s.ConnIdle, s.ConnTimeout, s.MaxOpen = old.settings.ConnIdle, old.settings.ConnTimeout, old.settings.MaxOpen
+	old, s := n.revision.Load(), c.Settings
+	s.ConnIdle, s.ConnTimeout, s.MaxRequests = old.settings.ConnIdle, old.settings.ConnTimeout, old.settings.MaxRequests
 	s.Module.Caps.Peers = old.settings.Module.Caps.Peers
 	n.handle(limiter.Reconfigure{Settings: s.Module,
-		Classes: moved(old.settings.ClassNames, s.ClassNames), Plans: moved(old.settings.PlanNames, s.PlanNames)})
-	n.version.Store(n.newVersion(s, d.Routes))
+		Classes: indexMapping(old.settings.ClassIndex, s.ClassIndex), Plans: indexMapping(old.settings.PlanIndex, s.PlanIndex)})
+	n.revision.Store(n.newRevision(s, d.Routes))
 	if within != nil {
 		within()
 	}
-	c.Known.Hosts = append(c.Known.Hosts, n.discovered()...)
-	n.takeLocked(limiter.Complete, c.Known)
+	c.InitialServers.Hosts = append(c.InitialServers.Hosts, n.discoveredServers()...)
+	n.applyListLocked(limiter.Complete, c.InitialServers)
 }
 
 // moved says which place each name has now, by its old place; -1: none.
-func moved(from, to map[string]int) []int {
+func indexMapping(from, to map[string]int) []int {
 	all := make([]int, len(from))
 	for name, i := range from {
 		all[i] = -1
