--- a/internal/node/advise.go
+++ b/internal/node/advise.go
@@ -11,29 +11,27 @@
 	"example.org/madderdrum/limiter"
 )
 
-// Adviser is asked about requests before the module decides on them: the plug-ins of a
-// route. It is called by many goroutines at once.
+// Adviser asks the plug-ins of a route about requests before the module decides on them. It is called by many
+// goroutines at once.
 type Adviser interface {
-	// Advise asks about one request. It takes no longer than within, and hardly any longer
-	// once the context has ended.
+	// Advise asks about one request. It returns within the given time, and promptly once the context has ended.
 	Advise(ctx context.Context, s *advice.Subject, within time.Duration) advice.Combined
-	// Name is that of the plug-in at a place of [advice.Combined].
+	// Name returns the name of the plug-in at an index of [advice.Combined].
 	Name(place int) string
 }
 
-// advisePart is the part of a request's time that all plug-ins may take together.
+// pluginTimeDivisor sets the fraction of a request's time that all plug-ins together may use.
 const pluginTimeDivisor = 4
 
-// Counsel is what came of asking a target's plug-ins.
+// PluginAdvice is the combined advice of a target's plug-ins.
 type PluginAdvice struct {
 	Advice limiter.Advice
 	Labels []string
-	By     string // the plug-in that refuses, if one does
+	By     string // the plug-in that refuses the request, if any
 	Reason string
 }
 
-// Advise has the target's plug-ins asked, if it has any. left is what the request has of
-// its time.
+// Advise asks the target's plug-ins, if it has any. left is the time until the request's deadline.
 func (t *Target) Advise(ctx context.Context, s *advice.Subject, left time.Duration) PluginAdvice {
 	if t.Adviser == nil {
 		return PluginAdvice{}
@@ -46,16 +44,16 @@
 	return c
 }
 
-// Glance is what the module knows of an account and of a pool, for plug-ins.
+// Glance returns an account's balance and a pool's pressure, for plug-ins.
 func (n *Node) Glance(account uint64, plan int, pool uint64) (balance, pressure float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.limiter.Glance(n.now(), account, plan, pool)
 }
 
-// advise asks the plug-ins about a request that is about to go to the module, and tells
-// whether its client still waits. Of one that has left nothing may go on: it would get past
-// a plug-in that guards something.
+// consultPlugins asks the plug-ins about a request before it is submitted to the module, and reports whether
+// its client is still connected. A request whose client has disconnected must not go on: its plug-ins were
+// interrupted, and it could get past one that guards a resource.
 func (n *Node) consultPlugins(hr *http.Request, v *revision, r *request, ev *limiter.Submit) bool {
 	if r.destination.Adviser == nil || !counsel.Due(ev) {
 		return true
@@ -69,32 +67,32 @@
 	r.counsel = r.destination.Advise(hr.Context(), subject, remaining)
 	ev.Advice = r.counsel.Advice
 	if ev.Advice.Refuse {
-		n.pluginRefusalLog.warn("a plug-in has a request refused", "plugin", r.counsel.By, "reason", r.counsel.Reason, "labels", r.counsel.Labels,
-			"request", r.id, "class", subject.ClassName, "plan", subject.PlanName)
+		n.pluginRefusalLog.warn("a plug-in has a request refused", "plugin", r.counsel.By, "reason", r.counsel.Reason,
+			"labels", r.counsel.Labels, "request", r.id, "class", subject.ClassName, "plan", subject.PlanName)
 	}
 	return hr.Context().Err() == nil
 }
 
-// reason is the body of an answer that a plug-in's refusal brought about.
+// setRefusalBody sets the body of an answer to a request that a plug-in refused.
 func (r *request) setRefusalBody(a *answer) {
 	if c := &r.counsel; c.Advice.Refuse && a.status == http.StatusTooManyRequests && c.Reason != "" {
 		a.body, a.contentType = []byte(c.Reason+"\n"), "text/plain; charset=utf-8"
 	}
 }
 
-// mostLabels bounds the labels that are counted apart; a further one counts as otherLabel.
+// maxLabels limits the number of labels counted separately; further ones are counted as otherLabel.
 const (
 	maxLabels  = 64
 	otherLabel = "(others)"
 )
 
-// LabelCount is what became of the requests with a label that plug-ins gave them.
+// LabelCount counts the results of requests with a label assigned by plug-ins.
 type LabelCount struct {
 	Label                   string
 	Served, Refused, Failed uint64
 }
 
-// tally counts a request's end by its labels.
+// countLabels counts a request's result for each of its labels.
 func (n *Node) countLabels(r *request, a *answer) {
 	if len(r.counsel.Labels) == 0 {
 		return
@@ -123,7 +121,7 @@
 	}
 }
 
-// Labels are the counts of all labels, by name.
+// Labels returns the counts of all labels, sorted by name.
 func (n *Node) Labels() (all []LabelCount) {
 	n.labelMu.Lock()
 	defer n.labelMu.Unlock()
--- a/internal/node/asks.go
+++ b/internal/node/asks.go
@@ -9,33 +9,33 @@
 	"example.org/madderdrum/limiter"
 )
 
-// Grants is what answers for leases: package forwardauth, where it is on.
+// Grants manages leases: package forwardauth, where it is configured.
 type Grants interface {
-	// Redeem takes a message's token and returns the units leased for it here, or tells
-	// that another limiter has leased some.
+	// Redeem consumes a message's token and returns the units leased for it here, or reports that another
+	// limiter vouches for the lease.
 	Redeem(token string, t grant.Terms) (leased float64, vouched bool)
-	// Heard takes in another limiter's word on leases; it keeps no part of it.
+	// Heard handles another limiter's message about leases; it retains no part of data.
 	Heard(data []byte)
 }
 
-// grantHeader has the token in a message that was asked for.
+// grantHeader carries the token of a message that was granted before.
 const grantHeader = "X-Grant"
 
-// askID names the one Ask that the module has at a time. No client's request has it:
-// their ids are printable.
+// askID is the ID of the single Ask that the module handles at a time. It can't be a client's request ID: those
+// are printable.
 const askID = "\x00ask"
 
-// asked is the answer to an Ask.
+// pendingAsk is the module's decision on an Ask.
 type pendingAsk struct {
 	granted bool
 	wait    time.Duration
 }
 
-// Attach has a front answer for leases. It must be called before Run.
+// Attach sets the front end that manages leases. It must be called before Run.
 func (n *Node) Attach(g Grants) { n.grants = g }
 
-// Ask has the module answer for a request that this limiter does not carry. While the
-// limiter stops, or knows no servers, the answer is no.
+// Ask has the module decide on a request that this limiter does not forward. It is refused while the limiter is
+// stopping or knows no servers.
 func (n *Node) Ask(a limiter.Ask) (granted bool, wait time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -57,14 +57,14 @@
 	}
 }
 
-// Tiers returns the tiers of all pools as they are now.
+// Tiers returns the current state of the tiers of all pools.
 func (n *Node) Tiers() []limiter.TierState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.limiter.Tiers(n.now())
 }
 
-// Tell sends a datagram to another limiter, which may be lost.
+// Tell sends a datagram to another limiter; it may be lost.
 func (n *Node) Tell(to int, data []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -73,9 +73,10 @@
 	}
 }
 
-// redeem sees whether units were leased for a request here.
+// redeemLease finds out whether units were already leased for a request.
 func (n *Node) redeemLease(hr *http.Request, ev *limiter.Submit) {
 	if token := hr.Header.Get(grantHeader); token != "" {
-		ev.Leased, ev.Vouched = n.grants.Redeem(token, grant.Terms{Account: ev.Customer, Plan: ev.Plan, Class: ev.Class, Units: ev.Units})
+		ev.Leased, ev.Vouched = n.grants.Redeem(token, grant.Terms{Account: ev.Customer,
+			Plan: ev.Plan, Class: ev.Class, Units: ev.Units})
 	}
 }
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -15,7 +15,7 @@
 	"example.org/madderdrum/limiter"
 )
 
-// try carries out an attempt and returns what came of it.
+// runAttempt carries out an attempt and returns its result.
 func (n *Node) runAttempt(att *attempt) reply {
 	for {
 		rep, stale := n.runAttemptOnce(att)
@@ -25,8 +25,8 @@
 	}
 }
 
-// tryOnce carries out an attempt on one connection. It is stale if the kept
-// connection turned out to be of no use before anything was written on it.
+// runAttemptOnce carries out an attempt on one connection. stale is true if the kept-alive connection turned
+// out to be unusable before anything was written to it.
 func (n *Node) runAttemptOnce(att *attempt) (rep reply, stale bool) {
 	c := n.servers.takeIdle(att.host)
 	if c == nil {
@@ -45,24 +45,24 @@
 			return reply{result: limiter.NoRoom, load: noLoad}, false
 		}
 		if err != nil {
-			if ctx.Err() != context.Canceled { // given up: says nothing about the server
+			if ctx.Err() != context.Canceled { // a cancelled connect says nothing about the server
 				n.servers.markBroken(att.host)
 			}
 			return reply{result: limiter.NoRoute, load: noLoad}, false
 		}
 	}
-	// A connect takes time: what was decided before it may no longer hold. The
-	// grace of a drain and the client's time count from the first byte sent.
+	// Connecting takes time: conditions checked before may have changed. The grace period of a drain and the
+	// client's deadline apply to the first byte sent.
 	n.mu.Lock()
-	deadline := n.endBy(att.deadline) // SIGTERM may have come after the request
+	deadline := n.endBy(att.deadline) // SIGTERM may have arrived after the request
 	cancelled := att.ended || !n.servers.accepts(att.host) || !time.Now().Before(deadline)
 	if att.cancel = nil; !cancelled {
 		att.conn = c
 	}
 	n.mu.Unlock()
 	if cancelled {
-		// No longer the attempt's: giving it up must not close a connection that
-		// another attempt has taken meanwhile.
+		// The connection is not assigned to the attempt: cancelling the attempt must not close a connection
+		// that another attempt has taken meanwhile.
 		n.servers.put(c)
 		return reply{result: limiter.NoRoute, load: noLoad}, false
 	}
@@ -77,30 +77,30 @@
 	if outcome == connReusable && !ended {
 		n.servers.put(c)
 	} else {
-		c.close() // before the next attempt can go out
+		c.close() // before the next attempt can start
 	}
-	if outcome == connBroken && !ended { // not where giving up closed it
+	if outcome == connBroken && !ended { // not if cancelling the attempt closed it
 		n.servers.markBroken(att.host)
 	}
 	if rep.result == limiter.Spoilt {
-		n.badInputLog.warn("an answer can't be used", "server", att.host.id, "err", rep.err)
+		n.badInputLog.warn("a server sent an unusable answer", "server", att.host.id, "err", rep.err)
 	}
 	return rep, outcome == connStale && !ended
 }
 
-// ending is what is left of a connection after an exchange.
+// connOutcome is the state of a connection after an exchange.
 type connOutcome int
 
 const (
-	connDiscard connOutcome = iota // of no further use
+	connDiscard connOutcome = iota // not usable any more
 	connReusable
-	connStale     // kept, but closed or spoilt meanwhile: nothing was written on it
+	connStale     // kept alive, but closed or unusable since: nothing was written to it
 	connBroken    // the connection itself broke
-	connStreaming // the answer is still to come on it
+	connStreaming // the rest of the answer is still to be read from it
 )
 
-// exchange writes one request and reads its answer. It knows whether the last
-// byte was written: a failure before that proves that nothing ran.
+// exchange writes one request and reads its answer. It distinguishes failures before the last byte was written,
+// which prove that the request was not executed.
 func (c *conn) exchange(call *call, deadline time.Time, h *hooks) (rep reply, outcome connOutcome) {
 	rep = reply{result: limiter.NoRoute, load: noLoad}
 	req := call.httpRequest(time.Until(deadline))
@@ -113,9 +113,9 @@
 	if c.SetDeadline(deadline) != nil {
 		return rep, connBroken
 	}
-	// As late as can be: what a server sends behind an answer, also long after it,
-	// must not be taken for the next one, and one that it has closed would cut an
-	// unsafe request for good.
+	// Checked as late as possible: bytes that a server sends after an answer, even much later, must not be read
+	// as the next answer, and on a connection that it has closed a request that is not idempotent would be
+	// lost.
 	if c.used && !c.quiet() {
 		return rep, connStale
 	}
@@ -128,7 +128,7 @@
 	if call.bodyRest != nil {
 		err := c.writeLong(req, call, h)
 		switch rep.requestErr = call.bodyRest.err; {
-		case rep.requestErr != nil: // which says nothing about the server
+		case rep.requestErr != nil: // not held against the server
 			rep.result = limiter.Undone
 			return rep, connDiscard
 		case errors.Is(err, errEarlyAnswer):
@@ -159,8 +159,8 @@
 		rep.result = limiter.TooSlow
 		return rep, connDiscard
 	case err != nil:
-		// It may have run, and says nothing about the server: such answers come from
-		// any, and the next one may be good.
+		// The request may have been executed. This is not held against the server: any server may send such
+		// answers, and its next one may be good.
 		rep.result, rep.err = limiter.Spoilt, err
 		return rep, connDiscard
 	}
@@ -184,8 +184,8 @@
 	return rep, outcome
 }
 
-// early reads the answer of a server that has not waited for the whole request. Whatever it
-// says, nothing ran: it has turned the request away.
+// readEarlyAnswer reads the answer of a server that did not wait for the complete request. Whatever its status,
+// the request was rejected and not executed.
 func (c *conn) readEarlyAnswer(req *http.Request, rep reply) (reply, connOutcome) {
 	resp, err := c.readHead(req, time.Now().Add(nextByteTimeout))
 	if err != nil {
@@ -196,12 +196,11 @@
 	return rep, connDiscard
 }
 
-// errSilent tells that no answer has begun in time.
+// errNoAnswer is returned when no answer has begun in time.
 var errNoAnswer = errors.New("no answer")
 
-// read reads the head of the answer and passes over those that only announce it.
-// Guards against an answer that begins and never ends: it is given up while there
-// is time for another attempt.
+// readHead reads the header of the answer and skips informational ones. An answer that begins and does not end
+// is given up while there is time for another attempt.
 func (c *conn) readHead(req *http.Request, deadline time.Time) (*http.Response, error) {
 	for {
 		if err := c.SetReadDeadline(deadline); err != nil {
@@ -222,10 +221,10 @@
 
 var errAnswerTooLong = errors.New("the answer is too long")
 
-// request is the call in the form of net/http.
+// httpRequest returns the call as a net/http request.
 func (c *call) httpRequest(left time.Duration) *http.Request {
 	h := http.Header{
-		"User-Agent":   {""}, // none
+		"User-Agent":   {""}, // no header
 		"X-Request-Id": {c.requestID},
 		"X-Timeout":    {strconv.FormatInt(max(1, left.Milliseconds()), 10) + "m"},
 	}
@@ -235,7 +234,7 @@
 	if c.contentType != "" {
 		h["Content-Type"] = []string{c.contentType}
 	}
-	// Opaque is written as it stands, where Path and RawQuery may be encoded anew.
+	// Opaque is written unchanged, while Path and RawQuery might be encoded differently.
 	r := &http.Request{Method: c.method, URL: &url.URL{Opaque: c.target}, Host: c.host, Header: h}
 	if len(c.body) > 0 {
 		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(c.body)), int64(len(c.body))
@@ -243,7 +242,7 @@
 	return r
 }
 
-// parseLoad reads a load report; what is not understood counts as not reported.
+// parseLoad reads a load report; invalid values are treated as not reported.
 func parseLoad(text string) limiter.Load {
 	l := noLoad
 	for text != "" {
@@ -266,7 +265,7 @@
 	return l
 }
 
-// probe asks a server for its health and reports the result to the module.
+// probe checks a server's health and reports the result to the module.
 func (n *Node) probe(id uint64) {
 	started := time.Now()
 	ev := limiter.Probed{Server: id, Result: limiter.NoRoute, Load: noLoad}
@@ -282,7 +281,8 @@
 				}
 			}
 			var rep reply
-			rep, outcome = c.exchange(&call{method: http.MethodGet, target: healthPath, host: h.dialAddr}, started.Add(probeTimeout), nil)
+			rep, outcome = c.exchange(&call{method: http.MethodGet, target: healthPath, host: h.dialAddr},
+				started.Add(probeTimeout), nil)
 			ev.Result, ev.Load = rep.result, rep.load
 			if outcome == connReusable {
 				n.servers.put(c)
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -131,7 +131,7 @@
 }
 
 // errAtCapacity is returned when the memory for request bodies is used up.
-var errAtCapacity = errors.New("no place for another request")
+var errAtCapacity = errors.New("no memory for another request body")
 
 // statusOf returns the HTTP status for an error.
 func statusOf(err error) int {
@@ -151,7 +151,7 @@
 			n.countEnd(v, class, status)
 		}
 	}
-	n.badInputLog.warn("turned a malformed request away", "from", hr.RemoteAddr, "err", err)
+	n.badInputLog.warn("rejected a malformed request", "from", hr.RemoteAddr, "err", err)
 	w.Header().Set("Connection", "close")
 	http.Error(w, err.Error(), status)
 	discardBody(w, hr)
@@ -178,7 +178,7 @@
 	if err == nil && n.grants != nil {
 		n.redeemLease(hr, &event)
 	}
-	if err == nil && rev.settings.MaxDeadline > n.cfg.Settings.MaxDeadline { // than when the server's timeouts were set
+	if err == nil && rev.settings.MaxDeadline > n.cfg.Settings.MaxDeadline { // the server's write timeout is too short
 		err = http.NewResponseController(w).SetWriteDeadline(arrived.Add(rev.settings.MaxDeadline + writeSlack))
 	}
 	if err == nil {
@@ -210,8 +210,10 @@
 		}
 	}
 	if err == errNoRoute {
-		n.unroutedLog.warn("no route takes a request", "from", hr.RemoteAddr, "method", hr.Method, "host", hr.Host, "path", hr.URL.Path)
-		n.writeAnswer(w, &answer{status: http.StatusNotFound, body: []byte("no route takes this request\n"), contentType: "text/plain; charset=utf-8"})
+		n.unroutedLog.warn("no route takes a request", "from", hr.RemoteAddr, "method", hr.Method,
+			"host", hr.Host, "path", hr.URL.Path)
+		n.writeAnswer(w, &answer{status: http.StatusNotFound, body: []byte("no route takes this request\n"),
+			contentType: "text/plain; charset=utf-8"})
 		return
 	}
 	if err != nil {
@@ -223,7 +225,7 @@
 		stop := context.AfterFunc(hr.Context(), clientGone)
 		defer stop()
 	} else {
-		req.watchClient = func() { context.AfterFunc(hr.Context(), clientGone) } // has no effect after the request was answered
+		req.watchClient = func() { context.AfterFunc(hr.Context(), clientGone) } // no effect once the request is answered
 	}
 	for {
 		att, final := n.nextStep(req)
@@ -238,7 +240,8 @@
 
 // deliver writes a request's final answer and counts its end. bodyTime is the time spent reading the request's
 // body.
-func (n *Node) deliver(w http.ResponseWriter, hr *http.Request, r *request, end *endCounts, a *answer, bodyTime time.Duration) {
+func (n *Node) deliver(w http.ResponseWriter, hr *http.Request, r *request, end *endCounts, a *answer,
+	bodyTime time.Duration) {
 	if a == clientGone {
 		end.add(a.status)
 		panic(http.ErrAbortHandler) // closes the connection without an answer
@@ -363,7 +366,8 @@
 	if err := checkMethod(v.settings.Module.Classes[class].Repeat, hr, idempotencyKey); err != nil {
 		return nil, submit, err
 	}
-	submit = limiter.Submit{ID: id, Class: class, Plan: plan, Retry: h.Get("X-Retried") == "1", Customer: customer, Pool: destination.ID, Attempts: destination.Attempts}
+	submit = limiter.Submit{ID: id, Class: class, Plan: plan, Retry: h.Get("X-Retried") == "1",
+		Customer: customer, Pool: destination.ID, Attempts: destination.Attempts}
 	if err := parseQuotaInfo(h.Get("Quota-Info"), v.settings.Module.Balancers, v.settings.MaxUnits, &submit); err != nil {
 		return nil, submit, err
 	}
@@ -385,7 +389,8 @@
 }
 
 // singleHeaders are the headers with a meaning for the limiter; none of them may be repeated.
-var singleHeaders = []string{"X-Request-Id", "X-Priority-Class", "Plan", "X-Timeout", "Idempotency-Key", "X-Retried", "Quota-Info"}
+var singleHeaders = []string{"X-Request-Id", "X-Priority-Class", "Plan", "X-Timeout",
+	"Idempotency-Key", "X-Retried", "Quota-Info"}
 
 // printable reports whether text consists of visible ASCII characters only.
 func printable(text string) bool {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -40,7 +40,7 @@
 
 	Streams   map[string]admin.Stream // additional calls on the admin address
 	TempDir   string                  // where processes of one limiter find each other; only used with AdminAddr
-	UseMemory func(share float64)     // if set, called with the share of the memory limit to use, below 1 while another process of this limiter runs
+	UseMemory func(share float64)     // sets the share of the memory limit to use, below 1 during an upgrade; may be nil
 
 	path            string // of the configuration file, for reloads
 	getenv          func(string) string
@@ -215,7 +215,7 @@
 	for i := range p.Count(list) {
 		name := p.Text(fmt.Sprintf("%s.%d.name", list, i))
 		if _, ok := m[name]; ok || name == "" {
-			return nil, fmt.Errorf("%s.%d.name: %q is empty or not the only one", list, i, name)
+			return nil, fmt.Errorf("%s.%d.name: %q is empty or a duplicate", list, i, name)
 		}
 		m[name] = i
 	}
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -11,18 +11,17 @@
 
 const counterInterval = time.Second
 
-// counters count what this limiter does and sees, for one line of the log a second at
-// the debug level, and write one for each attempt that has ended. They are nil, and cost
-// a comparison, at other levels.
+// counters count events and actions of the module for one debug log line a second, and log a line for each
+// attempt that has ended. They are nil, and cost one comparison, at other log levels.
 type counters struct {
 	log *slog.Logger
 
-	counts // under the node's mutex
+	counts // guarded by the node's mutex
 
 	connects, listCalls atomic.Int64
 }
 
-// counts are those of one second.
+// counts are reset with each line.
 type counts struct {
 	submits, sends, fails, aborts, probes, probesFailed int
 	peerSends, peerSendBytes, peerReceived              int
@@ -30,7 +29,7 @@
 	ended                                               [limiter.Results]int
 }
 
-// newCounters returns the counters for a log that has debug lines, else nil.
+// newCounters returns counters if debug logging is enabled, else nil.
 func newCounters(to *slog.Logger) *counters {
 	if !to.Enabled(context.Background(), slog.LevelDebug) {
 		return nil
@@ -38,7 +37,7 @@
 	return &counters{log: to}
 }
 
-// event counts what the module is told.
+// countEvent counts an event passed to the module.
 func (c *counters) countEvent(ev limiter.Event) {
 	if c == nil {
 		return
@@ -58,7 +57,7 @@
 	}
 }
 
-// action counts what the module asks for.
+// countAction counts an action issued by the module.
 func (c *counters) countAction(a limiter.Action) {
 	if c == nil {
 		return
@@ -80,22 +79,21 @@
 	}
 }
 
-// connect counts a connection to a server that is opened.
+// connect counts an opened connection to a server.
 func (c *counters) connect() {
 	if c != nil {
 		c.connects.Add(1)
 	}
 }
 
-// listCall counts a call to discovery.
+// countListCall counts a call to the discovery agent.
 func (c *counters) countListCall() {
 	if c != nil {
 		c.listCalls.Add(1)
 	}
 }
 
-// line is what was counted since the last one, by name; what is zero is left out.
-// The node's mutex is held.
+// line returns the nonzero counts since the last line as log attributes. The node's mutex is held.
 func (c *counters) line(v limiter.View) []any {
 	var all []any
 	add := func(name string, n int) {
@@ -128,7 +126,7 @@
 	return append(all, "pressure", v.Pressure, "crowding", v.Crowding)
 }
 
-// count writes a line each second until the context ends.
+// logCounters logs a line each second until the context ends.
 func (n *Node) logCounters(ctx context.Context) {
 	for sleep(ctx, counterInterval); ctx.Err() == nil; sleep(ctx, counterInterval) {
 		n.mu.Lock()
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -19,24 +19,24 @@
 )
 
 const (
-	watchHold   = 20 * time.Second // how long discovery may hold a watch
-	watchSlack  = 2 * time.Second  // and how much later its answer is given up
+	watchHold   = 20 * time.Second // how long the agent may hold a call without news
+	watchSlack  = 2 * time.Second  // additional time until the call is cancelled
 	retryMin    = 50 * time.Millisecond
 	retryMax    = time.Second
 	maxListSize = 4 << 20
-	// An answer without news before its time is followed by the next call after
-	// this pause: short of the 200 ms after which a watch is over, but no spinning.
+	// An answer without changes that comes early is followed by the next call after this pause: shorter than
+	// the 200 ms after which an agent considers a watch ended, but no busy loop.
 	idlePause = 50 * time.Millisecond
 )
 
-// serverList is an answer of discovery.
+// serverList is an answer of the discovery agent.
 type serverList struct {
 	Seq   int64        `json:"seq"`
 	Whole bool         `json:"whole"`
 	Hosts []serverItem `json:"hosts"`
 }
 
-// serverItem is one server in an answer of discovery.
+// serverItem is one server in an answer of the discovery agent.
 type serverItem struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -45,11 +45,11 @@
 	Health string  `json:"health"`
 	Share  float64 `json:"share"`
 	BornMs float64 `json:"born_ms"`
-	pool   uint64  // that a configuration file puts it in
-	tier   int     // and its tier there
+	pool   uint64  // pool assigned by the configuration
+	tier   int     // tier in that pool
 }
 
-// UnmarshalJSON drops an entry that is no entry instead of the whole list with it.
+// UnmarshalJSON drops an invalid entry rather than the whole list.
 func (l *serverList) UnmarshalJSON(data []byte) error {
 	var raw struct {
 		Seq   int64             `json:"seq"`
@@ -63,7 +63,7 @@
 	for _, h := range raw.Hosts {
 		var item serverItem
 		if json.Unmarshal(h, &item) != nil {
-			item = serverItem{} // has no name: take drops and logs it
+			item = serverItem{} // has no name, so that applyList logs and drops it
 		}
 		l.Hosts = append(l.Hosts, item)
 	}
@@ -74,27 +74,27 @@
 	"ready": limiter.Up, "draining": limiter.Draining, "gone": limiter.Removed,
 }
 
-// ServerID is the module's number of a server. Limiters name servers to each
-// other by it, so it depends on the name alone.
+// ServerID returns the module's number of a server. Limiters identify servers to each other by it, so it
+// depends on the name alone.
 func ServerID(host string) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, host)
 	return h.Sum64()
 }
 
-// info checks an entry and translates it for the module.
+// info validates an entry and converts it for the module.
 func (i serverItem) info(zones []string) (limiter.ServerInfo, error) {
 	phase, ok := phases[i.Health]
 	switch {
 	case i.Host == "":
-		return limiter.ServerInfo{}, errors.New("an entry without a host")
+		return limiter.ServerInfo{}, errors.New("entry without a host")
 	case !ok:
 		return limiter.ServerInfo{}, fmt.Errorf("host %q: health %q", i.Host, i.Health)
 	case i.BornMs < 0 || i.Share < 0:
 		return limiter.ServerInfo{}, fmt.Errorf("host %q: a number below 0", i.Host)
 	}
 	zone := slices.Index(zones, i.Site)
-	if phase != limiter.Removed { // of what is gone only the name matters
+	if phase != limiter.Removed { // of a removed server only the name is used
 		if _, err := netip.ParseAddrPort(i.Dial); err != nil {
 			return limiter.ServerInfo{}, fmt.Errorf("host %q: dial: %w", i.Host, err)
 		}
@@ -106,7 +106,7 @@
 		Phase: phase, Weight: i.Share, Pool: i.pool, Tier: i.tier}, nil
 }
 
-// takeList hands what discovery tells to the pool and the module.
+// applyDiscoveryAnswer passes an answer of the discovery agent to the connection pool and the module.
 func (n *Node) applyDiscoveryAnswer(list serverList) {
 	if list.Whole {
 		n.applyList(limiter.Complete, list)
@@ -115,14 +115,14 @@
 	}
 }
 
-// take hands a list to the pool and the module.
+// applyList passes a list to the connection pool and the module.
 func (n *Node) applyList(scope limiter.Scope, list serverList) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.applyListLocked(scope, list)
 }
 
-// takeLocked is take under the mutex.
+// applyListLocked is applyList for callers that hold the mutex.
 func (n *Node) applyListLocked(scope limiter.Scope, list serverList) {
 	endpoints := limiter.Endpoints{Scope: scope}
 	listed := map[uint64]bool{}
@@ -151,22 +151,23 @@
 	n.handle(endpoints)
 }
 
-// listIndex is the version of the list that a watch goes on from, if there is one.
+// listIndex is the version of the list from which a watch continues, if one is known.
 type listIndex struct {
 	seq   int64
 	known bool
 }
 
-// watch follows discovery at an address until the context ends and hands on what it tells: whole
-// lists, or what has changed, which may be nothing, in calls that are held so long. What is known stays in use while discovery is
-// silent, down or talks nonsense; failed tells of that.
-func (n *Node) watchDiscovery(ctx context.Context, addr string, index listIndex, hold time.Duration, apply func(serverList), failed func()) {
+// watchDiscovery follows the discovery agent at an address until the context ends. It passes complete lists and
+// changes, which may be empty, to apply; the agent may hold each call for the given time. The known servers
+// stay in use while the agent is silent, down or sends invalid answers; failed is called for each such call.
+func (n *Node) watchDiscovery(ctx context.Context, addr string, index listIndex, hold time.Duration,
+	apply func(serverList), failed func()) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, MaxConnsPerHost: 2,
 		IdleConnTimeout: time.Minute}}
 	defer client.CloseIdleConnections()
 	failures, overload := newBackoff(retryMin, retryMax, 0.5), overloadBackoff(n.cfg.Settings.Module.Balancers)
 	for ctx.Err() == nil {
-		// The whole list comes at once, or the call is made anew.
+		// A call for the complete list is answered at once, or repeated.
 		path, timeout := "/v1/servers", watchSlack
 		if index.known {
 			path = fmt.Sprintf("/v1/servers?index=%d&wait=%d", index.seq, hold.Milliseconds())
@@ -198,25 +199,25 @@
 	}
 }
 
-// retries are pauses that double from first to most, each longer or shorter by a random
-// part of it up to jitter.
+// newBackoff returns pauses that double from initial to limit, with a random factor of 1±jitter.
 func newBackoff(initial, limit time.Duration, jitter float64) *backoff.ExponentialBackOff {
-	b := &backoff.ExponentialBackOff{InitialInterval: initial, MaxInterval: limit, Multiplier: 2, RandomizationFactor: jitter}
+	b := &backoff.ExponentialBackOff{InitialInterval: initial, MaxInterval: limit,
+		Multiplier: 2, RandomizationFactor: jitter}
 	b.Reset()
 	return b
 }
 
-// crowdedRetries are the pauses of one limiter of so many after discovery has turned a
-// call away as it is overloaded, which it then is for all of them.
+// overloadBackoff returns the pauses after an overload response of the discovery agent. They grow with the
+// number of limiters, as the agent is then overloaded for all of them.
 func overloadBackoff(limiters int) *backoff.ExponentialBackOff {
 	initial, limit := peering.CallPause(limiters)
 	return newBackoff(max(retryMin, initial), max(retryMax, limit), 1)
 }
 
-// errCrowded tells that discovery has more calls than it can answer.
+// errOverloaded is returned when the discovery agent rejects calls because of overload.
 var errOverloaded = errors.New("discovery is overloaded")
 
-// ask makes one call to discovery, which may take so long at most.
+// fetchList makes one call to the discovery agent.
 func fetchList(ctx context.Context, client *http.Client, url string, timeout time.Duration) (l serverList, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -239,11 +240,11 @@
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxListSize)).Decode(&l); err != nil {
 		return l, fmt.Errorf("reading the list: %w", err)
 	}
-	io.Copy(io.Discard, io.LimitReader(resp.Body, 1<<10)) // to the end, so that the connection is kept
+	io.Copy(io.Discard, io.LimitReader(resp.Body, 1<<10)) // read to the end, so that the connection is reused
 	return l, nil
 }
 
-// sleep waits, or until the context ends.
+// sleep waits for the given time or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -10,29 +10,29 @@
 	"example.org/madderdrum/limiter"
 )
 
-// lookWithin bounds how long the figures wait for the module; after it they tell what it last said.
+// viewTimeout limits how long Figures waits for the module; after that it uses the module's last view.
 const viewTimeout = 50 * time.Millisecond
 
-// ClassFigures are the ends of a class's requests since the process began.
+// ClassFigures count the ended requests of a class since the process began.
 type ClassFigures struct {
-	Passed     int64 `json:"passed"`      // answered with a server's answer, whole
+	Passed     int64 `json:"passed"`      // answered completely with a server's answer
 	Dropped    int64 `json:"dropped"`     // refused: 429 or 503
-	BadGateway int64 `json:"bad_gateway"` // failed, or the client had gone
+	BadGateway int64 `json:"bad_gateway"` // failed, or the client disconnected
 }
 
-// Figures are what an operator sees of a limiter.
+// Figures are a limiter's statistics for operators.
 type Figures struct {
 	Handled        map[string]ClassFigures `json:"handled"`
-	InProgress     int64                   `json:"in_progress"`     // requests taken and not ended
-	UpstreamTries  int64                   `json:"upstream_tries"`  // attempts written whole to servers
+	InProgress     int64                   `json:"in_progress"`     // requests accepted but not ended
+	UpstreamTries  int64                   `json:"upstream_tries"`  // attempts written completely to servers
 	KnownServers   int                     `json:"known_servers"`   // in the list
-	SkippedServers int                     `json:"skipped_servers"` // in the list, and avoided now
+	SkippedServers int                     `json:"skipped_servers"` // in the list, but currently avoided
 }
 
-// ends counts the ends of one class.
+// endCounts count the ended requests of one class.
 type endCounts struct{ passed, dropped, badGateway atomic.Int64 }
 
-// add counts one end by its status. 0 is a request whose client had gone.
+// add counts an ended request by its status; 0 means that its client disconnected.
 func (e *endCounts) add(status int) {
 	switch status {
 	case http.StatusOK:
@@ -44,17 +44,17 @@
 	}
 }
 
-// totals count what this process has done since its start. It is safe for concurrent use.
+// totals count requests since the start of the process. They are safe for concurrent use.
 type totals struct {
 	inProgress, attempts atomic.Int64
 
 	mu      sync.Mutex
-	classes map[string]*endCounts // also of classes that a reload has taken away
+	classes map[string]*endCounts // including classes that a reload has removed
 
 	lastView atomic.Pointer[limiter.View]
 }
 
-// of returns the counts of classes by their names.
+// classCounts returns the counts of classes by name, adding missing ones.
 func (t *totals) classCounts(names []string) []*endCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,11 +68,11 @@
 	return all
 }
 
-// Figures tells what the limiter has done and sees now.
+// Figures returns the limiter's statistics since its start and its current state.
 func (n *Node) Figures() Figures {
 	v := n.moduleView()
-	f := Figures{Handled: map[string]ClassFigures{}, InProgress: n.totals.inProgress.Load(), UpstreamTries: n.totals.attempts.Load(),
-		KnownServers: v.Known, SkippedServers: v.Skipped}
+	f := Figures{Handled: map[string]ClassFigures{}, InProgress: n.totals.inProgress.Load(),
+		UpstreamTries: n.totals.attempts.Load(), KnownServers: v.Known, SkippedServers: v.Skipped}
 	n.totals.mu.Lock()
 	defer n.totals.mu.Unlock()
 	for name, e := range n.totals.classes {
@@ -81,7 +81,7 @@
 	return f
 }
 
-// look asks the module, or tells what it last said while that is busy.
+// moduleView returns the module's current view, or its last one while the module is busy.
 func (n *Node) moduleView() limiter.View {
 	for until := time.Now().Add(viewTimeout); ; time.Sleep(time.Millisecond) {
 		if n.mu.TryLock() {
@@ -100,7 +100,7 @@
 	return limiter.View{}
 }
 
-// taken counts a request as in progress: its last byte has come.
+// countInProgress counts a request as in progress once its last byte has been read.
 func (n *Node) countInProgress(r *request) {
 	if !r.countedInProgress {
 		r.countedInProgress = true
@@ -108,7 +108,7 @@
 	}
 }
 
-// line is the figures in one line of JSON.
+// jsonLine returns the figures as one line of JSON.
 func (f Figures) jsonLine() (string, error) {
 	b, err := json.Marshal(f)
 	return string(b) + "\n", err
--- a/internal/node/fixed.go
+++ b/internal/node/fixed.go
@@ -10,24 +10,24 @@
 type Server struct {
 	Name, Dial string // Dial is IP:port
 	Room, Pod  int
-	Pool       string // empty: none of a name
-	Tier       int    // of the pool, 0 is preferred
+	Pool       string // empty: no named pool
+	Tier       int    // rank of the tier in the pool; 0 is preferred
 }
 
-// Deployment is what a limiter without a discovery agent is told.
+// Deployment is the configuration of a limiter that gets its servers without the platform's discovery agent.
 type Deployment struct {
 	Module              limiter.Settings
-	Classes, Plans      []string // names, in the order of the module's settings
+	Classes, Plans      []string // names in the order of the module's settings
 	Rooms               []string
 	Servers             []Server
-	Peers               []netip.AddrPort // of every limiter by position; none: no talk
-	ConnIdle, ConnLimit float64          // ms: a server's idle limit, and the connect time-out
+	Peers               []netip.AddrPort // of all limiters by position; empty: no messages between limiters
+	ConnIdle, ConnLimit float64          // in ms: a server's idle limit, and the connect timeout
 	Routes              Routes
 	Sources             []Source
 }
 
-// FixedConfig returns the configuration of a limiter whose list of servers
-// changes by Apply alone. Name, Listen, Seed and Limits are the caller's to set.
+// FixedConfig returns the configuration of a limiter whose server list changes only by Apply and by sources.
+// The caller sets Name, Listen, Seed and Limits.
 func FixedConfig(d Deployment) *Config {
 	c := &Config{Routes: d.Routes, Sources: d.Sources, InitialServers: serverList{Seq: 1, Whole: true}, Settings: Settings{
 		Module: d.Module, ClassIndex: indexByName(d.Classes), PlanIndex: indexByName(d.Plans), Zones: d.Rooms,
--- a/internal/node/framing.go
+++ b/internal/node/framing.go
@@ -8,8 +8,8 @@
 	"example.org/madderdrum/internal/framing"
 )
 
-// framedListener accepts connections that watch the framing of what comes in on them, and that
-// end without eating a request.
+// framedListener accepts connections that check the framing of requests and can be ended without losing a
+// request.
 type framedListener struct{ net.Listener }
 
 func (l framedListener) Accept() (net.Conn, error) {
@@ -20,18 +20,18 @@
 	return newFramedConn(c), nil
 }
 
-// framedConn is a client's connection. It tells whether a head on it has had both a
-// Content-Length and a Transfer-Encoding, of which net/http drops the former silently: what
-// another reads as the next request may be hidden in such a body (RFC 9112, 6.3).
+// framedConn is a client's connection. It detects request headers with both Content-Length and
+// Transfer-Encoding, of which net/http silently drops the former: bytes that another implementation reads as
+// the next request may be smuggled in such a body (RFC 9112, 6.3).
 type framedConn struct {
 	net.Conn
 	heads framing.Watch
 
-	mu        sync.Mutex // round what follows, and the deadline for reading
-	started   bool       // something has been read since the connection began to wait
-	startedAt time.Time  // when
-	ending    bool       // nothing is to be waited for any more
-	// deadline is the one for reading that is in force.
+	mu        sync.Mutex // guards the following fields and the read deadline
+	started   bool       // something was read since the connection became idle
+	startedAt time.Time  // when started was set
+	ending    bool       // the connection is to end: nothing is waited for
+	// deadline is the current read deadline.
 	deadline time.Time
 
 	ahead readAhead
@@ -41,24 +41,24 @@
 	return &framedConn{Conn: c, ahead: readAhead{clientLeft: func() {}}}
 }
 
-// longPast is a deadline that has passed.
+// pastDeadline is a deadline that has passed.
 var pastDeadline = time.Unix(1, 0)
 
-// waits says that the connection is between two requests.
+// waiting marks the connection as idle between two requests.
 func (c *framedConn) waiting() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.started = false
 }
 
-// works says that a request has come on it.
+// working marks the connection as having a request.
 func (c *framedConn) working() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.start(time.Time{})
 }
 
-// begin notes that something has come. A connection that was to end goes on.
+// start records that something was read. A connection that was to end stays open.
 func (c *framedConn) start(deadline time.Time) {
 	if !c.started {
 		c.started, c.startedAt = true, time.Now()
@@ -69,11 +69,10 @@
 	}
 }
 
-// end has the connection end if nothing of a request has been read, and tells whether it does.
-// It does not close it, as its reader may have a request by then that nobody would answer,
-// and that its client can't know to be unread: the reader gives up by its deadline, and goes
-// on if something came first. One that has begun a request patience ago and not ended it is
-// closed; 0 is never.
+// tryEnd ends the connection if nothing of a request has been read, and reports whether it does. It does not
+// close the connection, as its reader may have received a request that would remain unanswered, which the
+// client can't know to be unprocessed: instead it sets a past read deadline, and the reader continues if it has
+// read something. A connection whose request has been incomplete for patience is closed; 0 means never.
 func (c *framedConn) tryEnd(patience time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +88,7 @@
 	return true
 }
 
-// SetReadDeadline is the connection's, but for one that is to end.
+// SetReadDeadline sets the read deadline, except on a connection that is to end.
 func (c *framedConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,13 +98,13 @@
 	return c.setReadDeadline(t)
 }
 
-// set puts a deadline for reading in force. The mutex is held.
+// setReadDeadline sets the read deadline. The mutex is held.
 func (c *framedConn) setReadDeadline(t time.Time) error {
 	c.deadline = t
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Read passes on what comes, and has it looked at.
+// Read reads from the connection and checks the framing of what it reads.
 func (c *framedConn) Read(b []byte) (int, error) {
 	n, err := c.readBuffered(b)
 	if n > 0 {
@@ -116,13 +115,13 @@
 		c.mu.Unlock()
 	}
 	c.heads.Look(b[:n])
-	if n == 1 && len(b) == 1 { // net/http looks for the client's departure, and found a further request
+	if n == 1 && len(b) == 1 { // net/http's read for detecting disconnects got the next request
 		c.ahead.start(c.Conn)
 	}
 	return n, err
 }
 
-// take reads from what was read ahead, or else from the connection.
+// readBuffered reads bytes that were read ahead, or else from the connection.
 func (c *framedConn) readBuffered(b []byte) (int, error) {
 	if c.ahead.interrupt(c.Conn) {
 		c.mu.Lock()
@@ -136,7 +135,7 @@
 	return c.Conn.Read(b)
 }
 
-// Close closes the connection. Its requests have nobody to answer.
+// Close closes the connection and cancels its requests.
 func (c *framedConn) Close() error {
 	c.ahead.clientLeft()
 	return c.Conn.Close()
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -14,7 +14,7 @@
 	"example.org/madderdrum/lifecycle"
 )
 
-// serveHandover is the call of the next process.
+// serveHandover handles the call by which the next process requests the hand-over.
 func (n *Node) serveHandover(args []string, c net.Conn, in *bufio.Reader) {
 	if len(args) != 1 || subtle.ConstantTimeCompare([]byte(args[0]), []byte(n.upgrade.token)) != 1 {
 		io.WriteString(c, "NO this is no token of this process\n")
@@ -38,17 +38,17 @@
 	}
 	n.log.Info("a new process has taken over")
 	close(n.upgrade.replaced)
-	<-n.upgrade.runEnded // its end tells the new process that this one has gone
+	<-n.upgrade.runEnded // the end of the connection signals the end of this process
 }
 
-// handOver gives the state to the process on a connection. With an error all is as before.
+// handOver sends the state to the process on a connection. After an error this process continues as before.
 func (n *Node) handOver(c net.Conn, in *bufio.Reader) error {
 	c.SetDeadline(time.Now().Add(handoverStepTimeout))
 	if _, err := io.WriteString(c, "YES\n"); err != nil {
 		return err
 	}
 	if line, err := in.ReadString('\n'); err != nil || strings.TrimSpace(line) != takeLine {
-		return fmt.Errorf("it says %.20q (%v)", line, err)
+		return fmt.Errorf("unexpected reply %.20q (%v)", line, err)
 	}
 	state, err := n.freeze()
 	if err != nil {
@@ -70,16 +70,16 @@
 	}
 	line, err := in.ReadString('\n')
 	if accepted = err == nil && strings.TrimSpace(line) == takenLine; !accepted {
-		return fmt.Errorf("it says %.20q (%v)", line, err)
+		return fmt.Errorf("unexpected reply %.20q (%v)", line, err)
 	}
 	c.SetDeadline(time.Time{})
 	if n.peers != nil {
-		n.peers.conn.Close() // the new process owns the address
+		n.peers.conn.Close() // the new process uses the address
 	}
 	return nil
 }
 
-// freeze takes the state at the moment from which the new process decides.
+// freeze captures the state; from this moment on the new process decides.
 func (n *Node) freeze() (*handover.State, error) {
 	state := &handover.State{Who: n.upgrade.identity}
 	err := n.updateLife(func(l *lifecycle.Life) error {
@@ -103,7 +103,7 @@
 	return state, nil
 }
 
-// thaw goes on as before freeze.
+// thaw resumes operation after a hand-over that failed.
 func (n *Node) thaw() {
 	n.updateLife(func(l *lifecycle.Life) error {
 		l.HandBack(time.Now())
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Of one kind of trouble logBurst lines are written in each logEvery.
+// At most logBurst lines of one kind are written in each logPeriod.
 const (
 	logPeriod = 10 * time.Second
 	logBurst  = 5
 )
 
-// boundedLog writes warnings at a bounded rate, so that bad input can't fill
-// the log. What it leaves out is counted in the next line.
+// boundedLog writes warnings at a limited rate, so that bad input can't fill the log. The number of suppressed
+// lines is added to the next line.
 type boundedLog struct {
 	to *slog.Logger
 
@@ -43,7 +43,7 @@
 	b.to.Warn(msg, args...)
 }
 
-// Write takes a line of the HTTP server's log.
+// Write logs a line of the HTTP server's error log.
 func (b *boundedLog) Write(line []byte) (int, error) {
 	b.warn(strings.TrimSpace(string(line)))
 	return len(line), nil
--- a/internal/node/looks.go
+++ b/internal/node/looks.go
@@ -8,29 +8,32 @@
 	"example.org/madderdrum/limiter"
 )
 
-// Looks are other limiters that look at boxes and follow discovery for this one. Its methods
-// are called under the node's mutex: they must neither block nor call the node.
+// Looks shares probes and discovery watches among limiters, so that other limiters probe servers and follow
+// agents for this one. Its methods are called under the node's mutex: they must neither block nor call the
+// node.
 type Looks interface {
-	// Want tells that a box is held as ill; false: this limiter looks itself.
+	// Want reports that this limiter considers a server unhealthy and needs probe results; false: this limiter
+	// has to probe by itself.
 	Want(box uint64) bool
-	// Looked is the end of a look of this limiter's own; made is false if it has said nothing.
+	// Looked reports the result of one of this limiter's own probes; made is false if it was inconclusive.
 	Looked(box uint64, well, made bool)
-	// Failed tells that an attempt has failed at a box.
+	// Failed reports that an attempt failed at a server.
 	Failed(box uint64)
-	// Listed is what the agent of a pool has told: all its hosts, or what changed, in its form.
+	// Listed reports an answer of a pool's discovery agent: all its hosts, or the changes, in the agent's
+	// format.
 	Listed(pool string, seq int64, whole bool, hosts []byte)
-	// Lost tells that the agent of a pool does not answer.
+	// Lost reports that a pool's discovery agent does not answer.
 	Lost(pool string)
 }
 
-// want has a box looked at, by others or by this limiter. The mutex is held.
+// requestProbe has a server probed, by other limiters or by this one. The mutex is held.
 func (n *Node) requestProbe(box uint64) {
 	if n.cfg.Looks == nil || !n.cfg.Looks.Want(box) {
 		go n.probe(box)
 	}
 }
 
-// looked tells the module, and others, how a look has ended.
+// reportProbe reports a probe's result to the module and to other limiters.
 func (n *Node) reportProbe(ev limiter.Probed) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -41,15 +44,15 @@
 	switch ev.Result {
 	case limiter.Pass, limiter.NoRoute, limiter.Cut, limiter.TooSlow:
 		n.cfg.Looks.Looked(ev.Server, ev.Result == limiter.Pass, true)
-	default: // no room for it here, or an answer that says neither
+	default: // no connection available here, or an inconclusive answer
 		n.cfg.Looks.Looked(ev.Server, false, false)
 	}
 }
 
-// Look has this limiter look at a box itself.
+// Look makes this limiter probe a server itself.
 func (n *Node) Look(box uint64) { go n.probe(box) }
 
-// Word is what another limiter says of a box that this one holds as ill.
+// Word applies another limiter's probe result for a server that this one considers unhealthy.
 func (n *Node) Word(box uint64, well bool) {
 	ev := limiter.Probed{Server: box, Result: limiter.NoRoute, Load: noLoad}
 	if well {
@@ -58,7 +61,7 @@
 	n.dispatch(ev)
 }
 
-// source is the one of a pool; nil: it has none.
+// source returns the discovery source of a pool, or nil.
 func (n *Node) source(pool string) *source {
 	for _, s := range n.sources {
 		if s.Pool == pool {
@@ -68,7 +71,7 @@
 	return nil
 }
 
-// Pools are those whose boxes agents tell.
+// Pools returns the pools whose servers come from discovery agents.
 func (n *Node) Pools() (all []string) {
 	for _, s := range n.sources {
 		all = append(all, s.Pool)
@@ -76,8 +79,8 @@
 	return all
 }
 
-// Whole is the list of a pool as this limiter knows it, in its agent's form; false: the agent has
-// not answered yet.
+// Whole returns a pool's complete list as known to this limiter, in its agent's format; ok is false until a
+// list is known.
 func (n *Node) Whole(pool string) (seq int64, hosts []byte, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -94,8 +97,8 @@
 	return s.index.seq, hosts, err == nil
 }
 
-// Told takes in what another limiter tells of a pool, as its agent does. A list that can't be
-// read is an error.
+// Told applies a list or changes of a pool's servers that another limiter received from the pool's agent. It
+// returns an error if hosts can't be decoded.
 func (n *Node) Told(pool string, seq int64, whole bool, hosts []byte) error {
 	l := serverList{Seq: seq, Whole: whole}
 	if err := json.Unmarshal(hosts, &l.Hosts); err != nil {
@@ -107,8 +110,8 @@
 	return nil
 }
 
-// Follow has this limiter follow the agent of a pool itself, by calls that the agent may hold so
-// long; 0: another one tells what it says. At first it does, by calls of watchWait.
+// Follow makes this limiter watch a pool's agent itself, which may hold each call for the given time; with 0
+// another limiter reports the agent's answers. Initially the limiter watches itself, with calls of watchHold.
 func (n *Node) Follow(pool string, hold time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -118,7 +121,7 @@
 	}
 }
 
-// watchSource follows an agent until the context ends, while this limiter is to do so itself.
+// watchSource watches an agent, while this limiter is to do so itself, until the context ends.
 func (n *Node) watchSource(ctx context.Context, s *source) {
 	for ctx.Err() == nil {
 		turn, end := context.WithCancel(ctx)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -144,8 +144,10 @@
 	now := time.Now()
 	n := &Node{
 		cfg: cfg, log: logger, limiter: limiter, requests: map[string]*request{},
-		badInputLog: &boundedLog{to: logger}, discoveryLog: &boundedLog{to: logger}, unroutedLog: &boundedLog{to: logger}, pluginRefusalLog: &boundedLog{to: logger}, labels: map[string]*LabelCount{},
-		start: now, startMs: float64(wall.Now().UnixMicro()) / 1000,
+		badInputLog: &boundedLog{to: logger}, discoveryLog: &boundedLog{to: logger},
+		unroutedLog: &boundedLog{to: logger}, pluginRefusalLog: &boundedLog{to: logger},
+		labels: map[string]*LabelCount{},
+		start:  now, startMs: float64(wall.Now().UnixMicro()) / 1000,
 		counters: newCounters(logger), totals: totals{classes: map[string]*endCounts{}}, phaseChanged: make(chan struct{}, 1),
 		started: make(chan struct{}), reloadRequests: make(chan struct{}, 1), discoveryAddrs: make(chan string),
 	}
@@ -332,7 +334,8 @@
 	if open := n.drainConns(stopBy.Add(closeGrace)); open > 0 {
 		n.log.Warn("stopped with connections open", "open", open)
 	}
-	n.log.Info("stopped", "after", time.Since(began).Round(time.Millisecond).String(), "admitted_after_handover", n.lateRequests())
+	n.log.Info("stopped", "after", time.Since(began).Round(time.Millisecond).String(),
+		"admitted_after_handover", n.lateRequests())
 	return nil
 }
 
--- a/internal/node/operate.go
+++ b/internal/node/operate.go
@@ -9,10 +9,10 @@
 	"example.org/madderdrum/lifecycle"
 )
 
-// lookEvery is how often connections without a request are looked at while clients are sent away.
+// unusedPollInterval is how often connections without a request are checked while they are being closed.
 const unusedPollInterval = 50 * time.Millisecond
 
-// listenAdmin opens the operators' address, if there is one.
+// listenAdmin opens the admin address, if one is configured.
 func (n *Node) listenAdmin() (err error) {
 	if n.cfg.AdminAddr == "" {
 		return nil
@@ -33,7 +33,7 @@
 	return err
 }
 
-// AdminAddr is where operators call; nil where they can't.
+// AdminAddr returns the admin address, or "" if there is none.
 func (n *Node) AdminAddr() string {
 	if n.admin == nil {
 		return ""
@@ -41,7 +41,7 @@
 	return n.admin.Addr().String()
 }
 
-// live changes the life of this process, and has what follows from that carried out.
+// updateLife changes the lifecycle state of this process and applies the consequences.
 func (n *Node) updateLife(change func(*lifecycle.Life) error) error {
 	n.mu.Lock()
 	before := n.life.Phase()
@@ -77,7 +77,7 @@
 
 func (n *Node) answerResume([]string) (string, error) { return admin.Yes, n.Resume() }
 
-// Drain sends clients away.
+// Drain starts draining: clients are asked to leave.
 func (n *Node) Drain() error {
 	return n.updateLife(func(l *lifecycle.Life) error { return l.Drain(time.Now()) })
 }
@@ -87,7 +87,7 @@
 	return n.updateLife(func(l *lifecycle.Life) error { return l.Resume(time.Now()) })
 }
 
-// Phase is how far the life of this process is, and whether a front should send clients here.
+// Phase returns the lifecycle phase of this process, and whether load balancers should send clients to it.
 func (n *Node) Phase() (phase lifecycle.Phase, healthy bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -97,13 +97,13 @@
 	return n.life.Phase(), n.life.Healthy()
 }
 
-// sendAway closes connections without a request while the life says so, until the context
-// ends. It sleeps while the limiter serves.
+// closeUnusedConns closes connections without a request while the lifecycle state requires it, until the
+// context ends. It sleeps while the limiter serves.
 func (n *Node) closeUnusedConns(ctx context.Context) {
 	for ctx.Err() == nil {
 		n.mu.Lock()
 		fresh, idle, bounded := n.life.Unused(time.Now())
-		closing := n.life.Closing() && n.life.Phase() != lifecycle.Stopping // which has its own end
+		closing := n.life.Closing() && n.life.Phase() != lifecycle.Stopping // stopping is handled by shutDown
 		n.mu.Unlock()
 		if closing && bounded {
 			n.conns.endUnused(idle, fresh)
@@ -120,10 +120,10 @@
 	}
 }
 
-// silent tells that another process speaks for this limiter. The node's mutex is held.
+// handedOver reports whether another process has taken over from this one. The node's mutex is held.
 func (n *Node) handedOver() bool { return n.upgrade != nil && n.upgrade.frozen }
 
-// late is how many requests this process has decided on after it handed its state over.
+// lateRequests returns how many requests this process has admitted after it handed its state over.
 func (n *Node) lateRequests() int {
 	if n.upgrade == nil {
 		return 0
@@ -133,7 +133,7 @@
 	return n.upgrade.lateRequests
 }
 
-// endBy is when something that may go on until t has to be over. The node's mutex is held.
+// endBy returns t, or the time when this process stops if that is earlier. The node's mutex is held.
 func (n *Node) endBy(t time.Time) time.Time {
 	if by := n.life.StopBy(); !by.IsZero() && by.Before(t) {
 		return by
@@ -141,5 +141,5 @@
 	return t
 }
 
-// ended counts a request's one end.
+// countEnd counts the end of a request that was not delivered.
 func (n *Node) countEnd(v *revision, class, status int) { v.endCounts[class].add(status) }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -14,7 +14,7 @@
 
 const (
 	maxDatagram     = 256
-	sendQueueLength = 256 // messages waiting to be written; more are dropped, as the network may
+	sendQueueLength = 256 // further messages are dropped, as the network may do
 )
 
 // peerLink exchanges datagrams with the other limiters.
@@ -54,9 +54,9 @@
 	return p, nil
 }
 
-// tell queues a message to one peer, or to all for -1. It never blocks.
+// send queues a message for one peer, or for all if to is -1. It never blocks.
 func (p *peerLink) send(to int, data []byte) {
-	if to == -1 && !p.broadcast.IsValid() { // no address reaches all of them
+	if to == -1 && !p.broadcast.IsValid() { // no broadcast address
 		for _, i := range p.position {
 			p.send(i, data)
 		}
@@ -66,7 +66,7 @@
 	if to >= 0 && to < len(p.addrs) {
 		addr = p.addrs[to]
 	}
-	if !addr.IsValid() || len(data) > maxDatagram { // a longer one must not go out
+	if !addr.IsValid() || len(data) > maxDatagram { // longer messages must not be sent
 		return
 	}
 	select {
@@ -84,7 +84,7 @@
 	}
 }
 
-// hearPeers takes in messages until the link closes.
+// receivePeers handles messages until the link closes.
 func (n *Node) receivePeers() {
 	buf := make([]byte, maxDatagram+1)
 	for {
@@ -92,7 +92,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // what a peer's machine sent back for a message to it
+		if err != nil { // an ICMP error in response to an earlier message
 			n.badInputLog.warn("could not read from a peer", "err", err)
 			time.Sleep(retryMin)
 			continue
@@ -108,6 +108,6 @@
 			}
 			continue
 		}
-		n.dispatch(limiter.PeerMessage{From: position, Data: buf[:size]}) // the module keeps no part of it
+		n.dispatch(limiter.PeerMessage{From: position, Data: buf[:size]}) // the module retains no part of Data
 	}
 }
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -7,25 +7,25 @@
 	"os"
 )
 
-// readAheadMost is how much is read ahead of a client's further requests at most.
+// maxReadAhead limits how many bytes of a client's further requests are read ahead.
 const maxReadAhead = 16 << 10
 
-// readAhead goes on reading from a client's connection while its request is at work and a further one has
-// begun to come, so that the client is seen to leave: net/http looks for that with one byte, and looks no
-// more once that byte has come. All but begin's goroutine is the reader's.
+// readAhead keeps reading from a client's connection after a further request has begun to arrive while one is
+// in progress, so that a disconnect is still detected: net/http detects it by a read of one byte, and stops
+// once that byte has arrived. Only the connection's reader uses its methods.
 type readAhead struct {
-	clientLeft context.CancelFunc // ends the context of the connection's requests
-	buffered   []byte             // read, and not passed on yet
-	done       chan struct{}      // closed when the goroutine has ended; nil: there is none
+	clientLeft context.CancelFunc // cancels the context of the connection's requests
+	buffered   []byte             // read ahead and not yet returned by Read
+	done       chan struct{}      // closed when the goroutine has ended; nil: not running
 }
 
-// watch gives the connection's requests a context that ends when the client leaves.
+// withCancel returns the connection's context, which ends when the client disconnects.
 func (a *readAhead) withCancel(ctx context.Context) context.Context {
 	ctx, a.clientLeft = context.WithCancel(ctx)
 	return ctx
 }
 
-// begin reads ahead until it is interrupted, the client leaves or as much is held as may be.
+// start reads ahead until it is interrupted, the client disconnects or the limit is reached.
 func (a *readAhead) start(c net.Conn) {
 	if a.done != nil {
 		return
@@ -49,8 +49,8 @@
 	}()
 }
 
-// interrupt ends reading ahead, and tells whether there was any: the connection's deadline for reading is
-// then to be set anew.
+// interrupt stops reading ahead, and reports whether it was running: the caller must then restore the
+// connection's read deadline.
 func (a *readAhead) interrupt(c net.Conn) bool {
 	if a.done == nil {
 		return false
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -6,21 +6,20 @@
 	"time"
 )
 
-// reloadMost is the longest pause between two readings of a file that can't be
-// used; the first is retryFirst.
+// maxReloadRetry is the longest pause before an unusable file is read again; the first is retryMin.
 const maxReloadRetry = time.Second
 
-// Reload has the configuration file read again. Of what it says, the address of
-// discovery takes effect; all else holds from the next start on.
+// Reload reads the configuration file again. Only a change of the discovery address takes effect; all other
+// changes take effect at the next start.
 func (n *Node) Reload() {
 	select {
 	case n.reloadRequests <- struct{}{}:
-	default: // one that waits reads the same file
+	default: // a pending reload reads the same file
 	}
 }
 
-// reloads carries out what Reload asks for, until the context ends. A file that
-// can't be used changes nothing: it may be half written, and is read again soon.
+// handleReloads carries out reloads until the context ends. An unusable file changes nothing: it may be partly
+// written, and is read again soon.
 func (n *Node) handleReloads(ctx context.Context) {
 	errorLog := &boundedLog{to: n.log}
 	pause, inFile := retryMin, n.cfg.discoveryInFile
@@ -46,7 +45,7 @@
 			errorLog.warn("a changed admin_addr needs a restart", "is", n.cfg.AdminAddr, "new", cfg.AdminAddr)
 		}
 		if cfg.discoveryInFile == inFile {
-			continue // the watch goes on, also where NODE_DISCOVERY named its address
+			continue // the watch continues, also at an address from NODE_DISCOVERY
 		}
 		inFile = cfg.discoveryInFile
 		select {
@@ -56,26 +55,24 @@
 	}
 }
 
-// reread reads the configuration as at the start, but for the address of
-// discovery: there a new file goes before the environment, which can't change
-// and still names the address of the start.
+// reload reads the configuration as at the start, except that the discovery address in the file takes
+// precedence over the environment, which can't change and still contains the initial address.
 func (c *Config) reload() (*Config, error) {
 	return loadFile(c.path, c.getenv, func(file, env string) string { return cmp.Or(file, env) })
 }
 
-// watches notes which agent the list is from by now.
+// setListAgent records which agent the server list comes from.
 func (n *Node) setListAgent(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.upgrade != nil {
 		n.upgrade.listAgent = addr
-		clear(n.upgrade.hosts) // until the whole list of the new one has come there is none to hand over
+		clear(n.upgrade.hosts) // nothing can be handed over until the new agent's complete list has arrived
 	}
 }
 
-// follow watches discovery until the context ends, at one address after the
-// other. Guards against waiting on a watch at an address that is given up: it
-// would hold until its time is up, and its list is no longer the one that counts.
+// followDiscovery watches the discovery agent until the context ends, switching addresses on reload. It cancels
+// the watch at an old address at once: that call could be held for long, and its answer no longer counts.
 func (n *Node) followDiscovery(ctx context.Context) {
 	at, index := n.cfg.Discovery, listIndex{n.cfg.InitialServers.Seq, len(n.cfg.InitialServers.Hosts) > 0}
 	for ctx.Err() == nil {
@@ -89,9 +86,9 @@
 		case <-ctx.Done():
 		case at = <-n.discoveryAddrs:
 			n.setListAgent(at)
-			index = listIndex{} // another one counts anew: ask for the whole list
+			index = listIndex{} // the new agent's sequence numbers are unrelated: request the complete list
 		}
 		end()
-		<-ended // nothing that the old address says is taken from here on
+		<-ended // no answer from the old address is applied after this
 	}
 }
--- a/internal/node/remember.go
+++ b/internal/node/remember.go
@@ -2,59 +2,59 @@
 
 import "example.org/madderdrum/limiter"
 
-// Begun is closed once the module has its first list of servers and what was recalled.
+// Begun returns a channel that is closed once the module has its first server list and the state passed to
+// Recall.
 func (n *Node) Begun() <-chan struct{} { return n.started }
 
-// Remember returns what the module has learnt by now.
+// Remember returns a snapshot of the state that the module has learnt.
 func (n *Node) Remember() *limiter.Memory {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.limiter.Remember(n.now())
 }
 
-// Reserve has the module's accounts told while it runs; see [limiter.Limiter.Reserve]. It must
-// be called before Run.
+// Reserve enables writing the module's accounts while it runs; see [limiter.Limiter.Reserve]. It must be called
+// before Run.
 func (n *Node) Reserve(headMs float64) { n.limiter.Reserve(headMs) }
 
-// BeginWrite begins telling the accounts.
+// BeginWrite begins a write of the accounts.
 func (n *Node) BeginWrite(all bool) (*limiter.Handover, uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.limiter.BeginWrite(n.now(), all)
 }
 
-// Accounts tells the next ones. The module is free between two calls.
+// Accounts returns the next accounts of a write. The mutex is released between calls.
 func (n *Node) Accounts(most int) (told []limiter.AccountMemory, more, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.limiter.Accounts(n.now(), most)
 }
 
-// Kept says that a write is on the disk.
+// Kept confirms that a write is stored durably.
 func (n *Node) Kept(seq uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.limiter.Kept(seq)
 }
 
-// Now is the module's clock, in ms.
+// Now returns the module's clock in ms.
 func (n *Node) Now() float64 { return n.now() }
 
-// HandOver returns what the module held, but for the accounts, which Leave tells. Run must
-// have returned.
+// HandOver returns the module's state, except for the accounts, which Leave returns. Run must have returned.
 func (n *Node) HandOver() *limiter.Memory {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.limiter.HandOver(n.now())
 }
 
-// Leave tells the next accounts of a module that has handed over.
+// Leave returns the next accounts of a module that has handed over its state.
 func (n *Node) Leave(most int) (told []limiter.AccountMemory, more bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.limiter.Leave(n.now(), most)
 }
 
-// Recall has Run begin with what a limiter before this one has learnt, behind the list of
-// servers that is known and before the first request. It must be called before Run.
+// Recall sets the state of an earlier process that Run restores after the initial server list and before the
+// first request. It must be called before Run.
 func (n *Node) Recall(m *limiter.Memory) { n.initialMemory = m }
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -9,14 +9,14 @@
 	"example.org/madderdrum/limiter"
 )
 
-// errStale tells that another version of the configuration has come.
+// errConfigChanged is returned for a request that was parsed with an earlier revision of the configuration.
 var errConfigChanged = errors.New("the configuration has changed")
 
-// errInHand tells of an id that is in hand already: the module would leave the second
+// errDuplicateID rejects a request whose ID belongs to one in progress: the module would leave the second
 // request without an answer.
 var errDuplicateID = &requestError{http.StatusConflict, "a request with this X-Request-ID is in hand"}
 
-// submit hands a request, read by a version, to the module.
+// submit passes a request, parsed with a revision of the configuration, to the module.
 func (n *Node) submit(r *request, ev limiter.Submit, v *revision) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// next waits for what is to be done for a request: an attempt, or the answer.
+// nextStep waits for the next attempt of a request, or its final answer.
 func (n *Node) nextStep(r *request) (*attempt, *answer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -49,7 +49,7 @@
 			return nil, r.finalAnswer
 		}
 		left := time.Until(r.deadline)
-		if left <= 0 { // held to the end: the client is still owed an answer
+		if left <= 0 { // held by the module until the deadline: the client still has to get an answer
 			n.setFinalAnswer(r.id, &answer{status: http.StatusGatewayTimeout})
 			n.handle(limiter.Aborted{ID: r.id})
 			continue
@@ -68,7 +68,7 @@
 	}
 }
 
-// wake tells the client's goroutine that there is something to do.
+// wake notifies the client's goroutine of a new attempt or the final answer.
 func (r *request) wake() {
 	if r.signal != nil {
 		select {
@@ -78,8 +78,7 @@
 	}
 }
 
-// finish reports how an attempt ended. Of one that was given up meanwhile the
-// module has heard already.
+// finishAttempt reports how an attempt ended, unless it was cancelled: that has been reported already.
 func (n *Node) finishAttempt(att *attempt, rep reply) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -95,7 +94,8 @@
 	}
 	if rep.stream != nil {
 		r.current, att.conn = att, rep.stream.conn
-		r.finalAnswer = &answer{status: http.StatusOK, contentType: rep.contentType, stream: rep.stream, att: att, load: rep.load, elapsedMs: msSince(att.sentAt)}
+		r.finalAnswer = &answer{status: http.StatusOK, contentType: rep.contentType, stream: rep.stream,
+			att: att, load: rep.load, elapsedMs: msSince(att.sentAt)}
 		n.handle(limiter.FirstByte{ID: r.id, Try: att.number})
 		return
 	}
@@ -104,8 +104,9 @@
 	if r.bodyRest != nil && r.bodyRest.consumed() {
 		n.reportProgress(att, true)
 	}
-	if rep.requestErr != nil && r.finalAnswer == nil { // the client, before its request was whole
-		r.finalAnswer = &answer{status: statusOf(rep.requestErr), body: []byte(rep.requestErr.Error() + "\n"), contentType: "text/plain; charset=utf-8"}
+	if rep.requestErr != nil && r.finalAnswer == nil { // the client failed to send its complete request
+		r.finalAnswer = &answer{status: statusOf(rep.requestErr), body: []byte(rep.requestErr.Error() + "\n"),
+			contentType: "text/plain; charset=utf-8"}
 	}
 	if rep.result == limiter.Pass && r.finalAnswer == nil {
 		r.finalAnswer = &answer{status: http.StatusOK, body: rep.body, contentType: rep.contentType}
@@ -117,7 +118,7 @@
 		SpentMs: cmp.Or(rep.elapsedMs, msSince(att.sentAt)), Done: r.finalAnswer != nil, Load: rep.load})
 }
 
-// abandon ends a request whose client is gone.
+// abandon ends a request whose client has disconnected.
 func (n *Node) abandon(r *request) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -128,14 +129,14 @@
 	n.handle(limiter.Aborted{ID: r.id})
 }
 
-// forget drops a request that has its answer.
+// removeRequest removes a request that has been answered.
 func (n *Node) removeRequest(r *request) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.requests, r.id)
 }
 
-// expire ends the attempts that are still out when the node must stop.
+// expire ends the running attempts when the node must stop.
 func (n *Node) expire() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -16,35 +16,35 @@
 )
 
 const (
-	maxHeldBody  = 64 << 10 // of a body is held whole
+	maxHeldBody  = 64 << 10 // longer bodies are streamed
 	probeTimeout = 250 * time.Millisecond
 	sweepEvery   = 500 * time.Millisecond
 
-	// maxAnswer bounds what is read for one answer, with the heads that announce it
-	// and the frames of its chunks.
+	// maxAnswerBytes limits what is read for one short answer, including informational headers that precede it
+	// and chunk framing.
 	maxAnswerBytes = maxHeaderBytes + 2*maxHeldBody
-	// An answer that has begun comes whole within restTime, which leaves room for a
-	// lost packet, or within this part of the time left.
+	// Once an answer has begun, its next byte must arrive within nextByteTimeout, which allows for a lost
+	// packet, or within this fraction of the time left if that is shorter.
 	nextByteTimeout = 250 * time.Millisecond
 	nextByteDivisor = 4
-	// maxLoad is more than any load that a server can have.
+	// maxLoad is a load that no server can reach.
 	maxLoad = 1e6
 )
 
-// noLoad is the load of an answer without a report.
+// noLoad is the load of an answer without a load report.
 var noLoad = limiter.Load{Busy: -1, Pending: -1, ServiceMs: -1}
 
-// pool keeps the connections to servers. It is not http.Transport, which sends
-// a request again by itself when a kept-alive connection breaks: a second copy.
+// serverPool keeps the connections to servers. It replaces http.Transport, which resends a request by itself
+// when a kept-alive connection breaks, and so may have it executed twice.
 type serverPool struct {
-	budget      atomic.Int64 // most connections
+	budget      atomic.Int64 // maximum number of connections
 	connTimeout time.Duration
-	maxIdle     time.Duration // idle connections are closed after this
+	maxIdle     time.Duration // idle connections are closed after this time
 	counters    *counters
 
 	mu        sync.Mutex
 	hosts     map[uint64]*host
-	openConns int // connections open or coming up
+	openConns int // including those being established
 	idleStats idleStats
 }
 
@@ -53,9 +53,9 @@
 	id         uint64
 	dialAddr   string
 	bornMs     float64
-	accepting  bool    // wants new requests
-	superseded bool    // another server stands at its address
-	idle       []*conn // the latest used last
+	accepting  bool    // accepts new requests
+	superseded bool    // another server now uses its address
+	idle       []*conn // most recently used last
 }
 
 // conn is a connection to a server that carries one request at a time.
@@ -64,21 +64,21 @@
 	serverPool *serverPool
 	host       *host
 	src        *answerReader
-	reader     *bufio.Reader // reads from it
-	used       bool          // an answer has come on it
+	reader     *bufio.Reader // reads from src
+	used       bool          // it has carried a request
 	idleSince  time.Time
 	once       sync.Once
 }
 
-// answerReader is what a conn reads answers from.
+// answerReader is the source from which a conn reads answers.
 type answerReader struct {
 	src       io.Reader
-	remaining int   // bytes that may still come for this answer
-	connErr   error // how the connection ended
+	remaining int   // bytes that may still be read for this answer
+	connErr   error // error that ended the connection
 }
 
-// Read guards against an answer, or heads that announce one, without end, and
-// tells the end of a connection from an answer that can't be read.
+// Read limits the size of an answer and of informational headers before it, and records connection errors, so
+// that they can be told from unreadable answers.
 func (a *answerReader) Read(b []byte) (int, error) {
 	if a.remaining <= 0 {
 		return 0, errAnswerTooLong
@@ -91,16 +91,16 @@
 	return n, err
 }
 
-// reply is what came of an attempt.
+// reply is the result of an attempt.
 type reply struct {
 	result      limiter.Result
 	body        []byte
 	contentType string
 	load        limiter.Load
-	stream      *answerStream // an answer that goes on while it comes; body is nil
-	elapsedMs   float64       // 0: up to now
-	requestErr  error         // why the client's request did not become whole
-	err         error         // why an answer was of no use
+	stream      *answerStream // a long answer that is streamed; body is nil
+	elapsedMs   float64       // 0: until now
+	requestErr  error         // why the client's request could not be read completely
+	err         error         // why the answer could not be used
 }
 
 func newServerPool(budget int, connTimeout, maxIdle time.Duration) *serverPool {
@@ -110,8 +110,8 @@
 	return p
 }
 
-// update takes in what the list says of a server and tells whether that is
-// news. Connections to an earlier process or address are not used again.
+// update applies a list entry and reports whether it changed anything. Connections to an earlier process or
+// address are not used again.
 func (p *serverPool) update(info limiter.ServerInfo, dialAddr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,8 +123,8 @@
 		return current != nil
 	case current == nil || current.dialAddr != dialAddr || current.bornMs != info.ReadyAt:
 		p.retire(current)
-		// One that still stands at this address is gone: guards against sending to the
-		// new server under the old one's name, on its connections or pending connects.
+		// A server that was listed at this address before is gone: without this, its idle connections and
+		// pending connects would carry its requests to the new server.
 		for _, o := range p.hosts {
 			if o.id != info.ID && o.dialAddr == dialAddr {
 				o.superseded = true
@@ -142,17 +142,17 @@
 	return news
 }
 
-// allow changes how many connections may be open.
+// setBudget changes how many connections may be open.
 func (p *serverPool) setBudget(budget int) { p.budget.Store(int64(budget)) }
 
-// count is how many connections are open.
+// openCount returns how many connections are open.
 func (p *serverPool) openCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.openConns
 }
 
-// rest closes all idle connections.
+// closeAllIdle closes all idle connections.
 func (p *serverPool) closeAllIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,7 +161,7 @@
 	}
 }
 
-// keepOnly drops the servers that a whole list does not name.
+// retainListed drops the servers that a complete list does not contain.
 func (p *serverPool) retainListed(listed map[uint64]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -173,7 +173,7 @@
 	}
 }
 
-// drop retires a host. Attempts that are out on it go on.
+// retire stops using a host. Attempts in progress on it continue.
 func (p *serverPool) retire(h *host) {
 	if h != nil {
 		h.accepting = false
@@ -188,7 +188,7 @@
 	h.idle = nil
 }
 
-// host returns the process of a server that may be sent something new.
+// host returns the server's current process if it accepts new requests, else nil.
 func (p *serverPool) host(id uint64) *host {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -198,23 +198,22 @@
 	return nil
 }
 
-// wanted tells whether a host still is to be sent something new.
+// accepts reports whether a host still accepts new requests.
 func (p *serverPool) accepts(h *host) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return h.accepting
 }
 
-// broken closes a host's idle connections after one of its connections broke
-// or could not be made: the others are as likely dead. An answer that can't be
-// read says nothing of the kind.
+// markBroken closes a host's idle connections after one of its connections broke or could not be established:
+// the others are likely dead too. It is not called for an unreadable answer, which doesn't suggest that.
 func (p *serverPool) markBroken(h *host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeIdle(h)
 }
 
-// take returns the idle connection of a host that was used last, or nil.
+// takeIdle returns the most recently used idle connection of a host, or nil.
 func (p *serverPool) takeIdle(h *host) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -229,24 +228,24 @@
 	return nil
 }
 
-// sound tells whether an idle connection may be used.
+// usable reports whether an idle connection may be used.
 func (p *serverPool) usable(c *conn) bool {
 	return time.Since(c.idleSince) < min(p.maxIdle, p.idleStats.limit) && c.quiet()
 }
 
-// note counts an exchange on a connection by how long that was idle before.
+// recordExchange counts an exchange on a connection in the group of its idle time before.
 func (p *serverPool) recordExchange(group int, broke bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idleStats.add(time.Now(), group, broke)
 }
 
-// put keeps a connection for later, unless its host has moved on.
+// put keeps a connection for reuse, unless its host accepts no new requests.
 func (p *serverPool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// The deadline of the request before must not stay: once it has passed, the
-	// check for silence fails and the connection would be closed.
+	// Clear the previous request's deadline: once it has passed, the check for silence would fail and the
+	// connection would be closed.
 	if !c.host.accepting || c.SetDeadline(time.Time{}) != nil {
 		c.closeLocked()
 		return
@@ -255,7 +254,7 @@
 	c.host.idle = append(c.host.idle, c)
 }
 
-// errNoRoom tells that the budget of connections is used up.
+// errConnBudget is returned when no further connection may be opened.
 var errConnBudget = errors.New("no connection left in the budget")
 
 // connect opens a connection to a host.
@@ -297,8 +296,7 @@
 	}
 }
 
-// sweep closes idle connections whose time is up or that the server has
-// closed, until the context ends.
+// sweep closes idle connections that have expired or were closed by the server, until the context ends.
 func (p *serverPool) sweep(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, sweepEvery)
@@ -334,7 +332,6 @@
 	})
 }
 
-// quiet tells that an idle connection is open and silent. One that the server
-// has closed must not be used: the request would end as a Cut, and an unsafe
-// one could not be sent again.
+// quiet reports whether an idle connection is open with nothing to read. A connection closed by the server must
+// not be used: the request would end as Cut, and one that is not idempotent could not be retried.
 func (c *conn) quiet() bool { return sockets.Quiet(c.Conn) }
--- a/internal/node/sources.go
+++ b/internal/node/sources.go
@@ -9,30 +9,30 @@
 	"example.org/madderdrum/limiter"
 )
 
-// Source is a discovery agent that tells the servers of one pool, in the platform's
-// form: GET /v1/servers, whole or as a watch.
+// Source is a discovery agent that provides the servers of one pool, in the platform's format: GET /v1/servers,
+// as complete lists or as a watch.
 type Source struct {
 	Pool, Addr string
-	Tiers      map[string]int // of the boxes of each site; none: all are alike
+	Tiers      map[string]int // tier of the servers of each site; empty: all are equal
 }
 
-// source is one with what it has told.
+// source is a Source with the state of its list.
 type source struct {
 	Source
-	// Under the node's mutex:
-	hosts   map[string]serverItem // those that are gone are not in it
+	// The following fields are guarded by the node's mutex.
+	hosts   map[string]serverItem // without removed servers
 	index   listIndex
-	hold    time.Duration // how long the agent may hold a call; 0: another limiter tells what it says
-	restart func()        // has hold looked at again
+	hold    time.Duration // how long the agent may hold a call; 0: another limiter reports its answers
+	restart func()        // makes watchSource apply a changed hold
 }
 
-// takeFrom takes in what an agent tells, or another limiter for it. A whole list says nothing
-// of the servers of others, so that the module is only ever told what changes.
+// applySourceList applies an agent's answer, received from it or through another limiter. A complete list
+// covers only this pool's servers, so the module always gets the differences.
 func (n *Node) applySourceList(s *source, list serverList, fromAgent bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if fromAgent && (s.hold == 0 || !list.Whole && list.Seq < s.index.seq) {
-		return // it came when another limiter's word counted already
+		return // outdated: another limiter's reports count already
 	}
 	s.index = listIndex{list.Seq, true}
 	if fromAgent && n.cfg.Looks != nil {
@@ -57,7 +57,7 @@
 		}
 	}
 	for _, item := range list.Hosts {
-		if item.Host != "" { // of another pool a server of this name is another one
+		if item.Host != "" { // a server of this name in another pool is a different one
 			item.Host = s.Pool + "/" + item.Host
 		}
 		item.pool, item.tier = PoolID(s.Pool), s.Tiers[item.Site]
@@ -73,7 +73,7 @@
 	}
 }
 
-// discovered are the servers that all agents have told of. The mutex is held.
+// discoveredServers returns the servers known from all agents. The mutex is held.
 func (n *Node) discoveredServers() (all []serverItem) {
 	for _, s := range n.sources {
 		for _, name := range slices.Sorted(maps.Keys(s.hosts)) {
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -15,41 +15,41 @@
 	"example.org/madderdrum/limiter"
 )
 
-// Of a body longer than maxBody only the beginning is held; the rest goes on piece by piece.
+// Of a body longer than maxHeldBody only the beginning is held; the rest is streamed.
 const (
-	// maxStream bounds a body: the longest that clients send and servers give is 32 MB.
+	// maxBodyBytes limits a body: the longest ones of clients and servers have 32 MB.
 	maxBodyBytes = 64 << 20
 	bufferSize   = 32 << 10
-	// A client has silentBody for its next byte, and leastRate on the whole: the slowest
+	// A client must send its next byte within bodyReadTimeout, and minBodyRate on average: the slowest clients
 	// write 64 kB a second.
 	bodyReadTimeout = 2 * time.Second
-	minBodyRate     = 32 << 10 // bytes a second
-	// A peer that neither takes nor gives a byte of a long body for stalledBody is given
-	// up: some pause for seconds.
+	minBodyRate     = 32 << 10 // bytes per second
+	// A peer that neither accepts nor sends a byte of a long body for stallTimeout is given up; some pause for
+	// seconds.
 	stallTimeout = 10 * time.Second
-	// An answer of unknown length goes on once so much of it has come, or so long after its
-	// head: most are whole by then, and can still be asked for again if they are not.
+	// An answer of unknown length is streamed once maxHeldBody bytes or this much time have passed since its
+	// header: most are complete by then, and can be retried if they are not.
 	streamAfter = 100 * time.Millisecond
-	// takenIn and takeInFor bound what is still read of a body whose request was answered
-	// without it: a connection that is closed before its client has written is reset, and
-	// the answer may be lost with it. A write of the slowest takes less.
+	// maxDiscardedBody and discardTimeout limit how much is still read of a body whose request was answered
+	// without it: a connection that is closed while its client is writing is reset, and the answer may be lost
+	// with it. One write of the slowest client takes less.
 	maxDiscardedBody = 256 << 10
 	discardTimeout   = 500 * time.Millisecond
-	// heldShare is the part of the memory limit that held bodies may take.
+	// heldBodyShare is the fraction of the memory limit for held bodies.
 	heldBodyShare = 0.25
-	// tellEvery is how often the module hears that a long request still goes on.
+	// progressInterval is how often the module is notified that a long request is making progress.
 	progressInterval = 200 * time.Millisecond
 )
 
-// pieces are buffers for one direction of a stream.
+// buffers are for one direction of a stream each.
 var buffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
 
-// holdBodies has held bodies take their part of a share of the memory limit.
+// setHeldBodyLimit limits held bodies for a process that uses the given share of the memory limit.
 func (n *Node) setHeldBodyLimit(share float64) {
 	n.maxHeldBytes.Store(int64(share * heldBodyShare * float64(n.cfg.Limits.MemoryMB<<20)))
 }
 
-// reserve takes place for a body to be held, if there is some.
+// reserveBody reserves memory for a held body, and reports whether it was available.
 func (n *Node) reserveBody(bytes int64) bool {
 	if n.heldBytes.Add(bytes) > n.maxHeldBytes.Load() && n.maxHeldBytes.Load() > 0 {
 		n.heldBytes.Add(-bytes)
@@ -58,23 +58,23 @@
 	return true
 }
 
-// upload is the body of a client's request. It gives up a client that sends nothing, or too
-// little, for long. It is used by the request's goroutine alone.
+// upload is the body of a client's request. It gives up on a client that stalls or is too slow. It is used by
+// the request's goroutine only.
 type upload struct {
 	body      io.Reader
 	ctl       *http.ResponseController
 	start     time.Time
 	received  int64
-	limit     int64 // bytes that the route takes
-	remaining int64 // bytes that are to come past what is held; -1: not told
+	limit     int64 // maximum size for the route
+	remaining int64 // bytes that follow the held ones; -1: unknown
 	held      int64 // bytes that are held
 	complete  bool
-	err       error // why it broke off
+	err       error // why reading failed
 }
 
 var errBodyTooLong = &requestError{http.StatusRequestEntityTooLarge, "the body is too long"}
 
-// by is until when the next byte is waited for.
+// readDeadline returns until when to wait for the next byte.
 func (u *upload) readDeadline(now time.Time) time.Time {
 	readDeadline := now.Add(bodyReadTimeout)
 	if slowest := u.start.Add(bodyReadTimeout + time.Duration(u.received)*time.Second/minBodyRate); slowest.Before(readDeadline) {
@@ -83,7 +83,7 @@
 	return readDeadline
 }
 
-// Read reads the next piece.
+// Read reads the next part of the body.
 func (u *upload) Read(b []byte) (int, error) {
 	if u.complete {
 		return 0, io.EOF
@@ -101,8 +101,7 @@
 	case u.received > u.limit:
 		u.err = errBodyTooLong
 	case err == io.EOF:
-		// Afterwards there is no deadline: when it passed, net/http would take the client
-		// for gone.
+		// Clear the deadline: when it passes, net/http would consider the client gone.
 		u.complete = true
 		if err := u.ctl.SetReadDeadline(time.Time{}); err != nil {
 			u.err = err
@@ -116,8 +115,8 @@
 	return n, err
 }
 
-// readCall reads the body of a request, or its beginning where it is long. What it holds is
-// given back by release.
+// readBody reads the body of a request, or the beginning of a long one. releaseBody returns the memory that it
+// reserves.
 func (n *Node) readBody(w http.ResponseWriter, hr *http.Request, r *request, arrived time.Time) error {
 	if hr.ContentLength == 0 {
 		return nil
@@ -149,7 +148,7 @@
 	if filled > 0 && hr.Method == http.MethodGet {
 		return badRequestf("this class has no body")
 	}
-	if u.remaining == 0 && !u.complete { // net/http tells the end behind the last byte
+	if u.remaining == 0 && !u.complete { // net/http reports EOF only after the last byte
 		if _, err := u.Read(make([]byte, 1)); err != io.EOF {
 			return err
 		}
@@ -157,18 +156,18 @@
 	if !u.complete {
 		r.bodyRest = u
 	}
-	r.deadline = r.deadline.Add(time.Since(arrived)) // the time counts from the last byte
+	r.deadline = r.deadline.Add(time.Since(arrived)) // the time limit is counted from the last byte
 	return nil
 }
 
-// release gives back what a request held.
+// releaseBody returns the memory reserved for a request.
 func (n *Node) releaseBody(r *request) { n.heldBytes.Add(-r.reservedBytes) }
 
-// used tells that some of what is not held has been read: it can't go on once more.
+// consumed reports whether part of the body was read that is not held: the request can't be retried.
 func (u *upload) consumed() bool { return u.received > u.held }
 
-// discard reads what is left of a body that nobody needs, so that its client, which may only
-// read the answer when it has written all, gets it.
+// discard reads the rest of a body that is not needed, as its client may read the answer only after it has
+// written everything.
 func (u *upload) discard() {
 	b := buffers.Get().(*[bufferSize]byte)
 	defer buffers.Put(b)
@@ -179,17 +178,18 @@
 	}
 }
 
-// hooks are called as an exchange goes on; each may be nil.
+// hooks are callbacks during an exchange; each may be nil.
 type hooks struct {
-	progress       func()           // some of a long request has gone on
-	requestWritten func() time.Time // its last byte was written; returns until when to wait
+	progress       func()           // part of a long request was written
+	requestWritten func() time.Time // the last byte was written; returns a new deadline for the answer, or zero
 }
 
-// errAnswered tells that a server has answered, or closed, before it had the whole request.
+// errEarlyAnswer is returned when a server has answered, or closed the connection, before it received the
+// complete request.
 var errEarlyAnswer = errors.New("the server did not wait for the whole request")
 
-// pieceWriter writes a long request. Each piece has time of its own, as long as the server
-// says nothing.
+// deadlineWriter writes a long request. Each write has a deadline of its own, and fails once the server has
+// sent something.
 type deadlineWriter struct {
 	c       *conn
 	started bool
@@ -211,7 +211,7 @@
 	return n, err
 }
 
-// writeLong writes a request whose body is not held whole.
+// writeLong writes a request whose body is not held completely.
 func (c *conn) writeLong(req *http.Request, call *call, h *hooks) error {
 	req.Body = io.NopCloser(io.MultiReader(bytes.NewReader(call.body), call.bodyRest))
 	if req.ContentLength = -1; call.bodyRest.remaining >= 0 {
@@ -226,15 +226,15 @@
 	return out.Flush()
 }
 
-// answerStream is an answer that goes on while it comes.
+// answerStream is an answer that is forwarded while it is received.
 type answerStream struct {
 	resp   *http.Response
 	conn   *conn
-	prefix []byte // what has come of its body
-	length int64  // -1: not told
+	prefix []byte // the part of the body that was already read
+	length int64  // -1: unknown
 }
 
-// readAnswer reads a body that is short, or the beginning of one that is not, and tells which.
+// readAnswer reads a short body, or the beginning of a long one, for which it returns a stream.
 func (c *conn) readAnswer(resp *http.Response, deadline time.Time) (body []byte, stream *answerStream, err error) {
 	length := resp.ContentLength
 	switch ok := resp.StatusCode == http.StatusOK; {
@@ -251,7 +251,7 @@
 	return c.readUnknown(resp, deadline)
 }
 
-// dropAnswer reads a body that nobody gets.
+// dropAnswer reads and discards a body.
 func (c *conn) dropAnswer(resp *http.Response, deadline time.Time) error {
 	if err := c.SetReadDeadline(nextByteDeadline(deadline)); err != nil {
 		return err
@@ -263,7 +263,7 @@
 	return err
 }
 
-// readKnown reads a body whose length was told and is short.
+// readKnown reads a short body of known length.
 func (c *conn) readKnown(resp *http.Response, deadline time.Time) ([]byte, error) {
 	body := make([]byte, resp.ContentLength)
 	for filled := 0; filled < len(body); {
@@ -278,7 +278,7 @@
 	return body, nil
 }
 
-// readUnknown reads a body whose length was not told, or so much of it as comes at once.
+// readUnknown reads a body of unknown length, or its beginning if it takes long.
 func (c *conn) readUnknown(resp *http.Response, deadline time.Time) (body []byte, stream *answerStream, err error) {
 	started, limit := time.Now(), nextByteDeadline(deadline)
 	body = make([]byte, 0, 4<<10)
@@ -291,7 +291,7 @@
 				if len(body) > 0 {
 					break
 				}
-				if started = started.Add(streamAfter); started.After(limit) { // it can be asked for again
+				if started = started.Add(streamAfter); started.After(limit) { // there is time for another attempt
 					return nil, nil, err
 				}
 				continue
@@ -315,16 +315,15 @@
 	return nil, &answerStream{resp: resp, conn: c, prefix: body, length: -1}, nil
 }
 
-// soon is until when the next byte of an answer that has begun is waited for: there is to be
-// time for another attempt.
+// nextByteDeadline returns until when to wait for the next byte of an answer that has begun; it leaves time for
+// another attempt.
 func nextByteDeadline(deadline time.Time) time.Time {
 	now := time.Now()
 	return now.Add(min(nextByteTimeout, deadline.Sub(now)/nextByteDivisor))
 }
 
-// stream passes a long answer on as it comes, at the pace of its client, and tells the module
-// how it ended. An answer that breaks off is passed on as one: its client's connection closes
-// before the end that was announced.
+// stream forwards a long answer as it arrives, at the pace of its client, and reports the result to the module.
+// An answer that breaks off is forwarded as such: the client's connection is closed before the announced end.
 func (n *Node) stream(w http.ResponseWriter, r *request, a *answer) (whole bool) {
 	s, ctl := a.stream, http.NewResponseController(w)
 	n.setAnswerHeaders(w, a)
@@ -332,10 +331,10 @@
 		w.Header()["Content-Length"] = []string{itoa(s.length)}
 	}
 	w.WriteHeader(a.status)
-	result := limiter.Undone // of a client that does not take it
+	result := limiter.Undone // for a client that does not accept the answer
 	buf := buffers.Get().(*[bufferSize]byte)
 	defer buffers.Put(buf)
-	s.conn.src.remaining = maxBodyBytes + maxBodyBytes/8 // with the frames of its chunks
+	s.conn.src.remaining = maxBodyBytes + maxBodyBytes/8 // with chunk framing
 	piece, err, total := s.prefix, error(nil), int64(0)
 	for {
 		if len(piece) > 0 {
@@ -352,11 +351,11 @@
 			break
 		}
 		if err != nil || total > maxBodyBytes {
-			result = limiter.Spoilt // which says nothing about the server
+			result = limiter.Spoilt // not held against the server
 			if s.conn.src.connErr != nil {
 				result = limiter.Cut
 			}
-			n.badInputLog.warn("an answer broke off", "server", a.att.host.id, "after", total, "err", err)
+			n.badInputLog.warn("an answer from a server broke off", "server", a.att.host.id, "after", total, "err", err)
 			break
 		}
 		n.mu.Lock()
@@ -381,14 +380,14 @@
 	return whole
 }
 
-// goesOn tells the module that a long request still goes on, and whether its body is held no
-// more. The node's mutex is held.
+// reportProgress notifies the module that a long request is making progress; spent means that it can't be
+// retried. The node's mutex is held.
 func (n *Node) reportProgress(att *attempt, spent bool) {
-	n.handle(limiter.Progress{ID: att.req.id, Try: att.number, LeftMs: float64(att.req.attemptTimeout) / float64(time.Millisecond), Spent: spent})
+	n.handle(limiter.Progress{ID: att.req.id, Try: att.number,
+		LeftMs: float64(att.req.attemptTimeout) / float64(time.Millisecond), Spent: spent})
 }
 
-// goingOn are the hooks of an attempt. Those of a short request, which is written at once, are
-// the same for all.
+// attemptHooks returns the hooks of an attempt. Short requests, which are written at once, share theirs.
 func (n *Node) attemptHooks(att *attempt) *hooks {
 	if att.req.bodyRest == nil {
 		return n.shortHooks
@@ -415,25 +414,25 @@
 	}}
 }
 
-// takeIn gives a client that was answered without its body the answer, and takes a bounded part
-// of the body in, which goes nowhere. net/http does so itself, but not where the client has said
-// that its connection closes.
+// discardBody flushes the answer of a client that was answered without reading its body, and discards a limited
+// part of the body. net/http does this itself, except when the client has requested that the connection be
+// closed.
 func discardBody(w http.ResponseWriter, hr *http.Request) {
 	if hr.ContentLength == 0 || !hr.Close {
 		return
 	}
 	ctl := http.NewResponseController(w)
-	ctl.EnableFullDuplex() // else net/http would read the rest before it answers
+	ctl.EnableFullDuplex() // otherwise net/http would read the rest before it answers
 	if ctl.Flush() == nil && ctl.SetReadDeadline(time.Now().Add(discardTimeout)) == nil {
 		io.CopyN(io.Discard, hr.Body, maxDiscardedBody)
 	}
 }
 
-// answerEarly writes a final answer to a client that may still be sending its body, and takes
-// the rest of that in.
+// answerEarly writes a final answer to a client that may still be sending its body, and discards the rest of
+// the body.
 func (n *Node) answerEarly(ctx context.Context, w http.ResponseWriter, r *request, a *answer) {
 	ctl := http.NewResponseController(w)
-	ctl.EnableFullDuplex() // else net/http would read the rest before it answers
+	ctl.EnableFullDuplex() // otherwise net/http would read the rest before it answers
 	ctl.SetWriteDeadline(time.Now().Add(stallTimeout))
 	n.writeAnswer(w, a)
 	ctl.Flush()
--- a/internal/node/succeed.go
+++ b/internal/node/succeed.go
@@ -18,7 +18,7 @@
 	"example.org/madderdrum/limiter"
 )
 
-// predecessor is the connection to the process before this one.
+// predecessor is the connection to the previous process.
 type predecessor struct {
 	net.Conn
 	in *bufio.Reader
@@ -29,8 +29,8 @@
 	return strings.TrimSpace(line), err
 }
 
-// findPredecessor asks the process that a note tells of whether it hands over. With nil this
-// process starts fresh.
+// findPredecessor asks the process described in a note file to hand over. It returns nil if this process starts
+// without predecessor.
 func (n *Node) findPredecessor(ctx context.Context) *predecessor {
 	ctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// callOld asks the process of a note whether it hands over.
+// dialPredecessor asks the process described in a note to hand over.
 func dialPredecessor(ctx context.Context, note handover.Note) (*predecessor, error) {
 	c, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", note.Admin)
 	if err != nil {
@@ -68,7 +68,7 @@
 	fmt.Fprintf(c, "%s %s\n", handoverCall, note.Token)
 	line, err := p.line()
 	if err == nil && line != "YES" {
-		if err = fmt.Errorf("it says %.80q", line); strings.HasSuffix(line, errTakeoverInProgress.Error()) {
+		if err = fmt.Errorf("unexpected reply %.80q", line); strings.HasSuffix(line, errTakeoverInProgress.Error()) {
 			err = errTakeoverInProgress
 		}
 	}
@@ -79,7 +79,7 @@
 	return p, nil
 }
 
-// take takes the state over. Before this call the old process decides, from it on this one.
+// receiveState takes over the state. Before this call the old process decides, after it this one.
 func (p *predecessor) receiveState(who handover.Who) (*handover.State, error) {
 	requestedAt := time.Now()
 	if _, err := fmt.Fprintln(p, takeLine); err != nil {
@@ -100,8 +100,8 @@
 	return handover.Decode(head, data, who, time.Since(requestedAt))
 }
 
-// succeed takes over from a process before this one, if one is there: it opens this limiter's
-// sockets, which the old one still uses, and has the module begin with its state.
+// takeOver takes over from a running process, if there is one: it opens this limiter's sockets, which the old
+// one still uses, and receives its state.
 func (n *Node) takeOver(ctx context.Context) (*predecessor, *handover.State, error) {
 	p := n.findPredecessor(ctx)
 	if err := n.listen(); err != nil {
@@ -125,9 +125,9 @@
 	return p, s, nil
 }
 
-// steer has new connections come to this process's sockets alone. Of the sockets at one
-// address the system lets a program choose: one instruction that names the second one, which
-// is this one until the first is gone, and then no socket's number, which counts as no choice.
+// steerConnections directs new connections to this process's sockets only. Among sockets sharing an address the
+// kernel lets a BPF program choose: this one-instruction program selects index 1, which is this process until
+// the first one is gone, and then no socket's index, which the kernel treats as no selection.
 func (n *Node) steerConnections() error {
 	prog := [1]unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 1}}
 	for _, ln := range n.listeners {
@@ -137,7 +137,8 @@
 		}
 		var failed error
 		if err := raw.Control(func(fd uintptr) {
-			failed = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF, &unix.SockFprog{Len: 1, Filter: &prog[0]})
+			failed = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF,
+				&unix.SockFprog{Len: 1, Filter: &prog[0]})
 		}); err != nil {
 			return err
 		}
@@ -148,25 +149,25 @@
 	return nil
 }
 
-// begin has the module begin with a state.
+// restoreState initializes the module with a predecessor's state.
 func (n *Node) restoreState(s *handover.State) {
 	known := n.cfg.InitialServers
 	if list := s.ListOf(n.cfg.Discovery); len(list) > 0 {
 		var l serverList
 		if err := json.Unmarshal(list, &l); err != nil {
-			n.badInputLog.warn("the list that was handed over can't be read", "err", err)
+			n.badInputLog.warn("can't decode the server list that was handed over", "err", err)
 		} else {
 			known = l
-			n.cfg.InitialServers = l // the watch goes on from there
+			n.cfg.InitialServers = l // the watch continues from there
 		}
 	}
 	n.applyList(limiter.Persisted, known)
 	n.dispatch(limiter.Recall{Memory: s.Memory})
-	n.log.Info("took over from the process before", "accounts", len(s.Memory.Handover.Accounts), "servers", len(known.Hosts),
-		"drained", s.Drained, "its_descriptors", s.Sockets)
+	n.log.Info("took over from the process before", "accounts", len(s.Memory.Handover.Accounts),
+		"servers", len(known.Hosts), "drained", s.Drained, "its_descriptors", s.Sockets)
 }
 
-// awaitEnd waits until the process before has gone.
+// awaitPredecessorExit waits until the previous process has exited.
 func (n *Node) awaitPredecessorExit(ctx context.Context, p *predecessor) {
 	stop := context.AfterFunc(ctx, func() { p.Close() })
 	defer stop()
--- a/internal/node/upgrade.go
+++ b/internal/node/upgrade.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// The platform waits 6 s for a new process to be ready: the old one has succeedWithin
-	// for all of a hand-over, and is asked again after askAgain while it hands over to another.
+	// The platform waits 6 s for a new process to be ready: takeoverTimeout limits the whole hand-over by the
+	// old one, which is asked again after takeoverRetry while it hands over to another process.
 	takeoverTimeout = 2500 * time.Millisecond
 	dialTimeout     = 250 * time.Millisecond
 	takeoverRetry   = 50 * time.Millisecond
-	// The old process goes on as before when the new one says nothing for stepWithin.
+	// The old process continues as before if the new one is silent for handoverStepTimeout.
 	handoverStepTimeout = 2 * time.Second
 
 	handoverCall = "handover"
@@ -29,29 +29,30 @@
 
 var errTakeoverInProgress = errors.New("another process is taking over")
 
-// upgrade is what a limiter with an operators' address has for the next process, and what it
-// has had from the one before.
+// upgrade is the state that a limiter with an admin address needs to hand over to the next process, or take
+// over from the previous one.
 type upgrade struct {
 	identity           handover.Who
 	token              string
 	takeoverInProgress atomic.Bool   // a new process is taking over
-	replaced           chan struct{} // closed once one has taken over
+	replaced           chan struct{} // closed once a new process has taken over
 	runEnded           chan struct{} // closed at the end of Run
 
-	// Under the node's mutex:
-	frozen       bool   // the state has gone over: what the module says goes nowhere
-	lateRequests int    // requests that came all the same
-	listAgent    string // the agent that the list is from
+	// The following fields are guarded by the node's mutex.
+	frozen       bool   // the state was handed over: probes and peer messages of the module are discarded
+	lateRequests int    // requests that arrived after the hand-over
+	listAgent    string // the agent that provided the list
 	listSeq      int64
-	hosts        map[string]serverItem // the list, as discovery has it
+	hosts        map[string]serverItem // the current list
 }
 
 func newUpgrade(cfg *Config) *upgrade {
-	return &upgrade{identity: handover.Who{Limiter: cfg.Name, Listen: cfg.Listen}, token: rand.Text(), replaced: make(chan struct{}),
+	return &upgrade{identity: handover.Who{Limiter: cfg.Name, Listen: cfg.Listen},
+		token: rand.Text(), replaced: make(chan struct{}),
 		runEnded: make(chan struct{}), listAgent: cfg.Discovery, hosts: map[string]serverItem{}}
 }
 
-// listed keeps the list for the next process. The node's mutex is held.
+// listed records a list for the next process. The node's mutex is held.
 func (u *upgrade) listed(scope limiter.Scope, l serverList) {
 	if u == nil {
 		return
@@ -69,7 +70,7 @@
 	}
 }
 
-// list is what listed kept, in discovery's form; nil if there is none.
+// encodeList returns the recorded list in the discovery agent's format, or nil if it is empty.
 func (u *upgrade) encodeList() []byte {
 	if len(u.hosts) == 0 {
 		return nil
@@ -83,13 +84,13 @@
 	return b
 }
 
-// shrink has this process use what the other one leaves, until grow.
+// reduceLimits limits this process to the resources that the other process leaves, until restoreLimits.
 func (n *Node) reduceLimits(sockets int) {
 	n.setSocketBudget(sockets)
 	n.setMemoryShare(handover.MemoryShare)
 }
 
-// grow has this process use all that the limiter may.
+// restoreLimits lets this process use all of the limiter's resources.
 func (n *Node) restoreLimits() {
 	n.setSocketBudget(n.cfg.Limits.Sockets)
 	n.setMemoryShare(1)
--- a/internal/node/upgradenote.go
+++ b/internal/node/upgradenote.go
@@ -11,10 +11,11 @@
 	"example.org/madderdrum/handover"
 )
 
-// notePath is where the note of the running process is.
+// notePath returns the path of the running process's note file.
 func (n *Node) notePath() string { return filepath.Join(n.cfg.TempDir, n.upgrade.identity.File()) }
 
-// readNote finds the process before this one. A file of somebody else's is none.
+// readNote reads the previous process's note file. A file owned by another user, or accessible to others, is
+// rejected.
 func (n *Node) readNote() (handover.Note, error) {
 	f, err := os.OpenFile(n.notePath(), os.O_RDONLY|syscall.O_NOFOLLOW, 0)
 	if err != nil {
@@ -26,7 +27,7 @@
 		return handover.Note{}, err
 	}
 	if st, ok := info.Sys().(*syscall.Stat_t); !ok || int(st.Uid) != os.Getuid() || info.Mode().Perm()&0o077 != 0 {
-		return handover.Note{}, fmt.Errorf("%w: somebody else's", handover.ErrNote)
+		return handover.Note{}, fmt.Errorf("%w: wrong owner or permissions", handover.ErrNote)
 	}
 	data, err := io.ReadAll(io.LimitReader(f, 4<<10))
 	if err != nil {
@@ -35,11 +36,11 @@
 	return handover.ParseNote(data, n.upgrade.identity)
 }
 
-// writeNote leaves the note of this process, whole or not at all.
+// writeNote atomically writes the note file of this process.
 func (n *Node) writeNote() {
 	note := handover.Note{Who: n.upgrade.identity, Admin: n.AdminAddr(), Token: n.upgrade.token}
 	err := func() error {
-		f, err := os.CreateTemp(n.cfg.TempDir, "madderdrum-*.tmp") // 0600
+		f, err := os.CreateTemp(n.cfg.TempDir, "madderdrum-*.tmp") // mode 0600
 		if err != nil {
 			return err
 		}
@@ -53,11 +54,11 @@
 		return err
 	}()
 	if err != nil {
-		n.log.Warn("no upgrade under load from this process: can't leave a note for the next one", "err", err)
+		n.log.Warn("can't write the note file: the next process can't take over from this one", "err", err)
 	}
 }
 
-// removeNote takes the note of this process away; one that another has left stays.
+// removeNote removes the note file of this process; another process's file is kept.
 func (n *Node) removeNote() {
 	if note, err := n.readNote(); err == nil && note.Token == n.upgrade.token {
 		os.Remove(n.notePath())
--- a/internal/node/version.go
+++ b/internal/node/version.go
@@ -11,33 +11,32 @@
 	"example.org/madderdrum/route"
 )
 
-// version is one state of the configuration. A request goes by one version from end to
-// end: it is read and routed by one, and is read again if another one has come before
-// the module has it.
+// revision is one state of the configuration. A request is handled with one revision throughout: it is parsed
+// and routed with one, and parsed again if the configuration changes before it is submitted to the module.
 type revision struct {
 	settings   Settings
-	classNames []string     // names by their places
-	endCounts  []*endCounts // of their requests
+	classNames []string     // by index
+	endCounts  []*endCounts // by class index
 	*Router
 }
 
-// Target is where a route leads, and what holds there.
+// Target is the destination of a route with the limits that apply to its requests.
 type Target struct {
 	Pool     string
-	Class    int           // for requests that name none; -1: none
+	Class    int           // for requests without a class; -1: none
 	Deadline time.Duration // 0: the class's
-	Attempts int           // 0: what the deployment allows
-	MaxBody  int64         // bytes; below 0: what the protocol allows
-	Adviser  Adviser       // nil: none
-	Tiers    []string      // names of the pool's tiers, by rank, as advice has them
+	Attempts int           // 0: the deployment's limit
+	MaxBody  int64         // bytes; negative: the protocol's limit
+	Adviser  Adviser       // nil: no plug-ins
+	Tiers    []string      // names of the pool's tiers by rank, as used in advice
 	ID       uint64        // the module's number of the pool, set by NewRouter
 }
 
-// Routes are the conditions and targets of a deployment's routes; none is one pool.
+// Routes are the conditions and targets of a deployment's routes; without routes there is one pool.
 type Routes struct {
 	Matches []route.Match
 	Targets []Target
-	// Where all requests go without routes.
+	// Destination of all requests if there are no routes.
 	Pool    string
 	Adviser Adviser
 	Tiers   []string
@@ -52,16 +51,17 @@
 	return v
 }
 
-// Router finds the targets of requests, for every front alike. It never changes.
+// Router finds the targets of requests, for all front ends alike. It is immutable.
 type Router struct {
-	table    *route.Table // nil: all requests go to rest
-	targets  []Target     // by route
+	table    *route.Table // nil: all requests go to fallback
+	targets  []Target     // by route index
 	fallback Target
 }
 
-// NewRouter returns one for a deployment's routes.
+// NewRouter returns a Router for a deployment's routes.
 func NewRouter(r Routes) *Router {
-	x := &Router{fallback: Target{Pool: r.Pool, ID: PoolID(r.Pool), Class: -1, MaxBody: -1, Adviser: r.Adviser, Tiers: r.Tiers}}
+	x := &Router{fallback: Target{Pool: r.Pool, ID: PoolID(r.Pool), Class: -1, MaxBody: -1,
+		Adviser: r.Adviser, Tiers: r.Tiers}}
 	if len(r.Matches) > 0 {
 		x.table = route.New(r.Matches)
 		for _, t := range r.Targets {
@@ -72,8 +72,7 @@
 	return x
 }
 
-// Find returns the target of a request, which must not be changed, or nil if no route
-// takes it.
+// Find returns the target of a request, which must not be modified, or nil if no route matches.
 func (x *Router) Find(q *route.Request) *Target {
 	if x.table == nil {
 		return &x.fallback
@@ -84,7 +83,7 @@
 	return nil
 }
 
-// PoolID is the module's number of a pool; no name is 0.
+// PoolID returns the module's number of a pool; the empty name has 0.
 func PoolID(name string) uint64 {
 	if name == "" {
 		return 0
@@ -94,13 +93,13 @@
 	return h.Sum64() | 1
 }
 
-// errNoRoute tells that no route takes a request.
+// errNoRoute is returned for requests that match no route.
 var errNoRoute = &requestError{http.StatusNotFound, "no route takes this request"}
 
-// target finds where a request goes. It looks at what routes have conditions on before
-// the protocol is checked: what no route takes need not speak it.
+// target finds the target of a request. It only checks what routes have conditions on, before the protocol is
+// checked: requests that match no route need not follow the protocol.
 func (v *revision) target(hr *http.Request) (*Target, error) {
-	if v.table == nil { // the request is not looked at
+	if v.table == nil { // no need to inspect the request
 		return &v.fallback, nil
 	}
 	path, err := route.Canonical(hr.URL)
@@ -110,7 +109,7 @@
 	q := route.Request{Host: hr.Host, Path: path, Method: hr.Method, Plan: singleHeader(hr.Header, "Plan"),
 		Header: func(name string) string { return singleHeader(hr.Header, name) }}
 	if key := hr.URL.Query()["key"]; len(key) == 1 {
-		q.Account, _ = strconv.ParseUint(key[0], 16, 64) // what is no number is no account of a route
+		q.Account, _ = strconv.ParseUint(key[0], 16, 64) // an invalid number matches no route's account
 	}
 	to := v.Find(&q)
 	if to == nil {
@@ -119,7 +118,7 @@
 	return to, nil
 }
 
-// one is the value of a header that stands there once.
+// singleHeader returns the value of a header that occurs exactly once.
 func singleHeader(h http.Header, name string) string {
 	if v := h[name]; len(v) == 1 {
 		return v[0]
@@ -127,11 +126,10 @@
 	return ""
 }
 
-// Apply has another state of the deployment hold from now on, whole: requests that have
-// been handed to the module end by the state that took them, all others go by the new
-// one. Who this limiter is, its addresses, limits, peers and time-outs of connections
-// hold from the start to the end. within, if set, is called when nothing has happened
-// yet by the new state and nothing will any more by the old one; it must not block.
+// Apply switches to a new state of the deployment as a whole: requests that were submitted to the module end
+// with the state that accepted them, all others use the new one. The limiter's identity, addresses, limits,
+// peers and connection timeouts never change. within, if set, is called when nothing has used the new state yet
+// and nothing will use the old one any more; it must not block.
 func (n *Node) Apply(d Deployment, within func()) {
 	c := FixedConfig(d)
 	n.mu.Lock()
@@ -140,7 +138,8 @@
 	s.ConnIdle, s.ConnTimeout, s.MaxRequests = old.settings.ConnIdle, old.settings.ConnTimeout, old.settings.MaxRequests
 	s.Module.Caps.Peers = old.settings.Module.Caps.Peers
 	n.handle(limiter.Reconfigure{Settings: s.Module,
-		Classes: indexMapping(old.settings.ClassIndex, s.ClassIndex), Plans: indexMapping(old.settings.PlanIndex, s.PlanIndex)})
+		Classes: indexMapping(old.settings.ClassIndex, s.ClassIndex),
+		Plans:   indexMapping(old.settings.PlanIndex, s.PlanIndex)})
 	n.revision.Store(n.newRevision(s, d.Routes))
 	if within != nil {
 		within()
@@ -149,7 +148,7 @@
 	n.applyListLocked(limiter.Complete, c.InitialServers)
 }
 
-// moved says which place each name has now, by its old place; -1: none.
+// indexMapping returns, for each index in from, the index of the same name in to, or -1.
 func indexMapping(from, to map[string]int) []int {
 	all := make([]int, len(from))
 	for name, i := range from {
