--- a/internal/node/advise.go
+++ b/internal/node/advise.go
@@ -14,10 +14,10 @@
 // Adviser asks the plug-ins of a route about requests before the module decides on them. It is called by many
 // goroutines at once.
 type Adviser interface {
-	// Advise asks about one request. It returns within the given time, and promptly once the context has ended.
-	Advise(ctx context.Context, s *advice.Subject, within time.Duration) advice.Combined
+	// Advise asks about one request. It returns within timeout, and promptly once the context has ended.
+	Advise(ctx context.Context, s *advice.Subject, timeout time.Duration) advice.Combined
 	// Name returns the name of the plug-in at an index of [advice.Combined].
-	Name(place int) string
+	Name(index int) string
 }
 
 // pluginTimeDivisor sets the fraction of a request's time that all plug-ins together may use.
@@ -36,12 +36,12 @@
 	if t.Adviser == nil {
 		return PluginAdvice{}
 	}
-	all := t.Adviser.Advise(ctx, s, max(time.Microsecond, left/pluginTimeDivisor))
-	c := PluginAdvice{Labels: all.Labels, Advice: counsel.Of(&all, t.Tiers)}
-	if all.Refuse {
-		c.By, c.Reason = t.Adviser.Name(all.By), all.Reason
+	combined := t.Adviser.Advise(ctx, s, max(time.Microsecond, left/pluginTimeDivisor))
+	result := PluginAdvice{Labels: combined.Labels, Advice: counsel.Of(&combined, t.Tiers)}
+	if combined.Refuse {
+		result.By, result.Reason = t.Adviser.Name(combined.By), combined.Reason
 	}
-	return c
+	return result
 }
 
 // Glance returns an account's balance and a pool's pressure, for plug-ins.
@@ -122,17 +122,17 @@
 }
 
 // Labels returns the counts of all labels, sorted by name.
-func (n *Node) Labels() (all []LabelCount) {
+func (n *Node) Labels() (counts []LabelCount) {
 	n.labelMu.Lock()
 	defer n.labelMu.Unlock()
 	for _, c := range n.labels {
-		all = append(all, *c)
+		counts = append(counts, *c)
 	}
-	slices.SortFunc(all, func(a, b LabelCount) int {
+	slices.SortFunc(counts, func(a, b LabelCount) int {
 		if a.Label < b.Label {
 			return -1
 		}
 		return 1
 	})
-	return all
+	return counts
 }
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -128,7 +128,7 @@
 	if call.bodyRest != nil {
 		err := c.writeLong(req, call, h)
 		switch rep.requestErr = call.bodyRest.err; {
-		case rep.requestErr != nil: // not held against the server
+		case rep.requestErr != nil: // doesn't count against the server
 			rep.result = limiter.Undone
 			return rep, connDiscard
 		case errors.Is(err, errEarlyAnswer):
@@ -159,7 +159,7 @@
 		rep.result = limiter.TooSlow
 		return rep, connDiscard
 	case err != nil:
-		// The request may have been executed. This is not held against the server: any server may send such
+		// The request may have been executed. This doesn't count against the server: any server may send such
 		// answers, and its next one may be good.
 		rep.result, rep.err = limiter.Spoilt, err
 		return rep, connDiscard
--- a/internal/node/clientconns.go
+++ b/internal/node/clientconns.go
@@ -75,14 +75,14 @@
 	cc.element, cc.waitingSince = cc.waiting.PushBack(nc), time.Now()
 	if len(c.open) > c.budget {
 		c.makeRoom()
-		c.waitForClosing()
+		c.waitForEnding()
 	}
 }
 
-// waitForClosing delays the next accept, which follows this call, while many connections that were told to end
+// waitForEnding delays the next accept, which follows this call, while many connections that were told to end
 // still hold their descriptors. The mutex is held.
-func (c *clientConns) waitForClosing() {
-	for range maxSettleMs {
+func (c *clientConns) waitForEnding() {
+	for range maxEndingWaitMs {
 		if c.ending <= maxEnding {
 			return
 		}
@@ -100,8 +100,9 @@
 const (
 	// maxEnding is how many connections that were told to end may hold descriptors beyond the clients' budget;
 	// these come from the reserved ones.
-	maxEnding   = reservedSockets / 2
-	maxSettleMs = 20 // ms
+	maxEnding = reservedSockets / 2
+	// maxEndingWaitMs limits the delay of an accept while more connections than that are ending.
+	maxEndingWaitMs = 20
 )
 
 // endableConn is a connection that can be told to end without losing a request.
@@ -113,15 +114,15 @@
 
 // makeRoom closes a connection without a request. Connections that never had a request go first once they use
 // half of the budget, so that silent clients in large numbers only displace each other; below that the least
-// recently used goes. Otherwise, where many clients ask once and stay connected, a new connection whose request
-// is on its way would be closed.
+// recently used goes. This keeps a new connection open whose request is on its way, where many clients ask once
+// and stay connected.
 func (c *clientConns) makeRoom() {
 	first, then := &c.idle, &c.neverUsed
 	if c.idle.Len() == 0 || c.neverUsed.Len() > c.budget/2 {
 		first, then = then, first
 	}
-	for _, waits := range []*list.List{first, then} {
-		for e := waits.Front(); e != nil; e = e.Next() {
+	for _, queue := range []*list.List{first, then} {
+		for e := queue.Front(); e != nil; e = e.Next() {
 			if c.endConn(e.Value.(net.Conn), partialHeadGrace) {
 				return
 			}
@@ -149,9 +150,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	for waits, waited := range map[*list.List]time.Duration{&c.neverUsed: neverUsed, &c.idle: idle} {
+	for queue, waited := range map[*list.List]time.Duration{&c.neverUsed: neverUsed, &c.idle: idle} {
 		until := now.Add(-waited)
-		for e := waits.Front(); e != nil; {
+		for e := queue.Front(); e != nil; {
 			nc := e.Value.(net.Conn)
 			if c.open[nc].waitingSince.After(until) {
 				break
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -41,8 +41,8 @@
 )
 
 // socketBudget divides the file descriptors between servers and clients, so that connections to servers never
-// use up those that clients need. At most a third of the clients' connections usually has a request, each of
-// which needs one connection to a server: the rest is for connections without a request.
+// use up those that clients need. Clients usually use at most a third of the descriptors for connections with a
+// request, each of which needs one connection to a server; the rest is for connections without a request.
 func socketBudget(sockets int) (upstream, clients int) {
 	if sockets == 0 {
 		sockets = defaultSockets
@@ -443,18 +443,18 @@
 	found := 0
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		v, err := strconv.ParseFloat(value, 64)
-		if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
+		number, err := strconv.ParseFloat(value, 64)
+		if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
 			return badRequestf("Quota-Info %q", text)
 		}
-		whole := v == math.Trunc(v)
+		integer := number == math.Trunc(number)
 		switch {
-		case name == "units" && v > 0 && v <= maxUnits:
-			submit.Units, found = v, found|units
-		case name == "spread" && whole && v >= 1 && v <= float64(balancers):
-			submit.Spread, found = int(v), found|spread
-		case name == "first" && whole && v >= 0 && v < float64(balancers):
-			submit.First, found = int(v), found|first
+		case name == "units" && number > 0 && number <= maxUnits:
+			submit.Units, found = number, found|units
+		case name == "spread" && integer && number >= 1 && number <= float64(balancers):
+			submit.Spread, found = int(number), found|spread
+		case name == "first" && integer && number >= 0 && number < float64(balancers):
+			submit.First, found = int(number), found|first
 		case name == "units", name == "spread", name == "first":
 			return badRequestf("Quota-Info %q", text)
 		} // other names are ignored for compatibility with later versions
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -30,7 +30,7 @@
 	}
 	query := func(q string) func(*http.Request) { return func(req *http.Request) { req.URL.RawQuery = q } }
 	for name, change := range map[string]func(*http.Request){
-		"no request ID":           header("X-Request-ID", ""),
+		"no request ID":   header("X-Request-ID", ""),
 		"id with a space": header("X-Request-ID", "a b"),
 		"long id":         header("X-Request-ID", strings.Repeat("x", 200)),
 		"class":           header("X-Priority-Class", "nonsense"),
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -158,7 +158,7 @@
 }
 
 // watchDiscovery follows the discovery agent at an address until the context ends. It passes complete lists and
-// changes, which may be empty, to apply; the agent may hold each call for the given time. The known servers
+// changes (which may be empty) to apply; the agent may hold each call for the given time. The known servers
 // stay in use while the agent is silent, down or sends invalid answers; failed is called for each such call.
 func (n *Node) watchDiscovery(ctx context.Context, addr string, index listIndex, hold time.Duration,
 	apply func(serverList), failed func()) {
@@ -173,7 +173,7 @@
 			path = fmt.Sprintf("/v1/servers?index=%d&wait=%d", index.seq, hold.Milliseconds())
 			timeout += hold
 		}
-		asked := time.Now()
+		calledAt := time.Now()
 		n.counters.countListCall()
 		l, err := fetchList(ctx, client, "http://"+addr+path, timeout)
 		switch {
@@ -192,7 +192,7 @@
 		failures.Reset()
 		overload.Reset()
 		apply(l)
-		if l.Seq == index.seq && index.known && time.Since(asked) < idlePause {
+		if l.Seq == index.seq && index.known && time.Since(calledAt) < idlePause {
 			sleep(ctx, idlePause)
 		}
 		index = listIndex{l.Seq, true}
--- a/internal/node/looks.go
+++ b/internal/node/looks.go
@@ -14,22 +14,22 @@
 type Looks interface {
 	// Want reports that this limiter considers a server unhealthy and needs probe results; false: this limiter
 	// has to probe by itself.
-	Want(box uint64) bool
-	// Looked reports the result of one of this limiter's own probes; made is false if it was inconclusive.
-	Looked(box uint64, well, made bool)
+	Want(server uint64) bool
+	// Looked reports the result of one of this limiter's own probes; healthy is meaningless if it was not conclusive.
+	Looked(server uint64, healthy, conclusive bool)
 	// Failed reports that an attempt failed at a server.
-	Failed(box uint64)
+	Failed(server uint64)
 	// Listed reports an answer of a pool's discovery agent: all its hosts, or the changes, in the agent's
 	// format.
-	Listed(pool string, seq int64, whole bool, hosts []byte)
+	Listed(pool string, seq int64, complete bool, hosts []byte)
 	// Lost reports that a pool's discovery agent does not answer.
 	Lost(pool string)
 }
 
 // requestProbe has a server probed, by other limiters or by this one. The mutex is held.
-func (n *Node) requestProbe(box uint64) {
-	if n.cfg.Looks == nil || !n.cfg.Looks.Want(box) {
-		go n.probe(box)
+func (n *Node) requestProbe(server uint64) {
+	if n.cfg.Looks == nil || !n.cfg.Looks.Want(server) {
+		go n.probe(server)
 	}
 }
 
@@ -50,12 +50,12 @@
 }
 
 // Look makes this limiter probe a server itself.
-func (n *Node) Look(box uint64) { go n.probe(box) }
+func (n *Node) Look(server uint64) { go n.probe(server) }
 
 // Word applies another limiter's probe result for a server that this one considers unhealthy.
-func (n *Node) Word(box uint64, well bool) {
-	ev := limiter.Probed{Server: box, Result: limiter.NoRoute, Load: noLoad}
-	if well {
+func (n *Node) Word(server uint64, healthy bool) {
+	ev := limiter.Probed{Server: server, Result: limiter.NoRoute, Load: noLoad}
+	if healthy {
 		ev.Result = limiter.Pass
 	}
 	n.dispatch(ev)
@@ -99,13 +99,13 @@
 
 // Told applies a list or changes of a pool's servers that another limiter received from the pool's agent. It
 // returns an error if hosts can't be decoded.
-func (n *Node) Told(pool string, seq int64, whole bool, hosts []byte) error {
-	l := serverList{Seq: seq, Whole: whole}
-	if err := json.Unmarshal(hosts, &l.Hosts); err != nil {
+func (n *Node) Told(pool string, seq int64, complete bool, hosts []byte) error {
+	list := serverList{Seq: seq, Whole: complete}
+	if err := json.Unmarshal(hosts, &list.Hosts); err != nil {
 		return err
 	}
 	if s := n.source(pool); s != nil {
-		n.applySourceList(s, l, false)
+		n.applySourceList(s, list, false)
 	}
 	return nil
 }
@@ -124,13 +124,13 @@
 // watchSource watches an agent, while this limiter is to do so itself, until the context ends.
 func (n *Node) watchSource(ctx context.Context, s *source) {
 	for ctx.Err() == nil {
-		turn, end := context.WithCancel(ctx)
+		watchCtx, stop := context.WithCancel(ctx)
 		n.mu.Lock()
-		s.restart = end
+		s.restart = stop
 		hold, index := s.hold, s.index
 		n.mu.Unlock()
 		if hold > 0 {
-			n.watchDiscovery(turn, s.Addr, index, hold, func(l serverList) { n.applySourceList(s, l, true) }, func() {
+			n.watchDiscovery(watchCtx, s.Addr, index, hold, func(l serverList) { n.applySourceList(s, l, true) }, func() {
 				if n.cfg.Looks != nil {
 					n.mu.Lock()
 					defer n.mu.Unlock()
@@ -138,8 +138,8 @@
 				}
 			})
 		} else {
-			<-turn.Done()
+			<-watchCtx.Done()
 		}
-		end()
+		stop()
 	}
 }
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -34,10 +34,10 @@
 	a.done = done
 	go func() {
 		defer close(done)
-		piece := make([]byte, 1<<10)
+		buf := make([]byte, 1<<10)
 		for len(a.buffered) < maxReadAhead {
-			n, err := c.Read(piece)
-			a.buffered = append(a.buffered, piece[:n]...)
+			n, err := c.Read(buf)
+			a.buffered = append(a.buffered, buf[:n]...)
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				return
 			}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -74,21 +74,21 @@
 // followDiscovery watches the discovery agent until the context ends, switching addresses on reload. It cancels
 // the watch at an old address at once: that call could be held for long, and its answer no longer counts.
 func (n *Node) followDiscovery(ctx context.Context) {
-	at, index := n.cfg.Discovery, listIndex{n.cfg.InitialServers.Seq, len(n.cfg.InitialServers.Hosts) > 0}
+	addr, index := n.cfg.Discovery, listIndex{n.cfg.InitialServers.Seq, len(n.cfg.InitialServers.Hosts) > 0}
 	for ctx.Err() == nil {
-		watching, end := context.WithCancel(ctx)
+		watchCtx, stop := context.WithCancel(ctx)
 		ended := make(chan struct{})
 		go func() {
-			n.watchDiscovery(watching, at, index, watchHold, n.applyDiscoveryAnswer, func() {})
+			n.watchDiscovery(watchCtx, addr, index, watchHold, n.applyDiscoveryAnswer, func() {})
 			close(ended)
 		}()
 		select {
 		case <-ctx.Done():
-		case at = <-n.discoveryAddrs:
-			n.setListAgent(at)
+		case addr = <-n.discoveryAddrs:
+			n.setListAgent(addr)
 			index = listIndex{} // the new agent's sequence numbers are unrelated: request the complete list
 		}
-		end()
+		stop()
 		<-ended // no answer from the old address is applied after this
 	}
 }
--- a/internal/node/remember.go
+++ b/internal/node/remember.go
@@ -25,10 +25,10 @@
 }
 
 // Accounts returns the next accounts of a write. The mutex is released between calls.
-func (n *Node) Accounts(most int) (told []limiter.AccountMemory, more, ok bool) {
+func (n *Node) Accounts(limit int) (accounts []limiter.AccountMemory, more, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.limiter.Accounts(n.now(), most)
+	return n.limiter.Accounts(n.now(), limit)
 }
 
 // Kept confirms that a write is stored durably.
@@ -49,10 +49,10 @@
 }
 
 // Leave returns the next accounts of a module that has handed over its state.
-func (n *Node) Leave(most int) (told []limiter.AccountMemory, more bool) {
+func (n *Node) Leave(limit int) (accounts []limiter.AccountMemory, more bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.limiter.Leave(n.now(), most)
+	return n.limiter.Leave(n.now(), limit)
 }
 
 // Recall sets the state of an earlier process that Run restores after the initial server list and before the
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	maxHeldBody  = 64 << 10 // longer bodies are streamed
-	probeTimeout = 250 * time.Millisecond
-	sweepEvery   = 500 * time.Millisecond
+	maxHeldBody   = 64 << 10 // longer bodies are streamed
+	probeTimeout  = 250 * time.Millisecond
+	sweepInterval = 500 * time.Millisecond
 
 	// maxAnswerBytes limits what is read for one short answer, including informational headers that precede it
 	// and chunk framing.
@@ -125,21 +125,21 @@
 		p.retire(current)
 		// A server that was listed at this address before is gone: without this, its idle connections and
 		// pending connects would carry its requests to the new server.
-		for _, o := range p.hosts {
-			if o.id != info.ID && o.dialAddr == dialAddr {
-				o.superseded = true
-				p.retire(o)
+		for _, other := range p.hosts {
+			if other.id != info.ID && other.dialAddr == dialAddr {
+				other.superseded = true
+				p.retire(other)
 			}
 		}
 		p.hosts[info.ID] = &host{id: info.ID, dialAddr: dialAddr, bornMs: info.ReadyAt, accepting: accepting}
 		return true
 	}
 	accepting = accepting && !current.superseded
-	news := current.accepting != accepting
+	changed := current.accepting != accepting
 	if current.accepting = accepting; !accepting {
 		p.closeIdle(current)
 	}
-	return news
+	return changed
 }
 
 // setBudget changes how many connections may be open.
@@ -299,7 +299,7 @@
 // sweep closes idle connections that have expired or were closed by the server, until the context ends.
 func (p *serverPool) sweep(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep(ctx, sweepEvery)
+		sleep(ctx, sweepInterval)
 		p.mu.Lock()
 		p.idleStats.decay(time.Now())
 		p.idleStats.updateLimit()
--- a/internal/node/servers_test.go
+++ b/internal/node/servers_test.go
@@ -418,7 +418,7 @@
 	}
 }
 
-// An unusable answer is a failed attempt that may have been executed. It is not held against the server: its
+// An unusable answer is a failed attempt that may have been executed. It doesn't count against the server: its
 // idle connections stay open, it is not avoided, and a request that may be retried is retried at once, long
 // before its deadline.
 func TestSpoiltAnswers(t *testing.T) {
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -27,8 +27,8 @@
 	// A peer that neither accepts nor sends a byte of a long body for stallTimeout is given up; some pause for
 	// seconds.
 	stallTimeout = 10 * time.Second
-	// An answer of unknown length is streamed once maxHeldBody bytes or this much time have passed since its
-	// header: most are complete by then, and can be retried if they are not.
+	// An answer of unknown length is streamed once maxHeldBody bytes of it have arrived, or this much time has
+	// passed since its header: most are complete by then, and can be retried if they are not.
 	streamAfter = 100 * time.Millisecond
 	// maxDiscardedBody and discardTimeout limit how much is still read of a body whose request was answered
 	// without it: a connection that is closed while its client is writing is reset, and the answer may be lost
@@ -324,7 +324,7 @@
 
 // stream forwards a long answer as it arrives, at the pace of its client, and reports the result to the module.
 // An answer that breaks off is forwarded as such: the client's connection is closed before the announced end.
-func (n *Node) stream(w http.ResponseWriter, r *request, a *answer) (whole bool) {
+func (n *Node) stream(w http.ResponseWriter, r *request, a *answer) (complete bool) {
 	s, ctl := a.stream, http.NewResponseController(w)
 	n.setAnswerHeaders(w, a)
 	if s.length >= 0 {
@@ -335,23 +335,23 @@
 	buf := buffers.Get().(*[bufferSize]byte)
 	defer buffers.Put(buf)
 	s.conn.src.remaining = maxBodyBytes + maxBodyBytes/8 // with chunk framing
-	piece, err, total := s.prefix, error(nil), int64(0)
+	chunk, err, total := s.prefix, error(nil), int64(0)
 	for {
-		if len(piece) > 0 {
+		if len(chunk) > 0 {
 			ctl.SetWriteDeadline(time.Now().Add(stallTimeout))
-			if _, err := w.Write(piece); err != nil {
+			if _, err := w.Write(chunk); err != nil {
 				break
 			}
 			if err := ctl.Flush(); err != nil {
 				break
 			}
 		}
-		if total += int64(len(piece)); err == io.EOF {
-			result, whole = limiter.Pass, s.length < 0 || total == s.length
+		if total += int64(len(chunk)); err == io.EOF {
+			result, complete = limiter.Pass, s.length < 0 || total == s.length
 			break
 		}
 		if err != nil || total > maxBodyBytes {
-			result = limiter.Spoilt // not held against the server
+			result = limiter.Spoilt // doesn't count against the server
 			if s.conn.src.connErr != nil {
 				result = limiter.Cut
 			}
@@ -364,20 +364,20 @@
 		s.conn.SetReadDeadline(deadline)
 		var read int
 		read, err = s.resp.Body.Read(buf[:])
-		piece = buf[:read]
+		chunk = buf[:read]
 	}
 	n.mu.Lock()
 	a.att.conn = nil
 	ended := a.att.ended
 	n.mu.Unlock()
-	if whole && !ended && !s.resp.Close && s.conn.reader.Buffered() == 0 {
+	if complete && !ended && !s.resp.Close && s.conn.reader.Buffered() == 0 {
 		n.servers.put(s.conn)
 	} else {
 		s.conn.close()
 	}
 	s.resp.Body.Close()
 	n.finishAttempt(a.att, reply{result: result, load: a.load, elapsedMs: a.elapsedMs})
-	return whole
+	return complete
 }
 
 // reportProgress notifies the module that a long request is making progress; spent means that it can't be
--- a/internal/node/stream_test.go
+++ b/internal/node/stream_test.go
@@ -457,7 +457,7 @@
 	}
 }
 
-// A client that stalls during a long body is not held against the server: the server is not considered down.
+// A client that stalls during a long body doesn't count against the server: the server is not considered down.
 func TestStalledClientsAreNotTheServersFault(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
--- a/internal/node/succeed.go
+++ b/internal/node/succeed.go
@@ -150,21 +150,21 @@
 }
 
 // restoreState initializes the module with a predecessor's state.
-func (n *Node) restoreState(s *handover.State) {
+func (n *Node) restoreState(state *handover.State) {
 	known := n.cfg.InitialServers
-	if list := s.ListOf(n.cfg.Discovery); len(list) > 0 {
-		var l serverList
-		if err := json.Unmarshal(list, &l); err != nil {
+	if list := state.ListOf(n.cfg.Discovery); len(list) > 0 {
+		var restored serverList
+		if err := json.Unmarshal(list, &restored); err != nil {
 			n.badInputLog.warn("can't decode the server list that was handed over", "err", err)
 		} else {
-			known = l
-			n.cfg.InitialServers = l // the watch continues from there
+			known = restored
+			n.cfg.InitialServers = restored // the watch continues from there
 		}
 	}
 	n.applyList(limiter.Persisted, known)
-	n.dispatch(limiter.Recall{Memory: s.Memory})
-	n.log.Info("took over from the process before", "accounts", len(s.Memory.Handover.Accounts),
-		"servers", len(known.Hosts), "drained", s.Drained, "its_descriptors", s.Sockets)
+	n.dispatch(limiter.Recall{Memory: state.Memory})
+	n.log.Info("took over from the process before", "accounts", len(state.Memory.Handover.Accounts),
+		"servers", len(known.Hosts), "drained", state.Drained, "its_descriptors", state.Sockets)
 }
 
 // awaitPredecessorExit waits until the previous process has exited.
--- a/internal/node/version.go
+++ b/internal/node/version.go
@@ -128,34 +128,34 @@
 
 // Apply switches to a new state of the deployment as a whole: requests that were submitted to the module end
 // with the state that accepted them, all others use the new one. The limiter's identity, addresses, limits,
-// peers and connection timeouts never change. within, if set, is called when nothing has used the new state yet
+// peers and connection timeouts never change. onSwitch, if set, is called when nothing has used the new state yet
 // and nothing will use the old one any more; it must not block.
-func (n *Node) Apply(d Deployment, within func()) {
-	c := FixedConfig(d)
+func (n *Node) Apply(d Deployment, onSwitch func()) {
+	cfg := FixedConfig(d)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	old, s := n.revision.Load(), c.Settings
+	old, s := n.revision.Load(), cfg.Settings
 	s.ConnIdle, s.ConnTimeout, s.MaxRequests = old.settings.ConnIdle, old.settings.ConnTimeout, old.settings.MaxRequests
 	s.Module.Caps.Peers = old.settings.Module.Caps.Peers
 	n.handle(limiter.Reconfigure{Settings: s.Module,
 		Classes: indexMapping(old.settings.ClassIndex, s.ClassIndex),
 		Plans:   indexMapping(old.settings.PlanIndex, s.PlanIndex)})
 	n.revision.Store(n.newRevision(s, d.Routes))
-	if within != nil {
-		within()
+	if onSwitch != nil {
+		onSwitch()
 	}
-	c.InitialServers.Hosts = append(c.InitialServers.Hosts, n.discoveredServers()...)
-	n.applyListLocked(limiter.Complete, c.InitialServers)
+	cfg.InitialServers.Hosts = append(cfg.InitialServers.Hosts, n.discoveredServers()...)
+	n.applyListLocked(limiter.Complete, cfg.InitialServers)
 }
 
 // indexMapping returns, for each index in from, the index of the same name in to, or -1.
 func indexMapping(from, to map[string]int) []int {
-	all := make([]int, len(from))
+	mapping := make([]int, len(from))
 	for name, i := range from {
-		all[i] = -1
+		mapping[i] = -1
 		if k, still := to[name]; still {
-			all[i] = k
+			mapping[i] = k
 		}
 	}
-	return all
+	return mapping
 }
--- a/internal/node/version_test.go
+++ b/internal/node/version_test.go
@@ -122,7 +122,7 @@
 	called := false
 	r.node.Apply(next, func() { called = true })
 	if !called {
-		t.Error("within was not called")
+		t.Error("onSwitch was not called")
 	}
 	conn.answer("200 OK", "main")
 	if res := r.received(first); res.status != 200 || res.body != "main" {
