--- a/internal/node/advise.go
+++ b/internal/node/advise.go
@@ -11,91 +11,89 @@
 	"example.org/madderdrum/limiter"
 )
 
-// Adviser is asked about requests before the module decides on them: the plug-ins of a
-// route. It is called by many goroutines at once.
+// Adviser asks the plug-ins of a route about requests before the module decides on them. It is called by many
+// goroutines at once.
 type Adviser interface {
-	// Advise asks about one request. It takes no longer than within, and hardly any longer
-	// once the context has ended.
-	Advise(ctx context.Context, s *advice.Subject, within time.Duration) advice.Combined
-	// Name is that of the plug-in at a place of [advice.Combined].
-	Name(place int) string
+	// Advise asks about one request. It returns within timeout, and promptly once the context has ended.
+	Advise(ctx context.Context, s *advice.Subject, timeout time.Duration) advice.Combined
+	// Name returns the name of the plug-in at an index of [advice.Combined].
+	Name(index int) string
 }
 
-// advisePart is the part of a request's time that all plug-ins may take together.
-const advisePart = 4
+// pluginTimeDivisor sets the fraction of a request's time that all plug-ins together may use.
+const pluginTimeDivisor = 4
 
-// Counsel is what came of asking a target's plug-ins.
-type Counsel struct {
+// PluginAdvice is the combined advice of a target's plug-ins.
+type PluginAdvice struct {
 	Advice limiter.Advice
 	Labels []string
-	By     string // the plug-in that refuses, if one does
+	By     string // the plug-in that refuses the request, if any
 	Reason string
 }
 
-// Advise has the target's plug-ins asked, if it has any. left is what the request has of
-// its time.
-func (t *Target) Advise(ctx context.Context, s *advice.Subject, left time.Duration) Counsel {
+// Advise asks the target's plug-ins, if it has any. left is the time until the request's deadline.
+func (t *Target) Advise(ctx context.Context, s *advice.Subject, left time.Duration) PluginAdvice {
 	if t.Adviser == nil {
-		return Counsel{}
+		return PluginAdvice{}
 	}
-	all := t.Adviser.Advise(ctx, s, max(time.Microsecond, left/advisePart))
-	c := Counsel{Labels: all.Labels, Advice: counsel.Of(&all, t.Tiers)}
-	if all.Refuse {
-		c.By, c.Reason = t.Adviser.Name(all.By), all.Reason
+	combined := t.Adviser.Advise(ctx, s, max(time.Microsecond, left/pluginTimeDivisor))
+	result := PluginAdvice{Labels: combined.Labels, Advice: counsel.Of(&combined, t.Tiers)}
+	if combined.Refuse {
+		result.By, result.Reason = t.Adviser.Name(combined.By), combined.Reason
 	}
-	return c
+	return result
 }
 
-// Glance is what the module knows of an account and of a pool, for plug-ins.
+// Glance returns an account's balance and a pool's pressure, for plug-ins.
 func (n *Node) Glance(account uint64, plan int, pool uint64) (balance, pressure float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.limiter.Glance(n.now(), account, plan, pool)
 }
 
-// advise asks the plug-ins about a request that is about to go to the module, and tells
-// whether its client still waits. Of one that has left nothing may go on: it would get past
-// a plug-in that guards something.
-func (n *Node) advise(hr *http.Request, v *version, r *request, ev *limiter.Submit) bool {
-	if r.to.Adviser == nil || !counsel.Due(ev) {
+// consultPlugins asks the plug-ins about a request before it is submitted to the module, and reports whether
+// its client is still connected. A request whose client has disconnected must not go on: its plug-ins were
+// interrupted, and it could get past one that guards a resource.
+func (n *Node) consultPlugins(hr *http.Request, v *revision, r *request, ev *limiter.Submit) bool {
+	if r.destination.Adviser == nil || !counsel.Due(ev) {
 		return true
 	}
-	s := &advice.Subject{Whole: r.body, Header: func(name string) string { return one(hr.Header, name) },
+	subject := &advice.Subject{Whole: r.body, Header: func(name string) string { return singleHeader(hr.Header, name) },
 		Request: advice.Request{Account: ev.Customer, Plan: ev.Plan, Class: ev.Class, Method: hr.Method, Path: hr.URL.Path,
-			PlanName: hr.Header.Get("Plan"), ClassName: v.classes[ev.Class], Units: ev.Units, Retry: ev.Retry}}
-	s.Balance, s.Pressure = n.Glance(ev.Customer, ev.Plan, ev.Pool)
-	left := time.Until(r.stopAt)
-	s.LeftMs = float64(left) / float64(time.Millisecond)
-	r.counsel = r.to.Advise(hr.Context(), s, left)
+			PlanName: hr.Header.Get("Plan"), ClassName: v.classNames[ev.Class], Units: ev.Units, Retry: ev.Retry}}
+	subject.Balance, subject.Pressure = n.Glance(ev.Customer, ev.Plan, ev.Pool)
+	remaining := time.Until(r.deadline)
+	subject.LeftMs = float64(remaining) / float64(time.Millisecond)
+	r.counsel = r.destination.Advise(hr.Context(), subject, remaining)
 	ev.Advice = r.counsel.Advice
 	if ev.Advice.Refuse {
-		n.advised.warn("a plug-in has a request refused", "plugin", r.counsel.By, "reason", r.counsel.Reason, "labels", r.counsel.Labels,
-			"request", r.id, "class", s.ClassName, "plan", s.PlanName)
+		n.pluginRefusalLog.warn("a plug-in has a request refused", "plugin", r.counsel.By, "reason", r.counsel.Reason,
+			"labels", r.counsel.Labels, "request", r.id, "class", subject.ClassName, "plan", subject.PlanName)
 	}
 	return hr.Context().Err() == nil
 }
 
-// reason is the body of an answer that a plug-in's refusal brought about.
-func (r *request) reason(a *answer) {
+// setRefusalBody sets the body of an answer to a request that a plug-in refused.
+func (r *request) setRefusalBody(a *answer) {
 	if c := &r.counsel; c.Advice.Refuse && a.status == http.StatusTooManyRequests && c.Reason != "" {
-		a.body, a.content = []byte(c.Reason+"\n"), "text/plain; charset=utf-8"
+		a.body, a.contentType = []byte(c.Reason+"\n"), "text/plain; charset=utf-8"
 	}
 }
 
-// mostLabels bounds the labels that are counted apart; a further one counts as otherLabel.
+// maxLabels limits the number of labels counted separately; further ones are counted as otherLabel.
 const (
-	mostLabels = 64
+	maxLabels  = 64
 	otherLabel = "(others)"
 )
 
-// LabelCount is what became of the requests with a label that plug-ins gave them.
+// LabelCount counts the results of requests with a label assigned by plug-ins.
 type LabelCount struct {
 	Label                   string
 	Served, Refused, Failed uint64
 }
 
-// tally counts a request's end by its labels.
-func (n *Node) tally(r *request, a *answer) {
+// countLabels counts a request's result for each of its labels.
+func (n *Node) countLabels(r *request, a *answer) {
 	if len(r.counsel.Labels) == 0 {
 		return
 	}
@@ -104,7 +102,7 @@
 	for _, label := range r.counsel.Labels {
 		c := n.labels[label]
 		if c == nil {
-			if len(n.labels) >= mostLabels {
+			if len(n.labels) >= maxLabels {
 				label = otherLabel
 			}
 			if c = n.labels[label]; c == nil {
@@ -123,18 +121,18 @@
 	}
 }
 
-// Labels are the counts of all labels, by name.
-func (n *Node) Labels() (all []LabelCount) {
+// Labels returns the counts of all labels, sorted by name.
+func (n *Node) Labels() (counts []LabelCount) {
 	n.labelMu.Lock()
 	defer n.labelMu.Unlock()
 	for _, c := range n.labels {
-		all = append(all, *c)
+		counts = append(counts, *c)
 	}
-	slices.SortFunc(all, func(a, b LabelCount) int {
+	slices.SortFunc(counts, func(a, b LabelCount) int {
 		if a.Label < b.Label {
 			return -1
 		}
 		return 1
 	})
-	return all
+	return counts
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -15,17 +15,17 @@
 	t.Parallel()
 	c := testConfig(t, "127.0.0.1:8500", server("s-1", "127.0.0.1:3000"))
 	s := c.Settings
-	if c.Name != "n0" || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 1024 || len(c.Known.Hosts) != 1 || c.Known.Seq != 1 {
+	if c.Name != "n0" || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 1024 || len(c.InitialServers.Hosts) != 1 || c.InitialServers.Seq != 1 {
 		t.Errorf("config %+v", c)
 	}
 	if s.Module.Classes[1].Repeat != limiter.Keyed || s.Module.Classes[1].Group != limiter.GroupCell ||
-		s.Module.Plans[1].Rate != 1000 || s.ClassNames["send-bulk-paid"] != 2 || s.PlanNames["enterprise"] != 1 ||
-		len(s.Zones) != 2 || s.Zones[1] != "room-b" || s.ConnIdle != 30*time.Second || s.Longest != 15*time.Second {
+		s.Module.Plans[1].Rate != 1000 || s.ClassIndex["send-bulk-paid"] != 2 || s.PlanIndex["enterprise"] != 1 ||
+		len(s.Zones) != 2 || s.Zones[1] != "room-b" || s.ConnIdle != 30*time.Second || s.MaxDeadline != 15*time.Second {
 		t.Errorf("settings %+v", s)
 	}
 }
 
-// A bad configuration ends the start with an error that says what is wrong.
+// An invalid configuration prevents the start with an error that names the invalid setting.
 func TestBadConfig(t *testing.T) {
 	t.Parallel()
 	good := func() map[string]any {
@@ -62,14 +62,14 @@
 		}
 	}
 	if _, err := load(t, []byte("{")); err == nil {
-		t.Error("half a file was taken")
+		t.Error("an incomplete file was accepted")
 	}
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil {
-		t.Error("no NODE_CONFIG was taken")
+		t.Error("a missing NODE_CONFIG was accepted")
 	}
 }
 
-// The address for operators is the environment's before the file's, and none where neither has one.
+// The admin address of the environment overrides the one of the file; without either there is none.
 func TestAdminAddr(t *testing.T) {
 	for _, x := range []struct {
 		file, env, want string
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -9,28 +9,27 @@
 	"example.org/madderdrum/limiter"
 )
 
-const countEvery = time.Second
+const counterInterval = time.Second
 
-// counters count what this limiter does and sees, for one line of the log a second at
-// the debug level, and write one for each attempt that has ended. They are nil, and cost
-// a comparison, at other levels.
+// counters count events and actions of the module for one debug log line a second, and log a line for each
+// attempt that has ended. They are nil, and cost one comparison, at other log levels.
 type counters struct {
 	log *slog.Logger
 
-	counts // under the node's mutex
+	counts // guarded by the node's mutex
 
 	connects, listCalls atomic.Int64
 }
 
-// counts are those of one second.
+// counts are reset with each line.
 type counts struct {
 	submits, sends, fails, aborts, probes, probesFailed int
-	tells, toldBytes, heard                             int
+	peerSends, peerSendBytes, peerReceived              int
 	refused                                             [limiter.Reasons]int
 	ended                                               [limiter.Results]int
 }
 
-// newCounters returns the counters for a log that has debug lines, else nil.
+// newCounters returns counters if debug logging is enabled, else nil.
 func newCounters(to *slog.Logger) *counters {
 	if !to.Enabled(context.Background(), slog.LevelDebug) {
 		return nil
@@ -38,8 +37,8 @@
 	return &counters{log: to}
 }
 
-// event counts what the module is told.
-func (c *counters) event(ev limiter.Event) {
+// countEvent counts an event passed to the module.
+func (c *counters) countEvent(ev limiter.Event) {
 	if c == nil {
 		return
 	}
@@ -50,7 +49,7 @@
 		c.ended[e.Result]++
 		c.log.Debug("attempt", "server", e.Server, "try", e.Try, "result", e.Result.String(), "ms", int(e.SpentMs))
 	case limiter.PeerMessage:
-		c.heard++
+		c.peerReceived++
 	case limiter.Probed:
 		if e.Result != limiter.Pass {
 			c.probesFailed++
@@ -58,8 +57,8 @@
 	}
 }
 
-// action counts what the module asks for.
-func (c *counters) action(a limiter.Action) {
+// countAction counts an action issued by the module.
+func (c *counters) countAction(a limiter.Action) {
 	if c == nil {
 		return
 	}
@@ -75,27 +74,26 @@
 	case limiter.Probe:
 		c.probes++
 	case limiter.Tell:
-		c.tells++
-		c.toldBytes += len(a.Data)
+		c.peerSends++
+		c.peerSendBytes += len(a.Data)
 	}
 }
 
-// connect counts a connection to a server that is opened.
+// connect counts an opened connection to a server.
 func (c *counters) connect() {
 	if c != nil {
 		c.connects.Add(1)
 	}
 }
 
-// listCall counts a call to discovery.
-func (c *counters) listCall() {
+// countListCall counts a call to the discovery agent.
+func (c *counters) countListCall() {
 	if c != nil {
 		c.listCalls.Add(1)
 	}
 }
 
-// line is what was counted since the last one, by name; what is zero is left out.
-// The node's mutex is held.
+// line returns the nonzero counts since the last line as log attributes. The node's mutex is held.
 func (c *counters) line(v limiter.View) []any {
 	var all []any
 	add := func(name string, n int) {
@@ -115,9 +113,9 @@
 	add("aborts", c.aborts)
 	add("probes", c.probes)
 	add("probes_failed", c.probesFailed)
-	add("tells", c.tells)
-	add("told_bytes", c.toldBytes)
-	add("heard", c.heard)
+	add("tells", c.peerSends)
+	add("told_bytes", c.peerSendBytes)
+	add("heard", c.peerReceived)
 	add("connects", int(c.connects.Swap(0)))
 	add("list_calls", int(c.listCalls.Swap(0)))
 	c.counts = counts{}
@@ -128,9 +126,9 @@
 	return append(all, "pressure", v.Pressure, "crowding", v.Crowding)
 }
 
-// count writes a line each second until the context ends.
-func (n *Node) count(ctx context.Context) {
-	for sleep(ctx, countEvery); ctx.Err() == nil; sleep(ctx, countEvery) {
+// logCounters logs a line each second until the context ends.
+func (n *Node) logCounters(ctx context.Context) {
+	for sleep(ctx, counterInterval); ctx.Err() == nil; sleep(ctx, counterInterval) {
 		n.mu.Lock()
 		line := n.counters.line(n.limiter.View(n.now()))
 		n.mu.Unlock()
--- a/internal/node/counters_test.go
+++ b/internal/node/counters_test.go
@@ -9,20 +9,20 @@
 	"example.org/madderdrum/limiter"
 )
 
-// A second's line has what was counted in it by name, the next one begins at nothing, and
-// at other levels nothing is counted.
+// A line has the nonzero counts since the last one by name, the counts are reset with it, and nothing is
+// counted at other log levels.
 func TestCounters(t *testing.T) {
 	var log bytes.Buffer
 	c := newCounters(slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	for _, ev := range []limiter.Event{limiter.Submit{}, limiter.Submit{}, limiter.PeerMessage{},
 		limiter.Outcome{Server: 7, Result: limiter.NoRoom}, limiter.Probed{Result: limiter.TooSlow}} {
-		c.event(ev)
+		c.countEvent(ev)
 	}
 	for _, a := range []limiter.Action{limiter.PassOn{}, limiter.Refuse{Why: limiter.NoServer}, limiter.Tell{Data: make([]byte, 20)}, limiter.Fail{}} {
-		c.action(a)
+		c.countAction(a)
 	}
 	c.connect()
-	c.listCall()
+	c.countListCall()
 	line := func() string {
 		var b bytes.Buffer
 		slog.New(slog.NewTextHandler(&b, nil)).Info("counters", c.line(limiter.View{Up: 60})...)
@@ -36,17 +36,17 @@
 		}
 	}
 	if second := line(); strings.Contains(second, "submits") || strings.Contains(second, "connects") || !strings.Contains(second, "servers_up=60 ") {
-		t.Errorf("a second without anything: %s", second)
+		t.Errorf("line without new counts: %s", second)
 	}
 	if !strings.Contains(log.String(), "msg=attempt server=7 try=0 result=no_room") {
 		t.Errorf("the attempt's line: %s", log.String())
 	}
 	off := newCounters(slog.New(slog.NewTextHandler(&log, nil)))
 	if off != nil {
-		t.Fatal("counts at the level info")
+		t.Fatal("counters at level info")
 	}
-	off.event(limiter.Submit{})
-	off.action(limiter.PassOn{})
+	off.countEvent(limiter.Submit{})
+	off.countAction(limiter.PassOn{})
 	off.connect()
-	off.listCall()
+	off.countListCall()
 }
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -19,24 +19,24 @@
 )
 
 const (
-	watchWait   = 20 * time.Second // how long discovery may hold a watch
-	watchSlack  = 2 * time.Second  // and how much later its answer is given up
-	retryFirst  = 50 * time.Millisecond
-	retryMost   = time.Second
+	watchHold   = 20 * time.Second // how long the agent may hold a call without news
+	watchSlack  = 2 * time.Second  // additional time until the call is cancelled
+	retryMin    = 50 * time.Millisecond
+	retryMax    = time.Second
 	maxListSize = 4 << 20
-	// An answer without news before its time is followed by the next call after
-	// this pause: short of the 200 ms after which a watch is over, but no spinning.
+	// An answer without changes that comes early is followed by the next call after this pause: shorter than
+	// the 200 ms after which an agent considers a watch ended, but no busy loop.
 	idlePause = 50 * time.Millisecond
 )
 
-// serverList is an answer of discovery.
+// serverList is an answer of the discovery agent.
 type serverList struct {
 	Seq   int64        `json:"seq"`
 	Whole bool         `json:"whole"`
 	Hosts []serverItem `json:"hosts"`
 }
 
-// serverItem is one server in an answer of discovery.
+// serverItem is one server in an answer of the discovery agent.
 type serverItem struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -45,11 +45,11 @@
 	Health string  `json:"health"`
 	Share  float64 `json:"share"`
 	BornMs float64 `json:"born_ms"`
-	pool   uint64  // that a configuration file puts it in
-	tier   int     // and its tier there
+	pool   uint64  // pool assigned by the configuration
+	tier   int     // tier in that pool
 }
 
-// UnmarshalJSON drops an entry that is no entry instead of the whole list with it.
+// UnmarshalJSON drops an invalid entry rather than the whole list.
 func (l *serverList) UnmarshalJSON(data []byte) error {
 	var raw struct {
 		Seq   int64             `json:"seq"`
@@ -63,7 +63,7 @@
 	for _, h := range raw.Hosts {
 		var item serverItem
 		if json.Unmarshal(h, &item) != nil {
-			item = serverItem{} // has no name: take drops and logs it
+			item = serverItem{} // has no name, so that applyList logs and drops it
 		}
 		l.Hosts = append(l.Hosts, item)
 	}
@@ -74,27 +74,27 @@
 	"ready": limiter.Up, "draining": limiter.Draining, "gone": limiter.Removed,
 }
 
-// ServerID is the module's number of a server. Limiters name servers to each
-// other by it, so it depends on the name alone.
+// ServerID returns the module's number of a server. Limiters identify servers to each other by it, so it
+// depends on the name alone.
 func ServerID(host string) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, host)
 	return h.Sum64()
 }
 
-// info checks an entry and translates it for the module.
+// info validates an entry and converts it for the module.
 func (i serverItem) info(zones []string) (limiter.ServerInfo, error) {
 	phase, ok := phases[i.Health]
 	switch {
 	case i.Host == "":
-		return limiter.ServerInfo{}, errors.New("an entry without a host")
+		return limiter.ServerInfo{}, errors.New("entry without a host")
 	case !ok:
 		return limiter.ServerInfo{}, fmt.Errorf("host %q: health %q", i.Host, i.Health)
 	case i.BornMs < 0 || i.Share < 0:
 		return limiter.ServerInfo{}, fmt.Errorf("host %q: a number below 0", i.Host)
 	}
 	zone := slices.Index(zones, i.Site)
-	if phase != limiter.Removed { // of what is gone only the name matters
+	if phase != limiter.Removed { // of a removed server only the name is used
 		if _, err := netip.ParseAddrPort(i.Dial); err != nil {
 			return limiter.ServerInfo{}, fmt.Errorf("host %q: dial: %w", i.Host, err)
 		}
@@ -106,119 +106,120 @@
 		Phase: phase, Weight: i.Share, Pool: i.pool, Tier: i.tier}, nil
 }
 
-// takeList hands what discovery tells to the pool and the module.
-func (n *Node) takeList(l serverList) {
-	if l.Whole {
-		n.take(limiter.Complete, l)
-	} else if len(l.Hosts) > 0 {
-		n.take(limiter.Partial, l)
+// applyDiscoveryAnswer passes an answer of the discovery agent to the connection pool and the module.
+func (n *Node) applyDiscoveryAnswer(list serverList) {
+	if list.Whole {
+		n.applyList(limiter.Complete, list)
+	} else if len(list.Hosts) > 0 {
+		n.applyList(limiter.Partial, list)
 	}
 }
 
-// take hands a list to the pool and the module.
-func (n *Node) take(scope limiter.Scope, l serverList) {
+// applyList passes a list to the connection pool and the module.
+func (n *Node) applyList(scope limiter.Scope, list serverList) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.takeLocked(scope, l)
+	n.applyListLocked(scope, list)
 }
 
-// takeLocked is take under the mutex.
-func (n *Node) takeLocked(scope limiter.Scope, l serverList) {
-	ev := limiter.Endpoints{Scope: scope}
+// applyListLocked is applyList for callers that hold the mutex.
+func (n *Node) applyListLocked(scope limiter.Scope, list serverList) {
+	endpoints := limiter.Endpoints{Scope: scope}
 	listed := map[uint64]bool{}
-	for _, item := range l.Hosts {
-		info, err := item.info(n.version.Load().settings.Zones)
+	for _, item := range list.Hosts {
+		info, err := item.info(n.revision.Load().settings.Zones)
 		if err == nil && listed[info.ID] {
 			err = fmt.Errorf("host %q is listed twice", item.Host)
 		}
 		if err != nil {
-			n.badInput.warn("dropped a list entry", "err", err)
+			n.badInputLog.warn("dropped a list entry", "err", err)
 			continue
 		}
 		listed[info.ID] = true
 		if n.servers.update(info, item.Dial) {
 			n.log.Info("server", "host", item.Host, "number", info.ID, "health", item.Health, "dial", item.Dial)
 		}
-		ev.Servers = append(ev.Servers, info)
+		endpoints.Servers = append(endpoints.Servers, info)
 	}
-	n.upgrade.listed(scope, l)
+	n.upgrade.listed(scope, list)
 	if scope != limiter.Partial {
-		n.servers.keepOnly(listed)
+		n.servers.retainListed(listed)
 	}
 	if len(listed) > 0 {
 		n.life.Listed(time.Now())
 	}
-	n.handle(ev)
+	n.handle(endpoints)
 }
 
-// listIndex is the version of the list that a watch goes on from, if there is one.
+// listIndex is the version of the list from which a watch continues, if one is known.
 type listIndex struct {
-	seq  int64
-	have bool
+	seq   int64
+	known bool
 }
 
-// watch follows discovery at an address until the context ends and hands on what it tells: whole
-// lists, or what has changed, which may be nothing, in calls that are held so long. What is known stays in use while discovery is
-// silent, down or talks nonsense; failed tells of that.
-func (n *Node) watch(ctx context.Context, addr string, index listIndex, hold time.Duration, take func(serverList), failed func()) {
+// watchDiscovery follows the discovery agent at an address until the context ends. It passes complete lists and
+// changes (which may be empty) to apply; the agent may hold each call for the given time. The known servers
+// stay in use while the agent is silent, down or sends invalid answers; failed is called for each such call.
+func (n *Node) watchDiscovery(ctx context.Context, addr string, index listIndex, hold time.Duration,
+	apply func(serverList), failed func()) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, MaxConnsPerHost: 2,
 		IdleConnTimeout: time.Minute}}
 	defer client.CloseIdleConnections()
-	broken, crowded := retries(retryFirst, retryMost, 0.5), crowdedRetries(n.cfg.Settings.Module.Balancers)
+	failures, overload := newBackoff(retryMin, retryMax, 0.5), overloadBackoff(n.cfg.Settings.Module.Balancers)
 	for ctx.Err() == nil {
-		// The whole list comes at once, or the call is made anew.
-		path, within := "/v1/servers", watchSlack
-		if index.have {
+		// A call for the complete list is answered at once, or repeated.
+		path, timeout := "/v1/servers", watchSlack
+		if index.known {
 			path = fmt.Sprintf("/v1/servers?index=%d&wait=%d", index.seq, hold.Milliseconds())
-			within += hold
+			timeout += hold
 		}
-		asked := time.Now()
-		n.counters.listCall()
-		l, err := ask(ctx, client, "http://"+addr+path, within)
+		calledAt := time.Now()
+		n.counters.countListCall()
+		l, err := fetchList(ctx, client, "http://"+addr+path, timeout)
 		switch {
 		case ctx.Err() != nil:
 			return
 		case err != nil:
 			n.discoveryLog.warn("discovery does not answer", "err", err)
 			failed()
-			if errors.Is(err, errCrowded) {
-				sleep(ctx, crowded.NextBackOff())
+			if errors.Is(err, errOverloaded) {
+				sleep(ctx, overload.NextBackOff())
 			} else {
-				sleep(ctx, broken.NextBackOff())
+				sleep(ctx, failures.NextBackOff())
 			}
 			continue
 		}
-		broken.Reset()
-		crowded.Reset()
-		take(l)
-		if l.Seq == index.seq && index.have && time.Since(asked) < idlePause {
+		failures.Reset()
+		overload.Reset()
+		apply(l)
+		if l.Seq == index.seq && index.known && time.Since(calledAt) < idlePause {
 			sleep(ctx, idlePause)
 		}
 		index = listIndex{l.Seq, true}
 	}
 }
 
-// retries are pauses that double from first to most, each longer or shorter by a random
-// part of it up to jitter.
-func retries(first, most time.Duration, jitter float64) *backoff.ExponentialBackOff {
-	b := &backoff.ExponentialBackOff{InitialInterval: first, MaxInterval: most, Multiplier: 2, RandomizationFactor: jitter}
+// newBackoff returns pauses that double from initial to limit, with a random factor of 1±jitter.
+func newBackoff(initial, limit time.Duration, jitter float64) *backoff.ExponentialBackOff {
+	b := &backoff.ExponentialBackOff{InitialInterval: initial, MaxInterval: limit,
+		Multiplier: 2, RandomizationFactor: jitter}
 	b.Reset()
 	return b
 }
 
-// crowdedRetries are the pauses of one limiter of so many after discovery has turned a
-// call away as it is overloaded, which it then is for all of them.
-func crowdedRetries(limiters int) *backoff.ExponentialBackOff {
-	first, most := peering.CallPause(limiters)
-	return retries(max(retryFirst, first), max(retryMost, most), 1)
+// overloadBackoff returns the pauses after an overload response of the discovery agent. They grow with the
+// number of limiters, as the agent is then overloaded for all of them.
+func overloadBackoff(limiters int) *backoff.ExponentialBackOff {
+	initial, limit := peering.CallPause(limiters)
+	return newBackoff(max(retryMin, initial), max(retryMax, limit), 1)
 }
 
-// errCrowded tells that discovery has more calls than it can answer.
-var errCrowded = errors.New("discovery is overloaded")
+// errOverloaded is returned when the discovery agent rejects calls because of overload.
+var errOverloaded = errors.New("discovery is overloaded")
 
-// ask makes one call to discovery, which may take so long at most.
-func ask(ctx context.Context, client *http.Client, url string, most time.Duration) (l serverList, err error) {
-	ctx, cancel := context.WithTimeout(ctx, most)
+// fetchList makes one call to the discovery agent.
+func fetchList(ctx context.Context, client *http.Client, url string, timeout time.Duration) (l serverList, err error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -232,18 +233,18 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return l, fmt.Errorf("status %s: %w", resp.Status, errCrowded)
+		return l, fmt.Errorf("status %s: %w", resp.Status, errOverloaded)
 	default:
 		return l, fmt.Errorf("status %s", resp.Status)
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxListSize)).Decode(&l); err != nil {
 		return l, fmt.Errorf("reading the list: %w", err)
 	}
-	io.Copy(io.Discard, io.LimitReader(resp.Body, 1<<10)) // to the end, so that the connection is kept
+	io.Copy(io.Discard, io.LimitReader(resp.Body, 1<<10)) // read to the end, so that the connection is reused
 	return l, nil
 }
 
-// sleep waits, or until the context ends.
+// sleep waits for the given time or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -10,30 +10,30 @@
 	"example.org/madderdrum/limiter"
 )
 
-// lookWithin bounds how long the figures wait for the module; after it they tell what it last said.
-const lookWithin = 50 * time.Millisecond
+// viewTimeout limits how long Figures waits for the module; after that it uses the module's last view.
+const viewTimeout = 50 * time.Millisecond
 
-// ClassFigures are the ends of a class's requests since the process began.
+// ClassFigures count the ended requests of a class since the process began.
 type ClassFigures struct {
-	Passed     int64 `json:"passed"`      // answered with a server's answer, whole
+	Passed     int64 `json:"passed"`      // answered completely with a server's answer
 	Dropped    int64 `json:"dropped"`     // refused: 429 or 503
-	BadGateway int64 `json:"bad_gateway"` // failed, or the client had gone
+	BadGateway int64 `json:"bad_gateway"` // failed, or the client disconnected
 }
 
-// Figures are what an operator sees of a limiter.
+// Figures are a limiter's statistics for operators.
 type Figures struct {
 	Handled        map[string]ClassFigures `json:"handled"`
-	InProgress     int64                   `json:"in_progress"`     // requests taken and not ended
-	UpstreamTries  int64                   `json:"upstream_tries"`  // attempts written whole to servers
+	InProgress     int64                   `json:"in_progress"`     // requests accepted but not ended
+	UpstreamTries  int64                   `json:"upstream_tries"`  // attempts written completely to servers
 	KnownServers   int                     `json:"known_servers"`   // in the list
-	SkippedServers int                     `json:"skipped_servers"` // in the list, and avoided now
+	SkippedServers int                     `json:"skipped_servers"` // in the list, but currently avoided
 }
 
-// ends counts the ends of one class.
-type ends struct{ passed, dropped, badGateway atomic.Int64 }
+// endCounts count the ended requests of one class.
+type endCounts struct{ passed, dropped, badGateway atomic.Int64 }
 
-// add counts one end by its status. 0 is a request whose client had gone.
-func (e *ends) add(status int) {
+// add counts an ended request by its status; 0 means that its client disconnected.
+func (e *endCounts) add(status int) {
 	switch status {
 	case http.StatusOK:
 		e.passed.Add(1)
@@ -44,35 +44,35 @@
 	}
 }
 
-// totals count what this process has done since its start. It is safe for concurrent use.
+// totals count requests since the start of the process. They are safe for concurrent use.
 type totals struct {
-	inProgress, tries atomic.Int64
+	inProgress, attempts atomic.Int64
 
 	mu      sync.Mutex
-	classes map[string]*ends // also of classes that a reload has taken away
+	classes map[string]*endCounts // including classes that a reload has removed
 
-	looked atomic.Pointer[limiter.View]
+	lastView atomic.Pointer[limiter.View]
 }
 
-// of returns the counts of classes by their names.
-func (t *totals) of(names []string) []*ends {
+// classCounts returns the counts of classes by name, adding missing ones.
+func (t *totals) classCounts(names []string) []*endCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all := make([]*ends, len(names))
+	all := make([]*endCounts, len(names))
 	for i, name := range names {
 		if t.classes[name] == nil {
-			t.classes[name] = &ends{}
+			t.classes[name] = &endCounts{}
 		}
 		all[i] = t.classes[name]
 	}
 	return all
 }
 
-// Figures tells what the limiter has done and sees now.
+// Figures returns the limiter's statistics since its start and its current state.
 func (n *Node) Figures() Figures {
-	v := n.look()
-	f := Figures{Handled: map[string]ClassFigures{}, InProgress: n.totals.inProgress.Load(), UpstreamTries: n.totals.tries.Load(),
-		KnownServers: v.Known, SkippedServers: v.Skipped}
+	v := n.moduleView()
+	f := Figures{Handled: map[string]ClassFigures{}, InProgress: n.totals.inProgress.Load(),
+		UpstreamTries: n.totals.attempts.Load(), KnownServers: v.Known, SkippedServers: v.Skipped}
 	n.totals.mu.Lock()
 	defer n.totals.mu.Unlock()
 	for name, e := range n.totals.classes {
@@ -81,35 +81,35 @@
 	return f
 }
 
-// look asks the module, or tells what it last said while that is busy.
-func (n *Node) look() limiter.View {
-	for until := time.Now().Add(lookWithin); ; time.Sleep(time.Millisecond) {
+// moduleView returns the module's current view, or its last one while the module is busy.
+func (n *Node) moduleView() limiter.View {
+	for until := time.Now().Add(viewTimeout); ; time.Sleep(time.Millisecond) {
 		if n.mu.TryLock() {
 			v := n.limiter.View(n.now())
 			n.mu.Unlock()
-			n.totals.looked.Store(&v)
+			n.totals.lastView.Store(&v)
 			return v
 		}
 		if time.Now().After(until) {
 			break
 		}
 	}
-	if v := n.totals.looked.Load(); v != nil {
+	if v := n.totals.lastView.Load(); v != nil {
 		return *v
 	}
 	return limiter.View{}
 }
 
-// taken counts a request as in progress: its last byte has come.
-func (n *Node) taken(r *request) {
-	if !r.counted {
-		r.counted = true
+// countInProgress counts a request as in progress once its last byte has been read.
+func (n *Node) countInProgress(r *request) {
+	if !r.countedInProgress {
+		r.countedInProgress = true
 		n.totals.inProgress.Add(1)
 	}
 }
 
-// line is the figures in one line of JSON.
-func (f Figures) line() (string, error) {
+// jsonLine returns the figures as one line of JSON.
+func (f Figures) jsonLine() (string, error) {
 	b, err := json.Marshal(f)
 	return string(b) + "\n", err
 }
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -16,144 +16,144 @@
 )
 
 const (
-	maxBody      = 64 << 10 // of a body is held whole
-	probeTimeout = 250 * time.Millisecond
-	sweepEvery   = 500 * time.Millisecond
-
-	// maxAnswer bounds what is read for one answer, with the heads that announce it
-	// and the frames of its chunks.
-	maxAnswer = maxHead + 2*maxBody
-	// An answer that has begun comes whole within restTime, which leaves room for a
-	// lost packet, or within this part of the time left.
-	restTime = 250 * time.Millisecond
-	restPart = 4
-	// maxLoad is more than any load that a server can have.
+	maxHeldBody   = 64 << 10 // longer bodies are streamed
+	probeTimeout  = 250 * time.Millisecond
+	sweepInterval = 500 * time.Millisecond
+
+	// maxAnswerBytes limits what is read for one short answer, including informational headers that precede it
+	// and chunk framing.
+	maxAnswerBytes = maxHeaderBytes + 2*maxHeldBody
+	// Once an answer has begun, its next byte must arrive within nextByteTimeout, which allows for a lost
+	// packet, or within this fraction of the time left if that is shorter.
+	nextByteTimeout = 250 * time.Millisecond
+	nextByteDivisor = 4
+	// maxLoad is a load that no server can reach.
 	maxLoad = 1e6
 )
 
-// noLoad is the load of an answer without a report.
+// noLoad is the load of an answer without a load report.
 var noLoad = limiter.Load{Busy: -1, Pending: -1, ServiceMs: -1}
 
-// pool keeps the connections to servers. It is not http.Transport, which sends
-// a request again by itself when a kept-alive connection breaks: a second copy.
-type pool struct {
-	budget      atomic.Int64 // most connections
+// serverPool keeps the connections to servers. It replaces http.Transport, which resends a request by itself
+// when a kept-alive connection breaks, and so may have it executed twice.
+type serverPool struct {
+	budget      atomic.Int64 // maximum number of connections
 	connTimeout time.Duration
-	idleFor     time.Duration // idle connections are closed after this
+	maxIdle     time.Duration // idle connections are closed after this time
 	counters    *counters
 
-	mu    sync.Mutex
-	hosts map[uint64]*host
-	open  int // connections open or coming up
-	ages  ages
+	mu        sync.Mutex
+	hosts     map[uint64]*host
+	openConns int // including those being established
+	idleStats idleStats
 }
 
 // host is one process of a server at one address.
 type host struct {
-	id     uint64
-	dial   string
-	bornMs float64
-	up     bool    // wants new requests
-	taken  bool    // another server stands at its address
-	idle   []*conn // the latest used last
+	id         uint64
+	dialAddr   string
+	bornMs     float64
+	accepting  bool    // accepts new requests
+	superseded bool    // another server now uses its address
+	idle       []*conn // most recently used last
 }
 
 // conn is a connection to a server that carries one request at a time.
 type conn struct {
 	net.Conn
-	pool   *pool
-	host   *host
-	from   *answerReader
-	in     *bufio.Reader // reads from it
-	used   bool          // an answer has come on it
-	idleAt time.Time
-	once   sync.Once
+	serverPool *serverPool
+	host       *host
+	src        *answerReader
+	reader     *bufio.Reader // reads from src
+	used       bool          // it has carried a request
+	idleSince  time.Time
+	once       sync.Once
 }
 
-// answerReader is what a conn reads answers from.
+// answerReader is the source from which a conn reads answers.
 type answerReader struct {
-	from io.Reader
-	left int   // bytes that may still come for this answer
-	died error // how the connection ended
+	src       io.Reader
+	remaining int   // bytes that may still be read for this answer
+	connErr   error // error that ended the connection
 }
 
-// Read guards against an answer, or heads that announce one, without end, and
-// tells the end of a connection from an answer that can't be read.
+// Read limits the size of an answer and of informational headers before it, and records connection errors, so
+// that they can be told from unreadable answers.
 func (a *answerReader) Read(b []byte) (int, error) {
-	if a.left <= 0 {
-		return 0, errTooLong
+	if a.remaining <= 0 {
+		return 0, errAnswerTooLong
 	}
-	n, err := a.from.Read(b[:min(len(b), a.left)])
-	a.left -= n
+	n, err := a.src.Read(b[:min(len(b), a.remaining)])
+	a.remaining -= n
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		a.died = err
+		a.connErr = err
 	}
 	return n, err
 }
 
-// reply is what came of an attempt.
+// reply is the result of an attempt.
 type reply struct {
-	result  limiter.Result
-	body    []byte
-	content string
-	load    limiter.Load
-	stream  *answerStream // an answer that goes on while it comes; body is nil
-	spentMs float64       // 0: up to now
-	gone    error         // why the client's request did not become whole
-	err     error         // why an answer was of no use
+	result      limiter.Result
+	body        []byte
+	contentType string
+	load        limiter.Load
+	stream      *answerStream // a long answer that is streamed; body is nil
+	elapsedMs   float64       // 0: until now
+	requestErr  error         // why the client's request could not be read completely
+	err         error         // why the answer could not be used
 }
 
-func newPool(budget int, connTimeout, idleFor time.Duration) *pool {
-	p := &pool{connTimeout: connTimeout, idleFor: idleFor, hosts: map[uint64]*host{},
-		ages: ages{at: time.Now(), limit: ageForever}}
+func newServerPool(budget int, connTimeout, maxIdle time.Duration) *serverPool {
+	p := &serverPool{connTimeout: connTimeout, maxIdle: maxIdle, hosts: map[uint64]*host{},
+		idleStats: idleStats{decayedAt: time.Now(), limit: noIdleLimit}}
 	p.budget.Store(int64(budget))
 	return p
 }
 
-// update takes in what the list says of a server and tells whether that is
-// news. Connections to an earlier process or address are not used again.
-func (p *pool) update(info limiter.ServerInfo, dial string) bool {
+// update applies a list entry and reports whether it changed anything. Connections to an earlier process or
+// address are not used again.
+func (p *serverPool) update(info limiter.ServerInfo, dialAddr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h, up := p.hosts[info.ID], info.Phase == limiter.Up
+	current, accepting := p.hosts[info.ID], info.Phase == limiter.Up
 	switch {
 	case info.Phase == limiter.Removed:
-		p.drop(h)
+		p.retire(current)
 		delete(p.hosts, info.ID)
-		return h != nil
-	case h == nil || h.dial != dial || h.bornMs != info.ReadyAt:
-		p.drop(h)
-		// One that still stands at this address is gone: guards against sending to the
-		// new server under the old one's name, on its connections or pending connects.
-		for _, o := range p.hosts {
-			if o.id != info.ID && o.dial == dial {
-				o.taken = true
-				p.drop(o)
+		return current != nil
+	case current == nil || current.dialAddr != dialAddr || current.bornMs != info.ReadyAt:
+		p.retire(current)
+		// A server that was listed at this address before is gone: without this, its idle connections and
+		// pending connects would carry its requests to the new server.
+		for _, other := range p.hosts {
+			if other.id != info.ID && other.dialAddr == dialAddr {
+				other.superseded = true
+				p.retire(other)
 			}
 		}
-		p.hosts[info.ID] = &host{id: info.ID, dial: dial, bornMs: info.ReadyAt, up: up}
+		p.hosts[info.ID] = &host{id: info.ID, dialAddr: dialAddr, bornMs: info.ReadyAt, accepting: accepting}
 		return true
 	}
-	up = up && !h.taken
-	news := h.up != up
-	if h.up = up; !up {
-		p.closeIdle(h)
+	accepting = accepting && !current.superseded
+	changed := current.accepting != accepting
+	if current.accepting = accepting; !accepting {
+		p.closeIdle(current)
 	}
-	return news
+	return changed
 }
 
-// allow changes how many connections may be open.
-func (p *pool) allow(budget int) { p.budget.Store(int64(budget)) }
+// setBudget changes how many connections may be open.
+func (p *serverPool) setBudget(budget int) { p.budget.Store(int64(budget)) }
 
-// count is how many connections are open.
-func (p *pool) count() int {
+// openCount returns how many connections are open.
+func (p *serverPool) openCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.open
+	return p.openConns
 }
 
-// rest closes all idle connections.
-func (p *pool) rest() {
+// closeAllIdle closes all idle connections.
+func (p *serverPool) closeAllIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, h := range p.hosts {
@@ -161,67 +161,66 @@
 	}
 }
 
-// keepOnly drops the servers that a whole list does not name.
-func (p *pool) keepOnly(listed map[uint64]bool) {
+// retainListed drops the servers that a complete list does not contain.
+func (p *serverPool) retainListed(listed map[uint64]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, h := range p.hosts {
 		if !listed[id] {
-			p.drop(h)
+			p.retire(h)
 			delete(p.hosts, id)
 		}
 	}
 }
 
-// drop retires a host. Attempts that are out on it go on.
-func (p *pool) drop(h *host) {
+// retire stops using a host. Attempts in progress on it continue.
+func (p *serverPool) retire(h *host) {
 	if h != nil {
-		h.up = false
+		h.accepting = false
 		p.closeIdle(h)
 	}
 }
 
-func (p *pool) closeIdle(h *host) {
+func (p *serverPool) closeIdle(h *host) {
 	for _, c := range h.idle {
 		c.closeLocked()
 	}
 	h.idle = nil
 }
 
-// host returns the process of a server that may be sent something new.
-func (p *pool) host(id uint64) *host {
+// host returns the server's current process if it accepts new requests, else nil.
+func (p *serverPool) host(id uint64) *host {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if h := p.hosts[id]; h != nil && h.up {
+	if h := p.hosts[id]; h != nil && h.accepting {
 		return h
 	}
 	return nil
 }
 
-// wanted tells whether a host still is to be sent something new.
-func (p *pool) wanted(h *host) bool {
+// accepts reports whether a host still accepts new requests.
+func (p *serverPool) accepts(h *host) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return h.up
+	return h.accepting
 }
 
-// broken closes a host's idle connections after one of its connections broke
-// or could not be made: the others are as likely dead. An answer that can't be
-// read says nothing of the kind.
-func (p *pool) broken(h *host) {
+// markBroken closes a host's idle connections after one of its connections broke or could not be established:
+// the others are likely dead too. It is not called for an unreadable answer, which doesn't suggest that.
+func (p *serverPool) markBroken(h *host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeIdle(h)
 }
 
-// take returns the idle connection of a host that was used last, or nil.
-func (p *pool) take(h *host) *conn {
+// takeIdle returns the most recently used idle connection of a host, or nil.
+func (p *serverPool) takeIdle(h *host) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(h.idle) > 0 {
 		c := h.idle[len(h.idle)-1]
 		h.idle = h.idle[:len(h.idle)-1]
-		if p.sound(c) {
+		if p.usable(c) {
 			return c
 		}
 		c.closeLocked()
@@ -229,65 +228,65 @@
 	return nil
 }
 
-// sound tells whether an idle connection may be used.
-func (p *pool) sound(c *conn) bool {
-	return time.Since(c.idleAt) < min(p.idleFor, p.ages.limit) && c.quiet()
+// usable reports whether an idle connection may be used.
+func (p *serverPool) usable(c *conn) bool {
+	return time.Since(c.idleSince) < min(p.maxIdle, p.idleStats.limit) && c.quiet()
 }
 
-// note counts an exchange on a connection by how long that was idle before.
-func (p *pool) note(group int, broke bool) {
+// recordExchange counts an exchange on a connection in the group of its idle time before.
+func (p *serverPool) recordExchange(group int, broke bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ages.add(time.Now(), group, broke)
+	p.idleStats.add(time.Now(), group, broke)
 }
 
-// put keeps a connection for later, unless its host has moved on.
-func (p *pool) put(c *conn) {
+// put keeps a connection for reuse, unless its host accepts no new requests.
+func (p *serverPool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// The deadline of the request before must not stay: once it has passed, the
-	// check for silence fails and the connection would be closed.
-	if !c.host.up || c.SetDeadline(time.Time{}) != nil {
+	// Clear the previous request's deadline: once it has passed, the check for silence would fail and the
+	// connection would be closed.
+	if !c.host.accepting || c.SetDeadline(time.Time{}) != nil {
 		c.closeLocked()
 		return
 	}
-	c.idleAt = time.Now()
+	c.idleSince = time.Now()
 	c.host.idle = append(c.host.idle, c)
 }
 
-// errNoRoom tells that the budget of connections is used up.
-var errNoRoom = errors.New("no connection left in the budget")
+// errConnBudget is returned when no further connection may be opened.
+var errConnBudget = errors.New("no connection left in the budget")
 
 // connect opens a connection to a host.
-func (p *pool) connect(ctx context.Context, h *host) (*conn, error) {
+func (p *serverPool) connect(ctx context.Context, h *host) (*conn, error) {
 	p.mu.Lock()
-	if p.open >= int(p.budget.Load()) {
+	if p.openConns >= int(p.budget.Load()) {
 		p.evict()
 	}
-	if p.open >= int(p.budget.Load()) {
+	if p.openConns >= int(p.budget.Load()) {
 		p.mu.Unlock()
-		return nil, errNoRoom
+		return nil, errConnBudget
 	}
-	p.open++
+	p.openConns++
 	p.mu.Unlock()
 	p.counters.connect()
 	d := net.Dialer{Timeout: p.connTimeout, KeepAlive: -1}
-	nc, err := d.DialContext(ctx, "tcp", h.dial)
+	nc, err := d.DialContext(ctx, "tcp", h.dialAddr)
 	if err != nil {
 		p.mu.Lock()
-		p.open--
+		p.openConns--
 		p.mu.Unlock()
 		return nil, err
 	}
-	from := &answerReader{from: nc}
-	return &conn{Conn: nc, pool: p, host: h, from: from, in: bufio.NewReader(from)}, nil
+	src := &answerReader{src: nc}
+	return &conn{Conn: nc, serverPool: p, host: h, src: src, reader: bufio.NewReader(src)}, nil
 }
 
 // evict closes the connection that has been idle longest.
-func (p *pool) evict() {
+func (p *serverPool) evict() {
 	var oldest *host
 	for _, h := range p.hosts {
-		if len(h.idle) > 0 && (oldest == nil || h.idle[0].idleAt.Before(oldest.idle[0].idleAt)) {
+		if len(h.idle) > 0 && (oldest == nil || h.idle[0].idleSince.Before(oldest.idle[0].idleSince)) {
 			oldest = h
 		}
 	}
@@ -297,18 +296,17 @@
 	}
 }
 
-// sweep closes idle connections whose time is up or that the server has
-// closed, until the context ends.
-func (p *pool) sweep(ctx context.Context) {
+// sweep closes idle connections that have expired or were closed by the server, until the context ends.
+func (p *serverPool) sweep(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep(ctx, sweepEvery)
+		sleep(ctx, sweepInterval)
 		p.mu.Lock()
-		p.ages.fade(time.Now())
-		p.ages.judge()
+		p.idleStats.decay(time.Now())
+		p.idleStats.updateLimit()
 		for _, h := range p.hosts {
 			kept := h.idle[:0]
 			for _, c := range h.idle {
-				if p.sound(c) {
+				if p.usable(c) {
 					kept = append(kept, c)
 				} else {
 					c.closeLocked()
@@ -322,19 +320,18 @@
 }
 
 func (c *conn) close() {
-	c.pool.mu.Lock()
-	defer c.pool.mu.Unlock()
+	c.serverPool.mu.Lock()
+	defer c.serverPool.mu.Unlock()
 	c.closeLocked()
 }
 
 func (c *conn) closeLocked() {
 	c.once.Do(func() {
-		c.pool.open--
+		c.serverPool.openConns--
 		c.Conn.Close()
 	})
 }
 
-// quiet tells that an idle connection is open and silent. One that the server
-// has closed must not be used: the request would end as a Cut, and an unsafe
-// one could not be sent again.
+// quiet reports whether an idle connection is open with nothing to read. A connection closed by the server must
+// not be used: the request would end as Cut, and one that is not idempotent could not be retried.
 func (c *conn) quiet() bool { return sockets.Quiet(c.Conn) }
--- a/internal/node/sources.go
+++ b/internal/node/sources.go
@@ -9,55 +9,55 @@
 	"example.org/madderdrum/limiter"
 )
 
-// Source is a discovery agent that tells the servers of one pool, in the platform's
-// form: GET /v1/servers, whole or as a watch.
+// Source is a discovery agent that provides the servers of one pool, in the platform's format: GET /v1/servers,
+// as complete lists or as a watch.
 type Source struct {
 	Pool, Addr string
-	Tiers      map[string]int // of the boxes of each site; none: all are alike
+	Tiers      map[string]int // tier of the servers of each site; empty: all are equal
 }
 
-// source is one with what it has told.
+// source is a Source with the state of its list.
 type source struct {
 	Source
-	// Under the node's mutex:
-	hosts  map[string]serverItem // those that are gone are not in it
-	index  listIndex
-	hold   time.Duration // how long the agent may hold a call; 0: another limiter tells what it says
-	turned func()        // has hold looked at again
+	// The following fields are guarded by the node's mutex.
+	hosts   map[string]serverItem // without removed servers
+	index   listIndex
+	hold    time.Duration // how long the agent may hold a call; 0: another limiter reports its answers
+	restart func()        // makes watchSource apply a changed hold
 }
 
-// takeFrom takes in what an agent tells, or another limiter for it. A whole list says nothing
-// of the servers of others, so that the module is only ever told what changes.
-func (n *Node) takeFrom(s *source, l serverList, itself bool) {
+// applySourceList applies an agent's answer, received from it or through another limiter. A complete list
+// covers only this pool's servers, so the module always gets the differences.
+func (n *Node) applySourceList(s *source, list serverList, fromAgent bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if itself && (s.hold == 0 || !l.Whole && l.Seq < s.index.seq) {
-		return // it came when another limiter's word counted already
+	if fromAgent && (s.hold == 0 || !list.Whole && list.Seq < s.index.seq) {
+		return // outdated: another limiter's reports count already
 	}
-	s.index = listIndex{l.Seq, true}
-	if itself && n.cfg.Looks != nil {
-		hosts, err := json.Marshal(l.Hosts)
+	s.index = listIndex{list.Seq, true}
+	if fromAgent && n.cfg.Looks != nil {
+		hosts, err := json.Marshal(list.Hosts)
 		if err == nil {
-			n.cfg.Looks.Listed(s.Pool, l.Seq, l.Whole, hosts)
+			n.cfg.Looks.Listed(s.Pool, list.Seq, list.Whole, hosts)
 		}
 	}
-	news := serverList{Seq: l.Seq}
-	if l.Whole {
+	changes := serverList{Seq: list.Seq}
+	if list.Whole {
 		listed := map[string]bool{}
-		for _, item := range l.Hosts {
+		for _, item := range list.Hosts {
 			listed[s.Pool+"/"+item.Host] = true
 		}
 		for _, name := range slices.Sorted(maps.Keys(s.hosts)) {
 			if !listed[name] {
 				item := s.hosts[name]
 				item.Health = "gone"
-				news.Hosts = append(news.Hosts, item)
+				changes.Hosts = append(changes.Hosts, item)
 				delete(s.hosts, name)
 			}
 		}
 	}
-	for _, item := range l.Hosts {
-		if item.Host != "" { // of another pool a server of this name is another one
+	for _, item := range list.Hosts {
+		if item.Host != "" { // a server of this name in another pool is a different one
 			item.Host = s.Pool + "/" + item.Host
 		}
 		item.pool, item.tier = PoolID(s.Pool), s.Tiers[item.Site]
@@ -66,15 +66,15 @@
 		} else {
 			s.hosts[item.Host] = item
 		}
-		news.Hosts = append(news.Hosts, item)
+		changes.Hosts = append(changes.Hosts, item)
 	}
-	if len(news.Hosts) > 0 || l.Whole {
-		n.takeLocked(limiter.Partial, news)
+	if len(changes.Hosts) > 0 || list.Whole {
+		n.applyListLocked(limiter.Partial, changes)
 	}
 }
 
-// discovered are the servers that all agents have told of. The mutex is held.
-func (n *Node) discovered() (all []serverItem) {
+// discoveredServers returns the servers known from all agents. The mutex is held.
+func (n *Node) discoveredServers() (all []serverItem) {
 	for _, s := range n.sources {
 		for _, name := range slices.Sorted(maps.Keys(s.hosts)) {
 			all = append(all, s.hosts[name])
--- a/internal/node/version.go
+++ b/internal/node/version.go
@@ -11,57 +11,57 @@
 	"example.org/madderdrum/route"
 )
 
-// version is one state of the configuration. A request goes by one version from end to
-// end: it is read and routed by one, and is read again if another one has come before
-// the module has it.
-type version struct {
-	settings Settings
-	classes  []string // names by their places
-	ends     []*ends  // of their requests
+// revision is one state of the configuration. A request is handled with one revision throughout: it is parsed
+// and routed with one, and parsed again if the configuration changes before it is submitted to the module.
+type revision struct {
+	settings   Settings
+	classNames []string     // by index
+	endCounts  []*endCounts // by class index
 	*Router
 }
 
-// Target is where a route leads, and what holds there.
+// Target is the destination of a route with the limits that apply to its requests.
 type Target struct {
 	Pool     string
-	Class    int           // for requests that name none; -1: none
+	Class    int           // for requests without a class; -1: none
 	Deadline time.Duration // 0: the class's
-	Attempts int           // 0: what the deployment allows
-	MaxBody  int64         // bytes; below 0: what the protocol allows
-	Adviser  Adviser       // nil: none
-	Tiers    []string      // names of the pool's tiers, by rank, as advice has them
+	Attempts int           // 0: the deployment's limit
+	MaxBody  int64         // bytes; negative: the protocol's limit
+	Adviser  Adviser       // nil: no plug-ins
+	Tiers    []string      // names of the pool's tiers by rank, as used in advice
 	ID       uint64        // the module's number of the pool, set by NewRouter
 }
 
-// Routes are the conditions and targets of a deployment's routes; none is one pool.
+// Routes are the conditions and targets of a deployment's routes; without routes there is one pool.
 type Routes struct {
 	Matches []route.Match
 	Targets []Target
-	// Where all requests go without routes.
+	// Destination of all requests if there are no routes.
 	Pool    string
 	Adviser Adviser
 	Tiers   []string
 }
 
-func (n *Node) newVersion(s Settings, r Routes) *version {
-	v := &version{settings: s, Router: NewRouter(r), classes: make([]string, len(s.Module.Classes))}
-	for name, i := range s.ClassNames {
-		v.classes[i] = name
+func (n *Node) newRevision(s Settings, r Routes) *revision {
+	v := &revision{settings: s, Router: NewRouter(r), classNames: make([]string, len(s.Module.Classes))}
+	for name, i := range s.ClassIndex {
+		v.classNames[i] = name
 	}
-	v.ends = n.totals.of(v.classes)
+	v.endCounts = n.totals.classCounts(v.classNames)
 	return v
 }
 
-// Router finds the targets of requests, for every front alike. It never changes.
+// Router finds the targets of requests, for all front ends alike. It is immutable.
 type Router struct {
-	table   *route.Table // nil: all requests go to rest
-	targets []Target     // by route
-	rest    Target
+	table    *route.Table // nil: all requests go to fallback
+	targets  []Target     // by route index
+	fallback Target
 }
 
-// NewRouter returns one for a deployment's routes.
+// NewRouter returns a Router for a deployment's routes.
 func NewRouter(r Routes) *Router {
-	x := &Router{rest: Target{Pool: r.Pool, ID: PoolID(r.Pool), Class: -1, MaxBody: -1, Adviser: r.Adviser, Tiers: r.Tiers}}
+	x := &Router{fallback: Target{Pool: r.Pool, ID: PoolID(r.Pool), Class: -1, MaxBody: -1,
+		Adviser: r.Adviser, Tiers: r.Tiers}}
 	if len(r.Matches) > 0 {
 		x.table = route.New(r.Matches)
 		for _, t := range r.Targets {
@@ -72,11 +72,10 @@
 	return x
 }
 
-// Find returns the target of a request, which must not be changed, or nil if no route
-// takes it.
+// Find returns the target of a request, which must not be modified, or nil if no route matches.
 func (x *Router) Find(q *route.Request) *Target {
 	if x.table == nil {
-		return &x.rest
+		return &x.fallback
 	}
 	if i := x.table.Find(q); i >= 0 {
 		return &x.targets[i]
@@ -84,7 +83,7 @@
 	return nil
 }
 
-// PoolID is the module's number of a pool; no name is 0.
+// PoolID returns the module's number of a pool; the empty name has 0.
 func PoolID(name string) uint64 {
 	if name == "" {
 		return 0
@@ -94,23 +93,23 @@
 	return h.Sum64() | 1
 }
 
-// errNoRoute tells that no route takes a request.
-var errNoRoute = &badRequest{http.StatusNotFound, "no route takes this request"}
+// errNoRoute is returned for requests that match no route.
+var errNoRoute = &requestError{http.StatusNotFound, "no route takes this request"}
 
-// target finds where a request goes. It looks at what routes have conditions on before
-// the protocol is checked: what no route takes need not speak it.
-func (v *version) target(hr *http.Request) (*Target, error) {
-	if v.table == nil { // the request is not looked at
-		return &v.rest, nil
+// target finds the target of a request. It only checks what routes have conditions on, before the protocol is
+// checked: requests that match no route need not follow the protocol.
+func (v *revision) target(hr *http.Request) (*Target, error) {
+	if v.table == nil { // no need to inspect the request
+		return &v.fallback, nil
 	}
 	path, err := route.Canonical(hr.URL)
 	if err != nil {
-		return nil, bad("%v", err)
+		return nil, badRequestf("%v", err)
 	}
-	q := route.Request{Host: hr.Host, Path: path, Method: hr.Method, Plan: one(hr.Header, "Plan"),
-		Header: func(name string) string { return one(hr.Header, name) }}
+	q := route.Request{Host: hr.Host, Path: path, Method: hr.Method, Plan: singleHeader(hr.Header, "Plan"),
+		Header: func(name string) string { return singleHeader(hr.Header, name) }}
 	if key := hr.URL.Query()["key"]; len(key) == 1 {
-		q.Account, _ = strconv.ParseUint(key[0], 16, 64) // what is no number is no account of a route
+		q.Account, _ = strconv.ParseUint(key[0], 16, 64) // an invalid number matches no route's account
 	}
 	to := v.Find(&q)
 	if to == nil {
@@ -119,44 +118,44 @@
 	return to, nil
 }
 
-// one is the value of a header that stands there once.
-func one(h http.Header, name string) string {
+// singleHeader returns the value of a header that occurs exactly once.
+func singleHeader(h http.Header, name string) string {
 	if v := h[name]; len(v) == 1 {
 		return v[0]
 	}
 	return ""
 }
 
-// Apply has another state of the deployment hold from now on, whole: requests that have
-// been handed to the module end by the state that took them, all others go by the new
-// one. Who this limiter is, its addresses, limits, peers and time-outs of connections
-// hold from the start to the end. within, if set, is called when nothing has happened
-// yet by the new state and nothing will any more by the old one; it must not block.
-func (n *Node) Apply(d Deployment, within func()) {
-	c := FixedConfig(d)
+// Apply switches to a new state of the deployment as a whole: requests that were submitted to the module end
+// with the state that accepted them, all others use the new one. The limiter's identity, addresses, limits,
+// peers and connection timeouts never change. onSwitch, if set, is called when nothing has used the new state yet
+// and nothing will use the old one any more; it must not block.
+func (n *Node) Apply(d Deployment, onSwitch func()) {
+	cfg := FixedConfig(d)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	old, s := n.version.Load(), c.Settings
-	s.ConnIdle, s.ConnTimeout, s.MaxOpen = old.settings.ConnIdle, old.settings.ConnTimeout, old.settings.MaxOpen
+	old, s := n.revision.Load(), cfg.Settings
+	s.ConnIdle, s.ConnTimeout, s.MaxRequests = old.settings.ConnIdle, old.settings.ConnTimeout, old.settings.MaxRequests
 	s.Module.Caps.Peers = old.settings.Module.Caps.Peers
 	n.handle(limiter.Reconfigure{Settings: s.Module,
-		Classes: moved(old.settings.ClassNames, s.ClassNames), Plans: moved(old.settings.PlanNames, s.PlanNames)})
-	n.version.Store(n.newVersion(s, d.Routes))
-	if within != nil {
-		within()
+		Classes: indexMapping(old.settings.ClassIndex, s.ClassIndex),
+		Plans:   indexMapping(old.settings.PlanIndex, s.PlanIndex)})
+	n.revision.Store(n.newRevision(s, d.Routes))
+	if onSwitch != nil {
+		onSwitch()
 	}
-	c.Known.Hosts = append(c.Known.Hosts, n.discovered()...)
-	n.takeLocked(limiter.Complete, c.Known)
+	cfg.InitialServers.Hosts = append(cfg.InitialServers.Hosts, n.discoveredServers()...)
+	n.applyListLocked(limiter.Complete, cfg.InitialServers)
 }
 
-// moved says which place each name has now, by its old place; -1: none.
-func moved(from, to map[string]int) []int {
-	all := make([]int, len(from))
+// indexMapping returns, for each index in from, the index of the same name in to, or -1.
+func indexMapping(from, to map[string]int) []int {
+	mapping := make([]int, len(from))
 	for name, i := range from {
-		all[i] = -1
+		mapping[i] = -1
 		if k, still := to[name]; still {
-			all[i] = k
+			mapping[i] = k
 		}
 	}
-	return all
+	return mapping
 }
