--- a/cmd/madderdrum/duties.go
+++ b/cmd/madderdrum/duties.go
@@ -98,7 +98,7 @@
 }
 
 // looks are those of other limiters for this one; nil: it looks for itself.
-func (d *duties) looks() node.Looks {
+func (d *duties) looks() node.ProbeSharing {
 	if l := d.service.Lookout(); l != nil {
 		return l
 	}
--- a/cmd/madderdrum/serve.go
+++ b/cmd/madderdrum/serve.go
@@ -134,7 +134,7 @@
 		return err
 	}
 	if duties != nil {
-		nc.Streams, nc.Looks = duties.streams(), duties.looks()
+		nc.Streams, nc.ProbeSharing = duties.streams(), duties.looks()
 	}
 	n, err := node.New(nc, logger)
 	if err != nil {
@@ -407,7 +407,7 @@
 func deploymentOf(c *config.Config, position int, plugins *plugin.Set) node.Deployment {
 	f := c.Fleet
 	d := node.Deployment{Module: f.Settings(position), Rooms: f.Rooms,
-		ConnIdle: float64(f.Network.Idle) / float64(time.Millisecond), ConnLimit: float64(f.Network.Connect) / float64(time.Millisecond)}
+		ConnIdle: float64(f.Network.Idle) / float64(time.Millisecond), ConnectTimeoutMs: float64(f.Network.Connect) / float64(time.Millisecond)}
 	for _, c := range f.Classes {
 		d.Classes = append(d.Classes, c.Name)
 	}
@@ -458,7 +458,7 @@
 	f := c.Fleet
 	cfg := node.FixedConfig(deploymentOf(c, position, plugins))
 	listens := c.Listens(position)
-	cfg.Name, cfg.Listen, cfg.AlsoListen = f.Limiters[position].Name, listens[0], listens[1:]
+	cfg.Name, cfg.Listen, cfg.ExtraListen = f.Limiters[position].Name, listens[0], listens[1:]
 	cfg.AdminAddr, cfg.TempDir = f.Limiters[position].Admin, os.TempDir()
 	cfg.Limits = node.Limits{Cores: f.Limits.Cores, MemoryMB: int64(f.Limits.MemoryMB), Sockets: f.Limits.Sockets}
 	return cfg
--- a/control/controlstate/controlstate.go
+++ b/control/controlstate/controlstate.go
@@ -17,14 +17,14 @@
 
 // Register is one version of the replicated state. The zero value is the state before any order.
 type Register struct {
-	Seq     uint64           `cbor:"1,keyasint"`           // version of the register, plus one with each change
-	Version uint64           `cbor:"2,keyasint"`           // version of the configuration
-	Config  []byte           `cbor:"3,keyasint,omitempty"` // text of the configuration
-	Evac    []string         `cbor:"4,keyasint,omitempty"` // sorted
-	Places  []places.Place   `cbor:"5,keyasint,omitempty"` // places of the limiters, by slot
-	Applied []AppliedCommand `cbor:"6,keyasint,omitempty"` // the latest changes of the configuration, oldest first
+	Seq            uint64           `cbor:"1,keyasint"`           // version of the register, plus one with each change
+	Version        uint64           `cbor:"2,keyasint"`           // version of the configuration
+	Config         []byte           `cbor:"3,keyasint,omitempty"` // text of the configuration
+	EvacuatedZones []string         `cbor:"4,keyasint,omitempty"` // sorted
+	Places         []places.Place   `cbor:"5,keyasint,omitempty"` // places of the limiters, by slot
+	Applied        []AppliedCommand `cbor:"6,keyasint,omitempty"` // the latest changes of the configuration, oldest first
 	// RevocationSeq is the Seq of the latest change that revoked an API key.
-	Revoked uint64 `cbor:"7,keyasint,omitempty"`
+	RevocationSeq uint64 `cbor:"7,keyasint,omitempty"`
 	// Voters are the IDs of the voters, sorted. It is empty before the first change, when the initial
 	// voters apply. Prior are the voters before the last change of voters, kept until that change is known
 	// to be chosen.
@@ -72,10 +72,10 @@
 
 // The kinds of orders.
 const (
-	Replace          OrderKind = iota // replace the whole configuration
-	Update                            // change named items of the configuration
-	Begin                             // begin the evacuation of a zone
-	Finish                            // end the evacuation of a zone
+	ReplaceConfig    OrderKind = iota // replace the whole configuration
+	UpdateConfig                      // change named items of the configuration
+	BeginEvacuation                   // begin the evacuation of a zone
+	FinishEvacuation                  // end the evacuation of a zone
 	RegisterLimiters                  // assign places to limiters
 	ChangeVoters                      // add and remove voters
 	ReleasePlaces                     // release places of limiters
@@ -84,24 +84,24 @@
 
 // Order is a command of the replicated state machine: one requested change of the register.
 type Order struct {
-	Kind   OrderKind      `cbor:"1,keyasint"`
-	Body   []byte         `cbor:"2,keyasint,omitempty"` // of ReplaceConfig and UpdateConfig
-	Zone   string         `cbor:"3,keyasint,omitempty"` // of BeginEvacuation and FinishEvacuation
-	Places []places.Place `cbor:"4,keyasint,omitempty"` // of RegisterLimiters: the places to create
-	Seats  []string       `cbor:"5,keyasint,omitempty"` // of ChangeVoters: IDs to add to the voters
-	First  []string       `cbor:"6,keyasint,omitempty"` // of ChangeVoters: the voters that bootstrapped the system
-	Leave  []string       `cbor:"7,keyasint,omitempty"` // of ChangeVoters: IDs to remove from the voters
+	Kind          OrderKind      `cbor:"1,keyasint"`
+	Body          []byte         `cbor:"2,keyasint,omitempty"` // of ReplaceConfig and UpdateConfig
+	Zone          string         `cbor:"3,keyasint,omitempty"` // of BeginEvacuation and FinishEvacuation
+	Places        []places.Place `cbor:"4,keyasint,omitempty"` // of RegisterLimiters: the places to create
+	AddVoters     []string       `cbor:"5,keyasint,omitempty"` // of ChangeVoters: IDs to add to the voters
+	InitialVoters []string       `cbor:"6,keyasint,omitempty"` // of ChangeVoters: the voters that bootstrapped the system
+	RemoveVoters  []string       `cbor:"7,keyasint,omitempty"` // of ChangeVoters: IDs to remove from the voters
 	// Term of ChangeVoters is the term in which the change was decided. The order is refused in any other
 	// term. Operators' commands use zero, which is valid in every term.
 	Term uint64 `cbor:"8,keyasint,omitempty"`
 	// SeenSeq of BeginEvacuation, FinishEvacuation and RegisterLimiters is the Seq of the register that was
 	// known where the order was received. The order is not applied if another one for the same zone or
 	// limiter was applied since.
-	Seen uint64 `cbor:"9,keyasint,omitempty"`
+	SeenSeq uint64 `cbor:"9,keyasint,omitempty"`
 	// Holders of ReleasePlaces are the holders whose places are released (see places.Place.Holder).
 	Holders []string `cbor:"10,keyasint,omitempty"`
 	// SettledSeq of SettlePlaces is the Seq of the oldest register whose places any limiter may still use.
-	Settled uint64 `cbor:"11,keyasint,omitempty"`
+	SettledSeq uint64 `cbor:"11,keyasint,omitempty"`
 }
 
 // Outcome is the result of an order.
@@ -131,7 +131,7 @@
 // in place.
 func (r *Register) Clone() *Register {
 	clone := *r
-	clone.Evac, clone.Places, clone.Applied = slices.Clone(r.Evac), slices.Clone(r.Places), slices.Clone(r.Applied)
+	clone.EvacuatedZones, clone.Places, clone.Applied = slices.Clone(r.EvacuatedZones), slices.Clone(r.Places), slices.Clone(r.Applied)
 	clone.Voters, clone.Prior = slices.Clone(r.Voters), slices.Clone(r.Prior)
 	clone.ZoneChanges = slices.Clone(r.ZoneChanges)
 	return &clone
@@ -160,19 +160,21 @@
 // apply applies an order without incrementing Seq and reports whether the register changed.
 func (r *Register) apply(order *Order) (bool, Outcome) {
 	switch order.Kind {
-	case Replace, Update:
+	case ReplaceConfig, UpdateConfig:
 		return r.changeConfiguration(order)
-	case Begin, Finish:
+	case BeginEvacuation, FinishEvacuation:
 		return r.evacuate(order)
 	case RegisterLimiters:
-		return r.changePlaces(func(table *places.Table, version uint64) bool { return table.Join(version, order.Seen, order.Places) }), Outcome{Status: 200}
+		return r.changePlaces(func(table *places.Table, version uint64) bool {
+			return table.Join(version, order.SeenSeq, order.Places)
+		}), Outcome{Status: 200}
 	case ReleasePlaces:
 		return r.changePlaces(func(table *places.Table, version uint64) bool { return table.Release(version, order.Holders) }), Outcome{Status: 200}
 	case SettlePlaces:
-		if order.Settled > r.Seq {
-			return false, Outcome{Status: 409, Code: "not_yet", Text: fmt.Sprintf("places of register %d can't be settled: the newest is %d", order.Settled, r.Seq)}
+		if order.SettledSeq > r.Seq {
+			return false, Outcome{Status: 409, Code: "not_yet", Text: fmt.Sprintf("places of register %d can't be settled: the newest is %d", order.SettledSeq, r.Seq)}
 		}
-		return r.changePlaces(func(table *places.Table, _ uint64) bool { return table.Settle(order.Settled) }), Outcome{Status: 200}
+		return r.changePlaces(func(table *places.Table, _ uint64) bool { return table.Settle(order.SettledSeq) }), Outcome{Status: 200}
 	case ChangeVoters:
 		return r.changeVoters(order)
 	}
@@ -183,19 +185,19 @@
 // Any other is applied only if the zone has not changed since the order was received, so that a delayed
 // order does not undo a later one.
 func (r *Register) evacuate(order *Order) (bool, Outcome) {
-	zoneIndex, evacuated := slices.BinarySearch(r.Evac, order.Zone)
-	if evacuated == (order.Kind == Begin) {
+	zoneIndex, evacuated := slices.BinarySearch(r.EvacuatedZones, order.Zone)
+	if evacuated == (order.Kind == BeginEvacuation) {
 		return false, Outcome{Status: 200}
 	}
 	changeIndex, changed := slices.BinarySearchFunc(r.ZoneChanges, order.Zone,
 		func(c ZoneChange, zone string) int { return strings.Compare(c.Zone, zone) })
-	if changed && r.ZoneChanges[changeIndex].Seq > order.Seen {
+	if changed && r.ZoneChanges[changeIndex].Seq > order.SeenSeq {
 		return false, Outcome{Status: 503, Code: "overtaken", Text: "another order for the zone was carried out since this one came in: send it again if it is still wanted"}
 	}
 	if evacuated {
-		r.Evac = slices.Delete(r.Evac, zoneIndex, zoneIndex+1)
+		r.EvacuatedZones = slices.Delete(r.EvacuatedZones, zoneIndex, zoneIndex+1)
 	} else {
-		r.Evac = slices.Insert(r.Evac, zoneIndex, order.Zone)
+		r.EvacuatedZones = slices.Insert(r.EvacuatedZones, zoneIndex, order.Zone)
 	}
 	change := ZoneChange{Zone: order.Zone, Seq: r.Seq + 1}
 	if changed {
@@ -209,7 +211,7 @@
 // changeConfiguration replaces or updates the configuration. A repeated call is acknowledged again without
 // a change. A call older than all remembered ones may or may not have been applied, so it gets status 503.
 func (r *Register) changeConfiguration(order *Order) (bool, Outcome) {
-	call, fault := configuration.ReadCall(order.Body, order.Kind == Update)
+	call, fault := configuration.ReadCall(order.Body, order.Kind == UpdateConfig)
 	if fault != nil {
 		return false, faultOutcome(fault)
 	}
@@ -228,7 +230,7 @@
 	}
 	if old, unreadable := configuration.Read(r.Config); unreadable == nil && len(r.Config) > 0 {
 		if t, unreadable := configuration.Read(next); unreadable == nil && configuration.Lost(old, t) {
-			r.Revoked = r.Seq + 1
+			r.RevocationSeq = r.Seq + 1
 		}
 	}
 	r.Config, r.Version = next, call.Version
--- a/control/controlstate/places_test.go
+++ b/control/controlstate/places_test.go
@@ -29,9 +29,9 @@
 		return len(value)
 	}
 	for i := range limiters {
-		apply(Order{Kind: RegisterLimiters, Seen: r.Seq, Places: []places.Place{place(i)}})
+		apply(Order{Kind: RegisterLimiters, SeenSeq: r.Seq, Places: []places.Place{place(i)}})
 	}
-	apply(Order{Kind: SettlePlaces, Settled: r.Seq})
+	apply(Order{Kind: SettlePlaces, SettledSeq: r.Seq})
 	initialSize := size()
 	const batchSize = 5 // limiters replaced by one order
 	for joined := 0; joined < replacedPerDay*days; joined += batchSize {
@@ -41,10 +41,10 @@
 			old := place(i)
 			joining, released = append(joining, place(limiters+i)), append(released, old.Holder())
 		}
-		apply(Order{Kind: RegisterLimiters, Seen: r.Seq, Places: joining})
+		apply(Order{Kind: RegisterLimiters, SeenSeq: r.Seq, Places: joining})
 		apply(Order{Kind: ReleasePlaces, Holders: released})
 		if joined%(3*batchSize) == 0 {
-			apply(Order{Kind: SettlePlaces, Settled: r.Seq})
+			apply(Order{Kind: SettlePlaces, SettledSeq: r.Seq})
 		}
 	}
 	finalSize := size()
--- a/control/controlstate/size_test.go
+++ b/control/controlstate/size_test.go
@@ -43,7 +43,7 @@
 
 // oneTenant returns an order that changes the rate of one tenant.
 func oneTenant(version int) *Order {
-	return &Order{Kind: Update, Body: fmt.Appendf(nil,
+	return &Order{Kind: UpdateConfig, Body: fmt.Appendf(nil,
 		`{"config_version":"r%d","base_revision":"r%d","upsert":{"tenants":[{"name":"t17","api_keys":["s989anu6wsjnba%06d"],"priority":1,"rate_per_s":%d,"burst_size":45,"allowed_regions":[]}]}}`,
 		version, version-1, 17, 40+version%7)}
 }
@@ -54,7 +54,7 @@
 	for _, tenants := range sizes {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
 			r := &Register{}
-			if out := r.Apply(&Order{Kind: Replace, Body: configurationOf(tenants)}); out.Status != 200 {
+			if out := r.Apply(&Order{Kind: ReplaceConfig, Body: configurationOf(tenants)}); out.Status != 200 {
 				b.Fatal(out)
 			}
 			version, whole, delta := 1, 0, 0
@@ -107,7 +107,7 @@
 func TestChangeTravelsSmall(t *testing.T) {
 	for _, tenants := range sizes[:3] {
 		r := &Register{}
-		if out := r.Apply(&Order{Kind: Replace, Body: configurationOf(tenants)}); out.Status != 200 {
+		if out := r.Apply(&Order{Kind: ReplaceConfig, Body: configurationOf(tenants)}); out.Status != 200 {
 			t.Fatal(out)
 		}
 		before := r.Config
--- a/control/controlstate/voters.go
+++ b/control/controlstate/voters.go
@@ -28,7 +28,7 @@
 
 // VoterSets returns the voter sets from which a round needs majorities: the voters, or during a change of
 // voters the prior and the new ones. initialVoters apply until the register names its voters.
-func (r *Register) Sets(initialVoters []string) [][]string {
+func (r *Register) VoterSets(initialVoters []string) [][]string {
 	voters := r.Voters
 	if len(voters) == 0 {
 		voters = initialVoters
@@ -44,14 +44,14 @@
 
 // changeVoters adds and removes voters. It refuses a change until the previous one is chosen.
 func (r *Register) changeVoters(order *Order) (changed bool, outcome Outcome) {
-	old := r.Sets(order.First)[0]
+	old := r.VoterSets(order.InitialVoters)[0]
 	voters := slices.Clone(old)
-	for _, voter := range order.Seats {
+	for _, voter := range order.AddVoters {
 		if i, found := slices.BinarySearch(voters, voter); !found {
 			voters, changed = slices.Insert(voters, i, voter), true
 		}
 	}
-	for _, voter := range order.Leave {
+	for _, voter := range order.RemoveVoters {
 		if i, found := slices.BinarySearch(voters, voter); found {
 			voters, changed = slices.Delete(voters, i, i+1), true
 		}
@@ -102,7 +102,7 @@
 // which is then complete.
 func (r *Register) Propose(initialVoters []string, promisedSets [][]string, chosen bool,
 	batches [][]Order) (proposal Proposal) {
-	if required := r.Sets(initialVoters); !slices.EqualFunc(required, promisedSets, slices.Equal) {
+	if required := r.VoterSets(initialVoters); !slices.EqualFunc(required, promisedSets, slices.Equal) {
 		return Proposal{RequiredSets: required}
 	}
 	seq := r.Seq
@@ -122,7 +122,7 @@
 		// other seed addresses would take those for the voters.
 		r.Voters = slices.Clone(initialVoters)
 	}
-	sets := r.Sets(initialVoters)
+	sets := r.VoterSets(initialVoters)
 	if voters := sets[len(sets)-1]; !slices.Equal(voters, promisedSets[len(promisedSets)-1]) {
 		proposal.NewVoterSet = voters
 	}
--- a/control/controlstate/voters_test.go
+++ b/control/controlstate/voters_test.go
@@ -47,7 +47,7 @@
 // begin starts a new round.
 func (v *voting) begin(p *proposer) {
 	p.number++
-	p.voterSets = p.register.Sets(initialVoters)
+	p.voterSets = p.register.VoterSets(initialVoters)
 	if p.voterSetHint != nil {
 		p.voterSets = p.voterSetHint
 	}
@@ -103,7 +103,7 @@
 	}
 	promisedSets := p.voterSets
 	if v.keepsVoterSets {
-		promisedSets = register.Sets(initialVoters)
+		promisedSets = register.VoterSets(initialVoters)
 	}
 	proposal := register.Propose(initialVoters, promisedSets, newest == p.known && newest != paxos.Ballot{}, [][]Order{p.orders})
 	if proposal.RequiredSets != nil {
@@ -118,8 +118,8 @@
 	p.next, p.value = register, []byte{byte(len(v.values))}
 	v.values = append(v.values, register)
 	// The proposer's next round has a new order.
-	if p.orders[0].Kind == Begin {
-		p.orders = []Order{{Kind: Begin, Zone: fmt.Sprintf("z%d-%d", p.node, len(v.values))}}
+	if p.orders[0].Kind == BeginEvacuation {
+		p.orders = []Order{{Kind: BeginEvacuation, Zone: fmt.Sprintf("z%d-%d", p.node, len(v.values))}}
 	}
 }
 
@@ -127,9 +127,9 @@
 func (v *voting) checkChain() error {
 	for i := 1; i < len(v.chosen); i++ {
 		a, b := v.chosen[i-1], v.chosen[i]
-		for _, z := range a.Evac {
-			if !slices.Contains(b.Evac, z) {
-				return fmt.Errorf("%v was chosen and later %v, which lacks a zone of it", a.Evac, b.Evac)
+		for _, z := range a.EvacuatedZones {
+			if !slices.Contains(b.EvacuatedZones, z) {
+				return fmt.Errorf("%v was chosen and later %v, which lacks a zone of it", a.EvacuatedZones, b.EvacuatedZones)
 			}
 		}
 	}
@@ -143,11 +143,11 @@
 		v.acceptors[name] = &paxos.Acceptor{}
 	}
 	for i := range 3 {
-		p := &proposer{node: uint64(i + 1), register: &Register{}, orders: []Order{{Kind: Begin, Zone: fmt.Sprint("z", i)}}}
+		p := &proposer{node: uint64(i + 1), register: &Register{}, orders: []Order{{Kind: BeginEvacuation, Zone: fmt.Sprint("z", i)}}}
 		if i == 0 {
-			p.orders = []Order{{Kind: ChangeVoters, Seats: []string{"4", "5"}, First: initialVoters}, {Kind: Begin, Zone: "seat"}}
+			p.orders = []Order{{Kind: ChangeVoters, AddVoters: []string{"4", "5"}, InitialVoters: initialVoters}, {Kind: BeginEvacuation, Zone: "seat"}}
 			if replace {
-				p.orders[0].Seats, p.orders[0].Leave = []string{"4"}, []string{"1"}
+				p.orders[0].AddVoters, p.orders[0].RemoveVoters = []string{"4"}, []string{"1"}
 			}
 		}
 		v.proposers = append(v.proposers, p)
@@ -203,13 +203,13 @@
 		t.Errorf("the replacement was completed in only %d of 3000 schedules", completed)
 	}
 	r := &Register{}
-	if out := r.Apply(&Order{Kind: ChangeVoters, Leave: []string{"1"}, First: initialVoters}); out.Status != 400 || r.Seq != 0 {
+	if out := r.Apply(&Order{Kind: ChangeVoters, RemoveVoters: []string{"1"}, InitialVoters: initialVoters}); out.Status != 400 || r.Seq != 0 {
 		t.Errorf("a change that leaves two voters: %+v", out)
 	}
-	if out := r.Apply(&Order{Kind: ChangeVoters, Seats: []string{"4"}, Leave: []string{"1"}, First: initialVoters}); out.Status != 200 {
+	if out := r.Apply(&Order{Kind: ChangeVoters, AddVoters: []string{"4"}, RemoveVoters: []string{"1"}, InitialVoters: initialVoters}); out.Status != 200 {
 		t.Errorf("replacement of a voter: %+v", out)
 	}
-	if out := r.Apply(&Order{Kind: ChangeVoters, Seats: []string{"5"}, First: initialVoters}); out.Status != 409 {
+	if out := r.Apply(&Order{Kind: ChangeVoters, AddVoters: []string{"5"}, InitialVoters: initialVoters}); out.Status != 409 {
 		t.Errorf("a second change before the first is chosen: %+v", out)
 	}
 }
@@ -218,10 +218,10 @@
 func TestOneSeatAMachine(t *testing.T) {
 	r := &Register{}
 	newDisk := VoterID("2", 7)
-	if out := r.Apply(&Order{Kind: ChangeVoters, Seats: []string{newDisk}, First: initialVoters}); out.Status != 409 || r.Seq != 0 {
+	if out := r.Apply(&Order{Kind: ChangeVoters, AddVoters: []string{newDisk}, InitialVoters: initialVoters}); out.Status != 409 || r.Seq != 0 {
 		t.Errorf("a second seat for the same machine: %+v", out)
 	}
-	if out := r.Apply(&Order{Kind: ChangeVoters, Seats: []string{newDisk}, Leave: []string{"2"}, First: initialVoters}); out.Status != 200 {
+	if out := r.Apply(&Order{Kind: ChangeVoters, AddVoters: []string{newDisk}, RemoveVoters: []string{"2"}, InitialVoters: initialVoters}); out.Status != 200 {
 		t.Errorf("a new disk in place of the first: %+v", out)
 	}
 }
@@ -230,12 +230,12 @@
 // use them as voters: a majority of the seeds and a majority of the voters may have no member in common.
 func TestVotersOutliveSeeds(t *testing.T) {
 	r := &Register{}
-	if proposal := r.Propose(initialVoters, [][]string{initialVoters}, false, [][]Order{{{Kind: Begin, Zone: "north-a"}}}); !proposal.Changed || proposal.NewVoterSet != nil {
+	if proposal := r.Propose(initialVoters, [][]string{initialVoters}, false, [][]Order{{{Kind: BeginEvacuation, Zone: "north-a"}}}); !proposal.Changed || proposal.NewVoterSet != nil {
 		t.Fatalf("%+v", proposal)
 	}
 	seeds := []string{"1", "4", "5"}
 	for _, promisedSets := range [][][]string{{seeds}, {initialVoters}} {
-		proposal := r.Clone().Propose(seeds, promisedSets, true, [][]Order{{{Kind: Finish, Zone: "north-a"}}})
+		proposal := r.Clone().Propose(seeds, promisedSets, true, [][]Order{{{Kind: FinishEvacuation, Zone: "north-a"}}})
 		if restarts := proposal.RequiredSets != nil; restarts != !slices.Equal(promisedSets[0], initialVoters) || restarts && !slices.Equal(proposal.RequiredSets[0], initialVoters) {
 			t.Errorf("promises from %v with the seeds %v: %+v", promisedSets, seeds, proposal)
 		}
--- a/control/coremembers/coremembers.go
+++ b/control/coremembers/coremembers.go
@@ -23,7 +23,7 @@
 
 const (
 	// UnreachableAfter is how long a voter must be silent before a successor can take its seat.
-	DarkAfter = 1200 * time.Millisecond
+	UnreachableAfter = 1200 * time.Millisecond
 	// GoneAfter is how long a voter must be silent before a learner that was already present, or is in
 	// another zone, takes its seat. It is longer than the outages that machines recover from.
 	GoneAfter = 60 * time.Second
@@ -50,7 +50,7 @@
 	Leaving bool   `cbor:"4,keyasint,omitempty"` // its process is shutting down gracefully
 	Joining bool   `cbor:"5,keyasint,omitempty"` // it is an initial machine, which gets a seat of its own
 	// Successions are the seats that this store considers due to pass to a learner.
-	Succeeded []Succession `cbor:"6,keyasint,omitempty"`
+	Successions []Succession `cbor:"6,keyasint,omitempty"`
 }
 
 // Succession is the transfer of a voter's seat to a learner. Both are voter IDs.
@@ -69,10 +69,10 @@
 
 // Change is a change of voters that a store is to propose.
 type Change struct {
-	Seat, Leave []string
-	Term        uint64
+	NewVoters, RemoveVoters []string
+	Term                    uint64
 	// CompletePending means that there is no new change to propose: an earlier one is still to be completed.
-	Complete bool
+	CompletePending bool
 }
 
 type peer struct {
@@ -102,7 +102,7 @@
 func (p *Planner) Leave() { p.self.Leaving = true }
 
 // SetVoterID sets the store's own voter ID, once it is known.
-func (p *Planner) Rename(voter string) { p.self.Voter = voter }
+func (p *Planner) SetVoterID(voter string) { p.self.Voter = voter }
 
 // updateTime records the current time. After a stall of this process, all machines count as just heard.
 func (p *Planner) updateTime(now time.Duration) {
@@ -134,7 +134,7 @@
 	p.updateTime(now)
 	report := p.self
 	report.Seq = state.Seq
-	report.Succeeded = p.successions(now, state)
+	report.Successions = p.successions(now, state)
 	return report
 }
 
@@ -213,7 +213,7 @@
 		return false // it can only take the seat of its own machine
 	}
 	silence := p.Silence(now, voter)
-	if silence < DarkAfter {
+	if silence < UnreachableAfter {
 		return false
 	}
 	known := p.peers[voter]
@@ -230,7 +230,7 @@
 			if slices.Contains(own, succession) {
 				count++
 			}
-		case other != nil && now-other.lastReportAt <= presentWithin && slices.Contains(other.report.Succeeded, succession):
+		case other != nil && now-other.lastReportAt <= presentWithin && slices.Contains(other.report.Successions, succession):
 			count++
 		}
 	}
@@ -255,7 +255,7 @@
 }
 
 func sameChange(a, b Change) bool {
-	return a.Term == b.Term && a.Complete == b.Complete && slices.Equal(a.Seat, b.Seat) && slices.Equal(a.Leave, b.Leave)
+	return a.Term == b.Term && a.CompletePending == b.CompletePending && slices.Equal(a.NewVoters, b.NewVoters) && slices.Equal(a.RemoveVoters, b.RemoveVoters)
 }
 
 // rank returns how many voters that are present and not leaving precede this store in the voter set.
@@ -277,12 +277,12 @@
 		return Change{}, false
 	}
 	if state.Prior {
-		return Change{Term: state.Term, Complete: true}, true
+		return Change{Term: state.Term, CompletePending: true}, true
 	}
 	own := p.successions(now, state)
 	for _, succession := range own {
 		if p.majorityAgrees(now, state, succession, own) {
-			return Change{Seat: []string{succession.Successor}, Leave: []string{succession.Voter}, Term: state.Term}, true
+			return Change{NewVoters: []string{succession.Successor}, RemoveVoters: []string{succession.Voter}, Term: state.Term}, true
 		}
 	}
 	candidates := slices.DeleteFunc(p.candidates(now, state), func(candidate *peer) bool {
@@ -293,12 +293,12 @@
 	}
 	for _, voter := range state.Voters {
 		if p.leaving(now, voter) {
-			return Change{Seat: []string{p.nearest(candidates, voter)}, Leave: []string{voter}, Term: state.Term}, true
+			return Change{NewVoters: []string{p.nearest(candidates, voter)}, RemoveVoters: []string{voter}, Term: state.Term}, true
 		}
 	}
 	for _, candidate := range candidates {
 		if candidate.report.Joining || len(state.Voters) < p.minVoters {
-			return Change{Seat: []string{candidate.report.Voter}, Term: state.Term}, true
+			return Change{NewVoters: []string{candidate.report.Voter}, Term: state.Term}, true
 		}
 	}
 	return Change{}, false
@@ -339,6 +339,6 @@
 
 // ShouldWaitToLeave reports whether a leaving store should wait for a learner to take its seat: the store is a
 // voter, and there is a learner that can take it.
-func (p *Planner) CanLeave(now time.Duration, state State) (wait bool) {
+func (p *Planner) ShouldWaitToLeave(now time.Duration, state State) (wait bool) {
 	return slices.Contains(state.Voters, p.self.Voter) && len(p.candidates(now, state)) > 0
 }
--- a/control/coremembers/coremembers_test.go
+++ b/control/coremembers/coremembers_test.go
@@ -24,7 +24,7 @@
 			if now >= m.from && now <= m.until && now%(400*ms) == 0 {
 				r := Report{Voter: m.voter, Zone: m.zone, Seq: 9, Leaving: m.leaving}
 				if m.voter == "2" {
-					r.Succeeded = p.Report(now, state).Succeeded
+					r.Successions = p.Report(now, state).Successions
 				}
 				p.Heard(now, r)
 			}
@@ -67,7 +67,7 @@
 		if test.leave != "" {
 			leave = []string{test.leave}
 		}
-		if due != (test.seat != "") || !slices.Equal(change.Seat, seat) || !slices.Equal(change.Leave, leave) {
+		if due != (test.seat != "") || !slices.Equal(change.NewVoters, seat) || !slices.Equal(change.RemoveVoters, leave) {
 			t.Errorf("%s: %+v, due %v", test.name, change, due)
 		}
 		if due && change.Term != 4 {
@@ -87,8 +87,8 @@
 	}
 	resumed := 23000 * ms
 	p.Heard(resumed, Report{Voter: "4/x", Zone: "a"})
-	if r := p.Report(resumed, state); len(r.Succeeded) > 0 || p.Silence(resumed, "3") > 0 {
-		t.Errorf("after a stall, successions %v are due", r.Succeeded)
+	if r := p.Report(resumed, state); len(r.Successions) > 0 || p.Silence(resumed, "3") > 0 {
+		t.Errorf("after a stall, successions %v are due", r.Successions)
 	}
 }
 
@@ -99,7 +99,7 @@
 		t.Error("a learner proposes")
 	}
 	p = New(Report{Voter: "1", Zone: "a"}, 3, 0)
-	if change, due := p.Plan(0, State{Voters: []string{"1", "2", "3"}, Prior: true, Term: 2}); !due || !change.Complete {
+	if change, due := p.Plan(0, State{Voters: []string{"1", "2", "3"}, Prior: true, Term: 2}); !due || !change.CompletePending {
 		t.Errorf("%+v %v", change, due)
 	}
 }
--- a/control/freshness/freshness.go
+++ b/control/freshness/freshness.go
@@ -41,7 +41,7 @@
 
 // HasMajority reports whether a majority of each set was heard less than within ago. This machine counts
 // in the sets it is a member of. Without any sets the result is false.
-func (c *Contacts) Majority(sets [][]string, now, within time.Duration) bool {
+func (c *Contacts) HasMajority(sets [][]string, now, within time.Duration) bool {
 	return len(sets) > 0 && paxos.MajorityOfEach(sets, func(ip string) bool {
 		silence, ok := c.Silence(ip, now)
 		return ip == c.self || ok && silence < within
@@ -63,7 +63,7 @@
 func (c *Copies) Stored(ip string) { c.held[ip] = true }
 
 // HasMajority reports whether a majority of each set holds the record, so that it can be acknowledged.
-func (c *Copies) Enough() bool {
+func (c *Copies) HasMajority() bool {
 	return len(c.sets) > 0 && paxos.MajorityOfEach(c.sets, func(ip string) bool { return c.held[ip] })
 }
 
@@ -97,11 +97,11 @@
 const MaxProofAge = 1600 * time.Millisecond
 
 // RegistryStatus is what a registry reports about itself with each answer.
-type Source struct {
-	Apart  bool          // it is not in contact with a majority of the registries
-	Proven bool          // it has a proof that its register is current
-	Age    time.Duration // of that proof
+type RegistryStatus struct {
+	Isolated bool          // it is not in contact with a majority of the registries
+	Proven   bool          // it has a proof that its register is current
+	Age      time.Duration // of that proof
 }
 
 // Usable reports whether a limiter may keep using this registry.
-func (s Source) Usable() bool { return !s.Apart && s.Proven && s.Age < MaxProofAge }
+func (s RegistryStatus) Usable() bool { return !s.Isolated && s.Proven && s.Age < MaxProofAge }
--- a/control/freshness/freshness_test.go
+++ b/control/freshness/freshness_test.go
@@ -31,7 +31,7 @@
 			c.Heard(ip, at)
 			c.Heard(ip, at-time.Second) // a late answer to an older call changes nothing
 		}
-		if got := c.Majority(test.sets, now, 1600*ms); got != test.want {
+		if got := c.HasMajority(test.sets, now, 1600*ms); got != test.want {
 			t.Errorf("%s: got %v, want %v", test.name, got, test.want)
 		}
 	}
@@ -42,15 +42,15 @@
 	c := NewCopies("a", [][]string{{"a", "b", "c", "d", "e"}})
 	for i, ip := range []string{"", "b", "b", "x", "c"} {
 		c.Stored(ip)
-		if c.Enough() != (i == 4) {
-			t.Errorf("after %d answers: has majority %v", i+1, c.Enough())
+		if c.HasMajority() != (i == 4) {
+			t.Errorf("after %d answers: has majority %v", i+1, c.HasMajority())
 		}
 	}
-	if NewCopies("a", nil).Enough() {
+	if NewCopies("a", nil).HasMajority() {
 		t.Error("majority reached although no voters are known")
 	}
 	learner := NewCopies("d", [][]string{{"a", "b", "c"}})
-	if learner.Stored("a"); learner.Enough() {
+	if learner.Stored("a"); learner.HasMajority() {
 		t.Error("a copy on a machine that is not a voter is counted")
 	}
 }
@@ -74,11 +74,11 @@
 // A limiter leaves a registry that is isolated or has no proof or a stale one.
 func TestSource(t *testing.T) {
 	for _, test := range []struct {
-		status Source
+		status RegistryStatus
 		want   bool
 	}{
-		{Source{Proven: true, Age: 100 * ms}, true}, {Source{Proven: true, Age: MaxProofAge}, false},
-		{Source{Age: 100 * ms}, false}, {Source{Proven: true, Apart: true, Age: 100 * ms}, false},
+		{RegistryStatus{Proven: true, Age: 100 * ms}, true}, {RegistryStatus{Proven: true, Age: MaxProofAge}, false},
+		{RegistryStatus{Age: 100 * ms}, false}, {RegistryStatus{Proven: true, Isolated: true, Age: 100 * ms}, false},
 	} {
 		if got := test.status.Usable(); got != test.want {
 			t.Errorf("%+v: usable %v, want %v", test.status, got, test.want)
--- a/control/replica/attempt.go
+++ b/control/replica/attempt.go
@@ -13,10 +13,10 @@
 
 // The steps of a round, in [Attempt.HandlePromise] and [Attempt.HandleAccepted].
 const (
-	Wait    Step = iota
-	Vote         // send Attempt.Accept to Attempt.Voters
-	Restart      // the newest register has other voter sets than the round: begin a new one
-	Settled      // the round is over: see Attempt.Outcomes
+	Wait       Step = iota
+	SendAccept      // send Attempt.Accept to Attempt.Voters
+	Restart         // the newest register has other voter sets than the round: begin a new one
+	Finished        // the round is over: see Attempt.Outcomes
 )
 
 // Attempt is one round for a group of waiting orders.
@@ -42,7 +42,7 @@
 func (r *Replica) Begin(batches [][]controlstate.Order) *Attempt {
 	r.ballotNumber++
 	ballot := paxos.Ballot{Number: r.ballotNumber, Node: r.node, Incarnation: r.incarnation}
-	voterSets := r.Sets()
+	voterSets := r.VoterSets()
 	return &Attempt{
 		Prepare: paxos.Prepare{Ballot: ballot, Known: r.chosen}, Voters: Union(voterSets...),
 		replica: r, round: paxos.NewRound(ballot, voterSets...), ownValue: r.value, voterSets: voterSets, batches: batches,
@@ -54,8 +54,8 @@
 
 // HandlePromise processes a reply to Prepare. When a majority has promised, it applies the orders to the
 // newest register and prepares Accept.
-func (a *Attempt) Promise(from string, reply paxos.Reply) (Step, error) {
-	a.replica.Saw(reply.Promised.Number)
+func (a *Attempt) HandlePromise(from string, reply paxos.Reply) (Step, error) {
+	a.replica.ObserveBallotNumber(reply.Promised.Number)
 	if !a.round.HandlePromise(from, reply) {
 		return Wait, nil
 	}
@@ -75,7 +75,7 @@
 	a.outcomes = proposal.Outcomes
 	if !proposal.Changed && (a.round.NewestIsChosen() || newest == paxos.Ballot{}) {
 		_, err := a.replica.Learn(newest, value)
-		return Settled, err
+		return Finished, err
 	}
 	next, err := register.Encode()
 	if err != nil {
@@ -87,15 +87,15 @@
 	}
 	a.Accept = paxos.Accept{Ballot: a.Prepare.Ballot, Value: next}
 	a.Base, a.BaseBallot = value, newest
-	return Vote, nil
+	return SendAccept, nil
 }
 
 // HandleAccepted processes a reply to Accept. When a majority has voted, the replica learns the new value.
-func (a *Attempt) Voted(from string, reply paxos.Reply) (Step, error) {
-	a.replica.Saw(reply.Promised.Number)
+func (a *Attempt) HandleAccepted(from string, reply paxos.Reply) (Step, error) {
+	a.replica.ObserveBallotNumber(reply.Promised.Number)
 	if !a.round.HandleVote(from, reply) {
 		return Wait, nil
 	}
 	_, err := a.replica.Learn(a.Accept.Ballot, a.Accept.Value)
-	return Settled, err
+	return Finished, err
 }
--- a/control/replica/model_test.go
+++ b/control/replica/model_test.go
@@ -95,7 +95,7 @@
 // send puts a request to each voter's machine in flight.
 func (m *model) send(from int, voters []string, call string) {
 	s := m.stores[from]
-	for _, ip := range Machines(voters) {
+	for _, ip := range VoterIPs(voters) {
 		to := m.find(ip)
 		if to < 0 {
 			continue
@@ -168,7 +168,7 @@
 		if s.confirm == nil || p.attempt != s.confirmBegunAt {
 			return
 		}
-		_, err := s.confirm.Hear(from, *p.reply)
+		_, err := s.confirm.HandleReply(from, *p.reply)
 		m.recordError(err)
 		m.checkChain(s)
 		if s.confirm.Proven() {
@@ -182,11 +182,11 @@
 	}
 	switch p.call {
 	case "prepare":
-		step, err := s.attempt.Promise(from, *p.reply)
+		step, err := s.attempt.HandlePromise(from, *p.reply)
 		m.recordError(err)
 		m.follow(p.to, s, step)
 	case "accept":
-		step, err := s.attempt.Voted(from, *p.reply)
+		step, err := s.attempt.HandleAccepted(from, *p.reply)
 		m.recordError(err)
 		m.follow(p.to, s, step)
 	}
@@ -197,10 +197,10 @@
 	switch step {
 	case Restart:
 		m.begin(i)
-	case Vote:
+	case SendAccept:
 		m.breakVoterSets(s)
 		m.send(i, s.attempt.Voters, "accept")
-	case Settled:
+	case Finished:
 		m.finishAttempt(s)
 	}
 }
@@ -237,7 +237,7 @@
 	if s.order == nil || len(s.attempt.Outcomes()) == 0 {
 		return
 	}
-	if out := s.attempt.Outcomes()[0][0]; out.Status == 200 && s.order.Kind == controlstate.Begin {
+	if out := s.attempt.Outcomes()[0][0]; out.Status == 200 && s.order.Kind == controlstate.BeginEvacuation {
 		if _, again := m.acknowledged[s.order.Zone]; !again {
 			m.acknowledged[s.order.Zone] = ack{m.steps, s.replica.Chosen()}
 		}
@@ -253,7 +253,7 @@
 	if m.lostAt >= s.attemptBegunAt {
 		return
 	}
-	for _, set := range s.replica.Register().Sets(m.initialVoters) {
+	for _, set := range s.replica.Register().VoterSets(m.initialVoters) {
 		copies := 0
 		for _, other := range m.stores {
 			if slices.Contains(set, m.id(other)) && other.synced.Accepted.Compare(s.replica.Chosen()) >= 0 {
@@ -284,8 +284,8 @@
 
 // checkHolds checks that a store's register contains an acknowledged evacuation.
 func (m *model) checkHolds(s *store, zone string, a ack) {
-	if !slices.Contains(s.replica.Register().Evac, zone) {
-		m.recordError(fmt.Errorf("step %d: %s holds %v, without %s, which was acknowledged at step %d", m.steps, m.id(s), s.replica.Register().Evac, zone, a.step))
+	if !slices.Contains(s.replica.Register().EvacuatedZones, zone) {
+		m.recordError(fmt.Errorf("step %d: %s holds %v, without %s, which was acknowledged at step %d", m.steps, m.id(s), s.replica.Register().EvacuatedZones, zone, a.step))
 	}
 }
 
@@ -308,7 +308,7 @@
 		initialVoters = nil
 	}
 	s.replica = New(uint64(i+1), uint64(m.steps), initialVoters)
-	s.replica.Saw(s.synced.Promised.Number)
+	s.replica.ObserveBallotNumber(s.synced.Promised.Number)
 	s.attempt, s.confirm, s.serial = nil, nil, s.serial+1000
 }
 
@@ -341,7 +341,7 @@
 // machine that is down. It returns nil if there is no such seat.
 func (m *model) takeOverOrder(by *store) *controlstate.Order {
 	register := by.replica.Register()
-	voters := register.Sets(by.replica.First())
+	voters := register.VoterSets(by.replica.InitialVoters())
 	for _, s := range m.stores {
 		id := m.id(s)
 		if !s.up || slices.Contains(voters[len(voters)-1], id) {
@@ -350,7 +350,7 @@
 		for _, v := range voters[len(voters)-1] {
 			k := m.find(controlstate.VoterIP(v))
 			if k >= 0 && (!m.stores[k].up || m.id(m.stores[k]) != v) {
-				return &controlstate.Order{Kind: controlstate.ChangeVoters, Seats: []string{id}, Leave: []string{v}, Term: register.Term(), First: by.replica.First()}
+				return &controlstate.Order{Kind: controlstate.ChangeVoters, AddVoters: []string{id}, RemoveVoters: []string{v}, Term: register.Term(), InitialVoters: by.replica.InitialVoters()}
 			}
 		}
 	}
@@ -366,11 +366,11 @@
 	}
 	serial := s.serial
 	s.serial = s.confirmBegunAt
-	m.send(i, Union(append(s.replica.Sets(), m.initialVoters)...), "read")
+	m.send(i, Union(append(s.replica.VoterSets(), m.initialVoters)...), "read")
 	s.serial = serial
 	for _, other := range m.stores { // a machine that does not know the initial voters asks the others
-		if s.replica.First() == nil && other.up && other.replica.First() != nil {
-			s.replica.LearnFirst(other.replica.First())
+		if s.replica.InitialVoters() == nil && other.up && other.replica.InitialVoters() != nil {
+			s.replica.LearnInitialVoters(other.replica.InitialVoters())
 		}
 	}
 }
@@ -397,7 +397,7 @@
 		}
 		if s.order == nil {
 			m.orderCount++
-			s.order = &controlstate.Order{Kind: controlstate.Begin, Zone: fmt.Sprintf("z%03d", m.orderCount)}
+			s.order = &controlstate.Order{Kind: controlstate.BeginEvacuation, Zone: fmt.Sprintf("z%03d", m.orderCount)}
 			if change := m.takeOverOrder(s); change != nil && m.rng.IntN(2) == 0 {
 				s.order = change
 			} else if len(s.replica.Register().Prior) > 0 {
@@ -442,7 +442,7 @@
 		}
 	}
 	i := m.rng.IntN(len(m.stores))
-	if !m.stores[i].up || !slices.Contains(m.stores[i].replica.Sets()[0], m.id(m.stores[i])) {
+	if !m.stores[i].up || !slices.Contains(m.stores[i].replica.VoterSets()[0], m.id(m.stores[i])) {
 		return
 	}
 	m.lostAt = m.steps
--- a/control/replica/refusal_test.go
+++ b/control/replica/refusal_test.go
@@ -11,7 +11,7 @@
 // replaceOrder returns an order that replaces the whole configuration.
 func replaceOrder(version, base int) controlstate.Order {
 	body := fmt.Appendf(nil, `{"config_version":"r%d","base_revision":"r%d","tenants":[],"listeners":[],"clusters":[]}`, version, base)
-	return controlstate.Order{Kind: controlstate.Replace, Body: body}
+	return controlstate.Order{Kind: controlstate.ReplaceConfig, Body: body}
 }
 
 // A store that was partitioned knows only an older configuration. An order based on the newest version must
@@ -52,7 +52,7 @@
 		attempt := r.Begin([][]controlstate.Order{{test.order}})
 		accepted := paxos.Ballot{Number: 4, Node: 3}
 		for _, voter := range []string{"2", "3"} {
-			_, err = attempt.Promise(voter, paxos.Reply{OK: true, Promised: attempt.Prepare.Ballot, Accepted: accepted, Value: value})
+			_, err = attempt.HandlePromise(voter, paxos.Reply{OK: true, Promised: attempt.Prepare.Ballot, Accepted: accepted, Value: value})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/control/replica/replica.go
+++ b/control/replica/replica.go
@@ -51,25 +51,27 @@
 func (r *Replica) Value() []byte { return r.value }
 
 // InitialVoters returns the voters that bootstrapped the system, or nil if they are not known.
-func (r *Replica) First() []string { return r.initialVoters }
+func (r *Replica) InitialVoters() []string { return r.initialVoters }
 
 // LearnInitialVoters stores the initial voters reported by another store, if they were not known before.
-func (r *Replica) LearnFirst(initialVoters []string) {
+func (r *Replica) LearnInitialVoters(initialVoters []string) {
 	if len(r.initialVoters) == 0 && len(initialVoters) > 0 {
 		r.initialVoters = slices.Clone(initialVoters)
 	}
 }
 
 // VoterSets returns the newest known voter sets, from which a round needs majorities.
-func (r *Replica) Sets() [][]string {
+func (r *Replica) VoterSets() [][]string {
 	if r.voterSetHint != nil {
 		return r.voterSetHint
 	}
-	return r.register.Sets(r.initialVoters)
+	return r.register.VoterSets(r.initialVoters)
 }
 
 // ObserveBallotNumber records a ballot number. The next ballot of this store gets a higher one.
-func (r *Replica) Saw(ballotNumber uint64) { r.ballotNumber = max(r.ballotNumber, ballotNumber) }
+func (r *Replica) ObserveBallotNumber(ballotNumber uint64) {
+	r.ballotNumber = max(r.ballotNumber, ballotNumber)
+}
 
 // Learn stores a value that is known to be chosen and reports whether the register changed. A value that
 // is not newer than the known one is ignored.
@@ -84,7 +86,7 @@
 	changed = register.Seq != r.register.Seq
 	r.chosen, r.value, r.voterSetHint = ballot, value, nil
 	r.hasUnresolved = false
-	r.Saw(ballot.Number)
+	r.ObserveBallotNumber(ballot.Number)
 	if changed {
 		r.register = register
 	}
@@ -93,7 +95,7 @@
 
 // ProvenAt returns the latest time at which the known register was proven to be the newest chosen one.
 // ok is false if that was never proven.
-func (r *Replica) Proved() (at time.Duration, ok bool) { return r.provenAt, r.hasProof }
+func (r *Replica) ProvenAt() (at time.Duration, ok bool) { return r.provenAt, r.hasProof }
 
 // Union returns the sorted union of the sets.
 func Union(sets ...[]string) (all []string) {
@@ -105,7 +107,7 @@
 }
 
 // VoterIPs returns the IP addresses of the voters' machines, sorted and without duplicates.
-func Machines(voters []string) (ips []string) {
+func VoterIPs(voters []string) (ips []string) {
 	for _, voter := range voters {
 		ips = append(ips, controlstate.VoterIP(voter))
 	}
@@ -126,7 +128,7 @@
 // Confirm begins a confirmation of the register that is known now. The caller then sends a read with
 // Known to the voters.
 func (r *Replica) Confirm(now time.Duration) *Confirmation {
-	return &Confirmation{replica: r, paxos: paxos.NewConfirmation(r.chosen, r.register.Sets(r.initialVoters)),
+	return &Confirmation{replica: r, paxos: paxos.NewConfirmation(r.chosen, r.register.VoterSets(r.initialVoters)),
 		startedAt: now, known: r.chosen, newerAccepted: map[string]paxos.Ballot{}}
 }
 
@@ -134,7 +136,7 @@
 func (c *Confirmation) Known() paxos.Ballot { return c.known }
 
 // HandleReply processes a voter's reply to a read and reports whether the register changed.
-func (c *Confirmation) Hear(from string, reply paxos.Reply) (changed bool, err error) {
+func (c *Confirmation) HandleReply(from string, reply paxos.Reply) (changed bool, err error) {
 	if c.paxos.HandleReply(from, reply) {
 		c.newerAccepted[from] = reply.Accepted
 		return c.replica.learnFromVoters(reply.Accepted, reply.Value, c.newerAccepted)
@@ -182,11 +184,11 @@
 	if err != nil {
 		return false, fmt.Errorf("replica: decode the value of ballot %d: %w", ballot.Number, err)
 	}
-	sets := register.Sets(r.initialVoters)
+	sets := register.VoterSets(r.initialVoters)
 	if paxos.MajorityOfEach(sets, func(voter string) bool { return accepted[voter] == ballot }) {
 		return r.Learn(ballot, value)
 	}
-	if !slices.EqualFunc(sets, r.Sets(), slices.Equal) {
+	if !slices.EqualFunc(sets, r.VoterSets(), slices.Equal) {
 		r.voterSetHint = sets // the value has voters that were not asked
 	}
 	return false, nil
--- a/internal/configstore/acceptor.go
+++ b/internal/configstore/acceptor.go
@@ -40,10 +40,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.durable = s.acceptor.Record
-	s.replica.Saw(s.durable.Promised.Number)
+	s.replica.ObserveBallotNumber(s.durable.Promised.Number)
 	if write && !s.identified {
 		s.identified = true
-		s.members.Rename(s.voter())
+		s.members.SetVoterID(s.voter())
 	}
 	return reply, nil
 }
@@ -51,7 +51,7 @@
 func (s *Store) firstVoters() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.replica.First()
+	return s.replica.InitialVoters()
 }
 
 // identify writes the identity of a new disk down. Nobody is told of it before.
@@ -139,16 +139,16 @@
 
 // readAnswer tells it, with the answering store's own report.
 type readAnswer struct {
-	Reply  paxos.Reply        `cbor:"1,keyasint"`
-	Report coremembers.Report `cbor:"2,keyasint"`
-	First  []string           `cbor:"3,keyasint,omitempty"`
+	Reply         paxos.Reply        `cbor:"1,keyasint"`
+	Report        coremembers.Report `cbor:"2,keyasint"`
+	InitialVoters []string           `cbor:"3,keyasint,omitempty"`
 }
 
 func (s *Store) read(_ context.Context, m readCall) (any, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.members.Heard(s.now(), m.Report)
-	return readAnswer{Reply: s.readDurable(m.Known), Report: s.report(), First: s.replica.First()}, nil
+	return readAnswer{Reply: s.readDurable(m.Known), Report: s.report(), InitialVoters: s.replica.InitialVoters()}, nil
 }
 
 // readDurable tells what is safe on disk, without waiting for what is being written. The mutex is
--- a/internal/configstore/calls.go
+++ b/internal/configstore/calls.go
@@ -117,23 +117,23 @@
 func (s *Store) nameVoters(o *controlstate.Order) (unknown string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(o.First) == 0 {
-		o.First = s.replica.First()
+	if len(o.InitialVoters) == 0 {
+		o.InitialVoters = s.replica.InitialVoters()
 	}
-	voters := replica.Union(s.replica.Register().Sets(o.First)...)
+	voters := replica.Union(s.replica.Register().VoterSets(o.InitialVoters)...)
 	known := append(s.members.Learners(s.now(), voters), voters...)
-	seats, leave := o.Seats, o.Leave
-	o.Seats, o.Leave = nil, nil
+	seats, leave := o.AddVoters, o.RemoveVoters
+	o.AddVoters, o.RemoveVoters = nil, nil
 	for _, ip := range seats {
 		i := slices.IndexFunc(known, func(id string) bool { return controlstate.VoterIP(id) == ip })
 		if i < 0 {
 			return ip
 		}
-		o.Seats = append(o.Seats, known[i])
+		o.AddVoters = append(o.AddVoters, known[i])
 	}
 	for _, id := range voters {
-		if slices.Contains(leave, controlstate.VoterIP(id)) && !slices.Contains(o.Seats, id) {
-			o.Leave = append(o.Leave, id)
+		if slices.Contains(leave, controlstate.VoterIP(id)) && !slices.Contains(o.AddVoters, id) {
+			o.RemoveVoters = append(o.RemoveVoters, id)
 		}
 	}
 	return ""
@@ -178,7 +178,7 @@
 	if register := s.replica.Register(); register.Seq > m.Seq {
 		w.Register = register
 	}
-	if at, ok := s.replica.Proved(); ok {
+	if at, ok := s.replica.ProvenAt(); ok {
 		w.Proven, w.ProofMs, w.Voters = true, uint64((s.now()-at).Milliseconds())+1, s.machineSets()
 	}
 	return w, nil
@@ -186,9 +186,9 @@
 
 // machineSets are the sets of voters by IP number. The mutex is held.
 func (s *Store) machineSets() (sets [][]string) {
-	for _, set := range s.replica.Register().Sets(s.replica.First()) {
+	for _, set := range s.replica.Register().VoterSets(s.replica.InitialVoters()) {
 		if len(set) > 0 {
-			sets = append(sets, replica.Machines(set))
+			sets = append(sets, replica.VoterIPs(set))
 		}
 	}
 	return sets
@@ -209,15 +209,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	proof := "none"
-	if at, ok := s.replica.Proved(); ok {
+	if at, ok := s.replica.ProvenAt(); ok {
 		proof = (s.now() - at).Round(time.Millisecond).String()
 	}
-	register, voters := s.replica.Register(), replica.Union(s.replica.Sets()...)
+	register, voters := s.replica.Register(), replica.Union(s.replica.VoterSets()...)
 	limiters := register.PlaceTable()
 	return rpc.Status{Lines: []string{
 		fmt.Sprintf("program=configstore node=%s zone=%s voter=%s voters=%v learners=%v votes=%v disk_fails=%v", s.settings.Node, s.settings.Zone, s.voter(), voters,
 			s.members.Learners(s.now(), voters), s.votes(), failed),
-		fmt.Sprintf("register seq=%d version=r%d term=%d revoked=%d evacuated=%v limiters=%d", register.Seq, register.Version, register.Term(), register.Revoked, register.Evac, limiters.Count()),
+		fmt.Sprintf("register seq=%d version=r%d term=%d revoked=%d evacuated=%v limiters=%d", register.Seq, register.Version, register.Term(), register.RevocationSeq, register.EvacuatedZones, limiters.Count()),
 		fmt.Sprintf("ballots promised=%d accepted=%d chosen=%d proof_age=%s", s.durable.Promised.Number, s.durable.Accepted.Number, s.replica.Chosen().Number, proof),
 	}}, nil
 }
--- a/internal/configstore/confirm.go
+++ b/internal/configstore/confirm.go
@@ -55,7 +55,7 @@
 	s.mu.Lock()
 	confirmation := s.replica.Confirm(s.now())
 	ask := readCall{Known: confirmation.Known(), Report: s.report()}
-	voters := replica.Union(s.replica.Sets()...)
+	voters := replica.Union(s.replica.VoterSets()...)
 	others := append(s.members.Learners(s.now(), voters), s.strangers(voters)...)
 	s.members.Forget(s.now(), voters)
 	s.mu.Unlock()
@@ -89,7 +89,7 @@
 // readAll asks stores what they have accepted, until that proves what is known or all have answered.
 // What comes later is taken in too.
 func (s *Store) readAll(ctx context.Context, confirmation *replica.Confirmation, ask readCall, voters []string) {
-	ips := replica.Machines(voters)
+	ips := replica.VoterIPs(voters)
 	done := make(chan bool, len(ips))
 	for _, ip := range ips {
 		go func() {
@@ -124,8 +124,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.members.Heard(s.now(), answer.Report)
-	s.replica.LearnFirst(answer.First)
-	changed, err := confirmation.Hear(controlstate.VoterID(ip, answer.Reply.Disk), answer.Reply)
+	s.replica.LearnInitialVoters(answer.InitialVoters)
+	changed, err := confirmation.HandleReply(controlstate.VoterID(ip, answer.Reply.Disk), answer.Reply)
 	if err != nil {
 		broken(err)
 	}
@@ -144,7 +144,7 @@
 		return
 	}
 	s.reseating = true
-	first := s.replica.First()
+	first := s.replica.InitialVoters()
 	s.mu.Unlock()
 	go func() {
 		s.proposeVoters(ctx, change, first)
@@ -155,10 +155,10 @@
 }
 
 func (s *Store) proposeVoters(ctx context.Context, change coremembers.Change, first []string) {
-	if !change.Complete {
-		order := controlstate.Order{Kind: controlstate.ChangeVoters, Seats: change.Seat, Leave: change.Leave, Term: change.Term, First: first}
+	if !change.CompletePending {
+		order := controlstate.Order{Kind: controlstate.ChangeVoters, AddVoters: change.NewVoters, RemoveVoters: change.RemoveVoters, Term: change.Term, InitialVoters: first}
 		out := s.submit(ctx, []controlstate.Order{order}, resolveWithin)
-		fields := logrus.Fields{"seat": change.Seat, "leave": change.Leave, "term": change.Term}
+		fields := logrus.Fields{"seat": change.NewVoters, "leave": change.RemoveVoters, "term": change.Term}
 		if len(out) != 1 {
 			s.log.WithFields(fields).Info("change of voters has no majority")
 			return
--- a/internal/configstore/figures.go
+++ b/internal/configstore/figures.go
@@ -12,7 +12,7 @@
 	s.accepting.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	register, voters := s.replica.Register(), replica.Union(s.replica.Sets()...)
+	register, voters := s.replica.Register(), replica.Union(s.replica.VoterSets()...)
 	all := []metrics.Figure{
 		metrics.Flag("madderdrum_configstore_votes", "Whether this store has a seat.", s.votes()),
 		metrics.Flag("madderdrum_configstore_disk_fails", "Whether the disk takes no writes.", failed),
@@ -22,7 +22,7 @@
 		metrics.One("madderdrum_configstore_configuration_version", "Version of the configuration in it.", metrics.Gauge, float64(register.Version)),
 		metrics.One("madderdrum_configstore_term", "Term of the voters.", metrics.Gauge, float64(register.Term())),
 	}
-	if at, ok := s.replica.Proved(); ok {
+	if at, ok := s.replica.ProvenAt(); ok {
 		all = append(all, metrics.One("madderdrum_configstore_proof_age_seconds", "Age of the latest proof that nothing newer is chosen.", metrics.Gauge, (s.now()-at).Seconds()))
 	}
 	return all
--- a/internal/configstore/proposer.go
+++ b/internal/configstore/proposer.go
@@ -106,7 +106,7 @@
 // ask has a message sent to the machines of voters, each by its own goroutine; answers come as they
 // are there. A machine answers for the disk that it has.
 func (s *Store) ask(voters []string, send func(ip string) (paxos.Reply, error)) <-chan answered {
-	ips := replica.Machines(voters)
+	ips := replica.VoterIPs(voters)
 	out := make(chan answered, len(ips))
 	for _, ip := range ips {
 		go func() {
@@ -168,16 +168,16 @@
 	s.mu.Unlock()
 	prepare := attempt.Prepare
 	answers := s.ask(attempt.Voters, func(ip string) (paxos.Reply, error) { return s.sendPrepare(ctx, ip, prepare) })
-	step := s.gather(answers, attempt.Promise)
-	if step == replica.Vote {
+	step := s.gather(answers, attempt.HandlePromise)
+	if step == replica.SendAccept {
 		accept := attempt.Accept
 		difference, whole := acceptCalls(attempt)
 		answers = s.ask(attempt.Voters, func(ip string) (paxos.Reply, error) { return s.sendAccept(ctx, ip, difference, whole) })
-		if step = s.gather(answers, attempt.Voted); step == replica.Settled {
+		if step = s.gather(answers, attempt.HandleAccepted); step == replica.Finished {
 			s.tell(ctx, attempt.Voters, accept.Ballot, accept.Value)
 		}
 	}
-	if step != replica.Settled {
+	if step != replica.Finished {
 		return false
 	}
 	for i, p := range all {
@@ -227,7 +227,7 @@
 	s.mu.Lock()
 	others := append(slices.Clone(voters), s.members.Learners(s.now(), voters)...)
 	s.mu.Unlock()
-	for _, ip := range replica.Machines(others) {
+	for _, ip := range replica.VoterIPs(others) {
 		if ip == s.settings.IP {
 			continue
 		}
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return fmt.Errorf("configstore: listen for other processes: %w", err)
 	}
-	log.WithFields(logrus.Fields{"voter": s.voter(), "first": s.replica.First(), "accepted": s.acceptor.Record.Accepted.Number}).Info("begins")
+	log.WithFields(logrus.Fields{"voter": s.voter(), "first": s.replica.InitialVoters(), "accepted": s.acceptor.Record.Accepted.Number}).Info("begins")
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	metrics.Offer(work, settings.MetricsAddress(), log, s.figures)
@@ -100,11 +100,11 @@
 	}
 	s.durable = s.acceptor.Record
 	s.replica = replica.New(nodeOf(settings.IP), rand.Uint64(), first)
-	s.replica.Saw(s.durable.Promised.Number)
+	s.replica.ObserveBallotNumber(s.durable.Promised.Number)
 	joining := settings.Bootstrap && !slices.Contains(first, settings.IP)
 	s.members = coremembers.New(coremembers.Report{Zone: settings.Zone, Joining: joining}, 2*settings.Tolerate+1, s.now())
 	if s.identified {
-		s.members.Rename(s.voter())
+		s.members.SetVoterID(s.voter())
 	} else {
 		s.identify()
 	}
@@ -138,7 +138,7 @@
 // state is what is agreed on, for the decisions about voters. The mutex is held.
 func (s *Store) state() coremembers.State {
 	register := s.replica.Register()
-	sets := register.Sets(s.replica.First())
+	sets := register.VoterSets(s.replica.InitialVoters())
 	return coremembers.State{Voters: sets[len(sets)-1], Prior: len(sets) > 1, Term: register.Term(), Seq: register.Seq}
 }
 
@@ -165,7 +165,7 @@
 	s.mu.Unlock()
 	for {
 		s.mu.Lock()
-		wait, changed := s.members.CanLeave(s.now(), s.state()), s.changed
+		wait, changed := s.members.ShouldWaitToLeave(s.now(), s.state()), s.changed
 		s.mu.Unlock()
 		if !wait {
 			return
--- a/internal/configstore/store_test.go
+++ b/internal/configstore/store_test.go
@@ -54,7 +54,7 @@
 // order has a zone evacuated by one store, in time.
 func (s *stores) order(ctx context.Context, i int, zone string) bool {
 	var c Changed
-	err := s.call.Call(ctx, s.ip(i)+":7460", CallChange, Change{Orders: []controlstate.Order{{Kind: controlstate.Begin, Zone: zone}}}, &c, 3*time.Second)
+	err := s.call.Call(ctx, s.ip(i)+":7460", CallChange, Change{Orders: []controlstate.Order{{Kind: controlstate.BeginEvacuation, Zone: zone}}}, &c, 3*time.Second)
 	return err == nil && len(c.Outcomes) == 1 && c.Outcomes[0].Status == 200
 }
 
@@ -102,7 +102,7 @@
 	s.start(4, false)
 	s.until(ctx, "it is there with two blank ones gone", func() bool {
 		r := s.fetch(ctx, 3)
-		return r != nil && len(r.Evac) == 1
+		return r != nil && len(r.EvacuatedZones) == 1
 	})
 	s.start(0, false)
 	s.start(1, false)
@@ -124,7 +124,7 @@
 	s.end(2, false)
 	s.end(3, false)
 	s.until(ctx, "also by those that were blank", func() bool { return s.order(ctx, 1, "d") })
-	if r := s.fetch(ctx, 0); r == nil || r.Evac[0] != "a" {
+	if r := s.fetch(ctx, 0); r == nil || r.EvacuatedZones[0] != "a" {
 		t.Errorf("what was acknowledged is gone: %+v", r)
 	}
 	for _, i := range []int{0, 1, 4} {
@@ -171,7 +171,7 @@
 	})
 	s.end(1, false)
 	s.until(ctx, "an order by the first and the fourth", func() bool { return s.order(ctx, 3, "b") })
-	if r := s.fetch(ctx, 0); r == nil || len(r.Evac) != 2 {
+	if r := s.fetch(ctx, 0); r == nil || len(r.EvacuatedZones) != 2 {
 		t.Errorf("what was acknowledged is gone: %+v", r)
 	}
 	s.end(0, false)
--- a/internal/configstore/voters.go
+++ b/internal/configstore/voters.go
@@ -31,7 +31,7 @@
 				return fmt.Errorf("voters: %q is no IP number: write one as in 10.1.0.4", ip)
 			}
 		}
-		order := controlstate.Order{Kind: controlstate.ChangeVoters, Seats: seat, Leave: unseat}
+		order := controlstate.Order{Kind: controlstate.ChangeVoters, AddVoters: seat, RemoveVoters: unseat}
 		for range 2 { // the second has the change known to be chosen
 			var a Changed
 			if err := rpc.NewCaller().Call(cmd.Context(), args[0], CallChange, Change{Orders: []controlstate.Order{order}}, &a, votersWithin); err != nil {
--- a/internal/controlsim/controlsim.go
+++ b/internal/controlsim/controlsim.go
@@ -197,7 +197,7 @@
 		first = nil
 	}
 	s.replica = replica.New(uint64(s.index+1), uint64(s.life), first)
-	s.replica.Saw(s.disk.Promised.Number)
+	s.replica.ObserveBallotNumber(s.disk.Promised.Number)
 	s.members = coremembers.New(coremembers.Report{Voter: s.ID(), Zone: s.zone}, w.wanted, 0)
 	s.proposal, s.waiting, s.changing = nil, nil, false
 	s.later(time.Duration(w.rng.IntN(50))*time.Millisecond, s.confirm)
@@ -224,7 +224,7 @@
 }
 
 func (s *Store) awaitSeat(late time.Duration) {
-	if !s.members.CanLeave(s.clock(), s.state()) || s.world.Now > late {
+	if !s.members.ShouldWaitToLeave(s.clock(), s.state()) || s.world.Now > late {
 		s.Stop()
 		return
 	}
@@ -253,7 +253,7 @@
 
 func (s *Store) state() coremembers.State {
 	register := s.replica.Register()
-	sets := register.Sets(s.replica.First())
+	sets := register.VoterSets(s.replica.InitialVoters())
 	return coremembers.State{Voters: sets[len(sets)-1], Prior: len(sets) > 1, Term: register.Term(), Seq: register.Seq}
 }
 
--- a/internal/controlsim/controlsim_test.go
+++ b/internal/controlsim/controlsim_test.go
@@ -340,7 +340,7 @@
 		w.Run(2 * second)
 		w.Store(0).Stop()
 		w.Run(second)
-		late := controlstate.Order{Kind: controlstate.ChangeVoters, Seats: []string{w.Store(0).ID()}, Leave: []string{w.Store(w.Add("a")).ID()}, First: w.first}
+		late := controlstate.Order{Kind: controlstate.ChangeVoters, AddVoters: []string{w.Store(0).ID()}, RemoveVoters: []string{w.Store(w.Add("a")).ID()}, InitialVoters: w.first}
 		if fenced {
 			late.Term = w.Store(1).Register().Term()
 		}
--- a/internal/controlsim/limiters.go
+++ b/internal/controlsim/limiters.go
@@ -57,20 +57,20 @@
 	if s.replica.Register().Seq > r.register.Seq {
 		r.register = s.replica.Register()
 	}
-	if at, ok := s.replica.Proved(); ok {
+	if at, ok := s.replica.ProvenAt(); ok {
 		r.proof.Advance(s.clock(), 0, s.clock()-at)
 		r.voters = nil
-		for _, set := range s.replica.Register().Sets(s.replica.First()) {
-			r.voters = append(r.voters, replica.Machines(set))
+		for _, set := range s.replica.Register().VoterSets(s.replica.InitialVoters()) {
+			r.voters = append(r.voters, replica.VoterIPs(set))
 		}
 	}
 	s.later(watchEvery, s.watch)
 }
 
 // source is what a registry tells of itself with an answer.
-func (s *Store) source() freshness.Source {
+func (s *Store) source() freshness.RegistryStatus {
 	age, ok := s.registry.proof.Age(s.clock())
-	return freshness.Source{Apart: !s.registry.contacts.Majority(s.registry.voters, s.clock(), contactWithin), Proven: ok, Age: age}
+	return freshness.RegistryStatus{Isolated: !s.registry.contacts.HasMajority(s.registry.voters, s.clock(), contactWithin), Proven: ok, Age: age}
 }
 
 // Limiter pulls the register from one registry, and from another when that one is not to be gone by.
@@ -129,7 +129,7 @@
 
 // take takes an answer in, and is judged: what is proven to be current holds all that was
 // acknowledged when the proof was made.
-func (l *Limiter) take(asked time.Duration, source freshness.Source, register *controlstate.Register) {
+func (l *Limiter) take(asked time.Duration, source freshness.RegistryStatus, register *controlstate.Register) {
 	if register.Seq > l.register.Seq {
 		l.register = register
 	}
@@ -139,7 +139,7 @@
 	l.proof.Advance(asked, 0, source.Age)
 	age, _ := l.proof.Age(l.world.Now)
 	for zone, at := range l.world.Acked {
-		if at < l.world.Now-age && !slices.Contains(l.register.Evac, zone) {
+		if at < l.world.Now-age && !slices.Contains(l.register.EvacuatedZones, zone) {
 			l.world.fail("a limiter has proof of %v ago, and lacks %s, acknowledged at %v", age, zone, at)
 		}
 	}
--- a/internal/controlsim/loops.go
+++ b/internal/controlsim/loops.go
@@ -46,8 +46,8 @@
 
 // answerForAll has the store take its own answer for that of every voter.
 func (s *Store) answerForAll(confirmation *replica.Confirmation) {
-	for _, voter := range replica.Union(s.replica.Sets()...) {
-		confirmation.Hear(voter, s.acceptor.Read(confirmation.Known())) // nothing newer is in it
+	for _, voter := range replica.Union(s.replica.VoterSets()...) {
+		confirmation.HandleReply(voter, s.acceptor.Read(confirmation.Known())) // nothing newer is in it
 	}
 	if confirmation.Proven() {
 		s.judge(s.world.Now)
@@ -56,7 +56,7 @@
 
 func (s *Store) readAll(confirmation *replica.Confirmation, proven func()) {
 	w := s.world
-	voters := replica.Union(s.replica.Sets()...)
+	voters := replica.Union(s.replica.VoterSets()...)
 	all := w.machines(append(slices.Clone(voters), s.members.Learners(s.clock(), voters)...))
 	if !slices.Contains(voters, s.ID()) { // the settings name machines that serve
 		for k, o := range w.stores {
@@ -69,15 +69,15 @@
 	for _, k := range all {
 		s.call(k, func(other *Store) func() {
 			other.members.Heard(other.clock(), mine)
-			reply, theirs, first := other.acceptor.Read(known), other.ownReport(), other.replica.First()
+			reply, theirs, first := other.acceptor.Read(known), other.ownReport(), other.replica.InitialVoters()
 			from := other.ID()
 			return func() {
 				s.members.Heard(s.clock(), theirs)
-				s.replica.LearnFirst(first)
+				s.replica.LearnInitialVoters(first)
 				if w.Now-begun > callWithin {
 					return // the call has timed out
 				}
-				if _, err := confirmation.Hear(from, reply); err != nil {
+				if _, err := confirmation.HandleReply(from, reply); err != nil {
 					w.fail("%s: %w", s.ID(), err)
 				}
 				s.keep()
@@ -96,7 +96,7 @@
 		r.Seq = 0
 	}
 	if s.world.UnseatsCutOff {
-		r.Succeeded = s.unseatsAnyDark()
+		r.Successions = s.unseatsAnyDark()
 	}
 	return r
 }
@@ -106,7 +106,7 @@
 	st := s.state()
 	learners := s.members.Learners(s.clock(), st.Voters)
 	for _, voter := range st.Voters {
-		if len(learners) > 0 && s.members.Silence(s.clock(), voter) > coremembers.DarkAfter {
+		if len(learners) > 0 && s.members.Silence(s.clock(), voter) > coremembers.UnreachableAfter {
 			all = append(all, coremembers.Succession{Voter: voter, Successor: learners[0]})
 		}
 	}
@@ -116,7 +116,7 @@
 // judge has what is proven to be current hold all that was acknowledged before the proof began.
 func (s *Store) judge(begun time.Duration) {
 	for zone, at := range s.world.Acked {
-		if at < begun && !slices.Contains(s.replica.Register().Evac, zone) {
+		if at < begun && !slices.Contains(s.replica.Register().EvacuatedZones, zone) {
 			s.world.fail("%s has proof that its register is current, and lacks %s, acknowledged at %v", s.ID(), zone, at)
 		}
 	}
@@ -134,7 +134,7 @@
 	change, due := s.members.Plan(s.clock(), s.state())
 	if s.world.UnseatsCutOff && !due {
 		if all := s.unseatsAnyDark(); len(all) > 0 && slices.Contains(s.state().Voters, s.ID()) {
-			change, due = coremembers.Change{Seat: []string{all[0].Successor}, Leave: []string{all[0].Voter}, Term: s.state().Term}, true
+			change, due = coremembers.Change{NewVoters: []string{all[0].Successor}, RemoveVoters: []string{all[0].Voter}, Term: s.state().Term}, true
 		}
 	}
 	if !due || s.changing {
@@ -144,11 +144,11 @@
 	complete := func([]controlstate.Outcome) {
 		s.submit(nil, orderWithin, func([]controlstate.Outcome) { s.changing = false })
 	}
-	if change.Complete {
+	if change.CompletePending {
 		complete(nil)
 		return
 	}
-	o := controlstate.Order{Kind: controlstate.ChangeVoters, Seats: change.Seat, Leave: change.Leave, Term: change.Term, First: s.replica.First()}
+	o := controlstate.Order{Kind: controlstate.ChangeVoters, AddVoters: change.NewVoters, RemoveVoters: change.RemoveVoters, Term: change.Term, InitialVoters: s.replica.InitialVoters()}
 	if s.world.NoFence {
 		o.Term = 0
 	}
@@ -184,7 +184,7 @@
 	}
 	p := &proposal{attempt: s.replica.Begin(batches), orders: left}
 	s.proposal = p
-	s.send(p, p.attempt.Voters, func(other *Store) (paxos.Reply, bool) { return other.acceptor.Prepare(p.attempt.Prepare) }, p.attempt.Promise)
+	s.send(p, p.attempt.Voters, func(other *Store) (paxos.Reply, bool) { return other.acceptor.Prepare(p.attempt.Prepare) }, p.attempt.HandlePromise)
 }
 
 // send sends one half of a round; if it does not succeed in time, the round begins again.
@@ -220,10 +220,10 @@
 	switch step {
 	case replica.Restart:
 		s.again(p)
-	case replica.Vote:
+	case replica.SendAccept:
 		accept := p.attempt.Accept
-		s.send(p, p.attempt.Voters, func(other *Store) (paxos.Reply, bool) { return other.acceptor.Accept(accept) }, p.attempt.Voted)
-	case replica.Settled:
+		s.send(p, p.attempt.Voters, func(other *Store) (paxos.Reply, bool) { return other.acceptor.Accept(accept) }, p.attempt.HandleAccepted)
+	case replica.Finished:
 		s.keep()
 		s.tell()
 		outcomes := p.attempt.Outcomes()
@@ -250,7 +250,7 @@
 
 // tell tells the others what is chosen.
 func (s *Store) tell() {
-	voters := replica.Union(s.replica.Sets()...)
+	voters := replica.Union(s.replica.VoterSets()...)
 	ballot, value := s.replica.Chosen(), s.replica.Value()
 	for _, k := range s.world.machines(append(slices.Clone(voters), s.members.Learners(s.clock(), voters)...)) {
 		if k == s.index {
--- a/internal/controlsim/operator.go
+++ b/internal/controlsim/operator.go
@@ -44,7 +44,7 @@
 	}
 	answered := false
 	asked := w.Now
-	s.submit([]controlstate.Order{{Kind: controlstate.Begin, Zone: zone, Seen: s.replica.Register().Seq}}, orderWithin, func(out []controlstate.Outcome) {
+	s.submit([]controlstate.Order{{Kind: controlstate.BeginEvacuation, Zone: zone, SeenSeq: s.replica.Register().Seq}}, orderWithin, func(out []controlstate.Outcome) {
 		if answered || w.Now-asked > callerPatience || len(out) != 1 {
 			return
 		}
@@ -89,7 +89,7 @@
 			continue
 		}
 		for zone, at := range w.Acked {
-			if w.Now-at > toldWithin && !slices.Contains(s.replica.Register().Evac, zone) {
+			if w.Now-at > toldWithin && !slices.Contains(s.replica.Register().EvacuatedZones, zone) {
 				return fmt.Errorf("%s lacks %s, which was acknowledged at %v", s.ID(), zone, at)
 			}
 		}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -32,11 +32,11 @@
 	PeersAll       netip.AddrPort // multicast or broadcast address of all peers
 	InitialServers serverList     // the last known list, which may be out of date
 	Settings       Settings
-	AdminAddr      string   // address for operators' calls; empty: none
-	AlsoListen     []string // further addresses for clients
-	Routes         Routes   // empty: all requests go to all servers
-	Sources        []Source // discovery agents of single pools
-	Looks          Looks    // lets other limiters probe and watch for this one; nil: no sharing
+	AdminAddr      string       // address for operators' calls; empty: none
+	ExtraListen    []string     // further addresses for clients
+	Routes         Routes       // empty: all requests go to all servers
+	Sources        []Source     // discovery agents of single pools
+	ProbeSharing   ProbeSharing // lets other limiters probe and watch for this one; nil: no sharing
 
 	Streams   map[string]admin.Stream // additional calls on the admin address
 	TempDir   string                  // where processes of one limiter find each other; only used with AdminAddr
--- a/internal/node/fixed.go
+++ b/internal/node/fixed.go
@@ -16,14 +16,14 @@
 
 // Deployment is the configuration of a limiter that gets its servers without the platform's discovery agent.
 type Deployment struct {
-	Module              limiter.Settings
-	Classes, Plans      []string // names in the order of the module's settings
-	Rooms               []string
-	Servers             []Server
-	Peers               []netip.AddrPort // of all limiters by position; empty: no messages between limiters
-	ConnIdle, ConnLimit float64          // in ms: a server's idle limit, and the connect timeout
-	Routes              Routes
-	Sources             []Source
+	Module                     limiter.Settings
+	Classes, Plans             []string // names in the order of the module's settings
+	Rooms                      []string
+	Servers                    []Server
+	Peers                      []netip.AddrPort // of all limiters by position; empty: no messages between limiters
+	ConnIdle, ConnectTimeoutMs float64          // in ms: a server's idle limit, and the connect timeout
+	Routes                     Routes
+	Sources                    []Source
 }
 
 // FixedConfig returns the configuration of a limiter whose server list changes only by Apply and by sources.
@@ -31,7 +31,7 @@
 func FixedConfig(d Deployment) *Config {
 	c := &Config{Routes: d.Routes, Sources: d.Sources, InitialServers: serverList{Seq: 1, Whole: true}, Settings: Settings{
 		Module: d.Module, ClassIndex: indexByName(d.Classes), PlanIndex: indexByName(d.Plans), Zones: d.Rooms,
-		ConnIdle: millis(d.ConnIdle), ConnTimeout: millis(d.ConnLimit), MaxUnits: 1e9,
+		ConnIdle: millis(d.ConnIdle), ConnTimeout: millis(d.ConnectTimeoutMs), MaxUnits: 1e9,
 	}}
 	for _, s := range d.Servers {
 		c.InitialServers.Hosts = append(c.InitialServers.Hosts, serverItem{Host: s.Name, Dial: s.Dial, Site: d.Rooms[s.Room],
--- a/internal/node/looks.go
+++ b/internal/node/looks.go
@@ -11,7 +11,7 @@
 // Looks shares probes and discovery watches among limiters, so that other limiters probe servers and follow
 // agents for this one. Its methods are called under the node's mutex: they must neither block nor call the
 // node.
-type Looks interface {
+type ProbeSharing interface {
 	// Want reports that this limiter considers a server unhealthy and needs probe results; false: this limiter
 	// has to probe by itself.
 	Want(server uint64) bool
@@ -28,7 +28,7 @@
 
 // requestProbe has a server probed, by other limiters or by this one. The mutex is held.
 func (n *Node) requestProbe(server uint64) {
-	if n.cfg.Looks == nil || !n.cfg.Looks.Want(server) {
+	if n.cfg.ProbeSharing == nil || !n.cfg.ProbeSharing.Want(server) {
 		go n.probe(server)
 	}
 }
@@ -38,14 +38,14 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.handle(ev)
-	if n.cfg.Looks == nil {
+	if n.cfg.ProbeSharing == nil {
 		return
 	}
 	switch ev.Result {
 	case limiter.Pass, limiter.NoRoute, limiter.Cut, limiter.TooSlow:
-		n.cfg.Looks.Looked(ev.Server, ev.Result == limiter.Pass, true)
+		n.cfg.ProbeSharing.Looked(ev.Server, ev.Result == limiter.Pass, true)
 	default: // no connection available here, or an inconclusive answer
-		n.cfg.Looks.Looked(ev.Server, false, false)
+		n.cfg.ProbeSharing.Looked(ev.Server, false, false)
 	}
 }
 
@@ -131,10 +131,10 @@
 		n.mu.Unlock()
 		if hold > 0 {
 			n.watchDiscovery(watchCtx, s.Addr, index, hold, func(l serverList) { n.applySourceList(s, l, true) }, func() {
-				if n.cfg.Looks != nil {
+				if n.cfg.ProbeSharing != nil {
 					n.mu.Lock()
 					defer n.mu.Unlock()
-					n.cfg.Looks.Lost(s.Pool)
+					n.cfg.ProbeSharing.Lost(s.Pool)
 				}
 			})
 		} else {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -187,7 +187,7 @@
 	}
 	listen := net.ListenConfig{Control: control}
 	listen.SetMultipathTCP(false) // no client asks for it, and its sockets take no reuse-port program
-	for _, addr := range append([]string{n.cfg.Listen}, n.cfg.AlsoListen...) {
+	for _, addr := range append([]string{n.cfg.Listen}, n.cfg.ExtraListen...) {
 		ln, err := listen.Listen(context.Background(), "tcp", addr)
 		if err != nil {
 			n.closeListeners()
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -111,8 +111,8 @@
 	if rep.result == limiter.Pass && r.finalAnswer == nil {
 		r.finalAnswer = &answer{status: http.StatusOK, body: rep.body, contentType: rep.contentType}
 	}
-	if n.cfg.Looks != nil && (rep.result == limiter.NoRoute || rep.result == limiter.Cut) {
-		n.cfg.Looks.Failed(att.host.id)
+	if n.cfg.ProbeSharing != nil && (rep.result == limiter.NoRoute || rep.result == limiter.Cut) {
+		n.cfg.ProbeSharing.Failed(att.host.id)
 	}
 	n.handle(limiter.Outcome{ID: r.id, Try: att.number, Server: att.host.id, Result: rep.result,
 		SpentMs: cmp.Or(rep.elapsedMs, msSince(att.sentAt)), Done: r.finalAnswer != nil, Load: rep.load})
--- a/internal/node/sources.go
+++ b/internal/node/sources.go
@@ -35,10 +35,10 @@
 		return // outdated: another limiter's reports count already
 	}
 	s.index = listIndex{list.Seq, true}
-	if fromAgent && n.cfg.Looks != nil {
+	if fromAgent && n.cfg.ProbeSharing != nil {
 		hosts, err := json.Marshal(list.Hosts)
 		if err == nil {
-			n.cfg.Looks.Listed(s.Pool, list.Seq, list.Whole, hosts)
+			n.cfg.ProbeSharing.Listed(s.Pool, list.Seq, list.Whole, hosts)
 		}
 	}
 	changes := serverList{Seq: list.Seq}
--- a/internal/node/version_test.go
+++ b/internal/node/version_test.go
@@ -25,7 +25,7 @@
 			Caps:  limiter.Caps{Attempts: 3, Cancel: true, Probes: true, RetryAfter: true, MaxWaitMs: 500, ConnectMs: 2000}},
 		Classes: []string{"status-check", "send-reminder", "send-bulk-paid"}, Plans: []string{"starter", "enterprise"}, Rooms: []string{"room-a", "room-b"},
 		Servers:  []Server{{Name: "main", Dial: main, Pool: "main"}, {Name: "bulk", Dial: bulk, Pool: "bulk"}},
-		ConnIdle: 30_000, ConnLimit: 2000,
+		ConnIdle: 30_000, ConnectTimeoutMs: 2000,
 		Routes: Routes{Matches: []route.Match{{Path: "/api"}, {Path: "/api/bulk/"}}, Targets: []Target{{Pool: "main", Class: -1, MaxBody: -1},
 			{Pool: "bulk", Class: 2, Deadline: 2 * time.Second, Attempts: 1, MaxBody: 10}}},
 	}
@@ -37,7 +37,7 @@
 	return startWith(t, func(c *Config) {
 		listen := c.Listen
 		*c = *FixedConfig(d)
-		c.Listen, c.AlsoListen = listen, []string{"127.0.0.1:0"}
+		c.Listen, c.ExtraListen = listen, []string{"127.0.0.1:0"}
 	})
 }
 
--- a/internal/proxy/listeners.go
+++ b/internal/proxy/listeners.go
@@ -52,7 +52,7 @@
 			proxy.settings.Node, proxy.settings.Zone, proxy.instanceID, ready, proxy.leaving.Load(),
 			proxy.inFlight.Load(), proof, proxy.keysTrusted()),
 		fmt.Sprintf("register seq=%d version=r%d evacuated=%v limiters=%d", proxy.register.Seq,
-			proxy.register.Version, proxy.register.Evac, table.Count()),
+			proxy.register.Version, proxy.register.EvacuatedZones, table.Count()),
 		fmt.Sprintf("place=%d share=%.4f lease_left=%s settled=%d", proxy.ownSlot(), proxy.share,
 			max(0, proxy.lease.End()-time.Since(proxy.base)).Round(time.Millisecond), table.Settled),
 	}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -518,7 +518,7 @@
 	proxy := newTestProxy(t)
 	place := places.Place{Name: "e2", IP: "127.0.0.2", Zone: "z"}
 	proxy.applyPulled(time.Now(), &registry.Pulled{Places: addedPlace(1, place),
-		Register: &controlstate.Register{Seq: 2, Version: 1, Evac: []string{"z"}}})
+		Register: &controlstate.Register{Seq: 2, Version: 1, EvacuatedZones: []string{"z"}}})
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	if len(proxy.register.Places) != 2 || proxy.register.Places[1] != place || len(proxy.register.Config) == 0 ||
--- a/internal/proxy/pull.go
+++ b/internal/proxy/pull.go
@@ -135,7 +135,7 @@
 		proxy.placeReturnConfirmed = true
 		proxy.mu.Unlock()
 	}
-	return freshness.Source{Apart: pulled.Apart, Proven: pulled.Proven,
+	return freshness.RegistryStatus{Isolated: pulled.Isolated, Proven: pulled.Proven,
 		Age: time.Duration(pulled.ProofMs) * time.Millisecond}.Usable()
 }
 
@@ -211,7 +211,7 @@
 func (proxy *Proxy) applyRegister(pulled *registry.Pulled) {
 	register := pulled.Register
 	evacuatedZones := map[string]bool{}
-	for _, zone := range register.Evac {
+	for _, zone := range register.EvacuatedZones {
 		evacuatedZones[zone] = true
 	}
 	var table *configuration.Table
--- a/internal/registry/figures.go
+++ b/internal/registry/figures.go
@@ -11,7 +11,7 @@
 		metrics.One("madderdrum_registry_sequence", "Number of the agreed state that is in force here.", metrics.Gauge, float64(h.reg.Seq)),
 		metrics.One("madderdrum_registry_configuration_version", "Version of the configuration that is in force here.", metrics.Gauge, float64(h.reg.Version)),
 		metrics.One("madderdrum_registry_limiters", "Limiters that hold a place or are joining.", metrics.Gauge, float64(h.limiters.count(h.reg))),
-		metrics.One("madderdrum_registry_evacuated_zones", "Zones whose servers are to get nothing.", metrics.Gauge, float64(len(h.reg.Evac))),
+		metrics.One("madderdrum_registry_evacuated_zones", "Zones whose servers are to get nothing.", metrics.Gauge, float64(len(h.reg.EvacuatedZones))),
 	}
 	if age, ok := h.proof.Age(h.clock()); ok {
 		all = append(all, metrics.One("madderdrum_registry_proof_age_seconds", "Age of the latest proof that nothing newer is agreed.", metrics.Gauge, age.Seconds()))
--- a/internal/registry/limiters.go
+++ b/internal/registry/limiters.go
@@ -84,13 +84,13 @@
 // ordersOf are the orders for changes of places that are due by the register with a Seq.
 func ordersOf(c places.Changes, seen uint64) (all []controlstate.Order) {
 	if len(c.Join) > 0 {
-		all = append(all, controlstate.Order{Kind: controlstate.RegisterLimiters, Places: c.Join, Seen: seen})
+		all = append(all, controlstate.Order{Kind: controlstate.RegisterLimiters, Places: c.Join, SeenSeq: seen})
 	}
 	if len(c.Release) > 0 {
 		all = append(all, controlstate.Order{Kind: controlstate.ReleasePlaces, Holders: c.Release})
 	}
 	if c.Settle > 0 {
-		all = append(all, controlstate.Order{Kind: controlstate.SettlePlaces, Settled: c.Settle})
+		all = append(all, controlstate.Order{Kind: controlstate.SettlePlaces, SettledSeq: c.Settle})
 	}
 	return all
 }
--- a/internal/registry/outside.go
+++ b/internal/registry/outside.go
@@ -61,9 +61,9 @@
 			return h.deregister(ctx, id)
 		}
 	case path == pathReplace && r.Method == http.MethodPost:
-		return h.change(ctx, controlstate.Order{Kind: controlstate.Replace, Body: body})
+		return h.change(ctx, controlstate.Order{Kind: controlstate.ReplaceConfig, Body: body})
 	case path == pathUpdate && r.Method == http.MethodPost:
-		return h.change(ctx, controlstate.Order{Kind: controlstate.Update, Body: body})
+		return h.change(ctx, controlstate.Order{Kind: controlstate.UpdateConfig, Body: body})
 	case path == pathFetch && r.Method == http.MethodGet:
 		return h.fetch(ctx)
 	case strings.HasPrefix(path, pathEvacuation) && r.Method == http.MethodPost:
@@ -73,9 +73,9 @@
 		}
 		switch what {
 		case "begin":
-			return h.change(ctx, controlstate.Order{Kind: controlstate.Begin, Zone: zone, Seen: h.seen()})
+			return h.change(ctx, controlstate.Order{Kind: controlstate.BeginEvacuation, Zone: zone, SeenSeq: h.seen()})
 		case "finish":
-			return h.change(ctx, controlstate.Order{Kind: controlstate.Finish, Zone: zone, Seen: h.seen()})
+			return h.change(ctx, controlstate.Order{Kind: controlstate.FinishEvacuation, Zone: zone, SeenSeq: h.seen()})
 		}
 	}
 	if path == pathReplace || path == pathUpdate || path == pathFetch || strings.HasPrefix(path, pathEvacuation) {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -110,8 +110,8 @@
 	ProofMs uint64 `cbor:"5,keyasint,omitempty"`
 	Proven  bool   `cbor:"6,keyasint,omitempty"`
 	// Apart tells that this registry does not hear a majority of the others.
-	Apart  bool   `cbor:"7,keyasint,omitempty"`
-	HeldMs uint64 `cbor:"8,keyasint,omitempty"`
+	Isolated bool   `cbor:"7,keyasint,omitempty"`
+	HeldMs   uint64 `cbor:"8,keyasint,omitempty"`
 	// The register comes without what the caller has: its configuration, where that has the same
 	// version. Places make its places of those that the caller has.
 	Places *places.Delta `cbor:"9,keyasint,omitempty"`
@@ -242,7 +242,7 @@
 
 // apart tells that no majority of the registries is heard. The mutex is held.
 func (h *Registry) apart() bool {
-	return !h.contacts.Majority(h.voters, h.clock(), contactWithin)
+	return !h.contacts.HasMajority(h.voters, h.clock(), contactWithin)
 }
 
 // isMember tells that a machine votes or is named by the settings: it is followed while it is dark
@@ -331,7 +331,7 @@
 		}
 		h.mu.Lock()
 	}
-	a := Pulled{Source: h.source(), Apart: h.apart(), HeldMs: uint64(time.Since(begun).Milliseconds())}
+	a := Pulled{Source: h.source(), Isolated: h.apart(), HeldMs: uint64(time.Since(begun).Milliseconds())}
 	if h.book.Lacks(m.Vector) {
 		a.Records, a.Vector = h.book.Since(h.now(), m.Vector), maps.Clone(h.book.Vector())
 	}
@@ -396,7 +396,7 @@
 	copies := freshness.NewCopies(h.set.IP, h.voters)
 	others := slices.Clone(h.others)
 	h.mu.Unlock()
-	if copies.Enough() {
+	if copies.HasMajority() {
 		return true
 	}
 	done := make(chan string, len(others))
@@ -410,7 +410,7 @@
 	}
 	for range others {
 		copies.Stored(<-done)
-		if copies.Enough() {
+		if copies.HasMajority() {
 			return true
 		}
 	}
@@ -513,7 +513,7 @@
 	}
 	lines := []string{
 		fmt.Sprintf("program=registry node=%s zone=%s source=%s apart=%v proof_age=%s", h.set.Node, h.set.Zone, h.source(), h.apart(), proof),
-		fmt.Sprintf("register seq=%d version=r%d evacuated=%v limiters=%d places_settled=%d", h.reg.Seq, h.reg.Version, h.reg.Evac, h.limiters.count(h.reg), h.reg.PlacesSettled),
+		fmt.Sprintf("register seq=%d version=r%d evacuated=%v limiters=%d places_settled=%d", h.reg.Seq, h.reg.Version, h.reg.EvacuatedZones, h.limiters.count(h.reg), h.reg.PlacesSettled),
 	}
 	lines = append(lines, h.limiters.report(h.clock(), h.reg)...)
 	return rpc.Status{Lines: append(lines, h.book.Report(h.now())...)}, nil
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -97,7 +97,7 @@
 			t.Errorf("a beat alone: %d %s", status, text)
 		}
 	}
-	if a, err := h.pulled(ctx, 0); err != nil || !a.Apart {
+	if a, err := h.pulled(ctx, 0); err != nil || !a.Isolated {
 		t.Errorf("a registry alone says that it is not apart: %v", err)
 	}
 	h.start(1)
