--- a/grant/desk.go
+++ b/grant/desk.go
@@ -6,141 +6,143 @@
 	"time"
 )
 
-// Bounds of a Desk.
+// Bounds of a [Desk].
 const (
-	// SeenFor is how long a try that was granted without a lease is known again;
-	// seenMost bounds how many are.
-	SeenFor  = 5 * time.Second
-	seenMost = 100_000
-	// wordsMost bounds what waits to be told to one limiter. What is left out expires.
-	wordsMost = 4 * WordMost
-	// LongestLease bounds a lease, and LongestSkew by how much the clocks of limiters may
-	// differ before a token of another is not vouched for any more.
+	// SeenFor is how long a repetition of an attempt that was granted without a lease is
+	// recognized; maxRemembered bounds the number of remembered attempts and tokens.
+	SeenFor       = 5 * time.Second
+	maxRemembered = 100_000
+	// maxQueuedLeases bounds the leases waiting to be reported to one limiter. Leases beyond
+	// it are not reported and expire at their limiter.
+	maxQueuedLeases = 4 * MaxNoticeLeases
+	// LongestLease is the longest allowed lease. LongestSkew is the largest clock difference
+	// between limiters at which a token of another limiter is still accepted.
 	LongestLease = 30 * time.Second
-	LongestSkew  = 30 * time.Second
+	MaxClockSkew = 30 * time.Second
 )
 
-// Try names one try of one proxy.
+// Try identifies one attempt of a proxy to obtain a grant; repetitions of it are equal.
 type Try struct {
 	Proxy, ID string
 	Terms     Terms
 }
 
-// Desk decides for one limiter what a yes, a token or another limiter's word is worth.
-// As a [Book] it does no I/O and reads no clock: times are since some beginning, and a
-// token's time is given as what is left of it.
+// Desk manages grants for one limiter: it recognizes repeated attempts, redeems tokens and
+// exchanges notices of redeemed leases with other limiters. Like [Book], it does no I/O and
+// reads no clock: times are durations since a common start, and the validity of a token is
+// passed as its remaining time.
 type Desk struct {
-	own, limiters int
-	book          *Book
-	seen          map[any]*list.Element
-	order         list.List // of known, oldest first
-	words         map[int][]ID
+	position, limiters int
+	table              *Leases
+	remembered         map[any]*list.Element
+	ageOrder           list.List // of rememberedEntry, oldest first
+	pendingNotices     map[int][]ID
 }
 
-// known is a try that was granted lately, or a token of another limiter that was used.
-type known struct {
-	key   any // a Try, or an ID
-	token string
-	until time.Duration
+// rememberedEntry is a recently granted attempt, or a token of another limiter that was redeemed here.
+type rememberedEntry struct {
+	key       any // a Try or an ID
+	token     string
+	expiresAt time.Duration
 }
 
-// NewDesk returns a Desk of the limiter at a position, with so many leases out at most.
-func NewDesk(own, limiters, leases int) *Desk {
-	return &Desk{own: own, limiters: limiters, book: New(leases), seen: map[any]*list.Element{}, words: map[int][]ID{}}
+// NewDesk returns the manager of the limiter at the given position, for at most the given number of open leases.
+func NewDesk(position, limiters, leases int) *Desk {
+	return &Desk{position: position, limiters: limiters, table: New(leases), remembered: map[any]*list.Element{}, pendingNotices: map[int][]ID{}}
 }
 
-// Book has the leases.
-func (d *Desk) Book() *Book { return d.book }
+// Book returns the leases that this limiter has granted.
+func (d *Desk) Book() *Leases { return d.table }
 
-// Again tells whether a try was granted just now, and with which token.
-func (d *Desk) Again(now time.Duration, t Try) (token string, again bool) {
-	if k := d.find(now, t); k != nil {
-		return k.token, true
+// Again reports whether an attempt was granted recently, and returns its token.
+func (d *Desk) Again(now time.Duration, t Try) (token string, repeated bool) {
+	if entry := d.lookup(now, t); entry != nil {
+		return entry.token, true
 	}
 	return "", false
 }
 
-// Granted notes that a try was granted, until a time.
+// Granted records a granted attempt, so that repetitions before until get the same answer.
 func (d *Desk) Granted(now time.Duration, t Try, token string, until time.Duration) {
-	d.note(now, known{t, token, until})
+	d.remember(now, rememberedEntry{t, token, until})
 }
 
-// find is what is known under a key, if it still lasts.
-func (d *Desk) find(now time.Duration, key any) *known {
-	e := d.seen[key]
+// lookup returns the entry of a key, or nil if there is none or it has expired.
+func (d *Desk) lookup(now time.Duration, key any) *rememberedEntry {
+	e := d.remembered[key]
 	if e == nil {
 		return nil
 	}
-	if k := e.Value.(*known); now < k.until {
-		return k
+	if entry := e.Value.(*rememberedEntry); now < entry.expiresAt {
+		return entry
 	}
-	d.order.Remove(e) // over, but behind one that is not: it must not go for nothing
-	delete(d.seen, key)
+	d.ageOrder.Remove(e) // not at the front of ageOrder, and about to be replaced
+	delete(d.remembered, key)
 	return nil
 }
 
-// note keeps what is new, and drops what is over, and the oldest past a bound.
-func (d *Desk) note(now time.Duration, k known) {
-	for e := d.order.Front(); e != nil; e = d.order.Front() {
-		x := e.Value.(*known)
-		if now < x.until && d.order.Len() < seenMost {
+// remember adds an entry. It drops expired entries, and the oldest one if there are too many.
+func (d *Desk) remember(now time.Duration, entry rememberedEntry) {
+	for e := d.ageOrder.Front(); e != nil; e = d.ageOrder.Front() {
+		oldest := e.Value.(*rememberedEntry)
+		if now < oldest.expiresAt && d.ageOrder.Len() < maxRemembered {
 			break
 		}
-		d.order.Remove(e)
-		delete(d.seen, x.key)
+		d.ageOrder.Remove(e)
+		delete(d.remembered, oldest.key)
 	}
-	d.seen[k.key] = d.order.PushBack(&k)
+	d.remembered[entry.key] = d.ageOrder.PushBack(&entry)
 }
 
-// Redeem takes the token of a message that has come to this limiter, with the time
-// that is left of it, and returns the units that were leased for it here. Of a lease
-// that another limiter holds that one is owed a word, and the message is vouched for,
-// once: it pays here, but only the ceiling can turn it away. With neither it is a
-// message like any other.
+// Redeem uses the token of a message that arrived at this limiter; left is the token's
+// remaining validity. For a lease of this limiter it returns the leased units. A lease of
+// another limiter is vouched for once: the message pays here, only the account's ceiling can
+// reject it, and the other limiter is sent a notice. If it returns neither, the message is
+// treated as one without a token.
 func (d *Desk) Redeem(now time.Duration, t Token, left time.Duration, terms Terms) (leased float64, vouched bool) {
 	if !t.Terms.covers(terms) {
 		return 0, false
 	}
-	if t.Limiter == d.own {
-		l, err := d.book.Redeem(now, t.Lease, terms)
+	if t.Limiter == d.position {
+		l, err := d.table.Redeem(now, t.Lease, terms)
 		if err != nil {
 			return 0, false
 		}
 		return l.Units, false
 	}
-	if t.Limiter >= d.limiters || left <= 0 || left > LongestLease+LongestSkew || d.find(now, t.Lease) != nil {
+	if t.Limiter >= d.limiters || left <= 0 || left > LongestLease+MaxClockSkew || d.lookup(now, t.Lease) != nil {
 		return 0, false
 	}
-	d.note(now, known{key: t.Lease, until: now + left})
-	if len(d.words[t.Limiter]) < wordsMost {
-		d.words[t.Limiter] = append(d.words[t.Limiter], t.Lease)
+	d.remember(now, rememberedEntry{key: t.Lease, expiresAt: now + left})
+	if len(d.pendingNotices[t.Limiter]) < maxQueuedLeases {
+		d.pendingNotices[t.Limiter] = append(d.pendingNotices[t.Limiter], t.Lease)
 	}
 	return 0, true
 }
 
-// Words takes what the other limiters are owed: one datagram for each, in the order
+// Words passes the pending notices to send, one datagram for each other limiter, in the order
 // of their positions.
-func (d *Desk) Words(tell func(limiter int, data []byte)) {
+func (d *Desk) Words(send func(limiter int, data []byte)) {
 	for to := range d.limiters {
-		leases := d.words[to]
+		leases := d.pendingNotices[to]
 		if len(leases) == 0 {
 			continue
 		}
-		n := min(len(leases), WordMost)
-		tell(to, Word{Leases: leases[:n]}.Encode())
-		if d.words[to] = slices.Clone(leases[n:]); len(leases) == n {
-			delete(d.words, to)
+		n := min(len(leases), MaxNoticeLeases)
+		send(to, Word{Leases: leases[:n]}.Encode())
+		if d.pendingNotices[to] = slices.Clone(leases[n:]); len(leases) == n {
+			delete(d.pendingNotices, to)
 		}
 	}
 }
 
-// Heard takes in another limiter's word, that the messages of leases came there, and
-// calls f with each lease that ends by it. What is no word is nothing.
+// Heard handles a notice from another limiter that messages of leases were redeemed there. It
+// calls f for each lease that ends by it. Invalid data is ignored.
 func (d *Desk) Heard(now time.Duration, data []byte, f func(Terms)) {
-	w, _ := DecodeWord(data)
-	for _, id := range w.Leases {
-		if t, err := d.book.End(now, id, Moved); err == nil {
-			f(t)
+	notice, _ := DecodeNotice(data)
+	for _, id := range notice.Leases {
+		if terms, err := d.table.End(now, id, Moved); err == nil {
+			f(terms)
 		}
 	}
 }
--- a/grant/grant.go
+++ b/grant/grant.go
@@ -1,9 +1,9 @@
-// Package grant keeps leases of quota: units that a proxy was granted for a message
-// that is still to come. A lease ends exactly once: redeemed by its message, confirmed
-// or cancelled by the proxy, or expired.
+// Package grant manages quota leases: units granted to a proxy for a message that has yet to
+// arrive. A lease ends exactly once: redeemed by its message, confirmed or cancelled by the
+// proxy, or expired.
 //
-// A [Book] does no I/O, keeps no goroutine and reads no clock: every call has the time.
-// It is not safe for concurrent use.
+// A [Book] does no I/O, starts no goroutines and reads no clock: callers pass the time. It is
+// not safe for concurrent use.
 package grant
 
 import (
@@ -12,92 +12,92 @@
 	"time"
 )
 
-// ID names a lease. IDs are random: whoever knows one was told it.
+// ID identifies a lease. IDs are random, so that only recipients of an ID can name the lease.
 type ID [16]byte
 
-// Terms are what a lease is for.
+// Terms describe the message that a lease is for, and the units leased for it.
 type Terms struct {
 	Account     uint64
 	Plan, Class int
 	Units       float64
 }
 
-// covers tells whether a lease of these terms is for a message of those.
+// covers reports whether a lease of these terms may be redeemed by a message with terms m.
 func (t Terms) covers(m Terms) bool {
 	return t.Account == m.Account && t.Plan == m.Plan && t.Class == m.Class && m.Units <= t.Units
 }
 
-// Ending is how a lease ended.
+// Ending is the reason why a lease ended.
 type Ending int
 
-// The endings of a lease.
+// The reasons why a lease ends.
 const (
-	Redeemed  Ending = iota // its message came here: the units are spent
-	Confirmed               // the proxy says that it was used elsewhere: the units are spent
+	Redeemed  Ending = iota // its message arrived here: the units are spent
+	Confirmed               // the proxy reports that it was used elsewhere: the units are spent
 	Cancelled               // the units return
 	Expired                 // the units return
-	Moved                   // its message came through another limiter, which has paid: the units return
+	Moved                   // its message arrived at another limiter, which has paid: the units return
 )
 
-// Returns tells whether the units of a lease that ended so go back.
+// Returns reports whether the units of the lease go back to the account.
 func (e Ending) Returns() bool { return e == Cancelled || e == Expired || e == Moved }
 
-// Errors of a Book.
+// Errors of lease operations.
 var (
 	ErrFull    = errors.New("grant: too many leases are out")
-	ErrUnknown = errors.New("grant: no such lease, or it has ended")
-	ErrTerms   = errors.New("grant: the lease is for something else")
-	ErrTaken   = errors.New("grant: the id is taken")
+	ErrUnknown = errors.New("grant: lease is unknown or has ended")
+	ErrTerms   = errors.New("grant: lease does not cover the message")
+	ErrTaken   = errors.New("grant: lease id is already in use")
 )
 
-// Book keeps the leases of one limiter.
-type Book struct {
-	most   int
-	leases map[ID]*lease
-	order  expiries
-	counts [Moved + 1]int
+// Book holds the open leases of one limiter and counts how the others ended.
+type Leases struct {
+	limit       int
+	leases      map[ID]*lease
+	expiryQueue expiryHeap
+	counts      [Moved + 1]int
 }
 
 type lease struct {
-	id    ID
-	terms Terms
-	until time.Duration
-	place int // in order
+	id        ID
+	terms     Terms
+	expiresAt time.Duration
+	heapIndex int // in expiryQueue
 }
 
-// New returns a Book that holds so many leases at most.
-func New(most int) *Book { return &Book{most: most, leases: map[ID]*lease{}} }
+// New returns a table for at most limit open leases.
+func New(limit int) *Leases { return &Leases{limit: limit, leases: map[ID]*lease{}} }
 
-// Open is the number of leases that are out.
-func (b *Book) Open() int { return len(b.leases) }
+// Open returns the number of open leases.
+func (b *Leases) Open() int { return len(b.leases) }
 
-// Count is the number of leases that ended so.
-func (b *Book) Count(e Ending) int { return b.counts[e] }
+// Count returns the number of leases that ended for the given reason.
+func (b *Leases) Count(e Ending) int { return b.counts[e] }
 
-// Room tells whether another lease may be opened.
-func (b *Book) Room() bool { return len(b.leases) < b.most }
+// Room reports whether another lease may be opened.
+func (b *Leases) Room() bool { return len(b.leases) < b.limit }
 
-// Grant opens a lease until a time.
-func (b *Book) Grant(id ID, t Terms, until time.Duration) error {
+// Grant opens a lease that expires at expiresAt.
+func (b *Leases) Grant(id ID, t Terms, expiresAt time.Duration) error {
 	if !b.Room() {
 		return ErrFull
 	}
 	if b.leases[id] != nil {
 		return ErrTaken
 	}
-	l := &lease{id: id, terms: t, until: until}
+	l := &lease{id: id, terms: t, expiresAt: expiresAt}
 	b.leases[id] = l
-	heap.Push(&b.order, l)
+	heap.Push(&b.expiryQueue, l)
 	return nil
 }
 
-// Redeem ends a lease by its message, which must be for the account, plan and class
-// of the lease and for no more units. It returns the terms of the lease: units that
-// the message does not need are spent all the same. A lease whose time is over by now
-// is none any more, also if Expire has not been called.
-func (b *Book) Redeem(now time.Duration, id ID, t Terms) (Terms, error) {
+// Redeem ends a lease by its message, which must have the account, plan and class of the
+// lease and no more units. It returns the terms of the lease: units that the message does
+// not need are spent as well. A lease past its expiry is unknown, even if Expire has not
+// been called yet.
+func (b *Leases) Redeem(now time.Duration, id ID, t Terms) (Terms, error) {
 	l := b.leases[id]
-	if l == nil || now >= l.until {
+	if l == nil || now >= l.expiresAt {
 		return Terms{}, ErrUnknown
 	}
 	if !l.terms.covers(t) {
@@ -107,54 +107,54 @@
 	return l.terms, nil
 }
 
-// End ends a lease by a word from the proxy or another limiter.
-func (b *Book) End(now time.Duration, id ID, e Ending) (Terms, error) {
+// End ends a lease for a reason reported by the proxy or another limiter.
+func (b *Leases) End(now time.Duration, id ID, e Ending) (Terms, error) {
 	l := b.leases[id]
-	if l == nil || now >= l.until {
+	if l == nil || now >= l.expiresAt {
 		return Terms{}, ErrUnknown
 	}
 	b.end(l, e)
 	return l.terms, nil
 }
 
-// Expire ends the leases whose time is over and calls f with each.
-func (b *Book) Expire(now time.Duration, f func(Terms)) {
-	for len(b.order) > 0 && now >= b.order[0].until {
-		l := b.order[0]
+// Expire ends the leases that are past their expiry and calls f for each.
+func (b *Leases) Expire(now time.Duration, f func(Terms)) {
+	for len(b.expiryQueue) > 0 && now >= b.expiryQueue[0].expiresAt {
+		l := b.expiryQueue[0]
 		b.end(l, Expired)
 		f(l.terms)
 	}
 }
 
-// Next is when the next lease expires; ok is false if none is out.
-func (b *Book) Next() (at time.Duration, ok bool) {
-	if len(b.order) == 0 {
+// Next returns when the next lease expires; ok is false if none is open.
+func (b *Leases) Next() (at time.Duration, ok bool) {
+	if len(b.expiryQueue) == 0 {
 		return 0, false
 	}
-	return b.order[0].until, true
+	return b.expiryQueue[0].expiresAt, true
 }
 
-func (b *Book) end(l *lease, e Ending) {
+func (b *Leases) end(l *lease, e Ending) {
 	delete(b.leases, l.id)
-	heap.Remove(&b.order, l.place)
+	heap.Remove(&b.expiryQueue, l.heapIndex)
 	b.counts[e]++
 }
 
-// expiries is a heap by the time of expiry.
-type expiries []*lease
+// expiryHeap implements [heap.Interface], ordered by expiry time.
+type expiryHeap []*lease
 
-func (x expiries) Len() int           { return len(x) }
-func (x expiries) Less(i, j int) bool { return x[i].until < x[j].until }
-func (x expiries) Swap(i, j int) {
+func (x expiryHeap) Len() int           { return len(x) }
+func (x expiryHeap) Less(i, j int) bool { return x[i].expiresAt < x[j].expiresAt }
+func (x expiryHeap) Swap(i, j int) {
 	x[i], x[j] = x[j], x[i]
-	x[i].place, x[j].place = i, j
+	x[i].heapIndex, x[j].heapIndex = i, j
 }
-func (x *expiries) Push(v any) {
+func (x *expiryHeap) Push(v any) {
 	l := v.(*lease)
-	l.place = len(*x)
+	l.heapIndex = len(*x)
 	*x = append(*x, l)
 }
-func (x *expiries) Pop() any {
+func (x *expiryHeap) Pop() any {
 	old := *x
 	l := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/grant/grant_test.go
+++ b/grant/grant_test.go
@@ -123,7 +123,7 @@
 			for _, l := range b.leases {
 				out += l.terms.Units
 			}
-			if math.Abs(granted-spent-returned-out) > 1e-9 || len(b.order) != len(b.leases) || len(b.leases) > 40 {
+			if math.Abs(granted-spent-returned-out) > 1e-9 || len(b.expiryQueue) != len(b.leases) || len(b.leases) > 40 {
 				t.Fatalf("seed %d: granted %g, spent %g, returned %g, out %g", seed, granted, spent, returned, out)
 			}
 		}
@@ -140,8 +140,8 @@
 			t.Fatal(err)
 		}
 	}
-	if b.Open() > 501 || cap(b.order) > 4096 {
-		t.Errorf("%d open, room for %d", b.Open(), cap(b.order))
+	if b.Open() > 501 || cap(b.expiryQueue) > 4096 {
+		t.Errorf("%d open, room for %d", b.Open(), cap(b.expiryQueue))
 	}
 }
 
@@ -197,12 +197,12 @@
 		w.Leases = append(w.Leases, id(i))
 	}
 	b := w.Encode()
-	got, ok := DecodeWord(b)
-	if !ok || len(b) > 256 || len(got.Leases) != WordMost || got.Leases[14] != id(14) {
+	got, ok := DecodeNotice(b)
+	if !ok || len(b) > 256 || len(got.Leases) != MaxNoticeLeases || got.Leases[14] != id(14) {
 		t.Errorf("%d bytes, %v %v", len(b), got, ok)
 	}
 	for _, bad := range [][]byte{nil, {WordMagic}, {WordMagic, 9}, {0x5c, 1}, b[:len(b)-1], append(b, 1, 2, 3)} {
-		if _, ok := DecodeWord(bad); ok {
+		if _, ok := DecodeNotice(bad); ok {
 			t.Errorf("%v passes", bad)
 		}
 	}
@@ -266,7 +266,7 @@
 		left  time.Duration
 		terms Terms
 	}{
-		{token, 0, terms}, {token, -time.Second, terms}, {token, LongestLease + LongestSkew + 1, terms},
+		{token, 0, terms}, {token, -time.Second, terms}, {token, LongestLease + MaxClockSkew + 1, terms},
 		{token, time.Second, Terms{Account: 8, Plan: 1, Class: 2, Units: 2}}, {token, time.Second, Terms{Account: 7, Plan: 1, Class: 2, Units: 2.5}},
 		{Token{Limiter: 3, Lease: id(1), Terms: terms}, time.Second, terms},
 	} {
@@ -276,7 +276,7 @@
 	}
 	vouched := 0
 	for range 100 { // also by a clock that is half a minute behind
-		if _, yes := n1.Redeem(0, token, 2*time.Second+LongestSkew, terms); yes {
+		if _, yes := n1.Redeem(0, token, 2*time.Second+MaxClockSkew, terms); yes {
 			vouched++
 		}
 	}
@@ -304,11 +304,11 @@
 // What a desk knows is bounded.
 func TestDeskIsBounded(t *testing.T) {
 	d := NewDesk(0, 2, 10)
-	for i := range uint64(2 * seenMost) {
+	for i := range uint64(2 * maxRemembered) {
 		d.Granted(time.Duration(i), Try{"p", strconv.FormatUint(i, 16), Terms{}}, "", time.Hour)
 		d.Redeem(time.Duration(i), Token{Limiter: 1, Lease: id(i)}, time.Minute, Terms{})
 	}
-	if len(d.seen) > seenMost || d.order.Len() > seenMost || len(d.words[1]) > wordsMost {
-		t.Errorf("%d known, %d words", len(d.seen), len(d.words[1]))
+	if len(d.remembered) > maxRemembered || d.ageOrder.Len() > maxRemembered || len(d.pendingNotices[1]) > maxQueuedLeases {
+		t.Errorf("%d known, %d words", len(d.remembered), len(d.pendingNotices[1]))
 	}
 }
--- a/grant/token.go
+++ b/grant/token.go
@@ -12,47 +12,47 @@
 	"time"
 )
 
-// Token is what a proxy carries from a yes to the message: which lease, of which
-// limiter, for what.
+// Token is what a proxy carries from the grant to the message: the lease, the limiter that
+// holds it, and its terms.
 type Token struct {
 	Limiter int
 	Lease   ID
 	Terms   Terms
-	Until   time.Time // by the clock of the limiter that gave it
+	Until   time.Time // by the clock of the limiter that issued it
 }
 
-// Key signs and verifies tokens. Secrets have 16 bytes at least.
+// Key is an HMAC key that signs and verifies tokens. Secrets have at least 16 bytes.
 type Key struct {
 	ID     string // letters, digits, - and _: up to 32
 	Secret []byte
 }
 
-// Keys are those of a tier: the first signs, all verify, so that a new one can be
-// put first once every limiter has it, and an old one be dropped once its tokens are
-// over.
+// Keys are the keys of a tier of limiters: the first one signs, all of them verify. To rotate
+// keys, move a new key to the front once every limiter has it, and remove the old key once
+// its tokens have expired.
 type Keys []Key
 
-// ErrToken tells that a token is none: of another form, not signed by a key that is
-// known, or changed since.
-var ErrToken = errors.New("grant: not a token of these limiters")
+// ErrToken reports a token that is malformed, was not signed with a known key, or has been
+// modified.
+var ErrToken = errors.New("grant: invalid token")
 
 const (
-	tokenVersion = "v1"
-	maxToken     = 256
-	leastSecret  = 16
+	tokenVersion   = "v1"
+	maxTokenBytes  = 256
+	minSecretBytes = 16
 )
 
-// Check returns an error that names the key that can't be used.
+// Check returns an error that names the first unusable key.
 func (k Keys) Check() error {
 	seen := map[string]bool{}
 	for i, key := range k {
 		switch {
 		case key.ID == "" || len(key.ID) > 32 || strings.Trim(key.ID, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_") != "":
-			return fmt.Errorf("grant: key %d: %q is no id; use up to 32 letters, digits, - and _", i+1, key.ID)
+			return fmt.Errorf("grant: key %d: %q is not a valid id; use up to 32 letters, digits, - and _", i+1, key.ID)
 		case seen[key.ID]:
-			return fmt.Errorf("grant: key %d: id %q is taken", i+1, key.ID)
-		case len(key.Secret) < leastSecret:
-			return fmt.Errorf("grant: key %q: its secret has %d bytes, %d at least", key.ID, len(key.Secret), leastSecret)
+			return fmt.Errorf("grant: key %d: id %q is used twice", i+1, key.ID)
+		case len(key.Secret) < minSecretBytes:
+			return fmt.Errorf("grant: key %q: its secret has %d bytes, %d at least", key.ID, len(key.Secret), minSecretBytes)
 		}
 		seen[key.ID] = true
 	}
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// Sign returns the token's text: v1.KEY.BODY.MAC, the last two in unpadded base64url.
+// Sign returns the text form of a token: v1.KEY.BODY.MAC, the last two in unpadded base64url.
 func (k Keys) Sign(t Token) string {
 	body := make([]byte, 0, 64)
 	body = append(body, t.Lease[:]...)
@@ -82,28 +82,28 @@
 	return m.Sum(nil)
 }
 
-// Verify reads a token's text. It does not look at its time.
+// Verify parses and authenticates the text form of a token. It does not check the expiry.
 func (k Keys) Verify(text string) (t Token, err error) {
-	if len(text) > maxToken {
+	if len(text) > maxTokenBytes {
 		return t, ErrToken
 	}
-	at := strings.LastIndexByte(text, '.')
-	if at < 0 {
+	macStart := strings.LastIndexByte(text, '.')
+	if macStart < 0 {
 		return t, ErrToken
 	}
-	parts := strings.Split(text[:at], ".")
+	parts := strings.Split(text[:macStart], ".")
 	if len(parts) != 3 || parts[0] != tokenVersion {
 		return t, ErrToken
 	}
-	sum, err := base64.RawURLEncoding.Strict().DecodeString(text[at+1:])
+	sum, err := base64.RawURLEncoding.Strict().DecodeString(text[macStart+1:])
 	if err != nil {
 		return t, ErrToken
 	}
-	sound := false
+	authentic := false
 	for _, key := range k {
-		sound = sound || key.ID == parts[1] && hmac.Equal(sum, mac(key, text[:at]))
+		authentic = authentic || key.ID == parts[1] && hmac.Equal(sum, mac(key, text[:macStart]))
 	}
-	if !sound {
+	if !authentic {
 		return t, ErrToken
 	}
 	body, err := base64.RawURLEncoding.Strict().DecodeString(parts[2])
@@ -130,33 +130,33 @@
 	return t, nil
 }
 
-// Word is what one limiter tells another of leases: their messages came through the
-// teller, which has paid for them. A lost one costs nothing but the time until the
-// lease expires.
+// Word is a notice from one limiter to another about leases of the receiver: their messages
+// arrived at the sender, which has paid for them. If a notice is lost, the units return
+// only when the lease expires.
 type Word struct{ Leases []ID }
 
-// WordMagic is the first byte of a Word, other than that of any message between
-// decision modules.
+// WordMagic is the first byte of a notice. It differs from the first byte of all messages
+// between decision modules.
 const WordMagic = 0x6d
 
 const (
-	wordVersion = 1
-	// WordMost is how many leases a Word names at most: a datagram has 256 bytes.
-	WordMost = (256 - 2) / len(ID{})
+	noticeVersion = 1
+	// MaxNoticeLeases is the number of leases that fit in one notice: a datagram has 256 bytes.
+	MaxNoticeLeases = (256 - 2) / len(ID{})
 )
 
-// Encode returns the bytes of a word of up to WordMost leases.
+// Encode returns the notice as a datagram with the first MaxNoticeLeases leases.
 func (w Word) Encode() []byte {
-	b := []byte{WordMagic, wordVersion}
-	for _, id := range w.Leases[:min(len(w.Leases), WordMost)] {
+	b := []byte{WordMagic, noticeVersion}
+	for _, id := range w.Leases[:min(len(w.Leases), MaxNoticeLeases)] {
 		b = append(b, id[:]...)
 	}
 	return b
 }
 
-// DecodeWord reads a word; ok is false if any part of it is not sound.
-func DecodeWord(b []byte) (w Word, ok bool) {
-	if len(b) < 2 || len(b) > 256 || b[0] != WordMagic || b[1] != wordVersion || (len(b)-2)%len(ID{}) != 0 {
+// DecodeNotice parses a notice; ok is false if any part of it is invalid.
+func DecodeNotice(b []byte) (w Word, ok bool) {
+	if len(b) < 2 || len(b) > 256 || b[0] != WordMagic || b[1] != noticeVersion || (len(b)-2)%len(ID{}) != 0 {
 		return Word{}, false
 	}
 	for b = b[2:]; len(b) > 0; b = b[len(ID{}):] {
--- a/lifecycle/lifecycle.go
+++ b/lifecycle/lifecycle.go
@@ -1,7 +1,7 @@
-// Package lifecycle decides what one limiter process tells the world of itself from its start
-// to its end: what /healthz and ready answer, whether answers close their connections, and how
-// long a connection may stand without a request. A drain, a hand-over to a new process and
-// SIGTERM go through it alike. It does no I/O and reads no clock: times are handed in.
+// Package lifecycle tracks the state of one limiter process from start to stop and derives
+// what the process reports and does: the results of /healthz and ready, whether answers close
+// their connections, and how long a connection may be idle. It covers drains, handovers to a
+// new process and SIGTERM. It does no I/O and reads no clock: callers pass the time.
 package lifecycle
 
 import (
@@ -12,8 +12,8 @@
 // Phase is a state of the process.
 type Phase int
 
-// The phases. A process starts, serves, and may drain and resume any number of times. One that
-// hands over goes back to serving, or to draining, if its successor fails. Stopping is final.
+// The phases. A process starts, serves, and may drain and resume any number of times. After
+// a handover whose successor fails it returns to serving or draining. Stopping is final.
 const (
 	Starting Phase = iota
 	Serving
@@ -22,28 +22,29 @@
 	Stopping
 )
 
-var names = [...]string{"starting", "serving", "draining", "handing over", "stopping"}
+var phaseNames = [...]string{"starting", "serving", "draining", "handing over", "stopping"}
 
-// String is the phase's name for log lines and answers.
-func (p Phase) String() string { return names[p] }
+// String returns the name of the phase for log lines and answers.
+func (p Phase) String() string { return phaseNames[p] }
 
 const (
-	// FrontNotice is how long after a no new connections still come: the front asks ten
-	// times a second and acts on it 0.2 s later.
-	FrontNotice = 300 * time.Millisecond
-	// KeepAccepting is how long after SIGTERM connections are still accepted: some go on
-	// being made for up to 0.4 s.
+	// FrontReactionTime is how long new connections still arrive after /healthz turns
+	// unhealthy: the front load balancer polls ten times a second and acts 0.2 s later.
+	FrontReactionTime = 300 * time.Millisecond
+	// KeepAccepting is how long connections are accepted after SIGTERM: new ones keep
+	// arriving for up to 0.4 s.
 	KeepAccepting = 500 * time.Millisecond
-	// unusedFor is how long a connection may stand without a request while clients are sent
-	// away: one that was just accepted has its request on the way.
-	unusedFor = 250 * time.Millisecond
-	// No deadline that the platform waits for is longer than longestWait; what is in hand
-	// stopSlack after it is given up, so that it is answered before SIGKILL.
-	longestWait = 3 * time.Second
-	stopSlack   = 450 * time.Millisecond
+	// unusedTimeout is how long a connection may have no request while clients are being
+	// moved away: the first request of a new connection is already on its way.
+	unusedTimeout = 250 * time.Millisecond
+	// On stop, requests get the longest deadline of a class, but at most maxDeadline, which
+	// is the longest one the platform waits for. What is unfinished stopMargin after that is
+	// aborted, so that it is answered before SIGKILL.
+	maxDeadline = 3 * time.Second
+	stopMargin  = 450 * time.Millisecond
 )
 
-// Errors of calls that can't be carried out.
+// Errors that explain why the process is not ready or an operation is not possible.
 var (
 	ErrStopping    = errors.New("the limiter is stopping")
 	ErrHandingOver = errors.New("the limiter is handing over to a new process")
@@ -52,34 +53,34 @@
 
 // Life is the state of one process. It is not safe for concurrent use.
 type Life struct {
-	phase   Phase
-	listed  bool // some server is known
-	taking  bool // clients' connections are accepted
-	drained bool // what a hand-over goes back to
-	full    bool // clients should be sent here, once it serves
-	since   time.Time
-	stopBy  time.Time
+	phase         Phase
+	serversKnown  bool // discovery has found a server
+	accepting     bool // client connections are accepted
+	drainedBefore bool // whether to return to Draining if the handover fails
+	prepared      bool // all preparations are done, so that the front may send clients
+	phaseStart    time.Time
+	stopDeadline  time.Time
 }
 
-// Phase is the state now.
+// Phase returns the current phase.
 func (l *Life) Phase() Phase { return l.phase }
 
-// Listed says that some server is known.
-func (l *Life) Listed(now time.Time) { l.listed = true; l.start(now) }
+// Listed records that discovery has found at least one server.
+func (l *Life) Listed(now time.Time) { l.serversKnown = true; l.startServing(now) }
 
-// Taking says that clients' connections are accepted.
-func (l *Life) Taking(now time.Time) { l.taking = true; l.start(now) }
+// Taking records that client connections are being accepted.
+func (l *Life) Taking(now time.Time) { l.accepting = true; l.startServing(now) }
 
-func (l *Life) start(now time.Time) {
-	if l.phase == Starting && l.listed && l.taking {
-		l.enter(now, Serving)
+func (l *Life) startServing(now time.Time) {
+	if l.phase == Starting && l.serversKnown && l.accepting {
+		l.setPhase(now, Serving)
 	}
 }
 
-func (l *Life) enter(now time.Time, p Phase) { l.phase, l.since = p, now }
+func (l *Life) setPhase(now time.Time, p Phase) { l.phase, l.phaseStart = p, now }
 
-// Ready is nil as soon as the process takes clients, and else the reason why it does not. One
-// that is drained still does: its front decides who comes.
+// Ready returns nil if the process accepts clients, or else the reason why not. A draining
+// process is ready: which clients it gets is up to its front load balancer.
 func (l *Life) Ready() error {
 	switch l.phase {
 	case Starting:
@@ -92,82 +93,83 @@
 	return nil
 }
 
-// Prepared says that this limiter can do all that it is to do. Before that a front sends
-// nobody, but who comes is served.
-func (l *Life) Prepared() { l.full = true }
+// Prepared records that the limiter is fully prepared. Until then it is not healthy, so that the
+// front sends it no clients, but requests that arrive are served.
+func (l *Life) Prepared() { l.prepared = true }
 
-// Healthy is what /healthz says: whether a front should send clients here.
-func (l *Life) Healthy() bool { return l.phase == Serving && l.full }
+// Healthy returns the result of /healthz: whether the front should send clients here.
+func (l *Life) Healthy() bool { return l.phase == Serving && l.prepared }
 
-// Drain sends clients away. It changes nothing for a limiter that is drained.
-func (l *Life) Drain(now time.Time) error { return l.move(now, Serving, Draining) }
+// Drain starts to move clients away. It has no effect on a limiter that is draining already.
+func (l *Life) Drain(now time.Time) error { return l.transition(now, Serving, Draining) }
 
-// Resume ends a drain. It changes nothing for a limiter that serves.
-func (l *Life) Resume(now time.Time) error { return l.move(now, Draining, Serving) }
+// Resume ends a drain. It has no effect on a limiter that is serving.
+func (l *Life) Resume(now time.Time) error { return l.transition(now, Draining, Serving) }
 
-// move enters a phase from another one, if the process takes clients.
-func (l *Life) move(now time.Time, from, to Phase) error {
+// transition changes the phase if it is from, or returns an error if the process is not ready.
+func (l *Life) transition(now time.Time, from, to Phase) error {
 	err := l.Ready()
 	if err == nil && l.phase == from {
-		l.enter(now, to)
+		l.setPhase(now, to)
 	}
 	return err
 }
 
-// HandOver sends clients to a new process that takes them from now on.
+// HandOver begins a handover to a new process, which accepts all clients from now on.
 func (l *Life) HandOver(now time.Time) error {
 	if err := l.Ready(); err != nil {
 		return err
 	}
-	l.drained = l.phase == Draining
-	l.enter(now, HandingOver)
+	l.drainedBefore = l.phase == Draining
+	l.setPhase(now, HandingOver)
 	return nil
 }
 
-// HandBack goes on as before a hand-over: the new process has failed.
+// HandBack returns to the phase before the handover, as the new process has failed.
 func (l *Life) HandBack(now time.Time) {
 	if l.phase != HandingOver {
 		return
 	}
-	if l.enter(now, Serving); l.drained {
-		l.enter(now, Draining)
+	if l.setPhase(now, Serving); l.drainedBefore {
+		l.setPhase(now, Draining)
 	}
 }
 
-// Drained tells whether clients were being sent away when a hand-over began, or are now.
+// Drained reports whether the process is draining, or was when its handover began.
 func (l *Life) Drained() bool {
-	return l.phase == Draining || l.phase == HandingOver && l.drained
+	return l.phase == Draining || l.phase == HandingOver && l.drainedBefore
 }
 
-// Stop begins the end, which is final. longest is the longest deadline of a class.
+// Stop enters the final phase. longest is the longest deadline of a class.
 func (l *Life) Stop(now time.Time, longest time.Duration) {
 	if l.phase == Stopping {
 		return
 	}
-	l.enter(now, Stopping)
-	l.stopBy = now.Add(min(longest, longestWait) + stopSlack)
+	l.setPhase(now, Stopping)
+	l.stopDeadline = now.Add(min(longest, maxDeadline) + stopMargin)
 }
 
-// StopBy is when what is in hand has to be over; zero before Stop.
-func (l *Life) StopBy() time.Time { return l.stopBy }
+// StopBy returns the time by which all requests must be finished; zero before Stop.
+func (l *Life) StopBy() time.Time { return l.stopDeadline }
 
-// Closing tells that answers carry Connection: close.
+// Closing reports whether answers carry Connection: close.
 func (l *Life) Closing() bool { return l.phase > Serving }
 
-// Unused tells for how long a connection may stand without a request now: one that never had
-// any, and one between two; and whether there is such a bound. It holds until the next phase,
-// and has to be asked again meanwhile.
+// Unused returns how long a connection may be idle now: before its first request (fresh) and
+// between requests (idle); bounded is false if there is no limit. The result may change within
+// a phase, so call it regularly.
 func (l *Life) Unused(now time.Time) (fresh, idle time.Duration, bounded bool) {
-	after := now.Sub(l.since)
+	elapsed := now.Sub(l.phaseStart)
 	switch l.phase {
 	case Draining:
-		// Before the front has noticed, a close would only cross a request.
-		return unusedFor, unusedFor, after >= FrontNotice
+		// Until the front has reacted, closing a connection could race with a request on it.
+		return unusedTimeout, unusedTimeout, elapsed >= FrontReactionTime
 	case HandingOver:
-		// The new process takes them at once; what was accepted last has its request on the way.
-		return unusedFor, 0, true
+		// The new process accepts the clients at once. A connection accepted just before may still
+		// get its first request.
+		return unusedTimeout, 0, true
 	case Stopping:
-		return 0, 0, after >= KeepAccepting
+		return 0, 0, elapsed >= KeepAccepting
 	}
 	return 0, 0, false
 }
--- a/lifecycle/lifecycle_test.go
+++ b/lifecycle/lifecycle_test.go
@@ -54,10 +54,10 @@
 	if l.Healthy() || !l.Closing() || l.Ready() != nil || !l.Drained() {
 		t.Error("a drained limiter is healthy, keeps connections or takes none")
 	}
-	if _, _, bounded := l.Unused(at(time.Second + FrontNotice - 1)); bounded {
+	if _, _, bounded := l.Unused(at(time.Second + FrontReactionTime - 1)); bounded {
 		t.Error("connections close before the front can know")
 	}
-	if most, idle, bounded := l.Unused(at(time.Second + FrontNotice)); !bounded || FrontNotice+max(most, idle) > time.Second {
+	if most, idle, bounded := l.Unused(at(time.Second + FrontReactionTime)); !bounded || FrontReactionTime+max(most, idle) > time.Second {
 		t.Errorf("a connection may stand for %v (%v) in a drain", most, bounded)
 	}
 	for range 2 {
@@ -86,7 +86,7 @@
 		if l.Drain(begin) != ErrStopping || l.Resume(begin) != ErrStopping || l.HandOver(begin) != ErrStopping || l.Ready() != ErrStopping {
 			t.Errorf("%s: a call changes a limiter that stops", name)
 		}
-		if l.Phase() != Stopping || l.StopBy() != by || by.Sub(begin) != 800*time.Millisecond+stopSlack {
+		if l.Phase() != Stopping || l.StopBy() != by || by.Sub(begin) != 800*time.Millisecond+stopMargin {
 			t.Errorf("%s: %v, to end by %v", name, l.Phase(), by.Sub(begin))
 		}
 		if _, _, bounded := l.Unused(at(KeepAccepting - 1)); bounded {
@@ -97,8 +97,8 @@
 		}
 	}
 	l := serving()
-	if l.Stop(begin, time.Hour); l.StopBy().Sub(begin) != longestWait+stopSlack {
-		t.Errorf("it ends %v after SIGTERM, and SIGKILL comes %v after", l.StopBy().Sub(begin), longestWait+700*time.Millisecond)
+	if l.Stop(begin, time.Hour); l.StopBy().Sub(begin) != maxDeadline+stopMargin {
+		t.Errorf("it ends %v after SIGTERM, and SIGKILL comes %v after", l.StopBy().Sub(begin), maxDeadline+700*time.Millisecond)
 	}
 }
 
--- a/peering/budget.go
+++ b/peering/budget.go
@@ -3,40 +3,43 @@
 import "math"
 
 const (
-	// Share of the messages that a limiter takes in which its peers use together; the
-	// rest covers jitter. The pause between two levels told of a customer rises from
-	// the time of paceMsgs messages taken in, the steeper the nearer they come to it.
-	gossipShare = 0.9
-	paceMsgs    = 10.0
-	paceSteep   = 4.0
+	// gossipShare is the share of a limiter's inbound message capacity that its peers use in
+	// total; the rest covers jitter. The pause between two announcements of an account's level
+	// starts at the time in which pauseMessages messages can be received, and grows
+	// exponentially by pauseSteepness with the received share of that capacity.
+	gossipShare    = 0.9
+	pauseMessages  = 10.0
+	pauseSteepness = 4.0
 )
 
-// Budget says how many messages a limiter may send its peers and how often it may tell
-// a level, by how many messages each takes in. It is not safe for concurrent use.
+// Budget limits how many messages a limiter sends to its peers and how often it announces the
+// level of an account, given the number of messages that each limiter can receive. It is not
+// safe for concurrent use.
 type Budget struct {
-	// Pause is the time in ms between two levels told of a customer.
-	Pause  float64
-	credit float64 // messages that may be sent
-	cameIn float64 // messages since the last tick
-	inRate float64 // messages that come in, as a share of the fair number
+	// Pause is the time in ms between two announcements of the level of an account.
+	Pause        float64
+	credit       float64 // messages that may be sent
+	received     float64 // messages received since the last tick
+	receiveRatio float64 // smoothed rate of received messages, as a fraction of the fair rate
 }
 
-// Tick goes on by ms, in a tier of so many limiters that each take in inPerS messages a
-// second.
+// Tick advances the budget by ms, in a tier of the given number of limiters that can each
+// receive inPerS messages per second.
 func (b *Budget) Tick(ms, inPerS float64, limiters int) {
-	fair := gossipShare * inPerS * ms / 1000 // messages a tick
+	fair := gossipShare * inPerS * ms / 1000 // messages per tick
 	b.credit = min(max(1, float64(limiters-1)), b.credit+fair)
-	// Limiters are told about equally many levels: what comes in here tells a keeper
-	// whether it may tell oftener. Reports, which keepers alone get, say nothing.
-	b.inRate += (b.cameIn/fair - b.inRate) * ms / 1000
-	b.cameIn = 0
-	b.Pause = 1000 * paceMsgs / inPerS * math.Exp(paceSteep*max(0, b.inRate-0.5))
+	// All limiters receive about the same number of announcements, so the number received
+	// here shows whether this one may announce levels more often. Reports are not counted:
+	// only the limiter that keeps an account receives them.
+	b.receiveRatio += (b.received/fair - b.receiveRatio) * ms / 1000
+	b.received = 0
+	b.Pause = 1000 * pauseMessages / inPerS * math.Exp(pauseSteepness*max(0, b.receiveRatio-0.5))
 }
 
-// Heard notes a level that has come in.
-func (b *Budget) Heard() { b.cameIn++ }
+// Heard counts a level announcement that was received.
+func (b *Budget) Heard() { b.received++ }
 
-// Take takes a message to send, if there is one left.
+// Take uses one message of the budget and reports whether one was available.
 func (b *Budget) Take() bool {
 	if b.credit < 1 {
 		return false
--- a/peering/pace.go
+++ b/peering/pace.go
@@ -1,24 +1,24 @@
-// Package peering decides what limiters of one tier do because of one another: how many
-// messages each sends its peers, and how often each calls what all of them share. It has
-// no input or output, no goroutines and no clock.
+// Package peering holds the rules by which the limiters of one tier share resources: the number
+// of messages each sends to its peers, the back-off of calls to a shared service, and the order
+// in which limiters are responsible for a key. It has no I/O, goroutines or clock.
 package peering
 
 import "time"
 
 const (
-	// The mean time between two calls of all limiters together to what they share, once
-	// it has turned them away, and as long as it goes on to: 40 calls a second, then 10,
-	// whatever the size of the tier.
-	leastApart = 25 * time.Millisecond
-	mostApart  = 100 * time.Millisecond
+	// Mean interval between the calls of all limiters together to a shared service after it
+	// has rejected them as overloaded: 40 calls a second at first, then down to 10 for as long
+	// as it goes on rejecting, whatever the size of the tier.
+	initialCallInterval = 25 * time.Millisecond
+	maxCallInterval     = 100 * time.Millisecond
 )
 
-// CallPause is the mean pause of one limiter of so many before it calls again what they
-// all share and what has turned its call away as it was overloaded: first is that of the
-// first time, most what it grows to. Each limiter that comes again after a pause of its
-// own is harmless; all together they keep a line of calls full that nobody waits for any
-// more, and no call is answered in time again.
+// CallPause returns the mean pause of one limiter before it repeats a call that a shared service
+// has rejected because of overload: first after the first rejection, growing up to most. If the
+// pause did not grow with the number of limiters, their retries together would keep the
+// service's queue full of calls whose callers have given up, and no call would be answered in
+// time again.
 func CallPause(limiters int) (first, most time.Duration) {
 	n := time.Duration(max(1, limiters))
-	return n * leastApart, n * mostApart
+	return n * initialCallInterval, n * maxCallInterval
 }
--- a/peering/peering_test.go
+++ b/peering/peering_test.go
@@ -15,7 +15,7 @@
 			}
 		}
 	}
-	if first, _ := CallPause(0); first != leastApart {
+	if first, _ := CallPause(0); first != initialCallInterval {
 		t.Errorf("a tier of an unknown size pauses for %v", first)
 	}
 }
@@ -63,7 +63,7 @@
 		return b.Pause
 	}
 	calm, fair, over := after(0.2), after(1), after(2)
-	if calm != 1000*paceMsgs/inPerS {
+	if calm != 1000*pauseMessages/inPerS {
 		t.Errorf("with little coming in a keeper pauses for %g ms", calm)
 	}
 	if fair < 5*calm || over < 5*fair {
--- a/peering/spending.go
+++ b/peering/spending.go
@@ -1,9 +1,9 @@
 package peering
 
-// Repaid is how much of the spending that a peer tells of late (units that it spent before this
-// moment) refill has repaid already. idle is the refill
-// that the full bucket here let go since the peer was last heard: had the units been
-// drawn in time, it would have been kept. room is how far the peer's own level lies above
-// the balance that is left with all the units drawn: a bucket that hears of more spending
-// can't hold more than one that hears of less. All in units.
+// Repaid returns how many of the units that a peer has reported late (units it spent before now)
+// have been covered by refill already. late is the number of units reported late. idle is the
+// refill that overflowed the full local bucket since the last message of the peer: the bucket
+// would have kept it if the units had been withdrawn in time. room is by how much the peer's
+// level exceeds the local balance after withdrawing all units: a bucket that learns of more
+// spending cannot hold more than one that learns of less. All values are in units.
 func Repaid(late, idle, room float64) float64 { return max(0, min(late, idle, room)) }
--- a/recall/recall.go
+++ b/recall/recall.go
@@ -1,6 +1,6 @@
-// Package recall says how far what a limiter has learnt is to be trusted after some time, and
-// by which names it is kept, so that another configuration does not take it for what it is
-// not. It does no input or output and reads no clock.
+// Package recall ages the memory that a limiter saved before a restart: it reduces the weight of
+// what was learned according to its age, and maps it to the classes of the current
+// configuration by name. It does no I/O and reads no clock.
 package recall
 
 import (
@@ -11,79 +11,81 @@
 	"example.org/madderdrum/limiter"
 )
 
-// Half-lives: after one of them what was learnt counts half as much evidence as it did. They
-// go by how long what was learnt stays true, not by how long it took to learn.
+// Half-lives: after this time a learned value counts half as much evidence. They depend on
+// how long the value stays valid, not on how long it took to learn.
 const (
-	// A box is slow for as long as what troubles it lasts, seconds to minutes, and two
-	// seconds of answers replace what is remembered.
-	SpeedHalf = 30 * time.Second
-	// What a request costs changes with releases of the senders, and what time clients give
-	// with releases of theirs.
-	WorkHalf  = 24 * time.Hour
-	UsualHalf = 24 * time.Hour
-	// How much a pool refuses changes within seconds, and fifty requests replace it.
-	PressureHalf = 5 * time.Second
+	// SpeedHalfLife: a box is slow for as long as its problem lasts, seconds to minutes, and
+	// answers of two seconds are enough to replace the remembered value.
+	SpeedHalfLife = 30 * time.Second
+	// The work per request changes with releases of the senders, and the deadlines that
+	// clients set change with releases of the clients.
+	WorkHalfLife      = 24 * time.Hour
+	UsualTimeHalfLife = 24 * time.Hour
+	// The refusal rate of a pool changes within seconds, and fifty requests are enough to replace it.
+	PressureHalfLife = 5 * time.Second
 )
 
-// Spans beyond which something says nothing more.
+// Limits beyond which remembered values are ignored or capped.
 const (
-	// DownFor: a box that was down is probed before it is sent anything, which costs the
-	// probe alone; later it is taken for what the list says.
-	DownFor = time.Minute
-	// IllFor: a class that failed at a box is kept off for what was left of that time; then,
-	// up to here, one further failure is enough.
-	IllFor = 10 * time.Minute
-	// MostEvidence bounds how many answers a remembered figure counts for, so that what is
-	// true now replaces it within some hundred answers.
-	MostEvidence = 200.0
-	// MostAnswers and MostSlow bound how long a box that is remembered as slow is avoided: two
-	// or three answers show that it is not, or that it is.
-	MostAnswers = 6.0
-	MostSlow    = 4.0
-	// least is the evidence below which a figure is dropped.
-	least = 0.5
+	// MaxDownAge: a box remembered as down is probed before it gets traffic, which costs only
+	// the probe. After this age the state from discovery is used.
+	MaxDownAge = time.Minute
+	// MaxEjectionAge: a class that failed at a box stays ejected for the rest of the ejection
+	// time. After that, and up to this age, one further failure ejects it again.
+	MaxEjectionAge = 10 * time.Minute
+	// MaxEvidence caps the number of answers that a remembered value counts for, so that about
+	// a hundred new answers replace it.
+	MaxEvidence = 200.0
+	// MaxSpeedAnswers and MaxSlowness limit how long a box remembered as slow is avoided: two
+	// or three answers show whether it still is.
+	MaxSpeedAnswers = 6.0
+	MaxSlowness     = 4.0
+	// minEvidence is the evidence below which a value is dropped.
+	minEvidence = 0.5
 )
 
-// Names are those of a configuration's classes, by their places.
+// Names lists the names of a configuration's classes, by class index.
 type Names []string
 
-// trust is the part of the evidence that is left after a time. A time below 0, of a clock
-// that went back, is none.
-func trust(age, half time.Duration) float64 {
-	return math.Exp2(-float64(max(0, age)) / float64(half))
+// decayFactor returns the fraction of the evidence that remains after age. A negative age,
+// from a clock that was set back, counts as zero.
+func decayFactor(age, halfLife time.Duration) float64 {
+	return math.Exp2(-float64(max(0, age)) / float64(halfLife))
 }
 
-// Found is how a memory was found.
+// Found describes a saved memory and how the limiter that wrote it ended.
 type Found struct {
-	Age   time.Duration // since it was taken
-	Clean bool          // its limiter had ended, and nobody else has gone on or goes on from it
-	// Intact tells that nothing that its limiter wrote is missing, and that nobody else has
-	// gone on or goes on from it; it may have been killed.
+	Age   time.Duration // since it was saved
+	Clean bool          // its limiter ended cleanly, and no other process continued or continues from it
+	// Intact reports that everything the limiter wrote is present, and that no other process
+	// continued or continues from it. The limiter may have been killed.
 	Intact bool
-	Down   time.Duration // since what is held of quotas was taken, by a clock that nobody sets
+	Down   time.Duration // since the quota state was saved, by a clock that is never set; negative if unknown
 }
 
-// slowFactor is from what on a box counts as slow, against the usual time.
-const slowFactor = 2
+// slowRatio is the slowness, relative to the usual time, from which a box counts as slow.
+const slowRatio = 2
 
-// tellsApart tells whether a memory tells some boxes from the others: no more than half of them
-// may be down, ill or slow in it. More is the trouble of the whole fleet, or no truth at all, and says
-// nothing of one box; a limiter keeps no more than half of them off either.
-func tellsApart(boxes []limiter.BoxMemory) bool {
-	ill := 0
+// distinguishesBoxes reports whether a memory identifies individual bad boxes: at most half of
+// all boxes may be down, ejected or slow in it. More than that is a problem of the whole fleet
+// or invalid data, and says nothing about one box. A limiter does not eject more than half of
+// them either.
+func distinguishesBoxes(boxes []limiter.BoxMemory) bool {
+	impaired := 0
 	for i := range boxes {
 		b := &boxes[i]
-		off := slices.ContainsFunc(b.Ills, func(e limiter.IllMemory) bool { return e.LeftMs > 0 })
-		if off || b.Down || b.Slowness() > slowFactor {
-			ill++
+		ejected := slices.ContainsFunc(b.Ills, func(e limiter.IllMemory) bool { return e.LeftMs > 0 })
+		if ejected || b.Down || b.Slowness() > slowRatio {
+			impaired++
 		}
 	}
-	return len(boxes) == 1 || 2*ill <= len(boxes)
+	return len(boxes) == 1 || 2*impaired <= len(boxes)
 }
 
-// Aged is what is left of a memory that was found, for a configuration with other classes than
-// the one that it was learnt by. What was held of quotas counts of a limiter that is known to
-// have ended, or with the headroom that it kept to until then; and once only. The memory itself is not changed.
+// Aged returns what remains of a saved memory, mapped from the classes from to the classes to.
+// The quota state is used only if the limiter is known to have ended, or if it limited its
+// spending to the saved headroom until then, and no other process has used it. m is not
+// modified.
 func Aged(m *limiter.Memory, found Found, from, to Names) *limiter.Memory {
 	out, age := &limiter.Memory{}, found.Age
 	if m.Handover != nil && found.Down >= 0 && (found.Clean || found.Intact && m.Handover.HeadMs > 0) {
@@ -91,60 +93,60 @@
 		h.DownMs = float64(found.Down) / float64(time.Millisecond)
 		out.Handover = &h
 	}
-	place := make([]int, len(to)) // of each class in the memory
+	oldIndex := make([]int, len(to)) // index in the memory of each class
 	for k, name := range to {
-		place[k] = slices.Index(from, name)
+		oldIndex[k] = slices.Index(from, name)
 	}
-	known := func(k, n int) bool { return place[k] >= 0 && place[k] < n }
-	kept := trust(age, UsualHalf)
+	known := func(k, n int) bool { return oldIndex[k] >= 0 && oldIndex[k] < n }
+	remaining := decayFactor(age, UsualTimeHalfLife)
 	for k := range to {
 		u := limiter.UsualMemory{}
 		if known(k, len(m.Usual)) {
-			if u = m.Usual[place[k]]; min(u.Votes, MostEvidence)*kept < 1 {
+			if u = m.Usual[oldIndex[k]]; min(u.Votes, MaxEvidence)*remaining < 1 {
 				u = limiter.UsualMemory{}
 			}
-			u.Votes = min(u.Votes, MostEvidence) * kept
+			u.Votes = min(u.Votes, MaxEvidence) * remaining
 		}
 		out.Usual = append(out.Usual, u)
 	}
-	kept = trust(age, WorkHalf)
+	remaining = decayFactor(age, WorkHalfLife)
 	for _, p := range m.Pools {
 		x := limiter.PoolMemory{ID: p.ID}
 		for k := range to {
 			w := limiter.WorkMemory{}
 			if known(k, len(p.Work)) {
-				if w = p.Work[place[k]]; min(w.Seen, MostEvidence)*kept < least {
+				if w = p.Work[oldIndex[k]]; min(w.Seen, MaxEvidence)*remaining < minEvidence {
 					w = limiter.WorkMemory{}
 				}
-				w.Seen = min(w.Seen, MostEvidence) * kept
+				w.Seen = min(w.Seen, MaxEvidence) * remaining
 			}
 			x.Work = append(x.Work, w)
 		}
-		if n := min(p.Fit[0], MostEvidence) * kept; n >= least {
+		if n := min(p.Fit[0], MaxEvidence) * remaining; n >= minEvidence {
 			x.Fit = p.Fit
 			x.Fit[0] = n
 		}
-		if n := min(p.Weight, MostEvidence) * kept; n >= least {
+		if n := min(p.Weight, MaxEvidence) * remaining; n >= minEvidence {
 			x.Worth, x.Weight = p.Worth, n
 		}
-		x.Pressure = p.Pressure * trust(age, PressureHalf)
+		x.Pressure = p.Pressure * decayFactor(age, PressureHalfLife)
 		out.Pools = append(out.Pools, x)
 	}
-	kept = trust(age, SpeedHalf)
-	apart := tellsApart(m.Boxes)
+	remaining = decayFactor(age, SpeedHalfLife)
+	distinct := distinguishesBoxes(m.Boxes)
 	for _, b := range m.Boxes {
-		x := limiter.BoxMemory{ID: b.ID, ReadyAt: b.ReadyAt, Down: b.Down && age < DownFor && apart}
-		if b.Had*kept >= least/10 && apart { // a slow box answers little
-			had := min(b.Had*kept, MostAnswers)
-			x.Spent, x.Had = min(b.Spent/b.Had, MostSlow)*had, had
+		x := limiter.BoxMemory{ID: b.ID, ReadyAt: b.ReadyAt, Down: b.Down && age < MaxDownAge && distinct}
+		if b.Had*remaining >= minEvidence/10 && distinct { // a slow box gives few answers
+			had := min(b.Had*remaining, MaxSpeedAnswers)
+			x.Spent, x.Had = min(b.Spent/b.Had, MaxSlowness)*had, had
 		}
-		if b.BackMs > 0 { // it has warmed up meanwhile
+		if b.BackMs > 0 { // it went on warming up meanwhile
 			x.BackMs = b.BackMs + float64(max(0, age))/float64(time.Millisecond)
 		}
 		for k := range to {
 			e := limiter.IllMemory{}
-			if known(k, len(b.Ills)) && age < IllFor && apart {
-				if e = b.Ills[place[k]]; e.LeftMs > 0 { // it was kept off: the next failure is enough
+			if known(k, len(b.Ills)) && age < MaxEjectionAge && distinct {
+				if e = b.Ills[oldIndex[k]]; e.LeftMs > 0 { // it was ejected: one more failure ejects it again
 					e.Failures = max(1, e.Failures)
 				}
 				e.LeftMs = max(0, e.LeftMs-float64(max(0, age))/float64(time.Millisecond))
--- a/reserve/reserve.go
+++ b/reserve/reserve.go
@@ -1,46 +1,46 @@
-// Package reserve decides how far a limiter may spend its part of an account's ceiling before
-// what a successor would begin with after a kill has been written down. It does no input or
-// output and reads no clock.
+// Package reserve limits how far a limiter may spend its share of an account's ceiling before
+// the state that a successor would start from after a kill has been written to disk. It does no
+// I/O and reads no clock.
 //
-// The file always says less than the limiter holds: by the headroom. The limiter in turn never
-// spends below what the file says, so that a successor that begins with that, filled up for the
-// time since, spends nothing a second time. While nothing can be written the file's level rises
-// to the part less the headroom and stays there: bursts become as small as the headroom, and the
-// ceiling's rate still passes.
+// The file always states less than the limiter holds; the difference is the headroom. The
+// limiter in turn never spends below the level in the file, so that a successor that starts
+// from that level, refilled for the time since, spends nothing twice. While writes fail, the
+// level in the file rises to the share less the headroom and stays there: bursts are limited to
+// the headroom, and requests at the rate of the ceiling still pass.
 package reserve
 
-// Line is a level that rises at a rate up to a bound, as a bucket that nobody spends from.
+// Line is a level that rises at a constant rate up to a maximum, like a token bucket without withdrawals.
 type Line struct {
-	Level float64 // units ...
-	At    float64 // ... at this time, in ms
-	Rate  float64 // units a second
+	Level float64 // units
+	At    float64 // the time of Level, in ms
+	Rate  float64 // units per second
 	Most  float64 // units
 }
 
-// On is the level at a time; before At it is the level at At, as with a clock that went back.
+// On returns the level at a time; before At, after a clock was set back, it is the level at At.
 func (l Line) On(now float64) float64 {
 	return min(l.Most, l.Level+max(0, now-l.At)/1000*l.Rate)
 }
 
-// above returns a line that is below neither of two from now on.
-func above(now float64, a, b Line) Line {
+// upperBound returns a line that is at no time from now on below a or b.
+func upperBound(now float64, a, b Line) Line {
 	return Line{max(a.On(now), b.On(now)), now, max(a.Rate, b.Rate), max(a.Most, b.Most)}
 }
 
-// Headroom is the share of a store of so many units, filled at a rate, that may be spent
-// between two writes: what the rate gives within the span, and half of the store at least.
+// Headroom returns how many units of a bucket with capacity most, refilled at rate, may be
+// spent between two writes: the refill within the interval, and at least half of the bucket.
 func Headroom(rate, most, withinMs float64) float64 {
 	return min(most, max(most/2, rate*withinMs/1000))
 }
 
-// Account is what the file says of one account, as far as is known.
+// Account tracks what the file may state about one account.
 type Account struct {
-	written Line   // said by the file for certain ...
-	pending Line   // ... unless this one already does
-	seq     uint64 // of the write that pending is part of
+	written Line   // the file states at least this line
+	pending Line   // a newer line that the file may state already
+	seq     uint64 // sequence number of the write with pending
 }
 
-// Floor is the level that must not be spent below. Kept is the last write that is on the disk.
+// Floor returns the level that must not be spent below. kept is the latest write known to be on disk.
 func (a *Account) Floor(now float64, kept uint64) float64 {
 	if a.seq <= kept {
 		return a.pending.On(now)
@@ -48,16 +48,17 @@
 	return max(a.written.On(now), a.pending.On(now))
 }
 
-// Write notes that a line is being written with a write. Until that is kept both lines may be
-// what the file says, and after one that failed all three.
+// Write records that write seq, which contains next, has started. Until it is on disk, the
+// file may state either line; after a failed write it may state any of the three.
 func (a *Account) Write(now float64, next Line, seq, kept uint64) {
 	if a.seq <= kept {
 		a.written = a.pending
 	} else {
-		a.written = above(now, a.written, a.pending)
+		a.written = upperBound(now, a.written, a.pending)
 	}
 	a.pending, a.seq = next, seq
 }
 
-// Begin is an Account of which the file may say a line already, though it does not name it.
+// Begin returns an Account that the file does not name yet. unnamed is the line that a
+// successor would assume for it.
 func Begin(unnamed Line) *Account { return &Account{written: unnamed, pending: unnamed} }
--- a/route/route.go
+++ b/route/route.go
@@ -1,20 +1,20 @@
-// Package route finds the route that takes a request: the most specific of those whose
-// conditions it meets. It does no input or output, and a [Table] never changes, so that
-// it may be used from many goroutines.
+// Package route selects the route for a request: the most specific one whose conditions the
+// request meets. It does no I/O, and a [Table] never changes, so that it is safe for
+// concurrent use.
 //
-// The order is that of the Kubernetes Gateway API (HTTPRouteRule, "matches"), with
-// accounts and plans put before headers: of two routes the one goes before that has
+// The order follows the Kubernetes Gateway API (HTTPRouteRule, "matches"), with accounts and
+// plans added before headers. Of two routes, the one comes first that has
 //
 //  1. the higher priority,
-//  2. the more exact host: a name, then "*.name" with more labels first, then any,
-//  3. the more exact path: a whole path, then a prefix, the longer first,
-//  4. accounts, where the other has none,
-//  5. plans, where the other has none,
+//  2. the more specific host: an exact name, then "*.name" with more labels, then any host,
+//  3. the more specific path: an exact path, then the longer prefix,
+//  4. accounts, if the other has none,
+//  5. plans, if the other has none,
 //  6. more headers,
-//  7. methods, where the other has none.
+//  7. methods, if the other has none.
 //
-// The place in the file never counts. Two routes that are equal by all of these and can
-// meet in one request are a conflict, which [Conflicts] finds.
+// The position in the file is irrelevant. Two routes that are equal in all of these and can
+// match the same request are a conflict, which [Table.Conflicts] finds.
 package route
 
 import (
@@ -26,21 +26,21 @@
 	"strings"
 )
 
-// Match are the conditions of a route. An empty one is met by every request.
+// Match holds the conditions of a route. An empty Match matches every request.
 type Match struct {
 	Priority int
-	Host     string // "api.example", "*.example" for one label or more before it, or empty
-	Path     string // "/a" that path alone, "/a/" all below it; empty is "/"
+	Host     string // "api.example"; "*.example" for one or more labels before it; empty for any host
+	Path     string // "/a" for exactly that path; "/a/" for all paths below it; empty means "/"
 	Accounts []uint64
 	Plans    []string
-	Headers  []Header // all of them
+	Headers  []Header // all of them must match
 	Methods  []string
 }
 
-// Header is a header that a request must have once, with this value.
+// Header is a header that a request must carry once, with this value.
 type Header struct{ Name, Value string } // Name in the canonical form of net/http
 
-// Request is what of a request the conditions look at.
+// Request holds the properties of a request that conditions are checked against.
 type Request struct {
 	Host    string // with or without a port
 	Path    string // decoded; see Canonical
@@ -50,14 +50,14 @@
 	Header  func(name string) string // nil: no headers
 }
 
-// Canonical returns the decoded path of a request, or an error for one that a box may
-// read as another: with "//", "." or ".." parts, or an encoded "/", "\" or ".". Guards
-// against a request that is routed by one path and served by another.
+// Canonical returns the decoded path of a request, or an error for a path that an upstream
+// server may interpret differently: with "//", "." or ".." segments, or an encoded "/", "\",
+// "." or NUL. This prevents a request from being routed by one path and served by another.
 func Canonical(u *url.URL) (string, error) {
 	raw := strings.ToLower(u.EscapedPath())
-	for _, bad := range []string{"%2f", "%2e", "%5c", "\\", "%00"} {
-		if strings.Contains(raw, bad) {
-			return "", fmt.Errorf("the path has %q", bad)
+	for _, forbidden := range []string{"%2f", "%2e", "%5c", "\\", "%00"} {
+		if strings.Contains(raw, forbidden) {
+			return "", fmt.Errorf("the path has %q", forbidden)
 		}
 	}
 	p := u.Path
@@ -70,13 +70,13 @@
 	return p, nil
 }
 
-// prefix tells whether a path stands for all below it.
-func (m *Match) prefix() bool { return m.Path == "" || strings.HasSuffix(m.Path, "/") }
+// isPrefix reports whether the path condition matches all paths below it.
+func (m *Match) isPrefix() bool { return m.Path == "" || strings.HasSuffix(m.Path, "/") }
 
 func (m *Match) path() string { return cmp.Or(m.Path, "/") }
 
-// hostKind orders hosts: the higher, the more exact.
-func (m *Match) hostKind() int {
+// hostSpecificity ranks the host condition: a higher number is more specific.
+func (m *Match) hostSpecificity() int {
 	switch {
 	case m.Host == "":
 		return 0
@@ -86,27 +86,27 @@
 	return 1 << 20
 }
 
-func given(n int) int { return min(n, 1) }
+func presence(n int) int { return min(n, 1) }
 
-// Compare orders matches: below 0 if m goes before n, 0 if neither does.
+// Compare orders matches by specificity: negative if m comes before n, 0 if they are equal.
 func (m *Match) Compare(n *Match) int {
 	exact := func(m *Match) int {
-		if m.prefix() {
+		if m.isPrefix() {
 			return len(m.path())
 		}
 		return 1 << 30
 	}
-	return cmp.Or(cmp.Compare(n.Priority, m.Priority), cmp.Compare(n.hostKind(), m.hostKind()), cmp.Compare(exact(n), exact(m)),
-		cmp.Compare(given(len(n.Accounts)), given(len(m.Accounts))), cmp.Compare(given(len(n.Plans)), given(len(m.Plans))),
-		cmp.Compare(len(n.Headers), len(m.Headers)), cmp.Compare(given(len(n.Methods)), given(len(m.Methods))))
+	return cmp.Or(cmp.Compare(n.Priority, m.Priority), cmp.Compare(n.hostSpecificity(), m.hostSpecificity()), cmp.Compare(exact(n), exact(m)),
+		cmp.Compare(presence(len(n.Accounts)), presence(len(m.Accounts))), cmp.Compare(presence(len(n.Plans)), presence(len(m.Plans))),
+		cmp.Compare(len(n.Headers), len(m.Headers)), cmp.Compare(presence(len(n.Methods)), presence(len(m.Methods))))
 }
 
-// Takes tells whether a request meets the conditions.
-func (m *Match) Takes(q *Request) bool {
-	return hostTakes(m.Host, bareHost(q.Host)) && pathTakes(m.path(), q.Path) && m.rest(q)
+// Takes reports whether a request meets all conditions.
+func (m *Match) Matches(q *Request) bool {
+	return hostMatches(m.Host, normalizeHost(q.Host)) && pathMatches(m.path(), q.Path) && m.rest(q)
 }
 
-// rest is Takes for all but host and path.
+// rest checks all conditions except host and path.
 func (m *Match) rest(q *Request) bool {
 	if len(m.Accounts) > 0 && !slices.Contains(m.Accounts, q.Account) ||
 		len(m.Plans) > 0 && !slices.Contains(m.Plans, q.Plan) ||
@@ -121,32 +121,32 @@
 	return true
 }
 
-// bareHost is a host in lower case without its port and final dot.
-func bareHost(host string) string {
+// normalizeHost returns a host in lower case without its port and trailing dot.
+func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
 	return strings.TrimSuffix(strings.ToLower(host), ".")
 }
 
-func hostTakes(pattern, host string) bool {
+func hostMatches(pattern, host string) bool {
 	if suffix, wild := strings.CutPrefix(pattern, "*"); wild {
 		return len(host) > len(suffix) && strings.HasSuffix(host, suffix)
 	}
 	return pattern == "" || pattern == host
 }
 
-func pathTakes(pattern, p string) bool {
+func pathMatches(pattern, p string) bool {
 	return pattern == p || strings.HasSuffix(pattern, "/") && strings.HasPrefix(p, pattern)
 }
 
-// Covers tells whether every request that n takes meets m as well.
+// Covers reports whether every request that n matches is also matched by m.
 func (m *Match) Covers(n *Match) bool {
 	if m.Host != n.Host && m.Host != "" && !(strings.HasPrefix(m.Host, "*.") && n.Host != "" &&
-		hostTakes(m.Host, strings.TrimPrefix(n.Host, "*"))) {
+		hostMatches(m.Host, strings.TrimPrefix(n.Host, "*"))) {
 		return false
 	}
-	if !pathTakes(m.path(), n.path()) || !within(n.Accounts, m.Accounts) || !within(n.Plans, m.Plans) || !within(n.Methods, m.Methods) {
+	if !pathMatches(m.path(), n.path()) || !isSubset(n.Accounts, m.Accounts) || !isSubset(n.Plans, m.Plans) || !isSubset(n.Methods, m.Methods) {
 		return false
 	}
 	for _, h := range m.Headers {
@@ -157,41 +157,41 @@
 	return true
 }
 
-// within tells whether a condition holds no more than another; none holds all.
-func within[T comparable](a, b []T) bool {
+// isSubset reports whether every value that a allows is allowed by b. An empty list allows all values.
+func isSubset[T comparable](a, b []T) bool {
 	return len(b) == 0 || len(a) > 0 && !slices.ContainsFunc(a, func(x T) bool { return !slices.Contains(b, x) })
 }
 
-// Overlaps tells whether some request meets both.
+// Overlaps reports whether some request matches both m and n.
 func (m *Match) Overlaps(n *Match) bool {
 	_, ok := m.Both(n)
 	return ok
 }
 
-// Both returns conditions that a request meets if it meets m and n, if there is such a
-// request. The priority is m's.
+// Both returns the conditions of the requests that match both m and n, and whether there can
+// be such a request. The result has the priority of m.
 func (m *Match) Both(n *Match) (Match, bool) {
 	b := Match{Priority: m.Priority}
 	switch {
-	case hostWithin(n.Host, m.Host):
+	case hostIsSubset(n.Host, m.Host):
 		b.Host = n.Host
-	case hostWithin(m.Host, n.Host):
+	case hostIsSubset(m.Host, n.Host):
 		b.Host = m.Host
 	default:
 		return b, false
 	}
 	switch {
-	case pathTakes(m.path(), n.path()):
+	case pathMatches(m.path(), n.path()):
 		b.Path = n.path()
-	case pathTakes(n.path(), m.path()):
+	case pathMatches(n.path(), m.path()):
 		b.Path = m.path()
 	default:
 		return b, false
 	}
 	var ok [3]bool
-	b.Accounts, ok[0] = common(m.Accounts, n.Accounts)
-	b.Plans, ok[1] = common(m.Plans, n.Plans)
-	b.Methods, ok[2] = common(m.Methods, n.Methods)
+	b.Accounts, ok[0] = intersect(m.Accounts, n.Accounts)
+	b.Plans, ok[1] = intersect(m.Plans, n.Plans)
+	b.Methods, ok[2] = intersect(m.Methods, n.Methods)
 	if ok != [3]bool{true, true, true} {
 		return b, false
 	}
@@ -208,12 +208,12 @@
 	return b, true
 }
 
-// hostWithin tells whether all hosts of one pattern are hosts of another.
-func hostWithin(a, b string) bool {
+// hostIsSubset reports whether every host that matches pattern a also matches pattern b.
+func hostIsSubset(a, b string) bool {
 	return b == "" || a == b || strings.HasPrefix(b, "*.") && a != "" && strings.HasSuffix(strings.TrimPrefix(a, "*"), b[1:]) && a != b
 }
 
-func common[T comparable](a, b []T) ([]T, bool) {
+func intersect[T comparable](a, b []T) ([]T, bool) {
 	if len(a) == 0 {
 		return b, true
 	}
@@ -229,7 +229,7 @@
 	return both, len(both) > 0
 }
 
-// Sample returns a request that meets the conditions, and as few others as can be.
+// Sample returns a request that meets the conditions and as few others as possible.
 func (m *Match) Sample() Request {
 	q := Request{Host: m.Host, Path: m.path(), Method: "GET", Account: 1<<33 - 1}
 	if suffix, wild := strings.CutPrefix(m.Host, "*"); wild {
@@ -237,7 +237,7 @@
 	} else if q.Host == "" {
 		q.Host = "any.invalid"
 	}
-	if m.prefix() {
+	if m.isPrefix() {
 		q.Path += "any"
 	}
 	if len(m.Methods) > 0 {
@@ -261,7 +261,7 @@
 	return q
 }
 
-// String tells a match as operators read it.
+// String returns the conditions in the form shown to operators.
 func (m *Match) String() string {
 	var b strings.Builder
 	if len(m.Methods) > 0 {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -130,7 +130,7 @@
 				t.Fatalf("seed %d: found %d, want %v", seed, got, want)
 			}
 			for _, i := range want {
-				if !matches[i].Takes(&q) {
+				if !matches[i].Matches(&q) {
 					t.Fatalf("seed %d: %v does not take what it takes", seed, matches[i])
 				}
 			}
--- a/route/table.go
+++ b/route/table.go
@@ -5,43 +5,44 @@
 	"strings"
 )
 
-// Table finds routes. Its cost grows with the parts of a request's host and path and
-// with the routes that differ in headers or methods alone, not with all of them.
+// Table finds the routes of a request. The cost of a lookup grows with the number of labels
+// and segments in the host and path, and with the number of routes that differ only in
+// headers or methods, but not with the total number of routes.
 type Table struct {
-	levels []level // by falling priority
+	levels []level // in descending priority
 	size   int
 }
 
-// level are the routes of one priority.
+// level holds the routes of one priority.
 type level struct {
-	priority int
-	hosts    map[string]*hostTable // by pattern
-	wild     bool                  // some pattern begins with "*."
+	priority    int
+	hosts       map[string]*hostTable // by host condition
+	hasWildcard bool                  // some host condition begins with "*."
 }
 
-type hostTable struct{ paths map[string]*leaf } // by pattern
+type hostTable struct{ paths map[string]*leaf } // by path condition
 
-// leaf are the routes of one host and path.
+// leaf holds the routes of one host and path.
 type leaf struct {
 	accounts map[uint64][]entry
-	plans    map[string][]entry // of those without accounts
-	headers  []headerTable      // of those without either
-	rest     []entry            // and without headers
+	plans    map[string][]entry // of routes without accounts
+	headers  []headerTable      // of routes without accounts and plans
+	rest     []entry            // of routes without accounts, plans and headers
 }
 
-// headerTable are routes by the value of one of their headers.
+// headerTable indexes routes by the value of their first header.
 type headerTable struct {
 	name   string
 	values map[string][]entry
 }
 
-// entry is a route in a list in order.
+// entry is a route in a list sorted by Match.Compare.
 type entry struct {
 	match *Match
 	index int
 }
 
-// New returns a table of routes, named by their index.
+// New returns a table of the routes. Lookups return positions in matches.
 func New(matches []Match) *Table {
 	t := &Table{size: len(matches)}
 	order := make([]int, len(matches))
@@ -65,7 +66,7 @@
 		h = &hostTable{paths: map[string]*leaf{}}
 		l.hosts[m.Host] = h
 	}
-	l.wild = l.wild || strings.HasPrefix(m.Host, "*.")
+	l.hasWildcard = l.hasWildcard || strings.HasPrefix(m.Host, "*.")
 	f := h.paths[m.path()]
 	if f == nil {
 		f = &leaf{}
@@ -100,7 +101,7 @@
 	}
 }
 
-// Find returns the index of the route that takes a request, or -1.
+// Find returns the index of the most specific route for a request, or -1.
 func (t *Table) Find(q *Request) int {
 	found := -1
 	t.each(q, func(index int) bool {
@@ -110,8 +111,7 @@
 	return found
 }
 
-// All returns the indices of all routes whose conditions a request meets, the one that
-// takes it first.
+// All returns the indices of all routes that match a request, the most specific one first.
 func (t *Table) All(q *Request) []int {
 	var all []int
 	t.each(q, func(index int) bool {
@@ -121,22 +121,22 @@
 	return all
 }
 
-// each calls f with the routes that meet a request, in order, until it returns false.
+// each calls f for the routes that match a request, in order, until f returns false.
 func (t *Table) each(q *Request, f func(index int) bool) {
-	host := bareHost(q.Host)
+	host := normalizeHost(q.Host)
 	for i := range t.levels {
 		l := &t.levels[i]
 		if h := l.hosts[host]; h != nil && host != "" && !h.each(q, f) {
 			return
 		}
-		if l.wild {
+		if l.hasWildcard {
 			for rest := host; ; {
 				_, after, ok := strings.Cut(rest, ".")
 				if !ok {
 					break
 				}
-				// The map is asked for "*."+after: no request makes a string of it.
-				if h := l.wildHost(after); h != nil && !h.each(q, f) {
+				// wildcardHost looks up "*."+after without allocating a string for each request.
+				if h := l.wildcardHost(after); h != nil && !h.each(q, f) {
 					return
 				}
 				rest = after
@@ -148,7 +148,7 @@
 	}
 }
 
-func (l *level) wildHost(suffix string) *hostTable {
+func (l *level) wildcardHost(suffix string) *hostTable {
 	var buf [256]byte
 	if len(suffix)+2 > len(buf) {
 		return nil
@@ -174,50 +174,50 @@
 }
 
 func (l *leaf) each(q *Request, f func(index int) bool) bool {
-	try := func(list []entry) bool {
-		for _, e := range list {
+	visit := func(entries []entry) bool {
+		for _, e := range entries {
 			if e.match.rest(q) && !f(e.index) {
 				return false
 			}
 		}
 		return true
 	}
-	if l.accounts != nil && !try(l.accounts[q.Account]) || l.plans != nil && !try(l.plans[q.Plan]) {
+	if l.accounts != nil && !visit(l.accounts[q.Account]) || l.plans != nil && !visit(l.plans[q.Plan]) {
 		return false
 	}
 	if len(l.headers) > 0 && q.Header != nil {
-		var all []entry
+		var candidates []entry
 		for i := range l.headers {
 			h := &l.headers[i]
 			if v := q.Header(h.name); v != "" {
-				if list := h.values[v]; all == nil {
-					all = list[:len(list):len(list)]
+				if entries := h.values[v]; candidates == nil {
+					candidates = entries[:len(entries):len(entries)]
 				} else {
-					all = append(all, list...)
+					candidates = append(candidates, entries...)
 				}
 			}
 		}
 		if len(l.headers) > 1 {
-			all = slices.Clone(all)
-			slices.SortStableFunc(all, func(a, b entry) int { return a.match.Compare(b.match) })
+			candidates = slices.Clone(candidates)
+			slices.SortStableFunc(candidates, func(a, b entry) int { return a.match.Compare(b.match) })
 		}
-		if !try(all) {
+		if !visit(candidates) {
 			return false
 		}
 	}
-	return try(l.rest)
+	return visit(l.rest)
 }
 
-// Conflict is about two routes by their indices.
+// Conflict describes a problem between two routes, given by their indices.
 type Conflict struct {
 	Route, Other int
-	Hidden       bool // Other goes before and takes all that Route could; else neither goes before
+	Hidden       bool // Other comes first and matches all that Route matches; if false, the two are equally specific
 }
 
-// Conflicts returns what is wrong with routes taken together, in their order: routes
-// that one other hides, and routes that are as exact as one before them in the slice and
-// meet it in some request, each with one such. A route that only several others together
-// hide is not found.
+// Conflicts returns the problems among the routes, sorted by index: routes that one other
+// route hides, and routes as specific as an earlier one in matches that some request also
+// matches. Each route is reported with one such other route. A route hidden only by several
+// others together is not detected.
 func (t *Table) Conflicts(matches []Match) []Conflict {
 	var found []Conflict
 	for i := range matches {
@@ -236,7 +236,7 @@
 	for i := range t.levels {
 		for _, h := range t.levels[i].hosts {
 			for _, l := range h.paths {
-				found = l.ties(found)
+				found = l.appendTies(found)
 			}
 		}
 	}
@@ -249,16 +249,16 @@
 	return slices.CompactFunc(found, func(a, b Conflict) bool { return a.Route == b.Route && a.Hidden == b.Hidden })
 }
 
-// ties adds routes that are equally exact as one before them, which they meet in some
-// request. Routes that can meet stand in a common list.
-func (l *leaf) ties(found []Conflict) []Conflict {
-	pairs := func(list []entry) {
-		from := 0 // of the routes that are equally exact: the list is in order
+// appendTies appends a conflict for each route that is as specific as an earlier one and
+// overlaps it. Overlapping routes are always in a common list.
+func (l *leaf) appendTies(found []Conflict) []Conflict {
+	findTies := func(list []entry) {
+		runStart := 0 // start of the run of equally specific routes: the list is sorted
 		for i, b := range list {
-			if b.match.Compare(list[from].match) != 0 {
-				from = i
+			if b.match.Compare(list[runStart].match) != 0 {
+				runStart = i
 			}
-			for _, a := range list[from:i] {
+			for _, a := range list[runStart:i] {
 				if a.match.Overlaps(b.match) {
 					found = append(found, Conflict{Route: b.index, Other: a.index})
 					break
@@ -267,24 +267,24 @@
 		}
 	}
 	for _, list := range l.accounts {
-		pairs(list)
+		findTies(list)
 	}
 	for _, list := range l.plans {
-		pairs(list)
+		findTies(list)
 	}
-	var mixed []entry // routes that begin with different headers may meet
+	var mixed []entry // routes indexed by different headers may overlap
 	for _, h := range l.headers {
 		for _, list := range h.values {
 			if len(l.headers) == 1 {
-				pairs(list)
+				findTies(list)
 			}
 			mixed = append(mixed, list...)
 		}
 	}
 	if len(l.headers) > 1 {
 		slices.SortStableFunc(mixed, func(a, b entry) int { return a.match.Compare(b.match) })
-		pairs(mixed)
+		findTies(mixed)
 	}
-	pairs(l.rest)
+	findTies(l.rest)
 	return found
 }
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,11 +1,12 @@
-// Package routing holds, for one limiter and one pool, which tier of preference a
-// request may go to: the first that can take it, with a stated share that may spill to
-// the next one, and a gradual way back for a tier that was lost. It does no input or
-// output and reads no clock: times are handed in, in milliseconds on any clock that does
-// not go backwards. It is not safe for concurrent use.
+// Package routing decides, for one limiter and one pool, which preference tier a request
+// may use: the first one that can take it. A configured share of a tier's requests may
+// spill over to the next tier, and a tier that was lost gets its traffic back gradually. The
+// package does no I/O and reads no clock: callers pass times in milliseconds on any
+// monotonic clock. It is not safe for concurrent use.
 //
-// Limiters need not agree. What each gives to a tier on its way back is a share of what
-// comes to it, so that the sum over any number of them is the same share of all.
+// Limiters do not have to coordinate. Each one gives a returning tier a share of its own
+// requests, so that the total over any number of limiters is the same share of all
+// requests.
 package routing
 
 import (
@@ -14,203 +15,204 @@
 )
 
 const (
-	// spillMs is the time over which the share that spills is averaged.
-	spillMs = 5000.0
-	// boundFrom is the least share of a tier's boxes that can be used for which the
-	// bound on spill holds; of a tier with fewer left, all that it can't take goes on.
-	boundFrom = 0.5
-
-	// A tier that comes back is given firstShare of the requests, and twice as much after
-	// each stepMs in which stepProofs answers came, none failed and hardly any request
-	// found it full; a failure, or that most did, halves it. One that fails, or is slow,
-	// though its boxes are there begins with illShare.
-	firstShare = 0.05
-	illShare   = 0.01
-	stepMs     = 500.0
-	stepProofs = 3
-	fullStays  = 0.1 // share of requests that find it full for which it stays where it is
-	fullHalves = 0.5 // and for which it gives back half
-	// However little comes, one request each probeMs goes to a tier on its way back.
-	probeMs = 1000.0
-	// Requests that can't be repeated keep off a tier on its way back until so many good
-	// answers in a row came from it.
-	provenRun = 12
-
-	// A tier's answers are judged over judgeMs: it is failing after illRun failures in a
-	// row, or when illPart of at least judgeLeast answers failed, and slow when
-	// its latest slowLeast answers or so took slowIll times as long as those of the best
-	// other tier.
-	judgeMs    = 2000.0
-	judgeLeast = 20.0
-	illRun     = 8
-	illPart    = 0.5
-	slowIll    = 4.0
-	slowWell   = 2.0 // and it must come below this to be given more again
-	slowLeast  = 12
-	slowMost   = 8.0 // as which a longer answer counts: one alone says little
-
-	// Each loss counts as one, and half as much after each flapMs. One that falls in with
-	// others holds the tier at its first share for holdFirst, twice as long for each
-	// further one, holdMost at most.
-	flapMs    = 60_000.0
-	holdFirst = 2000.0
-	holdMost  = 30_000.0
-
-	// The answers a second that a box gives in service are averaged over usualMs.
-	usualMs = 30_000.0
-	// While no tier is well another one takes over only when it promises so many times as
-	// much.
-	soleSwitch = 2.0
+	// spillAveragingMs is the time constant of the decaying counts behind the spill share.
+	spillAveragingMs = 5000.0
+	// minUsableForSpillBound is the share of a tier's boxes that must be usable for the
+	// spill limit to apply. With fewer, all requests that the tier cannot take may spill.
+	minUsableForSpillBound = 0.5
+
+	// A returning tier starts with initialShare of the requests. The share doubles after
+	// each rampStepMs in which at least rampStepSuccesses answers arrived, none failed and
+	// hardly any request found the tier full. It halves on a failure, or when most requests
+	// found the tier full. A tier that was failing or slow while it had usable boxes starts
+	// with unhealthyInitialShare.
+	initialShare          = 0.05
+	unhealthyInitialShare = 0.01
+	rampStepMs            = 500.0
+	rampStepSuccesses     = 3
+	maxFullRatioToGrow    = 0.1 // highest share of requests finding it full at which the tier still grows
+	minFullRatioToHalve   = 0.5 // share of requests finding it full above which its share halves
+	// A returning tier gets at least one request per probeIntervalMs, however low the traffic.
+	probeIntervalMs = 1000.0
+	// Requests that must not be repeated avoid a returning tier until it has given this
+	// many successful answers in a row.
+	provenSuccesses = 12
+
+	// Answers are weighed over healthWindowMs. A tier is failing after failingRun failures
+	// in a row, or when failingRatio of at least minHealthAnswers answers failed. It is slow
+	// when its last minSlownessAnswers answers or so took slowRatio times as long as those
+	// of the fastest other tier.
+	healthWindowMs     = 2000.0
+	minHealthAnswers   = 20.0
+	failingRun         = 8
+	failingRatio       = 0.5
+	slowRatio          = 4.0
+	slowRecoveryRatio  = 2.0 // slowness below which a slow tier may return
+	minSlownessAnswers = 12
+	maxSlowness        = 8.0 // cap on the slowness of one answer, so that a single outlier proves little
+
+	// Each loss of a tier counts as one and decays by half per lossDecayMs. A tier that is
+	// lost repeatedly stays at its initial share for initialHoldMs, doubled for each further
+	// loss up to maxHoldMs.
+	lossDecayMs   = 60_000.0
+	initialHoldMs = 2000.0
+	maxHoldMs     = 30_000.0
+
+	// rateAveragingMs is the averaging window of the answer rate per box in normal service.
+	rateAveragingMs = 30_000.0
+	// While no tier is healthy, another tier replaces the sole one only if its expected
+	// capacity is this many times as high.
+	soleSwitchRatio = 2.0
 )
 
-// Phase is how a tier stands.
+// Phase is the health of a tier, from fully usable to without usable boxes.
 type Phase int
 
-// The phases of a tier.
+// The phases of a tier. Those from Failing on mean that the tier takes no regular traffic.
 const (
 	Well      Phase = iota
-	Returning       // it is given its share back in steps
-	Held            // it returns, and waits because it was lost often
-	Failing         // its boxes are there, and most answers are failures
+	Returning       // its share grows in steps
+	Held            // it returns, but waits because it was lost repeatedly
+	Failing         // it has usable boxes, but most answers are failures
 	Slow            // its answers take far longer than those of another tier
-	Lost            // none of its boxes can be used
+	Lost            // none of its boxes is usable
 )
 
 var phaseNames = [...]string{"well", "returning", "held down", "failing", "slow", "lost"}
 
 func (p Phase) String() string { return phaseNames[p] }
 
-// Tiers are those of a pool, the most preferred first.
+// Tiers is the state of a pool's tiers, the most preferred one first.
 type Tiers struct {
 	tiers []tier
-	sole  int // the tier that takes all it can while none is well; -1: not so
-	// Answers a millisecond and box of all tiers in service, averaged over usualMs.
-	usual mean
-	order []int // of Order
-	first int   // the tier that Order put before those it comes after by rank; -1: none
+	sole  int // the tier that takes all it can while none is healthy; -1: some tier is healthy
+	// Answers per millisecond and box over all tiers, while all of them are in normal service.
+	serviceRate movingMean
+	order       []int // result buffer of Order
+	preferred   int   // the tier that Order moved ahead of its rank; -1: none
 }
 
 type tier struct {
-	spill  float64 // share that may leave it while boundFrom of its boxes are usable
-	seen   bool
-	boxes  int // listed
-	usable int
-	cold   int
-	size   float64 // the boxes that it has in service
-	sizeAt float64
-	phase  Phase
-	share  float64 // of the requests that it may take; 1 but on its way back
-
-	stepAt  float64
-	proofs  int     // good answers in this step ...
-	entered float64 // ... requests that came ...
-	full    float64 // ... and those of them that it had no room for
-	triedAt float64
-	heldTo  float64
-	losses  float64 // decayed
-	lostAt  float64
-
-	asked, leaves float64 // decayed counts: requests that came to it, and that left it
-	countedAt     float64
-	good, bad     float64 // decayed counts of answers
-	took          float64 // mean time of the latest answers against the typical
-	had           int     // answers in it
-	judgedAt      float64
-	run, goods    int  // failures in a row, and good ones
-	usual         mean // answers a millisecond and box in service
+	spill         float64 // share that may leave it while minUsableForSpillBound of its boxes are usable
+	observed      bool
+	boxes         int // listed by discovery
+	usable        int
+	warmingUp     int
+	size          float64 // decaying maximum of the listed boxes
+	sizeUpdatedAt float64
+	phase         Phase
+	share         float64 // of the requests that it may take; below 1 only while it is not healthy
+
+	stepStart   float64
+	stepGood    int     // successful answers in this step
+	admitted    float64 // requests admitted in this step
+	full        float64 // those of them that it had no room for
+	lastTriedAt float64
+	heldUntil   float64
+	losses      float64 // decayed count
+	lostAt      float64
+
+	requests, spilled                         float64 // decayed counts: requests admitted, and requests that spilled
+	requestsUpdatedAt                         float64
+	good, bad                                 float64 // decayed counts of answers
+	slowness                                  float64 // mean duration of recent answers relative to the typical one
+	slownessAnswers                           int     // answers included in slowness
+	answersUpdatedAt                          float64
+	consecutiveFailures, consecutiveSuccesses int        // current runs of failures and of successes
+	serviceRate                               movingMean // answers per millisecond and box in normal service
 }
 
-// New returns tiers, of each of which the given share of requests may spill to the next
-// one; none is known to be lost.
+// New returns the state of one tier per element of spill, each element being the share
+// of requests that may spill from that tier to the next one. No tier starts as lost.
 func New(spill []float64) *Tiers {
-	t := &Tiers{sole: -1, first: -1}
+	t := &Tiers{sole: -1, preferred: -1}
 	for _, s := range spill {
 		t.tiers = append(t.tiers, tier{spill: s, share: 1})
 	}
 	return t
 }
 
-// Spill sets the shares that may spill; what is known of the tiers stays.
+// Spill sets the spill share of each tier and keeps everything observed about the tiers.
 func (t *Tiers) Spill(spill []float64) {
 	for k := range t.tiers {
 		t.tiers[k].spill = spill[k]
 	}
 }
 
-// Len is the number of tiers.
+// Len returns the number of tiers.
 func (t *Tiers) Len() int { return len(t.tiers) }
 
-// See tells how many boxes of a tier are listed and can be used now, and how many of
-// these are still warming up. It is to be called for each tier every 50 ms or so, and
-// Step after that.
-func (t *Tiers) See(now float64, k, boxes, usable, cold int) {
+// See records how many boxes of tier k are listed, how many of them are usable now, and
+// how many of the usable ones are still warming up. Call it for each tier about every 50 ms,
+// followed by Step.
+func (t *Tiers) See(now float64, k, boxes, usable, warmingUp int) {
 	x := &t.tiers[k]
-	x.seen, x.boxes, x.usable, x.cold = true, boxes, usable, cold
-	x.judge(now)
-	// Boxes that discovery no longer lists are missed for a while: that they are off the
-	// list does not make a room that has lost them whole.
-	x.size = max(float64(boxes), x.size*math.Exp((x.sizeAt-now)/flapMs))
-	if x.sizeAt = now; x.phase == Well && usable > 0 && cold == 0 {
-		x.usual.add(now, x.good/judgeMs/float64(usable))
-	}
-	x.usual.at = now
+	x.observed, x.boxes, x.usable, x.warmingUp = true, boxes, usable, warmingUp
+	x.decayAnswers(now)
+	// Boxes that discovery no longer lists still count for a while: a tier that lost boxes
+	// must not look complete because they were removed from the list.
+	x.size = max(float64(boxes), x.size*math.Exp((x.sizeUpdatedAt-now)/lossDecayMs))
+	if x.sizeUpdatedAt = now; x.phase == Well && usable > 0 && warmingUp == 0 {
+		x.serviceRate.add(now, x.good/healthWindowMs/float64(usable))
+	}
+	x.serviceRate.updatedAt = now
 }
 
-// learn averages what all tiers give while none is lost or cold.
-func (t *Tiers) learn(now float64) {
-	good, boxes, whole := 0.0, 0, true
+// updateServiceRate averages the pool-wide answer rate while no tier is lost or warming up.
+func (t *Tiers) updateServiceRate(now float64) {
+	good, boxes, allHealthy := 0.0, 0, true
 	for k := range t.tiers {
 		x := &t.tiers[k]
-		good, boxes, whole = good+x.good, boxes+x.usable, whole && x.phase == Well && x.cold == 0
+		good, boxes, allHealthy = good+x.good, boxes+x.usable, allHealthy && x.phase == Well && x.warmingUp == 0
 	}
-	if whole && boxes > 0 {
-		t.usual.add(now, good/judgeMs/float64(boxes))
+	if allHealthy && boxes > 0 {
+		t.serviceRate.add(now, good/healthWindowMs/float64(boxes))
 	}
-	t.usual.at = now
+	t.serviceRate.updatedAt = now
 }
 
-// mean is a mean over the latest usualMs, or over all there is if that is less.
-type mean struct{ value, over, at float64 }
+// movingMean averages over the last rateAveragingMs, or over the time observed if that is shorter.
+type movingMean struct{ value, windowMs, updatedAt float64 }
 
-// add takes in a value that held since the time that is set in the mean.
-func (m *mean) add(now, value float64) {
-	if m.at > 0 {
-		m.over = min(usualMs, m.over+now-m.at)
-		m.value += (value - m.value) * min(1, (now-m.at)/max(1, m.over))
+// add includes a value that was valid from updatedAt until now.
+func (m *movingMean) add(now, value float64) {
+	if m.updatedAt > 0 {
+		m.windowMs = min(rateAveragingMs, m.windowMs+now-m.updatedAt)
+		m.value += (value - m.value) * min(1, (now-m.updatedAt)/max(1, m.windowMs))
 	}
 }
 
-// Step moves the tiers on by what was seen and told, and returns those for which
-// something changed. A tier that has no box left is lost, one that has some again begins
-// its way back.
+// Step updates the phase and share of each tier from the recorded boxes and answers, and
+// returns the tiers that changed. A tier without usable boxes becomes lost; once it has
+// some again, it starts to return.
 func (t *Tiers) Step(now float64) (changed []int) {
-	t.learn(now)
+	t.updateServiceRate(now)
 	for k := range t.tiers {
 		x := &t.tiers[k]
 		phase, share := x.phase, x.share
-		slow, than := x.took, t.quickest(k)
+		slow, fastest := x.slowness, t.fastestOther(k)
 		switch {
 		case x.usable == 0:
 			if x.size > 0 && x.phase != Lost {
-				x.lose(now, Lost, 0)
+				x.degrade(now, Lost, 0)
 			}
 		case x.phase == Lost:
-			x.back(now, firstShare)
-		case x.run >= illRun || x.good+x.bad >= judgeLeast && x.bad > illPart*(x.good+x.bad):
+			x.beginReturn(now, initialShare)
+		case x.consecutiveFailures >= failingRun || x.good+x.bad >= minHealthAnswers && x.bad > failingRatio*(x.good+x.bad):
 			if x.phase != Failing {
-				x.lose(now, Failing, illShare)
-				x.heldTo = now + x.hold()
+				x.degrade(now, Failing, unhealthyInitialShare)
+				x.heldUntil = now + x.holdMs()
 			}
-			x.run = 0
-		case slow > slowIll*than && x.had >= slowLeast:
+			x.consecutiveFailures = 0
+		case slow > slowRatio*fastest && x.slownessAnswers >= minSlownessAnswers:
 			if x.phase != Slow {
-				x.lose(now, Slow, illShare)
-				x.heldTo = now + x.hold()
+				x.degrade(now, Slow, unhealthyInitialShare)
+				x.heldUntil = now + x.holdMs()
 			}
-		case k == t.sole && x.phase >= Failing: // it has all, and does well
+		case k == t.sole && x.phase >= Failing: // it takes all requests, and answers well
 			x.phase, x.share = Well, 1
-		case x.phase != Well && slow <= slowWell*than:
-			x.climb(now)
+		case x.phase != Well && slow <= slowRecoveryRatio*fastest:
+			x.adjustShare(now)
 		}
 		if x.phase != phase || x.share != share {
 			changed = append(changed, k)
@@ -225,122 +227,122 @@
 	return changed
 }
 
-// lose takes a tier's share away.
-func (x *tier) lose(now float64, to Phase, share float64) {
-	if x.phase < Failing { // else it is the same trouble
-		x.losses = x.losses*math.Exp2((x.lostAt-now)/flapMs) + 1
+// degrade moves a tier to a phase from Failing on, with the given share of the requests.
+func (x *tier) degrade(now float64, to Phase, share float64) {
+	if x.phase < Failing { // otherwise the tier has not recovered since the last loss
+		x.losses = x.losses*math.Exp2((x.lostAt-now)/lossDecayMs) + 1
 	}
 	x.phase, x.share, x.lostAt = to, share, now
-	x.restart(now)
+	x.restartStep(now)
 }
 
-// back begins the way back of a tier that was lost. What it answered before says
-// nothing of it.
-func (x *tier) back(now, share float64) {
+// beginReturn gives a lost tier its first share. Answers from before the loss are
+// discarded, as they say nothing about its state now.
+func (x *tier) beginReturn(now, share float64) {
 	x.phase, x.share = Returning, share
-	x.good, x.bad, x.took, x.had, x.run, x.goods = 0, 0, 0, 0, 0, 0
-	if x.heldTo = now + x.hold(); x.heldTo > now {
+	x.good, x.bad, x.slowness, x.slownessAnswers, x.consecutiveFailures, x.consecutiveSuccesses = 0, 0, 0, 0, 0, 0
+	if x.heldUntil = now + x.holdMs(); x.heldUntil > now {
 		x.phase = Held
 	}
-	x.restart(now)
+	x.restartStep(now)
 }
 
-// hold is how long a tier is held at its first share, by how often it was lost of late.
-func (x *tier) hold() float64 {
+// holdMs returns how long a tier stays at its initial share, given its recent losses.
+func (x *tier) holdMs() float64 {
 	if x.losses < 1.5 {
 		return 0
 	}
-	return min(holdMost, holdFirst*math.Exp2(x.losses-2))
+	return min(maxHoldMs, initialHoldMs*math.Exp2(x.losses-2))
 }
 
-func (x *tier) restart(now float64) { x.stepAt, x.proofs, x.entered, x.full = now, 0, 0, 0 }
+func (x *tier) restartStep(now float64) { x.stepStart, x.stepGood, x.admitted, x.full = now, 0, 0, 0 }
 
-// proven tells that a tier may be given what can't be repeated.
-func (x *tier) proven() bool { return x.phase == Well || x.goods >= provenRun }
+// proven reports whether a tier may receive requests that must not be repeated.
+func (x *tier) proven() bool { return x.phase == Well || x.consecutiveSuccesses >= provenSuccesses }
 
-// climb gives a tier on its way back a greater share, or takes some of it away.
-func (x *tier) climb(now float64) {
-	if now < x.heldTo {
+// adjustShare raises or lowers a returning tier's share at the end of a step.
+func (x *tier) adjustShare(now float64) {
+	if now < x.heldUntil {
 		return
 	}
 	if x.phase == Held {
 		x.phase = Returning
 	}
-	if now-x.stepAt < stepMs {
+	if now-x.stepStart < rampStepMs {
 		return
 	}
 	switch {
-	case x.full > fullHalves*x.entered:
-		x.share = max(min(firstShare, x.share), x.share/2)
-	case x.proofs < stepProofs:
-		return // it takes longer
-	case x.full <= fullStays*x.entered:
-		x.phase, x.share = Returning, min(1, max(firstShare, 2*x.share))
-	}
-	if x.restart(now); x.share >= 1 {
+	case x.full > minFullRatioToHalve*x.admitted:
+		x.share = max(min(initialShare, x.share), x.share/2)
+	case x.stepGood < rampStepSuccesses:
+		return // the step goes on
+	case x.full <= maxFullRatioToGrow*x.admitted:
+		x.phase, x.share = Returning, min(1, max(initialShare, 2*x.share))
+	}
+	if x.restartStep(now); x.share >= 1 {
 		x.phase = Well
 	}
 }
 
-// quickest is the least mean time that the answers of the other tiers in service take,
-// against the typical one; 1 where none has answered enough.
-func (t *Tiers) quickest(k int) float64 {
-	least := math.Inf(1)
+// fastestOther returns the lowest mean slowness among the other healthy tiers, or 1 if none
+// has given enough answers.
+func (t *Tiers) fastestOther(k int) float64 {
+	fastest := math.Inf(1)
 	for i := range t.tiers {
-		if x := &t.tiers[i]; i != k && x.phase == Well && x.had >= slowLeast {
-			least = min(least, x.took)
+		if x := &t.tiers[i]; i != k && x.phase == Well && x.slownessAnswers >= minSlownessAnswers {
+			fastest = min(fastest, x.slowness)
 		}
 	}
-	if math.IsInf(least, 1) {
+	if math.IsInf(fastest, 1) {
 		return 1
 	}
-	return least
+	return fastest
 }
 
-// chooseSole finds the tier that takes all it can while none is well: the one that
-// promises most, and the same one until another promises far more. It tells whether
-// that is another one than before.
-func (t *Tiers) chooseSole() (change bool) {
-	best, was := -1, t.sole
+// chooseSole selects the tier that takes all requests it can while none is healthy: the
+// one with the highest expected capacity. The previous choice stays until another tier's
+// capacity is soleSwitchRatio times as high. It reports whether the choice changed.
+func (t *Tiers) chooseSole() (changed bool) {
+	candidate, previous := -1, t.sole
 	for k := range t.tiers {
 		x := &t.tiers[k]
 		if x.phase == Well && x.usable > 0 {
 			t.sole = -1
-			return was >= 0
+			return previous >= 0
 		}
-		if x.usable > 0 && (best < 0 || x.promise() > soleSwitch*t.tiers[best].promise()) {
-			best = k
+		if x.usable > 0 && (candidate < 0 || x.expectedCapacity() > soleSwitchRatio*t.tiers[candidate].expectedCapacity()) {
+			candidate = k
 		}
 	}
-	if was >= 0 && t.tiers[was].usable > 0 && t.tiers[best].promise() <= soleSwitch*t.tiers[was].promise() {
-		best = was
+	if previous >= 0 && t.tiers[previous].usable > 0 && t.tiers[candidate].expectedCapacity() <= soleSwitchRatio*t.tiers[previous].expectedCapacity() {
+		candidate = previous
 	}
-	t.sole = best
-	return best != was
+	t.sole = candidate
+	return candidate != previous
 }
 
-// panics tells that each tier is lost, failing or slow.
-func (t *Tiers) panics() bool { return t.sole >= 0 && t.tiers[t.sole].phase >= Failing }
+// inPanic reports whether every tier is lost, failing or slow.
+func (t *Tiers) inPanic() bool { return t.sole >= 0 && t.tiers[t.sole].phase >= Failing }
 
-// promise is what a tier may be hoped to do, against one that is well.
-func (x *tier) promise() float64 {
+// expectedCapacity estimates what a tier can serve relative to a healthy one.
+func (x *tier) expectedCapacity() float64 {
 	return float64(x.usable) / max(1, x.size) * (x.good + 1) / (x.good + x.bad + 2)
 }
 
-// Order is the order in which a request is to be tried at the tiers: by rank, but one that
-// is preferred, by its place from 1, goes first if it is well, and those to be avoided, a
-// bit each, come last. Whoever gives advice moves requests beside the bound on spill by it:
-// a preferred tier that has no room keeps nothing back. Everything else holds as without
-// advice. The result is valid until the next call.
+// Order returns the order in which to try the tiers for a request: by rank, except that a
+// preferred tier (numbered from 1) goes first if it is healthy, and tiers in the avoid bit
+// mask go last. Such advice moves requests outside the spill limit: a preferred tier
+// without room passes all of them on. All other rules apply as without advice. The result
+// is valid until the next call.
 func (t *Tiers) Order(prefer int, avoid uint32) []int {
-	t.order, t.first = t.order[:0], -1
+	t.order, t.preferred = t.order[:0], -1
 	if k := prefer - 1; k > 0 && k < len(t.tiers) && t.tiers[k].phase == Well && avoid&(1<<k) == 0 {
-		t.first = k
+		t.preferred = k
 		t.order = append(t.order, k)
 	}
-	for _, last := range [2]bool{false, true} {
+	for _, avoided := range [2]bool{false, true} {
 		for k := range t.tiers {
-			if k != t.first && avoid&(1<<k) != 0 == last {
+			if k != t.preferred && avoid&(1<<k) != 0 == avoided {
 				t.order = append(t.order, k)
 			}
 		}
@@ -351,134 +353,131 @@
 	return t.order
 }
 
-// Enter tells whether a request may be tried at a tier; u is a random number from 0 to
-// 1. What a tier on its way back does not take goes on to the next one, and is no spill.
-// Once is set for requests that can't be repeated: they do not go where others are to
-// find out.
+// Enter reports whether a request may be tried at tier k; u is a random number from 0 to
+// 1. What a returning tier does not take goes on to the next tier and does not count as
+// spill. Set once for requests that must not be repeated: they are not used as probes.
 func (t *Tiers) Enter(now float64, k int, u float64, once bool) bool {
 	x := &t.tiers[k]
 	switch {
-	case x.seen && x.usable == 0:
+	case x.observed && x.usable == 0:
 		return false
 	case k == t.sole:
 	case u < x.share && (x.proven() || !once):
-	case x.share > 0 && now-x.triedAt >= probeMs:
+	case x.share > 0 && now-x.lastTriedAt >= probeIntervalMs:
 	default:
 		return false
 	}
-	x.triedAt = now
-	x.fade(now)
-	x.asked++
-	x.entered++
+	x.lastTriedAt = now
+	x.decayRequests(now)
+	x.requests++
+	x.admitted++
 	return true
 }
 
-// Leave tells whether a request that a tier can't take, although it has usable boxes,
-// may spill to the next one; worth is what it is worth for its work against the mean.
-// What may not is to be refused: with the share that may leave nearly used up, what is
-// worth less than the mean is kept back first.
+// Leave reports whether a request may spill to the next tier when tier k has usable boxes
+// but no room. worth is the request's value per unit of work relative to the mean. A request
+// that may not spill has to be refused. When the spill share is nearly used up, requests
+// worth less than the mean are refused first.
 func (t *Tiers) Leave(now float64, k int, worth float64) bool {
 	x := &t.tiers[k]
 	x.full++
-	if k == t.first {
+	if k == t.preferred {
 		return true
 	}
-	if k == t.sole && t.panics() {
+	if k == t.sole && t.inPanic() {
 		return false
 	}
 	if k+1 >= len(t.tiers) {
-		return true // and nowhere to go, but to one that is on its way back
+		return true // only returning tiers are left
 	}
-	if x.phase != Well || !x.seen || float64(x.usable) < boundFrom*x.size { // it keeps nothing back
+	if x.phase != Well || !x.observed || float64(x.usable) < minUsableForSpillBound*x.size { // the spill limit does not apply
 		return true
 	}
-	x.fade(now)
-	room := x.spill * x.asked
-	if x.spill > 0 { // the first may go, however few have come
-		room = max(1, room)
+	x.decayRequests(now)
+	allowed := x.spill * x.requests
+	if x.spill > 0 { // one request may always spill, however few have come
+		allowed = max(1, allowed)
 	}
-	if x.spill < 1 && x.leaves+1 > room*min(1, worth) {
+	if x.spill < 1 && x.spilled+1 > allowed*min(1, worth) {
 		return false
 	}
-	x.leaves++
+	x.spilled++
 	return true
 }
 
-// Resort tells whether a request that no tier takes may be tried at one that is slow or on
-// its way back, beyond its share: rather than be refused it helps to prove it.
+// Resort reports whether a request that no tier has taken may be tried at a slow or returning
+// tier beyond its share. This serves the request and gives evidence about the tier.
 func (t *Tiers) Resort(k int, once bool) bool {
 	x := &t.tiers[k]
-	return !t.panics() && x.usable > 0 && (x.phase == Slow || t.Proving(k) && (x.proven() || !once))
+	return !t.inPanic() && x.usable > 0 && (x.phase == Slow || t.Proving(k) && (x.proven() || !once))
 }
 
-// Proving tells that a tier is on its way back: what it is given is to show what it can do.
+// Proving reports whether a tier is returning, so that its requests test what it can take.
 func (t *Tiers) Proving(k int) bool {
 	p := t.tiers[k].phase
 	return p == Returning || p == Held
 }
 
-// Proved tells of an answer of a tier, whether it was a good one, and how long it took, or
-// was waited for, against the typical. A failure while the tier is on its way back takes half of its
-// share away.
-func (t *Tiers) Proved(now float64, k int, good bool, took float64) {
+// Proved records an answer of tier k: whether it was successful, and its duration (or the time
+// waited for it) relative to the typical one. A failure halves the share of a returning tier.
+func (t *Tiers) Proved(now float64, k int, good bool, slowness float64) {
 	x := &t.tiers[k]
-	x.judge(now)
+	x.decayAnswers(now)
 	if good {
 		x.good++
-		x.lasted(took)
-		x.proofs++
-		x.goods, x.run = x.goods+1, 0
+		x.recordSlowness(slowness)
+		x.stepGood++
+		x.consecutiveSuccesses, x.consecutiveFailures = x.consecutiveSuccesses+1, 0
 		return
 	}
 	x.bad++
-	x.goods = 0
-	if took > 1 { // at least so long
-		x.lasted(took)
+	x.consecutiveSuccesses = 0
+	if slowness > 1 { // the answer would have taken at least this long
+		x.recordSlowness(slowness)
 	}
-	x.run++
+	x.consecutiveFailures++
 	if x.phase != Well && x.phase != Lost {
-		x.share = max(min(firstShare, x.share), x.share/2)
-		x.restart(now)
+		x.share = max(min(initialShare, x.share), x.share/2)
+		x.restartStep(now)
 	}
 }
 
-// lasted takes in how long an answer took.
-func (x *tier) lasted(took float64) {
-	x.had++
-	x.took += (min(slowMost, took) - x.took) / float64(min(x.had, slowLeast))
+// recordSlowness adds the relative duration of an answer to the mean.
+func (x *tier) recordSlowness(slowness float64) {
+	x.slownessAnswers++
+	x.slowness += (min(maxSlowness, slowness) - x.slowness) / float64(min(x.slownessAnswers, minSlownessAnswers))
 }
 
-// Rate is how many answers a millisecond a box of a tier gives when the tier is in
-// service, to this limiter, or one of the pool in the mean, if that is more; 0 is not
-// known.
-func (t *Tiers) Rate(k int) float64 { return max(t.usual.value, t.tiers[k].usual.value) }
+// Rate returns the answers per millisecond that one box of a tier gives to this limiter in
+// normal service, or the pool-wide mean if that is higher; 0 means unknown.
+func (t *Tiers) Rate(k int) float64 { return max(t.serviceRate.value, t.tiers[k].serviceRate.value) }
 
-// State is what operators see of a tier.
+// State describes a tier to operators.
 type State struct {
 	Phase         Phase
-	Sole          bool // no tier is well, and this one takes all it can
+	Sole          bool // no tier is healthy, and this one takes all it can
 	Boxes, Usable int
 	Share         float64 // of the requests that it may take
-	Spilled       float64 // share of the requests that left it of late
-	Next          string  // what changes the share next
+	Spilled       float64 // share of recent requests that spilled
+	Next          string  // what has to happen for the share to change
 }
 
-// State returns that of a tier.
+// State returns the current description of tier k.
 func (t *Tiers) State(now float64, k int) State {
 	x := &t.tiers[k]
-	x.fade(now)
+	x.decayRequests(now)
 	s := State{Phase: x.phase, Sole: k == t.sole, Boxes: x.boxes, Usable: x.usable, Share: x.share,
-		Spilled: x.leaves / max(1, x.asked)}
+		Spilled: x.spilled / max(1, x.requests)}
 	if s.Sole {
 		s.Share = 1
 	}
 	switch {
 	case x.phase == Lost:
-		s.Next = fmt.Sprintf("%.0f%% when a box can be used", 100*firstShare)
-	case x.phase != Well && now < x.heldTo:
-		s.Next = fmt.Sprintf("held for %.1f s more, lost %.1f times of late", (x.heldTo-now)/1000, x.losses)
+		s.Next = fmt.Sprintf("%.0f%% when a box can be used", 100*initialShare)
+	case x.phase != Well && now < x.heldUntil:
+		s.Next = fmt.Sprintf("held for %.1f s more, lost %.1f times of late", (x.heldUntil-now)/1000, x.losses)
 	case x.phase != Well:
-		s.Next = fmt.Sprintf("%.0f%% after %d good answers and no failure, %d so far", 100*min(1, max(firstShare, 2*x.share)), stepProofs, x.proofs)
+		s.Next = fmt.Sprintf("%.0f%% after %d good answers and no failure, %d so far", 100*min(1, max(initialShare, 2*x.share)), rampStepSuccesses, x.stepGood)
 	case x.size == 0:
 		s.Next = "it has no boxes"
 	case x.spill < 1 && k+1 < len(t.tiers):
@@ -487,14 +486,14 @@
 	return s
 }
 
-// fade brings the counts of requests up to date.
-func (x *tier) fade(now float64) {
-	f := math.Exp((x.countedAt - now) / spillMs)
-	x.asked, x.leaves, x.countedAt = x.asked*f, x.leaves*f, now
+// decayRequests applies the decay to the request counts up to now.
+func (x *tier) decayRequests(now float64) {
+	factor := math.Exp((x.requestsUpdatedAt - now) / spillAveragingMs)
+	x.requests, x.spilled, x.requestsUpdatedAt = x.requests*factor, x.spilled*factor, now
 }
 
-// judge brings the counts of answers up to date.
-func (x *tier) judge(now float64) {
-	f := math.Exp((x.judgedAt - now) / judgeMs)
-	x.good, x.bad, x.judgedAt = x.good*f, x.bad*f, now
+// decayAnswers applies the decay to the answer counts up to now.
+func (x *tier) decayAnswers(now float64) {
+	factor := math.Exp((x.answersUpdatedAt - now) / healthWindowMs)
+	x.good, x.bad, x.answersUpdatedAt = x.good*factor, x.bad*factor, now
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -161,7 +161,7 @@
 	if want := []float64{0.05, 0.1, 0.2, 0.4, 0.8, 1}; !slices.EqualFunc(shares, want, func(a, b float64) bool { return math.Abs(a-b) < 1e-9 }) {
 		t.Errorf("shares %v, want %v", shares, want)
 	}
-	if took := x.now - start; took < 5*stepMs || took > 5*stepMs+2500 {
+	if took := x.now - start; took < 5*rampStepMs || took > 5*rampStepMs+2500 {
 		t.Errorf("back after %v ms", took)
 	}
 	// With no answers nothing comes back, however long it takes.
@@ -172,7 +172,7 @@
 		x.now += 50
 		x.See(x.now, 0, 6, 6, 0)
 		x.See(x.now, 1, 6, 6, 0)
-		if x.Step(x.now); k > 200 && x.share(0) != firstShare {
+		if x.Step(x.now); k > 200 && x.share(0) != initialShare {
 			t.Fatalf("time alone gives it %v", x.share(0))
 		}
 	}
@@ -215,7 +215,7 @@
 		x.boxes[0] = 6
 		x.play(100, 10, false)
 		s := x.tiers[0]
-		held = append(held, max(0, s.heldTo-x.now))
+		held = append(held, max(0, s.heldUntil-x.now))
 		x.play(2000, 10, false)
 		if len(held) > 1 && x.went[0] > 60 {
 			t.Errorf("flap %d: %d of 200 go to a tier that was lost often", len(held), x.went[0])
@@ -227,7 +227,7 @@
 	start := x.now
 	for x.phase(0) != Well {
 		x.play(100, 10, false)
-		if x.now > start+holdMost+15_000 {
+		if x.now > start+maxHoldMs+15_000 {
 			t.Fatalf("kept out for ever: %+v", x.State(x.now, 0))
 		}
 	}
@@ -238,7 +238,7 @@
 	start = x.now
 	for x.phase(0) != Well {
 		x.play(1000, 1000, false)
-		if x.now > start+holdMost+20_000 {
+		if x.now > start+maxHoldMs+20_000 {
 			t.Fatalf("kept out with few requests: %+v", x.State(x.now, 0))
 		}
 	}
@@ -263,7 +263,7 @@
 			t.Errorf("%s: %v, %d refused", name, x.went, x.none)
 		}
 		x.good[0], x.took[0] = 1, 1
-		x.play(holdMost+15_000, 10, false)
+		x.play(maxHoldMs+15_000, 10, false)
 		if x.phase(0) != Well {
 			t.Errorf("%s: well again, and %v", name, x.phase(0))
 		}
@@ -349,7 +349,7 @@
 			went, asked = went+x.went[0], asked+x.went[0]+x.went[1]
 		}
 		// A request each second and limiter finds out, however little comes.
-		if most := firstShare*float64(asked)*2 + float64(n); float64(went) > most {
+		if most := initialShare*float64(asked)*2 + float64(n); float64(went) > most {
 			t.Errorf("%d limiters: %d of %d", n, went, asked)
 		}
 	}
