--- a/grant/grant_test.go
+++ b/grant/grant_test.go
@@ -33,32 +33,32 @@
 		case Expired:
 			b.Expire(time.Second, func(x Terms) {
 				if x != terms {
-					t.Errorf("expired %v", x)
+					t.Errorf("expired with terms %v", x)
 				}
 			})
 		default:
 			_, err = b.End(0, id(1), e)
 		}
 		if err != nil || b.Count(e) != 1 || b.Open() != 0 {
-			t.Errorf("%d: %v, counts %v", e, err, b.counts)
+			t.Errorf("ended by reason %d: %v, counts %v", e, err, b.counts)
 		}
 		if _, err := b.Redeem(0, id(1), terms); !errors.Is(err, ErrUnknown) {
-			t.Errorf("redeemed after %d: %v", e, err)
+			t.Errorf("redeemed after it ended by reason %d: %v", e, err)
 		}
-		b.Expire(time.Hour, func(Terms) { t.Errorf("expired after %d", e) })
+		b.Expire(time.Hour, func(Terms) { t.Errorf("expired after it ended by reason %d", e) })
 	}
 }
 
-// At the very moment of expiry a lease is over, whoever comes first.
+// At exactly its expiry time a lease has expired, whichever call comes first.
 func TestMomentOfExpiry(t *testing.T) {
 	b := New(10)
 	terms := Terms{Account: 7, Units: 1}
 	b.Grant(id(1), terms, time.Second)
 	if _, err := b.Redeem(time.Second, id(1), terms); !errors.Is(err, ErrUnknown) {
-		t.Errorf("redeemed when its time was over: %v", err)
+		t.Errorf("redeemed at its expiry: %v", err)
 	}
 	if _, err := b.End(time.Second, id(1), Cancelled); !errors.Is(err, ErrUnknown) {
-		t.Errorf("cancelled when its time was over: %v", err)
+		t.Errorf("cancelled at its expiry: %v", err)
 	}
 	n := 0
 	b.Expire(time.Second, func(Terms) { n++ })
@@ -72,24 +72,24 @@
 	terms := Terms{Account: 7, Plan: 1, Class: 2, Units: 4}
 	b.Grant(id(1), terms, time.Second)
 	if err := b.Grant(id(1), terms, time.Second); !errors.Is(err, ErrTaken) {
-		t.Errorf("the same id: %v", err)
+		t.Errorf("duplicate id: %v", err)
 	}
 	b.Grant(id(2), terms, time.Second)
 	if err := b.Grant(id(3), terms, time.Second); !errors.Is(err, ErrFull) || b.Room() {
-		t.Errorf("one too many: %v", err)
+		t.Errorf("more leases than the limit: %v", err)
 	}
 	for _, other := range []Terms{{8, 1, 2, 4}, {7, 0, 2, 4}, {7, 1, 0, 4}, {7, 1, 2, 4.5}} {
 		if _, err := b.Redeem(0, id(1), other); !errors.Is(err, ErrTerms) {
-			t.Errorf("redeemed by %v: %v", other, err)
+			t.Errorf("redeemed with terms %v: %v", other, err)
 		}
 	}
 	if b.Open() != 2 {
-		t.Error("a refusal ended a lease")
+		t.Error("a failed call ended a lease")
 	}
 }
 
-// Whatever the order of calls, what was granted is what was spent, what returned and
-// what is out; and nothing ends twice.
+// After any sequence of calls, the granted units equal the sum of the spent, the returned and the
+// still leased units, and no lease ends twice.
 func TestLedger(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -130,7 +130,7 @@
 	}
 }
 
-// A million leases that expired leave nothing.
+// A million expired leases leave no memory in use.
 func TestFlatAfterManyExpired(t *testing.T) {
 	b := New(1000)
 	for i := range uint64(1_000_000) {
@@ -141,7 +141,7 @@
 		}
 	}
 	if b.Open() > 501 || cap(b.expiryQueue) > 4096 {
-		t.Errorf("%d open, room for %d", b.Open(), cap(b.expiryQueue))
+		t.Errorf("%d leases are open, the queue has capacity %d", b.Open(), cap(b.expiryQueue))
 	}
 }
 
@@ -159,7 +159,7 @@
 		t.Fatalf("%v %v", got, err)
 	}
 	if _, err := keys("next", "new").Verify(text); err != nil {
-		t.Errorf("after the next key joined: %v", err)
+		t.Errorf("after a new key was added: %v", err)
 	}
 	if _, err := keys("old", "next").Verify(text); !errors.Is(err, ErrToken) {
 		t.Errorf("after its key was dropped: %v", err)
@@ -168,22 +168,22 @@
 	if _, err := forged.Verify(text); !errors.Is(err, ErrToken) {
 		t.Errorf("another secret under the same id: %v", err)
 	}
-	for i := range text { // each byte changed, and each length cut
+	for i := range text { // replace, insert or cut at each byte
 		for _, bad := range []string{text[:i], text[:i] + "A" + text[i+1:], text[:i] + "~" + text[i+1:], text[:i] + "." + text[i:]} {
 			if bad == text {
 				continue
 			}
 			if got, err := keys("new").Verify(bad); err == nil {
-				t.Fatalf("%q passes as %v", bad, got)
+				t.Fatalf("%q was accepted as %v", bad, got)
 			}
 		}
 	}
 	if _, err := keys("new").Verify(strings.Repeat(text, 9)); err == nil {
-		t.Error("a long one passes")
+		t.Error("a token beyond the size limit was accepted")
 	}
 	for _, bad := range []Keys{nil, {{"", make([]byte, 16)}}, {{"a b", make([]byte, 16)}}, {{"a", make([]byte, 15)}}, append(keys("a"), keys("a")...)} {
 		if bad.Check() == nil {
-			t.Errorf("%v passes", bad)
+			t.Errorf("keys %v were accepted", bad)
 		}
 	}
 	if err := keys("a", "b-2_").Check(); err != nil {
@@ -192,18 +192,18 @@
 }
 
 func TestWord(t *testing.T) {
-	w := Word{}
+	notice := Word{}
 	for i := range uint64(40) {
-		w.Leases = append(w.Leases, id(i))
+		notice.Leases = append(notice.Leases, id(i))
 	}
-	b := w.Encode()
+	b := notice.Encode()
 	got, ok := DecodeNotice(b)
 	if !ok || len(b) > 256 || len(got.Leases) != MaxNoticeLeases || got.Leases[14] != id(14) {
 		t.Errorf("%d bytes, %v %v", len(b), got, ok)
 	}
 	for _, bad := range [][]byte{nil, {WordMagic}, {WordMagic, 9}, {0x5c, 1}, b[:len(b)-1], append(b, 1, 2, 3)} {
 		if _, ok := DecodeNotice(bad); ok {
-			t.Errorf("%v passes", bad)
+			t.Errorf("datagram %v was accepted", bad)
 		}
 	}
 }
@@ -212,12 +212,12 @@
 	f.Add(keys("k").Sign(Token{}))
 	f.Fuzz(func(t *testing.T, text string) {
 		if tok, err := keys("k").Verify(text); err == nil && keys("k").Sign(tok) != text {
-			t.Errorf("%q passes and is signed otherwise", text)
+			t.Errorf("%q was accepted, but signing it again gives another text", text)
 		}
 	})
 }
 
-// BenchmarkLease grants and redeems; it tells what an open lease holds of memory.
+// BenchmarkLease grants and redeems leases, and reports the memory per open lease.
 func BenchmarkLease(b *testing.B) {
 	const open = 200_000
 	var before, after runtime.MemStats
@@ -239,23 +239,23 @@
 	runtime.KeepAlive(book)
 }
 
-// A desk knows a try for its time, vouches for another limiter's token once, and owes
-// a word for it; each word ends a lease once.
+// A Desk remembers an attempt until its expiry, vouches once for a token of another limiter and
+// sends one notice for it; each notice ends a lease only once.
 func TestDesk(t *testing.T) {
 	terms := Terms{Account: 7, Plan: 1, Class: 2, Units: 2}
 	n0, n1 := NewDesk(0, 3, 10), NewDesk(1, 3, 10)
 	try := Try{"p", "x", terms}
 	n0.Granted(0, try, "token", time.Second)
 	if text, again := n0.Again(999*time.Millisecond, try); !again || text != "token" {
-		t.Errorf("the same try: %q %v", text, again)
+		t.Errorf("repeated attempt: %q %v", text, again)
 	}
 	for _, other := range []Try{{"q", "x", terms}, {"p", "y", terms}, {"p", "x", Terms{Account: 7, Plan: 1, Class: 2, Units: 3}}} {
 		if _, again := n0.Again(0, other); again {
-			t.Errorf("%v was taken for another", other)
+			t.Errorf("attempt %v was treated as a repetition of another", other)
 		}
 	}
 	if _, again := n0.Again(time.Second, try); again {
-		t.Error("known when its time was over")
+		t.Error("the attempt is remembered after its expiry")
 	}
 	token := Token{Limiter: 0, Lease: id(1), Terms: terms}
 	if err := n0.Book().Grant(id(1), terms, 2*time.Second); err != nil {
@@ -275,33 +275,33 @@
 		}
 	}
 	vouched := 0
-	for range 100 { // also by a clock that is half a minute behind
+	for range 100 { // the longest validity allows for a clock that is half a minute behind
 		if _, yes := n1.Redeem(0, token, 2*time.Second+MaxClockSkew, terms); yes {
 			vouched++
 		}
 	}
-	var words [][]byte
+	var notices [][]byte
 	n1.Words(func(to int, data []byte) {
 		if to != 0 {
-			t.Errorf("told %d", to)
+			t.Errorf("notice sent to limiter %d", to)
 		}
-		words = append(words, data)
+		notices = append(notices, data)
 	})
-	n1.Words(func(int, []byte) { t.Error("told twice") })
-	if vouched != 1 || len(words) != 1 {
-		t.Fatalf("vouched for %d times, %d words", vouched, len(words))
+	n1.Words(func(int, []byte) { t.Error("a notice was sent twice") })
+	if vouched != 1 || len(notices) != 1 {
+		t.Fatalf("vouched %d times, sent %d notices", vouched, len(notices))
 	}
 	ended := 0
 	for range 3 {
-		n0.Heard(0, words[0], func(Terms) { ended++ })
+		n0.Heard(0, notices[0], func(Terms) { ended++ })
 	}
 	n0.Heard(0, []byte("noise"), func(Terms) { ended++ })
 	if leased, _ := n0.Redeem(0, token, time.Second, terms); ended != 1 || leased != 0 {
-		t.Errorf("ended %d times, then redeemed %g", ended, leased)
+		t.Errorf("the lease ended %d times, then redeemed %g units", ended, leased)
 	}
 }
 
-// What a desk knows is bounded.
+// The number of remembered attempts and of pending notices is bounded.
 func TestDeskIsBounded(t *testing.T) {
 	d := NewDesk(0, 2, 10)
 	for i := range uint64(2 * maxRemembered) {
@@ -309,6 +309,6 @@
 		d.Redeem(time.Duration(i), Token{Limiter: 1, Lease: id(i)}, time.Minute, Terms{})
 	}
 	if len(d.remembered) > maxRemembered || d.ageOrder.Len() > maxRemembered || len(d.pendingNotices[1]) > maxQueuedLeases {
-		t.Errorf("%d known, %d words", len(d.remembered), len(d.pendingNotices[1]))
+		t.Errorf("%d remembered, %d pending", len(d.remembered), len(d.pendingNotices[1]))
 	}
 }
--- a/lifecycle/lifecycle_test.go
+++ b/lifecycle/lifecycle_test.go
@@ -9,7 +9,7 @@
 
 func at(d time.Duration) time.Time { return begin.Add(d) }
 
-// serving returns a Life that has its first list and takes clients.
+// serving returns a Life in phase Serving.
 func serving() *Life {
 	l := &Life{}
 	l.Listed(begin)
@@ -18,7 +18,7 @@
 	return l
 }
 
-// A limiter without servers or without its listener is not there for clients.
+// A limiter that knows no servers, or does not accept connections yet, is not ready.
 func TestStartsWhenItTakesClientsAndKnowsServers(t *testing.T) {
 	for _, listedFirst := range []bool{true, false} {
 		l := &Life{}
@@ -28,37 +28,37 @@
 			l.Taking(begin)
 		}
 		if l.Ready() == nil || l.Healthy() || l.Drain(begin) == nil {
-			t.Errorf("listed first %v: it takes clients too early", listedFirst)
+			t.Errorf("listed first %v: ready too early", listedFirst)
 		}
 		l.Listed(begin)
 		l.Taking(begin)
 		if l.Ready() != nil || l.Healthy() {
-			t.Errorf("listed first %v: it does not take clients, or sends for them unprepared", listedFirst)
+			t.Errorf("listed first %v: not ready, or healthy before it is prepared", listedFirst)
 		}
 		l.Prepared()
 		if l.Ready() != nil || !l.Healthy() || l.Closing() {
-			t.Errorf("listed first %v: it does not serve", listedFirst)
+			t.Errorf("listed first %v: not serving", listedFirst)
 		}
 	}
 }
 
-// A drain says no at once, closes what stands unused only when the front has noticed, and
-// ends at once.
+// A drain makes the process unhealthy at once, closes idle connections only after the front has
+// reacted, and ends at once on Resume.
 func TestDrainAndResume(t *testing.T) {
 	l := serving()
-	for range 2 { // the second one changes nothing
+	for range 2 { // the second call has no effect
 		if err := l.Drain(at(time.Second)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if l.Healthy() || !l.Closing() || l.Ready() != nil || !l.Drained() {
-		t.Error("a drained limiter is healthy, keeps connections or takes none")
+		t.Error("a draining limiter is healthy, keeps connections or is not ready")
 	}
 	if _, _, bounded := l.Unused(at(time.Second + FrontReactionTime - 1)); bounded {
-		t.Error("connections close before the front can know")
+		t.Error("idle connections close before the front can react")
 	}
-	if most, idle, bounded := l.Unused(at(time.Second + FrontReactionTime)); !bounded || FrontReactionTime+max(most, idle) > time.Second {
-		t.Errorf("a connection may stand for %v (%v) in a drain", most, bounded)
+	if fresh, idle, bounded := l.Unused(at(time.Second + FrontReactionTime)); !bounded || FrontReactionTime+max(fresh, idle) > time.Second {
+		t.Errorf("a connection may be idle for %v (%v) during a drain", fresh, bounded)
 	}
 	for range 2 {
 		if err := l.Resume(at(2 * time.Second)); err != nil {
@@ -66,11 +66,11 @@
 		}
 	}
 	if _, _, bounded := l.Unused(at(9 * time.Second)); bounded || !l.Healthy() || l.Closing() || l.Drained() {
-		t.Error("a limiter that has resumed still sends clients away")
+		t.Error("a resumed limiter still moves clients away")
 	}
 }
 
-// What is over is over: nothing ends a stop, and operators hear why.
+// No call ends or changes a stop, and operators get ErrStopping.
 func TestStopIsFinal(t *testing.T) {
 	for name, before := range map[string]func(*Life){
 		"serving":      func(*Life) {},
@@ -80,29 +80,29 @@
 		l := serving()
 		before(l)
 		l.Stop(at(0), 800*time.Millisecond)
-		by := l.StopBy()
+		deadline := l.StopBy()
 		l.Stop(at(time.Second), time.Minute)
 		l.HandBack(at(time.Second))
 		if l.Drain(begin) != ErrStopping || l.Resume(begin) != ErrStopping || l.HandOver(begin) != ErrStopping || l.Ready() != ErrStopping {
-			t.Errorf("%s: a call changes a limiter that stops", name)
+			t.Errorf("%s: a call has an effect on a stopping limiter", name)
 		}
-		if l.Phase() != Stopping || l.StopBy() != by || by.Sub(begin) != 800*time.Millisecond+stopMargin {
-			t.Errorf("%s: %v, to end by %v", name, l.Phase(), by.Sub(begin))
+		if l.Phase() != Stopping || l.StopBy() != deadline || deadline.Sub(begin) != 800*time.Millisecond+stopMargin {
+			t.Errorf("%s: phase %v, stop deadline after %v", name, l.Phase(), deadline.Sub(begin))
 		}
 		if _, _, bounded := l.Unused(at(KeepAccepting - 1)); bounded {
-			t.Errorf("%s: connections close while new ones come", name)
+			t.Errorf("%s: idle connections close while new ones still arrive", name)
 		}
-		if most, idle, bounded := l.Unused(at(KeepAccepting)); !bounded || most != 0 || idle != 0 {
-			t.Errorf("%s: connections stay at the end", name)
+		if fresh, idle, bounded := l.Unused(at(KeepAccepting)); !bounded || fresh != 0 || idle != 0 {
+			t.Errorf("%s: idle connections are kept at the end", name)
 		}
 	}
 	l := serving()
 	if l.Stop(begin, time.Hour); l.StopBy().Sub(begin) != maxDeadline+stopMargin {
-		t.Errorf("it ends %v after SIGTERM, and SIGKILL comes %v after", l.StopBy().Sub(begin), maxDeadline+700*time.Millisecond)
+		t.Errorf("the stop deadline is %v after SIGTERM, and SIGKILL follows %v after SIGTERM", l.StopBy().Sub(begin), maxDeadline+700*time.Millisecond)
 	}
 }
 
-// A successor that fails leaves things as they were.
+// After a failed handover the process is in the same phase as before.
 func TestHandBack(t *testing.T) {
 	for _, drained := range []bool{false, true} {
 		l := serving()
@@ -113,17 +113,17 @@
 			t.Fatal(err)
 		}
 		if l.Healthy() || !l.Closing() || l.Drained() != drained {
-			t.Errorf("drained %v: healthy or keeping connections while another process takes them", drained)
+			t.Errorf("drained %v: healthy, or keeps connections while another process accepts them", drained)
 		}
 		if l.Drain(begin) != ErrHandingOver || l.Resume(begin) != ErrHandingOver || l.HandOver(begin) != ErrHandingOver {
-			t.Errorf("drained %v: a call changes a limiter that hands over", drained)
+			t.Errorf("drained %v: a call has an effect during a handover", drained)
 		}
 		if fresh, idle, bounded := l.Unused(at(time.Second)); !bounded || idle != 0 || fresh == 0 {
-			t.Errorf("drained %v: connections stay at the old process", drained)
+			t.Errorf("drained %v: the old process keeps idle connections", drained)
 		}
 		l.HandBack(at(2 * time.Second))
 		if l.Drained() != drained || l.Healthy() == drained {
-			t.Errorf("drained %v: afterwards it is %v", drained, l.Phase())
+			t.Errorf("drained %v: the phase after the failed handover is %v", drained, l.Phase())
 		}
 	}
 }
--- a/peering/order_test.go
+++ b/peering/order_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Each limiter comes first for about as many keys, and who is gone changes nothing for the rest.
+// Each limiter comes first for about the same number of keys, and removing one keeps the order of the others.
 func TestOrder(t *testing.T) {
 	var names []string
 	for i := range 10 {
@@ -17,10 +17,10 @@
 		key := fmt.Sprint("key ", k)
 		all := Order(key, names)
 		first[all[0]]++
-		gone := names[k%10]
-		left := Order(key, slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == gone }))
-		if want := slices.DeleteFunc(all, func(n string) bool { return n == gone }); !slices.Equal(left, want) {
-			t.Fatalf("%s: %v without %s, want %v", key, left, gone, want)
+		removed := names[k%10]
+		left := Order(key, slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == removed }))
+		if want := slices.DeleteFunc(all, func(n string) bool { return n == removed }); !slices.Equal(left, want) {
+			t.Fatalf("%s: %v without %s, want %v", key, left, removed, want)
 		}
 	}
 	for _, n := range names {
--- a/peering/spending_test.go
+++ b/peering/spending_test.go
@@ -5,21 +5,20 @@
 	"testing"
 )
 
-// Two limiters spend in turn, deaf to each other, then one hears what the other spent. Its
-// balance then lies between that of a bucket that is drawn late and in full and the lower
-// of the two buckets, and comes to what a bucket holds that saw all in time wherever both
-// spend evenly.
+// Two limiters spend at the same time without hearing of each other, then one receives what the
+// other spent. Its balance must then be at least that of a bucket charged late and in full, and at
+// most the lower of the two buckets. If both spend evenly, it is close to that of a bucket charged in time.
 func TestRepaid(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	const burst, steps = 50.0, 400
 	for range 2000 {
 		rate := 0.5 + r.Float64()
-		mine, peers := r.Float64()*rate, r.Float64()*rate
+		ownRate, peerRate := r.Float64()*rate, r.Float64()*rate
 		even := r.IntN(2) == 0
 		own, other, both := burst, burst, burst
 		idle, late := 0.0, 0.0
 		for range steps {
-			a, b := mine, peers
+			a, b := ownRate, peerRate
 			if !even {
 				a, b = a*2*r.Float64(), b*2*r.Float64()
 			}
@@ -29,10 +28,10 @@
 		}
 		got := own - (late - Repaid(late, idle, other-(own-late)))
 		if got < own-late-1e-9 || got > max(own-late, min(own, other))+1e-9 {
-			t.Fatalf("balance %g, drawn in full %g, own %g, the peer's %g", got, own-late, own, other)
+			t.Fatalf("balance %g, charged in full %g, own %g, peer's %g", got, own-late, own, other)
 		}
 		if even && (got-both > burst*0.05 || both-got > burst*0.05) {
-			t.Fatalf("balance %g, of a bucket that saw all in time %g (rate %g, spent %g and %g)", got, both, rate, mine, peers)
+			t.Fatalf("balance %g, of a bucket charged in time %g (rate %g, spent %g and %g)", got, both, rate, ownRate, peerRate)
 		}
 	}
 }
--- a/recall/recall_test.go
+++ b/recall/recall_test.go
@@ -18,27 +18,27 @@
 
 var names = Names{"check", "bulk"}
 
-// Pressure fades within seconds, and a box that is warming up warms on meanwhile.
+// The refusal rate decays within seconds, and the warm-up of a box goes on during the downtime.
 func TestShortLived(t *testing.T) {
 	m := memory()
 	m.Pools[0].Pressure, m.Boxes[0].BackMs = 0.4, 3000
 	got := Aged(m, Found{Age: 5 * time.Second}, names, names)
 	if p, b := got.Pools[0].Pressure, got.Boxes[0].BackMs; p != 0.2 || b != 8000 {
-		t.Errorf("pressure %v, back for %v ms", p, b)
+		t.Errorf("pressure %v, in service again for %v ms", p, b)
 	}
 	if b := Aged(memory(), Found{Age: time.Second}, names, names).Boxes[0].BackMs; b != 0 {
-		t.Errorf("a box that was never down is back for %v ms", b)
+		t.Errorf("a box that was never down is in service again for %v ms", b)
 	}
 }
 
-// Trust falls with age as is stated, each kind by its own half-life.
+// Evidence decays with age, each kind by its own half-life.
 func TestAged(t *testing.T) {
 	for _, c := range []struct {
 		age                           time.Duration
 		down                          bool
 		had, left, failures, seen, us float64
 	}{
-		{-time.Hour, true, 6, 3000, 1, 200, 200}, // a clock that went back
+		{-time.Hour, true, 6, 3000, 1, 200, 200}, // a clock that was set back
 		{0, true, 6, 3000, 1, 200, 200},
 		{2 * time.Second, true, 5.729, 1000, 1, 199.995, 199.995},
 		{30 * time.Second, true, 3, 0, 1, 199.952, 199.952},
@@ -57,30 +57,30 @@
 			t.Errorf("after %v: %+v", c.age, got)
 		}
 		if b.Ills[1] != (limiter.IllMemory{}) {
-			t.Errorf("after %v a class that never failed: %+v", c.age, b.Ills[1])
+			t.Errorf("after %v, a class that never failed: %+v", c.age, b.Ills[1])
 		}
 		if !reflect.DeepEqual(m, memory()) {
-			t.Fatal("the memory itself is changed")
+			t.Fatal("the saved memory was modified")
 		}
 	}
 }
 
-// Classes that come, go and change their places take what is theirs along, and nothing else.
+// Added, removed and reordered classes keep their own values and get no others.
 func TestOtherClasses(t *testing.T) {
 	got := Aged(memory(), Found{}, names, Names{"new", "bulk", "check"})
 	w := got.Pools[0].Work
 	if w[0] != (limiter.WorkMemory{}) || w[1].Ms != 80 || w[2].Ms != 40 || got.Usual[2].Ms != 700 || got.Usual[0].Votes != 0 || got.Boxes[0].Ills[2].LeftMs != 3000 || got.Boxes[0].Ills[1].LeftMs != 0 {
 		t.Errorf("%+v", got)
 	}
-	short := memory() // of fewer classes than it says
+	short := memory() // has fewer classes than its class names
 	short.Usual, short.Pools[0].Work, short.Boxes[0].Ills = nil, nil, nil
 	if got := Aged(short, Found{}, names, names); len(got.Usual) != 2 || len(got.Pools[0].Work) != 2 || len(got.Boxes[0].Ills) != 2 {
 		t.Errorf("%+v", got)
 	}
 }
 
-// What was held of quotas goes on after an end in good order, or with the headroom that a killed
-// limiter kept to.
+// The quota state is used after a clean end, or, for a killed limiter, if it kept to a saved
+// headroom.
 func TestHandover(t *testing.T) {
 	m := memory()
 	m.Handover = &limiter.Handover{Position: 2, DownMs: 7}
@@ -100,9 +100,9 @@
 	}
 }
 
-// Where more than half of the boxes are called ill, that says nothing of one box.
+// If more than half of the boxes are impaired in a memory, no box is treated as impaired.
 func TestTellsApart(t *testing.T) {
-	ill := func(k int) limiter.BoxMemory {
+	impaired := func(k int) limiter.BoxMemory {
 		b := limiter.BoxMemory{ID: uint64(k), Spent: 20, Had: 20, Ills: make([]limiter.IllMemory, 2)}
 		switch k % 3 {
 		case 0:
@@ -119,18 +119,18 @@
 		for k := range 12 {
 			b := limiter.BoxMemory{ID: uint64(k), Spent: 20, Had: 20, Ills: make([]limiter.IllMemory, 2)}
 			if k < n {
-				b = ill(k)
+				b = impaired(k)
 			}
 			m.Boxes = append(m.Boxes, b)
 		}
-		known := 0
+		detected := 0
 		for _, b := range Aged(m, Found{}, names, names).Boxes {
 			if b.Down || b.Spent > 1.5*b.Had || b.Ills[1].LeftMs > 0 {
-				known++
+				detected++
 			}
 		}
-		if want := n * btoi(n <= 6); known != want {
-			t.Errorf("%d of 12 boxes are ill, %d are known to be, want %d", n, known, want)
+		if want := n * btoi(n <= 6); detected != want {
+			t.Errorf("%d of 12 boxes are impaired, %d are detected, want %d", n, detected, want)
 		}
 	}
 }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -12,7 +12,7 @@
 	"example.org/madderdrum/route"
 )
 
-// takes is a plain reference of a match, written from its description alone.
+// takes is a reference implementation of matching, written from the documentation of Match alone.
 func takes(m *route.Match, q *route.Request) bool {
 	host, _, _ := strings.Cut(strings.ToLower(q.Host), ":")
 	if after, wild := strings.CutPrefix(m.Host, "*."); wild {
@@ -34,7 +34,7 @@
 		(len(m.Methods) == 0 || slices.Contains(m.Methods, q.Method))
 }
 
-// rank is what of a match goes before, in the order of the package's description.
+// rank returns the specificity of a match as a list to compare, in the order of the package documentation.
 func rank(m *route.Match) []int {
 	host := 0
 	if m.Host != "" {
@@ -105,7 +105,7 @@
 		Account: uint64(r.IntN(5)), Plan: []string{"", "p", "q", "r"}[r.IntN(4)], Header: func(name string) string { return headers[name] }}
 }
 
-// The table finds what a plain search through all routes does, in the same order.
+// The table finds the same routes in the same order as a linear search through all routes.
 func TestAgainstReference(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 1))
@@ -124,57 +124,57 @@
 			}
 			slices.SortStableFunc(want, func(a, b int) int { return slices.Compare(rank(&matches[b]), rank(&matches[a])) })
 			if got := table.All(&q); !slices.Equal(got, want) {
-				t.Fatalf("seed %d: %+v goes to %v, want %v of %+v", seed, q, got, want, matches)
+				t.Fatalf("seed %d: %+v matches %v, want %v of %+v", seed, q, got, want, matches)
 			}
 			if got := table.Find(&q); len(want) == 0 && got != -1 || len(want) > 0 && got != want[0] {
 				t.Fatalf("seed %d: found %d, want %v", seed, got, want)
 			}
 			for _, i := range want {
 				if !matches[i].Matches(&q) {
-					t.Fatalf("seed %d: %v does not take what it takes", seed, matches[i])
+					t.Fatalf("seed %d: %v does not match a request that the reference matches", seed, matches[i])
 				}
 			}
 		}
 	}
 }
 
-// Covers, Both and Sample say what requests show.
+// Random requests confirm the results of Covers, Both and Sample.
 func TestSetsOfRequests(t *testing.T) {
-	covered, met := 0, 0
+	covered, overlapping := 0, 0
 	for seed := range uint64(4000) {
 		r := rand.New(rand.NewPCG(seed, 2))
 		a, b := randomMatch(r), randomMatch(r)
-		both, meet := a.Both(&b)
+		both, overlaps := a.Both(&b)
 		covers := a.Covers(&b)
 		if q := b.Sample(); !takes(&b, &q) || covers && !takes(&a, &q) {
-			t.Fatalf("the sample of %+v is %+v", b, q)
+			t.Fatalf("sample of %+v: %+v", b, q)
 		}
-		if q := both.Sample(); meet && (!takes(&a, &q) || !takes(&b, &q)) {
-			t.Fatalf("%+v and %+v do not both take %+v", a, b, q)
+		if q := both.Sample(); overlaps && (!takes(&a, &q) || !takes(&b, &q)) {
+			t.Fatalf("%+v and %+v do not both match their common sample %+v", a, b, q)
 		}
 		if covers {
 			covered++
 		}
-		if meet {
-			met++
+		if overlaps {
+			overlapping++
 		}
 		for range 60 {
 			q := randomRequest(r)
 			if covers && takes(&b, &q) && !takes(&a, &q) {
 				t.Fatalf("%+v does not cover %+v: %+v", a, b, q)
 			}
-			if x := takes(&a, &q) && takes(&b, &q); x && !meet || meet && x != takes(&both, &q) {
-				t.Fatalf("%+v and %+v, both %+v (%v): %+v", a, b, both, meet, q)
+			if x := takes(&a, &q) && takes(&b, &q); x && !overlaps || overlaps && x != takes(&both, &q) {
+				t.Fatalf("%+v and %+v, both %+v (%v): %+v", a, b, both, overlaps, q)
 			}
 		}
 	}
-	if covered < 100 || met < 500 {
-		t.Errorf("%d covered, %d met: little was tried", covered, met)
+	if covered < 100 || overlapping < 500 {
+		t.Errorf("%d covered, %d overlapping: too few cases", covered, overlapping)
 	}
 }
 
-// A route that is called hidden takes no request, and equals are told in pairs; without
-// conflicts, the order in which routes are written changes nothing.
+// A route reported as hidden gets no request, and equally specific overlapping routes are reported
+// in pairs. Without conflicts, the order of the routes does not matter.
 func TestConflicts(t *testing.T) {
 	hidden, equal, clean := 0, 0, 0
 	for seed := range uint64(600) {
@@ -206,8 +206,8 @@
 					want = append(want, i)
 				}
 			}
-			if got, told := ties[k]; told != (len(want) > 0) || told && !slices.Contains(want, got) {
-				t.Fatalf("seed %d: route %d is equal to %v, told %v %d", seed, k, want, told, got)
+			if got, reported := ties[k]; reported != (len(want) > 0) || reported && !slices.Contains(want, got) {
+				t.Fatalf("seed %d: route %d ties with %v, reported %v %d", seed, k, want, reported, got)
 			}
 		}
 		if len(ties) > 0 {
@@ -232,7 +232,7 @@
 		}
 	}
 	if hidden < 20 || equal < 20 || clean < 100 {
-		t.Errorf("%d hidden, %d equal, %d without conflicts: little was tried", hidden, equal, clean)
+		t.Errorf("%d hidden, %d equal, %d without conflicts: too few cases", hidden, equal, clean)
 	}
 }
 
@@ -249,8 +249,8 @@
 	}
 }
 
-// matchesOf are routes of n kinds of business: hosts, paths below them, some by account
-// and by header.
+// matchesOf returns n routes over several hosts and paths, some of them restricted by account or
+// header.
 func matchesOf(n int) []route.Match {
 	var all []route.Match
 	for i := range n {
@@ -266,8 +266,8 @@
 	return all
 }
 
-// BenchmarkFind holds routing against http.ServeMux with the same hosts and paths, which
-// it can hold alone.
+// BenchmarkFind compares Table.Find with http.ServeMux for the same hosts and paths. ServeMux
+// supports none of the other conditions.
 func BenchmarkFind(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10_000} {
 		matches := matchesOf(n)
