--- a/grant/desk.go
+++ b/grant/desk.go
@@ -15,7 +15,7 @@
 	// maxQueuedLeases bounds the leases waiting to be reported to one limiter. Leases beyond
 	// it are not reported and expire at their limiter.
 	maxQueuedLeases = 4 * MaxNoticeLeases
-	// LongestLease is the longest allowed lease. LongestSkew is the largest clock difference
+	// LongestLease is the longest allowed lease. MaxClockSkew is the largest clock difference
 	// between limiters at which a token of another limiter is still accepted.
 	LongestLease = 30 * time.Second
 	MaxClockSkew = 30 * time.Second
@@ -28,7 +28,7 @@
 }
 
 // Desk manages grants for one limiter: it recognizes repeated attempts, redeems tokens and
-// exchanges notices of redeemed leases with other limiters. Like [Book], it does no I/O and
+// exchanges notices of redeemed leases with other limiters. Like [Leases], it does no I/O and
 // reads no clock: times are durations since a common start, and the validity of a token is
 // passed as its remaining time.
 type Desk struct {
--- a/grant/grant.go
+++ b/grant/grant.go
@@ -2,7 +2,7 @@
 // arrive. A lease ends exactly once: redeemed by its message, confirmed or cancelled by the
 // proxy, or expired.
 //
-// A [Book] does no I/O, starts no goroutines and reads no clock: callers pass the time. It is
+// A [Leases] does no I/O, starts no goroutines and reads no clock: callers pass the time. It is
 // not safe for concurrent use.
 package grant
 
@@ -50,7 +50,7 @@
 	ErrTaken   = errors.New("grant: lease id is already in use")
 )
 
-// Book holds the open leases of one limiter and counts how the others ended.
+// Leases holds the open leases of one limiter and counts how the others ended.
 type Leases struct {
 	limit       int
 	leases      map[ID]*lease
--- a/recall/recall.go
+++ b/recall/recall.go
@@ -14,8 +14,8 @@
 // Half-lives: after this time a learned value counts half as much evidence. They depend on
 // how long the value stays valid, not on how long it took to learn.
 const (
-	// SpeedHalfLife: a box is slow for as long as its problem lasts, seconds to minutes, and
-	// answers of two seconds are enough to replace the remembered value.
+	// SpeedHalfLife: a box is slow for as long as its problem lasts, seconds to minutes, and the
+	// answers of two seconds replace the remembered value.
 	SpeedHalfLife = 30 * time.Second
 	// The work per request changes with releases of the senders, and the deadlines that
 	// clients set change with releases of the clients.
--- a/reserve/reserve.go
+++ b/reserve/reserve.go
@@ -17,7 +17,7 @@
 	Most  float64 // units
 }
 
-// On returns the level at a time; before At, after a clock was set back, it is the level at At.
+// On returns the level at a time; before At, as after a clock was set back, it is the level at At.
 func (l Line) On(now float64) float64 {
 	return min(l.Most, l.Level+max(0, now-l.At)/1000*l.Rate)
 }
--- a/route/route.go
+++ b/route/route.go
@@ -101,7 +101,7 @@
 		cmp.Compare(len(n.Headers), len(m.Headers)), cmp.Compare(presence(len(n.Methods)), presence(len(m.Methods))))
 }
 
-// Takes reports whether a request meets all conditions.
+// Matches reports whether a request meets all conditions.
 func (m *Match) Matches(q *Request) bool {
 	return hostMatches(m.Host, normalizeHost(q.Host)) && pathMatches(m.path(), q.Path) && m.rest(q)
 }
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -80,6 +80,7 @@
 
 var phaseNames = [...]string{"well", "returning", "held down", "failing", "slow", "lost"}
 
+// String returns the name of the phase as operators see it.
 func (p Phase) String() string { return phaseNames[p] }
 
 // Tiers is the state of a pool's tiers, the most preferred one first.
@@ -355,7 +356,8 @@
 
 // Enter reports whether a request may be tried at tier k; u is a random number from 0 to
 // 1. What a returning tier does not take goes on to the next tier and does not count as
-// spill. Set once for requests that must not be repeated: they are not used as probes.
+// spill. once marks requests that must not be repeated: unless the tier is proven, they are
+// admitted only for the periodic probe.
 func (t *Tiers) Enter(now float64, k int, u float64, once bool) bool {
 	x := &t.tiers[k]
 	switch {
