--- a/lifecycle/lifecycle.go
+++ b/lifecycle/lifecycle.go
@@ -51,7 +51,7 @@
 	ErrStarting    = errors.New("the limiter is starting: it knows no servers yet")
 )
 
-// Life is the state of one process. It is not safe for concurrent use.
+// Life is the state machine of one limiter process. It is not safe for concurrent use.
 type Life struct {
 	phase         Phase
 	serversKnown  bool // discovery has found a server
--- a/route/route.go
+++ b/route/route.go
@@ -3,7 +3,7 @@
 // concurrent use.
 //
 // The order follows the Kubernetes Gateway API (HTTPRouteRule, "matches"), with accounts and
-// plans added before headers. Of two routes, the one comes first that has
+// plans added before headers. Of two routes, the first is the one with
 //
 //  1. the higher priority,
 //  2. the more specific host: an exact name, then "*.name" with more labels, then any host,
