--- a/handover/handover.go
+++ b/handover/handover.go
@@ -25,7 +25,7 @@
 
 // MostBytes bounds a state: a million accounts take some 80 MB, which no machine of the
 // platform's size holds twice.
-const MostBytes = 32 << 20
+const MaxStateBytes = 32 << 20
 
 // Who is one limiter: a process takes over from a process with the same name and address alone.
 type Who struct {
@@ -51,15 +51,15 @@
 // Encode is the note as a file: a line of JSON and one with its checksum.
 func (n Note) Encode() []byte {
 	n.Version = Version
-	b, _ := json.Marshal(n) // strings and an int
-	return fmt.Appendf(b, "\n%08x\n", crc32.ChecksumIEEE(b))
+	data, _ := json.Marshal(n) // strings and an int
+	return fmt.Appendf(data, "\n%08x\n", crc32.ChecksumIEEE(data))
 }
 
 // ErrNote tells that a file is no note of this limiter and version, or only a part of one.
 var ErrNote = errors.New("no usable note")
 
 // ParseNote reads a note of this limiter's.
-func ParseNote(data []byte, who Who) (n Note, err error) {
+func ParseNote(data []byte, expected Who) (n Note, err error) {
 	line, sum, found := bytes.Cut(data, []byte("\n"))
 	if !found || string(sum) != fmt.Sprintf("%08x\n", crc32.ChecksumIEEE(line)) {
 		return n, fmt.Errorf("%w: torn", ErrNote)
@@ -70,7 +70,7 @@
 	switch {
 	case n.Version != Version:
 		return n, fmt.Errorf("%w: version %d, this one is %d", ErrNote, n.Version, Version)
-	case n.Who != who:
+	case n.Who != expected:
 		return n, fmt.Errorf("%w: of limiter %q at %s", ErrNote, n.Limiter, n.Listen)
 	case n.Token == "" || n.Admin == "":
 		return n, fmt.Errorf("%w: incomplete", ErrNote)
@@ -94,24 +94,24 @@
 // Size is how many bytes follow.
 func (h Head) Size() (int, error) {
 	size := binary.BigEndian.Uint32(h[:])
-	if size > MostBytes {
-		return 0, fmt.Errorf("a state of %d bytes, at most %d go over", size, MostBytes)
+	if size > MaxStateBytes {
+		return 0, fmt.Errorf("a state of %d bytes, at most %d go over", size, MaxStateBytes)
 	}
 	return int(size), nil
 }
 
 // Encode is the state as it goes over the connection, behind its Head.
 func (s *State) Encode() ([]byte, error) {
-	var h Head
-	b := bytes.NewBuffer(h[:])
-	fmt.Fprintf(b, "%d\n", Version)
-	if err := gob.NewEncoder(b).Encode(s); err != nil {
+	var header Head
+	buffer := bytes.NewBuffer(header[:])
+	fmt.Fprintf(buffer, "%d\n", Version)
+	if err := gob.NewEncoder(buffer).Encode(s); err != nil {
 		return nil, fmt.Errorf("encoding the state: %w", err)
 	}
-	frame := b.Bytes()
-	binary.BigEndian.PutUint32(frame, uint32(len(frame)-len(h)))
-	binary.BigEndian.PutUint32(frame[4:], crc32.ChecksumIEEE(frame[len(h):]))
-	if _, err := Head(frame[:len(h)]).Size(); err != nil {
+	frame := buffer.Bytes()
+	binary.BigEndian.PutUint32(frame, uint32(len(frame)-len(header)))
+	binary.BigEndian.PutUint32(frame[4:], crc32.ChecksumIEEE(frame[len(header):]))
+	if _, err := Head(frame[:len(header)]).Size(); err != nil {
 		return nil, err
 	}
 	return frame, nil
@@ -119,8 +119,8 @@
 
 // Decode reads what follows a Head. took is the time since the new process asked for it: for so long at
 // most the old one's figures have gone on without being known here.
-func Decode(h Head, data []byte, who Who, took time.Duration) (*State, error) {
-	if size, err := h.Size(); err != nil || size != len(data) || crc32.ChecksumIEEE(data) != binary.BigEndian.Uint32(h[4:]) {
+func Decode(header Head, data []byte, expected Who, elapsed time.Duration) (*State, error) {
+	if size, err := header.Size(); err != nil || size != len(data) || crc32.ChecksumIEEE(data) != binary.BigEndian.Uint32(header[4:]) {
 		return nil, errors.New("the state is torn")
 	}
 	version, rest, _ := bytes.Cut(data, []byte("\n"))
@@ -131,13 +131,13 @@
 	if err := gob.NewDecoder(bytes.NewReader(rest)).Decode(s); err != nil {
 		return nil, fmt.Errorf("reading the state: %w", err)
 	}
-	if s.Who != who {
+	if s.Who != expected {
 		return nil, fmt.Errorf("the state is of limiter %q at %s", s.Limiter, s.Listen)
 	}
 	if s.Memory == nil || s.Memory.Handover == nil || s.Sockets < 0 {
 		return nil, errors.New("the state is incomplete")
 	}
-	s.Memory.Handover.DownMs = float64(max(0, took)) / float64(time.Millisecond)
+	s.Memory.Handover.DownMs = float64(max(0, elapsed)) / float64(time.Millisecond)
 	return s, nil
 }
 
@@ -152,11 +152,11 @@
 
 // Sockets is how many descriptors the new process may use while the old one holds some, of
 // a limit for both; 0 is no limit. It gets least in any case, as it could not start with less.
-func Sockets(limit, old, least int) int {
+func Sockets(limit, heldByOld, minimum int) int {
 	if limit == 0 {
 		return 0
 	}
-	return max(least, min(limit, limit-old))
+	return max(minimum, min(limit, limit-heldByOld))
 }
 
 // MemoryShare is the part of the limit that each process may use while both run.
--- a/handover/handover_test.go
+++ b/handover/handover_test.go
@@ -13,73 +13,73 @@
 	"example.org/madderdrum/limiter"
 )
 
-var me = Who{Limiter: "n3", Listen: "127.0.0.1:3000"}
+var self = Who{Limiter: "n3", Listen: "127.0.0.1:3000"}
 
 // A note counts whole and for the limiter and version that wrote it, or not at all.
 func TestNote(t *testing.T) {
-	n := Note{Who: me, Admin: "127.0.0.1:9000", Token: "secret"}
-	whole := n.Encode()
-	got, err := ParseNote(whole, me)
+	n := Note{Who: self, Admin: "127.0.0.1:9000", Token: "secret"}
+	encoded := n.Encode()
+	got, err := ParseNote(encoded, self)
 	if n.Version = Version; err != nil || got != n {
 		t.Fatalf("%+v (%v)", got, err)
 	}
-	for k := range whole {
-		if _, err := ParseNote(whole[:k], me); !errors.Is(err, ErrNote) {
+	for k := range encoded {
+		if _, err := ParseNote(encoded[:k], self); !errors.Is(err, ErrNote) {
 			t.Fatalf("the first %d bytes of a note count as one: %v", k, err)
 		}
-		broken := []byte(string(whole))
+		broken := []byte(string(encoded))
 		broken[k] ^= 4
-		if _, err := ParseNote(broken, me); !errors.Is(err, ErrNote) {
+		if _, err := ParseNote(broken, self); !errors.Is(err, ErrNote) {
 			t.Fatalf("a note with byte %d changed counts: %v", k, err)
 		}
 	}
-	for _, who := range []Who{{"n4", me.Listen}, {me.Limiter, "127.0.0.1:3001"}} {
-		if _, err := ParseNote(whole, who); !errors.Is(err, ErrNote) {
+	for _, who := range []Who{{"n4", self.Listen}, {self.Limiter, "127.0.0.1:3001"}} {
+		if _, err := ParseNote(encoded, who); !errors.Is(err, ErrNote) {
 			t.Errorf("a note of another limiter counts: %v", err)
 		}
-		if who.File() == me.File() {
+		if who.File() == self.File() {
 			t.Errorf("%v has the file of another limiter", who)
 		}
 	}
-	if _, err := ParseNote(Note{Who: me, Admin: "127.0.0.1:9000"}.Encode(), me); !errors.Is(err, ErrNote) {
+	if _, err := ParseNote(Note{Who: self, Admin: "127.0.0.1:9000"}.Encode(), self); !errors.Is(err, ErrNote) {
 		t.Errorf("a note without a token counts: %v", err)
 	}
 }
 
-func state() *State {
-	return &State{Who: me, List: []byte(`{"seq":4}`), Drained: true, Sockets: 90, Discovery: "127.0.0.1:8500", Memory: &limiter.Memory{
+func newState() *State {
+	return &State{Who: self, List: []byte(`{"seq":4}`), Drained: true, Sockets: 90, Discovery: "127.0.0.1:8500", Memory: &limiter.Memory{
 		Boxes: []limiter.BoxMemory{{ID: 7, ReadyAt: 12, Spent: 2, Had: 1, Ills: []limiter.IllMemory{{Failures: 1, LeftMs: 30}}}},
 		Handover: &limiter.Handover{Position: 3, Balancers: 8, KnownMs: 900, Plans: []limiter.Plan{{Rate: 2}},
 			Accounts: []limiter.AccountMemory{{ID: 5, Balance: -3, Share: 2}}}}}
 }
 
 // decode reads a state with its head.
-func decode(frame []byte, who Who, took time.Duration) (*State, error) {
+func decode(frame []byte, expected Who, elapsed time.Duration) (*State, error) {
 	var h Head
-	n := copy(h[:], frame)
-	return Decode(h, frame[n:], who, took)
+	headerSize := copy(h[:], frame)
+	return Decode(h, frame[headerSize:], expected, elapsed)
 }
 
 // A state comes over whole, and has aged by the time that it took.
 func TestState(t *testing.T) {
-	data, err := state().Encode()
+	data, err := newState().Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := decode(data, me, 40*time.Millisecond)
+	got, err := decode(data, self, 40*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := state()
+	want := newState()
 	want.Memory.Handover.DownMs = 40
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	if _, err := decode(data, Who{"n4", me.Listen}, 0); err == nil {
+	if _, err := decode(data, Who{"n4", self.Listen}, 0); err == nil {
 		t.Error("the state of another limiter counts")
 	}
 	for k := range data {
-		if _, err := decode(data[:k], me, 0); err == nil {
+		if _, err := decode(data[:k], self, 0); err == nil {
 			t.Fatalf("the first %d of %d bytes count as a state", k, len(data))
 		}
 	}
@@ -88,17 +88,17 @@
 	var h Head
 	binary.BigEndian.PutUint32(h[:], uint32(len(other)))
 	binary.BigEndian.PutUint32(h[4:], crc32.ChecksumIEEE(other))
-	if _, err := Decode(h, other, me, 0); err == nil || !strings.Contains(err.Error(), "version") {
+	if _, err := Decode(h, other, self, 0); err == nil || !strings.Contains(err.Error(), "version") {
 		t.Errorf("a state of another version: %v", err)
 	}
 	for k := range 40 {
 		broken := slices.Clone(data)
 		broken[k*len(data)/40] ^= 4
-		if _, err := decode(broken, me, 0); err == nil {
+		if _, err := decode(broken, self, 0); err == nil {
 			t.Errorf("a state with byte %d changed counts", k*len(data)/40)
 		}
 	}
-	binary.BigEndian.PutUint32(h[:], MostBytes+1)
+	binary.BigEndian.PutUint32(h[:], MaxStateBytes+1)
 	if _, err := h.Size(); err == nil {
 		t.Error("a state of any size is read")
 	}
@@ -110,10 +110,10 @@
 		"no accounts": func(s *State) { s.Memory.Handover = nil },
 		"descriptors": func(s *State) { s.Sockets = -1 },
 	} {
-		s := state()
+		s := newState()
 		change(s)
 		data, _ := s.Encode()
-		if _, err := decode(data, me, 0); err == nil {
+		if _, err := decode(data, self, 0); err == nil {
 			t.Errorf("%s: it counts", name)
 		}
 	}
--- a/parts/book.go
+++ b/parts/book.go
@@ -25,8 +25,8 @@
 	// uses no more: one that has just started, or whose fleet was begun anew.
 	Floor = 100
 	// mostAccounts bounds what is agreed on; others stay with equal parts.
-	mostAccounts = 4000
-	mostLimiters = 10_000
+	maxAccounts = 4000
+	maxLimiters = 10_000
 )
 
 // Shares are parts by place. Most are floors, which are not written out.
@@ -35,9 +35,9 @@
 // MarshalJSON writes how many there are, and the place and part of each that is no floor.
 func (s Shares) MarshalJSON() ([]byte, error) {
 	flat := []uint32{uint32(len(s))}
-	for k, x := range s {
-		if x != Floor {
-			flat = append(flat, uint32(k), x)
+	for index, share := range s {
+		if share != Floor {
+			flat = append(flat, uint32(index), share)
 		}
 	}
 	return json.Marshal(flat)
@@ -53,22 +53,22 @@
 		*s = nil
 		return nil
 	}
-	if len(flat)%2 == 0 || flat[0] > mostLimiters {
+	if len(flat)%2 == 0 || flat[0] > maxLimiters {
 		return errors.New("parts by place that are cut off, or too many")
 	}
-	all := slices.Repeat(Shares{Floor}, int(flat[0]))
-	for k := 1; k < len(flat); k += 2 {
-		if flat[k] >= flat[0] {
-			return fmt.Errorf("place %d of %d", flat[k], flat[0])
+	shares := slices.Repeat(Shares{Floor}, int(flat[0]))
+	for i := 1; i < len(flat); i += 2 {
+		if flat[i] >= flat[0] {
+			return fmt.Errorf("place %d of %d", flat[i], flat[0])
 		}
-		all[flat[k]] = flat[k+1]
+		shares[flat[i]] = flat[i+1]
 	}
-	*s = all
+	*s = shares
 	return nil
 }
 
 // Held is what the limiters of one account hold of its ceiling.
-type Held struct {
+type Allocation struct {
 	First, Spread int    // its limiters: Spread of them, from First on, round the end
 	Now           Shares // what each counts as holding, by place from First on
 	Next          Shares `json:",omitempty"` // what each is to hold; nil: as it is
@@ -101,47 +101,47 @@
 type Book struct {
 	Limiters int // 0: nothing was dealt yet
 	Version  uint64
-	Accounts map[uint64]*Held
+	Accounts map[uint64]*Allocation
 	Unsure   []int // limiters of which is not known what they hold: until they tell, all use their floors
 }
 
 // Apply carries out a command. epoch is that of the steward's present term.
-func (b *Book) Apply(c Command, epoch uint64) error {
+func (l *Book) Apply(c Command, epoch uint64) error {
 	switch {
 	case c.Confirm != nil:
-		return b.confirm(*c.Confirm)
+		return l.applyConfirm(*c.Confirm)
 	case c.Epoch == 0 || c.Epoch != epoch:
 		return fmt.Errorf("epoch %d of the duty is over, %d is under way", c.Epoch, epoch)
 	case c.Limiters < 1:
 		return errors.New("a deal needs the number of limiters")
-	case c.Limiters != b.Limiters && b.Limiters != 0:
-		b.BeginAnew(c.Limiters) // positions mean others now
+	case c.Limiters != l.Limiters && l.Limiters != 0:
+		l.BeginAnew(c.Limiters) // positions mean others now
 		return nil
 	}
 	for _, d := range c.Deals {
-		if err := d.check(c.Limiters); err != nil {
+		if err := d.validate(c.Limiters); err != nil {
 			return err
 		}
 	}
-	b.Limiters = c.Limiters
-	b.Version++
+	l.Limiters = c.Limiters
+	l.Version++
 	for _, d := range c.Deals {
-		b.deal(d)
+		l.applyDeal(d)
 	}
 	return nil
 }
 
 // check tells what is wrong with a deal.
-func (d Deal) check(limiters int) error {
+func (d Deal) validate(limiters int) error {
 	if d.Spread < 1 || d.Spread > limiters || d.First < 0 || d.First >= limiters || len(d.To) != d.Spread {
 		return fmt.Errorf("account %x: %d parts for %d limiters from %d on, of %d", d.Account, len(d.To), d.Spread, d.First, limiters)
 	}
 	sum := uint64(0)
-	for _, x := range d.To {
-		if x < Floor {
-			return fmt.Errorf("account %x: a part of %d is less than the floor of %d", d.Account, x, Floor)
+	for _, share := range d.To {
+		if share < Floor {
+			return fmt.Errorf("account %x: a part of %d is less than the floor of %d", d.Account, share, Floor)
 		}
-		sum += uint64(x)
+		sum += uint64(share)
 	}
 	if sum > uint64(d.Spread)*Equal {
 		return fmt.Errorf("account %x: parts of %d are more than the ceiling's %d", d.Account, sum, d.Spread*Equal)
@@ -149,135 +149,135 @@
 	return nil
 }
 
-func (b *Book) deal(d Deal) {
-	h := b.Accounts[d.Account]
+func (l *Book) applyDeal(d Deal) {
+	allocation := l.Accounts[d.Account]
 	switch {
-	case h == nil && len(b.Accounts) >= mostAccounts:
+	case allocation == nil && len(l.Accounts) >= maxAccounts:
 		return
-	case h == nil:
-		if b.Accounts == nil {
-			b.Accounts = map[uint64]*Held{}
+	case allocation == nil:
+		if l.Accounts == nil {
+			l.Accounts = map[uint64]*Allocation{}
 		}
-		h = &Held{First: d.First, Spread: d.Spread, Now: slices.Repeat(Shares{Equal}, d.Spread)}
-		b.Accounts[d.Account] = h
-	case h.First != d.First || h.Spread != d.Spread:
+		allocation = &Allocation{First: d.First, Spread: d.Spread, Now: slices.Repeat(Shares{Equal}, d.Spread)}
+		l.Accounts[d.Account] = allocation
+	case allocation.First != d.First || allocation.Spread != d.Spread:
 		return // it came through other limiters when it was dealt first
 	}
-	h.Next, h.Version = d.To, b.Version
-	b.raise(d.Account, h)
+	allocation.Next, allocation.Version = d.To, l.Version
+	l.grantFree(d.Account, allocation)
 }
 
 // raise gives what is free to those that are to hold more.
 // An account whose parts are equal again is as one that was never dealt.
-func (b *Book) raise(id uint64, h *Held) {
-	free := uint32(h.Spread) * Equal
-	for _, x := range h.Now {
-		free -= min(free, x)
+func (l *Book) grantFree(account uint64, allocation *Allocation) {
+	free := uint32(allocation.Spread) * Equal
+	for _, share := range allocation.Now {
+		free -= min(free, share)
 	}
-	for k, to := range h.Next {
-		if more := min(free, to-min(to, h.Now[k])); more > 0 {
-			h.Now[k] += more
-			free -= more
+	for index, target := range allocation.Next {
+		if grant := min(free, target-min(target, allocation.Now[index])); grant > 0 {
+			allocation.Now[index] += grant
+			free -= grant
 		}
 	}
-	if slices.Equal(h.Now, h.Next) {
-		h.Next = nil
+	if slices.Equal(allocation.Now, allocation.Next) {
+		allocation.Next = nil
 	}
-	if h.Next == nil && !slices.ContainsFunc(h.Now, func(x uint32) bool { return x != Equal }) {
-		delete(b.Accounts, id)
+	if allocation.Next == nil && !slices.ContainsFunc(allocation.Now, func(x uint32) bool { return x != Equal }) {
+		delete(l.Accounts, account)
 	}
 }
 
-func (b *Book) confirm(c Confirm) error {
-	if c.Position < 0 || c.Position >= b.Limiters {
-		return fmt.Errorf("there is no limiter %d of %d", c.Position, b.Limiters)
+func (l *Book) applyConfirm(c Confirm) error {
+	if c.Position < 0 || c.Position >= l.Limiters {
+		return fmt.Errorf("there is no limiter %d of %d", c.Position, l.Limiters)
 	}
-	if len(b.Unsure) > 0 {
+	if len(l.Unsure) > 0 {
 		if c.Floor {
-			b.Unsure = slices.DeleteFunc(b.Unsure, func(i int) bool { return i == c.Position })
+			l.Unsure = slices.DeleteFunc(l.Unsure, func(i int) bool { return i == c.Position })
 		}
 		return nil // all parts are equal again once all use their floors
 	}
-	for id, h := range b.Accounts {
-		if h.Next == nil || h.Version > c.Version {
+	for account, allocation := range l.Accounts {
+		if allocation.Next == nil || allocation.Version > c.Version {
 			continue
 		}
-		if k, ok := h.place(c.Position, b.Limiters); ok && h.Next[k] < h.Now[k] {
-			h.Now[k] = h.Next[k]
-			b.raise(id, h)
+		if index, ok := allocation.indexOf(c.Position, l.Limiters); ok && allocation.Next[index] < allocation.Now[index] {
+			allocation.Now[index] = allocation.Next[index]
+			l.grantFree(account, allocation)
 		}
 	}
 	return nil
 }
 
 // place is a limiter's place among those of an account.
-func (h *Held) place(position, limiters int) (int, bool) {
-	k := ((position-h.First)%limiters + limiters) % limiters
-	return k, k < h.Spread
+func (a *Allocation) indexOf(position, limiters int) (int, bool) {
+	index := ((position-a.First)%limiters + limiters) % limiters
+	return index, index < a.Spread
 }
 
 // BeginAnew forgets who holds what: of a fleet that was begun anew, what the lost majority
 // agreed on last is not known. All use their floors until each has confirmed that it does.
-func (b *Book) BeginAnew(limiters int) {
-	version := b.Version + 1
-	*b = Book{Limiters: limiters, Version: version}
+func (l *Book) BeginAnew(limiters int) {
+	version := l.Version + 1
+	*l = Book{Limiters: limiters, Version: version}
 	for i := range limiters {
-		b.Unsure = append(b.Unsure, i)
+		l.Unsure = append(l.Unsure, i)
 	}
 }
 
 // Parts are what a limiter may use from now on, in equal parts: of the accounts that were
 // dealt, and of the rest.
-func (b *Book) Parts(position int) (of map[uint64]float64, rest float64) {
-	if len(b.Unsure) > 0 {
+func (l *Book) Parts(position int) (byAccount map[uint64]float64, others float64) {
+	if len(l.Unsure) > 0 {
 		return nil, float64(Floor) / Equal
 	}
-	of = make(map[uint64]float64, len(b.Accounts))
-	for id, h := range b.Accounts {
-		if k, ok := h.place(position, b.Limiters); ok {
-			x := h.Now[k]
-			if h.Next != nil {
-				x = min(x, h.Next[k])
+	byAccount = make(map[uint64]float64, len(l.Accounts))
+	for account, allocation := range l.Accounts {
+		if index, ok := allocation.indexOf(position, l.Limiters); ok {
+			share := allocation.Now[index]
+			if allocation.Next != nil {
+				share = min(share, allocation.Next[index])
 			}
-			of[id] = float64(x) / Equal
+			byAccount[account] = float64(share) / Equal
 		}
 	}
-	return of, 1
+	return byAccount, 1
 }
 
 // Due is what a limiter that uses what Parts said has to confirm, if anything.
-func (b *Book) Due(position int) (Confirm, bool) {
-	if len(b.Unsure) > 0 {
-		return Confirm{Position: position, Version: b.Version, Floor: true}, slices.Contains(b.Unsure, position)
+func (l *Book) Due(position int) (Confirm, bool) {
+	if len(l.Unsure) > 0 {
+		return Confirm{Position: position, Version: l.Version, Floor: true}, slices.Contains(l.Unsure, position)
 	}
-	for _, h := range b.Accounts {
-		if h.Next == nil {
+	for _, allocation := range l.Accounts {
+		if allocation.Next == nil {
 			continue
 		}
-		if k, ok := h.place(position, b.Limiters); ok && h.Next[k] < h.Now[k] {
-			return Confirm{Position: position, Version: b.Version}, true
+		if index, ok := allocation.indexOf(position, l.Limiters); ok && allocation.Next[index] < allocation.Now[index] {
+			return Confirm{Position: position, Version: l.Version}, true
 		}
 	}
 	return Confirm{}, false
 }
 
 // Back are deals that make parts equal again, of the accounts that are meant.
-func (b *Book) Back(meant func(account uint64) bool) (deals []Deal) {
-	for id, h := range b.Accounts {
-		equal := slices.Repeat(Shares{Equal}, h.Spread)
-		if len(deals) < mostDeals && !slices.Equal(h.Next, equal) && meant(id) {
-			deals = append(deals, Deal{id, h.First, h.Spread, equal})
+func (l *Book) Back(include func(account uint64) bool) (deals []Deal) {
+	for account, allocation := range l.Accounts {
+		equal := slices.Repeat(Shares{Equal}, allocation.Spread)
+		if len(deals) < maxDealsPerRound && !slices.Equal(allocation.Next, equal) && include(account) {
+			deals = append(deals, Deal{account, allocation.First, allocation.Spread, equal})
 		}
 	}
 	return deals
 }
 
 // Moved are how many accounts have parts that are not equal, and of how many some are on their way.
-func (b *Book) Moved() (moved, underWay int) {
-	for _, h := range b.Accounts {
-		if h.Next != nil {
-			underWay++
+func (l *Book) Moved() (unequal, inTransit int) {
+	for _, allocation := range l.Accounts {
+		if allocation.Next != nil {
+			inTransit++
 		}
 	}
-	return len(b.Accounts), underWay
+	return len(l.Accounts), inTransit
 }
--- a/parts/holder.go
+++ b/parts/holder.go
@@ -11,7 +11,7 @@
 // concurrent use.
 type Holder struct {
 	position int
-	known    bool
+	caughtUp bool
 }
 
 // NewHolder returns that of the limiter at a position.
@@ -19,22 +19,22 @@
 
 // Forget has it use its floors: what was agreed on is not known, or not any more.
 func (h *Holder) Forget() Use {
-	h.known = false
+	h.caughtUp = false
 	return Use{Rest: float64(Floor) / Equal}
 }
 
 // CaughtUp tells that all is known that was agreed on before it began.
-func (h *Holder) CaughtUp() { h.known = true }
+func (h *Holder) CaughtUp() { h.caughtUp = true }
 
 // Look returns what to use by the book and, once that is used, what to confirm; nil: nothing.
 // ok is false while too little is known: the floors hold.
-func (h *Holder) Look(b *Book) (u Use, confirm *Confirm, ok bool) {
-	if !h.known {
-		return u, nil, false
+func (h *Holder) Look(ledger *Book) (usable Use, confirm *Confirm, ok bool) {
+	if !h.caughtUp {
+		return usable, nil, false
 	}
-	u.Of, u.Rest = b.Parts(h.position)
-	if c, due := b.Due(h.position); due {
+	usable.Of, usable.Rest = ledger.Parts(h.position)
+	if c, due := ledger.Due(h.position); due {
 		confirm = &c
 	}
-	return u, confirm, true
+	return usable, confirm, true
 }
--- a/parts/model_test.go
+++ b/parts/model_test.go
@@ -12,102 +12,102 @@
 
 // model is a fleet whose limiters apply one log, each at its own time, and use what they know.
 type model struct {
-	log      []Command
-	epochs   []uint64 // of the steward when each entry was agreed on
-	epoch    uint64
-	truth    Book // after the whole log
-	nodes    []*node
-	pending  []Command // confirms under way
-	accounts int
-	hasty    bool // broken on purpose: a limiter confirms before it uses less
-	greedy   bool // broken on purpose: one that starts uses what an older state says
-	most     float64
-	deals    int
+	log           []Command
+	epochs        []uint64 // of the steward when each entry was agreed on
+	epoch         uint64
+	agreed        Book // after the whole log
+	nodes         []*node
+	pending       []Command // confirms under way
+	accounts      int
+	confirmsEarly bool // broken on purpose: a limiter confirms before it uses less
+	usesStale     bool // broken on purpose: one that starts uses what an older state says
+	maxUsedShare  float64
+	deals         int
 }
 
 // node is one limiter.
 type node struct {
-	holder  *Holder
-	book    Book
-	applied int
-	until   int // how long the log was when it started: before it has all of that it uses its floors
-	up      bool
-	use     map[uint64]float64
-	rest    float64
-	keptAt  int // what stands on its disk
+	holder     *Holder
+	book       Book
+	applied    int
+	logAtStart int // how long the log was when it started: before it has all of that it uses its floors
+	up         bool
+	use        map[uint64]float64
+	others     float64
+	savedAt    int // what stands on its disk
 }
 
 func newModel(limiters, accounts int) *model {
 	m := &model{accounts: accounts, epoch: 1}
 	for i := range limiters {
-		m.nodes = append(m.nodes, &node{up: true, rest: 1, holder: NewHolder(i)})
+		m.nodes = append(m.nodes, &node{up: true, others: 1, holder: NewHolder(i)})
 		m.nodes[i].holder.CaughtUp()
 	}
 	return m
 }
 
 func (m *model) agree(c Command) {
-	if m.truth.Apply(c, m.epoch) == nil && c.Confirm == nil {
+	if m.agreed.Apply(c, m.epoch) == nil && c.Confirm == nil {
 		m.deals++
 	}
 	m.log, m.epochs = append(m.log, c), append(m.epochs, m.epoch)
 }
 
 // learn has a limiter apply the next entry, use what it says, and confirm.
-func (m *model) learn(i int) {
+func (m *model) applyNext(i int) {
 	n := m.nodes[i]
 	if !n.up || n.applied == len(m.log) {
 		return
 	}
 	n.book.Apply(m.log[n.applied], m.epochs[n.applied])
 	n.applied++
-	if n.applied >= n.until || m.greedy {
+	if n.applied >= n.logAtStart || m.usesStale {
 		n.holder.CaughtUp()
 	}
-	n.look(m)
+	n.evaluate(m)
 }
 
 // look has a limiter use what it knows, and confirm.
-func (n *node) look(m *model) {
-	u, confirm, ok := n.holder.Look(&n.book)
+func (n *node) evaluate(m *model) {
+	usable, confirm, ok := n.holder.Look(&n.book)
 	if !ok {
 		return
 	}
 	if confirm != nil {
 		m.pending = append(m.pending, Command{Confirm: confirm})
 	}
-	if confirm != nil && m.hasty {
+	if confirm != nil && m.confirmsEarly {
 		return // it uses less only with the next entry
 	}
-	n.use, n.rest = u.Of, u.Rest
+	n.use, n.others = usable.Of, usable.Rest
 }
 
 // start has a limiter begin anew from its disk.
 func (m *model) start(i int) {
 	n := m.nodes[i]
-	*n = node{up: true, until: len(m.log), keptAt: n.keptAt, holder: NewHolder(i)}
-	n.use, n.rest = nil, n.holder.Forget().Rest
-	for k := range n.keptAt {
+	*n = node{up: true, logAtStart: len(m.log), savedAt: n.savedAt, holder: NewHolder(i)}
+	n.use, n.others = nil, n.holder.Forget().Rest
+	for k := range n.savedAt {
 		n.book.Apply(m.log[k], m.epochs[k])
 	}
-	n.applied = n.keptAt
-	if m.greedy || n.applied >= n.until {
+	n.applied = n.savedAt
+	if m.usesStale || n.applied >= n.logAtStart {
 		n.holder.CaughtUp()
 	}
-	n.look(m)
+	n.evaluate(m)
 }
 
 // anew has the fleet begin anew from a survivor. The others learn of it in their own time:
 // what they know of the old log counts until they start again.
-func (m *model) anew(i int) {
-	from := m.nodes[i].applied
+func (m *model) resetFrom(survivor int) {
+	from := m.nodes[survivor].applied
 	m.log, m.epochs = m.log[:from:from], m.epochs[:from:from]
 	m.pending = nil // they went to those that are gone
-	m.truth = Book{}
+	m.agreed = Book{}
 	for k := range m.log {
-		m.truth.Apply(m.log[k], m.epochs[k])
+		m.agreed.Apply(m.log[k], m.epochs[k])
 	}
-	m.truth.BeginAnew(len(m.nodes))
+	m.agreed.BeginAnew(len(m.nodes))
 	m.epoch += 1 << 40
 }
 
@@ -122,10 +122,10 @@
 			if x, ok := n.use[id]; ok {
 				sum += x
 			} else {
-				sum += n.rest
+				sum += n.others
 			}
 		}
-		m.most = max(m.most, sum/float64(len(m.nodes)))
+		m.maxUsedShare = max(m.maxUsedShare, sum/float64(len(m.nodes)))
 		if sum > float64(len(m.nodes))*(1+1e-9) {
 			return fmt.Errorf("account %d: %.3f equal parts are used, of %d", id, sum, len(m.nodes))
 		}
@@ -134,48 +134,48 @@
 }
 
 // step draws one thing that happens.
-func (m *model) step(r func(n int) int) error {
-	i := r(len(m.nodes))
+func (m *model) step(draw func(n int) int) error {
+	i := draw(len(m.nodes))
 	n := m.nodes[i]
-	switch k := r(20); {
+	switch k := draw(20); {
 	case k < 9:
-		m.learn(i)
+		m.applyNext(i)
 	case k < 12 && len(m.pending) > 0:
-		p := r(len(m.pending))
+		p := draw(len(m.pending))
 		c := m.pending[p]
-		if r(4) > 0 { // else it comes again later
+		if draw(4) > 0 { // else it comes again later
 			m.pending = append(m.pending[:p], m.pending[p+1:]...)
 		}
 		m.agree(c)
 	case k < 13 && len(m.pending) > 0:
-		p := r(len(m.pending))
+		p := draw(len(m.pending))
 		m.pending = append(m.pending[:p], m.pending[p+1:]...)
 	case k < 15:
 		var deals []Deal
-		for range 1 + r(2) {
+		for range 1 + draw(2) {
 			to := make([]uint32, len(m.nodes))
 			left := (Equal - Floor) * len(m.nodes)
 			for j := range to {
-				x := r(left + 1)
-				if j == len(to)-1 && r(2) == 0 {
+				x := draw(left + 1)
+				if j == len(to)-1 && draw(2) == 0 {
 					x = left
 				}
 				to[j], left = uint32(Floor+x), left-x
 			}
-			r2 := r(len(to))
-			to[0], to[r2] = to[r2], to[0]
-			deals = append(deals, Deal{uint64(r(m.accounts)), 0, len(m.nodes), to})
+			swap := draw(len(to))
+			to[0], to[swap] = to[swap], to[0]
+			deals = append(deals, Deal{uint64(draw(m.accounts)), 0, len(m.nodes), to})
 		}
 		epoch := m.epoch
-		if r(4) == 0 && epoch > 1 {
+		if draw(4) == 0 && epoch > 1 {
 			epoch-- // a former steward's
 		}
 		m.agree(Command{Epoch: epoch, Limiters: len(m.nodes), Deals: deals})
 	case k < 16:
 		m.epoch++
 	case k < 17:
-		n.keptAt = n.applied
-	case k < 18 && n.up && r(3) == 0:
+		n.savedAt = n.applied
+	case k < 18 && n.up && draw(3) == 0:
 		n.up = false
 	case k < 20 && !n.up:
 		m.start(i)
@@ -183,7 +183,7 @@
 	return m.check()
 }
 
-func steps(standard int) int {
+func stepCount(standard int) int {
 	if n, err := strconv.Atoi(os.Getenv("PARTS_STEPS")); err == nil {
 		return n
 	}
@@ -195,7 +195,7 @@
 func TestPartsNeverComeToMore(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	deals, done := 0, 0
-	for done < steps(1_000_000) {
+	for done < stepCount(1_000_000) {
 		m := newModel(2+r.IntN(4), 1+r.IntN(2))
 		for range 500 {
 			if err := m.step(r.IntN); err != nil {
@@ -224,8 +224,8 @@
 // Without the wait for what is used less, and without the floor after a start, it is found.
 func TestBrokenPartsAreFound(t *testing.T) {
 	for name, breakIt := range map[string]func(*model){
-		"confirms before it uses less":  func(m *model) { m.hasty = true },
-		"uses what an older state says": func(m *model) { m.greedy = true },
+		"confirms before it uses less":  func(m *model) { m.confirmsEarly = true },
+		"uses what an older state says": func(m *model) { m.usesStale = true },
 	} {
 		r := rand.New(rand.NewPCG(2, 2))
 		found := false
@@ -250,10 +250,10 @@
 func TestBeginAnewWaitsForAll(t *testing.T) {
 	m := newModel(3, 1)
 	deal := func(to ...uint32) { m.agree(Command{Epoch: m.epoch, Limiters: 3, Deals: []Deal{{0, 0, 3, to}}}) }
-	all := func() {
+	settle := func() {
 		for range 10 {
 			for i := range m.nodes {
-				m.learn(i)
+				m.applyNext(i)
 			}
 			for _, c := range m.pending {
 				m.agree(c)
@@ -266,14 +266,14 @@
 	}
 	deal(100, 100, 2800)
 	old := *m.nodes[0] // the survivor knows the deal alone
-	all()
+	settle()
 	if got := m.nodes[2].use[0]; got != 2.8 {
 		t.Fatalf("the third holds %g", got)
 	}
 	m.nodes[0], m.nodes[1].up = &old, false
-	m.anew(0)
-	m.nodes[0].book = m.truth
-	m.nodes[0].use, m.nodes[0].rest = m.truth.Parts(0)
+	m.resetFrom(0)
+	m.nodes[0].book = m.agreed
+	m.nodes[0].use, m.nodes[0].others = m.agreed.Parts(0)
 	if err := m.check(); err != nil {
 		t.Error(err)
 	}
@@ -282,12 +282,12 @@
 		m.agree(Command{Confirm: &Confirm{Position: i, Version: 9}}) // not that it uses its floor
 	}
 	deal(2800, 100, 100)
-	if of, rest := m.truth.Parts(0); len(of) > 0 || rest != 0.1 || len(m.truth.Unsure) != 1 {
-		t.Errorf("before the third has told: %v, %g, unsure %v", of, rest, m.truth.Unsure)
+	if byAccount, others := m.agreed.Parts(0); len(byAccount) > 0 || others != 0.1 || len(m.agreed.Unsure) != 1 {
+		t.Errorf("before the third has told: %v, %g, unsure %v", byAccount, others, m.agreed.Unsure)
 	}
 	m.agree(Command{Confirm: &Confirm{Position: 2, Floor: true}})
-	if _, rest := m.truth.Parts(0); rest != 1 {
-		t.Errorf("after all have told: %g", rest)
+	if _, others := m.agreed.Parts(0); others != 1 {
+		t.Errorf("after all have told: %g", others)
 	}
 }
 
--- a/parts/steward_test.go
+++ b/parts/steward_test.go
@@ -12,14 +12,14 @@
 // What an account asks for at two of four limiters is dealt to those, the busier one first,
 // each enough for the largest request; and is taken back when it moves on.
 func TestStewardFollowsDemand(t *testing.T) {
-	s, b := NewSteward(4), &Book{}
+	steward, b := NewSteward(4), &Book{}
 	asked := make([]float64, 4)
 	round := func(add ...float64) []Deal {
 		for i, x := range add {
 			asked[i] += x
-			s.Observe(i, 7, []Report{{Account: 1, First: 2, Spread: 4, Asked: asked[i], Largest: 4, Burst: 12}})
+			steward.Observe(i, 7, []Report{{Account: 1, First: 2, Spread: 4, Asked: asked[i], Largest: 4, Burst: 12}})
 		}
-		deals := s.Next(b)
+		deals := steward.Next(b)
 		if len(deals) > 0 {
 			if err := b.Apply(Command{Epoch: 1, Limiters: 4, Deals: deals}, 1); err != nil {
 				t.Fatal(err)
@@ -34,9 +34,9 @@
 		t.Errorf("before anything was asked for: %v", deals)
 	}
 	round(40, 10, 0, 0)
-	of := func(i int) float64 { all, _ := b.Parts(i); return all[1] }
-	if of(0) < of(1) || of(1) < 1.05*4/12*4-0.01 || of(2) != 0.1 || of(3) != 0.1 {
-		t.Errorf("parts %g %g %g %g", of(0), of(1), of(2), of(3))
+	shareOf := func(i int) float64 { all, _ := b.Parts(i); return all[1] }
+	if shareOf(0) < shareOf(1) || shareOf(1) < 1.05*4/12*4-0.01 || shareOf(2) != 0.1 || shareOf(3) != 0.1 {
+		t.Errorf("parts %g %g %g %g", shareOf(0), shareOf(1), shareOf(2), shareOf(3))
 	}
 	if deals := round(40, 10, 0, 0); len(deals) > 0 {
 		t.Errorf("the same again moves %v", deals)
@@ -44,24 +44,24 @@
 	for range 40 {
 		round(0, 0, 0, 50)
 	}
-	if of(3) < 2 || of(3) < of(0) {
-		t.Errorf("after it moved on: parts %g %g %g %g", of(0), of(1), of(2), of(3))
+	if shareOf(3) < 2 || shareOf(3) < shareOf(0) {
+		t.Errorf("after it moved on: parts %g %g %g %g", shareOf(0), shareOf(1), shareOf(2), shareOf(3))
 	}
 	asked[3] = 0 // its process began anew
-	s.Observe(3, 8, []Report{{Account: 1, First: 2, Spread: 4, Asked: 500, Largest: 4, Burst: 12}})
-	if d := s.accounts[1]; d.by[1] > 500 {
-		t.Errorf("what a new process tells first counts as %g", d.by[1])
+	steward.Observe(3, 8, []Report{{Account: 1, First: 2, Spread: 4, Asked: 500, Largest: 4, Burst: 12}})
+	if d := steward.accounts[1]; d.byIndex[1] > 500 {
+		t.Errorf("what a new process tells first counts as %g", d.byIndex[1])
 	}
 }
 
 // Reports that make no sense are left out.
 func TestStewardIgnoresBadReports(t *testing.T) {
-	s := NewSteward(3)
+	steward := NewSteward(3)
 	for _, r := range []Report{{1, 0, 4, 1, 1, 1}, {1, 3, 3, 1, 1, 1}, {1, -1, 3, 1, 1, 1}, {1, 0, 1, 1, 1, 1}, {1, 0, 3, -1, 1, 1}, {1, 0, 3, 1, 1, 0}} {
-		s.Observe(0, 1, []Report{r})
+		steward.Observe(0, 1, []Report{r})
 	}
-	if len(s.accounts) > 0 {
-		t.Errorf("%v", s.accounts)
+	if len(steward.accounts) > 0 {
+		t.Errorf("%v", steward.accounts)
 	}
 }
 
@@ -86,7 +86,7 @@
 // that has just begun takes none back of which it has not heard yet.
 func TestIdleAccountsLeaveTheBook(t *testing.T) {
 	b := &Book{}
-	rounds := func(s *Steward, n int, asked float64) {
+	playRounds := func(s *Steward, n int, asked float64) {
 		for range n {
 			s.Observe(0, 7, []Report{{Account: 1, First: 0, Spread: 4, Asked: asked, Largest: 4, Burst: 12}})
 			if deals := s.Next(b); len(deals) > 0 {
@@ -99,18 +99,18 @@
 			}
 		}
 	}
-	s := NewSteward(4)
-	rounds(s, 1, 0)
-	rounds(s, 1, 40)
+	first := NewSteward(4)
+	playRounds(first, 1, 0)
+	playRounds(first, 1, 40)
 	if moved, _ := b.Moved(); moved != 1 {
 		t.Fatalf("%d accounts moved", moved)
 	}
 	next := NewSteward(4)
-	rounds(next, idleRounds-1, 40)
+	playRounds(next, idleRounds-1, 40)
 	if moved, _ := b.Moved(); moved != 1 {
 		t.Error("a steward that has just begun took it back")
 	}
-	rounds(next, 2*idleRounds, 40)
+	playRounds(next, 2*idleRounds, 40)
 	if moved, _ := b.Moved(); moved != 0 || len(b.Accounts) != 0 {
 		t.Errorf("it is still in the book: %+v", b.Accounts[1])
 	}
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -43,10 +43,10 @@
 
 // States of rollouts.
 const (
-	Running State = "running"
-	Halted  State = "halted" // until an operator has it go on, or ends it
-	Done    State = "done"
-	Ended   State = "ended" // by an operator, before it was done
+	Running    State = "running"
+	Halted     State = "halted" // until an operator has it go on, or ends it
+	Done       State = "done"
+	StateEnded State = "ended" // by an operator, before it was done
 )
 
 // Step is one limiter's part.
@@ -74,12 +74,12 @@
 
 // The ops of commands.
 const (
-	Begin    Op = "begin"
-	Note     Op = "note"    // a limiter goes from one phase to the next
-	Measured Op = "service" // the service before
-	Halt     Op = "halt"
-	GoOn     Op = "continue"
-	End      Op = "end"
+	Begin         Op = "begin"
+	OpAdvance     Op = "note"    // a limiter goes from one phase to the next
+	OpSetBaseline Op = "service" // the service before
+	Halt          Op = "halt"
+	GoOn          Op = "continue"
+	End           Op = "end"
 )
 
 // Command is a change to the book. Those of conductors carry their epoch.
@@ -98,7 +98,7 @@
 // Book is what is agreed on of rollouts: one at a time, and the last ones. The zero value is empty.
 type Book struct{ Plans []*Plan } // oldest first
 
-const mostPlans = 16
+const maxPlans = 16
 
 // Current is the rollout that is not over, or nil.
 func (b *Book) Current() *Plan {
@@ -110,20 +110,20 @@
 
 // Apply carries out a command. epoch is that of the duty's present term: a conductor's
 // command under another one is refused.
-func (b *Book) Apply(c Command, epoch uint64) error {
+func (b *Book) Apply(c Command, currentEpoch uint64) error {
 	p := b.Current()
 	if c.Op == Begin {
 		if p != nil {
 			return fmt.Errorf("rollout %s is %s: wait for it, or end it first", p.ID, p.State)
 		}
-		if err := c.Plan.check(); err != nil {
+		if err := c.Plan.validate(); err != nil {
 			return err
 		}
-		n := *c.Plan
-		n.State, n.Steps = Running, slices.Clone(n.Steps)
-		b.Plans = append(b.Plans, &n)
-		if k := len(b.Plans) - mostPlans; k > 0 {
-			b.Plans = slices.Delete(b.Plans, 0, k)
+		plan := *c.Plan
+		plan.State, plan.Steps = Running, slices.Clone(plan.Steps)
+		b.Plans = append(b.Plans, &plan)
+		if excess := len(b.Plans) - maxPlans; excess > 0 {
+			b.Plans = slices.Delete(b.Plans, 0, excess)
 		}
 		return nil
 	}
@@ -132,11 +132,11 @@
 		return errors.New("no rollout is under way")
 	case c.ID != "" && c.ID != p.ID:
 		return fmt.Errorf("rollout %s is not under way, %s is", c.ID, p.ID)
-	case c.Epoch != 0 && c.Epoch != epoch:
-		return fmt.Errorf("epoch %d of the duty is over, %d is under way", c.Epoch, epoch)
+	case c.Epoch != 0 && c.Epoch != currentEpoch:
+		return fmt.Errorf("epoch %d of the duty is over, %d is under way", c.Epoch, currentEpoch)
 	}
 	switch c.Op {
-	case Note:
+	case OpAdvance:
 		i := slices.IndexFunc(p.Steps, func(s Step) bool { return s.Limiter == c.Limiter })
 		if i < 0 || p.Steps[i].Phase != c.From {
 			return fmt.Errorf("%s is not %s", c.Limiter, c.From)
@@ -144,8 +144,8 @@
 		if c.Epoch == 0 {
 			return errors.New("a step needs its conductor's epoch")
 		}
-		if c.From == Waiting && p.out() >= p.AtOnce {
-			return fmt.Errorf("%d limiters are out already", p.out())
+		if c.From == Waiting && p.outOfService() >= p.AtOnce {
+			return fmt.Errorf("%d limiters are out already", p.outOfService())
 		}
 		p.Steps[i].Phase, p.Steps[i].Epoch = c.To, c.Epoch
 		if c.Start != 0 {
@@ -154,14 +154,14 @@
 		if !slices.ContainsFunc(p.Steps, func(s Step) bool { return s.Phase != Back }) {
 			p.State = Done
 		}
-	case Measured:
+	case OpSetBaseline:
 		p.Before = c.Before
 	case Halt:
 		p.State, p.Why = Halted, c.Why
 	case GoOn:
 		p.State, p.Why, p.Before = Running, "", 0
 	case End:
-		p.State, p.Why = Ended, c.Why
+		p.State, p.Why = StateEnded, c.Why
 	default:
 		return fmt.Errorf("there is no op %.20q", c.Op)
 	}
@@ -169,7 +169,7 @@
 }
 
 // check tells what is wrong with a plan that is to begin.
-func (p *Plan) check() error {
+func (p *Plan) validate() error {
 	switch {
 	case p == nil || p.ID == "":
 		return errors.New("a rollout needs an id")
@@ -191,7 +191,7 @@
 }
 
 // out is how many limiters are out of service.
-func (p *Plan) out() (n int) {
+func (p *Plan) outOfService() (n int) {
 	for _, s := range p.Steps {
 		if s.Phase != Waiting && s.Phase != Back {
 			n++
@@ -229,24 +229,24 @@
 const (
 	// A limiter that sends its clients away has emptyFor until it counts as empty with
 	// requests still in hand: none may take longer.
-	emptyFor = 10 * time.Second
+	drainTimeout = 10 * time.Second
 	// A rollout halts when a phase takes longer, or a limiter whose turn it is can't be
 	// reached for so long.
-	phaseFor = time.Minute
+	phaseTimeout = time.Minute
 	// Service has to lie too low in so many looks in a row.
-	lowLooks = 3
+	maxLowObservations = 3
 )
 
 // Conductor carries out rollouts while it owns the duty. It is not safe for concurrent use.
 type Conductor struct {
-	me    string
-	since map[string]time.Duration // by limiter and phase: when this conductor first saw it so
-	low   int
+	self     string
+	since    map[string]time.Duration // by limiter and phase: when this conductor first saw it so
+	lowCount int
 }
 
 // NewConductor returns one, on a limiter.
-func NewConductor(me string) *Conductor {
-	return &Conductor{me: me, since: map[string]time.Duration{}}
+func NewConductor(self string) *Conductor {
+	return &Conductor{self: self, since: map[string]time.Duration{}}
 }
 
 // Look is what a conductor sees at one time.
@@ -259,79 +259,79 @@
 
 // Next returns what is to be noted and which calls are to be made. resign: this limiter is
 // next to be taken out, and another one has to do that.
-func (c *Conductor) Next(p *Plan, l Look) (notes []Command, calls []Call, resign bool) {
-	if p == nil || p.State != Running {
+func (c *Conductor) Next(plan *Plan, observed Look) (notes []Command, calls []Call, resign bool) {
+	if plan == nil || plan.State != Running {
 		clear(c.since)
-		c.low = 0
+		c.lowCount = 0
 		return nil, nil, false
 	}
 	halt := func(why string) []Command {
-		return []Command{{Op: Halt, ID: p.ID, Epoch: l.Epoch, Why: why}}
+		return []Command{{Op: Halt, ID: plan.ID, Epoch: observed.Epoch, Why: why}}
 	}
-	if p.Before == 0 {
-		if l.Served < 0 {
+	if plan.Before == 0 {
+		if observed.Served < 0 {
 			return nil, nil, false // the limiters are asked first
 		}
-		return []Command{{Op: Measured, ID: p.ID, Epoch: l.Epoch, Before: max(l.Served, 1e-9)}}, nil, false
+		return []Command{{Op: OpSetBaseline, ID: plan.ID, Epoch: observed.Epoch, Before: max(observed.Served, 1e-9)}}, nil, false
 	}
-	if l.Served >= 0 && l.Served < p.Before-p.Fall {
-		if c.low++; c.low >= lowLooks {
-			return halt(fmt.Sprintf("service fell from %.3f to %.3f", p.Before, l.Served)), nil, false
+	if observed.Served >= 0 && observed.Served < plan.Before-plan.Fall {
+		if c.lowCount++; c.lowCount >= maxLowObservations {
+			return halt(fmt.Sprintf("service fell from %.3f to %.3f", plan.Before, observed.Served)), nil, false
 		}
-	} else if l.Served >= 0 {
-		c.low = 0
+	} else if observed.Served >= 0 {
+		c.lowCount = 0
 	}
-	out := p.out()
-	for _, s := range p.Steps {
-		seen := l.Seen[s.Limiter]
-		note := func(to Phase, start uint64) {
-			notes = append(notes, Command{Op: Note, ID: p.ID, Limiter: s.Limiter, From: s.Phase, To: to, Start: start, Epoch: l.Epoch})
+	outOfService := plan.outOfService()
+	for _, step := range plan.Steps {
+		status := observed.Seen[step.Limiter]
+		advance := func(to Phase, start uint64) {
+			notes = append(notes, Command{Op: OpAdvance, ID: plan.ID, Limiter: step.Limiter, From: step.Phase, To: to, Start: start, Epoch: observed.Epoch})
 		}
-		call := func(v Verb) { calls = append(calls, Call{v, s.Limiter, s.Start}) }
-		if s.Phase == Back || s.Phase == Waiting && out >= p.AtOnce {
+		call := func(v Verb) { calls = append(calls, Call{v, step.Limiter, step.Start}) }
+		if step.Phase == Back || step.Phase == Waiting && outOfService >= plan.AtOnce {
 			continue
 		}
-		key := s.Limiter + " " + string(s.Phase)
-		from, known := c.since[key]
+		key := step.Limiter + " " + string(step.Phase)
+		since, known := c.since[key]
 		if !known {
-			from = l.Now
-			c.since[key] = from
+			since = observed.Now
+			c.since[key] = since
 		}
-		if took := l.Now - from; took > phaseFor {
-			return halt(fmt.Sprintf("%s has been %s for %v", s.Limiter, s.Phase, took.Round(time.Second))), nil, false
+		if took := observed.Now - since; took > phaseTimeout {
+			return halt(fmt.Sprintf("%s has been %s for %v", step.Limiter, step.Phase, took.Round(time.Second))), nil, false
 		}
-		another := seen.Reached && seen.Start != s.Start // its process has ended, by whatever
-		switch s.Phase {
+		restarted := status.Reached && status.Start != step.Start // its process has ended, by whatever
+		switch step.Phase {
 		case Waiting:
-			out++ // also one that can't be reached: it is out
+			outOfService++ // also one that can't be reached: it is out
 			switch {
-			case !seen.Reached || !seen.Ready || !c.othersReady(p, l):
-			case s.Limiter == c.me:
+			case !status.Reached || !status.Ready || !c.othersReady(plan, observed):
+			case step.Limiter == c.self:
 				return notes, calls, true
 			default:
-				note(Leaving, seen.Start)
+				advance(Leaving, status.Start)
 			}
 		case Leaving:
 			switch {
-			case another:
-				note(Returning, 0)
-			case seen.Reached && seen.Draining && (seen.InHand == 0 || l.Now-from > emptyFor) && p.Kind == Restart:
-				note(Ending, 0)
-			case seen.Reached && seen.Draining && (seen.InHand == 0 || l.Now-from > emptyFor):
-				note(Returning, 0)
-			case seen.Reached && !seen.Draining:
+			case restarted:
+				advance(Returning, 0)
+			case status.Reached && status.Draining && (status.InHand == 0 || observed.Now-since > drainTimeout) && plan.Kind == Restart:
+				advance(Ending, 0)
+			case status.Reached && status.Draining && (status.InHand == 0 || observed.Now-since > drainTimeout):
+				advance(Returning, 0)
+			case status.Reached && !status.Draining:
 				call(CallDrain)
 			}
 		case Ending:
-			if another {
-				note(Returning, 0)
-			} else if seen.Reached {
+			if restarted {
+				advance(Returning, 0)
+			} else if status.Reached {
 				call(CallLeave)
 			}
 		case Returning:
-			if seen.Reached && seen.Ready {
-				note(Back, 0)
-			} else if seen.Reached && seen.Draining && !another {
+			if status.Reached && status.Ready {
+				advance(Back, 0)
+			} else if status.Reached && status.Draining && !restarted {
 				call(CallResume)
 			}
 		}
@@ -341,13 +341,13 @@
 
 // othersReady tells whether all limiters that are not out take clients: with one that is
 // down for another reason, none more is taken out.
-func (c *Conductor) othersReady(p *Plan, l Look) bool {
-	for name, seen := range l.Seen {
-		i := slices.IndexFunc(p.Steps, func(s Step) bool { return s.Limiter == name })
-		if i >= 0 && p.Steps[i].Phase != Waiting && p.Steps[i].Phase != Back {
+func (c *Conductor) othersReady(plan *Plan, observed Look) bool {
+	for name, status := range observed.Seen {
+		i := slices.IndexFunc(plan.Steps, func(s Step) bool { return s.Limiter == name })
+		if i >= 0 && plan.Steps[i].Phase != Waiting && plan.Steps[i].Phase != Back {
 			continue
 		}
-		if !seen.Reached || !seen.Ready {
+		if !status.Reached || !status.Ready {
 			return false
 		}
 	}
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -9,48 +9,48 @@
 )
 
 // site is a fleet that obeys calls: what it did is the judge.
-type site struct {
-	t      testing.TB
-	r      *rand.Rand
-	now    time.Duration
-	book   Book
-	epoch  uint64
-	names  []string
-	seen   map[string]*Seen
-	back   map[string]time.Duration // when a process that has ended is up again
-	ended  map[string]int           // processes ended by calls
-	most   int                      // limiters out at once
-	served float64
-	keep   bool // a broken build: a call is obeyed whichever process it means
+type fleet struct {
+	t            testing.TB
+	random       *rand.Rand
+	now          time.Duration
+	history      Book
+	epoch        uint64
+	limiters     []string
+	statuses     map[string]*Seen
+	restartAt    map[string]time.Duration // when a process that has ended is up again
+	exits        map[string]int           // processes ended by calls
+	maxOut       int                      // limiters out at once
+	servedShare  float64
+	ignoresStart bool // a broken build: a call is obeyed whichever process it means
 }
 
-func newSite(t testing.TB, seed uint64, n int, kind Kind, atOnce int) *site {
-	s := &site{t: t, r: rand.New(rand.NewPCG(seed, 1)), epoch: 1, seen: map[string]*Seen{}, back: map[string]time.Duration{}, ended: map[string]int{}, served: 1}
+func newFleet(t testing.TB, seed uint64, n int, kind Kind, atOnce int) *fleet {
+	s := &fleet{t: t, random: rand.New(rand.NewPCG(seed, 1)), epoch: 1, statuses: map[string]*Seen{}, restartAt: map[string]time.Duration{}, exits: map[string]int{}, servedShare: 1}
 	p := &Plan{ID: "r1", Kind: kind, AtOnce: atOnce, Fall: 0.1}
 	for i := range n {
 		name := fmt.Sprint("n", i)
-		s.names = append(s.names, name)
-		s.seen[name] = &Seen{Reached: true, Ready: true, Start: s.r.Uint64(), InHand: s.r.IntN(3)}
+		s.limiters = append(s.limiters, name)
+		s.statuses[name] = &Seen{Reached: true, Ready: true, Start: s.random.Uint64(), InHand: s.random.IntN(3)}
 		p.Steps = append(p.Steps, Step{Limiter: name, Phase: Waiting})
 	}
-	if err := s.book.Apply(Command{Op: Begin, Plan: p}, 0); err != nil {
+	if err := s.history.Apply(Command{Op: Begin, Plan: p}, 0); err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func (s *site) look() Look {
-	l := Look{Now: s.now, Epoch: s.epoch, Seen: map[string]Seen{}, Served: s.served}
-	for n, x := range s.seen {
+func (s *fleet) observe() Look {
+	l := Look{Now: s.now, Epoch: s.epoch, Seen: map[string]Seen{}, Served: s.servedShare}
+	for n, x := range s.statuses {
 		l.Seen[n] = *x
 	}
 	return l
 }
 
 // obey has a limiter carry out a call.
-func (s *site) obey(c Call) {
-	x := s.seen[c.Limiter]
-	if !x.Reached || x.Start != c.Start && !s.keep {
+func (s *fleet) carryOut(c Call) {
+	x := s.statuses[c.Limiter]
+	if !x.Reached || x.Start != c.Start && !s.ignoresStart {
 		return
 	}
 	switch c.Verb {
@@ -59,61 +59,61 @@
 	case CallResume:
 		x.Draining, x.Ready = false, true
 	case CallLeave:
-		s.ended[c.Limiter]++
+		s.exits[c.Limiter]++
 		*x = Seen{}
-		s.back[c.Limiter] = s.now + time.Duration(s.r.IntN(3000))*time.Millisecond
+		s.restartAt[c.Limiter] = s.now + time.Duration(s.random.IntN(3000))*time.Millisecond
 	}
 }
 
-func (s *site) pass(by time.Duration) {
+func (s *fleet) advance(by time.Duration) {
 	s.now += by
 	out := 0
-	for _, n := range s.names {
-		x := s.seen[n]
-		if at, ok := s.back[n]; ok && s.now >= at {
-			delete(s.back, n)
-			*x = Seen{Reached: true, Ready: true, Start: s.r.Uint64()}
+	for _, n := range s.limiters {
+		x := s.statuses[n]
+		if at, ok := s.restartAt[n]; ok && s.now >= at {
+			delete(s.restartAt, n)
+			*x = Seen{Reached: true, Ready: true, Start: s.random.Uint64()}
 		}
-		if x.Draining && s.r.IntN(3) == 0 {
+		if x.Draining && s.random.IntN(3) == 0 {
 			x.InHand = 0
 		}
 		if !x.Ready {
 			out++
 		}
 	}
-	s.most = max(s.most, out)
+	s.maxOut = max(s.maxOut, out)
 }
 
 // play has conductors carry the rollout out; each is gone, or stopped and late, after a few steps.
-func (s *site) play(limit time.Duration) {
+func (s *fleet) run(limit time.Duration) {
 	var late []Call // of conductors that were stopped before their call
-	for s.book.Current() != nil && s.now < limit {
+	for s.history.Current() != nil && s.now < limit {
 		s.epoch++
-		me := s.names[s.r.IntN(len(s.names))]
+		me := s.limiters[s.random.IntN(len(s.limiters))]
 		c := NewConductor(me)
-		for range 1 + s.r.IntN(12) {
-			notes, calls, resign := c.Next(s.book.Current(), s.look())
+		for range 1 + s.random.IntN(12) {
+			notes, calls, resign := c.Next(s.history.Current(), s.observe())
 			if resign {
 				break
 			}
 			for _, n := range notes {
-				s.book.Apply(n, s.epoch)
-				if s.r.IntN(10) == 0 {
+				s.history.Apply(n, s.epoch)
+				if s.random.IntN(10) == 0 {
 					break // it dies between two notes
 				}
 			}
 			for _, call := range calls {
-				if s.r.IntN(10) == 0 {
+				if s.random.IntN(10) == 0 {
 					late = append(late, call)
 					continue
 				}
-				s.obey(call)
+				s.carryOut(call)
 			}
-			if s.keep && len(late) > 0 && s.r.IntN(4) == 0 {
-				s.obey(late[0]) // without the token's check
+			if s.ignoresStart && len(late) > 0 && s.random.IntN(4) == 0 {
+				s.carryOut(late[0]) // without the token's check
 				late = late[1:]
 			}
-			s.pass(200 * time.Millisecond)
+			s.advance(200 * time.Millisecond)
 		}
 	}
 }
@@ -125,17 +125,17 @@
 		if seed%3 == 0 {
 			kind = Drain
 		}
-		s := newSite(t, seed, n, kind, 1+int(seed%2))
-		s.play(20 * time.Minute)
-		if p := s.book.Plans[0]; p.State != Done {
+		s := newFleet(t, seed, n, kind, 1+int(seed%2))
+		s.run(20 * time.Minute)
+		if p := s.history.Plans[0]; p.State != Done {
 			t.Fatalf("seed %d: %s, %s: %+v", seed, p.State, p.Why, p.Steps)
 		}
-		if s.most > 1+int(seed%2) {
-			t.Fatalf("seed %d: %d limiters were out at once", seed, s.most)
+		if s.maxOut > 1+int(seed%2) {
+			t.Fatalf("seed %d: %d limiters were out at once", seed, s.maxOut)
 		}
-		for _, name := range s.names {
-			if want := map[Kind]int{Restart: 1}[kind]; s.ended[name] != want {
-				t.Fatalf("seed %d: %s was ended %d times", seed, name, s.ended[name])
+		for _, name := range s.limiters {
+			if want := map[Kind]int{Restart: 1}[kind]; s.exits[name] != want {
+				t.Fatalf("seed %d: %s was ended %d times", seed, name, s.exits[name])
 			}
 		}
 	}
@@ -145,11 +145,11 @@
 // twice: the test above would find it.
 func TestCallsForAnotherProcessDoHarm(t *testing.T) {
 	for seed := range uint64(300) {
-		s := newSite(t, seed, 4, Restart, 1)
-		s.keep = true
-		s.play(20 * time.Minute)
-		for _, n := range s.ended {
-			if n > 1 || s.most > 1 {
+		s := newFleet(t, seed, 4, Restart, 1)
+		s.ignoresStart = true
+		s.run(20 * time.Minute)
+		for _, n := range s.exits {
+			if n > 1 || s.maxOut > 1 {
 				return
 			}
 		}
@@ -158,56 +158,56 @@
 }
 
 func TestHalts(t *testing.T) {
-	until := func(s *site, c *Conductor, limit time.Duration) *Plan {
-		for s.book.Current() != nil && s.book.Current().State == Running && s.now < limit {
-			notes, calls, resign := c.Next(s.book.Current(), s.look())
+	runUntil := func(s *fleet, c *Conductor, limit time.Duration) *Plan {
+		for s.history.Current() != nil && s.history.Current().State == Running && s.now < limit {
+			notes, calls, resign := c.Next(s.history.Current(), s.observe())
 			for _, n := range notes {
-				s.book.Apply(n, s.epoch)
+				s.history.Apply(n, s.epoch)
 			}
 			for _, call := range calls {
-				s.obey(call)
+				s.carryOut(call)
 			}
 			if resign {
 				break
 			}
-			s.pass(200 * time.Millisecond)
+			s.advance(200 * time.Millisecond)
 		}
-		return s.book.Plans[0]
+		return s.history.Plans[0]
 	}
-	s := newSite(t, 1, 4, Restart, 1)
+	s := newFleet(t, 1, 4, Restart, 1)
 	c := NewConductor("n3")
-	s.pass(0)
+	s.advance(0)
 	for range 8 {
-		notes, calls, _ := c.Next(s.book.Current(), s.look())
+		notes, calls, _ := c.Next(s.history.Current(), s.observe())
 		for _, n := range notes {
-			s.book.Apply(n, s.epoch)
+			s.history.Apply(n, s.epoch)
 		}
 		for _, call := range calls {
-			s.obey(call)
+			s.carryOut(call)
 		}
-		s.pass(200 * time.Millisecond)
+		s.advance(200 * time.Millisecond)
 	}
-	s.served = 0.8
-	if p := until(s, c, time.Minute); p.State != Halted || !strings.Contains(p.Why, "service fell from 1.000 to 0.800") {
+	s.servedShare = 0.8
+	if p := runUntil(s, c, time.Minute); p.State != Halted || !strings.Contains(p.Why, "service fell from 1.000 to 0.800") {
 		t.Errorf("with less service: %s, %q", p.State, p.Why)
 	}
-	if err := s.book.Apply(Command{Op: GoOn, ID: "r1"}, s.epoch); err != nil {
+	if err := s.history.Apply(Command{Op: GoOn, ID: "r1"}, s.epoch); err != nil {
 		t.Fatal(err)
 	}
-	if p := until(s, c, 10*time.Minute); p.State != Running || p.Steps[2].Phase != Back || p.Steps[3].Phase != Waiting {
+	if p := runUntil(s, c, 10*time.Minute); p.State != Running || p.Steps[2].Phase != Back || p.Steps[3].Phase != Waiting {
 		t.Errorf("gone on with, to the conductor itself: %s, %s, %+v", p.State, p.Why, p.Steps)
 	}
 	// A limiter that does not come back.
-	s = newSite(t, 2, 3, Restart, 1)
+	s = newFleet(t, 2, 3, Restart, 1)
 	c = NewConductor("n2")
-	for s.ended["n0"] == 0 && s.now < time.Minute {
-		until(s, c, s.now+1)
+	for s.exits["n0"] == 0 && s.now < time.Minute {
+		runUntil(s, c, s.now+1)
 	}
-	delete(s.back, "n0")
-	if p := until(s, c, 10*time.Minute); p.State != Halted || !strings.Contains(p.Why, "n0 has been ending") {
+	delete(s.restartAt, "n0")
+	if p := runUntil(s, c, 10*time.Minute); p.State != Halted || !strings.Contains(p.Why, "n0 has been ending") {
 		t.Errorf("with a limiter that is gone: %s, %q", p.State, p.Why)
 	}
-	if s.ended["n1"] > 0 {
+	if s.exits["n1"] > 0 {
 		t.Error("the next one was taken out while the first had not come back")
 	}
 }
@@ -226,16 +226,16 @@
 		t.Error("a rollout that is not there was halted")
 	}
 	b.Apply(Command{Op: Begin, Plan: &Plan{ID: "x", Kind: Drain, AtOnce: 1, Fall: 0.1, Steps: steps}}, 0)
-	for _, c := range []Command{{Op: Begin, Plan: &Plan{ID: "y", Kind: Drain, AtOnce: 1, Fall: 0.1, Steps: steps}}, {Op: Note, Limiter: "a", From: Waiting, To: Leaving, Epoch: 4},
-		{Op: Note, Limiter: "a", From: Waiting, To: Leaving}, {Op: Note, Limiter: "a", From: Leaving, To: Back, Epoch: 5}, {Op: Halt, ID: "y"}, {Op: "jump"}} {
+	for _, c := range []Command{{Op: Begin, Plan: &Plan{ID: "y", Kind: Drain, AtOnce: 1, Fall: 0.1, Steps: steps}}, {Op: OpAdvance, Limiter: "a", From: Waiting, To: Leaving, Epoch: 4},
+		{Op: OpAdvance, Limiter: "a", From: Waiting, To: Leaving}, {Op: OpAdvance, Limiter: "a", From: Leaving, To: Back, Epoch: 5}, {Op: Halt, ID: "y"}, {Op: "jump"}} {
 		if b.Apply(c, 5) == nil {
 			t.Errorf("%+v is taken", c)
 		}
 	}
-	if err := b.Apply(Command{Op: Note, Limiter: "a", From: Waiting, To: Leaving, Epoch: 5}, 5); err != nil {
+	if err := b.Apply(Command{Op: OpAdvance, Limiter: "a", From: Waiting, To: Leaving, Epoch: 5}, 5); err != nil {
 		t.Error(err)
 	}
-	if b.Apply(Command{Op: Note, Limiter: "b", From: Waiting, To: Leaving, Epoch: 5}, 5) == nil {
+	if b.Apply(Command{Op: OpAdvance, Limiter: "b", From: Waiting, To: Leaving, Epoch: 5}, 5) == nil {
 		t.Error("two are out where one may be")
 	}
 }
--- a/tenure/candidate.go
+++ b/tenure/candidate.go
@@ -12,34 +12,34 @@
 // may take one. Times are of the process's own monotonic clock, which must go on while the
 // machine is suspended. It is not safe for concurrent use.
 type Candidate struct {
-	me     Process
-	cfg    Settings
-	duties []*seat
-	serial uint64
+	self       Process
+	settings   Settings
+	duties     []*dutyState
+	lastSerial uint64
 }
 
 // seat is what a candidate knows of one duty.
-type seat struct {
-	duty   string
-	delay  time.Duration // after a term is over, before it asks
-	term   Term          // as agreed, as far as it has come here
-	seenAt time.Duration // when this term came here as it is: it was not made longer after that
-	known  bool
-	asked  map[uint64]time.Duration // by serial: when it was asked for, before it was sent
-	askAt  time.Duration            // not before
-	end    time.Duration            // of its own term
-	stop   bool                     // it has stopped and resigns
-	gave   bool                     // it gave the present epoch up: others go first
-	not    time.Duration            // it does not ask before, unless an operator wants it to
+type dutyState struct {
+	duty         string
+	stagger      time.Duration // after a term is over, before it asks
+	term         Term          // as agreed, as far as it has come here
+	changedAt    time.Duration // when this term came here as it is: it was not made longer after that
+	known        bool
+	proposedAt   map[uint64]time.Duration // by serial: when it was asked for, before it was sent
+	nextProposal time.Duration            // not before
+	termEnd      time.Duration            // of its own term
+	resigning    bool                     // it has stopped and resigns
+	gaveUp       bool                     // it gave the present epoch up: others go first
+	abstainUntil time.Duration            // it does not ask before, unless an operator wants it to
 }
 
 // NewCandidate returns the part of one process, a candidate for some duties among so many
 // limiters by name. Nothing is known of terms yet: it takes none before it has seen them.
-func NewCandidate(me Process, cfg Settings, duties, limiters []string) *Candidate {
-	c := &Candidate{me: me, cfg: cfg}
+func NewCandidate(self Process, settings Settings, duties, limiters []string) *Candidate {
+	c := &Candidate{self: self, settings: settings}
 	for _, d := range duties {
-		c.duties = append(c.duties, &seat{duty: d, delay: cfg.Stagger * time.Duration(rank(d, me.Limiter, limiters)) / time.Duration(max(1, len(limiters))),
-			asked: map[uint64]time.Duration{}})
+		c.duties = append(c.duties, &dutyState{duty: d, stagger: settings.Stagger * time.Duration(rank(d, self.Limiter, limiters)) / time.Duration(max(1, len(limiters))),
+			proposedAt: map[uint64]time.Duration{}})
 	}
 	return c
 }
@@ -54,34 +54,34 @@
 }
 
 // Observe takes in what is agreed, as it has come to this process just now.
-func (c *Candidate) Observe(now time.Duration, r *Registry) {
+func (c *Candidate) Observe(now time.Duration, registry *Registry) {
 	for _, s := range c.duties {
-		t := Term{Duty: s.duty}
-		if x := r.Terms[s.duty]; x != nil {
-			t = *x
+		term := Term{Duty: s.duty}
+		if agreed := registry.Terms[s.duty]; agreed != nil {
+			term = *agreed
 		}
-		changed := !s.known || t.Epoch != s.term.Epoch || t.Serial != s.term.Serial || t.Owner != s.term.Owner
-		if t.Epoch != s.term.Epoch { // another term
-			s.end, s.stop, s.gave = 0, false, false
+		changed := !s.known || term.Epoch != s.term.Epoch || term.Serial != s.term.Serial || term.Owner != s.term.Owner
+		if term.Epoch != s.term.Epoch { // another term
+			s.termEnd, s.resigning, s.gaveUp = 0, false, false
 		}
-		s.gave = s.gave || s.mine(c) && t.Epoch == s.term.Epoch && !t.Owned()
-		s.known, s.term = true, t
+		s.gaveUp = s.gaveUp || s.ownedBySelf(c) && term.Epoch == s.term.Epoch && !term.Owned()
+		s.known, s.term = true, term
 		if !changed {
 			continue
 		}
-		s.seenAt = now
-		if t.Owner != c.me {
-			s.end, s.stop = 0, false
-			clear(s.asked)
-			s.askAt = 0
+		s.changedAt = now
+		if term.Owner != c.self {
+			s.termEnd, s.resigning = 0, false
+			clear(s.proposedAt)
+			s.nextProposal = 0
 			continue
 		}
-		if at, mine := s.asked[t.Serial]; mine {
-			s.end = max(s.end, at+c.cfg.Term)
+		if proposed, own := s.proposedAt[term.Serial]; own {
+			s.termEnd = max(s.termEnd, proposed+c.settings.Term)
 		}
-		for n := range s.asked {
-			if n <= t.Serial {
-				delete(s.asked, n)
+		for serial := range s.proposedAt {
+			if serial <= term.Serial {
+				delete(s.proposedAt, serial)
 			}
 		}
 	}
@@ -90,17 +90,17 @@
 // Owns tells whether this process may carry out a duty now, and under which token. It has
 // to be asked last before each effect: after a pause the answer is another one.
 func (c *Candidate) Owns(now time.Duration, duty string) (Token, bool) {
-	s := c.seat(duty)
-	if s == nil || !s.mine(c) || s.stop || now >= s.end-c.cfg.Guard {
+	s := c.find(duty)
+	if s == nil || !s.ownedBySelf(c) || s.resigning || now >= s.termEnd-c.settings.Guard {
 		return Token{}, false
 	}
 	return Token{duty, s.term.Epoch}, true
 }
 
-func (s *seat) mine(c *Candidate) bool { return s.known && s.term.Owner == c.me }
+func (s *dutyState) ownedBySelf(c *Candidate) bool { return s.known && s.term.Owner == c.self }
 
-func (c *Candidate) seat(duty string) *seat {
-	if i := slices.IndexFunc(c.duties, func(s *seat) bool { return s.duty == duty }); i >= 0 {
+func (c *Candidate) find(duty string) *dutyState {
+	if i := slices.IndexFunc(c.duties, func(s *dutyState) bool { return s.duty == duty }); i >= 0 {
 		return c.duties[i]
 	}
 	return nil
@@ -110,8 +110,8 @@
 // the next Step.
 func (c *Candidate) Resign(duty string) {
 	for _, s := range c.duties {
-		if (duty == "" || s.duty == duty) && s.mine(c) {
-			s.stop, s.askAt = true, 0
+		if (duty == "" || s.duty == duty) && s.ownedBySelf(c) {
+			s.resigning, s.nextProposal = true, 0
 		}
 	}
 }
@@ -119,81 +119,81 @@
 // Abstain has this process not ask for a duty before then, as it could not carry it out. A term
 // that it owns goes on; an operator's wish goes before.
 func (c *Candidate) Abstain(duty string, until time.Duration) {
-	if s := c.seat(duty); s != nil {
-		s.not = until
+	if s := c.find(duty); s != nil {
+		s.abstainUntil = until
 	}
 }
 
 // Step returns what is to be proposed now. Proposals may be lost: it asks again.
-func (c *Candidate) Step(now time.Duration) (all []Command) {
+func (c *Candidate) Step(now time.Duration) (commands []Command) {
 	for _, s := range c.duties {
-		if !s.known || now < s.askAt {
+		if !s.known || now < s.nextProposal {
 			continue
 		}
-		cmd := Command{By: c.me, Duty: s.duty, Epoch: s.term.Epoch}
+		command := Command{By: c.self, Duty: s.duty, Epoch: s.term.Epoch}
 		switch {
-		case s.mine(c) && (s.stop || s.term.Next != "" && s.term.Next != c.me.Limiter):
-			s.stop = true
-			cmd.Kind = Resign
-		case s.mine(c) && now < s.end:
-			cmd.Kind = Renew
-		case s.mine(c):
+		case s.ownedBySelf(c) && (s.resigning || s.term.Next != "" && s.term.Next != c.self.Limiter):
+			s.resigning = true
+			command.Kind = Resign
+		case s.ownedBySelf(c) && now < s.termEnd:
+			command.Kind = Renew
+		case s.ownedBySelf(c):
 			// Its own term ran out before a renewal was agreed: it may ask for the duty as any
 			// other may, under another epoch.
 			fallthrough
 		default:
-			if now < s.due(c.cfg, c.me.Limiter) {
+			if now < s.earliestTake(c.settings, c.self.Limiter) {
 				continue
 			}
-			cmd.Kind, cmd.Serial = Take, s.term.Serial
+			command.Kind, command.Serial = Take, s.term.Serial
 		}
-		if cmd.Kind != Resign {
-			maps.DeleteFunc(s.asked, func(_ uint64, at time.Duration) bool { return now >= at+c.cfg.Term }) // too old to begin a term
-			c.serial++
-			cmd.Mine = c.serial
-			s.asked[cmd.Mine] = now
+		if command.Kind != Resign {
+			maps.DeleteFunc(s.proposedAt, func(_ uint64, at time.Duration) bool { return now >= at+c.settings.Term }) // too old to begin a term
+			c.lastSerial++
+			command.Mine = c.lastSerial
+			s.proposedAt[command.Mine] = now
 		}
-		s.askAt = now + c.cfg.renewEvery()
-		all = append(all, cmd)
+		s.nextProposal = now + c.settings.renewInterval()
+		commands = append(commands, command)
 	}
-	return all
+	return commands
 }
 
 // due is when a duty may be taken.
-func (s *seat) due(cfg Settings, me string) time.Duration {
-	t := s.seenAt + s.delay
+func (s *dutyState) earliestTake(settings Settings, self string) time.Duration {
+	earliest := s.changedAt + s.stagger
 	if s.term.Owned() {
-		t += cfg.wait()
+		earliest += settings.takeoverWait()
 	}
-	if s.gave || s.term.Next != "" && s.term.Next != me { // for as long it is left to the others, or to whom an operator wants
-		t += cfg.Term
+	if s.gaveUp || s.term.Next != "" && s.term.Next != self { // for as long it is left to the others, or to whom an operator wants
+		earliest += settings.Term
 	}
-	if s.term.Next == me {
-		return t - s.delay
+	if s.term.Next == self {
+		return earliest - s.stagger
 	}
-	return max(t, s.not)
+	return max(earliest, s.abstainUntil)
 }
 
 // Until is when this process's term of a duty ends; 0: it owns none.
 func (c *Candidate) Until(duty string) time.Duration {
-	if s := c.seat(duty); s != nil && s.mine(c) {
-		return s.end
+	if s := c.find(duty); s != nil && s.ownedBySelf(c) {
+		return s.termEnd
 	}
 	return 0
 }
 
 // Wake is when Step has something to do next, if nothing comes before.
 func (c *Candidate) Wake(now time.Duration) time.Duration {
-	next := now + c.cfg.Term
+	wake := now + c.settings.Term
 	for _, s := range c.duties {
 		if !s.known {
 			continue
 		}
-		at := s.askAt
-		if !s.mine(c) {
-			at = max(at, s.due(c.cfg, c.me.Limiter))
+		at := s.nextProposal
+		if !s.ownedBySelf(c) {
+			at = max(at, s.earliestTake(c.settings, c.self.Limiter))
 		}
-		next = min(next, max(now, at))
+		wake = min(wake, max(now, at))
 	}
-	return next
+	return wake
 }
--- a/tenure/fence.go
+++ b/tenure/fence.go
@@ -5,13 +5,13 @@
 // Fence is what a receiver of effects remembers: the highest epoch of each duty. It is to
 // be kept over the receiver's own restarts: [Fence.Admit] says when it has changed. It is
 // not safe for concurrent use.
-type Fence struct{ highest map[string]uint64 }
+type Fence struct{ highestEpochs map[string]uint64 }
 
 // NewFence returns a fence that goes on from what one before it remembered; nil: from nothing.
 func NewFence(highest map[string]uint64) *Fence {
-	f := &Fence{highest: map[string]uint64{}}
-	for d, e := range highest {
-		f.highest[d] = e
+	f := &Fence{highestEpochs: map[string]uint64{}}
+	for duty, epoch := range highest {
+		f.highestEpochs[duty] = epoch
 	}
 	return f
 }
@@ -19,19 +19,19 @@
 // Admit tells whether an effect may be carried out. raised: its epoch is new here and must
 // be on the disk before the effect.
 func (f *Fence) Admit(t Token) (raised bool, err error) {
-	switch was := f.highest[t.Duty]; {
+	switch highest := f.highestEpochs[t.Duty]; {
 	case t.Epoch == 0 || t.Duty == "":
 		return false, fmt.Errorf("%v is no token", t)
-	case t.Epoch < was:
-		return false, fmt.Errorf("token %v is over: epoch %d has been seen", t, was)
-	case t.Epoch == was:
+	case t.Epoch < highest:
+		return false, fmt.Errorf("token %v is over: epoch %d has been seen", t, highest)
+	case t.Epoch == highest:
 		return false, nil
-	case len(f.highest) >= mostDuties:
-		return false, fmt.Errorf("token %v: %d duties are known, no more are taken in", t, len(f.highest))
+	case len(f.highestEpochs) >= maxDuties:
+		return false, fmt.Errorf("token %v: %d duties are known, no more are taken in", t, len(f.highestEpochs))
 	}
-	f.highest[t.Duty] = t.Epoch
+	f.highestEpochs[t.Duty] = t.Epoch
 	return true, nil
 }
 
 // Highest is the highest epoch seen of a duty; 0: none.
-func (f *Fence) Highest(duty string) uint64 { return f.highest[duty] }
+func (f *Fence) HighestEpoch(duty string) uint64 { return f.highestEpochs[duty] }
--- a/tenure/model_test.go
+++ b/tenure/model_test.go
@@ -14,59 +14,59 @@
 // model is a fleet of candidates with clocks of their own, a log that all apply in one
 // order but at their own times, and receivers. It knows the true time, which none of them does.
 type model struct {
-	cfg       Settings
-	unfenced  bool // a build broken on purpose: receivers take whatever comes
-	now       time.Duration
-	log       []Command
-	nodes     []*process
-	receivers []*receiver
-	names     []string
-	overlaps  int // two owners at one true time
-	stale     int // an effect of a former owner after one of a later one
-	effects   int
+	cfg          Settings
+	unfenced     bool // a build broken on purpose: receivers take whatever comes
+	now          time.Duration
+	log          []Command
+	processes    []*process
+	receivers    []*receiver
+	limiterNames []string
+	overlaps     int // two owners at one true time
+	staleEffects int // an effect of a former owner after one of a later one
+	effects      int
 }
 
 // process is one run of a limiter.
 type process struct {
 	*Candidate
-	reg     Registry
-	applied int
-	rate    float64 // of its clock
-	from    time.Duration
-	stopped bool  // by SIGSTOP: its clock goes on
-	about   Token // it has checked, and its effect is still to come
+	reg       Registry
+	applied   int
+	clockRate float64 // of its clock
+	startedAt time.Duration
+	stopped   bool  // by SIGSTOP: its clock goes on
+	checked   Token // it has checked, and its effect is still to come
 }
 
 // receiver carries out effects: truth is the highest epoch of which one was carried out.
 type receiver struct {
-	fence *Fence
-	disk  map[string]uint64
-	truth map[string]uint64
+	fence       *Fence
+	disk        map[string]uint64
+	highestDone map[string]uint64
 }
 
 func newModel(cfg Settings, nodes, receivers int, rates func(i int) float64) *model {
 	m := &model{cfg: cfg}
 	for i := range nodes {
-		m.names = append(m.names, fmt.Sprint("n", i))
+		m.limiterNames = append(m.limiterNames, fmt.Sprint("n", i))
 	}
 	for i := range nodes {
-		m.nodes = append(m.nodes, nil)
+		m.processes = append(m.processes, nil)
 		m.start(i, rates(i), uint64(i)+1)
 	}
 	for range receivers {
-		m.receivers = append(m.receivers, &receiver{fence: NewFence(nil), disk: map[string]uint64{}, truth: map[string]uint64{}})
+		m.receivers = append(m.receivers, &receiver{fence: NewFence(nil), disk: map[string]uint64{}, highestDone: map[string]uint64{}})
 	}
 	return m
 }
 
 // start begins another process of a limiter; the one before it is gone.
 func (m *model) start(i int, rate float64, id uint64) {
-	me := Process{m.names[i], id}
-	m.nodes[i] = &process{Candidate: NewCandidate(me, m.cfg, []string{"d"}, m.names), rate: rate, from: m.now}
+	me := Process{m.limiterNames[i], id}
+	m.processes[i] = &process{Candidate: NewCandidate(me, m.cfg, []string{"d"}, m.limiterNames), clockRate: rate, startedAt: m.now}
 }
 
 func (m *model) clock(p *process) time.Duration {
-	return time.Second + time.Duration(float64(m.now-p.from)*p.rate)
+	return time.Second + time.Duration(float64(m.now-p.startedAt)*p.clockRate)
 }
 
 // apply has a process see n more entries of the log.
@@ -88,35 +88,35 @@
 }
 
 // check is the owner's last look before an effect, which follows at any later time.
-func (m *model) check(p *process) {
+func (m *model) checkOwnership(p *process) {
 	if t, ok := p.Owns(m.clock(p), "d"); ok {
-		p.about = t
+		p.checked = t
 	}
 }
 
 // effect carries out what the process checked for, at a receiver.
-func (m *model) effect(p *process, r *receiver) {
-	t := p.about
+func (m *model) carryOut(p *process, r *receiver) {
+	t := p.checked
 	if t.Epoch == 0 {
 		return
 	}
-	p.about = Token{}
+	p.checked = Token{}
 	if raised, err := r.fence.Admit(t); err != nil && !m.unfenced {
 		return
 	} else if raised {
 		r.disk[t.Duty] = t.Epoch // on the disk before the effect
 	}
 	m.effects++
-	if t.Epoch < r.truth[t.Duty] {
-		m.stale++
+	if t.Epoch < r.highestDone[t.Duty] {
+		m.staleEffects++
 	}
-	r.truth[t.Duty] = max(t.Epoch, r.truth[t.Duty])
+	r.highestDone[t.Duty] = max(t.Epoch, r.highestDone[t.Duty])
 }
 
 // look counts owners by true time, stopped ones as well: they believe in it when they go on.
-func (m *model) look() {
+func (m *model) countOwners() {
 	owners := 0
-	for _, p := range m.nodes {
+	for _, p := range m.processes {
 		if _, ok := p.Owns(m.clock(p), "d"); ok {
 			owners++
 		}
@@ -130,8 +130,8 @@
 
 // step plays one random event.
 func (m *model) step(r *rand.Rand) {
-	i := r.IntN(len(m.nodes))
-	p := m.nodes[i]
+	i := r.IntN(len(m.processes))
+	p := m.processes[i]
 	x := r.IntN(100)
 	if p.stopped && x < 77 {
 		x = 99
@@ -142,13 +142,13 @@
 	case x < 45:
 		m.propose(p, r.IntN(5) == 0)
 	case x < 55:
-		m.check(p)
+		m.checkOwnership(p)
 	case x < 70:
-		m.effect(p, m.receivers[r.IntN(len(m.receivers))])
+		m.carryOut(p, m.receivers[r.IntN(len(m.receivers))])
 	case x < 71:
 		if r.IntN(4) == 0 {
-			m.start(i, p.rate, r.Uint64())
-			m.apply(m.nodes[i], max(0, len(m.log)-r.IntN(20)))
+			m.start(i, p.clockRate, r.Uint64())
+			m.apply(m.processes[i], max(0, len(m.log)-r.IntN(20)))
 		}
 	case x < 73:
 		p.stopped = r.IntN(4) == 0
@@ -157,7 +157,7 @@
 			p.Resign("d")
 		}
 	case x < 75:
-		m.log = append(m.log, Command{Kind: Transfer, Duty: "d", To: m.names[r.IntN(len(m.names))]})
+		m.log = append(m.log, Command{Kind: Transfer, Duty: "d", To: m.limiterNames[r.IntN(len(m.limiterNames))]})
 	case x < 77: // a receiver starts again, with what was on its disk
 		v := m.receivers[r.IntN(len(m.receivers))]
 		v.fence = NewFence(v.disk)
@@ -169,7 +169,7 @@
 			m.now += time.Duration(r.IntN(int(time.Second)))
 		}
 	}
-	m.look()
+	m.countOwners()
 }
 
 // run plays steps of a fleet that is drawn from the seed.
@@ -184,7 +184,7 @@
 }
 
 // steps is how many steps random tests play in all: TENURE_STEPS, or enough for CI.
-func steps() int {
+func stepBudget() int {
 	if n, err := strconv.Atoi(os.Getenv("TENURE_STEPS")); err == nil {
 		return n
 	}
@@ -194,14 +194,14 @@
 // One owner at a time by true time, and no effect of a former owner after one of a later
 // one, whatever is lost, late, stopped or started again.
 func TestOneOwnerUnderRandomEvents(t *testing.T) {
-	const each = 4000
+	const stepsPerFleet = 4000
 	played, effects := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		for range max(1, steps()/each/100) {
-			m := run(rapid.Uint64().Draw(t, "seed"), each, modelSettings, false)
-			played, effects = played+each, effects+m.effects
-			if m.overlaps > 0 || m.stale > 0 {
-				t.Fatalf("two owners %d times, %d stale effects", m.overlaps, m.stale)
+		for range max(1, stepBudget()/stepsPerFleet/100) {
+			m := run(rapid.Uint64().Draw(t, "seed"), stepsPerFleet, modelSettings, false)
+			played, effects = played+stepsPerFleet, effects+m.effects
+			if m.overlaps > 0 || m.staleEffects > 0 {
+				t.Fatalf("two owners %d times, %d stale effects", m.overlaps, m.staleEffects)
 			}
 		}
 	})
@@ -212,9 +212,9 @@
 }
 
 // found plays fleets of a build that is broken on purpose until it shows.
-func found(cfg Settings, unfenced bool, bad func(*model) bool) (seed uint64, ok bool) {
+func findFailure(cfg Settings, unfenced bool, failed func(*model) bool) (seed uint64, ok bool) {
 	for seed := range uint64(300) {
-		if bad(run(seed, 4000, cfg, unfenced)) {
+		if failed(run(seed, 4000, cfg, unfenced)) {
 			return seed, true
 		}
 	}
@@ -225,25 +225,25 @@
 func TestModelFindsAMissingWait(t *testing.T) {
 	cfg := modelSettings
 	cfg.Drift = -1 // no wait at all
-	if _, ok := found(cfg, false, func(m *model) bool { return m.overlaps > 0 }); !ok {
+	if _, ok := findFailure(cfg, false, func(m *model) bool { return m.overlaps > 0 }); !ok {
 		t.Error("no two owners were found without the wait")
 	}
 	cfg.Drift = -0.05 // as if clocks did not drift apart, while they do by 5%, and a little less
-	if _, ok := found(cfg, false, func(m *model) bool { return m.overlaps > 0 }); !ok {
+	if _, ok := findFailure(cfg, false, func(m *model) bool { return m.overlaps > 0 }); !ok {
 		t.Error("no two owners were found with a wait that is shorter than the drift asks for")
 	}
 }
 
 // Without the receivers' check an owner that wakes up late does harm: the model finds it.
 func TestModelFindsAMissingTokenCheck(t *testing.T) {
-	if _, ok := found(modelSettings, true, func(m *model) bool { return m.stale > 0 }); !ok {
+	if _, ok := findFailure(modelSettings, true, func(m *model) bool { return m.staleEffects > 0 }); !ok {
 		t.Error("no stale effect was found without the token check")
 	}
 }
 
 // A receiver that forgets over its restart lets a former owner in: the model finds it.
 func TestModelFindsAForgetfulReceiver(t *testing.T) {
-	_, ok := found(modelSettings, false, func(m *model) bool { return m.stale > 0 })
+	_, ok := findFailure(modelSettings, false, func(m *model) bool { return m.staleEffects > 0 })
 	if ok {
 		t.Fatal("a stale effect with receivers that remember")
 	}
@@ -254,7 +254,7 @@
 			m.step(r)
 			clear(m.receivers[0].disk)
 		}
-		if m.stale > 0 {
+		if m.staleEffects > 0 {
 			return
 		}
 	}
@@ -269,12 +269,12 @@
 		tick := func(alive func(i int) bool) (owner int) {
 			owner = -1
 			m.now += 5 * time.Millisecond
-			for i, p := range m.nodes {
+			for i, p := range m.processes {
 				if alive(i) {
 					m.propose(p, false)
 				}
 			}
-			for i, p := range m.nodes {
+			for i, p := range m.processes {
 				if alive(i) {
 					m.apply(p, len(m.log))
 					if _, ok := p.Owns(m.clock(p), "d"); ok {
@@ -297,9 +297,9 @@
 				t.Fatalf("%d limiters: %d owns it in place of %d, with no fault", n, got, first)
 			}
 		}
-		gone, worst := m.now, DefaultSettings().wait()+DefaultSettings().Stagger+20*time.Millisecond
+		gone, deadline := m.now, DefaultSettings().takeoverWait()+DefaultSettings().Stagger+20*time.Millisecond
 		for tick(func(i int) bool { return i != first }) < 0 {
-			if m.now-gone > worst {
+			if m.now-gone > deadline {
 				t.Fatalf("%d limiters: no owner %v after the last one died", n, m.now-gone)
 			}
 		}
--- a/tenure/refused_test.go
+++ b/tenure/refused_test.go
@@ -21,12 +21,12 @@
 			token    Token
 			sent, at time.Duration
 		}
-		var onTheWay []effect
+		var inTransit []effect
 		admitted := map[string]int{}
 		var lastSent, refusedAt time.Duration // by the one that is cut off
 		act := func(c *Candidate, now, arrives time.Duration) {
 			if token, owns := c.Owns(now, duty); owns {
-				onTheWay = append(onTheWay, effect{token, now, arrives})
+				inTransit = append(inTransit, effect{token, now, arrives})
 			}
 		}
 		cut := 10 * cfg.Term
@@ -37,14 +37,14 @@
 				candidate = other
 			}
 			candidate.Observe(now, registry)
-			for _, cmd := range candidate.Step(now) {
-				registry.Apply(cmd)
+			for _, command := range candidate.Step(now) {
+				registry.Apply(command)
 			}
 			act(candidate, now, now)
-			rest := onTheWay[:0]
-			for _, e := range onTheWay {
+			pending := inTransit[:0]
+			for _, e := range inTransit {
 				if e.at > now {
-					rest = append(rest, e)
+					pending = append(pending, e)
 					continue
 				}
 				if _, err := fence.Admit(e.token); err != nil {
@@ -53,7 +53,7 @@
 				}
 				admitted[e.token.String()]++
 			}
-			onTheWay = rest
+			inTransit = pending
 		}
 		if len(admitted) < 2 {
 			t.Errorf("%s: the other one never owned the duty: %v", name, admitted)
--- a/tenure/registry.go
+++ b/tenure/registry.go
@@ -55,8 +55,8 @@
 
 // mostHistory bounds the changes that are remembered, mostDuties the duties.
 const (
-	mostHistory = 256
-	mostDuties  = 4096
+	maxHistory = 256
+	maxDuties  = 4096
 )
 
 // generationShift: an epoch has the fleet's generation above it, so that a fleet that was
@@ -73,42 +73,42 @@
 
 // Apply carries out a command. An error says why it has no effect: another one came first.
 func (r *Registry) Apply(c Command) error {
-	t := r.Terms[c.Duty]
-	if t == nil {
-		if c.Kind != Take || c.Duty == "" || len(r.Terms) >= mostDuties {
+	term := r.Terms[c.Duty]
+	if term == nil {
+		if c.Kind != Take || c.Duty == "" || len(r.Terms) >= maxDuties {
 			return fmt.Errorf("%s: there is no duty %.40q", c.Kind, c.Duty)
 		}
-		t = &Term{Duty: c.Duty}
+		term = &Term{Duty: c.Duty}
 	}
-	mine := t.Owner == c.By && t.Owned() && t.Epoch == c.Epoch
+	owned := term.Owner == c.By && term.Owned() && term.Epoch == c.Epoch
 	switch {
 	case c.Kind == Transfer:
-		t.Next = c.To
+		term.Next = c.To
 		return nil
 	case c.Kind == Take:
-		if t.Epoch != c.Epoch || t.Serial != c.Serial || c.By.Limiter == "" {
-			return fmt.Errorf("take %s: its term is %d.%d now, not %d.%d", c.Duty, t.Epoch, t.Serial, c.Epoch, c.Serial)
+		if term.Epoch != c.Epoch || term.Serial != c.Serial || c.By.Limiter == "" {
+			return fmt.Errorf("take %s: its term is %d.%d now, not %d.%d", c.Duty, term.Epoch, term.Serial, c.Epoch, c.Serial)
 		}
 		if r.Terms == nil {
 			r.Terms = map[string]*Term{}
 		}
-		r.Terms[c.Duty] = t
-		t.Epoch, t.Owner, t.Serial = max(t.Epoch, r.Generation<<generationShift)+1, c.By, c.Mine
-		t.Takes++
-		t.Next = "" // it has it, or had its time
-	case !mine:
+		r.Terms[c.Duty] = term
+		term.Epoch, term.Owner, term.Serial = max(term.Epoch, r.Generation<<generationShift)+1, c.By, c.Mine
+		term.Takes++
+		term.Next = "" // it has it, or had its time
+	case !owned:
 		return fmt.Errorf("%s %s: epoch %d of %s is over", c.Kind, c.Duty, c.Epoch, c.By.Limiter)
 	case c.Kind == Renew:
-		t.Serial = max(t.Serial, c.Mine)
+		term.Serial = max(term.Serial, c.Mine)
 		return nil
 	case c.Kind == Resign:
-		t.Owner = Process{}
+		term.Owner = Process{}
 	default:
 		return fmt.Errorf("there is no command %.20q", c.Kind)
 	}
-	r.History = append(r.History, Change{c.Duty, t.Epoch, c.Kind, c.By.Limiter, c.AtMs})
-	if n := len(r.History) - mostHistory; n > 0 {
-		r.History = slices.Delete(r.History, 0, n)
+	r.History = append(r.History, Change{c.Duty, term.Epoch, c.Kind, c.By.Limiter, c.AtMs})
+	if excess := len(r.History) - maxHistory; excess > 0 {
+		r.History = slices.Delete(r.History, 0, excess)
 	}
 	return nil
 }
--- a/tenure/tenure.go
+++ b/tenure/tenure.go
@@ -27,15 +27,15 @@
 
 // ParseToken reads what [Token.String] writes.
 func ParseToken(s string) (Token, error) {
-	i := strings.LastIndexByte(s, '/')
-	if i <= 0 {
+	slash := strings.LastIndexByte(s, '/')
+	if slash <= 0 {
 		return Token{}, fmt.Errorf("token %.40q: no duty and epoch: write one as rollout/12", s)
 	}
-	n, err := strconv.ParseUint(s[i+1:], 10, 64)
-	if err != nil || n == 0 {
+	epoch, err := strconv.ParseUint(s[slash+1:], 10, 64)
+	if err != nil || epoch == 0 {
 		return Token{}, fmt.Errorf("token %.40q: its epoch is no number above 0", s)
 	}
-	return Token{s[:i], n}, nil
+	return Token{s[:slash], epoch}, nil
 }
 
 // Process is one run of a limiter's program: a limiter that starts again under its name is
@@ -79,9 +79,9 @@
 }
 
 // wait is how long a candidate leaves a term alone that it sees as renewed just now.
-func (s Settings) wait() time.Duration {
+func (s Settings) takeoverWait() time.Duration {
 	return s.Term + time.Duration(float64(s.Term)*s.Drift)
 }
 
 // renewEvery is how often an owner renews: three renewals in a row may be lost.
-func (s Settings) renewEvery() time.Duration { return s.Term / 4 }
+func (s Settings) renewInterval() time.Duration { return s.Term / 4 }
--- a/tenure/tenure_test.go
+++ b/tenure/tenure_test.go
@@ -37,7 +37,7 @@
 // A fleet that is begun anew voids all tokens: also those that its majority gave meanwhile.
 func TestBeginAnewVoidsTokens(t *testing.T) {
 	a, b := Process{"a", 1}, Process{"b", 2}
-	var lost, anew Registry
+	var lost, reset Registry
 	take := func(r *Registry, p Process) uint64 {
 		t.Helper()
 		x := r.Terms["d"]
@@ -50,18 +50,18 @@
 		}
 		return r.Current("d")
 	}
-	take(&anew, a)
+	take(&reset, a)
 	for range 1000 { // what the survivor never heard of
 		take(&lost, a)
 	}
-	anew.BeginAnew(0)
-	if anew.Terms["d"].Owned() {
+	reset.BeginAnew(0)
+	if reset.Terms["d"].Owned() {
 		t.Error("a term goes on although the fleet was begun anew")
 	}
-	if e := take(&anew, b); e <= lost.Current("d") {
+	if e := take(&reset, b); e <= lost.Current("d") {
 		t.Errorf("epoch %d after beginning anew, %d before", e, lost.Current("d"))
 	}
-	if err := anew.Apply(Command{Kind: Renew, By: a, Duty: "d", Epoch: 1, Mine: 2}); err == nil {
+	if err := reset.Apply(Command{Kind: Renew, By: a, Duty: "d", Epoch: 1, Mine: 2}); err == nil {
 		t.Error("a term of before was renewed")
 	}
 }
@@ -71,7 +71,7 @@
 func TestTransfer(t *testing.T) {
 	m := newModel(DefaultSettings(), 5, 1, func(int) float64 { return 1 })
 	owner := func() int {
-		for i, p := range m.nodes {
+		for i, p := range m.processes {
 			if _, ok := p.Owns(m.clock(p), "d"); ok {
 				return i
 			}
@@ -80,19 +80,19 @@
 	}
 	tick := func() {
 		m.now += 5 * time.Millisecond
-		for _, p := range m.nodes {
+		for _, p := range m.processes {
 			m.propose(p, false)
 		}
-		for _, p := range m.nodes {
+		for _, p := range m.processes {
 			m.apply(p, len(m.log))
 		}
-		m.look()
+		m.countOwners()
 	}
 	for range 100 {
 		tick()
 	}
-	for to := range m.nodes {
-		m.log = append(m.log, Command{Kind: Transfer, Duty: "d", To: m.names[to]})
+	for to := range m.processes {
+		m.log = append(m.log, Command{Kind: Transfer, Duty: "d", To: m.limiterNames[to]})
 		for range 100 { // half a second
 			tick()
 		}
@@ -103,7 +103,7 @@
 	// What an owner gives up goes to another one, also if it would be the first to ask.
 	for range 5 {
 		was := owner()
-		m.nodes[was].Resign("d")
+		m.processes[was].Resign("d")
 		for range 100 {
 			tick()
 		}
@@ -112,29 +112,29 @@
 		}
 	}
 	// Those that can't carry it out don't ask, however often it is given up; an operator may still want them to.
-	for _, can := range []int{3, 1} {
-		for i, p := range m.nodes {
+	for _, able := range []int{3, 1} {
+		for i, p := range m.processes {
 			p.Abstain("d", 0)
-			if i != can {
+			if i != able {
 				p.Abstain("d", m.clock(p)+time.Hour)
 			}
 		}
-		m.nodes[owner()].Resign("d")
+		m.processes[owner()].Resign("d")
 		for range 800 { // one that gave it up itself asks later
 			tick()
 		}
-		if got := owner(); got != can {
-			t.Fatalf("%d owns the duty, %d alone can", got, can)
+		if got := owner(); got != able {
+			t.Fatalf("%d owns the duty, %d alone can", got, able)
 		}
 	}
-	m.log = append(m.log, Command{Kind: Transfer, Duty: "d", To: m.names[0]})
+	m.log = append(m.log, Command{Kind: Transfer, Duty: "d", To: m.limiterNames[0]})
 	for range 100 {
 		tick()
 	}
 	if got := owner(); got != 0 {
 		t.Fatalf("%d owns the duty, an operator wanted 0", got)
 	}
-	for _, p := range m.nodes {
+	for _, p := range m.processes {
 		p.Abstain("d", 0)
 	}
 	// One that is gone is waited for no longer than a term.
@@ -172,25 +172,25 @@
 	for _, c := range w.log {
 		fmt.Fprintf(&b, "%s%s%d.%d.%d,", c.Kind, c.By.Limiter, c.Epoch, c.Serial, c.Mine)
 	}
-	for _, p := range w.nodes {
+	for _, p := range w.processes {
 		s := p.duties[0]
-		fmt.Fprintf(&b, "|%d %d %v %v %v %v %v", p.applied, p.serial, s.seenAt, s.askAt, s.end, s.stop, len(s.asked))
+		fmt.Fprintf(&b, "|%d %d %v %v %v %v %v", p.applied, p.lastSerial, s.changedAt, s.nextProposal, s.termEnd, s.resigning, len(s.proposedAt))
 	}
 	return b.String()
 }
 
 // clone copies a state.
 func (w world) clone() world {
-	m := &model{cfg: w.cfg, now: w.now, log: append([]Command(nil), w.log...), names: w.names}
-	for _, p := range w.nodes {
+	m := &model{cfg: w.cfg, now: w.now, log: append([]Command(nil), w.log...), limiterNames: w.limiterNames}
+	for _, p := range w.processes {
 		q := *p
 		c := *p.Candidate
 		c.duties = nil
 		for _, s := range p.duties {
 			d := *s
-			d.asked = map[uint64]time.Duration{}
-			for k, v := range s.asked {
-				d.asked[k] = v
+			d.proposedAt = map[uint64]time.Duration{}
+			for k, v := range s.proposedAt {
+				d.proposedAt[k] = v
 			}
 			c.duties = append(c.duties, &d)
 		}
@@ -199,7 +199,7 @@
 		for _, x := range m.log[:p.applied] {
 			q.reg.Apply(x)
 		}
-		m.nodes = append(m.nodes, &q)
+		m.processes = append(m.processes, &q)
 	}
 	return world{m}
 }
@@ -214,7 +214,7 @@
 		for _, w := range layer {
 			for act := range 7 {
 				v := w.clone()
-				p := v.nodes[act%2]
+				p := v.processes[act%2]
 				switch act / 2 {
 				case 0:
 					v.propose(p, false)
@@ -228,7 +228,7 @@
 				default:
 					v.now += cfg.Term / 4
 				}
-				v.look()
+				v.countOwners()
 				if v.overlaps > 0 {
 					return len(seen), true
 				}
@@ -247,7 +247,7 @@
 func TestOneOwnerExhaustively(t *testing.T) {
 	cfg := Settings{Term: 4 * time.Millisecond}
 	depth := 10
-	if steps() > 2_000_000 {
+	if stepBudget() > 2_000_000 {
 		depth = 13 // 1,310,680 states, half a minute
 	}
 	states, overlap := search(cfg, depth)
--- a/watch/model_test.go
+++ b/watch/model_test.go
@@ -13,41 +13,41 @@
 // room is a room of limiters that all use one box: the first has the duty, while it lives.
 // Messages between them may be lost. Time goes in ticks.
 type room struct {
-	cfg     Settings
-	now     time.Duration
-	desk    *Desk // nil: nobody looks
-	posts   []*Post
-	reaches []bool          // whether each reaches the box; the first of them is the desk's
-	ill     []bool          // whether each holds it as ill
-	asked   []time.Duration // when each wanted to know last
-	saw     []time.Duration // when each last had a look or a word that it could believe
-	looks   int             // at the box
-	loses   func() bool
-	blind   bool // for a check of the checks: words are believed whatever the own looks say
+	cfg           Settings
+	now           time.Duration
+	leader        *Leader // nil: nobody looks
+	followers     []*Follower
+	reachable     []bool          // whether each reaches the box; the first of them is the desk's
+	unhealthy     []bool          // whether each holds it as ill
+	wantedAt      []time.Duration // when each wanted to know last
+	knownAt       []time.Duration // when each last had a look or a word that it could believe
+	probes        int             // at the box
+	loses         func() bool
+	ignoresChecks bool // for a check of the checks: words are believed whatever the own looks say
 }
 
 func newRoom(n int, loses func() bool) *room {
-	r := &room{cfg: DefaultSettings(1600 * time.Millisecond), loses: loses, ill: make([]bool, n), reaches: make([]bool, n),
-		asked: make([]time.Duration, n), saw: make([]time.Duration, n)}
-	r.desk = NewDesk(r.cfg)
+	r := &room{cfg: DefaultSettings(1600 * time.Millisecond), loses: loses, unhealthy: make([]bool, n), reachable: make([]bool, n),
+		wantedAt: make([]time.Duration, n), knownAt: make([]time.Duration, n)}
+	r.leader = NewLeader(r.cfg)
 	for i := range n {
-		r.posts = append(r.posts, NewPost(r.cfg))
-		r.posts[i].Heard(0)
-		r.reaches[i] = true
+		r.followers = append(r.followers, NewFollower(r.cfg))
+		r.followers[i].LeaderHeard(0)
+		r.reachable[i] = true
 	}
 	return r
 }
 
 const box = 7
 
-func verdict(reaches bool) Verdict {
-	if reaches {
+func verdict(reachable bool) Verdict {
+	if reachable {
 		return Well
 	}
 	return Ill
 }
 
-func who(i int) string {
+func limiterName(i int) string {
 	if i == 0 {
 		return ""
 	}
@@ -56,44 +56,44 @@
 
 // believe is what a limiter's module does with what it hears of a box.
 func (r *room) believe(i int, v Verdict) {
-	r.saw[i] = r.now
+	r.knownAt[i] = r.now
 	if v == Well {
-		r.ill[i] = false
+		r.unhealthy[i] = false
 	}
 }
 
 // look has a limiter look itself.
-func (r *room) look(i int) {
-	r.looks++
-	v := verdict(r.reaches[i])
+func (r *room) probe(i int) {
+	r.probes++
+	v := verdict(r.reachable[i])
 	r.believe(i, v)
-	if i > 0 && r.posts[i].Looked(box) && r.desk != nil && !r.loses() {
-		r.tell(r.desk.Checked(r.now, box, v))
+	if i > 0 && r.followers[i].FinishProbe(box) && r.leader != nil && !r.loses() {
+		r.deliver(r.leader.HandleCheck(r.now, box, v))
 	}
 }
 
-func (r *room) tell(words []Word) {
-	for _, w := range words {
+func (r *room) deliver(verdicts []Word) {
+	for _, v := range verdicts {
 		i := 0
-		if w.To != "" {
-			fmt.Sscanf(w.To, "n%d", &i)
+		if v.To != "" {
+			fmt.Sscanf(v.To, "n%d", &i)
 		}
 		switch {
-		case i == 0 && w.Is == Alone:
-			r.look(0)
+		case i == 0 && v.Is == ProbeAlone:
+			r.probe(0)
 		case i == 0:
-			r.believe(0, w.Is)
+			r.believe(0, v.Is)
 		case !r.loses():
-			r.posts[i].Heard(r.now)
-			if r.blind && w.Is != Well {
-				w.Is = Ill
+			r.followers[i].LeaderHeard(r.now)
+			if r.ignoresChecks && v.Is != Well {
+				v.Is = Ill
 			}
-			tell, look := r.posts[i].Told(r.now, w)
-			if tell != "" {
-				r.believe(i, tell)
+			believed, mustProbe := r.followers[i].HandleVerdict(r.now, v)
+			if believed != "" {
+				r.believe(i, believed)
 			}
-			if look {
-				r.look(i)
+			if mustProbe {
+				r.probe(i)
 			}
 		}
 	}
@@ -103,40 +103,40 @@
 // know, and the desk looks.
 func (r *room) step() {
 	r.now += tick
-	for i := range r.posts {
-		if !r.reaches[i] && !r.ill[i] {
-			r.ill[i], r.saw[i] = true, r.now
+	for i := range r.followers {
+		if !r.reachable[i] && !r.unhealthy[i] {
+			r.unhealthy[i], r.knownAt[i] = true, r.now
 			if i > 0 {
-				r.posts[i].Failed(r.now, box)
+				r.followers[i].AttemptFailed(r.now, box)
 			}
 		}
-		if r.desk != nil && i > 0 && !r.loses() {
-			r.posts[i].Heard(r.now)
+		if r.leader != nil && i > 0 && !r.loses() {
+			r.followers[i].LeaderHeard(r.now)
 		}
-		if !r.ill[i] || r.now < r.asked[i]+r.cfg.Every {
+		if !r.unhealthy[i] || r.now < r.wantedAt[i]+r.cfg.ProbeInterval {
 			continue
 		}
-		r.asked[i] = r.now
+		r.wantedAt[i] = r.now
 		if i == 0 {
-			if r.desk == nil {
-				r.look(0)
+			if r.leader == nil {
+				r.probe(0)
 			} else {
-				r.tell(r.desk.Ask(r.now, "", box))
+				r.deliver(r.leader.HandleAsk(r.now, "", box))
 			}
 			continue
 		}
-		ask, look := r.posts[i].Want(r.now, box)
-		if ask && r.desk != nil && !r.loses() {
-			r.tell(r.desk.Ask(r.now, who(i), box))
+		ask, mustProbe := r.followers[i].HandleUnhealthy(r.now, box)
+		if ask && r.leader != nil && !r.loses() {
+			r.deliver(r.leader.HandleAsk(r.now, limiterName(i), box))
 		}
-		if look {
-			r.look(i)
+		if mustProbe {
+			r.probe(i)
 		}
 	}
-	if r.desk != nil {
-		for _, b := range r.desk.Next(r.now) {
-			r.looks++
-			r.tell(r.desk.Looked(r.now, b, verdict(r.reaches[0])))
+	if r.leader != nil {
+		for _, b := range r.leader.StartProbes(r.now) {
+			r.probes++
+			r.deliver(r.leader.FinishProbe(r.now, b, verdict(r.reachable[0])))
 		}
 	}
 }
@@ -145,29 +145,29 @@
 // ill is left without a look or a word for longer than it is patient.
 func TestNobodyIsLeftWithoutALook(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		lossy := 0
+		lossRate := 0
 		r := newRoom(rapid.IntRange(1, 8).Draw(t, "limiters"), nil)
-		r.loses = func() bool { return lossy > 0 && rapid.IntRange(0, 3).Draw(t, "lost") < lossy }
+		r.loses = func() bool { return lossRate > 0 && rapid.IntRange(0, 3).Draw(t, "lost") < lossRate }
 		for range 300 {
 			switch rapid.IntRange(0, 20).Draw(t, "event") {
 			case 0:
-				i := rapid.IntRange(0, len(r.posts)-1).Draw(t, "limiter")
-				r.reaches[i] = !r.reaches[i]
+				i := rapid.IntRange(0, len(r.followers)-1).Draw(t, "limiter")
+				r.reachable[i] = !r.reachable[i]
 			case 1:
-				lossy = rapid.IntRange(0, 4).Draw(t, "loss")
+				lossRate = rapid.IntRange(0, 4).Draw(t, "loss")
 			case 2:
-				if r.desk == nil {
-					r.desk = NewDesk(r.cfg)
+				if r.leader == nil {
+					r.leader = NewLeader(r.cfg)
 				} else {
-					r.desk = nil
+					r.leader = nil
 				}
 			case 3:
-				r.posts[rapid.IntRange(0, len(r.posts)-1).Draw(t, "cut")].Cut()
+				r.followers[rapid.IntRange(0, len(r.followers)-1).Draw(t, "cut")].LeaderDisconnected()
 			}
 			r.step()
-			for i := range r.posts {
-				if bound := r.cfg.Patience + 2*r.cfg.Every; r.ill[i] && r.now-r.saw[i] > bound {
-					t.Fatalf("limiter %d has known nothing of a box for %v", i, r.now-r.saw[i])
+			for i := range r.followers {
+				if bound := r.cfg.Patience + 2*r.cfg.ProbeInterval; r.unhealthy[i] && r.now-r.knownAt[i] > bound {
+					t.Fatalf("limiter %d has known nothing of a box for %v", i, r.now-r.knownAt[i])
 				}
 			}
 		}
@@ -178,32 +178,32 @@
 // limiters there are, the longer that may take, but not without end: the word is checked.
 func TestAWatcherThatDoesNotReachABoxIsFoundOut(t *testing.T) {
 	for _, n := range []int{2, 5, 50} {
-		run := func(blind bool) (ill int) {
+		run := func(ignoresChecks bool) (unhealthy int) {
 			r := newRoom(n, func() bool { return false })
-			r.blind = blind
+			r.ignoresChecks = ignoresChecks
 			for i := range n {
-				r.reaches[i] = false
+				r.reachable[i] = false
 			}
 			for range 20 {
 				r.step()
 			}
 			for i := range n {
-				r.reaches[i] = i > 0
+				r.reachable[i] = i > 0
 			}
 			for r.now < 6*time.Second {
 				r.step()
 			}
 			for i := 1; i < n; i++ {
-				if r.ill[i] {
-					ill++
+				if r.unhealthy[i] {
+					unhealthy++
 				}
 			}
-			return ill
+			return unhealthy
 		}
-		if ill := run(false); ill > 0 {
-			t.Errorf("%d limiters: %d hold the box as ill", n, ill)
+		if unhealthy := run(false); unhealthy > 0 {
+			t.Errorf("%d limiters: %d hold the box as ill", n, unhealthy)
 		}
-		if ill := run(true); ill == 0 {
+		if unhealthy := run(true); unhealthy == 0 {
 			t.Errorf("%d limiters: without the check all are found out too", n)
 		}
 	}
@@ -212,38 +212,38 @@
 // A word that a box is well holds until the own attempts say otherwise.
 func TestOwnAttemptsGoBeforeAWord(t *testing.T) {
 	r := newRoom(3, func() bool { return false })
-	r.reaches[2] = false
+	r.reachable[2] = false
 	for r.now < 9*time.Second {
 		r.step()
 	}
-	ask, look := r.posts[2].Want(r.now, box)
-	if ask || !look {
-		t.Errorf("it believes what it sees otherwise: asks %v, looks %v", ask, look)
+	ask, mustProbe := r.followers[2].HandleUnhealthy(r.now, box)
+	if ask || !mustProbe {
+		t.Errorf("it believes what it sees otherwise: asks %v, looks %v", ask, mustProbe)
 	}
 }
 
 // Looks at an ill box don't grow with the number of limiters, while the one that looks is heard;
 // alone they do.
 func TestLooksDoNotGrow(t *testing.T) {
-	looks := func(n int, watched bool) int {
+	countProbes := func(n int, led bool) int {
 		r := newRoom(n, func() bool { return false })
-		if !watched {
-			r.desk = nil
-			for _, p := range r.posts {
-				p.Cut()
+		if !led {
+			r.leader = nil
+			for _, p := range r.followers {
+				p.LeaderDisconnected()
 			}
 		}
 		for i := range n {
-			r.reaches[i] = false
+			r.reachable[i] = false
 		}
 		for r.now < 30*time.Second {
 			r.step()
 		}
-		return r.looks
+		return r.probes
 	}
-	one := looks(1, false)
+	one := countProbes(1, false)
 	for _, n := range []int{3, 30, 300} {
-		with, without := looks(n, true), looks(n, false)
+		with, without := countProbes(n, true), countProbes(n, false)
 		t.Logf("%3d limiters: %d looks in 30 s, alone %d; one limiter %d", n, with, without, one)
 		if with > 2*one || without < n*one*9/10 {
 			t.Errorf("%d limiters look %d times, alone %d, one alone %d", n, with, without, one)
@@ -255,45 +255,45 @@
 func TestListsNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var f Feed
-		at := int64(0)            // the agent's
-		own, led := at, at        // as far as this limiter and the other one have heard
-		known, told := at, at-100 // what is in use; what the connection has carried
+		agentSeq := int64(0)                           // the agent's
+		own, leaderSeq := agentSeq, agentSeq           // as far as this limiter and the other one have heard
+		knownSeq, carriedSeq := agentSeq, agentSeq-100 // what is in use; what the connection has carried
 		for range 100 {
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 0:
-				at += rapid.Int64Range(1, 3).Draw(t, "news")
+				agentSeq += rapid.Int64Range(1, 3).Draw(t, "news")
 			case 1:
-				led = at
+				leaderSeq = agentSeq
 			case 2: // the agent answers this limiter
-				if !f.Led() {
-					own = at
-					f.Own(own)
-					known = own
+				if !f.FromLeader() {
+					own = agentSeq
+					f.HandleAgentList(own)
+					knownSeq = own
 				}
 			case 3:
-				if take, _ := f.Offer(led, true); take {
-					if led < known {
-						t.Fatalf("back from %d to %d", known, led)
+				if accept, _ := f.Offer(leaderSeq, true); accept {
+					if leaderSeq < knownSeq {
+						t.Fatalf("back from %d to %d", knownSeq, leaderSeq)
 					}
-					known = led
+					knownSeq = leaderSeq
 				}
-				told = led
+				carriedSeq = leaderSeq
 			case 4: // news behind what the connection has carried
-				if take, want := f.Offer(led, false); take {
-					if known < told {
-						t.Fatalf("news behind %d, known is %d", told, known)
+				if accept, requestFull := f.Offer(leaderSeq, false); accept {
+					if knownSeq < carriedSeq {
+						t.Fatalf("news behind %d, known is %d", carriedSeq, knownSeq)
 					}
-					known = led
-				} else if want && led < known {
+					knownSeq = leaderSeq
+				} else if requestFull && leaderSeq < knownSeq {
 					t.Fatalf("asks for an older list")
 				}
-				told = led
+				carriedSeq = leaderSeq
 			case 5:
-				f.Apart()
-				led = rapid.Int64Range(0, at).Draw(t, "another one's")
-				told = -100
+				f.Disconnected()
+				leaderSeq = rapid.Int64Range(0, agentSeq).Draw(t, "another one's")
+				carriedSeq = -100
 			case 6:
-				f.Alone()
+				f.FollowAgent()
 			}
 		}
 	})
@@ -301,17 +301,17 @@
 
 // One that does not hear an agent which others hear gives the duty up; not if nobody does.
 func TestUnfit(t *testing.T) {
-	d := NewDesk(DefaultSettings(time.Second))
-	d.Lost(0, "main")
-	if d.Unfit(time.Minute) {
+	leader := NewLeader(DefaultSettings(time.Second))
+	leader.AgentLost(0, "main")
+	if leader.ShouldResign(time.Minute) {
 		t.Error("nobody hears the agent, and it is to go")
 	}
-	d.Others("main")
-	if d.Unfit(time.Second) || !d.Unfit(time.Minute) {
+	leader.AgentHeardByFollower("main")
+	if leader.ShouldResign(time.Second) || !leader.ShouldResign(time.Minute) {
 		t.Error("it is to go after a while")
 	}
-	d.Heard("main")
-	if d.Unfit(time.Minute) {
+	leader.AgentHeard("main")
+	if leader.ShouldResign(time.Minute) {
 		t.Error("it hears the agent, and is to go")
 	}
 }
--- a/watch/part.go
+++ b/watch/part.go
@@ -9,9 +9,9 @@
 
 // How long agents may hold calls for their lists.
 const (
-	HoldAlone = 20 * time.Second
+	PollHoldAlone = 20 * time.Second
 	// What the one that looks does not hear all of its room miss: it has to find out soon.
-	HoldForAll = 3 * time.Second
+	PollHoldLeader = 3 * time.Second
 )
 
 // Note is what one that looks for a room and one of the others say to each other.
@@ -51,7 +51,7 @@
 )
 
 // Act is something to be done.
-type Act struct {
+type Action struct {
 	Kind Kind
 	To   string
 	Box  uint64
@@ -74,41 +74,41 @@
 // another. What happens goes in; what is to be done comes out of Acts. It is not safe for
 // concurrent use.
 type Part struct {
-	cfg     Settings
-	post    *Post
-	desk    *Desk // nil: another one looks, or nobody
-	feeds   map[string]*Feed
-	holds   map[string]time.Duration // as Follow has said
-	beatAt  time.Duration
-	acts    []Act
-	figures Figures
+	settings    Settings
+	follower    *Follower
+	leader      *Leader // nil: another one looks, or nobody
+	feeds       map[string]*Feed
+	pollHolds   map[string]time.Duration // as Follow has said
+	heartbeatAt time.Duration
+	actions     []Action
+	figures     Figures
 }
 
 // NewPart returns the part of a limiter that has heard nobody yet, with the pools whose lists
 // agents tell.
-func NewPart(cfg Settings, pools []string) *Part {
-	p := &Part{cfg: cfg, post: NewPost(cfg), feeds: map[string]*Feed{}, holds: map[string]time.Duration{}}
+func NewPart(settings Settings, pools []string) *Part {
+	w := &Part{settings: settings, follower: NewFollower(settings), feeds: map[string]*Feed{}, pollHolds: map[string]time.Duration{}}
 	for _, pool := range pools {
-		p.feeds[pool] = &Feed{}
+		w.feeds[pool] = &Feed{}
 	}
-	return p
+	return w
 }
 
 // Acts are to be done now, in their order.
-func (p *Part) Acts() []Act {
-	all := p.acts
-	p.acts = nil
-	return all
+func (w *Part) Acts() []Action {
+	actions := w.actions
+	w.actions = nil
+	return actions
 }
 
-func (p *Part) act(a Act) { p.acts = append(p.acts, a) }
+func (w *Part) add(action Action) { w.actions = append(w.actions, action) }
 
 // Figures returns them.
-func (p *Part) Figures() Figures { return p.figures }
+func (w *Part) Figures() Figures { return w.figures }
 
 // Follows are the pools whose agents this limiter follows itself.
-func (p *Part) Follows() (pools []string) {
-	for pool, hold := range p.holds {
+func (w *Part) Follows() (pools []string) {
+	for pool, hold := range w.pollHolds {
 		if hold > 0 {
 			pools = append(pools, pool)
 		}
@@ -118,210 +118,210 @@
 }
 
 // Leads tells whether this limiter looks for its room.
-func (p *Part) Leads() bool { return p.desk != nil }
+func (w *Part) Leads() bool { return w.leader != nil }
 
 // Alone tells whether nobody is heard that looks for this limiter.
-func (p *Part) Alone(now time.Duration) bool { return p.desk == nil && p.post.Silent(now) }
+func (w *Part) Alone(now time.Duration) bool { return w.leader == nil && w.follower.LeaderSilent(now) }
 
 // Lead begins a term of this limiter's own, or ends it.
-func (p *Part) Lead(leads bool) {
-	p.desk = nil
-	if leads {
-		p.desk = NewDesk(p.cfg)
-		for _, f := range p.feeds {
-			f.Alone()
+func (w *Part) Lead(isLeader bool) {
+	w.leader = nil
+	if isLeader {
+		w.leader = NewLeader(w.settings)
+		for _, f := range w.feeds {
+			f.FollowAgent()
 		}
 	}
 }
 
 // Tick does what the time asks for. It is to come some ten times a second.
-func (p *Part) Tick(now time.Duration) {
-	silent := p.post.Silent(now)
-	for _, pool := range slices.Sorted(maps.Keys(p.feeds)) {
-		f := p.feeds[pool]
+func (w *Part) Tick(now time.Duration) {
+	silent := w.follower.LeaderSilent(now)
+	for _, pool := range slices.Sorted(maps.Keys(w.feeds)) {
+		feed := w.feeds[pool]
 		if silent {
-			f.Alone()
+			feed.FollowAgent()
 		}
-		hold := HoldAlone
+		hold := PollHoldAlone
 		switch {
-		case p.desk != nil:
-			hold = HoldForAll
-		case f.Led():
+		case w.leader != nil:
+			hold = PollHoldLeader
+		case feed.FromLeader():
 			hold = 0
 		}
-		if was, known := p.holds[pool]; !known || was != hold {
-			p.holds[pool] = hold
-			p.act(Act{Kind: Follow, Pool: pool, Hold: hold})
+		if previous, known := w.pollHolds[pool]; !known || previous != hold {
+			w.pollHolds[pool] = hold
+			w.add(Action{Kind: Follow, Pool: pool, Hold: hold})
 		}
 	}
-	if p.desk == nil {
+	if w.leader == nil {
 		return
 	}
-	for _, box := range p.desk.Next(now) {
-		p.act(Act{Kind: Look, Box: box})
+	for _, box := range w.leader.StartProbes(now) {
+		w.add(Action{Kind: Look, Box: box})
 	}
-	if now >= p.beatAt {
-		p.beatAt = now + p.cfg.Patience/3
-		p.act(Act{Kind: Tell})
+	if now >= w.heartbeatAt {
+		w.heartbeatAt = now + w.settings.Patience/3
+		w.add(Action{Kind: Tell})
 	}
-	if p.desk.Unfit(now) {
-		p.act(Act{Kind: Resign, Hold: p.cfg.Unfit})
+	if w.leader.ShouldResign(now) {
+		w.add(Action{Kind: Resign, Hold: w.settings.AbstainPeriod})
 	}
 }
 
 // Want is a box that is held as ill here.
-func (p *Part) Want(now time.Duration, box uint64) {
-	if p.desk != nil {
-		p.say(p.desk.Ask(now, "", box))
+func (w *Part) Want(now time.Duration, box uint64) {
+	if w.leader != nil {
+		w.deliver(w.leader.HandleAsk(now, "", box))
 		return
 	}
-	ask, look := p.post.Want(now, box)
+	ask, probe := w.follower.HandleUnhealthy(now, box)
 	if ask {
-		p.figures.Asked++
-		p.act(Act{Kind: Say, Note: Note{Ask: box}})
+		w.figures.Asked++
+		w.add(Action{Kind: Say, Note: Note{Ask: box}})
 	}
-	if look {
-		p.act(Act{Kind: Look, Box: box})
+	if probe {
+		w.add(Action{Kind: Look, Box: box})
 	}
 }
 
 // Looked is the end of a look of this limiter's own; empty: it could not be made.
-func (p *Part) Looked(now time.Duration, box uint64, saw Verdict) {
-	p.figures.Itself++
-	if p.desk != nil {
-		p.say(p.desk.Looked(now, box, saw))
+func (w *Part) Looked(now time.Duration, box uint64, result Verdict) {
+	w.figures.Itself++
+	if w.leader != nil {
+		w.deliver(w.leader.FinishProbe(now, box, result))
 	}
-	if p.post.Looked(box) && saw != "" {
-		p.act(Act{Kind: Say, Note: Note{Checked: &Word{Box: box, Is: saw}}})
+	if w.follower.FinishProbe(box) && result != "" {
+		w.add(Action{Kind: Say, Note: Note{Checked: &Word{Box: box, Is: result}}})
 	}
 }
 
 // Failed is an attempt of this limiter's own that has failed at a box.
-func (p *Part) Failed(now time.Duration, box uint64) {
-	if p.post.Failed(now, box) {
-		p.figures.Differs++
+func (w *Part) Failed(now time.Duration, box uint64) {
+	if w.follower.AttemptFailed(now, box) {
+		w.figures.Differs++
 	}
 }
 
 // Listed is what an agent has told this limiter itself.
-func (p *Part) Listed(l List) {
-	f := p.feeds[l.Pool]
-	if f == nil {
+func (w *Part) Listed(l List) {
+	feed := w.feeds[l.Pool]
+	if feed == nil {
 		return
 	}
-	f.Own(l.Seq)
-	if p.desk == nil {
-		p.act(Act{Kind: Say, Note: Note{Hears: l.Pool}})
+	feed.HandleAgentList(l.Seq)
+	if w.leader == nil {
+		w.add(Action{Kind: Say, Note: Note{Hears: l.Pool}})
 		return
 	}
-	p.desk.Heard(l.Pool)
-	p.act(Act{Kind: Tell, Note: Note{List: &l}})
+	w.leader.AgentHeard(l.Pool)
+	w.add(Action{Kind: Tell, Note: Note{List: &l}})
 }
 
 // Lost is an agent that does not answer this limiter.
-func (p *Part) Lost(now time.Duration, pool string) {
-	if p.desk != nil && p.desk.Lost(now, pool) {
-		p.act(Act{Kind: Tell, Note: Note{Lost: p.desk.Unheard()}})
+func (w *Part) Lost(now time.Duration, pool string) {
+	if w.leader != nil && w.leader.AgentLost(now, pool) {
+		w.add(Action{Kind: Tell, Note: Note{Lost: w.leader.LostPools()}})
 	}
 }
 
 // say tells words to whom they are for. This limiter has seen itself what the others are told.
-func (p *Part) say(words []Word) {
-	for _, w := range words {
-		if w.To != "" {
-			p.act(Act{Kind: Tell, To: w.To, Note: Note{Words: []Word{w}}})
-		} else if w.Is == Alone {
-			p.act(Act{Kind: Look, Box: w.Box})
+func (w *Part) deliver(verdicts []Word) {
+	for _, v := range verdicts {
+		if v.To != "" {
+			w.add(Action{Kind: Tell, To: v.To, Note: Note{Words: []Word{v}}})
+		} else if v.Is == ProbeAlone {
+			w.add(Action{Kind: Look, Box: v.Box})
 		}
 	}
 }
 
 // Join is another limiter that this one is to look for; false: it does not look.
-func (p *Part) Join(name string) bool {
-	if p.desk == nil {
+func (w *Part) Join(limiter string) bool {
+	if w.leader == nil {
 		return false
 	}
-	p.act(Act{Kind: Tell, To: name, Note: Note{Lost: p.desk.Unheard()}})
-	for _, pool := range slices.Sorted(maps.Keys(p.feeds)) {
-		p.whole(name, pool)
+	w.add(Action{Kind: Tell, To: limiter, Note: Note{Lost: w.leader.LostPools()}})
+	for _, pool := range slices.Sorted(maps.Keys(w.feeds)) {
+		w.sendFullList(limiter, pool)
 	}
 	return true
 }
 
 // whole tells a limiter the whole list of a pool, if this one hears its agent.
-func (p *Part) whole(name, pool string) {
-	if p.feeds[pool] != nil && !slices.Contains(p.desk.Unheard(), pool) {
-		p.act(Act{Kind: TellWhole, To: name, Pool: pool})
+func (w *Part) sendFullList(limiter, pool string) {
+	if w.feeds[pool] != nil && !slices.Contains(w.leader.LostPools(), pool) {
+		w.add(Action{Kind: TellWhole, To: limiter, Pool: pool})
 	}
 }
 
 // Leave is a limiter that this one does not look for any more.
-func (p *Part) Leave(name string) {
-	if p.desk != nil {
-		p.desk.Leave(name)
+func (w *Part) Leave(limiter string) {
+	if w.leader != nil {
+		w.leader.RemoveFollower(limiter)
 	}
 }
 
 // From is a note of a limiter that this one looks for.
-func (p *Part) From(now time.Duration, name string, n Note) {
-	if p.desk == nil {
+func (w *Part) From(now time.Duration, limiter string, note Note) {
+	if w.leader == nil {
 		return
 	}
-	if n.Ask != 0 {
-		p.say(p.desk.Ask(now, name, n.Ask))
+	if note.Ask != 0 {
+		w.deliver(w.leader.HandleAsk(now, limiter, note.Ask))
 	}
-	if n.Checked != nil {
-		p.say(p.desk.Checked(now, n.Checked.Box, n.Checked.Is))
+	if note.Checked != nil {
+		w.deliver(w.leader.HandleCheck(now, note.Checked.Box, note.Checked.Is))
 	}
-	if n.Hears != "" {
-		p.desk.Others(n.Hears)
+	if note.Hears != "" {
+		w.leader.AgentHeardByFollower(note.Hears)
 	}
-	if n.Want != "" {
-		p.whole(name, n.Want)
+	if note.Want != "" {
+		w.sendFullList(limiter, note.Want)
 	}
 }
 
 // Heard is a note of the one that looks.
-func (p *Part) Heard(now time.Duration, n Note) {
-	if p.desk != nil {
+func (w *Part) Heard(now time.Duration, note Note) {
+	if w.leader != nil {
 		return // of one before
 	}
-	p.post.Heard(now)
-	for _, w := range n.Words {
-		tell, look := p.post.Told(now, w)
-		if tell != "" {
-			p.figures.Told++
-			p.act(Act{Kind: Believe, Box: w.Box, Is: tell})
+	w.follower.LeaderHeard(now)
+	for _, v := range note.Words {
+		believed, probe := w.follower.HandleVerdict(now, v)
+		if believed != "" {
+			w.figures.Told++
+			w.add(Action{Kind: Believe, Box: v.Box, Is: believed})
 		}
-		if look {
-			p.act(Act{Kind: Look, Box: w.Box})
+		if probe {
+			w.add(Action{Kind: Look, Box: v.Box})
 		}
 	}
-	for _, pool := range n.Lost {
-		p.Itself(pool)
+	for _, pool := range note.Lost {
+		w.Itself(pool)
 	}
-	if l := n.List; l != nil && p.feeds[l.Pool] != nil {
-		take, want := p.feeds[l.Pool].Offer(l.Seq, l.Whole)
-		if take {
-			p.act(Act{Kind: Take, List: l})
+	if list := note.List; list != nil && w.feeds[list.Pool] != nil {
+		accept, requestFull := w.feeds[list.Pool].Offer(list.Seq, list.Whole)
+		if accept {
+			w.add(Action{Kind: Take, List: list})
 		}
-		if want {
-			p.act(Act{Kind: Say, Note: Note{Want: l.Pool}})
+		if requestFull {
+			w.add(Action{Kind: Say, Note: Note{Want: list.Pool}})
 		}
 	}
 }
 
 // Itself has this limiter follow the agent of a pool itself: what it was told is of no use.
-func (p *Part) Itself(pool string) {
-	if f := p.feeds[pool]; f != nil {
-		f.Alone()
+func (w *Part) Itself(pool string) {
+	if f := w.feeds[pool]; f != nil {
+		f.FollowAgent()
 	}
 }
 
 // Cut is a connection to the one that looks that has ended.
-func (p *Part) Cut() {
-	p.post.Cut()
-	for _, f := range p.feeds {
-		f.Apart()
+func (w *Part) Cut() {
+	w.follower.LeaderDisconnected()
+	for _, f := range w.feeds {
+		f.Disconnected()
 	}
 }
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -14,33 +14,33 @@
 	"time"
 )
 
-const prefix = "watch/"
+const dutyPrefix = "watch/"
 
 // Duty is the name of a room's duty.
-func Duty(room string) string { return prefix + room }
+func Duty(room string) string { return dutyPrefix + room }
 
 // Room is the room of such a duty; false: it is another duty.
-func Room(duty string) (string, bool) { return strings.CutPrefix(duty, prefix) }
+func Room(duty string) (string, bool) { return strings.CutPrefix(duty, dutyPrefix) }
 
 // Settings are those of looks.
 type Settings struct {
-	Every      time.Duration // least pause between two looks of the desk at a box
-	CheckEvery time.Duration // and between two checks of its word that a box is ill
-	Patience   time.Duration // without a word on an ask for so long, the asker looks itself
-	Quiet      time.Duration // without any word for so long, lists are followed alone
-	Apart      time.Duration // for so long each looks for itself at a box of which they differ
-	Unfit      time.Duration // one that does not hear what others hear does not ask for the duty so long
+	ProbeInterval      time.Duration // least pause between two looks of the desk at a box
+	CheckInterval      time.Duration // and between two checks of its word that a box is ill
+	Patience           time.Duration // without a word on an ask for so long, the asker looks itself
+	LeaderTimeout      time.Duration // without any word for so long, lists are followed alone
+	DisagreementPeriod time.Duration // for so long each looks for itself at a box of which they differ
+	AbstainPeriod      time.Duration // one that does not hear what others hear does not ask for the duty so long
 }
 
 // DefaultSettings are those for terms of so long.
 func DefaultSettings(term time.Duration) Settings {
 	return Settings{
-		Every:      500 * time.Millisecond, // as a limiter alone does
-		CheckEvery: time.Second,
-		Patience:   1500 * time.Millisecond, // three asks in a row
-		Quiet:      5 * term / 2,            // the next owner is there within about two terms
-		Apart:      10 * time.Second,
-		Unfit:      5 * time.Minute, // with a term of 25 s at most each, ten that are deaf come by once
+		ProbeInterval:      500 * time.Millisecond, // as a limiter alone does
+		CheckInterval:      time.Second,
+		Patience:           1500 * time.Millisecond, // three asks in a row
+		LeaderTimeout:      5 * term / 2,            // the next owner is there within about two terms
+		DisagreementPeriod: 10 * time.Second,
+		AbstainPeriod:      5 * time.Minute, // with a term of 25 s at most each, ten that are deaf come by once
 	}
 }
 
@@ -49,10 +49,10 @@
 
 // Verdicts.
 const (
-	Well  Verdict = "well"
-	Ill   Verdict = "ill"
-	Check Verdict = "check" // ill here: look yourself, once, and say what you saw
-	Alone Verdict = "alone" // some reach it and some don't: look yourself for a while
+	Well       Verdict = "well"
+	Ill        Verdict = "ill"
+	CheckOnce  Verdict = "check" // ill here: look yourself, once, and say what you saw
+	ProbeAlone Verdict = "alone" // some reach it and some don't: look yourself for a while
 )
 
 // Word is a verdict for one limiter.
@@ -63,61 +63,61 @@
 }
 
 // Desk is the part of the limiter that looks for its room. It is not safe for concurrent use.
-type Desk struct {
-	cfg   Settings
-	wards map[uint64]*ward
-	lists map[string]*lost
+type Leader struct {
+	settings   Settings
+	boxes      map[uint64]*boxState
+	lostAgents map[string]*lostAgent
 }
 
 // ward is a box that somebody holds as ill.
-type ward struct {
-	asks      map[string]time.Duration // since when each waits for a word
-	looking   bool
-	begun     time.Duration // of the look under way, or of the last one
-	checkedBy string        // who was last made to check the word
-	checkedAt time.Duration
-	apart     time.Duration // until then each looks for itself
-	seenAt    time.Duration // when it was last asked for
+type boxState struct {
+	waitingSince  map[string]time.Duration // since when each waits for a word
+	probing       bool
+	probeStart    time.Duration // of the look under way, or of the last one
+	lastChecker   string        // who was last made to check the word
+	checkedAt     time.Duration
+	disagreeUntil time.Duration // until then each looks for itself
+	askedAt       time.Duration // when it was last asked for
 }
 
 // lost is an agent that this limiter does not hear.
-type lost struct {
-	at  time.Duration
-	has bool // another limiter hears it
+type lostAgent struct {
+	since        time.Duration
+	heardByOther bool // another limiter hears it
 }
 
 // NewDesk returns the desk of a limiter whose term begins.
-func NewDesk(cfg Settings) *Desk {
-	return &Desk{cfg: cfg, wards: map[uint64]*ward{}, lists: map[string]*lost{}}
+func NewLeader(settings Settings) *Leader {
+	return &Leader{settings: settings, boxes: map[uint64]*boxState{}, lostAgents: map[string]*lostAgent{}}
 }
 
 // Ask notes that a limiter holds a box as ill and wants to know. Words are to be told at once.
-func (d *Desk) Ask(now time.Duration, who string, box uint64) []Word {
-	w := d.wards[box]
-	if w == nil {
-		w = &ward{asks: map[string]time.Duration{}, begun: now - d.cfg.Every, checkedAt: now}
-		d.wards[box] = w
+func (l *Leader) HandleAsk(now time.Duration, limiter string, box uint64) []Word {
+	state := l.boxes[box]
+	if state == nil {
+		state = &boxState{waitingSince: map[string]time.Duration{}, probeStart: now - l.settings.ProbeInterval, checkedAt: now}
+		l.boxes[box] = state
 	}
-	w.seenAt = now
-	if now < w.apart {
-		return []Word{{who, box, Alone}}
+	state.askedAt = now
+	if now < state.disagreeUntil {
+		return []Word{{limiter, box, ProbeAlone}}
 	}
-	if _, waits := w.asks[who]; !waits {
-		w.asks[who] = now
+	if _, waiting := state.waitingSince[limiter]; !waiting {
+		state.waitingSince[limiter] = now
 	}
 	return nil
 }
 
 // Next are the boxes to be looked at now. Each look's end has to be told by Looked.
-func (d *Desk) Next(now time.Duration) (boxes []uint64) {
-	for _, box := range slices.Sorted(maps.Keys(d.wards)) {
-		w := d.wards[box]
+func (l *Leader) StartProbes(now time.Duration) (boxes []uint64) {
+	for _, box := range slices.Sorted(maps.Keys(l.boxes)) {
+		state := l.boxes[box]
 		switch {
-		case !w.looking && len(w.asks) > 0 && now >= w.begun+d.cfg.Every:
-			w.looking, w.begun = true, now
+		case !state.probing && len(state.waitingSince) > 0 && now >= state.probeStart+l.settings.ProbeInterval:
+			state.probing, state.probeStart = true, now
 			boxes = append(boxes, box)
-		case !w.looking && now > w.seenAt+d.cfg.Apart+d.cfg.Patience:
-			delete(d.wards, box)
+		case !state.probing && now > state.askedAt+l.settings.DisagreementPeriod+l.settings.Patience:
+			delete(l.boxes, box)
 		}
 	}
 	return boxes
@@ -125,39 +125,39 @@
 
 // Looked is the end of a look, and returns what is told to those who asked before it began:
 // what was seen before an ask says nothing about it. Empty: the look could not be made.
-func (d *Desk) Looked(now time.Duration, box uint64, saw Verdict) (words []Word) {
-	w := d.wards[box]
-	if w == nil || !w.looking {
+func (l *Leader) FinishProbe(now time.Duration, box uint64, result Verdict) (verdicts []Word) {
+	state := l.boxes[box]
+	if state == nil || !state.probing {
 		return nil
 	}
-	w.looking = false
-	if saw == "" {
+	state.probing = false
+	if result == "" {
 		return nil
 	}
-	var told []string
-	for _, who := range slices.Sorted(maps.Keys(w.asks)) {
-		if w.asks[who] <= w.begun {
-			told = append(told, who)
-			delete(w.asks, who)
+	var answered []string
+	for _, limiter := range slices.Sorted(maps.Keys(state.waitingSince)) {
+		if state.waitingSince[limiter] <= state.probeStart {
+			answered = append(answered, limiter)
+			delete(state.waitingSince, limiter)
 		}
 	}
-	check := ""
-	if saw == Ill && now >= w.checkedAt+d.cfg.CheckEvery {
-		check = after(told, w.checkedBy)
+	checker := ""
+	if result == Ill && now >= state.checkedAt+l.settings.CheckInterval {
+		checker = nextChecker(answered, state.lastChecker)
 	}
-	for _, who := range told {
-		is := saw
-		if who == check && check != "" {
-			is, w.checkedBy, w.checkedAt = Check, who, now
+	for _, limiter := range answered {
+		verdict := result
+		if limiter == checker && checker != "" {
+			verdict, state.lastChecker, state.checkedAt = CheckOnce, limiter, now
 		}
-		words = append(words, Word{who, box, is})
+		verdicts = append(verdicts, Word{limiter, box, verdict})
 	}
-	return words
+	return verdicts
 }
 
 // after is the next name of a sorted list behind another one, round; the empty name, which is
 // this limiter itself, has nothing to check. Empty: there is none.
-func after(names []string, last string) string {
+func nextChecker(names []string, last string) string {
 	names = slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == "" })
 	if len(names) == 0 {
 		return ""
@@ -172,54 +172,54 @@
 
 // Checked is what a limiter saw that was to check that a box is ill. If it reaches the box, each
 // looks for itself for a while.
-func (d *Desk) Checked(now time.Duration, box uint64, saw Verdict) (words []Word) {
-	w := d.wards[box]
-	if w == nil || saw != Well {
+func (l *Leader) HandleCheck(now time.Duration, box uint64, result Verdict) (verdicts []Word) {
+	state := l.boxes[box]
+	if state == nil || result != Well {
 		return nil
 	}
-	w.apart = now + d.cfg.Apart
-	for _, who := range slices.Sorted(maps.Keys(w.asks)) {
-		words = append(words, Word{who, box, Alone})
+	state.disagreeUntil = now + l.settings.DisagreementPeriod
+	for _, limiter := range slices.Sorted(maps.Keys(state.waitingSince)) {
+		verdicts = append(verdicts, Word{limiter, box, ProbeAlone})
 	}
-	clear(w.asks)
-	return words
+	clear(state.waitingSince)
+	return verdicts
 }
 
 // Leave forgets a limiter that is gone.
-func (d *Desk) Leave(who string) {
-	for _, w := range d.wards {
-		delete(w.asks, who)
+func (l *Leader) RemoveFollower(limiter string) {
+	for _, state := range l.boxes {
+		delete(state.waitingSince, limiter)
 	}
 }
 
 // Lost notes that the agent of a pool does not answer this limiter, Heard that it does. news: it
 // did before.
-func (d *Desk) Lost(now time.Duration, pool string) (news bool) {
-	if d.lists[pool] != nil {
+func (l *Leader) AgentLost(now time.Duration, pool string) (changed bool) {
+	if l.lostAgents[pool] != nil {
 		return false
 	}
-	d.lists[pool] = &lost{at: now}
+	l.lostAgents[pool] = &lostAgent{since: now}
 	return true
 }
 
 // Heard is described at Lost.
-func (d *Desk) Heard(pool string) { delete(d.lists, pool) }
+func (l *Leader) AgentHeard(pool string) { delete(l.lostAgents, pool) }
 
 // Unheard are the pools whose agents don't answer this limiter.
-func (d *Desk) Unheard() []string { return slices.Sorted(maps.Keys(d.lists)) }
+func (l *Leader) LostPools() []string { return slices.Sorted(maps.Keys(l.lostAgents)) }
 
 // Others notes that another limiter hears the agent of a pool.
-func (d *Desk) Others(pool string) {
-	if l := d.lists[pool]; l != nil {
-		l.has = true
+func (l *Leader) AgentHeardByFollower(pool string) {
+	if agent := l.lostAgents[pool]; agent != nil {
+		agent.heardByOther = true
 	}
 }
 
 // Unfit tells that this limiter should give the duty up: others hear an agent that it has not
 // heard for long.
-func (d *Desk) Unfit(now time.Duration) bool {
-	for _, l := range d.lists {
-		if l.has && now >= l.at+d.cfg.Quiet {
+func (l *Leader) ShouldResign(now time.Duration) bool {
+	for _, agent := range l.lostAgents {
+		if agent.heardByOther && now >= agent.since+l.settings.LeaderTimeout {
 			return true
 		}
 	}
@@ -227,79 +227,85 @@
 }
 
 // Post is the part of a limiter that another one looks for. It is not safe for concurrent use.
-type Post struct {
-	cfg   Settings
-	up    bool
-	heard time.Duration // the last word of any kind
-	ever  bool          // there was one
-	views map[uint64]*view
+type Follower struct {
+	settings  Settings
+	connected bool
+	heardAt   time.Duration // the last word of any kind
+	everHeard bool          // there was one
+	boxes     map[uint64]*boxView
 }
 
 // view is what is known of a box that was held as ill.
-type view struct {
-	asks   bool          // it waits for a word
-	asked  time.Duration // since when, however often it was cut off since
-	alone  time.Duration // until then this limiter looks itself
-	well   time.Duration // when it was told to be well
-	told   bool          // it was
-	checks bool          // the look under way is a check
-	seenAt time.Duration
+type boxView struct {
+	asking          bool          // it waits for a word
+	askedAt         time.Duration // since when, however often it was cut off since
+	probeAloneUntil time.Duration // until then this limiter looks itself
+	healthyAt       time.Duration // when it was told to be well
+	toldHealthy     bool          // it was
+	checking        bool          // the look under way is a check
+	usedAt          time.Duration
 }
 
 // NewPost returns the part of a limiter that has heard nobody yet.
-func NewPost(cfg Settings) *Post { return &Post{cfg: cfg, views: map[uint64]*view{}} }
+func NewFollower(settings Settings) *Follower {
+	return &Follower{settings: settings, boxes: map[uint64]*boxView{}}
+}
 
 // Heard notes a word of the one that looks, of any kind.
-func (p *Post) Heard(now time.Duration) { p.up, p.ever, p.heard = true, true, now }
+func (f *Follower) LeaderHeard(now time.Duration) {
+	f.connected, f.everHeard, f.heardAt = true, true, now
+}
 
 // Cut notes that it can't be heard any more, as far as is known here.
-func (p *Post) Cut() { p.up = false }
+func (f *Follower) LeaderDisconnected() { f.connected = false }
 
 // Silent tells whether it has been silent for so long that lists are followed alone.
-func (p *Post) Silent(now time.Duration) bool { return !p.ever || now > p.heard+p.cfg.Quiet }
+func (f *Follower) LeaderSilent(now time.Duration) bool {
+	return !f.everHeard || now > f.heardAt+f.settings.LeaderTimeout
+}
 
 // Want tells what is done about a box that is held as ill here: the other one is asked, this
 // limiter looks itself, or, where asks bring no word, both.
-func (p *Post) Want(now time.Duration, box uint64) (ask, look bool) {
-	v := p.views[box]
-	if v == nil {
-		for id, o := range p.views {
-			if now > o.seenAt+2*p.cfg.Apart {
-				delete(p.views, id)
+func (f *Follower) HandleUnhealthy(now time.Duration, box uint64) (ask, probe bool) {
+	view := f.boxes[box]
+	if view == nil {
+		for id, other := range f.boxes {
+			if now > other.usedAt+2*f.settings.DisagreementPeriod {
+				delete(f.boxes, id)
 			}
 		}
-		v = &view{}
-		p.views[box] = v
+		view = &boxView{}
+		f.boxes[box] = view
 	}
-	v.seenAt = now
-	if !p.up || now > p.heard+p.cfg.Patience || now < v.alone {
+	view.usedAt = now
+	if !f.connected || now > f.heardAt+f.settings.Patience || now < view.probeAloneUntil {
 		return false, true
 	}
-	if !v.asks {
-		v.asks, v.asked = true, now
+	if !view.asking {
+		view.asking, view.askedAt = true, now
 	}
-	return true, now >= v.asked+p.cfg.Patience
+	return true, now >= view.askedAt+f.settings.Patience
 }
 
 // Told takes a word about a box in. tell is what the limiter may believe of it (empty: nothing),
 // look that it has to look itself.
-func (p *Post) Told(now time.Duration, w Word) (tell Verdict, look bool) {
-	v := p.views[w.Box]
-	if v == nil || !v.asks { // nothing was asked, or it looks itself by now
+func (f *Follower) HandleVerdict(now time.Duration, received Word) (believed Verdict, probe bool) {
+	view := f.boxes[received.Box]
+	if view == nil || !view.asking { // nothing was asked, or it looks itself by now
 		return "", false
 	}
-	v.asks = false
-	switch w.Is {
+	view.asking = false
+	switch received.Is {
 	case Well:
-		v.well, v.told = now, true
+		view.healthyAt, view.toldHealthy = now, true
 		return Well, false
 	case Ill:
 		return Ill, false
-	case Check:
-		v.checks = true
+	case CheckOnce:
+		view.checking = true
 		return "", true
-	case Alone:
-		v.alone = now + p.cfg.Apart
+	case ProbeAlone:
+		view.probeAloneUntil = now + f.settings.DisagreementPeriod
 		return "", true
 	}
 	return "", false
@@ -307,23 +313,23 @@
 
 // Looked is the end of a look of this limiter's own; it tells whether the one that looks for it
 // is to know.
-func (p *Post) Looked(box uint64) bool {
-	v := p.views[box]
-	if v == nil || !v.checks {
+func (f *Follower) FinishProbe(box uint64) bool {
+	view := f.boxes[box]
+	if view == nil || !view.checking {
 		return false
 	}
-	v.checks = false
+	view.checking = false
 	return true
 }
 
 // Failed notes that an attempt of this limiter's own has failed at a box. If the box was told
 // to be well not long ago, the word does not hold here, and it looks itself for a while.
-func (p *Post) Failed(now time.Duration, box uint64) (differs bool) {
-	v := p.views[box]
-	if v == nil || !v.told || now > v.well+p.cfg.Apart {
+func (f *Follower) AttemptFailed(now time.Duration, box uint64) (differs bool) {
+	view := f.boxes[box]
+	if view == nil || !view.toldHealthy || now > view.healthyAt+f.settings.DisagreementPeriod {
 		return false
 	}
-	v.told, v.alone = false, now+p.cfg.Apart
+	view.toldHealthy, view.probeAloneUntil = false, now+f.settings.DisagreementPeriod
 	return true
 }
 
@@ -331,34 +337,36 @@
 // numbers order what comes by two ways. The zero value knows nothing and follows the agent
 // itself. It is not safe for concurrent use.
 type Feed struct {
-	seq   int64
-	have  bool
-	led   bool // another limiter tells it
-	chain bool // and news continue what is known
+	seq        int64
+	known      bool
+	fromLeader bool // another limiter tells it
+	contiguous bool // and news continue what is known
 }
 
 // Own takes in what the agent itself has told.
-func (f *Feed) Own(seq int64) { f.seq, f.have, f.led, f.chain = seq, true, false, false }
+func (f *Feed) HandleAgentList(seq int64) {
+	f.seq, f.known, f.fromLeader, f.contiguous = seq, true, false, false
+}
 
 // Offer is a list, or news behind the one before on the same connection, as the one that looks
 // tells it. take: it is as new as what is known; want: the whole list is to be asked for.
-func (f *Feed) Offer(seq int64, whole bool) (take, want bool) {
-	current := !f.have || seq >= f.seq
-	if !whole && !f.chain {
+func (f *Feed) Offer(seq int64, full bool) (accept, requestFull bool) {
+	current := !f.known || seq >= f.seq
+	if !full && !f.contiguous {
 		return false, current
 	}
 	if !current {
 		return false, false
 	}
-	f.seq, f.have, f.led, f.chain = seq, true, true, true
+	f.seq, f.known, f.fromLeader, f.contiguous = seq, true, true, true
 	return true, false
 }
 
 // Apart notes that the connection has ended: news don't continue what is known any more.
-func (f *Feed) Apart() { f.chain = false }
+func (f *Feed) Disconnected() { f.contiguous = false }
 
 // Alone has the limiter follow the agent itself.
-func (f *Feed) Alone() { f.led, f.chain = false, false }
+func (f *Feed) FollowAgent() { f.fromLeader, f.contiguous = false, false }
 
 // Led tells whether another limiter tells it.
-func (f *Feed) Led() bool { return f.led }
+func (f *Feed) FromLeader() bool { return f.fromLeader }
