--- a/custody/custody.go
+++ b/custody/custody.go
@@ -1,10 +1,11 @@
-// Package custody decides how work in hand survives the loss of its limiter: what its holder
-// has to have noted with others before it sends anything, what those keep, and what
-// whoever takes the work over may still do about it. It has no input or output, no
-// goroutines and no clock: what happens goes in with the time, where it counts.
+// Package custody decides how a request in progress survives the loss of the limiter that owns it:
+// what the owner must replicate to other limiters before it sends anything upstream, what the
+// replicas store, and what a successor may still do with the request. The package has no I/O, no
+// goroutines and no clock; callers pass in the time where it matters.
 //
-// [Hold] is the holder's part in one piece of work, [Book] that of a keeper, [Findings] that
-// of a taker. The rules and why they hold stand in docs/design/work.md.
+// [Worker] executes one request on its owner or a successor, [ReplicaStore] holds the records that
+// a limiter stores for others, and [Recovery] collects what a successor learns from the replicas.
+// docs/design/work.md has the rules and why they hold.
 package custody
 
 import (
@@ -16,17 +17,17 @@
 	"example.org/madderdrum/peering"
 )
 
-// Token says under which term of a holder's duty something is done: 1 and up, rising with
-// each taker.
+// Token is a fencing token: the term of the owner's lease under which a change is made. It starts
+// at 1 and rises with each successor.
 type Token uint64
 
-// Repeat says what may be done twice, by a class's settings.
+// RepeatPolicy is the setting of a request class that says whether its requests may run twice.
 type RepeatPolicy int
 
-// Kinds of classes.
+// Repeat policies.
 const (
-	Safe   RepeatPolicy = iota // running twice does no harm
-	Keyed                      // a group of boxes drops repeats of a key for a while
+	Safe   RepeatPolicy = iota // running twice is harmless
+	Keyed                      // a group of boxes drops repeats of a key for a limited time
 	Unsafe                     // must not run twice
 )
 
@@ -37,53 +38,54 @@
 	return fmt.Sprint("repeat ", int(r))
 }
 
-// Attempt is a try at a box whose last byte may have gone.
+// Attempt is one try at a box (upstream server) whose last byte may have been sent.
 type Attempt struct {
-	Number     int
+	Try        int
 	Box        uint64
-	DedupGroup uint64 // of boxes that drop repeats of a key together; 0: none does
+	DedupGroup uint64 // boxes that share the deduplication of keys; 0: the box does not deduplicate
 }
 
-// End is how a piece of work has ended.
+// Result is the outcome of a finished request.
 type Result struct {
 	Status   int
 	Response []byte
 }
 
-// Record is what is kept of a piece of work. Version rises with each change.
+// Record is the replicated state of one request. Version rises with each change.
 type Record struct {
 	ID               string
-	Key              string // of the client's, if it gave one
+	Key              string // the client's idempotency key, if it sent one
 	Owner            string
 	Account          uint64
 	Units            float64
-	Charged          bool // the units have been drawn; by the holder before the first version
+	Charged          bool // the units were drawn from the quota, by the owner before the first version
 	Class            int
-	Repeat           RepeatPolicy
+	RepeatPolicy     RepeatPolicy
 	Deadline         int64 // wall clock, Unix ms
 	Body             []byte
 	Version          uint64
-	Token            Token    // under which the newest change was made
-	Replicas         []string // processes that have to know of each attempt; one that starts anew is another
-	ReplicasOptional bool     // its holder may go on although no keeper is left
+	Token            Token    // fencing token of the newest change
+	Replicas         []string // processes that must acknowledge each attempt; a restart makes a different process
+	ReplicasOptional bool     // the owner may go on although no replica is left
 	Attempts         []Attempt
-	Result           *Result // nil: it has not ended
+	Result           *Result // nil: not finished
 }
 
-// clone is a copy that shares the body alone, which is never changed.
+// clone returns a copy that shares only the body, which never changes.
 func (r Record) clone() Record {
 	r.Replicas, r.Attempts = slices.Clone(r.Replicas), slices.Clone(r.Attempts)
 	return r
 }
 
-// MostKeepers is how many others keep a record.
+// MaxReplicas is the number of other limiters that store a record.
 const MaxReplicas = 2
 
-// Limiter is one that may keep records.
+// Limiter is a candidate for storing records, in the room (failure zone) where it runs.
 type Limiter struct{ Name, Room string }
 
-// Keepers are the limiters that keep the work of a key, or of an id that has none, for a holder:
-// by rendezvous, those of other rooms first. All limiters find the same ones.
+// ChooseReplicas returns the limiters that store an owner's record, chosen by rendezvous hashing of
+// the client's key, or of the record's ID if there is none. Limiters in other rooms come first. All
+// limiters compute the same result.
 func ChooseReplicas(key string, owner Limiter, limiters []Limiter) (names []string) {
 	var sameZone, otherZones []string
 	for _, l := range limiters {
@@ -99,39 +101,39 @@
 	return names[:min(MaxReplicas, len(names))]
 }
 
-// Hold is the part of the one that works on a record: its holder, or a taker. Before each
-// send it asks May; what it returns to be noted goes to all keepers in the record. It is not
-// safe for concurrent use.
+// Worker is the state of the limiter that executes a record: its owner, or a successor. It must call
+// MaySend before each send, and sends each new version of Record to all replicas named in it. It is
+// not safe for concurrent use.
 type Worker struct {
 	record     Record
 	token      Token
-	acked      map[string]uint64 // by keeper: the version that it has noted
-	superseded bool              // a keeper knows a later token: nothing more may go out
+	acked      map[string]uint64 // by replica: the newest version that it acknowledged
+	superseded bool              // a replica has seen a higher token: nothing more may be sent
 }
 
-// NewHold begins with a piece of work, under the holder's token.
-func NewWorker(r Record, token Token) *Worker {
-	w := &Worker{record: r.clone(), token: token, acked: map[string]uint64{}}
+// NewWorker starts work on a record under the worker's token.
+func NewWorker(record Record, token Token) *Worker {
+	w := &Worker{record: record.clone(), token: token, acked: map[string]uint64{}}
 	w.bumpVersion()
 	return w
 }
 
-// change makes a new version.
+// bumpVersion marks the record as changed under this worker's token.
 func (w *Worker) bumpVersion() {
 	w.record.Version++
 	w.record.Token = w.token
 }
 
-// Record is the newest version, which keepers are to note.
+// Record returns the newest version, which the replicas must store.
 func (w *Worker) Record() Record { return w.record.clone() }
 
-// Try notes an attempt, before any byte of it goes out.
-func (w *Worker) AddAttempt(a Attempt) {
+// Try records an attempt. It must be called before any byte of the attempt is sent.
+func (w *Worker) Try(a Attempt) {
 	w.record.Attempts = append(w.record.Attempts, a)
 	w.bumpVersion()
 }
 
-// Finish notes the end.
+// Finish records the result. Only the first result counts.
 func (w *Worker) Finish(result Result) {
 	if w.record.Result == nil {
 		w.record.Result = &result
@@ -139,9 +141,10 @@
 	}
 }
 
-// Without goes on without a keeper that is too slow, or gone. What remains has to know of it
-// before anything is sent. It returns false if that keeper is none of the record's, or the last
-// one of a record that is not loose: its old copy would say that nothing was sent.
+// RemoveReplica continues without a replica that is too slow or unreachable. The remaining replicas
+// must acknowledge the change before anything is sent. It returns false if the limiter is no replica
+// of the record, or is the last one and ReplicasOptional is not set: a successor that reads its old
+// copy would conclude that nothing was sent.
 func (w *Worker) RemoveReplica(replica string) bool {
 	i := slices.Index(w.record.Replicas, replica)
 	if i < 0 || len(w.record.Replicas) == 1 && !w.record.ReplicasOptional {
@@ -152,8 +155,8 @@
 	return true
 }
 
-// Noted takes in a keeper's answer to a version. One that was refused is over: another one
-// has taken the work.
+// HandleAck processes a replica's reply to a version. A refusal means that a successor has taken the
+// request over, so that this worker must stop.
 func (w *Worker) HandleAck(replica string, version uint64, refused bool) {
 	if refused {
 		w.superseded = true
@@ -162,8 +165,9 @@
 	w.acked[replica] = max(w.acked[replica], version)
 }
 
-// May tells whether the last byte of what was noted may go out, if this limiter's own term
-// holds, which has to be looked at last. With no keeper left nothing is taken over, and nobody else sends.
+// MaySend reports whether the last byte of the recorded attempt may be sent: all replicas have
+// acknowledged the newest version. The caller must check after it that its own lease is still valid.
+// With no replica left no successor can take the request over, so nobody else sends it.
 func (w *Worker) MaySend() bool {
 	if w.superseded {
 		return false
@@ -176,28 +180,30 @@
 	return true
 }
 
-// Book is what one limiter keeps for others, in memory. It is not safe for concurrent use.
+// ReplicaStore holds the records that one limiter stores for others, in memory. It is not safe for
+// concurrent use.
 type ReplicaStore struct {
 	self          string
 	maxBytes      int64 // bytes
 	bytes         int64
-	highestTokens map[string]Token         // by holder: the highest that was seen
-	records       map[string]*storedRecord // by id
+	highestTokens map[string]Token   // by owner
+	stored        map[string]*stored // by record ID
 }
 
-// kept is one record.
-type storedRecord struct {
+// storedRecord is a record with the local times of its changes.
+type stored struct {
 	Record
-	firstAttemptAt time.Duration // when the note of its first attempt came
-	finishedAt     time.Duration
+	firstAttemptAt time.Duration // when the first version with an attempt arrived
+	finishedAt     time.Duration // when the first version with a result arrived
 }
 
-// NewBook returns an empty book, of so many bytes at most.
+// NewReplicaStore returns an empty store with a limit on its size in bytes. self is the name of this
+// process as records list it.
 func NewReplicaStore(self string, maxBytes int64) *ReplicaStore {
-	return &ReplicaStore{self: self, maxBytes: maxBytes, highestTokens: map[string]Token{}, records: map[string]*storedRecord{}}
+	return &ReplicaStore{self: self, maxBytes: maxBytes, highestTokens: map[string]Token{}, stored: map[string]*stored{}}
 }
 
-// overhead is what a record takes beside what it names, in bytes.
+// recordOverheadBytes is the approximate memory of a record in addition to its variable-length fields.
 const recordOverheadBytes = 256
 
 func recordSize(r *Record) int64 {
@@ -211,17 +217,17 @@
 	return int64(n)
 }
 
-// Refusal is why something was not noted.
+// Refusal is the reason why a record was not stored; empty if it was.
 type Refusal string
 
-// Refusals.
+// Reasons for a refusal.
 const (
-	TakenOver    Refusal = "taken over" // a later token was seen: the sender has to stop
-	WrongProcess Refusal = "not meant"  // for a process before this one: it is gone, with what it kept
-	Full         Refusal = "full"       // there is no place for it; the sender may go on without this keeper
+	TakenOver    Refusal = "taken over" // a higher token was seen: the sender must stop
+	WrongProcess Refusal = "not meant"  // addressed to an earlier process of this limiter, whose records are lost
+	Full         Refusal = "full"       // no space is left; the sender may continue without this replica
 )
 
-// Note takes a version of a record in. An older one changes nothing.
+// Put stores a version of a record. A version older than the stored one is ignored without a refusal.
 func (s *ReplicaStore) Put(now time.Duration, r Record) Refusal {
 	if r.Token < s.highestTokens[r.Owner] {
 		return TakenOver
@@ -230,50 +236,50 @@
 		return WrongProcess
 	}
 	s.highestTokens[r.Owner] = r.Token
-	stored := s.records[r.ID]
-	if stored != nil && (r.Token < stored.Token || r.Token == stored.Token && r.Version <= stored.Version) {
+	entry := s.stored[r.ID]
+	if entry != nil && (r.Token < entry.Token || r.Token == entry.Token && r.Version <= entry.Version) {
 		return ""
 	}
 	oldSize := int64(0)
-	if stored != nil {
-		oldSize = recordSize(&stored.Record)
+	if entry != nil {
+		oldSize = recordSize(&entry.Record)
 	}
 	if s.bytes-oldSize+recordSize(&r) > s.maxBytes {
 		return Full
 	}
-	if stored == nil {
-		stored = &storedRecord{}
-		s.records[r.ID] = stored
+	if entry == nil {
+		entry = &stored{}
+		s.stored[r.ID] = entry
 	}
-	if len(r.Attempts) > 0 && len(stored.Attempts) == 0 {
-		stored.firstAttemptAt = now
+	if len(r.Attempts) > 0 && len(entry.Attempts) == 0 {
+		entry.firstAttemptAt = now
 	}
-	if r.Result != nil && stored.Result == nil {
-		stored.finishedAt = now
+	if r.Result != nil && entry.Result == nil {
+		entry.finishedAt = now
 	}
 	s.bytes += recordSize(&r) - oldSize
-	stored.Record = r.clone()
+	entry.Record = r.clone()
 	return ""
 }
 
-// Told is what a keeper tells a taker of one record.
+// ReplicaRecord is a stored record as a replica sends it to a successor.
 type ReplicaRecord struct {
 	Record
-	SinceFirstAttempt time.Duration // since the note of the first attempt came
+	SinceFirstAttempt time.Duration // time since the first version with an attempt arrived
 }
 
-// Tell tells a taker what is kept of a holder's work, and from then on refuses whoever has a
-// lower token. ok is false if the taker's own is one.
+// Claim returns all records of an owner to its successor, and from then on refuses writes under
+// lower tokens. ok is false if a higher token than the successor's own was seen already.
 func (s *ReplicaStore) Claim(now time.Duration, owner string, token Token) (records []ReplicaRecord, ok bool) {
 	if token < s.highestTokens[owner] {
 		return nil, false
 	}
 	s.highestTokens[owner] = token
-	for _, stored := range s.records {
-		if stored.Owner == owner {
-			reply := ReplicaRecord{Record: stored.clone()}
-			if len(stored.Attempts) > 0 {
-				reply.SinceFirstAttempt = now - stored.firstAttemptAt
+	for _, entry := range s.stored {
+		if entry.Owner == owner {
+			reply := ReplicaRecord{Record: entry.clone()}
+			if len(entry.Attempts) > 0 {
+				reply.SinceFirstAttempt = now - entry.firstAttemptAt
 			}
 			records = append(records, reply)
 		}
@@ -282,38 +288,39 @@
 	return records, true
 }
 
-// Find is the record of a client's key and account, if one is kept: the newest.
+// FindByKey returns the record of an account with the client's key. If there are several it returns
+// the one with the latest deadline.
 func (s *ReplicaStore) FindByKey(account uint64, key string) (found Record, ok bool) {
-	for _, stored := range s.records {
-		if stored.Key == key && key != "" && stored.Account == account && (!ok || stored.Deadline > found.Deadline) {
-			found, ok = stored.clone(), true
+	for _, entry := range s.stored {
+		if entry.Key == key && key != "" && entry.Account == account && (!ok || entry.Deadline > found.Deadline) {
+			found, ok = entry.clone(), true
 		}
 	}
 	return found, ok
 }
 
-// Forget drops records that ended so long ago.
+// DeleteFinished drops records whose results have been stored for the retention time or longer.
 func (s *ReplicaStore) DeleteFinished(now, retention time.Duration) {
-	for id, stored := range s.records {
-		if stored.Result != nil && now-stored.finishedAt >= retention {
-			s.bytes -= recordSize(&stored.Record)
-			delete(s.records, id)
+	for id, entry := range s.stored {
+		if entry.Result != nil && now-entry.finishedAt >= retention {
+			s.bytes -= recordSize(&entry.Record)
+			delete(s.stored, id)
 		}
 	}
 }
 
-// Bytes is how much is kept.
+// Bytes returns the approximate memory that the records take.
 func (s *ReplicaStore) Bytes() int64 { return s.bytes }
 
-// Findings are what keepers have told a taker of one piece of work.
+// Recovery collects the replies of replicas about one record, for a successor.
 type Recovery struct {
 	newest            ReplicaRecord
-	answered          map[string]bool // keepers that have told, whether they knew the record or not
+	answered          map[string]bool // replicas that replied with this record
 	sinceFirstAttempt time.Duration
 }
 
-// Hear takes in what a keeper has told under the taker's token; nil: that it knows nothing of
-// this work, as it was never told or has started anew.
+// AddReply processes a replica's reply to a claim under the successor's token. A nil record means
+// that the replica has none: it never received the record, or has restarted since.
 func (r *Recovery) AddReply(replica string, record *ReplicaRecord) {
 	if r.answered == nil {
 		r.answered = map[string]bool{}
@@ -328,11 +335,11 @@
 	}
 }
 
-// Record is the newest version that was told.
+// Record returns the newest version that a replica returned.
 func (r *Recovery) Record() Record { return r.newest.clone() }
 
-// whole tells that nobody can know more: all keepers of the newest version that was found have
-// told, and whatever went out behind it would have been noted with at least one of them.
+// complete reports whether no newer version can exist: all replicas of the newest version found have
+// replied, and anything sent after it would have been acknowledged by at least one of them.
 func (r *Recovery) complete() bool {
 	for _, replica := range r.newest.Replicas {
 		if !r.answered[replica] {
@@ -342,10 +349,11 @@
 	return len(r.newest.Replicas) > 0 && !r.newest.ReplicasOptional
 }
 
-// Take begins to work on what was found, under the taker's token: with the keepers that have
-// told, which have to know of all that this one does before it does it, and others in place of
-// those that are gone. me is the taker's own process, which is no keeper of its own work.
-func (r *Recovery) TakeOver(self string, token Token, others []string) *Worker {
+// TakeOver starts work on the recovered record under the successor's token. The replicas that
+// replied stay, and must acknowledge everything the successor does before it does it; candidates
+// replace those that are lost. self is the successor's own process, which never is a replica of its
+// own work.
+func (r *Recovery) TakeOver(self string, token Token, candidates []string) *Worker {
 	record := r.newest.clone()
 	previous := record.Replicas
 	record.Replicas = nil
@@ -354,7 +362,7 @@
 			record.Replicas = append(record.Replicas, replica)
 		}
 	}
-	for _, replica := range others {
+	for _, replica := range candidates {
 		if len(record.Replicas) < MaxReplicas && replica != self && !slices.Contains(previous, replica) {
 			record.Replicas = append(record.Replicas, replica)
 		}
@@ -362,36 +370,36 @@
 	return NewWorker(record, token)
 }
 
-// Course is what a taker may do about a piece of work.
+// Action is what a successor may do with a recovered request.
 type Action string
 
-// Courses.
+// Actions of a successor.
 const (
-	DoNothing     Action = "nothing" // it has ended
-	Send          Action = "send"    // to any box
-	SendToGroup   Action = "again"   // to the group that drops its repeats alone
-	ReportUnknown Action = "unknown" // it ends as one of which nobody knows
-	ReportInDoubt Action = "doubt"   // the same, and it is entered in the ledger: it may have run, and must not twice
-	ReportExpired Action = "late"    // nothing was sent, and its time is over
+	DoNothing     Action = "nothing" // the request has finished
+	Send          Action = "send"    // send to any box
+	SendToGroup   Action = "again"   // send only to the group that deduplicates its key
+	ReportUnknown Action = "unknown" // finish it with an unknown outcome
+	ReportInDoubt Action = "doubt"   // as ReportUnknown, and enter it in the ledger: it may have run already
+	ReportExpired Action = "late"    // nothing was sent, and the deadline has passed
 )
 
-// Decide says what may be done. left is what the deadline leaves, window how long a group
-// remembers a key. group is where Again has to go.
+// Decide returns what the successor may do. remaining is the time until the deadline, dedupWindow how
+// long a group remembers a key. group is the destination for SendToGroup, otherwise 0.
 func (r *Recovery) Decide(remaining, dedupWindow time.Duration) (action Action, group uint64) {
 	record := &r.newest
 	sent := len(record.Attempts) > 0
 	switch {
 	case record.Result != nil:
 		return DoNothing, 0
-	case record.Repeat == Safe || !sent && r.complete():
+	case record.RepeatPolicy == Safe || !sent && r.complete():
 		if remaining <= 0 {
 			return ReportExpired, 0
 		}
 		return Send, 0
-	case record.Repeat == Unsafe:
+	case record.RepeatPolicy == Unsafe:
 		return ReportInDoubt, 0
 	}
-	// Keyed: all attempts have to be of one group, and no other may be unknown.
+	// Keyed: all attempts must have gone to one group, and there must be no unrecorded attempt.
 	group = 0
 	for i, a := range record.Attempts {
 		if i > 0 && a.DedupGroup != group {
--- a/custody/model_test.go
+++ b/custody/model_test.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// The model: a holder, two keepers, a spare limiter, boxes, and one request, with every
-// interleaving of what is delivered (late, twice, never), of crashes, of terms that end while
-// their owner is stopped between its last check and its last byte, and of takers that are lost
-// in the middle. It runs the real Hold, Book and Findings.
+// The model consists of an owner, two replicas, a spare limiter, boxes and one request. It covers every
+// interleaving of message delivery (late, duplicated, lost), crashes, leases that expire while their
+// owner is paused between its last check and its last byte, and successors that are lost midway. It
+// runs the real Worker, ReplicaStore and Recovery.
 
-// bounds are those of one exploration.
+// bounds limits one exploration.
 type bounds struct {
 	maxTakeovers int // one after the other
-	maxRemovals  int // of keepers, by whoever works on the request
-	maxCrashes   int // of keepers
-	maxAttempts  int // of the holder, and of each taker
+	removals     int // of replicas, by whoever executes the request
+	maxCrashes   int // of replicas
+	attempts     int // by the owner, and by each successor
 }
 
-// wrong is what is left out on purpose.
-type omitted struct{ termCheck, tokenCheck, ackBeforeSend, dedupExpiry, allReplies bool }
+// omitted names the rules that an exploration leaves out on purpose.
+type omitted struct{ termValid, token, ackBeforeSend, dedupWindow, allReplies bool }
 
 const (
 	dedupWindow = time.Second
@@ -35,49 +35,49 @@
 
 var limiterNames = []string{replicaA, replicaB, spareD}
 
-// actor is one that works on the request: the holder, or a taker.
+// actor executes the request: the owner or a successor.
 type actor struct {
-	name      string
+	limiter   string
 	token     Token
 	worker    *Worker
 	action    Action
 	group     uint64
 	attempts  int
-	state     string   // "", "tried" (noted, not checked), "checked", "sent"
-	termValid bool     // its term holds
-	crashed   bool     // its process has ended
-	inTransit []Record // versions that are on their way to keepers, any time, any number of times
+	state     string // "", "tried" (recorded, not checked), "checked", "sent"
+	termValid bool   // its lease is valid
+	crashed   bool
+	inTransit []Record // versions sent to replicas; each may arrive at any time, any number of times
 	recovery  *Recovery
-	contacted string // keepers that have told a taker, or were found dead
-	// accepted is what keepers have noted; the actor may learn of it at any time, also late.
+	replies   string // replicas that replied to a successor, or were found dead
+	// accepted holds the versions that replicas stored; the actor may learn of them at any time, also late.
 	accepted map[string]uint64
 }
 
-// state is one state of the world.
+// state is one state of the whole system.
 type state struct {
 	policy       RepeatPolicy
 	actors       []*actor
-	stores       map[string]*ReplicaStore // by process: those that live
-	executions   []uint64                 // groups that it took effect in, in order; drops of a group are not in it
-	removals     int                      // holders' drops of keepers
-	dedupExpired bool                     // a group has forgotten
+	stores       map[string]*ReplicaStore // by process; only live ones
+	executions   []uint64                 // groups in which the request took effect, in order
+	removals     int                      // replicas removed by workers
+	dedupExpired bool                     // a group has forgotten its keys
 	limits       bounds
-	crashes      int
+	crashCount   int
 }
 
 func (a *actor) clone() *actor {
 	b := *a
 	b.inTransit, b.accepted = slices.Clone(a.inTransit), maps.Clone(a.accepted)
 	if a.worker != nil {
-		worker := *a.worker
-		worker.record = worker.record.clone()
-		worker.acked = maps.Clone(a.worker.acked)
-		b.worker = &worker
+		workerCopy := *a.worker
+		workerCopy.record = workerCopy.record.clone()
+		workerCopy.acked = maps.Clone(a.worker.acked)
+		b.worker = &workerCopy
 	}
 	if a.recovery != nil {
-		recovery := *a.recovery
-		recovery.answered = maps.Clone(a.recovery.answered)
-		b.recovery = &recovery
+		recoveryCopy := *a.recovery
+		recoveryCopy.answered = maps.Clone(a.recovery.answered)
+		b.recovery = &recoveryCopy
 	}
 	return &b
 }
@@ -92,17 +92,17 @@
 		store := NewReplicaStore(b.self, b.maxBytes)
 		store.bytes = b.bytes
 		store.highestTokens = maps.Clone(b.highestTokens)
-		for id, k := range b.records {
-			stored := *k
-			stored.Record = k.Record.clone()
-			store.records[id] = &stored
+		for id, k := range b.stored {
+			entry := *k
+			entry.Record = k.Record.clone()
+			store.stored[id] = &entry
 		}
 		copied.stores[name] = store
 	}
 	return &copied
 }
 
-// key is what two equal states have in common.
+// key encodes what matters of a state: equal keys mean equal states.
 func (s *state) key() string {
 	b := make([]byte, 0, 512)
 	num := func(x uint64) { b = append(strconv.AppendUint(b, x, 10), ' ') }
@@ -123,7 +123,7 @@
 		b = append(b, ';')
 	}
 	for _, a := range s.actors {
-		b = append(append(append(append(b, a.name...), a.action...), a.state...), a.contacted...)
+		b = append(append(append(append(b, a.limiter...), a.action...), a.state...), a.replies...)
 		num(a.group)
 		num(uint64(a.attempts))
 		flag(a.termValid, a.crashed, a.worker != nil, a.recovery != nil)
@@ -149,7 +149,7 @@
 		flag(s.stores[name] != nil)
 		if store := s.stores[name]; store != nil {
 			num(uint64(store.highestTokens["h"]))
-			for _, k := range store.records {
+			for _, k := range store.stored {
 				record(&k.Record)
 				num(uint64(k.firstAttemptAt))
 			}
@@ -159,12 +159,12 @@
 		num(g)
 	}
 	num(uint64(s.removals))
-	num(uint64(s.crashes))
+	num(uint64(s.crashCount))
 	flag(s.dedupExpired)
 	return string(b)
 }
 
-// next are all states that may follow.
+// next returns all states that may follow.
 func (s *state) next(without omitted) (states []*state) {
 	do := func(f func(n *state)) {
 		n := s.clone()
@@ -176,19 +176,19 @@
 		now = dedupWindow
 	}
 	for i, a := range s.actors {
-		// What is on its way comes to keepers, late ones as well, and their answers back.
+		// Versions in transit reach replicas, also late, and the replies return.
 		for v := range a.inTransit {
 			for _, name := range a.inTransit[v].Replicas {
 				if s.stores[name] == nil || a.accepted[name] >= a.inTransit[v].Version {
 					continue
 				}
 				do(func(n *state) {
-					x, r := n.actors[i], n.actors[i].inTransit[v]
-					switch refusal := n.stores[name].Put(now, r); {
-					case refusal == TakenOver && !without.tokenCheck:
-						x.worker.HandleAck(name, r.Version, true)
+					x, record := n.actors[i], n.actors[i].inTransit[v]
+					switch refusal := n.stores[name].Put(now, record); {
+					case refusal == TakenOver && !without.token:
+						x.worker.HandleAck(name, record.Version, true)
 					case refusal == "" || refusal == TakenOver:
-						x.accepted[name] = max(x.accepted[name], r.Version)
+						x.accepted[name] = max(x.accepted[name], record.Version)
 					}
 				})
 			}
@@ -198,7 +198,7 @@
 				do(func(n *state) { n.actors[i].worker.HandleAck(name, version, false) })
 			}
 		}
-		if a.crashed { // as one that never does anything again, but for a keeper that dies
+		if a.crashed { // it takes no further steps; a crash of a replica also loses its store
 			continue
 		}
 		if a.termValid {
@@ -207,7 +207,7 @@
 		maySend := a.worker != nil && (a.worker.MaySend() || without.ackBeforeSend)
 		switch {
 		case a.worker == nil:
-		case a.state == "" && maySend && a.attempts < s.limits.maxAttempts && a.action != DoNothing:
+		case a.state == "" && maySend && a.attempts < s.limits.attempts && a.action != DoNothing:
 			for _, group := range []uint64{1, 2} {
 				if a.action == SendToGroup && group != a.group || s.policy != Keyed && group > 1 {
 					continue
@@ -215,22 +215,22 @@
 				do(func(n *state) {
 					x := n.actors[i]
 					x.attempts++
-					x.worker.AddAttempt(Attempt{Number: x.attempts, DedupGroup: group})
+					x.worker.Try(Attempt{Try: x.attempts, DedupGroup: group})
 					x.inTransit, x.state, x.group = append(x.inTransit, x.worker.Record()), "tried", group
 				})
 			}
-		case a.state == "tried" && maySend && (a.termValid || without.termCheck) && !(a.action == SendToGroup && s.dedupExpired && !without.dedupExpiry): // the last check; it may be stopped behind it for long
+		case a.state == "tried" && maySend && (a.termValid || without.termValid) && !(a.action == SendToGroup && s.dedupExpired && !without.dedupWindow): // the last check; a long pause may follow
 			do(func(n *state) { n.actors[i].state = "checked" })
 		case a.state == "checked":
 			do(func(n *state) { n.execute(n.actors[i].group); n.actors[i].state = "sent" })
-			do(func(n *state) { // or the box took nothing: the holder may try again
+			do(func(n *state) { // or the box did not receive it: the owner may try again
 				n.actors[i].state = "sent"
 				if n.policy != Keyed && i == 0 {
 					n.actors[i].state = ""
 				}
 			})
 		}
-		if a.worker != nil && s.removals < s.limits.maxRemovals && len(a.worker.record.Replicas) > 0 && a.state != "sent" {
+		if a.worker != nil && s.removals < s.limits.removals && len(a.worker.record.Replicas) > 0 && a.state != "sent" {
 			for _, k := range a.worker.record.Replicas {
 				do(func(n *state) {
 					x := n.actors[i]
@@ -242,15 +242,15 @@
 			}
 		}
 	}
-	// A keeper dies, with what it knew.
-	if s.crashes < s.limits.maxCrashes {
+	// A replica crashes and loses its records.
+	if s.crashCount < s.limits.maxCrashes {
 		for _, name := range []string{replicaA, replicaB} {
 			if s.stores[name] != nil {
 				do(func(n *state) {
 					delete(n.stores, name)
-					n.crashes++
+					n.crashCount++
 					for _, a := range n.actors {
-						if a.name == name {
+						if a.limiter == name {
 							a.crashed, a.termValid = true, false
 						}
 					}
@@ -258,67 +258,67 @@
 			}
 		}
 	}
-	// A group forgets. That somebody is stopped between its last check and its last byte for longer
-	// than that can't be held against by anything but the box: it is left out here.
+	// A group forgets its keys. Only the box could protect against a worker that is paused between its
+	// last check and its last byte for longer than that, so the model excludes the case.
 	stopped := slices.ContainsFunc(s.actors, func(a *actor) bool { return a.state == "checked" })
 	if s.policy == Keyed && !s.dedupExpired && len(s.executions) > 0 && !stopped {
 		do(func(n *state) { n.dedupExpired = true })
 	}
-	// Somebody takes the duty once the term of the one before has ended.
-	newest := s.actors[len(s.actors)-1]
-	if !newest.termValid && len(s.actors) <= s.limits.maxTakeovers {
+	// A successor takes the duty once the previous lease has ended.
+	latest := s.actors[len(s.actors)-1]
+	if !latest.termValid && len(s.actors) <= s.limits.maxTakeovers {
 		do(func(n *state) {
-			me := []string{spareD, replicaA}[len(n.actors)-1]
-			if n.stores[me] == nil {
+			limiter := []string{spareD, replicaA}[len(n.actors)-1]
+			if n.stores[limiter] == nil {
 				return
 			}
-			n.actors = append(n.actors, &actor{name: me, token: Token(len(n.actors) + 1), termValid: true, recovery: &Recovery{}, accepted: map[string]uint64{}})
+			n.actors = append(n.actors, &actor{limiter: limiter, token: Token(len(n.actors) + 1), termValid: true, recovery: &Recovery{}, accepted: map[string]uint64{}})
 		})
 	}
-	// It asks the keepers, and decides when it likes.
-	if i := len(s.actors) - 1; i > 0 && newest.termValid && newest.worker == nil && newest.action == "" {
+	// It asks the replicas, and may decide at any time.
+	if i := len(s.actors) - 1; i > 0 && latest.termValid && latest.worker == nil && latest.action == "" {
 		for _, name := range limiterNames {
-			if strings.Contains(newest.contacted, name) {
+			if strings.Contains(latest.replies, name) {
 				continue
 			}
 			do(func(n *state) {
 				x := n.actors[i]
-				x.contacted += name
+				x.replies += name
 				store := n.stores[name]
 				if store == nil {
 					return
 				}
 				previous := store.highestTokens["h"]
-				records, ok := store.Claim(now, "h", x.token)
-				if without.tokenCheck {
+				replies, ok := store.Claim(now, "h", x.token)
+				if without.token {
 					store.highestTokens["h"] = previous
 				}
 				if !ok {
 					x.termValid = false
 				}
 				x.recovery.AddReply(name, nil)
-				for k := range records {
-					if without.dedupExpiry {
-						records[k].SinceFirstAttempt = 0
+				for k := range replies {
+					if without.dedupWindow {
+						replies[k].SinceFirstAttempt = 0
 					}
-					x.recovery.AddReply(name, &records[k])
+					x.recovery.AddReply(name, &replies[k])
 				}
 			})
 		}
-		if newest.recovery.newest.ID != "" {
+		if latest.recovery.newest.ID != "" {
 			do(func(n *state) {
 				x := n.actors[i]
-				recovery := x.recovery
+				f := x.recovery
 				if without.allReplies {
-					for _, k := range recovery.newest.Replicas {
-						recovery.answered[k] = true
+					for _, k := range f.newest.Replicas {
+						f.answered[k] = true
 					}
 				}
-				x.action, x.group = recovery.Decide(time.Minute, dedupWindow)
+				x.action, x.group = f.Decide(time.Minute, dedupWindow)
 				if x.action == Send || x.action == SendToGroup {
-					x.worker = recovery.TakeOver(x.name, x.token, []string{spareD, replicaB})
+					x.worker = f.TakeOver(x.limiter, x.token, []string{spareD, replicaB})
 					x.inTransit = append(x.inTransit, x.worker.Record())
-					if b := n.stores[x.name]; b != nil && slices.Contains(recovery.newest.Replicas, x.name) {
+					if b := n.stores[x.limiter]; b != nil && slices.Contains(f.newest.Replicas, x.limiter) {
 						b.Claim(now, "h", x.token)
 					}
 				}
@@ -329,7 +329,7 @@
 	return states
 }
 
-// run has the boxes of a group take it, which drop a repeat while they remember.
+// execute runs the request on the boxes of a group, which drop a repeat until they forget the key.
 func (s *state) execute(group uint64) {
 	if s.policy == Keyed && !s.dedupExpired && slices.Contains(s.executions, group) {
 		return
@@ -337,21 +337,21 @@
 	s.executions = append(s.executions, group)
 }
 
-// begin is a request that its holder has just taken.
+// newState returns the state in which the owner has just accepted a request.
 func newState(policy RepeatPolicy, limits bounds) *state {
-	record := Record{ID: "r", Key: "k", Owner: "h", Charged: true, Repeat: policy, Replicas: []string{replicaA, replicaB}}
+	record := Record{ID: "r", Key: "k", Owner: "h", Charged: true, RepeatPolicy: policy, Replicas: []string{replicaA, replicaB}}
 	first := &state{policy: policy, limits: limits, stores: map[string]*ReplicaStore{}}
 	for _, name := range limiterNames {
 		first.stores[name] = NewReplicaStore(name, 1<<20)
 	}
-	owner := &actor{name: "h", token: 1, termValid: true, worker: NewWorker(record, 1), accepted: map[string]uint64{}}
+	owner := &actor{limiter: "h", token: 1, termValid: true, worker: NewWorker(record, 1), accepted: map[string]uint64{}}
 	owner.inTransit = append(owner.inTransit, owner.worker.Record())
 	first.actors = append(first.actors, owner)
 	return first
 }
 
-// explore plays all states and returns how many there are, and the first in which it took effect
-// twice.
+// explore visits all reachable states. It returns how many there are, and the first one in which the
+// request took effect twice.
 func explore(policy RepeatPolicy, limits bounds, without omitted) (states int, twice *state) {
 	first := newState(policy, limits)
 	seen := map[string]bool{first.key(): true}
@@ -377,80 +377,80 @@
 		policy RepeatPolicy
 		bounds
 	}{
-		{Unsafe, bounds{maxTakeovers: 1, maxRemovals: 1, maxAttempts: 1}},
-		{Unsafe, bounds{maxTakeovers: 1, maxCrashes: 1, maxAttempts: 1}},
-		{Unsafe, bounds{maxTakeovers: 1, maxAttempts: 2}},
-		{Keyed, bounds{maxTakeovers: 1, maxAttempts: 2}},
+		{Unsafe, bounds{maxTakeovers: 1, removals: 1, attempts: 1}},
+		{Unsafe, bounds{maxTakeovers: 1, maxCrashes: 1, attempts: 1}},
+		{Unsafe, bounds{maxTakeovers: 1, attempts: 2}},
+		{Keyed, bounds{maxTakeovers: 1, attempts: 2}},
 	} {
 		states, twice := explore(x.policy, x.bounds, omitted{})
 		t.Logf("%v, %+v: %d states", x.policy, x.bounds, states)
 		if twice != nil {
-			t.Errorf("%v: it took effect %v: %s", x.policy, twice.executions, twice.key())
+			t.Errorf("%v: the request took effect in groups %v: %s", x.policy, twice.executions, twice.key())
 		}
 	}
 }
 
-// Beyond what can be played in full: walks with two takers, a keeper that dies and one that is
-// dropped, from seeds.
+// Random walks cover what is too large to explore exhaustively: two successors, one replica crash and
+// one removed replica.
 func TestNothingTakesEffectTwiceInWalks(t *testing.T) {
-	executions, takeovers := 0, 0
+	effects, takeovers := 0, 0
 	for seed := range uint64(1500) {
 		r := rand.New(rand.NewPCG(seed, 7))
-		s := newState([]RepeatPolicy{Unsafe, Keyed}[seed%2], bounds{maxTakeovers: 2, maxRemovals: 1, maxCrashes: 1, maxAttempts: 2})
+		s := newState([]RepeatPolicy{Unsafe, Keyed}[seed%2], bounds{maxTakeovers: 2, removals: 1, maxCrashes: 1, attempts: 2})
 		for range 60 {
 			all := s.next(omitted{})
 			if len(all) == 0 {
 				break
 			}
 			if s = all[r.IntN(len(all))]; len(s.executions) > 1 {
-				t.Fatalf("seed %d: %v took effect %v: %s", seed, s.policy, s.executions, s.key())
+				t.Fatalf("seed %d: %v: the request took effect in groups %v: %s", seed, s.policy, s.executions, s.key())
 			}
 		}
-		executions += len(s.executions)
+		effects += len(s.executions)
 		if len(s.actors) > 1 {
 			takeovers++
 		}
 	}
-	if executions == 0 || takeovers == 0 {
-		t.Errorf("%d took effect and %d were taken over: the walks show nothing", executions, takeovers)
+	if effects == 0 || takeovers == 0 {
+		t.Errorf("%d requests took effect and %d were taken over: the walks cover nothing", effects, takeovers)
 	}
 }
 
-// A holder whose clock is wrong, so that it believes in its term for ever, does no harm: keepers
-// refuse its notes once they have told a taker.
+// An owner whose clock is wrong may believe for ever that its lease is valid. It does no harm, as
+// replicas refuse its writes once they have replied to a successor.
 func TestTokensHoldWithoutTerms(t *testing.T) {
-	for _, most := range []bounds{{maxTakeovers: 1, maxRemovals: 1, maxAttempts: 1}, {maxTakeovers: 1, maxCrashes: 1, maxAttempts: 1}, {maxTakeovers: 1, maxAttempts: 2}} {
-		states, twice := explore(Unsafe, most, omitted{termCheck: true})
-		t.Logf("%+v: %d states", most, states)
+	for _, limits := range []bounds{{maxTakeovers: 1, removals: 1, attempts: 1}, {maxTakeovers: 1, maxCrashes: 1, attempts: 1}, {maxTakeovers: 1, attempts: 2}} {
+		states, twice := explore(Unsafe, limits, omitted{termValid: true})
+		t.Logf("%+v: %d states", limits, states)
 		if twice != nil {
-			t.Errorf("it took effect %v: %s", twice.executions, twice.key())
+			t.Errorf("the request took effect in groups %v: %s", twice.executions, twice.key())
 		}
 	}
 }
 
-// Each rule that is left out is found.
+// The model must find a double execution for each rule that is left out.
 func TestRulesThatAreLeftOutAreFound(t *testing.T) {
 	for name, x := range map[string]struct {
 		policy RepeatPolicy
 		bounds
 		omitted
 	}{
-		"the term and the token":            {Unsafe, bounds{1, 0, 0, 1}, omitted{termCheck: true, tokenCheck: true}},
-		"the note before the last byte":     {Unsafe, bounds{1, 0, 0, 1}, omitted{ackBeforeSend: true}},
-		"the window":                        {Keyed, bounds{1, 0, 0, 1}, omitted{dedupExpiry: true}},
-		"that all keepers have to be heard": {Unsafe, bounds{1, 1, 0, 1}, omitted{allReplies: true}},
+		"the lease check and the token":            {Unsafe, bounds{1, 0, 0, 1}, omitted{termValid: true, token: true}},
+		"the acknowledgement before the last byte": {Unsafe, bounds{1, 0, 0, 1}, omitted{ackBeforeSend: true}},
+		"the deduplication window":                 {Keyed, bounds{1, 0, 0, 1}, omitted{dedupWindow: true}},
+		"the replies of all replicas":              {Unsafe, bounds{1, 1, 0, 1}, omitted{allReplies: true}},
 	} {
 		states, twice := explore(x.policy, x.bounds, x.omitted)
 		if twice == nil {
-			t.Errorf("without %s nothing takes effect twice in %d states", name, states)
+			t.Errorf("without %s no double execution was found in %d states", name, states)
 		} else {
 			t.Logf("without %s: found after %d states", name, states)
 		}
 	}
 }
 
-// Keepers are others, those of other rooms first, and the same ones wherever they are asked for.
-func TestKeepers(t *testing.T) {
+// Replicas exclude the owner, prefer other rooms, and are the same on whichever limiter they are computed.
+func TestChooseReplicas(t *testing.T) {
 	all := []Limiter{{"n0", "a"}, {"n1", "b"}, {"n2", "a"}, {"n3", "b"}, {"n4", "a"}}
 	for i := range 100 {
 		key := strconv.Itoa(i)
@@ -462,20 +462,20 @@
 		}
 		for _, n := range names {
 			if n != "n1" && n != "n3" {
-				t.Errorf("%s: %s is of the holder's room", key, n)
+				t.Errorf("%s: %s is in the owner's room", key, n)
 			}
 		}
 	}
 	if names := ChooseReplicas("k", all[0], all[:3]); !slices.Equal(names, []string{"n1", "n2"}) {
-		t.Errorf("one in another room: %v", names)
+		t.Errorf("with one limiter in another room: %v", names)
 	}
 	if names := ChooseReplicas("k", all[0], all[:1]); len(names) != 0 {
-		t.Errorf("nobody else: %v", names)
+		t.Errorf("without other limiters: %v", names)
 	}
 }
 
-// A book takes so many bytes, finds what a client comes back for, and forgets what has ended.
-func TestBook(t *testing.T) {
+// A store enforces its size limit, finds records by the client's key, and drops finished records.
+func TestReplicaStore(t *testing.T) {
 	b := NewReplicaStore("a/1", 4*(recordOverheadBytes+1000))
 	r := Record{ID: "r0", Key: "k", Account: 7, Owner: "h", Token: 1, Version: 1, Replicas: []string{"a/1"}, Body: make([]byte, 900)}
 	for _, id := range []string{"r1", "r2", "r3"} {
@@ -487,12 +487,12 @@
 	}
 	big, other := r, r
 	big.ID, big.Body = "big", make([]byte, 5000)
-	other.ID, other.Replicas = "other", []string{"a/0"} // the process before this one
+	other.ID, other.Replicas = "other", []string{"a/0"} // an earlier process of this limiter
 	if got := b.Put(0, big); got != Full {
 		t.Errorf("too large: %q", got)
 	}
 	if got := b.Put(0, other); got != WrongProcess {
-		t.Errorf("meant for another process: %q", got)
+		t.Errorf("addressed to another process: %q", got)
 	}
 	bytesBefore := b.Bytes()
 	if got := b.Put(0, r); got != "" || b.Bytes() <= bytesBefore {
@@ -510,16 +510,16 @@
 		t.Errorf("%+v %v", x, ok)
 	}
 	if _, ok := b.FindByKey(8, "k"); ok {
-		t.Error("another account's is found")
+		t.Error("the record of another account was found")
 	}
-	if told, ok := b.Claim(time.Second, "h", 2); !ok || len(told) != 4 {
-		t.Errorf("%d told, %v", len(told), ok)
+	if records, ok := b.Claim(time.Second, "h", 2); !ok || len(records) != 4 {
+		t.Errorf("%d records, %v", len(records), ok)
 	}
 	if _, ok := b.Claim(time.Second, "h", 1); ok {
-		t.Error("a taker that is over is told")
+		t.Error("a successor with a lower token got records")
 	}
 	if got := b.Put(time.Second, r); got != TakenOver {
-		t.Errorf("a holder that is over: %q", got)
+		t.Errorf("a write by the previous owner: %q", got)
 	}
 	b.DeleteFinished(time.Second+time.Minute, time.Minute)
 	if _, ok := b.FindByKey(7, "k"); ok || b.Bytes() != bytesBefore {
--- a/parts/book.go
+++ b/parts/book.go
@@ -183,7 +183,7 @@
 	if slices.Equal(allocation.Now, allocation.Next) {
 		allocation.Next = nil
 	}
-	if allocation.Next == nil && !slices.ContainsFunc(allocation.Now, func(x uint32) bool { return x != Equal }) {
+	if allocation.Next == nil && !slices.ContainsFunc(allocation.Now, func(share uint32) bool { return share != Equal }) {
 		delete(l.Accounts, account)
 	}
 }
@@ -263,10 +263,10 @@
 
 // Back are deals that make parts equal again, of the accounts that are meant.
 func (l *Book) Back(include func(account uint64) bool) (deals []Deal) {
-	for account, allocation := range l.Accounts {
+	for id, allocation := range l.Accounts {
 		equal := slices.Repeat(Shares{Equal}, allocation.Spread)
-		if len(deals) < maxDealsPerRound && !slices.Equal(allocation.Next, equal) && include(account) {
-			deals = append(deals, Deal{account, allocation.First, allocation.Spread, equal})
+		if len(deals) < maxDealsPerRound && !slices.Equal(allocation.Next, equal) && include(id) {
+			deals = append(deals, Deal{id, allocation.First, allocation.Spread, equal})
 		}
 	}
 	return deals
--- a/parts/steward.go
+++ b/parts/steward.go
@@ -33,14 +33,14 @@
 
 // Steward decides on deals while it owns the duty. It is not safe for concurrent use.
 type Steward struct {
-	limiters    int
-	accounts    map[uint64]*demand
-	lastReports map[int]processReport
-	round       int
-	lastActive  map[uint64]int // the round in which an account was last asked for
+	limiters   int
+	accounts   map[uint64]*demand
+	lastReport map[int]lastReport
+	round      int
+	asked      map[uint64]int // the round in which an account was last asked for
 }
 
-type processReport struct {
+type lastReport struct {
 	start uint64
 	asked map[uint64]float64
 }
@@ -52,13 +52,13 @@
 
 // NewSteward returns one of a fleet of so many limiters.
 func NewSteward(limiters int) *Steward {
-	return &Steward{limiters: limiters, accounts: map[uint64]*demand{}, lastReports: map[int]processReport{}, lastActive: map[uint64]int{}}
+	return &Steward{limiters: limiters, accounts: map[uint64]*demand{}, lastReport: map[int]lastReport{}, asked: map[uint64]int{}}
 }
 
 // Observe takes in what the limiter at a position tells. start is the number of its process:
 // what one that began meanwhile asked for before is not known.
 func (s *Steward) Observe(position int, start uint64, reports []Report) {
-	previous, current := s.lastReports[position], processReport{start, map[uint64]float64{}}
+	previous, current := s.lastReport[position], lastReport{start, map[uint64]float64{}}
 	for _, r := range reports {
 		if r.Spread < 2 || r.Spread > s.limiters || r.First < 0 || r.First >= s.limiters || !(r.Burst > 0) || !(r.Asked >= 0) {
 			continue
@@ -77,15 +77,15 @@
 			added := max(0, r.Asked-previous.asked[r.Account])
 			d.byIndex[index] += added
 			if added > 0 {
-				s.lastActive[r.Account] = s.round
+				s.asked[r.Account] = s.round
 			}
 		}
 	}
-	s.lastReports[position] = current
+	s.lastReport[position] = current
 }
 
 // Next ends a round and returns the deals that are worth it, those that move most first.
-func (s *Steward) Next(ledger *Book) []Deal {
+func (s *Steward) Next(b *Book) []Deal {
 	type candidate struct {
 		Deal
 		moved float64
@@ -94,8 +94,8 @@
 	s.round++
 	for id, d := range s.accounts {
 		sum := 0.0
-		for k := range d.byIndex {
-			sum += d.byIndex[k]
+		for index := range d.byIndex {
+			sum += d.byIndex[index]
 		}
 		if sum < d.Largest {
 			if sum < 1e-3 {
@@ -105,7 +105,7 @@
 		}
 		target := d.divide(sum)
 		moved := 0.0
-		allocation := ledger.Accounts[id]
+		allocation := b.Accounts[id]
 		for index, share := range target {
 			current := uint32(Equal)
 			if allocation != nil && allocation.Spread == d.Spread {
@@ -121,8 +121,8 @@
 		}
 	}
 	for _, d := range s.accounts {
-		for k := range d.byIndex {
-			d.byIndex[k] *= demandDecay
+		for index := range d.byIndex {
+			d.byIndex[index] *= demandDecay
 		}
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int {
@@ -133,11 +133,11 @@
 		deals = append(deals, c.Deal)
 	}
 	if s.round%idleRounds == 0 && len(deals) < maxDealsPerRound {
-		idle := func(id uint64) bool { return s.round-s.lastActive[id] > idleRounds }
-		deals = append(deals, ledger.Back(idle)...)
-		for id := range s.lastActive {
+		idle := func(id uint64) bool { return s.round-s.asked[id] > idleRounds }
+		deals = append(deals, b.Back(idle)...)
+		for id := range s.asked {
 			if idle(id) {
-				delete(s.lastActive, id)
+				delete(s.asked, id)
 			}
 		}
 	}
--- a/parts/steward_test.go
+++ b/parts/steward_test.go
@@ -99,9 +99,9 @@
 			}
 		}
 	}
-	first := NewSteward(4)
-	playRounds(first, 1, 0)
-	playRounds(first, 1, 40)
+	s := NewSteward(4)
+	playRounds(s, 1, 0)
+	playRounds(s, 1, 40)
 	if moved, _ := b.Moved(); moved != 1 {
 		t.Fatalf("%d accounts moved", moved)
 	}
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -45,7 +45,7 @@
 const (
 	Running    State = "running"
 	Halted     State = "halted" // until an operator has it go on, or ends it
-	Done       State = "done"
+	StateDone       State = "done"
 	StateEnded State = "ended" // by an operator, before it was done
 )
 
@@ -152,7 +152,7 @@
 			p.Steps[i].Start = c.Start
 		}
 		if !slices.ContainsFunc(p.Steps, func(s Step) bool { return s.Phase != Back }) {
-			p.State = Done
+			p.State = StateDone
 		}
 	case OpSetBaseline:
 		p.Before = c.Before
@@ -292,12 +292,12 @@
 			continue
 		}
 		key := step.Limiter + " " + string(step.Phase)
-		since, known := c.since[key]
+		entered, known := c.since[key]
 		if !known {
-			since = observed.Now
-			c.since[key] = since
+			entered = observed.Now
+			c.since[key] = entered
 		}
-		if took := observed.Now - since; took > phaseTimeout {
+		if took := observed.Now - entered; took > phaseTimeout {
 			return halt(fmt.Sprintf("%s has been %s for %v", step.Limiter, step.Phase, took.Round(time.Second))), nil, false
 		}
 		restarted := status.Reached && status.Start != step.Start // its process has ended, by whatever
@@ -315,9 +315,9 @@
 			switch {
 			case restarted:
 				advance(Returning, 0)
-			case status.Reached && status.Draining && (status.InHand == 0 || observed.Now-since > drainTimeout) && plan.Kind == Restart:
+			case status.Reached && status.Draining && (status.InHand == 0 || observed.Now-entered > drainTimeout) && plan.Kind == Restart:
 				advance(Ending, 0)
-			case status.Reached && status.Draining && (status.InHand == 0 || observed.Now-since > drainTimeout):
+			case status.Reached && status.Draining && (status.InHand == 0 || observed.Now-entered > drainTimeout):
 				advance(Returning, 0)
 			case status.Reached && !status.Draining:
 				call(CallDrain)
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -127,7 +127,7 @@
 		}
 		s := newFleet(t, seed, n, kind, 1+int(seed%2))
 		s.run(20 * time.Minute)
-		if p := s.history.Plans[0]; p.State != Done {
+		if p := s.history.Plans[0]; p.State != StateDone {
 			t.Fatalf("seed %d: %s, %s: %+v", seed, p.State, p.Why, p.Steps)
 		}
 		if s.maxOut > 1+int(seed%2) {
--- a/tenure/candidate.go
+++ b/tenure/candidate.go
@@ -56,31 +56,31 @@
 // Observe takes in what is agreed, as it has come to this process just now.
 func (c *Candidate) Observe(now time.Duration, registry *Registry) {
 	for _, s := range c.duties {
-		term := Term{Duty: s.duty}
-		if agreed := registry.Terms[s.duty]; agreed != nil {
-			term = *agreed
+		agreedTerm := Term{Duty: s.duty}
+		if entry := registry.Terms[s.duty]; entry != nil {
+			agreedTerm = *entry
 		}
-		changed := !s.known || term.Epoch != s.term.Epoch || term.Serial != s.term.Serial || term.Owner != s.term.Owner
-		if term.Epoch != s.term.Epoch { // another term
+		changed := !s.known || agreedTerm.Epoch != s.term.Epoch || agreedTerm.Serial != s.term.Serial || agreedTerm.Owner != s.term.Owner
+		if agreedTerm.Epoch != s.term.Epoch { // another term
 			s.termEnd, s.resigning, s.gaveUp = 0, false, false
 		}
-		s.gaveUp = s.gaveUp || s.ownedBySelf(c) && term.Epoch == s.term.Epoch && !term.Owned()
-		s.known, s.term = true, term
+		s.gaveUp = s.gaveUp || s.own(c) && agreedTerm.Epoch == s.term.Epoch && !agreedTerm.Owned()
+		s.known, s.term = true, agreedTerm
 		if !changed {
 			continue
 		}
 		s.changedAt = now
-		if term.Owner != c.self {
+		if agreedTerm.Owner != c.self {
 			s.termEnd, s.resigning = 0, false
 			clear(s.proposedAt)
 			s.nextProposal = 0
 			continue
 		}
-		if proposed, own := s.proposedAt[term.Serial]; own {
+		if proposed, own := s.proposedAt[agreedTerm.Serial]; own {
 			s.termEnd = max(s.termEnd, proposed+c.settings.Term)
 		}
 		for serial := range s.proposedAt {
-			if serial <= term.Serial {
+			if serial <= agreedTerm.Serial {
 				delete(s.proposedAt, serial)
 			}
 		}
@@ -90,16 +90,16 @@
 // Owns tells whether this process may carry out a duty now, and under which token. It has
 // to be asked last before each effect: after a pause the answer is another one.
 func (c *Candidate) Owns(now time.Duration, duty string) (Token, bool) {
-	s := c.find(duty)
-	if s == nil || !s.ownedBySelf(c) || s.resigning || now >= s.termEnd-c.settings.Guard {
+	s := c.dutyState(duty)
+	if s == nil || !s.own(c) || s.resigning || now >= s.termEnd-c.settings.Guard {
 		return Token{}, false
 	}
 	return Token{duty, s.term.Epoch}, true
 }
 
-func (s *dutyState) ownedBySelf(c *Candidate) bool { return s.known && s.term.Owner == c.self }
+func (s *dutyState) own(c *Candidate) bool { return s.known && s.term.Owner == c.self }
 
-func (c *Candidate) find(duty string) *dutyState {
+func (c *Candidate) dutyState(duty string) *dutyState {
 	if i := slices.IndexFunc(c.duties, func(s *dutyState) bool { return s.duty == duty }); i >= 0 {
 		return c.duties[i]
 	}
@@ -110,7 +110,7 @@
 // the next Step.
 func (c *Candidate) Resign(duty string) {
 	for _, s := range c.duties {
-		if (duty == "" || s.duty == duty) && s.ownedBySelf(c) {
+		if (duty == "" || s.duty == duty) && s.own(c) {
 			s.resigning, s.nextProposal = true, 0
 		}
 	}
@@ -119,7 +119,7 @@
 // Abstain has this process not ask for a duty before then, as it could not carry it out. A term
 // that it owns goes on; an operator's wish goes before.
 func (c *Candidate) Abstain(duty string, until time.Duration) {
-	if s := c.find(duty); s != nil {
+	if s := c.dutyState(duty); s != nil {
 		s.abstainUntil = until
 	}
 }
@@ -132,12 +132,12 @@
 		}
 		command := Command{By: c.self, Duty: s.duty, Epoch: s.term.Epoch}
 		switch {
-		case s.ownedBySelf(c) && (s.resigning || s.term.Next != "" && s.term.Next != c.self.Limiter):
+		case s.own(c) && (s.resigning || s.term.Next != "" && s.term.Next != c.self.Limiter):
 			s.resigning = true
 			command.Kind = Resign
-		case s.ownedBySelf(c) && now < s.termEnd:
+		case s.own(c) && now < s.termEnd:
 			command.Kind = Renew
-		case s.ownedBySelf(c):
+		case s.own(c):
 			// Its own term ran out before a renewal was agreed: it may ask for the duty as any
 			// other may, under another epoch.
 			fallthrough
@@ -176,7 +176,7 @@
 
 // Until is when this process's term of a duty ends; 0: it owns none.
 func (c *Candidate) Until(duty string) time.Duration {
-	if s := c.find(duty); s != nil && s.ownedBySelf(c) {
+	if s := c.dutyState(duty); s != nil && s.own(c) {
 		return s.termEnd
 	}
 	return 0
@@ -190,7 +190,7 @@
 			continue
 		}
 		at := s.nextProposal
-		if !s.ownedBySelf(c) {
+		if !s.own(c) {
 			at = max(at, s.earliestTake(c.settings, c.self.Limiter))
 		}
 		wake = min(wake, max(now, at))
--- a/tenure/fence.go
+++ b/tenure/fence.go
@@ -8,9 +8,9 @@
 type Fence struct{ highestEpochs map[string]uint64 }
 
 // NewFence returns a fence that goes on from what one before it remembered; nil: from nothing.
-func NewFence(highest map[string]uint64) *Fence {
+func NewFence(highestEpochs map[string]uint64) *Fence {
 	f := &Fence{highestEpochs: map[string]uint64{}}
-	for duty, epoch := range highest {
+	for duty, epoch := range highestEpochs {
 		f.highestEpochs[duty] = epoch
 	}
 	return f
--- a/tenure/model_test.go
+++ b/tenure/model_test.go
@@ -44,12 +44,12 @@
 	highestDone map[string]uint64
 }
 
-func newModel(cfg Settings, nodes, receivers int, rates func(i int) float64) *model {
+func newModel(cfg Settings, processes, receivers int, rates func(i int) float64) *model {
 	m := &model{cfg: cfg}
-	for i := range nodes {
+	for i := range processes {
 		m.limiterNames = append(m.limiterNames, fmt.Sprint("n", i))
 	}
-	for i := range nodes {
+	for i := range processes {
 		m.processes = append(m.processes, nil)
 		m.start(i, rates(i), uint64(i)+1)
 	}
@@ -60,9 +60,9 @@
 }
 
 // start begins another process of a limiter; the one before it is gone.
-func (m *model) start(i int, rate float64, id uint64) {
+func (m *model) start(i int, clockRate float64, id uint64) {
 	me := Process{m.limiterNames[i], id}
-	m.processes[i] = &process{Candidate: NewCandidate(me, m.cfg, []string{"d"}, m.limiterNames), clockRate: rate, startedAt: m.now}
+	m.processes[i] = &process{Candidate: NewCandidate(me, m.cfg, []string{"d"}, m.limiterNames), clockRate: clockRate, startedAt: m.now}
 }
 
 func (m *model) clock(p *process) time.Duration {
--- a/watch/model_test.go
+++ b/watch/model_test.go
@@ -32,7 +32,7 @@
 	r.leader = NewLeader(r.cfg)
 	for i := range n {
 		r.followers = append(r.followers, NewFollower(r.cfg))
-		r.followers[i].LeaderHeard(0)
+		r.followers[i].Heard(0)
 		r.reachable[i] = true
 	}
 	return r
@@ -67,12 +67,12 @@
 	r.probes++
 	v := verdict(r.reachable[i])
 	r.believe(i, v)
-	if i > 0 && r.followers[i].FinishProbe(box) && r.leader != nil && !r.loses() {
-		r.deliver(r.leader.HandleCheck(r.now, box, v))
+	if i > 0 && r.followers[i].Looked(box) && r.leader != nil && !r.loses() {
+		r.report(r.leader.Checked(r.now, box, v))
 	}
 }
 
-func (r *room) deliver(verdicts []Word) {
+func (r *room) report(verdicts []BoxVerdict) {
 	for _, v := range verdicts {
 		i := 0
 		if v.To != "" {
@@ -84,15 +84,15 @@
 		case i == 0:
 			r.believe(0, v.Is)
 		case !r.loses():
-			r.followers[i].LeaderHeard(r.now)
+			r.followers[i].Heard(r.now)
 			if r.ignoresChecks && v.Is != Well {
 				v.Is = Ill
 			}
-			believed, mustProbe := r.followers[i].HandleVerdict(r.now, v)
-			if believed != "" {
-				r.believe(i, believed)
+			report, probe := r.followers[i].Told(r.now, v)
+			if report != "" {
+				r.believe(i, report)
 			}
-			if mustProbe {
+			if probe {
 				r.probe(i)
 			}
 		}
@@ -107,11 +107,11 @@
 		if !r.reachable[i] && !r.unhealthy[i] {
 			r.unhealthy[i], r.knownAt[i] = true, r.now
 			if i > 0 {
-				r.followers[i].AttemptFailed(r.now, box)
+				r.followers[i].Failed(r.now, box)
 			}
 		}
 		if r.leader != nil && i > 0 && !r.loses() {
-			r.followers[i].LeaderHeard(r.now)
+			r.followers[i].Heard(r.now)
 		}
 		if !r.unhealthy[i] || r.now < r.wantedAt[i]+r.cfg.ProbeInterval {
 			continue
@@ -121,22 +121,22 @@
 			if r.leader == nil {
 				r.probe(0)
 			} else {
-				r.deliver(r.leader.HandleAsk(r.now, "", box))
+				r.report(r.leader.Ask(r.now, "", box))
 			}
 			continue
 		}
-		ask, mustProbe := r.followers[i].HandleUnhealthy(r.now, box)
+		ask, probe := r.followers[i].Want(r.now, box)
 		if ask && r.leader != nil && !r.loses() {
-			r.deliver(r.leader.HandleAsk(r.now, limiterName(i), box))
+			r.report(r.leader.Ask(r.now, limiterName(i), box))
 		}
-		if mustProbe {
+		if probe {
 			r.probe(i)
 		}
 	}
 	if r.leader != nil {
 		for _, b := range r.leader.StartProbes(r.now) {
 			r.probes++
-			r.deliver(r.leader.FinishProbe(r.now, b, verdict(r.reachable[0])))
+			r.report(r.leader.Looked(r.now, b, verdict(r.reachable[0])))
 		}
 	}
 }
@@ -162,7 +162,7 @@
 					r.leader = nil
 				}
 			case 3:
-				r.followers[rapid.IntRange(0, len(r.followers)-1).Draw(t, "cut")].LeaderDisconnected()
+				r.followers[rapid.IntRange(0, len(r.followers)-1).Draw(t, "cut")].Cut()
 			}
 			r.step()
 			for i := range r.followers {
@@ -216,7 +216,7 @@
 	for r.now < 9*time.Second {
 		r.step()
 	}
-	ask, mustProbe := r.followers[2].HandleUnhealthy(r.now, box)
+	ask, mustProbe := r.followers[2].Want(r.now, box)
 	if ask || !mustProbe {
 		t.Errorf("it believes what it sees otherwise: asks %v, looks %v", ask, mustProbe)
 	}
@@ -225,12 +225,12 @@
 // Looks at an ill box don't grow with the number of limiters, while the one that looks is heard;
 // alone they do.
 func TestLooksDoNotGrow(t *testing.T) {
-	countProbes := func(n int, led bool) int {
+	probes := func(n int, led bool) int {
 		r := newRoom(n, func() bool { return false })
 		if !led {
 			r.leader = nil
 			for _, p := range r.followers {
-				p.LeaderDisconnected()
+				p.Cut()
 			}
 		}
 		for i := range n {
@@ -241,9 +241,9 @@
 		}
 		return r.probes
 	}
-	one := countProbes(1, false)
+	one := probes(1, false)
 	for _, n := range []int{3, 30, 300} {
-		with, without := countProbes(n, true), countProbes(n, false)
+		with, without := probes(n, true), probes(n, false)
 		t.Logf("%3d limiters: %d looks in 30 s, alone %d; one limiter %d", n, with, without, one)
 		if with > 2*one || without < n*one*9/10 {
 			t.Errorf("%d limiters look %d times, alone %d, one alone %d", n, with, without, one)
@@ -302,16 +302,16 @@
 // One that does not hear an agent which others hear gives the duty up; not if nobody does.
 func TestUnfit(t *testing.T) {
 	leader := NewLeader(DefaultSettings(time.Second))
-	leader.AgentLost(0, "main")
-	if leader.ShouldResign(time.Minute) {
+	leader.Lost(0, "main")
+	if leader.Unfit(time.Minute) {
 		t.Error("nobody hears the agent, and it is to go")
 	}
 	leader.AgentHeardByFollower("main")
-	if leader.ShouldResign(time.Second) || !leader.ShouldResign(time.Minute) {
+	if leader.Unfit(time.Second) || !leader.Unfit(time.Minute) {
 		t.Error("it is to go after a while")
 	}
 	leader.AgentHeard("main")
-	if leader.ShouldResign(time.Minute) {
+	if leader.Unfit(time.Minute) {
 		t.Error("it hears the agent, and is to go")
 	}
 }
--- a/watch/part.go
+++ b/watch/part.go
@@ -17,14 +17,14 @@
 // Note is what one that looks for a room and one of the others say to each other.
 type Note struct {
 	// Of the one that looks:
-	Words []Word   `json:",omitempty"`
-	List  *List    `json:",omitempty"`
-	Lost  []string `json:",omitempty"` // pools whose agents it does not hear
+	Words []BoxVerdict `json:",omitempty"`
+	List  *List        `json:",omitempty"`
+	Lost  []string     `json:",omitempty"` // pools whose agents it does not hear
 	// Of the others:
-	Ask     uint64 `json:",omitempty"` // a box that is held as ill; 0: none
-	Checked *Word  `json:",omitempty"`
-	Hears   string `json:",omitempty"` // the pool whose agent it follows itself
-	Want    string `json:",omitempty"` // the pool whose whole list it needs
+	Ask     uint64      `json:",omitempty"` // a box that is held as ill; 0: none
+	Checked *BoxVerdict `json:",omitempty"`
+	Hears   string      `json:",omitempty"` // the pool whose agent it follows itself
+	Want    string      `json:",omitempty"` // the pool whose whole list it needs
 }
 
 // List is what an agent has told of a pool: all hosts, or those that have changed, in its form.
@@ -96,9 +96,9 @@
 
 // Acts are to be done now, in their order.
 func (w *Part) Acts() []Action {
-	actions := w.actions
+	pending := w.actions
 	w.actions = nil
-	return actions
+	return pending
 }
 
 func (w *Part) add(action Action) { w.actions = append(w.actions, action) }
@@ -164,18 +164,18 @@
 		w.heartbeatAt = now + w.settings.Patience/3
 		w.add(Action{Kind: Tell})
 	}
-	if w.leader.ShouldResign(now) {
-		w.add(Action{Kind: Resign, Hold: w.settings.AbstainPeriod})
+	if w.leader.Unfit(now) {
+		w.add(Action{Kind: Resign, Hold: w.settings.Unfit})
 	}
 }
 
 // Want is a box that is held as ill here.
 func (w *Part) Want(now time.Duration, box uint64) {
 	if w.leader != nil {
-		w.deliver(w.leader.HandleAsk(now, "", box))
+		w.deliver(w.leader.Ask(now, "", box))
 		return
 	}
-	ask, probe := w.follower.HandleUnhealthy(now, box)
+	ask, probe := w.follower.Want(now, box)
 	if ask {
 		w.figures.Asked++
 		w.add(Action{Kind: Say, Note: Note{Ask: box}})
@@ -189,16 +189,16 @@
 func (w *Part) Looked(now time.Duration, box uint64, result Verdict) {
 	w.figures.Itself++
 	if w.leader != nil {
-		w.deliver(w.leader.FinishProbe(now, box, result))
+		w.deliver(w.leader.Looked(now, box, result))
 	}
-	if w.follower.FinishProbe(box) && result != "" {
-		w.add(Action{Kind: Say, Note: Note{Checked: &Word{Box: box, Is: result}}})
+	if w.follower.Looked(box) && result != "" {
+		w.add(Action{Kind: Say, Note: Note{Checked: &BoxVerdict{Box: box, Is: result}}})
 	}
 }
 
 // Failed is an attempt of this limiter's own that has failed at a box.
 func (w *Part) Failed(now time.Duration, box uint64) {
-	if w.follower.AttemptFailed(now, box) {
+	if w.follower.Failed(now, box) {
 		w.figures.Differs++
 	}
 }
@@ -220,16 +220,16 @@
 
 // Lost is an agent that does not answer this limiter.
 func (w *Part) Lost(now time.Duration, pool string) {
-	if w.leader != nil && w.leader.AgentLost(now, pool) {
+	if w.leader != nil && w.leader.Lost(now, pool) {
 		w.add(Action{Kind: Tell, Note: Note{Lost: w.leader.LostPools()}})
 	}
 }
 
 // say tells words to whom they are for. This limiter has seen itself what the others are told.
-func (w *Part) deliver(verdicts []Word) {
+func (w *Part) deliver(verdicts []BoxVerdict) {
 	for _, v := range verdicts {
 		if v.To != "" {
-			w.add(Action{Kind: Tell, To: v.To, Note: Note{Words: []Word{v}}})
+			w.add(Action{Kind: Tell, To: v.To, Note: Note{Words: []BoxVerdict{v}}})
 		} else if v.Is == ProbeAlone {
 			w.add(Action{Kind: Look, Box: v.Box})
 		}
@@ -258,7 +258,7 @@
 // Leave is a limiter that this one does not look for any more.
 func (w *Part) Leave(limiter string) {
 	if w.leader != nil {
-		w.leader.RemoveFollower(limiter)
+		w.leader.Leave(limiter)
 	}
 }
 
@@ -268,10 +268,10 @@
 		return
 	}
 	if note.Ask != 0 {
-		w.deliver(w.leader.HandleAsk(now, limiter, note.Ask))
+		w.deliver(w.leader.Ask(now, limiter, note.Ask))
 	}
 	if note.Checked != nil {
-		w.deliver(w.leader.HandleCheck(now, note.Checked.Box, note.Checked.Is))
+		w.deliver(w.leader.Checked(now, note.Checked.Box, note.Checked.Is))
 	}
 	if note.Hears != "" {
 		w.leader.AgentHeardByFollower(note.Hears)
@@ -286,9 +286,9 @@
 	if w.leader != nil {
 		return // of one before
 	}
-	w.follower.LeaderHeard(now)
+	w.follower.Heard(now)
 	for _, v := range note.Words {
-		believed, probe := w.follower.HandleVerdict(now, v)
+		believed, probe := w.follower.Told(now, v)
 		if believed != "" {
 			w.figures.Told++
 			w.add(Action{Kind: Believe, Box: v.Box, Is: believed})
@@ -320,7 +320,7 @@
 
 // Cut is a connection to the one that looks that has ended.
 func (w *Part) Cut() {
-	w.follower.LeaderDisconnected()
+	w.follower.Cut()
 	for _, f := range w.feeds {
 		f.Disconnected()
 	}
--- a/watch/part_test.go
+++ b/watch/part_test.go
@@ -27,7 +27,7 @@
 	listSeq      int64 // of the list that is in use
 	pollHold     time.Duration
 	calledAt     time.Duration // when its call to the agent began
-	agentSeq     int64         // of the last answer, or of what it was told
+	seenSeq      int64         // of the last answer, or of what it was told
 	hearsAgent   bool          // the agent
 	joined       bool          // it is connected to the one that looks
 	connectable  bool          // and can be
@@ -53,7 +53,7 @@
 	if seq < f.listSeq {
 		r.t.Fatalf("%s went back from %d to %d", r.name(i), f.listSeq, seq)
 	}
-	f.listSeq, f.agentSeq = seq, seq
+	f.listSeq, f.seenSeq = seq, seq
 }
 
 func (r *simulation) carryOut(i int) {
@@ -130,9 +130,9 @@
 			continue
 		}
 		switch { // its call to the agent
-		case f.hearsAgent && (f.agentSeq == 0 || r.agentSeq > f.agentSeq || r.now >= f.calledAt+f.pollHold):
+		case f.hearsAgent && (f.seenSeq == 0 || r.agentSeq > f.seenSeq || r.now >= f.calledAt+f.pollHold):
 			r.agentCalls++
-			whole := f.agentSeq == 0
+			whole := f.seenSeq == 0
 			r.useList(i, r.agentSeq)
 			f.calledAt = r.now
 			f.watcher.Listed(List{Pool: pool, Seq: r.agentSeq, Whole: whole, Hosts: json.RawMessage("[]")})
@@ -187,7 +187,7 @@
 
 // Calls to the agent don't grow with the limiters of a room.
 func TestCallsDoNotGrow(t *testing.T) {
-	calls := map[int]int{}
+	agentCalls := map[int]int{}
 	for _, n := range []int{3, 30, 300} {
 		r := newSimulation(nil, n)
 		for r.now < 10*time.Second {
@@ -200,10 +200,10 @@
 			}
 			r.step()
 		}
-		calls[n] = r.agentCalls - before
-		t.Logf("%3d limiters: %d calls in a minute with six changes", n, calls[n])
+		agentCalls[n] = r.agentCalls - before
+		t.Logf("%3d limiters: %d calls in a minute with six changes", n, agentCalls[n])
 	}
-	if calls[300] > calls[3]+2 {
-		t.Errorf("calls: %v", calls)
+	if agentCalls[300] > agentCalls[3]+2 {
+		t.Errorf("calls: %v", agentCalls)
 	}
 }
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -24,23 +24,23 @@
 
 // Settings are those of looks.
 type Settings struct {
-	ProbeInterval      time.Duration // least pause between two looks of the desk at a box
-	CheckInterval      time.Duration // and between two checks of its word that a box is ill
-	Patience           time.Duration // without a word on an ask for so long, the asker looks itself
-	LeaderTimeout      time.Duration // without any word for so long, lists are followed alone
-	DisagreementPeriod time.Duration // for so long each looks for itself at a box of which they differ
-	AbstainPeriod      time.Duration // one that does not hear what others hear does not ask for the duty so long
+	ProbeInterval time.Duration // least pause between two looks of the desk at a box
+	CheckInterval time.Duration // and between two checks of its word that a box is ill
+	Patience      time.Duration // without a word on an ask for so long, the asker looks itself
+	LeaderTimeout time.Duration // without any word for so long, lists are followed alone
+	Apart         time.Duration // for so long each looks for itself at a box of which they differ
+	Unfit         time.Duration // one that does not hear what others hear does not ask for the duty so long
 }
 
 // DefaultSettings are those for terms of so long.
 func DefaultSettings(term time.Duration) Settings {
 	return Settings{
-		ProbeInterval:      500 * time.Millisecond, // as a limiter alone does
-		CheckInterval:      time.Second,
-		Patience:           1500 * time.Millisecond, // three asks in a row
-		LeaderTimeout:      5 * term / 2,            // the next owner is there within about two terms
-		DisagreementPeriod: 10 * time.Second,
-		AbstainPeriod:      5 * time.Minute, // with a term of 25 s at most each, ten that are deaf come by once
+		ProbeInterval: 500 * time.Millisecond, // as a limiter alone does
+		CheckInterval: time.Second,
+		Patience:      1500 * time.Millisecond, // three asks in a row
+		LeaderTimeout: 5 * term / 2,            // the next owner is there within about two terms
+		Apart:         10 * time.Second,
+		Unfit:         5 * time.Minute, // with a term of 25 s at most each, ten that are deaf come by once
 	}
 }
 
@@ -55,8 +55,8 @@
 	ProbeAlone Verdict = "alone" // some reach it and some don't: look yourself for a while
 )
 
-// Word is a verdict for one limiter.
-type Word struct {
+// BoxVerdict is a verdict for one limiter.
+type BoxVerdict struct {
 	To  string `json:"-"`
 	Box uint64
 	Is  Verdict
@@ -65,7 +65,7 @@
 // Desk is the part of the limiter that looks for its room. It is not safe for concurrent use.
 type Leader struct {
 	settings   Settings
-	boxes      map[uint64]*boxState
+	states     map[uint64]*boxState
 	lostAgents map[string]*lostAgent
 }
 
@@ -88,19 +88,19 @@
 
 // NewDesk returns the desk of a limiter whose term begins.
 func NewLeader(settings Settings) *Leader {
-	return &Leader{settings: settings, boxes: map[uint64]*boxState{}, lostAgents: map[string]*lostAgent{}}
+	return &Leader{settings: settings, states: map[uint64]*boxState{}, lostAgents: map[string]*lostAgent{}}
 }
 
 // Ask notes that a limiter holds a box as ill and wants to know. Words are to be told at once.
-func (l *Leader) HandleAsk(now time.Duration, limiter string, box uint64) []Word {
-	state := l.boxes[box]
+func (l *Leader) Ask(now time.Duration, limiter string, box uint64) []BoxVerdict {
+	state := l.states[box]
 	if state == nil {
 		state = &boxState{waitingSince: map[string]time.Duration{}, probeStart: now - l.settings.ProbeInterval, checkedAt: now}
-		l.boxes[box] = state
+		l.states[box] = state
 	}
 	state.askedAt = now
 	if now < state.disagreeUntil {
-		return []Word{{limiter, box, ProbeAlone}}
+		return []BoxVerdict{{limiter, box, ProbeAlone}}
 	}
 	if _, waiting := state.waitingSince[limiter]; !waiting {
 		state.waitingSince[limiter] = now
@@ -110,14 +110,14 @@
 
 // Next are the boxes to be looked at now. Each look's end has to be told by Looked.
 func (l *Leader) StartProbes(now time.Duration) (boxes []uint64) {
-	for _, box := range slices.Sorted(maps.Keys(l.boxes)) {
-		state := l.boxes[box]
+	for _, box := range slices.Sorted(maps.Keys(l.states)) {
+		state := l.states[box]
 		switch {
 		case !state.probing && len(state.waitingSince) > 0 && now >= state.probeStart+l.settings.ProbeInterval:
 			state.probing, state.probeStart = true, now
 			boxes = append(boxes, box)
-		case !state.probing && now > state.askedAt+l.settings.DisagreementPeriod+l.settings.Patience:
-			delete(l.boxes, box)
+		case !state.probing && now > state.askedAt+l.settings.Apart+l.settings.Patience:
+			delete(l.states, box)
 		}
 	}
 	return boxes
@@ -125,8 +125,8 @@
 
 // Looked is the end of a look, and returns what is told to those who asked before it began:
 // what was seen before an ask says nothing about it. Empty: the look could not be made.
-func (l *Leader) FinishProbe(now time.Duration, box uint64, result Verdict) (verdicts []Word) {
-	state := l.boxes[box]
+func (l *Leader) Looked(now time.Duration, box uint64, result Verdict) (verdicts []BoxVerdict) {
+	state := l.states[box]
 	if state == nil || !state.probing {
 		return nil
 	}
@@ -150,7 +150,7 @@
 		if limiter == checker && checker != "" {
 			verdict, state.lastChecker, state.checkedAt = CheckOnce, limiter, now
 		}
-		verdicts = append(verdicts, Word{limiter, box, verdict})
+		verdicts = append(verdicts, BoxVerdict{limiter, box, verdict})
 	}
 	return verdicts
 }
@@ -172,29 +172,29 @@
 
 // Checked is what a limiter saw that was to check that a box is ill. If it reaches the box, each
 // looks for itself for a while.
-func (l *Leader) HandleCheck(now time.Duration, box uint64, result Verdict) (verdicts []Word) {
-	state := l.boxes[box]
+func (l *Leader) Checked(now time.Duration, box uint64, result Verdict) (verdicts []BoxVerdict) {
+	state := l.states[box]
 	if state == nil || result != Well {
 		return nil
 	}
-	state.disagreeUntil = now + l.settings.DisagreementPeriod
+	state.disagreeUntil = now + l.settings.Apart
 	for _, limiter := range slices.Sorted(maps.Keys(state.waitingSince)) {
-		verdicts = append(verdicts, Word{limiter, box, ProbeAlone})
+		verdicts = append(verdicts, BoxVerdict{limiter, box, ProbeAlone})
 	}
 	clear(state.waitingSince)
 	return verdicts
 }
 
 // Leave forgets a limiter that is gone.
-func (l *Leader) RemoveFollower(limiter string) {
-	for _, state := range l.boxes {
+func (l *Leader) Leave(limiter string) {
+	for _, state := range l.states {
 		delete(state.waitingSince, limiter)
 	}
 }
 
 // Lost notes that the agent of a pool does not answer this limiter, Heard that it does. news: it
 // did before.
-func (l *Leader) AgentLost(now time.Duration, pool string) (changed bool) {
+func (l *Leader) Lost(now time.Duration, pool string) (changed bool) {
 	if l.lostAgents[pool] != nil {
 		return false
 	}
@@ -217,7 +217,7 @@
 
 // Unfit tells that this limiter should give the duty up: others hear an agent that it has not
 // heard for long.
-func (l *Leader) ShouldResign(now time.Duration) bool {
+func (l *Leader) Unfit(now time.Duration) bool {
 	for _, agent := range l.lostAgents {
 		if agent.heardByOther && now >= agent.since+l.settings.LeaderTimeout {
 			return true
@@ -252,12 +252,12 @@
 }
 
 // Heard notes a word of the one that looks, of any kind.
-func (f *Follower) LeaderHeard(now time.Duration) {
+func (f *Follower) Heard(now time.Duration) {
 	f.connected, f.everHeard, f.heardAt = true, true, now
 }
 
 // Cut notes that it can't be heard any more, as far as is known here.
-func (f *Follower) LeaderDisconnected() { f.connected = false }
+func (f *Follower) Cut() { f.connected = false }
 
 // Silent tells whether it has been silent for so long that lists are followed alone.
 func (f *Follower) LeaderSilent(now time.Duration) bool {
@@ -266,11 +266,11 @@
 
 // Want tells what is done about a box that is held as ill here: the other one is asked, this
 // limiter looks itself, or, where asks bring no word, both.
-func (f *Follower) HandleUnhealthy(now time.Duration, box uint64) (ask, probe bool) {
+func (f *Follower) Want(now time.Duration, box uint64) (ask, probe bool) {
 	view := f.boxes[box]
 	if view == nil {
 		for id, other := range f.boxes {
-			if now > other.usedAt+2*f.settings.DisagreementPeriod {
+			if now > other.usedAt+2*f.settings.Apart {
 				delete(f.boxes, id)
 			}
 		}
@@ -289,7 +289,7 @@
 
 // Told takes a word about a box in. tell is what the limiter may believe of it (empty: nothing),
 // look that it has to look itself.
-func (f *Follower) HandleVerdict(now time.Duration, received Word) (believed Verdict, probe bool) {
+func (f *Follower) Told(now time.Duration, received BoxVerdict) (believed Verdict, probe bool) {
 	view := f.boxes[received.Box]
 	if view == nil || !view.asking { // nothing was asked, or it looks itself by now
 		return "", false
@@ -305,7 +305,7 @@
 		view.checking = true
 		return "", true
 	case ProbeAlone:
-		view.probeAloneUntil = now + f.settings.DisagreementPeriod
+		view.probeAloneUntil = now + f.settings.Apart
 		return "", true
 	}
 	return "", false
@@ -313,7 +313,7 @@
 
 // Looked is the end of a look of this limiter's own; it tells whether the one that looks for it
 // is to know.
-func (f *Follower) FinishProbe(box uint64) bool {
+func (f *Follower) Looked(box uint64) bool {
 	view := f.boxes[box]
 	if view == nil || !view.checking {
 		return false
@@ -324,12 +324,12 @@
 
 // Failed notes that an attempt of this limiter's own has failed at a box. If the box was told
 // to be well not long ago, the word does not hold here, and it looks itself for a while.
-func (f *Follower) AttemptFailed(now time.Duration, box uint64) (differs bool) {
+func (f *Follower) Failed(now time.Duration, box uint64) (differs bool) {
 	view := f.boxes[box]
-	if view == nil || !view.toldHealthy || now > view.healthyAt+f.settings.DisagreementPeriod {
+	if view == nil || !view.toldHealthy || now > view.healthyAt+f.settings.Apart {
 		return false
 	}
-	view.toldHealthy, view.probeAloneUntil = false, now+f.settings.DisagreementPeriod
+	view.toldHealthy, view.probeAloneUntil = false, now+f.settings.Apart
 	return true
 }
 
