--- a/watch/model_test.go
+++ b/watch/model_test.go
@@ -267,7 +267,7 @@
 			case 2: // the agent answers this limiter
 				if !f.FromLeader() {
 					own = agentSeq
-					f.HandleAgentList(own)
+					f.SetSeq(own)
 					knownSeq = own
 				}
 			case 3:
--- a/watch/part.go
+++ b/watch/part.go
@@ -74,7 +74,7 @@
 // another. What happens goes in; what is to be done comes out of Acts. It is not safe for
 // concurrent use.
 type Part struct {
-	settings    Settings
+	cfg         Settings
 	follower    *Follower
 	leader      *Leader // nil: another one looks, or nobody
 	feeds       map[string]*Feed
@@ -86,8 +86,8 @@
 
 // NewPart returns the part of a limiter that has heard nobody yet, with the pools whose lists
 // agents tell.
-func NewPart(settings Settings, pools []string) *Part {
-	w := &Part{settings: settings, follower: NewFollower(settings), feeds: map[string]*Feed{}, pollHolds: map[string]time.Duration{}}
+func NewPart(cfg Settings, pools []string) *Part {
+	w := &Part{cfg: cfg, follower: NewFollower(cfg), feeds: map[string]*Feed{}, pollHolds: map[string]time.Duration{}}
 	for _, pool := range pools {
 		w.feeds[pool] = &Feed{}
 	}
@@ -121,13 +121,13 @@
 func (w *Part) Leads() bool { return w.leader != nil }
 
 // Alone tells whether nobody is heard that looks for this limiter.
-func (w *Part) Alone(now time.Duration) bool { return w.leader == nil && w.follower.LeaderSilent(now) }
+func (w *Part) Alone(now time.Duration) bool { return w.leader == nil && w.follower.Silent(now) }
 
 // Lead begins a term of this limiter's own, or ends it.
 func (w *Part) Lead(isLeader bool) {
 	w.leader = nil
 	if isLeader {
-		w.leader = NewLeader(w.settings)
+		w.leader = NewLeader(w.cfg)
 		for _, f := range w.feeds {
 			f.FollowAgent()
 		}
@@ -136,7 +136,7 @@
 
 // Tick does what the time asks for. It is to come some ten times a second.
 func (w *Part) Tick(now time.Duration) {
-	silent := w.follower.LeaderSilent(now)
+	silent := w.follower.Silent(now)
 	for _, pool := range slices.Sorted(maps.Keys(w.feeds)) {
 		feed := w.feeds[pool]
 		if silent {
@@ -161,11 +161,11 @@
 		w.add(Action{Kind: Look, Box: box})
 	}
 	if now >= w.heartbeatAt {
-		w.heartbeatAt = now + w.settings.Patience/3
+		w.heartbeatAt = now + w.cfg.Patience/3
 		w.add(Action{Kind: Tell})
 	}
 	if w.leader.Unfit(now) {
-		w.add(Action{Kind: Resign, Hold: w.settings.Unfit})
+		w.add(Action{Kind: Resign, Hold: w.cfg.Unfit})
 	}
 }
 
@@ -209,7 +209,7 @@
 	if feed == nil {
 		return
 	}
-	feed.HandleAgentList(l.Seq)
+	feed.SetSeq(l.Seq)
 	if w.leader == nil {
 		w.add(Action{Kind: Say, Note: Note{Hears: l.Pool}})
 		return
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -27,7 +27,7 @@
 	ProbeInterval time.Duration // least pause between two looks of the desk at a box
 	CheckInterval time.Duration // and between two checks of its word that a box is ill
 	Patience      time.Duration // without a word on an ask for so long, the asker looks itself
-	LeaderTimeout time.Duration // without any word for so long, lists are followed alone
+	Silence       time.Duration // without any word for so long, lists are followed alone
 	Apart         time.Duration // for so long each looks for itself at a box of which they differ
 	Unfit         time.Duration // one that does not hear what others hear does not ask for the duty so long
 }
@@ -38,7 +38,7 @@
 		ProbeInterval: 500 * time.Millisecond, // as a limiter alone does
 		CheckInterval: time.Second,
 		Patience:      1500 * time.Millisecond, // three asks in a row
-		LeaderTimeout: 5 * term / 2,            // the next owner is there within about two terms
+		Silence:       5 * term / 2,            // the next owner is there within about two terms
 		Apart:         10 * time.Second,
 		Unfit:         5 * time.Minute, // with a term of 25 s at most each, ten that are deaf come by once
 	}
@@ -64,7 +64,7 @@
 
 // Desk is the part of the limiter that looks for its room. It is not safe for concurrent use.
 type Leader struct {
-	settings   Settings
+	cfg        Settings
 	states     map[uint64]*boxState
 	lostAgents map[string]*lostAgent
 }
@@ -87,15 +87,15 @@
 }
 
 // NewDesk returns the desk of a limiter whose term begins.
-func NewLeader(settings Settings) *Leader {
-	return &Leader{settings: settings, states: map[uint64]*boxState{}, lostAgents: map[string]*lostAgent{}}
+func NewLeader(cfg Settings) *Leader {
+	return &Leader{cfg: cfg, states: map[uint64]*boxState{}, lostAgents: map[string]*lostAgent{}}
 }
 
 // Ask notes that a limiter holds a box as ill and wants to know. Words are to be told at once.
 func (l *Leader) Ask(now time.Duration, limiter string, box uint64) []BoxVerdict {
 	state := l.states[box]
 	if state == nil {
-		state = &boxState{waitingSince: map[string]time.Duration{}, probeStart: now - l.settings.ProbeInterval, checkedAt: now}
+		state = &boxState{waitingSince: map[string]time.Duration{}, probeStart: now - l.cfg.ProbeInterval, checkedAt: now}
 		l.states[box] = state
 	}
 	state.askedAt = now
@@ -113,10 +113,10 @@
 	for _, box := range slices.Sorted(maps.Keys(l.states)) {
 		state := l.states[box]
 		switch {
-		case !state.probing && len(state.waitingSince) > 0 && now >= state.probeStart+l.settings.ProbeInterval:
+		case !state.probing && len(state.waitingSince) > 0 && now >= state.probeStart+l.cfg.ProbeInterval:
 			state.probing, state.probeStart = true, now
 			boxes = append(boxes, box)
-		case !state.probing && now > state.askedAt+l.settings.Apart+l.settings.Patience:
+		case !state.probing && now > state.askedAt+l.cfg.Apart+l.cfg.Patience:
 			delete(l.states, box)
 		}
 	}
@@ -142,7 +142,7 @@
 		}
 	}
 	checker := ""
-	if result == Ill && now >= state.checkedAt+l.settings.CheckInterval {
+	if result == Ill && now >= state.checkedAt+l.cfg.CheckInterval {
 		checker = nextChecker(answered, state.lastChecker)
 	}
 	for _, limiter := range answered {
@@ -177,7 +177,7 @@
 	if state == nil || result != Well {
 		return nil
 	}
-	state.disagreeUntil = now + l.settings.Apart
+	state.disagreeUntil = now + l.cfg.Apart
 	for _, limiter := range slices.Sorted(maps.Keys(state.waitingSince)) {
 		verdicts = append(verdicts, BoxVerdict{limiter, box, ProbeAlone})
 	}
@@ -219,7 +219,7 @@
 // heard for long.
 func (l *Leader) Unfit(now time.Duration) bool {
 	for _, agent := range l.lostAgents {
-		if agent.heardByOther && now >= agent.since+l.settings.LeaderTimeout {
+		if agent.heardByOther && now >= agent.since+l.cfg.Silence {
 			return true
 		}
 	}
@@ -228,11 +228,11 @@
 
 // Post is the part of a limiter that another one looks for. It is not safe for concurrent use.
 type Follower struct {
-	settings  Settings
-	connected bool
-	heardAt   time.Duration // the last word of any kind
-	everHeard bool          // there was one
-	boxes     map[uint64]*boxView
+	cfg   Settings
+	up    bool
+	heard time.Duration // the last word of any kind
+	known bool          // there was one
+	boxes map[uint64]*boxView
 }
 
 // view is what is known of a box that was held as ill.
@@ -247,22 +247,16 @@
 }
 
 // NewPost returns the part of a limiter that has heard nobody yet.
-func NewFollower(settings Settings) *Follower {
-	return &Follower{settings: settings, boxes: map[uint64]*boxView{}}
-}
+func NewFollower(cfg Settings) *Follower { return &Follower{cfg: cfg, boxes: map[uint64]*boxView{}} }
 
 // Heard notes a word of the one that looks, of any kind.
-func (f *Follower) Heard(now time.Duration) {
-	f.connected, f.everHeard, f.heardAt = true, true, now
-}
+func (f *Follower) Heard(now time.Duration) { f.up, f.known, f.heard = true, true, now }
 
 // Cut notes that it can't be heard any more, as far as is known here.
-func (f *Follower) Cut() { f.connected = false }
+func (f *Follower) Cut() { f.up = false }
 
 // Silent tells whether it has been silent for so long that lists are followed alone.
-func (f *Follower) LeaderSilent(now time.Duration) bool {
-	return !f.everHeard || now > f.heardAt+f.settings.LeaderTimeout
-}
+func (f *Follower) Silent(now time.Duration) bool { return !f.known || now > f.heard+f.cfg.Silence }
 
 // Want tells what is done about a box that is held as ill here: the other one is asked, this
 // limiter looks itself, or, where asks bring no word, both.
@@ -270,7 +264,7 @@
 	view := f.boxes[box]
 	if view == nil {
 		for id, other := range f.boxes {
-			if now > other.usedAt+2*f.settings.Apart {
+			if now > other.usedAt+2*f.cfg.Apart {
 				delete(f.boxes, id)
 			}
 		}
@@ -278,13 +272,13 @@
 		f.boxes[box] = view
 	}
 	view.usedAt = now
-	if !f.connected || now > f.heardAt+f.settings.Patience || now < view.probeAloneUntil {
+	if !f.up || now > f.heard+f.cfg.Patience || now < view.probeAloneUntil {
 		return false, true
 	}
 	if !view.asking {
 		view.asking, view.askedAt = true, now
 	}
-	return true, now >= view.askedAt+f.settings.Patience
+	return true, now >= view.askedAt+f.cfg.Patience
 }
 
 // Told takes a word about a box in. tell is what the limiter may believe of it (empty: nothing),
@@ -305,7 +299,7 @@
 		view.checking = true
 		return "", true
 	case ProbeAlone:
-		view.probeAloneUntil = now + f.settings.Apart
+		view.probeAloneUntil = now + f.cfg.Apart
 		return "", true
 	}
 	return "", false
@@ -326,10 +320,10 @@
 // to be well not long ago, the word does not hold here, and it looks itself for a while.
 func (f *Follower) Failed(now time.Duration, box uint64) (differs bool) {
 	view := f.boxes[box]
-	if view == nil || !view.toldHealthy || now > view.healthyAt+f.settings.Apart {
+	if view == nil || !view.toldHealthy || now > view.healthyAt+f.cfg.Apart {
 		return false
 	}
-	view.toldHealthy, view.probeAloneUntil = false, now+f.settings.Apart
+	view.toldHealthy, view.probeAloneUntil = false, now+f.cfg.Apart
 	return true
 }
 
@@ -340,33 +334,31 @@
 	seq        int64
 	known      bool
 	fromLeader bool // another limiter tells it
-	contiguous bool // and news continue what is known
+	chained    bool // and news continue what is known
 }
 
 // Own takes in what the agent itself has told.
-func (f *Feed) HandleAgentList(seq int64) {
-	f.seq, f.known, f.fromLeader, f.contiguous = seq, true, false, false
-}
+func (f *Feed) SetSeq(seq int64) { f.seq, f.known, f.fromLeader, f.chained = seq, true, false, false }
 
 // Offer is a list, or news behind the one before on the same connection, as the one that looks
 // tells it. take: it is as new as what is known; want: the whole list is to be asked for.
 func (f *Feed) Offer(seq int64, full bool) (accept, requestFull bool) {
 	current := !f.known || seq >= f.seq
-	if !full && !f.contiguous {
+	if !full && !f.chained {
 		return false, current
 	}
 	if !current {
 		return false, false
 	}
-	f.seq, f.known, f.fromLeader, f.contiguous = seq, true, true, true
+	f.seq, f.known, f.fromLeader, f.chained = seq, true, true, true
 	return true, false
 }
 
 // Apart notes that the connection has ended: news don't continue what is known any more.
-func (f *Feed) Disconnected() { f.contiguous = false }
+func (f *Feed) Disconnected() { f.chained = false }
 
 // Alone has the limiter follow the agent itself.
-func (f *Feed) FollowAgent() { f.fromLeader, f.contiguous = false, false }
+func (f *Feed) FollowAgent() { f.fromLeader, f.chained = false, false }
 
 // Led tells whether another limiter tells it.
 func (f *Feed) FromLeader() bool { return f.fromLeader }
