--- a/handover/handover.go
+++ b/handover/handover.go
@@ -1,7 +1,6 @@
-// Package handover lays out and checks what one limiter process gives the next one during an
-// upgrade: a note by which the new process finds the old one, and the state that it takes over.
-// It says what is trusted and what each process may use while both run. It does no I/O and
-// reads no clock.
+// Package handover defines and validates what a limiter process gives its successor during an upgrade: a
+// note by which the new process finds the old one, and the state that it takes over. It also decides
+// how the two processes share the machine's resources while both run. It does no I/O and reads no clock.
 package handover
 
 import (
@@ -19,50 +18,50 @@
 	"example.org/madderdrum/limiter"
 )
 
-// Version is that of the note and of the state. A process does not take over from one with
-// another version: it starts fresh.
+// Version is the version of the note and of the state. A process does not take over from one with
+// another version: it starts without the state.
 const Version = 1
 
-// MostBytes bounds a state: a million accounts take some 80 MB, which no machine of the
-// platform's size holds twice.
+// MaxStateBytes limits the size of a state. A million accounts take some 80 MB, which no machine of the
+// platform's size can hold twice.
 const MaxStateBytes = 32 << 20
 
-// Who is one limiter: a process takes over from a process with the same name and address alone.
+// Who identifies a limiter: a process takes over only from one with the same name and listen address.
 type Who struct {
 	Limiter string `json:"limiter"`
 	Listen  string `json:"listen"`
 }
 
-// Note tells where the running process of a limiter hands over, and to whom.
+// Note says where the running process of a limiter offers its state, and to which limiter.
 type Note struct {
 	Version int `json:"version"`
 	Who
-	Admin string `json:"admin"` // host:port of its operators' address
-	Token string `json:"token"` // whoever has it can read the note
+	Admin string `json:"admin"` // host:port of the admin address
+	Token string `json:"token"` // proves that its bearer can read the note
 }
 
-// File is the name of a limiter's note in a folder that may hold those of others.
+// FileName returns the name of a limiter's note, unique in a directory with notes of other limiters.
 func (w Who) File() string {
 	h := fnv.New64a()
 	io.WriteString(h, w.Limiter+"\x00"+w.Listen)
 	return fmt.Sprintf("madderdrum-%016x.upgrade", h.Sum64())
 }
 
-// Encode is the note as a file: a line of JSON and one with its checksum.
+// Encode returns the contents of the note's file: a line of JSON, and a line with its checksum.
 func (n Note) Encode() []byte {
 	n.Version = Version
-	data, _ := json.Marshal(n) // strings and an int
+	data, _ := json.Marshal(n) // can't fail: strings and an int
 	return fmt.Appendf(data, "\n%08x\n", crc32.ChecksumIEEE(data))
 }
 
-// ErrNote tells that a file is no note of this limiter and version, or only a part of one.
+// ErrUnusableNote says that a file is not a complete note of this limiter and version.
 var ErrNote = errors.New("no usable note")
 
-// ParseNote reads a note of this limiter's.
+// ParseNote parses a note and checks that it is for the expected limiter.
 func ParseNote(data []byte, expected Who) (n Note, err error) {
 	line, sum, found := bytes.Cut(data, []byte("\n"))
 	if !found || string(sum) != fmt.Sprintf("%08x\n", crc32.ChecksumIEEE(line)) {
-		return n, fmt.Errorf("%w: torn", ErrNote)
+		return n, fmt.Errorf("%w: truncated or corrupt", ErrNote)
 	}
 	if err := json.Unmarshal(line, &n); err != nil {
 		return n, fmt.Errorf("%w: %v", ErrNote, err)
@@ -78,20 +77,20 @@
 	return n, nil
 }
 
-// State is what a process hands over at the moment from which the new one decides.
+// State is what a process hands over at the moment from which its successor makes the decisions.
 type State struct {
 	Who
 	Memory    *limiter.Memory
-	Discovery string // the agent that the list is from; empty: the list is fixed
-	List      []byte // the list in discovery's form; empty: none came
+	Discovery string // the agent that sent List; empty: the list is fixed
+	List      []byte // the list of servers in the agent's format; empty: none arrived
 	Drained   bool
-	Sockets   int // descriptors that the old process still holds, and will not exceed
+	Sockets   int // descriptors that the old process still holds; it will not use more
 }
 
-// Head is what a state begins with on the connection: how many bytes follow, and their checksum.
+// Header precedes a state on the connection: the number of bytes that follow, and their checksum.
 type Head [8]byte
 
-// Size is how many bytes follow.
+// Size returns the number of bytes that follow; an error if there are too many.
 func (h Head) Size() (int, error) {
 	size := binary.BigEndian.Uint32(h[:])
 	if size > MaxStateBytes {
@@ -100,7 +99,7 @@
 	return int(size), nil
 }
 
-// Encode is the state as it goes over the connection, behind its Head.
+// Encode returns the state as it is sent over the connection, with its header.
 func (s *State) Encode() ([]byte, error) {
 	var header Head
 	buffer := bytes.NewBuffer(header[:])
@@ -117,11 +116,11 @@
 	return frame, nil
 }
 
-// Decode reads what follows a Head. took is the time since the new process asked for it: for so long at
-// most the old one's figures have gone on without being known here.
+// Decode decodes and validates what follows a header. elapsed is the time since the new process asked for the
+// state: at most that long the old process's figures went on changing after they were copied.
 func Decode(header Head, data []byte, expected Who, elapsed time.Duration) (*State, error) {
 	if size, err := header.Size(); err != nil || size != len(data) || crc32.ChecksumIEEE(data) != binary.BigEndian.Uint32(header[4:]) {
-		return nil, errors.New("the state is torn")
+		return nil, errors.New("the state is truncated or corrupt")
 	}
 	version, rest, _ := bytes.Cut(data, []byte("\n"))
 	if string(version) != fmt.Sprint(Version) {
@@ -141,8 +140,8 @@
 	return s, nil
 }
 
-// ListOf is the list, if it counts for a process that asks this agent: another one counts its
-// versions anew.
+// ListFrom returns the list if it came from the given agent, otherwise nil: another agent has its own
+// sequence numbers.
 func (s *State) ListOf(discovery string) []byte {
 	if s.Discovery != discovery {
 		return nil
@@ -150,8 +149,8 @@
 	return s.List
 }
 
-// Sockets is how many descriptors the new process may use while the old one holds some, of
-// a limit for both; 0 is no limit. It gets least in any case, as it could not start with less.
+// SocketLimit returns how many descriptors the new process may use while the old one holds some, given a
+// limit for both; 0 means no limit. It is at least minimum, as the new process could not start with less.
 func Sockets(limit, heldByOld, minimum int) int {
 	if limit == 0 {
 		return 0
@@ -159,5 +158,5 @@
 	return max(minimum, min(limit, limit-heldByOld))
 }
 
-// MemoryShare is the part of the limit that each process may use while both run.
+// MemoryShare is the fraction of the memory limit that each process may use while both run.
 const MemoryShare = 0.5
--- a/handover/handover_test.go
+++ b/handover/handover_test.go
@@ -15,7 +15,7 @@
 
 var self = Who{Limiter: "n3", Listen: "127.0.0.1:3000"}
 
-// A note counts whole and for the limiter and version that wrote it, or not at all.
+// A note is accepted only if it is complete, and written by the same limiter and version.
 func TestNote(t *testing.T) {
 	n := Note{Who: self, Admin: "127.0.0.1:9000", Token: "secret"}
 	encoded := n.Encode()
@@ -25,24 +25,24 @@
 	}
 	for k := range encoded {
 		if _, err := ParseNote(encoded[:k], self); !errors.Is(err, ErrNote) {
-			t.Fatalf("the first %d bytes of a note count as one: %v", k, err)
+			t.Fatalf("the first %d bytes of a note are accepted: %v", k, err)
 		}
 		broken := []byte(string(encoded))
 		broken[k] ^= 4
 		if _, err := ParseNote(broken, self); !errors.Is(err, ErrNote) {
-			t.Fatalf("a note with byte %d changed counts: %v", k, err)
+			t.Fatalf("a note with byte %d changed is accepted: %v", k, err)
 		}
 	}
 	for _, who := range []Who{{"n4", self.Listen}, {self.Limiter, "127.0.0.1:3001"}} {
 		if _, err := ParseNote(encoded, who); !errors.Is(err, ErrNote) {
-			t.Errorf("a note of another limiter counts: %v", err)
+			t.Errorf("a note of another limiter is accepted: %v", err)
 		}
 		if who.File() == self.File() {
 			t.Errorf("%v has the file of another limiter", who)
 		}
 	}
 	if _, err := ParseNote(Note{Who: self, Admin: "127.0.0.1:9000"}.Encode(), self); !errors.Is(err, ErrNote) {
-		t.Errorf("a note without a token counts: %v", err)
+		t.Errorf("a note without a token is accepted: %v", err)
 	}
 }
 
@@ -53,14 +53,14 @@
 			Accounts: []limiter.AccountMemory{{ID: 5, Balance: -3, Share: 2}}}}}
 }
 
-// decode reads a state with its head.
+// decode decodes a state with its header.
 func decode(frame []byte, expected Who, elapsed time.Duration) (*State, error) {
 	var h Head
 	headerSize := copy(h[:], frame)
 	return Decode(h, frame[headerSize:], expected, elapsed)
 }
 
-// A state comes over whole, and has aged by the time that it took.
+// A state is transferred completely, and has aged by the time that the transfer took.
 func TestState(t *testing.T) {
 	data, err := newState().Encode()
 	if err != nil {
@@ -76,11 +76,11 @@
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	if _, err := decode(data, Who{"n4", self.Listen}, 0); err == nil {
-		t.Error("the state of another limiter counts")
+		t.Error("the state of another limiter is accepted")
 	}
 	for k := range data {
 		if _, err := decode(data[:k], self, 0); err == nil {
-			t.Fatalf("the first %d of %d bytes count as a state", k, len(data))
+			t.Fatalf("the first %d of %d bytes are accepted as a state", k, len(data))
 		}
 	}
 	other := slices.Clone(data[8:])
@@ -95,15 +95,15 @@
 		broken := slices.Clone(data)
 		broken[k*len(data)/40] ^= 4
 		if _, err := decode(broken, self, 0); err == nil {
-			t.Errorf("a state with byte %d changed counts", k*len(data)/40)
+			t.Errorf("a state with byte %d changed is accepted", k*len(data)/40)
 		}
 	}
 	binary.BigEndian.PutUint32(h[:], MaxStateBytes+1)
 	if _, err := h.Size(); err == nil {
-		t.Error("a state of any size is read")
+		t.Error("a state above the size limit is accepted")
 	}
 	if got.ListOf("127.0.0.1:8500") == nil || got.ListOf("127.0.0.1:8501") != nil {
-		t.Error("the list counts for another agent than its own")
+		t.Error("the list is accepted for an agent that did not send it")
 	}
 	for name, change := range map[string]func(*State){
 		"no memory":   func(s *State) { s.Memory = nil },
@@ -114,16 +114,16 @@
 		change(s)
 		data, _ := s.Encode()
 		if _, err := decode(data, self, 0); err == nil {
-			t.Errorf("%s: it counts", name)
+			t.Errorf("%s: the state is accepted", name)
 		}
 	}
 }
 
-// Both processes together keep within the limit, as long as a new one can start at all.
+// Both processes together stay within the limit, unless the new one could not start with what is left.
 func TestSockets(t *testing.T) {
 	for _, x := range []struct{ limit, old, want int }{{0, 500, 0}, {1024, 100, 924}, {512, 100, 412}, {384, 0, 384}, {384, 380, 64}, {384, -5, 384}} {
 		if got := Sockets(x.limit, x.old, 64); got != x.want {
-			t.Errorf("of %d with %d taken: %d, want %d", x.limit, x.old, got, x.want)
+			t.Errorf("limit %d with %d in use: %d, want %d", x.limit, x.old, got, x.want)
 		}
 	}
 }
--- a/parts/book.go
+++ b/parts/book.go
@@ -1,11 +1,12 @@
-// Package parts deals out parts of ceilings among limiters. A ceiling is held by escrow: each
-// limiter of an account owns a part of its store and of its rate, and all parts together never
-// come to more than the ceiling, whatever is lost, late, doubled or begun again. At first all
-// parts are equal; a steward moves them to where the account's requests arrive.
+// Package parts divides the ceilings of accounts among limiters. A ceiling is a hard limit for the
+// whole fleet, enforced by escrow: each limiter of an account owns a share of the ceiling's burst
+// and rate, and the shares never add up to more than the ceiling, whatever is lost, late,
+// duplicated or restarted. At first all shares are equal; a steward moves them to the limiters
+// where the account's requests arrive.
 //
-// What each limiter holds is agreed on. A part that is to shrink is used as the smaller one as
-// soon as its holder learns of it, and counts as the larger one until the holder has confirmed
-// that; only what has come free so is given to others. Without a steward all stays as it is.
+// The shares are replicated state. A share that is to shrink is used at its smaller size as soon as
+// its owner learns of it, and counts at its larger size until the owner has confirmed that; only
+// what has been freed in this way is given to others. Without a steward all shares stay unchanged.
 package parts
 
 import (
@@ -15,24 +16,25 @@
 	"slices"
 )
 
-// Duty is the duty under which parts are dealt.
+// Duty is the name of the fleet-wide duty whose owner runs the steward.
 const Duty = "parts"
 
 const (
-	// Equal is an equal part; parts are counted in thousandths of one.
+	// Equal is an equal share. Shares are counted in thousandths of it.
 	Equal = 1000
-	// Floor is the part that is never moved away. A limiter that does not know what it holds
-	// uses no more: one that has just started, or whose fleet was begun anew.
+	// Floor is the minimum share, which is never moved away. A limiter that does not know its share
+	// uses no more: one that has just started, or whose fleet was reset.
 	Floor = 100
-	// mostAccounts bounds what is agreed on; others stay with equal parts.
+	// maxAccounts bounds the replicated state; further accounts keep equal shares.
 	maxAccounts = 4000
 	maxLimiters = 10_000
 )
 
-// Shares are parts by place. Most are floors, which are not written out.
+// Shares are the shares of an account's limiters, by index. Most are at the floor, and those are not
+// encoded.
 type Shares []uint32
 
-// MarshalJSON writes how many there are, and the place and part of each that is no floor.
+// MarshalJSON writes the number of shares, and then the index and size of each that is not the floor.
 func (s Shares) MarshalJSON() ([]byte, error) {
 	flat := []uint32{uint32(len(s))}
 	for index, share := range s {
@@ -43,7 +45,7 @@
 	return json.Marshal(flat)
 }
 
-// UnmarshalJSON reads that.
+// UnmarshalJSON reads the encoding of MarshalJSON.
 func (s *Shares) UnmarshalJSON(data []byte) error {
 	var flat []uint32
 	if err := json.Unmarshal(data, &flat); err != nil {
@@ -67,45 +69,45 @@
 	return nil
 }
 
-// Held is what the limiters of one account hold of its ceiling.
+// Allocation is how the ceiling of one account is divided among its limiters.
 type Allocation struct {
-	First, Spread int    // its limiters: Spread of them, from First on, round the end
-	Now           Shares // what each counts as holding, by place from First on
-	Next          Shares `json:",omitempty"` // what each is to hold; nil: as it is
-	Version       uint64 // of the deal that Next comes from
+	First, Spread int    // the account's limiters: Spread positions from First on, wrapping around
+	Now           Shares // what counts as in use, by index from First on
+	Next          Shares `json:",omitempty"` // the target shares; nil: same as Now
+	Version       uint64 // of the deal that set Next
 }
 
-// Deal is what the limiters of an account are to hold.
+// Deal sets the target shares of one account.
 type Deal struct {
 	Account       uint64
 	First, Spread int
 	To            Shares // by place, from First on
-}
+} // by index, from First on
 
-// Confirm tells that a limiter has used no more than it is to hold since all deals up to a version.
+// Confirm says that a limiter's use has stayed within its targets of all deals up to a version.
 type Confirm struct {
 	Position int
 	Version  uint64
-	Floor    bool // it uses its floor of everything
+	Floor    bool // the limiter uses only its floor of every ceiling
 }
 
-// Command is a change to the book: a steward's, under its epoch, or a limiter's Confirm.
+// Command is a change to the ledger: deals by a steward, under its epoch, or a limiter's Confirm.
 type Command struct {
 	Epoch    uint64
-	Limiters int // of the fleet, as the steward knows it
+	Limiters int // size of the fleet, as the steward knows it
 	Deals    []Deal
 	Confirm  *Confirm
 }
 
-// Book is what is agreed on. The zero value deals with nothing.
+// Ledger is the replicated allocation of all ceilings. The zero value has no deals: all shares are equal.
 type Book struct {
-	Limiters int // 0: nothing was dealt yet
+	Limiters int // 0: no deal yet
 	Version  uint64
 	Accounts map[uint64]*Allocation
-	Unsure   []int // limiters of which is not known what they hold: until they tell, all use their floors
+	Unsure   []int // positions of limiters whose use is unknown; until all have confirmed their floors, all use floors
 }
 
-// Apply carries out a command. epoch is that of the steward's present term.
+// Apply applies a command. epoch is that of the steward's current term.
 func (l *Book) Apply(c Command, epoch uint64) error {
 	switch {
 	case c.Confirm != nil:
@@ -115,7 +117,7 @@
 	case c.Limiters < 1:
 		return errors.New("a deal needs the number of limiters")
 	case c.Limiters != l.Limiters && l.Limiters != 0:
-		l.BeginAnew(c.Limiters) // positions mean others now
+		l.BeginAnew(c.Limiters) // positions now mean different limiters
 		return nil
 	}
 	for _, d := range c.Deals {
@@ -131,7 +133,7 @@
 	return nil
 }
 
-// check tells what is wrong with a deal.
+// validate returns an error that says what is wrong with the deal.
 func (d Deal) validate(limiters int) error {
 	if d.Spread < 1 || d.Spread > limiters || d.First < 0 || d.First >= limiters || len(d.To) != d.Spread {
 		return fmt.Errorf("account %x: %d parts for %d limiters from %d on, of %d", d.Account, len(d.To), d.Spread, d.First, limiters)
@@ -149,6 +151,7 @@
 	return nil
 }
 
+// applyDeal sets the target shares of an account, if there is room for it.
 func (l *Book) applyDeal(d Deal) {
 	allocation := l.Accounts[d.Account]
 	switch {
@@ -161,14 +164,14 @@
 		allocation = &Allocation{First: d.First, Spread: d.Spread, Now: slices.Repeat(Shares{Equal}, d.Spread)}
 		l.Accounts[d.Account] = allocation
 	case allocation.First != d.First || allocation.Spread != d.Spread:
-		return // it came through other limiters when it was dealt first
+		return // the account's limiters have changed since its first deal
 	}
 	allocation.Next, allocation.Version = d.To, l.Version
 	l.grantFree(d.Account, allocation)
 }
 
-// raise gives what is free to those that are to hold more.
-// An account whose parts are equal again is as one that was never dealt.
+// grantFree gives free shares to the limiters below their targets. An account whose shares are all
+// equal again is dropped, as if it had never been dealt.
 func (l *Book) grantFree(account uint64, allocation *Allocation) {
 	free := uint32(allocation.Spread) * Equal
 	for _, share := range allocation.Now {
@@ -188,6 +191,7 @@
 	}
 }
 
+// applyConfirm frees what a limiter has confirmed to no longer use.
 func (l *Book) applyConfirm(c Confirm) error {
 	if c.Position < 0 || c.Position >= l.Limiters {
 		return fmt.Errorf("there is no limiter %d of %d", c.Position, l.Limiters)
@@ -196,7 +200,7 @@
 		if c.Floor {
 			l.Unsure = slices.DeleteFunc(l.Unsure, func(i int) bool { return i == c.Position })
 		}
-		return nil // all parts are equal again once all use their floors
+		return nil // shares become equal again once all limiters use their floors
 	}
 	for account, allocation := range l.Accounts {
 		if allocation.Next == nil || allocation.Version > c.Version {
@@ -210,14 +214,14 @@
 	return nil
 }
 
-// place is a limiter's place among those of an account.
+// indexOf returns a limiter's index among those of the account, and whether it is one of them.
 func (a *Allocation) indexOf(position, limiters int) (int, bool) {
 	index := ((position-a.First)%limiters + limiters) % limiters
 	return index, index < a.Spread
 }
 
-// BeginAnew forgets who holds what: of a fleet that was begun anew, what the lost majority
-// agreed on last is not known. All use their floors until each has confirmed that it does.
+// Reset forgets all allocations, as after a fleet reset: what the lost majority agreed on last is
+// unknown. All limiters use their floors until each has confirmed that it does.
 func (l *Book) BeginAnew(limiters int) {
 	version := l.Version + 1
 	*l = Book{Limiters: limiters, Version: version}
@@ -226,9 +230,9 @@
 	}
 }
 
-// Parts are what a limiter may use from now on, in equal parts: of the accounts that were
-// dealt, and of the rest.
-func (l *Book) Parts(position int) (byAccount map[uint64]float64, others float64) {
+// SharesOf returns what a limiter may use from now on, in units of an equal share: of each account
+// with a deal, and of the other accounts.
+func (l *Book) SharesOf(position int) (byAccount map[uint64]float64, others float64) {
 	if len(l.Unsure) > 0 {
 		return nil, float64(Floor) / Equal
 	}
@@ -245,7 +249,7 @@
 	return byAccount, 1
 }
 
-// Due is what a limiter that uses what Parts said has to confirm, if anything.
+// PendingConfirm returns what a limiter that uses SharesOf must confirm, if anything.
 func (l *Book) Due(position int) (Confirm, bool) {
 	if len(l.Unsure) > 0 {
 		return Confirm{Position: position, Version: l.Version, Floor: true}, slices.Contains(l.Unsure, position)
@@ -261,7 +265,7 @@
 	return Confirm{}, false
 }
 
-// Back are deals that make parts equal again, of the accounts that are meant.
+// EqualizingDeals returns deals that make shares equal again, for the accounts that include selects.
 func (l *Book) Back(include func(account uint64) bool) (deals []Deal) {
 	for id, allocation := range l.Accounts {
 		equal := slices.Repeat(Shares{Equal}, allocation.Spread)
@@ -272,7 +276,8 @@
 	return deals
 }
 
-// Moved are how many accounts have parts that are not equal, and of how many some are on their way.
+// CountUnequal returns how many accounts have unequal shares, and how many of them are still moving
+// to their targets.
 func (l *Book) Moved() (unequal, inTransit int) {
 	for _, allocation := range l.Accounts {
 		if allocation.Next != nil {
--- a/parts/model_test.go
+++ b/parts/model_test.go
@@ -13,14 +13,14 @@
 // model is a fleet whose limiters apply one log, each at its own time, and use what they know.
 type model struct {
 	log           []Command
-	epochs        []uint64 // of the steward when each entry was agreed on
+	epochs        []uint64 // the steward's epoch when each entry was agreed on
 	epoch         uint64
 	agreed        Book // after the whole log
 	nodes         []*node
-	pending       []Command // confirms under way
+	pending       []Command // confirmations in transit
 	accounts      int
-	confirmsEarly bool // broken on purpose: a limiter confirms before it uses less
-	usesStale     bool // broken on purpose: one that starts uses what an older state says
+	confirmsEarly bool // deliberate fault: a limiter confirms before it uses less
+	usesStale     bool // deliberate fault: a starting limiter uses the shares of an older state
 	maxUsedShare  float64
 	deals         int
 }
@@ -30,11 +30,11 @@
 	holder     *Holder
 	book       Book
 	applied    int
-	logAtStart int // how long the log was when it started: before it has all of that it uses its floors
+	logAtStart int // length of the log when it started; until it has applied all of that it uses its floors
 	up         bool
 	use        map[uint64]float64
 	others     float64
-	savedAt    int // what stands on its disk
+	savedAt    int // number of entries in the state on its disk
 }
 
 func newModel(limiters, accounts int) *model {
@@ -53,7 +53,7 @@
 	m.log, m.epochs = append(m.log, c), append(m.epochs, m.epoch)
 }
 
-// learn has a limiter apply the next entry, use what it says, and confirm.
+// applyNext has a limiter apply the next entry, use the shares it knows, and confirm.
 func (m *model) applyNext(i int) {
 	n := m.nodes[i]
 	if !n.up || n.applied == len(m.log) {
@@ -67,7 +67,7 @@
 	n.evaluate(m)
 }
 
-// look has a limiter use what it knows, and confirm.
+// evaluate has a limiter use the shares it knows, and confirm.
 func (n *node) evaluate(m *model) {
 	usable, confirm, ok := n.holder.Look(&n.book)
 	if !ok {
@@ -82,7 +82,7 @@
 	n.use, n.others = usable.Of, usable.Rest
 }
 
-// start has a limiter begin anew from its disk.
+// start restarts a limiter from its disk.
 func (m *model) start(i int) {
 	n := m.nodes[i]
 	*n = node{up: true, logAtStart: len(m.log), savedAt: n.savedAt, holder: NewHolder(i)}
@@ -97,12 +97,12 @@
 	n.evaluate(m)
 }
 
-// anew has the fleet begin anew from a survivor. The others learn of it in their own time:
-// what they know of the old log counts until they start again.
+// resetFrom resets the fleet from a survivor's state. The other limiters learn of it later: what they
+// know of the old log counts until they restart.
 func (m *model) resetFrom(survivor int) {
 	from := m.nodes[survivor].applied
 	m.log, m.epochs = m.log[:from:from], m.epochs[:from:from]
-	m.pending = nil // they went to those that are gone
+	m.pending = nil // they were sent to limiters that are gone
 	m.agreed = Book{}
 	for k := range m.log {
 		m.agreed.Apply(m.log[k], m.epochs[k])
@@ -111,7 +111,7 @@
 	m.epoch += 1 << 40
 }
 
-// check holds the sum of all that is used against the ceilings.
+// check compares the sum of all shares in use with the ceilings.
 func (m *model) check() error {
 	for id := range uint64(m.accounts) {
 		sum := 0.0
@@ -127,13 +127,13 @@
 		}
 		m.maxUsedShare = max(m.maxUsedShare, sum/float64(len(m.nodes)))
 		if sum > float64(len(m.nodes))*(1+1e-9) {
-			return fmt.Errorf("account %d: %.3f equal parts are used, of %d", id, sum, len(m.nodes))
+			return fmt.Errorf("account %d: %.3f equal shares are in use, of %d", id, sum, len(m.nodes))
 		}
 	}
 	return nil
 }
 
-// step draws one thing that happens.
+// step plays one random event.
 func (m *model) step(draw func(n int) int) error {
 	i := draw(len(m.nodes))
 	n := m.nodes[i]
@@ -143,7 +143,7 @@
 	case k < 12 && len(m.pending) > 0:
 		p := draw(len(m.pending))
 		c := m.pending[p]
-		if draw(4) > 0 { // else it comes again later
+		if draw(4) > 0 { // otherwise it arrives again later
 			m.pending = append(m.pending[:p], m.pending[p+1:]...)
 		}
 		m.agree(c)
@@ -168,7 +168,7 @@
 		}
 		epoch := m.epoch
 		if draw(4) == 0 && epoch > 1 {
-			epoch-- // a former steward's
+			epoch-- // from a former steward
 		}
 		m.agree(Command{Epoch: epoch, Limiters: len(m.nodes), Deals: deals})
 	case k < 16:
@@ -190,8 +190,8 @@
 	return standard
 }
 
-// Parts of up to five limiters under random deals, lost and doubled confirms, former stewards,
-// kills and starts from older states.
+// Shares never add up to more than the ceiling, with up to five limiters, random deals, lost and
+// duplicated confirmations, former stewards, crashes and restarts from older states.
 func TestPartsNeverComeToMore(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	deals, done := 0, 0
@@ -209,7 +209,7 @@
 	}
 }
 
-// The same with draws that rapid makes smaller when something breaks.
+// The same property with events drawn by rapid, which shrinks a failure.
 func TestPartsByRapid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(rapid.IntRange(2, 4).Draw(t, "limiters"), 1)
@@ -221,11 +221,11 @@
 	})
 }
 
-// Without the wait for what is used less, and without the floor after a start, it is found.
+// The model must find the fault when limiters confirm too early, or start without the floors.
 func TestBrokenPartsAreFound(t *testing.T) {
 	for name, breakIt := range map[string]func(*model){
-		"confirms before it uses less":  func(m *model) { m.confirmsEarly = true },
-		"uses what an older state says": func(m *model) { m.usesStale = true },
+		"confirms before it uses less":      func(m *model) { m.confirmsEarly = true },
+		"uses the shares of an older state": func(m *model) { m.usesStale = true },
 	} {
 		r := rand.New(rand.NewPCG(2, 2))
 		found := false
@@ -245,8 +245,8 @@
 	}
 }
 
-// A fleet that is begun anew may have dealt what the survivor does not know of: nothing is more
-// than a floor until all have told, and then all parts are equal again.
+// The lost majority of a reset fleet may have made deals that the survivor does not know of. No share
+// may exceed the floor until all limiters have confirmed; then all shares are equal again.
 func TestBeginAnewWaitsForAll(t *testing.T) {
 	m := newModel(3, 1)
 	deal := func(to ...uint32) { m.agree(Command{Epoch: m.epoch, Limiters: 3, Deals: []Deal{{0, 0, 3, to}}}) }
@@ -265,29 +265,29 @@
 		}
 	}
 	deal(100, 100, 2800)
-	old := *m.nodes[0] // the survivor knows the deal alone
+	old := *m.nodes[0] // the survivor knows only this deal
 	settle()
 	if got := m.nodes[2].use[0]; got != 2.8 {
-		t.Fatalf("the third holds %g", got)
+		t.Fatalf("the third uses %g", got)
 	}
 	m.nodes[0], m.nodes[1].up = &old, false
 	m.resetFrom(0)
 	m.nodes[0].book = m.agreed
-	m.nodes[0].use, m.nodes[0].others = m.agreed.Parts(0)
+	m.nodes[0].use, m.nodes[0].others = m.agreed.SharesOf(0)
 	if err := m.check(); err != nil {
 		t.Error(err)
 	}
 	for i := range 2 {
 		m.agree(Command{Confirm: &Confirm{Position: i, Floor: true}})
-		m.agree(Command{Confirm: &Confirm{Position: i, Version: 9}}) // not that it uses its floor
+		m.agree(Command{Confirm: &Confirm{Position: i, Version: 9}}) // does not say that it uses its floors
 	}
 	deal(2800, 100, 100)
-	if byAccount, others := m.agreed.Parts(0); len(byAccount) > 0 || others != 0.1 || len(m.agreed.Unsure) != 1 {
-		t.Errorf("before the third has told: %v, %g, unsure %v", byAccount, others, m.agreed.Unsure)
+	if byAccount, others := m.agreed.SharesOf(0); len(byAccount) > 0 || others != 0.1 || len(m.agreed.Unsure) != 1 {
+		t.Errorf("before the third has confirmed: %v, %g, unsure %v", byAccount, others, m.agreed.Unsure)
 	}
 	m.agree(Command{Confirm: &Confirm{Position: 2, Floor: true}})
-	if _, others := m.agreed.Parts(0); others != 1 {
-		t.Errorf("after all have told: %g", others)
+	if _, others := m.agreed.SharesOf(0); others != 1 {
+		t.Errorf("after all have confirmed: %g", others)
 	}
 }
 
--- a/parts/steward.go
+++ b/parts/steward.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// Each round what was asked for before counts this much: at a round a second some 10 s
-	// are remembered. Shorter and longer memories served less, and so did rounds of 5 s.
+	// Earlier demand is multiplied by this each round; with one round per second the memory lasts
+	// some 10 s. Shorter and longer memories served less, and so did rounds of 5 s.
 	demandDecay = 0.9
-	// A deal is not worth its place in the log if less of the ceiling moves.
+	// A deal that moves less of the ceiling is not worth its entry in the log.
 	minMovedShare    = 0.1
 	maxDealsPerRound = 250 // a round
-	// Parts of an account that was asked for nothing in so many rounds go back to equal ones, so
-	// that the book has room for others. A steward that has just begun has heard of none.
+	// Shares of an account without demand for this many rounds become equal again, which frees its
+	// place in the ledger. A new steward has seen no demand yet, so it must wait as well.
 	idleRounds = 60
-	// Where an equal part holds the account's largest request so often, parts stay equal.
+	// Shares stay equal if an equal share holds the account's largest request this many times.
 	ampleRequests = 2
-	// A part holds the account's largest request with this to spare.
+	// A share holds the account's largest request times this factor.
 	requestHeadroom = 1.05
 )
 
-// Report is what one limiter tells of one account with a ceiling.
+// Report is one limiter's report on an account with a ceiling.
 type Report struct {
 	Account       uint64
 	First, Spread int
-	Asked         float64 // units, since the limiter's process began
+	Asked         float64 // units requested since the limiter's process started
 	Largest       float64 // units of its largest request
 	Burst         float64 // of the ceiling
 }
@@ -37,26 +37,28 @@
 	accounts   map[uint64]*demand
 	lastReport map[int]lastReport
 	round      int
-	asked      map[uint64]int // the round in which an account was last asked for
+	asked      map[uint64]int // the round in which an account last had demand
 }
 
+// lastReport is the newest report of one process.
 type lastReport struct {
 	start uint64
 	asked map[uint64]float64
 }
 
+// demand is what is known of an account's requests.
 type demand struct {
 	Report
-	byIndex []float64 // units of late, by place
+	byIndex []float64 // recent units, by index
 }
 
-// NewSteward returns one of a fleet of so many limiters.
+// NewSteward returns the steward of a fleet with this many limiters.
 func NewSteward(limiters int) *Steward {
 	return &Steward{limiters: limiters, accounts: map[uint64]*demand{}, lastReport: map[int]lastReport{}, asked: map[uint64]int{}}
 }
 
-// Observe takes in what the limiter at a position tells. start is the number of its process:
-// what one that began meanwhile asked for before is not known.
+// Observe processes the reports of the limiter at a position. start identifies its process: the first
+// report of a new process sets the baseline, as its demand before is unknown.
 func (s *Steward) Observe(position int, start uint64, reports []Report) {
 	previous, current := s.lastReport[position], lastReport{start, map[uint64]float64{}}
 	for _, r := range reports {
@@ -84,7 +86,7 @@
 	s.lastReport[position] = current
 }
 
-// Next ends a round and returns the deals that are worth it, those that move most first.
+// Next ends a round. It returns the deals that move enough, largest moves first.
 func (s *Steward) Next(b *Book) []Deal {
 	type candidate struct {
 		Deal
@@ -101,7 +103,7 @@
 			if sum < 1e-3 {
 				delete(s.accounts, id)
 			}
-			continue // so little that it says nothing
+			continue // too little demand to judge
 		}
 		target := d.divide(sum)
 		moved := 0.0
@@ -144,12 +146,12 @@
 	return deals
 }
 
-// share divides an account's ceiling. In the order of what arrives at them, limiters get what
-// their largest request takes at once: with less a part passes nothing, and is lost to the
-// others. What is left goes by what arrives.
+// divide divides an account's ceiling. In the order of their demand, limiters first get enough for
+// the account's largest request: a smaller share would admit nothing and be lost to the others.
+// The rest is divided in proportion to demand.
 func (d *demand) divide(total float64) Shares {
 	if ampleRequests*d.Largest <= d.Burst/float64(d.Spread) {
-		return slices.Repeat(Shares{Equal}, d.Spread) // to move costs what is under way, and gains nothing
+		return slices.Repeat(Shares{Equal}, d.Spread) // moving shares costs what is in transit, and would gain nothing
 	}
 	target := slices.Repeat(Shares{Floor}, d.Spread)
 	free := float64((Equal - Floor) * d.Spread)
--- a/parts/steward_test.go
+++ b/parts/steward_test.go
@@ -9,8 +9,8 @@
 
 func contains(s, part string) bool { return strings.Contains(s, part) }
 
-// What an account asks for at two of four limiters is dealt to those, the busier one first,
-// each enough for the largest request; and is taken back when it moves on.
+// Shares move to the two of four limiters with demand, larger for the busier one and each enough for
+// the largest request. They move back when the demand moves on.
 func TestStewardFollowsDemand(t *testing.T) {
 	steward, b := NewSteward(4), &Book{}
 	asked := make([]float64, 4)
@@ -31,30 +31,30 @@
 		return deals
 	}
 	if deals := round(0, 0, 0, 0); len(deals) > 0 {
-		t.Errorf("before anything was asked for: %v", deals)
+		t.Errorf("deals before any demand: %v", deals)
 	}
 	round(40, 10, 0, 0)
-	shareOf := func(i int) float64 { all, _ := b.Parts(i); return all[1] }
+	shareOf := func(i int) float64 { all, _ := b.SharesOf(i); return all[1] }
 	if shareOf(0) < shareOf(1) || shareOf(1) < 1.05*4/12*4-0.01 || shareOf(2) != 0.1 || shareOf(3) != 0.1 {
-		t.Errorf("parts %g %g %g %g", shareOf(0), shareOf(1), shareOf(2), shareOf(3))
+		t.Errorf("shares %g %g %g %g", shareOf(0), shareOf(1), shareOf(2), shareOf(3))
 	}
 	if deals := round(40, 10, 0, 0); len(deals) > 0 {
-		t.Errorf("the same again moves %v", deals)
+		t.Errorf("unchanged demand moves %v", deals)
 	}
 	for range 40 {
 		round(0, 0, 0, 50)
 	}
 	if shareOf(3) < 2 || shareOf(3) < shareOf(0) {
-		t.Errorf("after it moved on: parts %g %g %g %g", shareOf(0), shareOf(1), shareOf(2), shareOf(3))
+		t.Errorf("after the demand moved: shares %g %g %g %g", shareOf(0), shareOf(1), shareOf(2), shareOf(3))
 	}
-	asked[3] = 0 // its process began anew
+	asked[3] = 0 // its process restarted
 	steward.Observe(3, 8, []Report{{Account: 1, First: 2, Spread: 4, Asked: 500, Largest: 4, Burst: 12}})
 	if d := steward.accounts[1]; d.byIndex[1] > 500 {
-		t.Errorf("what a new process tells first counts as %g", d.byIndex[1])
+		t.Errorf("the first report of a new process counts as %g", d.byIndex[1])
 	}
 }
 
-// Reports that make no sense are left out.
+// Invalid reports are ignored.
 func TestStewardIgnoresBadReports(t *testing.T) {
 	steward := NewSteward(3)
 	for _, r := range []Report{{1, 0, 4, 1, 1, 1}, {1, 3, 3, 1, 1, 1}, {1, -1, 3, 1, 1, 1}, {1, 0, 1, 1, 1, 1}, {1, 0, 3, -1, 1, 1}, {1, 0, 3, 1, 1, 0}} {
@@ -65,7 +65,7 @@
 	}
 }
 
-// Parts are written without their floors, and what can't be parts is refused.
+// Shares at the floor are not encoded, and invalid encodings are rejected.
 func TestShares(t *testing.T) {
 	for want, s := range map[string]Shares{"[4,1,2800]": {Floor, 2800, Floor, Floor}, "[2,0,1000,1,1000]": {Equal, Equal}, "[1]": {Floor}} {
 		b, err := json.Marshal(s)
@@ -77,13 +77,13 @@
 	for _, bad := range []string{"[2,0]", "[2,2,1000]", "[4000000000]", "7", "[-1]", `["x"]`} {
 		var s Shares
 		if json.Unmarshal([]byte(bad), &s) == nil {
-			t.Errorf("%s is taken for %v", bad, s)
+			t.Errorf("%s is accepted as %v", bad, s)
 		}
 	}
 }
 
-// An account that is asked for no more goes back to equal parts and leaves the book; a steward
-// that has just begun takes none back of which it has not heard yet.
+// An account without demand goes back to equal shares and leaves the ledger. A new steward must not
+// equalize accounts whose demand it has not seen yet.
 func TestIdleAccountsLeaveTheBook(t *testing.T) {
 	b := &Book{}
 	playRounds := func(s *Steward, n int, asked float64) {
@@ -103,15 +103,15 @@
 	playRounds(s, 1, 0)
 	playRounds(s, 1, 40)
 	if moved, _ := b.Moved(); moved != 1 {
-		t.Fatalf("%d accounts moved", moved)
+		t.Fatalf("%d accounts have unequal shares", moved)
 	}
 	next := NewSteward(4)
 	playRounds(next, idleRounds-1, 40)
 	if moved, _ := b.Moved(); moved != 1 {
-		t.Error("a steward that has just begun took it back")
+		t.Error("a new steward equalized the shares")
 	}
 	playRounds(next, 2*idleRounds, 40)
 	if moved, _ := b.Moved(); moved != 0 || len(b.Accounts) != 0 {
-		t.Errorf("it is still in the book: %+v", b.Accounts[1])
+		t.Errorf("the account is still in the ledger: %+v", b.Accounts[1])
 	}
 }
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -1,10 +1,9 @@
-// Package rollout takes limiters out of service one after the other, at most so many at
-// once, and waits for each to be back. It decides alone: what is agreed on goes in and out
-// as commands, what limiters say of themselves goes in, calls to them come out.
+// Package rollout takes limiters out of service one after the other, with a bound on how many are out at
+// once, and waits for each to return. It only decides: replicated state changes through commands, the
+// status of limiters is passed in, and the calls to make to them are returned.
 //
-// Each step is noted before it is carried out, so that a conductor that follows goes on
-// where the last one stood. A call names the process that it means: one that has been
-// started again is not taken out twice.
+// Each step is replicated before it is carried out, so that a new conductor continues where the last one
+// stopped. A call names the process that it is for: a limiter that has restarted is not taken out twice.
 package rollout
 
 import (
@@ -14,93 +13,93 @@
 	"time"
 )
 
-// Duty is the duty under which rollouts are carried out.
+// Duty is the name of the fleet-wide duty whose owner conducts rollouts.
 const Duty = "rollout"
 
-// Kind is what is done to each limiter.
+// Kind is what a rollout does to each limiter.
 type Kind string
 
 // Kinds of rollouts.
 const (
-	Drain   Kind = "drain"   // its clients are sent away, and it takes new ones again
-	Restart Kind = "restart" // and its process ends in between; a supervisor starts it again
+	Drain   Kind = "drain"   // the limiter sends its clients away, then accepts clients again
+	Restart Kind = "restart" // the same, and its process exits in between; a supervisor restarts it
 )
 
-// Phase is how far a limiter is.
+// Phase is a limiter's progress in a rollout.
 type Phase string
 
-// Phases, in their order.
+// Phases, in order.
 const (
-	Waiting   Phase = "waiting"
-	Leaving   Phase = "leaving"   // it is to send its clients away
-	Ending    Phase = "ending"    // its process is to end
-	Returning Phase = "returning" // it is to take clients again
-	Back      Phase = "back"
+	Waiting   Phase = "waiting"   // not taken out yet
+	Leaving   Phase = "leaving"   // it must drain: send its clients away
+	Ending    Phase = "ending"    // its process must exit
+	Returning Phase = "returning" // it must accept clients again
+	Back      Phase = "back"      // it is back in service
 )
 
-// State is how a rollout stands.
+// State is the state of a whole rollout.
 type State string
 
 // States of rollouts.
 const (
 	Running    State = "running"
-	Halted     State = "halted" // until an operator has it go on, or ends it
-	StateDone       State = "done"
+	Halted     State = "halted" // until an operator continues or ends it
+	StateDone  State = "done"
 	StateEnded State = "ended" // by an operator, before it was done
 )
 
-// Step is one limiter's part.
+// Step is the progress of one limiter.
 type Step struct {
 	Limiter string
 	Phase   Phase
-	Start   uint64 // of the process that is taken out
-	Epoch   uint64 // of the conductor that noted the phase
+	Start   uint64 // identifies the process that is taken out
+	Epoch   uint64 // of the conductor that recorded the phase
 }
 
-// Plan is a rollout.
+// Plan is a rollout and its progress.
 type Plan struct {
 	ID     string
 	Kind   Kind
 	AtOnce int
-	Fall   float64 // it halts when the share of requests served falls by more
-	Before float64 // that share before it began; 0: not measured yet
+	Fall   float64 // the rollout halts when the share of served requests falls by more than this
+	Before float64 // the share of served requests before the rollout; 0: not measured yet
 	Steps  []Step
 	State  State
 	Why    string
 }
 
-// Op is what a command asks for.
+// Op is the type of a command.
 type Op string
 
-// The ops of commands.
+// Types of commands.
 const (
 	Begin         Op = "begin"
-	OpAdvance     Op = "note"    // a limiter goes from one phase to the next
-	OpSetBaseline Op = "service" // the service before
+	OpAdvance     Op = "note"    // a limiter advances from one phase to the next
+	OpSetBaseline Op = "service" // the share of served requests before the rollout
 	Halt          Op = "halt"
 	GoOn          Op = "continue"
 	End           Op = "end"
 )
 
-// Command is a change to the book. Those of conductors carry their epoch.
+// Command is a change to the replicated history. A conductor's command carries its epoch.
 type Command struct {
 	Op       Op
 	ID       string
-	Plan     *Plan // Begin
+	Plan     *Plan // for OpBegin
 	Limiter  string
 	From, To Phase
 	Start    uint64
 	Before   float64
 	Why      string
-	Epoch    uint64 // 0: an operator's
+	Epoch    uint64 // 0: from an operator
 }
 
-// Book is what is agreed on of rollouts: one at a time, and the last ones. The zero value is empty.
+// History is the replicated state: the current rollout, if any, and the last ones. The zero value is empty.
 type Book struct{ Plans []*Plan } // oldest first
 
 const maxPlans = 16
 
-// Current is the rollout that is not over, or nil.
+// Current returns the rollout that is running or halted, or nil.
 func (b *Book) Current() *Plan {
 	if n := len(b.Plans); n > 0 && (b.Plans[n-1].State == Running || b.Plans[n-1].State == Halted) {
 		return b.Plans[n-1]
@@ -108,8 +107,8 @@
 	return nil
 }
 
-// Apply carries out a command. epoch is that of the duty's present term: a conductor's
-// command under another one is refused.
+// Apply applies a command. currentEpoch is that of the duty's current term: a conductor's command under
+// another epoch is rejected.
 func (b *Book) Apply(c Command, currentEpoch uint64) error {
 	p := b.Current()
 	if c.Op == Begin {
@@ -168,7 +167,7 @@
 	return nil
 }
 
-// check tells what is wrong with a plan that is to begin.
+// validate returns an error that says what is wrong with a plan that is to begin.
 func (p *Plan) validate() error {
 	switch {
 	case p == nil || p.ID == "":
@@ -190,7 +189,7 @@
 	return nil
 }
 
-// out is how many limiters are out of service.
+// outOfService returns how many limiters are out of service.
 func (p *Plan) outOfService() (n int) {
 	for _, s := range p.Steps {
 		if s.Phase != Waiting && s.Phase != Back {
@@ -200,65 +199,65 @@
 	return n
 }
 
-// Seen is what a limiter says of itself.
+// LimiterStatus is what a limiter reports about itself.
 type Seen struct {
 	Reached  bool
-	Ready    bool // it takes clients
+	Ready    bool // it accepts clients
 	Draining bool
 	Start    uint64
-	InHand   int // requests taken and not ended
+	InHand   int // requests accepted and not finished
 }
 
-// Verb is what a limiter is called for.
+// Verb is the operation that a call requests.
 type Verb string
 
-// The calls.
+// Verbs of calls.
 const (
 	CallDrain  Verb = "drain"
 	CallResume Verb = "resume"
 	CallLeave  Verb = "leave"
 )
 
-// Call is one to make, under the conductor's token.
+// Call is a call to make to a limiter, under the conductor's token.
 type Call struct {
 	Verb    Verb
 	Limiter string
-	Start   uint64 // the process that is meant
+	Start   uint64 // identifies the process that the call is for
 }
 
 const (
-	// A limiter that sends its clients away has emptyFor until it counts as empty with
-	// requests still in hand: none may take longer.
+	// A draining limiter counts as empty after drainTimeout even with requests in flight, as no request
+	// may take longer.
 	drainTimeout = 10 * time.Second
-	// A rollout halts when a phase takes longer, or a limiter whose turn it is can't be
-	// reached for so long.
+	// A rollout halts when a phase takes longer than phaseTimeout, or a limiter that is next in turn
+	// can't be reached for so long.
 	phaseTimeout = time.Minute
-	// Service has to lie too low in so many looks in a row.
+	// A rollout halts when the share of served requests is too low in this many observations in a row.
 	maxLowObservations = 3
 )
 
 // Conductor carries out rollouts while it owns the duty. It is not safe for concurrent use.
 type Conductor struct {
 	self     string
-	since    map[string]time.Duration // by limiter and phase: when this conductor first saw it so
+	since    map[string]time.Duration // by limiter and phase: when this conductor first observed it
 	lowCount int
 }
 
-// NewConductor returns one, on a limiter.
+// NewConductor returns the conductor on the limiter named self.
 func NewConductor(self string) *Conductor {
 	return &Conductor{self: self, since: map[string]time.Duration{}}
 }
 
-// Look is what a conductor sees at one time.
+// Observation is what a conductor sees at one time.
 type Look struct {
 	Now    time.Duration
 	Epoch  uint64
 	Seen   map[string]Seen
-	Served float64 // share of the requests that were served of late, by all limiters; below 0: not known
+	Served float64 // share of requests recently served, over all limiters; negative: unknown
 }
 
-// Next returns what is to be noted and which calls are to be made. resign: this limiter is
-// next to be taken out, and another one has to do that.
+// Next returns the commands to propose and the calls to make. resign is true if this limiter is the next
+// to be taken out, which another conductor has to do.
 func (c *Conductor) Next(plan *Plan, observed Look) (notes []Command, calls []Call, resign bool) {
 	if plan == nil || plan.State != Running {
 		clear(c.since)
@@ -270,7 +269,7 @@
 	}
 	if plan.Before == 0 {
 		if observed.Served < 0 {
-			return nil, nil, false // the limiters are asked first
+			return nil, nil, false // the limiters' status is needed first
 		}
 		return []Command{{Op: OpSetBaseline, ID: plan.ID, Epoch: observed.Epoch, Before: max(observed.Served, 1e-9)}}, nil, false
 	}
@@ -300,10 +299,10 @@
 		if took := observed.Now - entered; took > phaseTimeout {
 			return halt(fmt.Sprintf("%s has been %s for %v", step.Limiter, step.Phase, took.Round(time.Second))), nil, false
 		}
-		restarted := status.Reached && status.Start != step.Start // its process has ended, by whatever
+		restarted := status.Reached && status.Start != step.Start // the process has ended, for whatever reason
 		switch step.Phase {
 		case Waiting:
-			outOfService++ // also one that can't be reached: it is out
+			outOfService++ // also if it can't be reached: it is out of service
 			switch {
 			case !status.Reached || !status.Ready || !c.othersReady(plan, observed):
 			case step.Limiter == c.self:
@@ -339,8 +338,8 @@
 	return notes, calls, false
 }
 
-// othersReady tells whether all limiters that are not out take clients: with one that is
-// down for another reason, none more is taken out.
+// othersReady reports whether all limiters that the rollout has not taken out accept clients. If one is
+// down for another reason, no more are taken out.
 func (c *Conductor) othersReady(plan *Plan, observed Look) bool {
 	for name, status := range observed.Seen {
 		i := slices.IndexFunc(plan.Steps, func(s Step) bool { return s.Limiter == name })
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// site is a fleet that obeys calls: what it did is the judge.
+// fleet simulates limiters that carry out calls, and counts the effects.
 type fleet struct {
 	t            testing.TB
 	random       *rand.Rand
@@ -17,11 +17,11 @@
 	epoch        uint64
 	limiters     []string
 	statuses     map[string]*Seen
-	restartAt    map[string]time.Duration // when a process that has ended is up again
-	exits        map[string]int           // processes ended by calls
-	maxOut       int                      // limiters out at once
+	restartAt    map[string]time.Duration // when the limiter is up again after its process has ended
+	exits        map[string]int           // number of processes ended by calls
+	maxOut       int                      // most limiters out of service at once
 	servedShare  float64
-	ignoresStart bool // a broken build: a call is obeyed whichever process it means
+	ignoresStart bool // deliberate fault: calls are carried out whichever process they are for
 }
 
 func newFleet(t testing.TB, seed uint64, n int, kind Kind, atOnce int) *fleet {
@@ -47,7 +47,7 @@
 	return l
 }
 
-// obey has a limiter carry out a call.
+// carryOut has a limiter carry out a call.
 func (s *fleet) carryOut(c Call) {
 	x := s.statuses[c.Limiter]
 	if !x.Reached || x.Start != c.Start && !s.ignoresStart {
@@ -84,9 +84,9 @@
 	s.maxOut = max(s.maxOut, out)
 }
 
-// play has conductors carry the rollout out; each is gone, or stopped and late, after a few steps.
+// run has conductors carry out the rollout; each is lost, or paused and late, after a few steps.
 func (s *fleet) run(limit time.Duration) {
-	var late []Call // of conductors that were stopped before their call
+	var late []Call // from conductors that were paused before their call
 	for s.history.Current() != nil && s.now < limit {
 		s.epoch++
 		me := s.limiters[s.random.IntN(len(s.limiters))]
@@ -99,7 +99,7 @@
 			for _, n := range notes {
 				s.history.Apply(n, s.epoch)
 				if s.random.IntN(10) == 0 {
-					break // it dies between two notes
+					break // the conductor dies between two commands
 				}
 			}
 			for _, call := range calls {
@@ -110,7 +110,7 @@
 				s.carryOut(call)
 			}
 			if s.ignoresStart && len(late) > 0 && s.random.IntN(4) == 0 {
-				s.carryOut(late[0]) // without the token's check
+				s.carryOut(late[0]) // as if the token was not checked
 				late = late[1:]
 			}
 			s.advance(200 * time.Millisecond)
@@ -118,7 +118,7 @@
 	}
 }
 
-// Whatever happens to conductors, each limiter is taken out once and never more at once than wanted.
+// Whatever happens to conductors, each limiter is taken out once, and never too many at once.
 func TestEachLimiterOnce(t *testing.T) {
 	for seed := range uint64(300) {
 		kind, n := Restart, 3+int(seed%5)
@@ -131,18 +131,18 @@
 			t.Fatalf("seed %d: %s, %s: %+v", seed, p.State, p.Why, p.Steps)
 		}
 		if s.maxOut > 1+int(seed%2) {
-			t.Fatalf("seed %d: %d limiters were out at once", seed, s.maxOut)
+			t.Fatalf("seed %d: %d limiters were out of service at once", seed, s.maxOut)
 		}
 		for _, name := range s.limiters {
 			if want := map[Kind]int{Restart: 1}[kind]; s.exits[name] != want {
-				t.Fatalf("seed %d: %s was ended %d times", seed, name, s.exits[name])
+				t.Fatalf("seed %d: %s was restarted %d times", seed, name, s.exits[name])
 			}
 		}
 	}
 }
 
-// Limiters that obey late calls, and those that mean a process before them, are ended
-// twice: the test above would find it.
+// Limiters that carry out late calls, or calls for a previous process, are restarted twice: the test
+// above must be able to find that.
 func TestCallsForAnotherProcessDoHarm(t *testing.T) {
 	for seed := range uint64(300) {
 		s := newFleet(t, seed, 4, Restart, 1)
@@ -154,7 +154,7 @@
 			}
 		}
 	}
-	t.Error("nothing was ended twice although calls were obeyed late")
+	t.Error("no limiter was restarted twice although late calls were carried out")
 }
 
 func TestHalts(t *testing.T) {
@@ -189,15 +189,15 @@
 	}
 	s.servedShare = 0.8
 	if p := runUntil(s, c, time.Minute); p.State != Halted || !strings.Contains(p.Why, "service fell from 1.000 to 0.800") {
-		t.Errorf("with less service: %s, %q", p.State, p.Why)
+		t.Errorf("with a lower share of served requests: %s, %q", p.State, p.Why)
 	}
 	if err := s.history.Apply(Command{Op: GoOn, ID: "r1"}, s.epoch); err != nil {
 		t.Fatal(err)
 	}
 	if p := runUntil(s, c, 10*time.Minute); p.State != Running || p.Steps[2].Phase != Back || p.Steps[3].Phase != Waiting {
-		t.Errorf("gone on with, to the conductor itself: %s, %s, %+v", p.State, p.Why, p.Steps)
+		t.Errorf("continued up to the conductor's own limiter: %s, %s, %+v", p.State, p.Why, p.Steps)
 	}
-	// A limiter that does not come back.
+	// A limiter that does not return.
 	s = newFleet(t, 2, 3, Restart, 1)
 	c = NewConductor("n2")
 	for s.exits["n0"] == 0 && s.now < time.Minute {
@@ -205,10 +205,10 @@
 	}
 	delete(s.restartAt, "n0")
 	if p := runUntil(s, c, 10*time.Minute); p.State != Halted || !strings.Contains(p.Why, "n0 has been ending") {
-		t.Errorf("with a limiter that is gone: %s, %q", p.State, p.Why)
+		t.Errorf("with a limiter that does not return: %s, %q", p.State, p.Why)
 	}
 	if s.exits["n1"] > 0 {
-		t.Error("the next one was taken out while the first had not come back")
+		t.Error("the next limiter was taken out before the first had returned")
 	}
 }
 
@@ -218,24 +218,24 @@
 		{ID: "x", Kind: Drain, AtOnce: 1, Steps: steps}, {ID: "x", Kind: Drain, AtOnce: 1, Fall: 0.1}, {ID: "x", Kind: Drain, AtOnce: 1, Fall: 0.1, Steps: append(steps, steps[0])}} {
 		var b Book
 		if b.Apply(Command{Op: Begin, Plan: p}, 0) == nil {
-			t.Errorf("%+v is taken", p)
+			t.Errorf("%+v is accepted", p)
 		}
 	}
 	var b Book
 	if b.Apply(Command{Op: Halt}, 0) == nil {
-		t.Error("a rollout that is not there was halted")
+		t.Error("a rollout that does not exist was halted")
 	}
 	b.Apply(Command{Op: Begin, Plan: &Plan{ID: "x", Kind: Drain, AtOnce: 1, Fall: 0.1, Steps: steps}}, 0)
 	for _, c := range []Command{{Op: Begin, Plan: &Plan{ID: "y", Kind: Drain, AtOnce: 1, Fall: 0.1, Steps: steps}}, {Op: OpAdvance, Limiter: "a", From: Waiting, To: Leaving, Epoch: 4},
 		{Op: OpAdvance, Limiter: "a", From: Waiting, To: Leaving}, {Op: OpAdvance, Limiter: "a", From: Leaving, To: Back, Epoch: 5}, {Op: Halt, ID: "y"}, {Op: "jump"}} {
 		if b.Apply(c, 5) == nil {
-			t.Errorf("%+v is taken", c)
+			t.Errorf("%+v is accepted", c)
 		}
 	}
 	if err := b.Apply(Command{Op: OpAdvance, Limiter: "a", From: Waiting, To: Leaving, Epoch: 5}, 5); err != nil {
 		t.Error(err)
 	}
 	if b.Apply(Command{Op: OpAdvance, Limiter: "b", From: Waiting, To: Leaving, Epoch: 5}, 5) == nil {
-		t.Error("two are out where one may be")
+		t.Error("two limiters are out of service where one may be")
 	}
 }
--- a/tenure/candidate.go
+++ b/tenure/candidate.go
@@ -8,9 +8,9 @@
 	"example.org/madderdrum/peering"
 )
 
-// Candidate is one process's part in the duties: which it owns and until when, and when it
-// may take one. Times are of the process's own monotonic clock, which must go on while the
-// machine is suspended. It is not safe for concurrent use.
+// Candidate is one process's view of the duties: which it owns and until when, and when it may take
+// one. Times are of the process's own monotonic clock, which must keep running while the machine is
+// suspended. It is not safe for concurrent use.
 type Candidate struct {
 	self       Process
 	settings   Settings
@@ -18,23 +18,23 @@
 	lastSerial uint64
 }
 
-// seat is what a candidate knows of one duty.
+// dutyState is what a candidate knows of one duty.
 type dutyState struct {
 	duty         string
-	stagger      time.Duration // after a term is over, before it asks
-	term         Term          // as agreed, as far as it has come here
-	changedAt    time.Duration // when this term came here as it is: it was not made longer after that
+	stagger      time.Duration // extra delay before it takes a duty after a term is over
+	term         Term          // the replicated term, as far as this process has seen it
+	changedAt    time.Duration // when this process saw the term change last; it was not renewed after that
 	known        bool
-	proposedAt   map[uint64]time.Duration // by serial: when it was asked for, before it was sent
-	nextProposal time.Duration            // not before
-	termEnd      time.Duration            // of its own term
-	resigning    bool                     // it has stopped and resigns
-	gaveUp       bool                     // it gave the present epoch up: others go first
-	abstainUntil time.Duration            // it does not ask before, unless an operator wants it to
+	proposedAt   map[uint64]time.Duration // by serial: the time before the proposal was sent
+	nextProposal time.Duration            // no proposal before this time
+	termEnd      time.Duration            // end of its own term
+	resigning    bool                     // it has stopped and will resign
+	gaveUp       bool                     // it gave up the current epoch: other candidates go first
+	abstainUntil time.Duration            // it does not take the duty before, unless an operator requests it
 }
 
-// NewCandidate returns the part of one process, a candidate for some duties among so many
-// limiters by name. Nothing is known of terms yet: it takes none before it has seen them.
+// NewCandidate returns a candidate for the given duties, of a process among the named limiters. It
+// takes no duty before it has observed the replicated terms.
 func NewCandidate(self Process, settings Settings, duties, limiters []string) *Candidate {
 	c := &Candidate{self: self, settings: settings}
 	for _, d := range duties {
@@ -44,8 +44,8 @@
 	return c
 }
 
-// rank is a limiter's place in the order in which they ask for a duty, so that duties have
-// different first candidates, and one that is gone costs a step alone.
+// rank returns a limiter's place in the order in which candidates take a duty. The order differs by
+// duty, so that each has another first candidate, and a candidate that is gone costs one step only.
 func rank(duty, limiter string, limiters []string) int {
 	if i := slices.Index(peering.Order(duty, limiters), limiter); i >= 0 {
 		return i
@@ -53,7 +53,7 @@
 	return len(limiters)
 }
 
-// Observe takes in what is agreed, as it has come to this process just now.
+// Observe processes the replicated state as this process has just received it.
 func (c *Candidate) Observe(now time.Duration, registry *Registry) {
 	for _, s := range c.duties {
 		agreedTerm := Term{Duty: s.duty}
@@ -87,8 +87,8 @@
 	}
 }
 
-// Owns tells whether this process may carry out a duty now, and under which token. It has
-// to be asked last before each effect: after a pause the answer is another one.
+// Owns reports whether this process may carry out a duty now, and under which token. It must be the
+// last check before each effect, as the answer may change during any pause.
 func (c *Candidate) Owns(now time.Duration, duty string) (Token, bool) {
 	s := c.dutyState(duty)
 	if s == nil || !s.own(c) || s.resigning || now >= s.termEnd-c.settings.Guard {
@@ -97,6 +97,7 @@
 	return Token{duty, s.term.Epoch}, true
 }
 
+// own reports whether the duty's term belongs to this process.
 func (s *dutyState) own(c *Candidate) bool { return s.known && s.term.Owner == c.self }
 
 func (c *Candidate) dutyState(duty string) *dutyState {
@@ -106,8 +107,8 @@
 	return nil
 }
 
-// Resign stops this process's part in a duty, or in all if it is empty, and gives it up with
-// the next Step.
+// Resign stops this process's ownership of a duty, or of all duties if duty is empty. The next Step
+// proposes to give it up.
 func (c *Candidate) Resign(duty string) {
 	for _, s := range c.duties {
 		if (duty == "" || s.duty == duty) && s.own(c) {
@@ -116,15 +117,15 @@
 	}
 }
 
-// Abstain has this process not ask for a duty before then, as it could not carry it out. A term
-// that it owns goes on; an operator's wish goes before.
+// Abstain keeps this process from taking a duty before until, as it could not carry it out. A term that
+// it owns continues, and a request of an operator takes precedence.
 func (c *Candidate) Abstain(duty string, until time.Duration) {
 	if s := c.dutyState(duty); s != nil {
 		s.abstainUntil = until
 	}
 }
 
-// Step returns what is to be proposed now. Proposals may be lost: it asks again.
+// Step returns the commands to propose now. Proposals may be lost: it repeats them.
 func (c *Candidate) Step(now time.Duration) (commands []Command) {
 	for _, s := range c.duties {
 		if !s.known || now < s.nextProposal {
@@ -138,8 +139,8 @@
 		case s.own(c) && now < s.termEnd:
 			command.Kind = Renew
 		case s.own(c):
-			// Its own term ran out before a renewal was agreed: it may ask for the duty as any
-			// other may, under another epoch.
+			// Its own term expired before a renewal was agreed on: it may take the duty like any other
+			// candidate, under a new epoch.
 			fallthrough
 		default:
 			if now < s.earliestTake(c.settings, c.self.Limiter) {
@@ -148,7 +149,7 @@
 			command.Kind, command.Serial = Take, s.term.Serial
 		}
 		if command.Kind != Resign {
-			maps.DeleteFunc(s.proposedAt, func(_ uint64, at time.Duration) bool { return now >= at+c.settings.Term }) // too old to begin a term
+			maps.DeleteFunc(s.proposedAt, func(_ uint64, at time.Duration) bool { return now >= at+c.settings.Term }) // too old to start a term
 			c.lastSerial++
 			command.Mine = c.lastSerial
 			s.proposedAt[command.Mine] = now
@@ -159,13 +160,13 @@
 	return commands
 }
 
-// due is when a duty may be taken.
+// earliestTake returns when this process may take a duty.
 func (s *dutyState) earliestTake(settings Settings, self string) time.Duration {
 	earliest := s.changedAt + s.stagger
 	if s.term.Owned() {
 		earliest += settings.takeoverWait()
 	}
-	if s.gaveUp || s.term.Next != "" && s.term.Next != self { // for as long it is left to the others, or to whom an operator wants
+	if s.gaveUp || s.term.Next != "" && s.term.Next != self { // leave it to the others, or to the limiter that an operator requested
 		earliest += settings.Term
 	}
 	if s.term.Next == self {
@@ -174,7 +175,7 @@
 	return max(earliest, s.abstainUntil)
 }
 
-// Until is when this process's term of a duty ends; 0: it owns none.
+// TermEnd returns when this process's term of a duty ends; 0: it owns none.
 func (c *Candidate) Until(duty string) time.Duration {
 	if s := c.dutyState(duty); s != nil && s.own(c) {
 		return s.termEnd
@@ -182,7 +183,7 @@
 	return 0
 }
 
-// Wake is when Step has something to do next, if nothing comes before.
+// NextWake returns when Step next has something to do if nothing happens before.
 func (c *Candidate) Wake(now time.Duration) time.Duration {
 	wake := now + c.settings.Term
 	for _, s := range c.duties {
--- a/tenure/fence.go
+++ b/tenure/fence.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// Fence is what a receiver of effects remembers: the highest epoch of each duty. It is to
-// be kept over the receiver's own restarts: [Fence.Admit] says when it has changed. It is
-// not safe for concurrent use.
+// Fence remembers the highest epoch of each duty for a receiver of effects. It must survive restarts of
+// the receiver: [Fence.Admit] reports when there is a change to persist. It is not safe for concurrent
+// use.
 type Fence struct{ highestEpochs map[string]uint64 }
 
-// NewFence returns a fence that goes on from what one before it remembered; nil: from nothing.
+// NewFence returns a fence that continues from persisted epochs; nil: there are none.
 func NewFence(highestEpochs map[string]uint64) *Fence {
 	f := &Fence{highestEpochs: map[string]uint64{}}
 	for duty, epoch := range highestEpochs {
@@ -16,8 +16,8 @@
 	return f
 }
 
-// Admit tells whether an effect may be carried out. raised: its epoch is new here and must
-// be on the disk before the effect.
+// Admit returns an error if an effect must not be carried out. If raised is true, the epoch is new here
+// and must be persisted before the effect.
 func (f *Fence) Admit(t Token) (raised bool, err error) {
 	switch highest := f.highestEpochs[t.Duty]; {
 	case t.Epoch == 0 || t.Duty == "":
@@ -33,5 +33,5 @@
 	return true, nil
 }
 
-// Highest is the highest epoch seen of a duty; 0: none.
+// HighestEpoch returns the highest epoch seen of a duty; 0: none.
 func (f *Fence) HighestEpoch(duty string) uint64 { return f.highestEpochs[duty] }
--- a/tenure/model_test.go
+++ b/tenure/model_test.go
@@ -11,18 +11,18 @@
 	"pgregory.net/rapid"
 )
 
-// model is a fleet of candidates with clocks of their own, a log that all apply in one
-// order but at their own times, and receivers. It knows the true time, which none of them does.
+// model is a fleet of candidates with their own clocks, a log that all apply in the same order but at
+// their own times, and receivers. It knows the true time, which none of them does.
 type model struct {
 	cfg          Settings
-	unfenced     bool // a build broken on purpose: receivers take whatever comes
+	unfenced     bool // deliberate fault: receivers accept any token
 	now          time.Duration
 	log          []Command
 	processes    []*process
 	receivers    []*receiver
 	limiterNames []string
-	overlaps     int // two owners at one true time
-	staleEffects int // an effect of a former owner after one of a later one
+	overlaps     int // two owners at the same true time
+	staleEffects int // effects of a former owner after one of a later owner
 	effects      int
 }
 
@@ -31,13 +31,13 @@
 	*Candidate
 	reg       Registry
 	applied   int
-	clockRate float64 // of its clock
+	clockRate float64 // speed of its clock
 	startedAt time.Duration
 	stopped   bool  // by SIGSTOP: its clock goes on
-	checked   Token // it has checked, and its effect is still to come
+	checked   Token // token of its last check, whose effect is still to come
 }
 
-// receiver carries out effects: truth is the highest epoch of which one was carried out.
+// receiver carries out effects. highestDone is the highest epoch of an effect that was carried out.
 type receiver struct {
 	fence       *Fence
 	disk        map[string]uint64
@@ -59,7 +59,7 @@
 	return m
 }
 
-// start begins another process of a limiter; the one before it is gone.
+// start starts a new process of a limiter, in place of the previous one.
 func (m *model) start(i int, clockRate float64, id uint64) {
 	me := Process{m.limiterNames[i], id}
 	m.processes[i] = &process{Candidate: NewCandidate(me, m.cfg, []string{"d"}, m.limiterNames), clockRate: clockRate, startedAt: m.now}
@@ -69,7 +69,7 @@
 	return time.Second + time.Duration(float64(m.now-p.startedAt)*p.clockRate)
 }
 
-// apply has a process see n more entries of the log.
+// apply has a process apply n more entries of the log.
 func (m *model) apply(p *process, n int) {
 	for ; n > 0 && p.applied < len(m.log); n-- {
 		p.reg.Apply(m.log[p.applied])
@@ -78,7 +78,7 @@
 	p.Observe(m.clock(p), &p.reg)
 }
 
-// propose has a process ask; what it asks for comes into the log, or is lost.
+// propose has a process propose its commands; they reach the log unless they are lost.
 func (m *model) propose(p *process, lost bool) {
 	for _, c := range p.Step(m.clock(p)) {
 		if !lost {
@@ -87,14 +87,14 @@
 	}
 }
 
-// check is the owner's last look before an effect, which follows at any later time.
+// checkOwnership is the owner's last check before an effect, which may follow at any later time.
 func (m *model) checkOwnership(p *process) {
 	if t, ok := p.Owns(m.clock(p), "d"); ok {
 		p.checked = t
 	}
 }
 
-// effect carries out what the process checked for, at a receiver.
+// carryOut carries out the effect that the process checked for, at a receiver.
 func (m *model) carryOut(p *process, r *receiver) {
 	t := p.checked
 	if t.Epoch == 0 {
@@ -104,7 +104,7 @@
 	if raised, err := r.fence.Admit(t); err != nil && !m.unfenced {
 		return
 	} else if raised {
-		r.disk[t.Duty] = t.Epoch // on the disk before the effect
+		r.disk[t.Duty] = t.Epoch // persisted before the effect
 	}
 	m.effects++
 	if t.Epoch < r.highestDone[t.Duty] {
@@ -113,7 +113,7 @@
 	r.highestDone[t.Duty] = max(t.Epoch, r.highestDone[t.Duty])
 }
 
-// look counts owners by true time, stopped ones as well: they believe in it when they go on.
+// countOwners counts owners by true time, including stopped ones: they continue as owners when resumed.
 func (m *model) countOwners() {
 	owners := 0
 	for _, p := range m.processes {
@@ -158,14 +158,14 @@
 		}
 	case x < 75:
 		m.log = append(m.log, Command{Kind: Transfer, Duty: "d", To: m.limiterNames[r.IntN(len(m.limiterNames))]})
-	case x < 77: // a receiver starts again, with what was on its disk
+	case x < 77: // a receiver restarts with what it persisted
 		v := m.receivers[r.IntN(len(m.receivers))]
 		v.fence = NewFence(v.disk)
 	case x < 80:
 		p.stopped = false
 	default:
 		m.now += time.Duration(r.IntN(int(20 * time.Millisecond)))
-		if r.IntN(200) == 0 { // all stand still, as on a busy machine
+		if r.IntN(200) == 0 { // the whole machine stalls
 			m.now += time.Duration(r.IntN(int(time.Second)))
 		}
 	}
@@ -183,7 +183,7 @@
 	return m
 }
 
-// steps is how many steps random tests play in all: TENURE_STEPS, or enough for CI.
+// stepBudget is the number of steps that random tests play in all: TENURE_STEPS, or enough for CI.
 func stepBudget() int {
 	if n, err := strconv.Atoi(os.Getenv("TENURE_STEPS")); err == nil {
 		return n
@@ -191,8 +191,8 @@
 	return 2_000_000
 }
 
-// One owner at a time by true time, and no effect of a former owner after one of a later
-// one, whatever is lost, late, stopped or started again.
+// There is one owner at a time by true time, and no effect of a former owner follows one of a later
+// owner, whatever is lost, late, stopped or restarted.
 func TestOneOwnerUnderRandomEvents(t *testing.T) {
 	const stepsPerFleet = 4000
 	played, effects := 0, 0
@@ -211,7 +211,7 @@
 	t.Logf("%d steps, %d effects", played, effects)
 }
 
-// found plays fleets of a build that is broken on purpose until it shows.
+// findFailure plays fleets with a deliberate fault until the fault shows.
 func findFailure(cfg Settings, unfenced bool, failed func(*model) bool) (seed uint64, ok bool) {
 	for seed := range uint64(300) {
 		if failed(run(seed, 4000, cfg, unfenced)) {
@@ -221,27 +221,27 @@
 	return 0, false
 }
 
-// Without the wait after a term was seen, two own a duty at once: the model finds it.
+// Without the wait after observing a term, two limiters own a duty at once: the model must find it.
 func TestModelFindsAMissingWait(t *testing.T) {
 	cfg := modelSettings
 	cfg.Drift = -1 // no wait at all
 	if _, ok := findFailure(cfg, false, func(m *model) bool { return m.overlaps > 0 }); !ok {
 		t.Error("no two owners were found without the wait")
 	}
-	cfg.Drift = -0.05 // as if clocks did not drift apart, while they do by 5%, and a little less
+	cfg.Drift = -0.05 // a wait slightly too short for clocks that drift by 5%
 	if _, ok := findFailure(cfg, false, func(m *model) bool { return m.overlaps > 0 }); !ok {
 		t.Error("no two owners were found with a wait that is shorter than the drift asks for")
 	}
 }
 
-// Without the receivers' check an owner that wakes up late does harm: the model finds it.
+// Without the receivers' token check, a paused owner that resumes does harm: the model must find it.
 func TestModelFindsAMissingTokenCheck(t *testing.T) {
 	if _, ok := findFailure(modelSettings, true, func(m *model) bool { return m.staleEffects > 0 }); !ok {
 		t.Error("no stale effect was found without the token check")
 	}
 }
 
-// A receiver that forgets over its restart lets a former owner in: the model finds it.
+// A receiver that loses its epochs in a restart admits a former owner: the model must find it.
 func TestModelFindsAForgetfulReceiver(t *testing.T) {
 	_, ok := findFailure(modelSettings, false, func(m *model) bool { return m.staleEffects > 0 })
 	if ok {
@@ -261,8 +261,8 @@
 	t.Error("no stale effect was found with a receiver that forgets")
 }
 
-// After an owner is gone another one has the duty within its term, the wait for drift and
-// the stagger; while nothing fails nobody else gets it.
+// After an owner is gone, another limiter owns the duty within the term, the wait for clock drift and
+// the stagger. Without a failure the owner does not change.
 func TestSuccession(t *testing.T) {
 	for _, n := range []int{3, 12, 30} {
 		m := newModel(DefaultSettings(), n, 1, func(i int) float64 { return 1 + 0.005*float64(i%3) })
@@ -292,9 +292,9 @@
 		if first < 0 {
 			t.Fatalf("%d limiters: nobody owns the duty after 500 ms", n)
 		}
-		for range 12 * 60 * 60 / n { // an hour and more of three, with no fault
+		for range 12 * 60 * 60 / n { // more than an hour with three limiters, without a fault
 			if got := tick(all); got != first {
-				t.Fatalf("%d limiters: %d owns it in place of %d, with no fault", n, got, first)
+				t.Fatalf("%d limiters: %d owns it in place of %d without a fault", n, got, first)
 			}
 		}
 		gone, deadline := m.now, DefaultSettings().takeoverWait()+DefaultSettings().Stagger+20*time.Millisecond
--- a/tenure/refused_test.go
+++ b/tenure/refused_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// An owner that is cut off from what is agreed carries nothing out under its epoch once another owner has used a
-// higher one, so that a receiver never has to refuse it a second time: its own term is over before the other's begins.
-// An effect that it sent before may still arrive behind that, and is refused once.
+// An owner that is cut off from the replicated state carries nothing out under its epoch once another owner has used a
+// higher one: its own term ends before the next one begins, so that a receiver never rejects it twice. An effect that
+// it sent earlier may still arrive after that, and is rejected once.
 func TestCutOffOwnerDoesNotGoOnUnderItsEpoch(t *testing.T) {
 	cfg := DefaultSettings()
 	const duty = "rollout"
@@ -23,7 +23,7 @@
 		}
 		var inTransit []effect
 		admitted := map[string]int{}
-		var lastSent, refusedAt time.Duration // by the one that is cut off
+		var lastSent, refusedAt time.Duration // by the owner that is cut off
 		act := func(c *Candidate, now, arrives time.Duration) {
 			if token, owns := c.Owns(now, duty); owns {
 				inTransit = append(inTransit, effect{token, now, arrives})
@@ -56,13 +56,13 @@
 			inTransit = pending
 		}
 		if len(admitted) < 2 {
-			t.Errorf("%s: the other one never owned the duty: %v", name, admitted)
+			t.Errorf("%s: the other limiter never owned the duty: %v", name, admitted)
 		}
 		if late == 0 && refusedAt > 0 {
-			t.Errorf("%s: an effect under the epoch before is carried out at %v", name, lastSent)
+			t.Errorf("%s: an effect under the previous epoch was attempted at %v", name, lastSent)
 		}
 		if lastSent > cut+cfg.Term {
-			t.Errorf("%s: an effect under the epoch before was sent %v after the last renewal", name, lastSent-cut)
+			t.Errorf("%s: an effect under the previous epoch was sent %v after the last renewal", name, lastSent-cut)
 		}
 	}
 }
--- a/tenure/registry.go
+++ b/tenure/registry.go
@@ -7,71 +7,71 @@
 	"slices"
 )
 
-// Kind is what a command asks for.
+// Kind is the type of a command.
 type Kind string
 
-// The kinds of commands.
+// Kinds of commands.
 const (
-	Take     Kind = "take"     // a candidate begins a term
-	Renew    Kind = "renew"    // its owner makes it longer
-	Resign   Kind = "resign"   // its owner has stopped and gives it up
-	Transfer Kind = "transfer" // an operator wants another owner
+	Take     Kind = "take"     // a candidate starts a term
+	Renew    Kind = "renew"    // the owner extends its term
+	Resign   Kind = "resign"   // the owner has stopped and gives the duty up
+	Transfer Kind = "transfer" // an operator requests another owner
 )
 
-// Command is a change that a limiter proposes. It takes effect when it is applied, in the
-// same order everywhere; one that no longer fits is refused there.
+// Command is a change that a limiter proposes. It takes effect when it is applied, in the same order
+// on all limiters. A command that no longer matches the current term is rejected then.
 type Command struct {
 	Kind   Kind
 	By     Process
 	Duty   string
-	Epoch  uint64 // of the term that it is about: as the proposer saw it
-	Serial uint64 // Take: of that term as the proposer saw it
-	Mine   uint64 // Take, Renew: the proposer's number for this command; rises
-	To     string // Transfer: the limiter
-	AtMs   int64  // wall clock in Unix ms, for operators alone
+	Epoch  uint64 // of the term that the command refers to, as the proposer saw it
+	Serial uint64 // Take: serial of that term, as the proposer saw it
+	Mine   uint64 // Take, Renew: the proposer's own number of this command, rising
+	To     string // Transfer: name of the limiter
+	AtMs   int64  // wall clock in Unix ms, shown to operators only
 }
 
-// Term is a duty's present term, or its last one.
+// Term is the current or the last term of a duty.
 type Term struct {
 	Duty   string
-	Epoch  uint64  // the fencing token; 0: nobody has owned it yet
-	Owner  Process // the limiter is empty: nobody, it may be taken at once
-	Serial uint64  // the owner's number of the command that last made it longer
-	Next   string  // whom an operator wants to have it
-	Takes  int     // terms begun
+	Epoch  uint64  // the fencing token; 0: the duty never had an owner
+	Owner  Process // empty limiter: no owner, the duty may be taken at once
+	Serial uint64  // the owner's number of the command that last extended the term
+	Next   string  // the limiter that an operator wants as owner
+	Takes  int     // number of terms so far
 }
 
-// Owned tells whether somebody owns it, as far as is agreed.
+// Owned reports whether the duty has an owner according to the replicated state.
 func (t *Term) Owned() bool { return t.Owner.Limiter != "" }
 
-// Change is an entry of the history.
+// Change is an entry in the history of terms.
 type Change struct {
 	Duty  string
 	Epoch uint64
 	Kind  Kind
 	Owner string
-	AtMs  int64 // wall clock of the one who proposed it
+	AtMs  int64 // wall clock of the proposer
 }
 
-// mostHistory bounds the changes that are remembered, mostDuties the duties.
+// maxHistory bounds the changes that are kept, maxDuties the number of duties.
 const (
 	maxHistory = 256
 	maxDuties  = 4096
 )
 
-// generationShift: an epoch has the fleet's generation above it, so that a fleet that was
-// begun anew without its majority has higher epochs than any that may have been given.
+// generationShift is the bit at which an epoch carries the fleet's generation. A fleet that was reset
+// without its majority thus has higher epochs than any that may have been given before.
 const generationShift = 40
 
-// Registry is what all limiters agree on of terms. The zero value is empty. It is not safe
-// for concurrent use.
+// Registry is the replicated state of all terms. The zero value is empty. It is not safe for concurrent
+// use.
 type Registry struct {
-	Generation uint64 // how often the fleet was begun anew
+	Generation uint64 // how often the fleet was reset
 	Terms      map[string]*Term
 	History    []Change // oldest first
 }
 
-// Apply carries out a command. An error says why it has no effect: another one came first.
+// Apply applies a command. The error says why it has no effect: another command came first.
 func (r *Registry) Apply(c Command) error {
 	term := r.Terms[c.Duty]
 	if term == nil {
@@ -95,7 +95,7 @@
 		r.Terms[c.Duty] = term
 		term.Epoch, term.Owner, term.Serial = max(term.Epoch, r.Generation<<generationShift)+1, c.By, c.Mine
 		term.Takes++
-		term.Next = "" // it has it, or had its time
+		term.Next = "" // the transfer is done, or was too late
 	case !owned:
 		return fmt.Errorf("%s %s: epoch %d of %s is over", c.Kind, c.Duty, c.Epoch, c.By.Limiter)
 	case c.Kind == Renew:
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// Current is the epoch of a duty's present or last term; 0: there was none.
+// CurrentEpoch returns the epoch of a duty's current or last term; 0: there was none.
 func (r *Registry) Current(duty string) uint64 {
 	if t := r.Terms[duty]; t != nil {
 		return t.Epoch
@@ -121,13 +121,13 @@
 	return 0
 }
 
-// Sorted are the terms by duty.
+// SortedTerms returns the terms sorted by duty.
 func (r *Registry) Sorted() []*Term {
 	return slices.SortedFunc(maps.Values(r.Terms), func(a, b *Term) int { return cmp.Compare(a.Duty, b.Duty) })
 }
 
-// BeginAnew voids all tokens that were ever given: the fleet goes on without the majority
-// that knew them. Terms have no owner, and the next epochs are above all before.
+// Reset voids all tokens that were ever given, when the fleet goes on without the majority that knew
+// them. All terms lose their owners, and the next epochs are higher than all earlier ones.
 func (r *Registry) BeginAnew(generation uint64) {
 	r.Generation = max(r.Generation+1, generation)
 	for _, t := range r.Terms {
--- a/tenure/tenure.go
+++ b/tenure/tenure.go
@@ -1,11 +1,11 @@
-// Package tenure decides who owns the duties that limiters carry out on behalf of their
-// whole fleet: one owner of each at a time, under terms that end by themselves, with a
-// fencing token that receivers check. It has no input or output, no goroutines and no
-// clock: events go in with the time, commands come out.
+// Package tenure decides which limiter owns each duty, a role that one limiter carries out on behalf
+// of the whole fleet. A duty has at most one owner at a time, under a lease (a term) that expires by
+// itself, with a fencing token that receivers check. The package has no I/O, no goroutines and no
+// clock: events and the time are passed in, and commands are returned.
 //
-// [Registry] is the state that all limiters agree on; it holds no times, as no two
-// limiters share a clock. [Candidate] is one limiter's own view of it: when it may take a
-// duty, renews its term, and has to stop. [Fence] is what a receiver remembers.
+// [Registry] is the replicated state. It holds no times, as limiters share no clock. [Candidate]
+// is one limiter's view of it: when it may take a duty, when it must renew its term and when it
+// must stop. [Fence] is what a receiver remembers to reject former owners.
 package tenure
 
 import (
@@ -15,17 +15,17 @@
 	"time"
 )
 
-// Token says under which term an effect is carried out. Epochs of a duty only rise, so
-// that a receiver which has seen a higher one knows an effect of a former owner.
+// Token is a fencing token: the term under which an effect is carried out. The epochs of a duty only
+// rise, so that a receiver which has seen a higher one recognizes an effect of a former owner.
 type Token struct {
 	Duty  string
 	Epoch uint64
 }
 
-// String is the token as calls carry it, such as rollout/12.
+// String returns the token as calls carry it, such as rollout/12.
 func (t Token) String() string { return t.Duty + "/" + strconv.FormatUint(t.Epoch, 10) }
 
-// ParseToken reads what [Token.String] writes.
+// ParseToken parses the format of [Token.String].
 func ParseToken(s string) (Token, error) {
 	slash := strings.LastIndexByte(s, '/')
 	if slash <= 0 {
@@ -38,34 +38,33 @@
 	return Token{s[:slash], epoch}, nil
 }
 
-// Process is one run of a limiter's program: a limiter that starts again under its name is
-// another process, and does not own what the one before it did.
+// Process is one run of a limiter: a limiter that restarts under its name is a different process, and
+// does not own what the previous one owned.
 type Process struct {
 	Limiter string
-	Start   uint64 // drawn at random when it starts
+	Start   uint64 // drawn at random at start
 }
 
-// Settings are those of terms; all limiters of a fleet must have the same.
+// Settings are the timing of terms. They must be the same on all limiters of a fleet.
 type Settings struct {
-	// Term is how long a term lasts after it was taken or renewed, counted by its owner
-	// from before it asked.
+	// Term is the duration of a term after it was taken or renewed. The owner counts it from before it
+	// sent the proposal.
 	Term time.Duration
-	// Drift is how much faster or slower one limiter's clock may run than another's, as a
-	// share. A candidate waits by so much longer than the term.
+	// Drift is the largest relative difference in speed between two limiters' clocks. A candidate
+	// waits longer than the term by this share.
 	Drift float64
-	// Guard is how long before its term's end an owner stops.
+	// Guard is how long before the end of its term an owner stops.
 	Guard time.Duration
-	// Stagger is the time between the first and the last candidate of a duty that nobody owns.
+	// Stagger is the time between the first and the last candidate's attempt to take a free duty.
 	Stagger time.Duration
 }
 
-// DefaultSettings hold where the configuration names none: an owner that dies is followed
-// within 2 s.
+// DefaultSettings apply where the configuration sets none: an owner that dies is replaced within 2 s.
 func DefaultSettings() Settings {
 	return Settings{Term: 1600 * time.Millisecond, Drift: 0.01, Guard: 80 * time.Millisecond, Stagger: 200 * time.Millisecond}
 }
 
-// Check returns an error that names the setting that makes no sense.
+// Check returns an error that names the first invalid setting.
 func (s Settings) Check() error {
 	switch {
 	case s.Term < 100*time.Millisecond:
@@ -78,10 +77,10 @@
 	return nil
 }
 
-// wait is how long a candidate leaves a term alone that it sees as renewed just now.
+// takeoverWait is how long a candidate must leave a term alone after it saw it taken or renewed.
 func (s Settings) takeoverWait() time.Duration {
 	return s.Term + time.Duration(float64(s.Term)*s.Drift)
 }
 
-// renewEvery is how often an owner renews: three renewals in a row may be lost.
+// renewInterval is the time between renewals. It allows for three lost renewals in a row.
 func (s Settings) renewInterval() time.Duration { return s.Term / 4 }
--- a/tenure/tenure_test.go
+++ b/tenure/tenure_test.go
@@ -14,7 +14,7 @@
 	}
 	for _, bad := range []string{"", "rollout", "/1", "rollout/", "rollout/0", "rollout/x", "rollout/-1", "rollout/99999999999999999999"} {
 		if got, err := ParseToken(bad); err == nil {
-			t.Errorf("%q is taken for %v", bad, got)
+			t.Errorf("%q is accepted as %v", bad, got)
 		}
 	}
 }
@@ -34,7 +34,7 @@
 	}
 }
 
-// A fleet that is begun anew voids all tokens: also those that its majority gave meanwhile.
+// Resetting a fleet voids all tokens, including those that its lost majority gave meanwhile.
 func TestBeginAnewVoidsTokens(t *testing.T) {
 	a, b := Process{"a", 1}, Process{"b", 2}
 	var lost, reset Registry
@@ -51,23 +51,23 @@
 		return r.Current("d")
 	}
 	take(&reset, a)
-	for range 1000 { // what the survivor never heard of
+	for range 1000 { // terms that the survivor never saw
 		take(&lost, a)
 	}
 	reset.BeginAnew(0)
 	if reset.Terms["d"].Owned() {
-		t.Error("a term goes on although the fleet was begun anew")
+		t.Error("a term continues although the fleet was reset")
 	}
 	if e := take(&reset, b); e <= lost.Current("d") {
-		t.Errorf("epoch %d after beginning anew, %d before", e, lost.Current("d"))
+		t.Errorf("epoch %d after the reset, %d before", e, lost.Current("d"))
 	}
 	if err := reset.Apply(Command{Kind: Renew, By: a, Duty: "d", Epoch: 1, Mine: 2}); err == nil {
-		t.Error("a term of before was renewed")
+		t.Error("a term from before the reset was renewed")
 	}
 }
 
-// An operator's wish is carried out: the owner stops before it gives the duty up, and the
-// one that is wanted takes it before the others.
+// An operator's transfer takes effect: the owner stops before it gives the duty up, and the requested
+// limiter takes it before the others.
 func TestTransfer(t *testing.T) {
 	m := newModel(DefaultSettings(), 5, 1, func(int) float64 { return 1 })
 	owner := func() int {
@@ -97,10 +97,10 @@
 			tick()
 		}
 		if got := owner(); got != to {
-			t.Fatalf("%d owns the duty, %d was wanted", got, to)
+			t.Fatalf("%d owns the duty, %d was requested", got, to)
 		}
 	}
-	// What an owner gives up goes to another one, also if it would be the first to ask.
+	// A duty that its owner gives up goes to another limiter, even if the owner would be first in order.
 	for range 5 {
 		was := owner()
 		m.processes[was].Resign("d")
@@ -111,7 +111,7 @@
 			t.Fatalf("%d owns the duty that %d gave up", got, was)
 		}
 	}
-	// Those that can't carry it out don't ask, however often it is given up; an operator may still want them to.
+	// Limiters that abstain don't take the duty, however often it is given up; an operator may still request them.
 	for _, able := range []int{3, 1} {
 		for i, p := range m.processes {
 			p.Abstain("d", 0)
@@ -120,11 +120,11 @@
 			}
 		}
 		m.processes[owner()].Resign("d")
-		for range 800 { // one that gave it up itself asks later
+		for range 800 { // the limiter that gave it up waits longer
 			tick()
 		}
 		if got := owner(); got != able {
-			t.Fatalf("%d owns the duty, %d alone can", got, able)
+			t.Fatalf("%d owns the duty, only %d can", got, able)
 		}
 	}
 	m.log = append(m.log, Command{Kind: Transfer, Duty: "d", To: m.limiterNames[0]})
@@ -132,19 +132,19 @@
 		tick()
 	}
 	if got := owner(); got != 0 {
-		t.Fatalf("%d owns the duty, an operator wanted 0", got)
+		t.Fatalf("%d owns the duty, an operator requested 0", got)
 	}
 	for _, p := range m.processes {
 		p.Abstain("d", 0)
 	}
-	// One that is gone is waited for no longer than a term.
+	// The fleet waits no longer than a term for a limiter that is gone.
 	gone := owner()
 	m.log = append(m.log, Command{Kind: Transfer, Duty: "d", To: "n9"})
 	for range 600 {
 		tick()
 	}
 	if got := owner(); got < 0 {
-		t.Errorf("nobody has the duty that %d gave up for one that does not exist", gone)
+		t.Errorf("nobody owns the duty that %d gave up for a limiter that does not exist", gone)
 	}
 	if m.overlaps > 0 {
 		t.Errorf("two owners %d times", m.overlaps)
@@ -154,7 +154,7 @@
 func TestBadSettings(t *testing.T) {
 	for _, s := range []Settings{{}, {Term: time.Second, Drift: -1}, {Term: time.Second, Guard: time.Second}} {
 		if s.Check() == nil {
-			t.Errorf("%+v is taken", s)
+			t.Errorf("%+v is accepted", s)
 		}
 	}
 	if err := DefaultSettings().Check(); err != nil {
@@ -165,7 +165,7 @@
 // world is one state of the exhaustive search: two candidates, one duty, time in quarters of a term.
 type world struct{ *model }
 
-// key tells states apart by what can still matter.
+// key encodes what can still matter of a state: equal keys mean equal states.
 func (w world) key() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%v|", w.now)
@@ -204,8 +204,8 @@
 	return world{m}
 }
 
-// search plays every order of asking, losing, hearing and of time going by, of two
-// candidates, to a depth, and returns the states and whether two owned the duty in one.
+// search plays every order of proposals, losses, deliveries and passing time of two candidates to a
+// depth. It returns the number of states, and whether both owned the duty in one.
 func search(cfg Settings, depth int) (states int, overlap bool) {
 	m := newModel(cfg, 2, 0, func(int) float64 { return 1 })
 	layer, seen := []world{{m}}, map[string]bool{}
@@ -243,7 +243,7 @@
 	return len(seen), false
 }
 
-// Every order of events of two candidates keeps to one owner; without the wait one that does not is found.
+// No order of events of two candidates leads to two owners; without the wait the search must find one.
 func TestOneOwnerExhaustively(t *testing.T) {
 	cfg := Settings{Term: 4 * time.Millisecond}
 	depth := 10
--- a/watch/part.go
+++ b/watch/part.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// How long agents may hold calls for their lists.
+// How long agents may hold a poll open until their list changes.
 const (
 	PollHoldAlone = 20 * time.Second
-	// What the one that looks does not hear all of its room miss: it has to find out soon.
+	// An agent that the leader does not reach is missed by its whole room, so it must notice soon.
 	PollHoldLeader = 3 * time.Second
 )
 
-// Note is what one that looks for a room and one of the others say to each other.
+// Note is a message between the leader of a room and a follower.
 type Note struct {
-	// Of the one that looks:
+	// From the leader:
 	Words []BoxVerdict `json:",omitempty"`
 	List  *List        `json:",omitempty"`
-	Lost  []string     `json:",omitempty"` // pools whose agents it does not hear
-	// Of the others:
-	Ask     uint64      `json:",omitempty"` // a box that is held as ill; 0: none
+	Lost  []string     `json:",omitempty"` // pools whose agents don't answer the leader
+	// From a follower:
+	Ask     uint64      `json:",omitempty"` // a box that the follower considers unhealthy; 0: none
 	Checked *BoxVerdict `json:",omitempty"`
-	Hears   string      `json:",omitempty"` // the pool whose agent it follows itself
-	Want    string      `json:",omitempty"` // the pool whose whole list it needs
+	Hears   string      `json:",omitempty"` // the pool whose agent the follower polls itself
+	Want    string      `json:",omitempty"` // the pool whose full list the follower needs
 }
 
-// List is what an agent has told of a pool: all hosts, or those that have changed, in its form.
+// List is what an agent sent about a pool, in its format: all hosts, or those that have changed.
 type List struct {
 	Pool  string
 	Seq   int64
@@ -35,22 +35,22 @@
 	Hosts json.RawMessage
 }
 
-// Kind is what an act is.
+// Kind is the type of an action.
 type Kind int
 
-// Kinds of acts.
+// Kinds of actions.
 const (
-	Look      Kind = iota // at a box, and tell its end by Looked
-	Believe               // a word about a box: Is
-	Follow                // an agent, by calls held so long; 0: another limiter tells what it says
-	Take                  // a list
-	Say                   // a note to the one that looks
-	Tell                  // a note to another one; to all that this one looks for if To is empty
-	TellWhole             // the whole list of a pool to another one
-	Resign                // others can do it, this limiter can't: it is not to ask for it before Hold is over
+	Look      Kind = iota // probe a box, and report the end to FinishProbe
+	Believe               // apply the verdict Is about a box
+	Follow                // poll an agent, with polls held open for Hold; 0: the leader sends the list
+	Take                  // apply a list
+	Say                   // send a note to the leader
+	Tell                  // send a note to a follower; to all followers if To is empty
+	TellWhole             // send the full list of a pool to a follower
+	Resign                // give up the duty, as others are fit for it, and don't ask for it again for Hold
 )
 
-// Act is something to be done.
+// Action is something that the caller must do.
 type Action struct {
 	Kind Kind
 	To   string
@@ -62,30 +62,29 @@
 	List *List
 }
 
-// Figures are how a limiter's looks have gone.
+// Figures count what happened in probing.
 type Figures struct {
-	Asked   int64 // of another one, to look at a box
-	Told    int64 // words that were believed
-	Itself  int64 // looks of its own
-	Differs int64 // words that its own attempts did not confirm
+	Asked   int64 // questions about boxes sent to the leader
+	Told    int64 // verdicts that were applied
+	Itself  int64 // own probes
+	Differs int64 // verdicts that own attempts did not confirm
 }
 
-// Part is one limiter's part in the looks of its room, whether it is the one that looks or
-// another. What happens goes in; what is to be done comes out of Acts. It is not safe for
-// concurrent use.
+// Watcher is one limiter's part in the probing and polling of its room, as leader or as follower. Events
+// are passed in, and TakeActions returns what to do. It is not safe for concurrent use.
 type Part struct {
 	cfg         Settings
 	follower    *Follower
-	leader      *Leader // nil: another one looks, or nobody
+	leader      *Leader // nil: another limiter leads, or none does
 	feeds       map[string]*Feed
-	pollHolds   map[string]time.Duration // as Follow has said
+	pollHolds   map[string]time.Duration // by pool, as the last PollAgent said
 	heartbeatAt time.Duration
 	actions     []Action
 	figures     Figures
 }
 
-// NewPart returns the part of a limiter that has heard nobody yet, with the pools whose lists
-// agents tell.
+// NewWatcher returns the watcher of a limiter that has not heard from a leader yet. pools are those whose
+// lists come from discovery agents.
 func NewPart(cfg Settings, pools []string) *Part {
 	w := &Part{cfg: cfg, follower: NewFollower(cfg), feeds: map[string]*Feed{}, pollHolds: map[string]time.Duration{}}
 	for _, pool := range pools {
@@ -94,7 +93,7 @@
 	return w
 }
 
-// Acts are to be done now, in their order.
+// TakeActions returns what to do now, in order, and clears it.
 func (w *Part) Acts() []Action {
 	pending := w.actions
 	w.actions = nil
@@ -103,10 +102,10 @@
 
 func (w *Part) add(action Action) { w.actions = append(w.actions, action) }
 
-// Figures returns them.
+// Figures returns the counts.
 func (w *Part) Figures() Figures { return w.figures }
 
-// Follows are the pools whose agents this limiter follows itself.
+// PolledPools returns the pools whose agents this limiter polls itself.
 func (w *Part) Follows() (pools []string) {
 	for pool, hold := range w.pollHolds {
 		if hold > 0 {
@@ -117,13 +116,13 @@
 	return pools
 }
 
-// Leads tells whether this limiter looks for its room.
+// IsLeader reports whether this limiter leads its room.
 func (w *Part) Leads() bool { return w.leader != nil }
 
-// Alone tells whether nobody is heard that looks for this limiter.
+// WithoutLeader reports whether this limiter does not lead and hears from no leader.
 func (w *Part) Alone(now time.Duration) bool { return w.leader == nil && w.follower.Silent(now) }
 
-// Lead begins a term of this limiter's own, or ends it.
+// SetLeader starts or ends this limiter's own term as leader.
 func (w *Part) Lead(isLeader bool) {
 	w.leader = nil
 	if isLeader {
@@ -134,7 +133,7 @@
 	}
 }
 
-// Tick does what the time asks for. It is to come some ten times a second.
+// Tick does what is due. It should be called about ten times a second.
 func (w *Part) Tick(now time.Duration) {
 	silent := w.follower.Silent(now)
 	for _, pool := range slices.Sorted(maps.Keys(w.feeds)) {
@@ -169,7 +168,7 @@
 	}
 }
 
-// Want is a box that is held as ill here.
+// HandleUnhealthy processes that this limiter considers a box unhealthy.
 func (w *Part) Want(now time.Duration, box uint64) {
 	if w.leader != nil {
 		w.deliver(w.leader.Ask(now, "", box))
@@ -185,7 +184,7 @@
 	}
 }
 
-// Looked is the end of a look of this limiter's own; empty: it could not be made.
+// FinishProbe processes the end of this limiter's own probe; an empty result: it could not be made.
 func (w *Part) Looked(now time.Duration, box uint64, result Verdict) {
 	w.figures.Itself++
 	if w.leader != nil {
@@ -196,14 +195,14 @@
 	}
 }
 
-// Failed is an attempt of this limiter's own that has failed at a box.
+// AttemptFailed processes a failed attempt of this limiter at a box.
 func (w *Part) Failed(now time.Duration, box uint64) {
 	if w.follower.Failed(now, box) {
 		w.figures.Differs++
 	}
 }
 
-// Listed is what an agent has told this limiter itself.
+// HandleAgentList processes a list that an agent sent to this limiter.
 func (w *Part) Listed(l List) {
 	feed := w.feeds[l.Pool]
 	if feed == nil {
@@ -218,14 +217,14 @@
 	w.add(Action{Kind: Tell, Note: Note{List: &l}})
 }
 
-// Lost is an agent that does not answer this limiter.
+// Lost processes that the agent of a pool does not answer this limiter.
 func (w *Part) Lost(now time.Duration, pool string) {
 	if w.leader != nil && w.leader.Lost(now, pool) {
 		w.add(Action{Kind: Tell, Note: Note{Lost: w.leader.LostPools()}})
 	}
 }
 
-// say tells words to whom they are for. This limiter has seen itself what the others are told.
+// deliver sends verdicts to those they are for. The leader knows its own probe's result already.
 func (w *Part) deliver(verdicts []BoxVerdict) {
 	for _, v := range verdicts {
 		if v.To != "" {
@@ -236,7 +235,7 @@
 	}
 }
 
-// Join is another limiter that this one is to look for; false: it does not look.
+// AddFollower processes that a follower has connected; false: this limiter does not lead.
 func (w *Part) Join(limiter string) bool {
 	if w.leader == nil {
 		return false
@@ -248,21 +247,21 @@
 	return true
 }
 
-// whole tells a limiter the whole list of a pool, if this one hears its agent.
+// sendFullList sends a limiter the full list of a pool, if this limiter reaches its agent.
 func (w *Part) sendFullList(limiter, pool string) {
 	if w.feeds[pool] != nil && !slices.Contains(w.leader.LostPools(), pool) {
 		w.add(Action{Kind: TellWhole, To: limiter, Pool: pool})
 	}
 }
 
-// Leave is a limiter that this one does not look for any more.
+// RemoveFollower processes that a follower has disconnected.
 func (w *Part) Leave(limiter string) {
 	if w.leader != nil {
 		w.leader.Leave(limiter)
 	}
 }
 
-// From is a note of a limiter that this one looks for.
+// HandleFollowerNote processes a note of a follower.
 func (w *Part) From(now time.Duration, limiter string, note Note) {
 	if w.leader == nil {
 		return
@@ -281,10 +280,10 @@
 	}
 }
 
-// Heard is a note of the one that looks.
+// LeaderHeard processes a note of the leader.
 func (w *Part) Heard(now time.Duration, note Note) {
 	if w.leader != nil {
-		return // of one before
+		return // from a previous leader
 	}
 	w.follower.Heard(now)
 	for _, v := range note.Words {
@@ -311,14 +310,14 @@
 	}
 }
 
-// Itself has this limiter follow the agent of a pool itself: what it was told is of no use.
+// FollowAgentDirectly makes this limiter poll the agent of a pool itself, as the leader's list is of no use.
 func (w *Part) Itself(pool string) {
 	if f := w.feeds[pool]; f != nil {
 		f.FollowAgent()
 	}
 }
 
-// Cut is a connection to the one that looks that has ended.
+// LeaderDisconnected processes that the connection to the leader has ended.
 func (w *Part) Cut() {
 	w.follower.Cut()
 	for _, f := range w.feeds {
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -1,10 +1,11 @@
-// Package watch decides how the limiters of a room share their looks at ill boxes and at
-// discovery: one of them, the owner of the room's duty, looks, and tells the others. They
-// check its word against their own attempts, and go on alone while it is silent. The package
-// has no input or output, no goroutines and no clock: what happens goes in with the time.
+// Package watch decides how the limiters of a room (failure zone) share the probing of unhealthy boxes
+// and the polling of discovery agents. One limiter, the owner of the room's duty, leads: it probes and
+// polls, and sends the results to the others. The followers check its verdicts against their own
+// attempts, and probe and poll themselves while the leader is silent. The package has no I/O, no
+// goroutines and no clock: events are passed in with the time.
 //
-// [Desk] is the part of the one that looks, [Post] that of the others, for boxes; [Feed] is
-// what a limiter knows of one discovery agent's list.
+// [Leader] and [Follower] are the two roles in probing boxes, [Feed] is what a limiter knows of one
+// discovery agent's list, and [Watcher] combines them for one limiter.
 package watch
 
 import (
@@ -16,82 +17,83 @@
 
 const dutyPrefix = "watch/"
 
-// Duty is the name of a room's duty.
+// Duty returns the name of a room's duty.
 func Duty(room string) string { return dutyPrefix + room }
 
-// Room is the room of such a duty; false: it is another duty.
+// Room returns the room of such a duty; false if the name is that of another duty.
 func Room(duty string) (string, bool) { return strings.CutPrefix(duty, dutyPrefix) }
 
-// Settings are those of looks.
+// Settings are the timing of probes and polls.
 type Settings struct {
-	ProbeInterval time.Duration // least pause between two looks of the desk at a box
-	CheckInterval time.Duration // and between two checks of its word that a box is ill
-	Patience      time.Duration // without a word on an ask for so long, the asker looks itself
-	Silence       time.Duration // without any word for so long, lists are followed alone
-	Apart         time.Duration // for so long each looks for itself at a box of which they differ
-	Unfit         time.Duration // one that does not hear what others hear does not ask for the duty so long
+	ProbeInterval time.Duration // least interval between two probes of the leader at one box
+	CheckInterval time.Duration // least interval between two checks of a verdict that a box is unhealthy
+	Patience      time.Duration // a follower without an answer for so long probes itself
+	Silence       time.Duration // after so long without any note of the leader, followers poll agents themselves
+	Apart         time.Duration // how long all probe a box themselves after they disagreed about it
+	Unfit         time.Duration // how long a limiter that misses an agent which others reach does not ask for the duty
 }
 
-// DefaultSettings are those for terms of so long.
+// DefaultSettings returns the settings that suit a duty with this term.
 func DefaultSettings(term time.Duration) Settings {
 	return Settings{
-		ProbeInterval: 500 * time.Millisecond, // as a limiter alone does
+		ProbeInterval: 500 * time.Millisecond, // as without a leader
 		CheckInterval: time.Second,
-		Patience:      1500 * time.Millisecond, // three asks in a row
-		Silence:       5 * term / 2,            // the next owner is there within about two terms
+		Patience:      1500 * time.Millisecond, // three requests in a row
+		Silence:       5 * term / 2,            // the next owner takes over within about two terms
 		Apart:         10 * time.Second,
-		Unfit:         5 * time.Minute, // with a term of 25 s at most each, ten that are deaf come by once
+		Unfit:         5 * time.Minute, // with terms of up to 25 s, ten limiters that miss the agent get one turn each
 	}
 }
 
-// Verdict is what is said of a box.
+// Verdict is the result of a probe, or an instruction to probe.
 type Verdict string
 
 // Verdicts.
 const (
 	Well       Verdict = "well"
 	Ill        Verdict = "ill"
-	CheckOnce  Verdict = "check" // ill here: look yourself, once, and say what you saw
-	ProbeAlone Verdict = "alone" // some reach it and some don't: look yourself for a while
+	CheckOnce  Verdict = "check" // the leader finds the box unhealthy: probe it once and report the result
+	ProbeAlone Verdict = "alone" // limiters disagree about the box: probe it yourself for a while
 )
 
-// BoxVerdict is a verdict for one limiter.
+// BoxVerdict is a verdict about a box for one limiter.
 type BoxVerdict struct {
 	To  string `json:"-"`
 	Box uint64
 	Is  Verdict
 }
 
-// Desk is the part of the limiter that looks for its room. It is not safe for concurrent use.
+// Leader is the state of the limiter that probes for its room. It is not safe for concurrent use.
 type Leader struct {
 	cfg        Settings
 	states     map[uint64]*boxState
 	lostAgents map[string]*lostAgent
 }
 
-// ward is a box that somebody holds as ill.
+// boxState is a box that some limiter considers unhealthy.
 type boxState struct {
-	waitingSince  map[string]time.Duration // since when each waits for a word
+	waitingSince  map[string]time.Duration // when each limiter that waits for a verdict first asked
 	probing       bool
-	probeStart    time.Duration // of the look under way, or of the last one
-	lastChecker   string        // who was last made to check the word
+	probeStart    time.Duration // start of the current probe, or of the last one
+	lastChecker   string        // the limiter that was last asked to check the verdict
 	checkedAt     time.Duration
-	disagreeUntil time.Duration // until then each looks for itself
-	askedAt       time.Duration // when it was last asked for
+	disagreeUntil time.Duration // until then each limiter probes itself
+	askedAt       time.Duration // when a limiter last asked about it
 }
 
-// lost is an agent that this limiter does not hear.
+// lostAgent is a discovery agent that does not answer this limiter.
 type lostAgent struct {
 	since        time.Duration
-	heardByOther bool // another limiter hears it
+	heardByOther bool // another limiter reaches it
 }
 
-// NewDesk returns the desk of a limiter whose term begins.
+// NewLeader returns the state of a limiter whose term begins.
 func NewLeader(cfg Settings) *Leader {
 	return &Leader{cfg: cfg, states: map[uint64]*boxState{}, lostAgents: map[string]*lostAgent{}}
 }
 
-// Ask notes that a limiter holds a box as ill and wants to know. Words are to be told at once.
+// Ask processes a limiter's question about a box that it considers unhealthy. It returns verdicts to
+// send at once.
 func (l *Leader) Ask(now time.Duration, limiter string, box uint64) []BoxVerdict {
 	state := l.states[box]
 	if state == nil {
@@ -108,7 +110,7 @@
 	return nil
 }
 
-// Next are the boxes to be looked at now. Each look's end has to be told by Looked.
+// StartProbes returns the boxes to probe now. The end of each probe must be reported to FinishProbe.
 func (l *Leader) StartProbes(now time.Duration) (boxes []uint64) {
 	for _, box := range slices.Sorted(maps.Keys(l.states)) {
 		state := l.states[box]
@@ -123,8 +125,9 @@
 	return boxes
 }
 
-// Looked is the end of a look, and returns what is told to those who asked before it began:
-// what was seen before an ask says nothing about it. Empty: the look could not be made.
+// FinishProbe processes the end of a probe. It returns the verdicts for those that asked before the
+// probe began: an earlier observation does not answer a later question. An empty result means that
+// the probe could not be made.
 func (l *Leader) Looked(now time.Duration, box uint64, result Verdict) (verdicts []BoxVerdict) {
 	state := l.states[box]
 	if state == nil || !state.probing {
@@ -155,8 +158,8 @@
 	return verdicts
 }
 
-// after is the next name of a sorted list behind another one, round; the empty name, which is
-// this limiter itself, has nothing to check. Empty: there is none.
+// nextChecker returns the name after last in a sorted list, wrapping around. It skips the empty name,
+// which is this limiter itself. It returns the empty name if there is no other.
 func nextChecker(names []string, last string) string {
 	names = slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == "" })
 	if len(names) == 0 {
@@ -170,8 +173,8 @@
 	return names[0]
 }
 
-// Checked is what a limiter saw that was to check that a box is ill. If it reaches the box, each
-// looks for itself for a while.
+// Checked processes the result of a limiter that was asked to check that a box is unhealthy. If that
+// limiter reaches the box, all probe it themselves for a while.
 func (l *Leader) Checked(now time.Duration, box uint64, result Verdict) (verdicts []BoxVerdict) {
 	state := l.states[box]
 	if state == nil || result != Well {
@@ -185,15 +188,15 @@
 	return verdicts
 }
 
-// Leave forgets a limiter that is gone.
+// RemoveFollower forgets a limiter that is gone.
 func (l *Leader) Leave(limiter string) {
 	for _, state := range l.states {
 		delete(state.waitingSince, limiter)
 	}
 }
 
-// Lost notes that the agent of a pool does not answer this limiter, Heard that it does. news: it
-// did before.
+// Lost records that the agent of a pool does not answer this limiter. changed is false if that was
+// known before.
 func (l *Leader) Lost(now time.Duration, pool string) (changed bool) {
 	if l.lostAgents[pool] != nil {
 		return false
@@ -202,21 +205,21 @@
 	return true
 }
 
-// Heard is described at Lost.
+// AgentHeard records that the agent of a pool answers this limiter.
 func (l *Leader) AgentHeard(pool string) { delete(l.lostAgents, pool) }
 
-// Unheard are the pools whose agents don't answer this limiter.
+// LostPools returns the pools whose agents don't answer this limiter.
 func (l *Leader) LostPools() []string { return slices.Sorted(maps.Keys(l.lostAgents)) }
 
-// Others notes that another limiter hears the agent of a pool.
+// AgentHeardByFollower records that another limiter reaches the agent of a pool.
 func (l *Leader) AgentHeardByFollower(pool string) {
 	if agent := l.lostAgents[pool]; agent != nil {
 		agent.heardByOther = true
 	}
 }
 
-// Unfit tells that this limiter should give the duty up: others hear an agent that it has not
-// heard for long.
+// Unfit reports whether this limiter should give up the duty: others reach an agent that it has not
+// reached for a while.
 func (l *Leader) Unfit(now time.Duration) bool {
 	for _, agent := range l.lostAgents {
 		if agent.heardByOther && now >= agent.since+l.cfg.Silence {
@@ -226,40 +229,40 @@
 	return false
 }
 
-// Post is the part of a limiter that another one looks for. It is not safe for concurrent use.
+// Follower is the state of a limiter for which another one probes. It is not safe for concurrent use.
 type Follower struct {
 	cfg   Settings
-	up    bool
-	heard time.Duration // the last word of any kind
-	known bool          // there was one
+	up    bool          // the connection to the leader is up
+	heard time.Duration // when the last note of any kind arrived
+	known bool          // a note has arrived
 	boxes map[uint64]*boxView
 }
 
-// view is what is known of a box that was held as ill.
+// boxView is what a follower knows of a box that it considered unhealthy.
 type boxView struct {
-	asking          bool          // it waits for a word
-	askedAt         time.Duration // since when, however often it was cut off since
-	probeAloneUntil time.Duration // until then this limiter looks itself
-	healthyAt       time.Duration // when it was told to be well
-	toldHealthy     bool          // it was
-	checking        bool          // the look under way is a check
-	usedAt          time.Duration
+	asking          bool          // it waits for a verdict
+	askedAt         time.Duration // since when, even across lost connections
+	probeAloneUntil time.Duration // until then this limiter probes itself
+	healthyAt       time.Duration // when the leader last called the box healthy
+	toldHealthy     bool          // the leader called the box healthy, and no attempt has failed since
+	checking        bool          // the current probe is a check for the leader
+	usedAt          time.Duration // when it was last used
 }
 
-// NewPost returns the part of a limiter that has heard nobody yet.
+// NewFollower returns the state of a limiter that has not heard from a leader yet.
 func NewFollower(cfg Settings) *Follower { return &Follower{cfg: cfg, boxes: map[uint64]*boxView{}} }
 
-// Heard notes a word of the one that looks, of any kind.
+// LeaderHeard records that a note of any kind arrived from the leader.
 func (f *Follower) Heard(now time.Duration) { f.up, f.known, f.heard = true, true, now }
 
-// Cut notes that it can't be heard any more, as far as is known here.
+// LeaderDisconnected records that the connection to the leader has ended.
 func (f *Follower) Cut() { f.up = false }
 
-// Silent tells whether it has been silent for so long that lists are followed alone.
+// Silent reports whether the leader has been silent for so long that agents must be polled directly.
 func (f *Follower) Silent(now time.Duration) bool { return !f.known || now > f.heard+f.cfg.Silence }
 
-// Want tells what is done about a box that is held as ill here: the other one is asked, this
-// limiter looks itself, or, where asks bring no word, both.
+// HandleUnhealthy returns what to do about a box that this limiter considers unhealthy: ask the leader,
+// probe the box, or both if questions remain unanswered.
 func (f *Follower) Want(now time.Duration, box uint64) (ask, probe bool) {
 	view := f.boxes[box]
 	if view == nil {
@@ -281,11 +284,11 @@
 	return true, now >= view.askedAt+f.cfg.Patience
 }
 
-// Told takes a word about a box in. tell is what the limiter may believe of it (empty: nothing),
-// look that it has to look itself.
+// Told processes a verdict of the leader. believed is the verdict to apply (empty: none), and probe
+// reports whether this limiter must probe the box itself.
 func (f *Follower) Told(now time.Duration, received BoxVerdict) (believed Verdict, probe bool) {
 	view := f.boxes[received.Box]
-	if view == nil || !view.asking { // nothing was asked, or it looks itself by now
+	if view == nil || !view.asking { // nothing was asked, or it probes itself already
 		return "", false
 	}
 	view.asking = false
@@ -305,8 +308,8 @@
 	return "", false
 }
 
-// Looked is the end of a look of this limiter's own; it tells whether the one that looks for it
-// is to know.
+// FinishProbe processes the end of this limiter's own probe. It reports whether the leader must get the
+// result.
 func (f *Follower) Looked(box uint64) bool {
 	view := f.boxes[box]
 	if view == nil || !view.checking {
@@ -316,8 +319,8 @@
 	return true
 }
 
-// Failed notes that an attempt of this limiter's own has failed at a box. If the box was told
-// to be well not long ago, the word does not hold here, and it looks itself for a while.
+// AttemptFailed processes a failed attempt of this limiter at a box. If the leader called the box healthy
+// recently, the verdict does not hold for this limiter, which then probes the box itself for a while.
 func (f *Follower) Failed(now time.Duration, box uint64) (differs bool) {
 	view := f.boxes[box]
 	if view == nil || !view.toldHealthy || now > view.healthyAt+f.cfg.Apart {
@@ -327,21 +330,22 @@
 	return true
 }
 
-// Feed is what a limiter knows of the list of one discovery agent. The agent's own sequence
-// numbers order what comes by two ways. The zero value knows nothing and follows the agent
-// itself. It is not safe for concurrent use.
+// Feed is what a limiter knows of the list of one discovery agent. The agent's sequence numbers order
+// what arrives from the agent and from the leader. The zero value knows nothing and polls the agent
+// directly. It is not safe for concurrent use.
 type Feed struct {
-	seq        int64
-	known      bool
-	fromLeader bool // another limiter tells it
-	chained    bool // and news continue what is known
+	seq        int64 // of the newest list
+	known      bool  // a list has arrived
+	fromLeader bool  // the leader sends the list
+	chained    bool  // the next update of the leader continues the known list
 }
 
-// Own takes in what the agent itself has told.
+// SetSeq records a list that came from the agent itself.
 func (f *Feed) SetSeq(seq int64) { f.seq, f.known, f.fromLeader, f.chained = seq, true, false, false }
 
-// Offer is a list, or news behind the one before on the same connection, as the one that looks
-// tells it. take: it is as new as what is known; want: the whole list is to be asked for.
+// Offer processes a list of the leader: a full one, or an update to the previous one on the same
+// connection. accept is true if it is at least as new as the known list, requestFull if the leader
+// must be asked for a full list.
 func (f *Feed) Offer(seq int64, full bool) (accept, requestFull bool) {
 	current := !f.known || seq >= f.seq
 	if !full && !f.chained {
@@ -354,11 +358,11 @@
 	return true, false
 }
 
-// Apart notes that the connection has ended: news don't continue what is known any more.
+// Disconnected records that the connection has ended: updates no longer continue the known list.
 func (f *Feed) Disconnected() { f.chained = false }
 
-// Alone has the limiter follow the agent itself.
+// FollowAgent switches to polling the agent directly.
 func (f *Feed) FollowAgent() { f.fromLeader, f.chained = false, false }
 
-// Led tells whether another limiter tells it.
+// FromLeader reports whether the leader sends the list.
 func (f *Feed) FromLeader() bool { return f.fromLeader }
