--- a/custody/model_test.go
+++ b/custody/model_test.go
@@ -18,7 +18,7 @@
 // bounds limits one exploration.
 type bounds struct {
 	maxTakeovers int // one after the other
-	removals     int // of replicas, by whoever executes the request
+	removals     int // of replicas, by the worker on the request
 	maxCrashes   int // of replicas
 	attempts     int // by the owner, and by each successor
 }
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -65,7 +65,7 @@
 	Before float64 // the share of served requests before the rollout; 0: not measured yet
 	Steps  []Step
 	State  State
-	Why    string
+	Why    string // why it was halted or ended
 }
 
 // Op is the type of a command.
@@ -230,10 +230,10 @@
 	// may take longer.
 	drainTimeout = 10 * time.Second
 	// A rollout halts when a phase takes longer than phaseTimeout, or a limiter that is next in turn
-	// can't be reached for so long.
+	// can't be reached for that time.
 	phaseTimeout = time.Minute
-	// A rollout halts when the share of served requests is too low in this many observations in a row.
-	maxLowObservations = 3
+	// A rollout halts after this many observations in a row with too low a share of served requests.
+	lowObservationsToHalt = 3
 )
 
 // Conductor carries out rollouts while it owns the duty. It is not safe for concurrent use.
@@ -258,7 +258,7 @@
 
 // Next returns the commands to propose and the calls to make. resign is true if this limiter is the next
 // to be taken out, which another conductor has to do.
-func (c *Conductor) Next(plan *Plan, observed Look) (notes []Command, calls []Call, resign bool) {
+func (c *Conductor) Next(plan *Plan, observed Look) (commands []Command, calls []Call, resign bool) {
 	if plan == nil || plan.State != Running {
 		clear(c.since)
 		c.lowCount = 0
@@ -274,7 +274,7 @@
 		return []Command{{Op: OpSetBaseline, ID: plan.ID, Epoch: observed.Epoch, Before: max(observed.Served, 1e-9)}}, nil, false
 	}
 	if observed.Served >= 0 && observed.Served < plan.Before-plan.Fall {
-		if c.lowCount++; c.lowCount >= maxLowObservations {
+		if c.lowCount++; c.lowCount >= lowObservationsToHalt {
 			return halt(fmt.Sprintf("service fell from %.3f to %.3f", plan.Before, observed.Served)), nil, false
 		}
 	} else if observed.Served >= 0 {
@@ -284,7 +284,7 @@
 	for _, step := range plan.Steps {
 		status := observed.Seen[step.Limiter]
 		advance := func(to Phase, start uint64) {
-			notes = append(notes, Command{Op: OpAdvance, ID: plan.ID, Limiter: step.Limiter, From: step.Phase, To: to, Start: start, Epoch: observed.Epoch})
+			commands = append(commands, Command{Op: OpAdvance, ID: plan.ID, Limiter: step.Limiter, From: step.Phase, To: to, Start: start, Epoch: observed.Epoch})
 		}
 		call := func(v Verb) { calls = append(calls, Call{v, step.Limiter, step.Start}) }
 		if step.Phase == Back || step.Phase == Waiting && outOfService >= plan.AtOnce {
@@ -296,8 +296,8 @@
 			entered = observed.Now
 			c.since[key] = entered
 		}
-		if took := observed.Now - entered; took > phaseTimeout {
-			return halt(fmt.Sprintf("%s has been %s for %v", step.Limiter, step.Phase, took.Round(time.Second))), nil, false
+		if elapsed := observed.Now - entered; elapsed > phaseTimeout {
+			return halt(fmt.Sprintf("%s has been %s for %v", step.Limiter, step.Phase, elapsed.Round(time.Second))), nil, false
 		}
 		restarted := status.Reached && status.Start != step.Start // the process has ended, for whatever reason
 		switch step.Phase {
@@ -306,7 +306,7 @@
 			switch {
 			case !status.Reached || !status.Ready || !c.othersReady(plan, observed):
 			case step.Limiter == c.self:
-				return notes, calls, true
+				return commands, calls, true
 			default:
 				advance(Leaving, status.Start)
 			}
@@ -335,7 +335,7 @@
 			}
 		}
 	}
-	return notes, calls, false
+	return commands, calls, false
 }
 
 // othersReady reports whether all limiters that the rollout has not taken out accept clients. If one is
--- a/watch/model_test.go
+++ b/watch/model_test.go
@@ -10,20 +10,20 @@
 
 const tick = 100 * time.Millisecond
 
-// room is a room of limiters that all use one box: the first has the duty, while it lives.
-// Messages between them may be lost. Time goes in ticks.
+// room simulates limiters that all use one box. The first one owns the duty while there is a leader.
+// Messages between them may be lost, and time advances in ticks.
 type room struct {
 	cfg           Settings
 	now           time.Duration
-	leader        *Leader // nil: nobody looks
+	leader        *Leader // nil: no leader
 	followers     []*Follower
-	reachable     []bool          // whether each reaches the box; the first of them is the desk's
-	unhealthy     []bool          // whether each holds it as ill
-	wantedAt      []time.Duration // when each wanted to know last
-	knownAt       []time.Duration // when each last had a look or a word that it could believe
-	probes        int             // at the box
+	reachable     []bool          // whether each limiter reaches the box; the first entry is the leader's
+	unhealthy     []bool          // whether each limiter considers the box unhealthy
+	wantedAt      []time.Duration // when each limiter last asked about the box
+	knownAt       []time.Duration // when each limiter last had a probe or a verdict that it could apply
+	probes        int             // number of probes of the box
 	loses         func() bool
-	ignoresChecks bool // for a check of the checks: words are believed whatever the own looks say
+	ignoresChecks bool // deliberate fault: followers apply every verdict without a check of their own
 }
 
 func newRoom(n int, loses func() bool) *room {
@@ -54,7 +54,7 @@
 	return fmt.Sprintf("n%03d", i)
 }
 
-// believe is what a limiter's module does with what it hears of a box.
+// believe applies a verdict to a limiter's view of the box.
 func (r *room) believe(i int, v Verdict) {
 	r.knownAt[i] = r.now
 	if v == Well {
@@ -62,7 +62,7 @@
 	}
 }
 
-// look has a limiter look itself.
+// probe has a limiter probe the box itself.
 func (r *room) probe(i int) {
 	r.probes++
 	v := verdict(r.reachable[i])
@@ -99,8 +99,8 @@
 	}
 }
 
-// step is one tick: attempts fail where the box is not reached, whoever holds it as ill wants to
-// know, and the desk looks.
+// step plays one tick: attempts fail where the box is out of reach, limiters that consider it unhealthy
+// ask about it, and the leader probes.
 func (r *room) step() {
 	r.now += tick
 	for i := range r.followers {
@@ -141,8 +141,8 @@
 	}
 }
 
-// Whatever is lost, whoever reaches the box and whether anybody looks: nobody who holds a box as
-// ill is left without a look or a word for longer than it is patient.
+// Whatever messages are lost, whichever limiters reach the box and with or without a leader, no limiter that
+// considers a box unhealthy goes without a probe or a verdict for longer than the timeout for answers.
 func TestNobodyIsLeftWithoutALook(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lossRate := 0
@@ -167,15 +167,15 @@
 			r.step()
 			for i := range r.followers {
 				if bound := r.cfg.Patience + 2*r.cfg.ProbeInterval; r.unhealthy[i] && r.now-r.knownAt[i] > bound {
-					t.Fatalf("limiter %d has known nothing of a box for %v", i, r.now-r.knownAt[i])
+					t.Fatalf("limiter %d has had no probe or verdict of the box for %v", i, r.now-r.knownAt[i])
 				}
 			}
 		}
 	})
 }
 
-// A limiter that reaches a box which the one that looks does not reach uses it again, and the more
-// limiters there are, the longer that may take, but not without end: the word is checked.
+// If the leader does not reach a box, the followers that do must use it again. That takes longer with more
+// limiters but always happens, as followers check the verdict.
 func TestAWatcherThatDoesNotReachABoxIsFoundOut(t *testing.T) {
 	for _, n := range []int{2, 5, 50} {
 		run := func(ignoresChecks bool) (unhealthy int) {
@@ -201,15 +201,15 @@
 			return unhealthy
 		}
 		if unhealthy := run(false); unhealthy > 0 {
-			t.Errorf("%d limiters: %d hold the box as ill", n, unhealthy)
+			t.Errorf("%d limiters: %d consider the box unhealthy", n, unhealthy)
 		}
 		if unhealthy := run(true); unhealthy == 0 {
-			t.Errorf("%d limiters: without the check all are found out too", n)
+			t.Errorf("%d limiters: all use the box again even without the check", n)
 		}
 	}
 }
 
-// A word that a box is well holds until the own attempts say otherwise.
+// A verdict that a box is healthy holds until a limiter's own attempts fail.
 func TestOwnAttemptsGoBeforeAWord(t *testing.T) {
 	r := newRoom(3, func() bool { return false })
 	r.reachable[2] = false
@@ -218,12 +218,12 @@
 	}
 	ask, mustProbe := r.followers[2].Want(r.now, box)
 	if ask || !mustProbe {
-		t.Errorf("it believes what it sees otherwise: asks %v, looks %v", ask, mustProbe)
+		t.Errorf("the limiter trusts the leader against its own attempts: asks %v, probes %v", ask, mustProbe)
 	}
 }
 
-// Looks at an ill box don't grow with the number of limiters, while the one that looks is heard;
-// alone they do.
+// The number of probes of an unhealthy box does not grow with the number of limiters while they hear from
+// the leader. Without a leader it does.
 func TestLooksDoNotGrow(t *testing.T) {
 	probes := func(n int, led bool) int {
 		r := newRoom(n, func() bool { return false })
@@ -244,20 +244,20 @@
 	one := probes(1, false)
 	for _, n := range []int{3, 30, 300} {
 		with, without := probes(n, true), probes(n, false)
-		t.Logf("%3d limiters: %d looks in 30 s, alone %d; one limiter %d", n, with, without, one)
+		t.Logf("%3d limiters: %d probes in 30 s, without a leader %d; one limiter %d", n, with, without, one)
 		if with > 2*one || without < n*one*9/10 {
-			t.Errorf("%d limiters look %d times, alone %d, one alone %d", n, with, without, one)
+			t.Errorf("%d limiters probe %d times, without a leader %d, one limiter %d", n, with, without, one)
 		}
 	}
 }
 
-// Lists never go back, by whichever way they come, and news never leave a gap.
+// The list in use never goes back to an older one, whichever way lists arrive, and updates leave no gap.
 func TestListsNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var f Feed
-		agentSeq := int64(0)                           // the agent's
-		own, leaderSeq := agentSeq, agentSeq           // as far as this limiter and the other one have heard
-		knownSeq, carriedSeq := agentSeq, agentSeq-100 // what is in use; what the connection has carried
+		agentSeq := int64(0)                           // of the agent's newest list
+		own, leaderSeq := agentSeq, agentSeq           // of the newest list that this limiter and the leader have received
+		knownSeq, carriedSeq := agentSeq, agentSeq-100 // of the list in use, and of the last one sent on the connection
 		for range 100 {
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 0:
@@ -278,14 +278,14 @@
 					knownSeq = leaderSeq
 				}
 				carriedSeq = leaderSeq
-			case 4: // news behind what the connection has carried
+			case 4: // an update to what was last sent on the connection
 				if accept, requestFull := f.Offer(leaderSeq, false); accept {
 					if knownSeq < carriedSeq {
-						t.Fatalf("news behind %d, known is %d", carriedSeq, knownSeq)
+						t.Fatalf("the update continues list %d, but list %d is in use", carriedSeq, knownSeq)
 					}
 					knownSeq = leaderSeq
 				} else if requestFull && leaderSeq < knownSeq {
-					t.Fatalf("asks for an older list")
+					t.Fatalf("the limiter requests an older list")
 				}
 				carriedSeq = leaderSeq
 			case 5:
@@ -299,19 +299,19 @@
 	})
 }
 
-// One that does not hear an agent which others hear gives the duty up; not if nobody does.
+// A limiter that does not reach an agent gives the duty up if others reach it, but not if none does.
 func TestUnfit(t *testing.T) {
 	leader := NewLeader(DefaultSettings(time.Second))
 	leader.Lost(0, "main")
 	if leader.Unfit(time.Minute) {
-		t.Error("nobody hears the agent, and it is to go")
+		t.Error("the leader is unfit although no limiter reaches the agent")
 	}
 	leader.AgentHeardByFollower("main")
 	if leader.Unfit(time.Second) || !leader.Unfit(time.Minute) {
-		t.Error("it is to go after a while")
+		t.Error("the leader must become unfit only after a while")
 	}
 	leader.AgentHeard("main")
 	if leader.Unfit(time.Minute) {
-		t.Error("it hears the agent, and is to go")
+		t.Error("the leader is unfit although it reaches the agent")
 	}
 }
--- a/watch/part.go
+++ b/watch/part.go
@@ -17,12 +17,12 @@
 // Note is a message between the leader of a room and a follower.
 type Note struct {
 	// From the leader:
-	Words []BoxVerdict `json:",omitempty"`
-	List  *List        `json:",omitempty"`
+	Words []BoxVerdict `json:",omitempty"` // about boxes that the follower asked about
+	List  *List        `json:",omitempty"` // a full list, or an update to the previous one
 	Lost  []string     `json:",omitempty"` // pools whose agents don't answer the leader
 	// From a follower:
 	Ask     uint64      `json:",omitempty"` // a box that the follower considers unhealthy; 0: none
-	Checked *BoxVerdict `json:",omitempty"`
+	Checked *BoxVerdict `json:",omitempty"` // the result of a check that the leader asked for
 	Hears   string      `json:",omitempty"` // the pool whose agent the follower polls itself
 	Want    string      `json:",omitempty"` // the pool whose full list the follower needs
 }
@@ -31,7 +31,7 @@
 type List struct {
 	Pool  string
 	Seq   int64
-	Whole bool
+	Whole bool // all hosts
 	Hosts json.RawMessage
 }
 
@@ -78,8 +78,8 @@
 	leader      *Leader // nil: another limiter leads, or none does
 	feeds       map[string]*Feed
 	pollHolds   map[string]time.Duration // by pool, as the last PollAgent said
-	heartbeatAt time.Duration
-	actions     []Action
+	heartbeatAt time.Duration            // when the leader next sends an empty note to all followers
+	actions     []Action                 // not yet returned by TakeActions
 	figures     Figures
 }
 
@@ -100,6 +100,7 @@
 	return pending
 }
 
+// add appends an action for TakeActions.
 func (w *Part) add(action Action) { w.actions = append(w.actions, action) }
 
 // Figures returns the counts.
@@ -119,7 +120,7 @@
 // IsLeader reports whether this limiter leads its room.
 func (w *Part) Leads() bool { return w.leader != nil }
 
-// WithoutLeader reports whether this limiter does not lead and hears from no leader.
+// NoLeader reports whether this limiter does not lead and hears from no leader.
 func (w *Part) Alone(now time.Duration) bool { return w.leader == nil && w.follower.Silent(now) }
 
 // SetLeader starts or ends this limiter's own term as leader.
--- a/watch/part_test.go
+++ b/watch/part_test.go
@@ -9,30 +9,31 @@
 	"pgregory.net/rapid"
 )
 
-// tier is a room of limiters, real Parts, that follow one agent. One of them has the duty, or
-// nobody; connections to it end and lose what was on its way. Time goes in ticks.
+// simulation is a room of limiters with real Watchers that poll one agent. One of them leads, or none.
+// Connections to the leader may end and lose what is in transit, and time advances in ticks.
 type simulation struct {
 	t            *rapid.T
 	now          time.Duration
-	agentSeq     int64 // the agent's sequence number
-	leader       int   // who has the duty; -1: nobody
+	agentSeq     int64 // sequence number of the agent's newest list
+	leader       int   // index of the limiter that leads; -1: none
 	termEnd      time.Duration
 	limiters     []*node
-	agentCalls   int // that the agent has answered
+	agentCalls   int // number of polls that the agent has answered
 	resignations int
 }
 
+// node is one limiter.
 type node struct {
 	watcher      *Part
-	listSeq      int64 // of the list that is in use
+	listSeq      int64 // of the list in use
 	pollHold     time.Duration
-	calledAt     time.Duration // when its call to the agent began
-	seenSeq      int64         // of the last answer, or of what it was told
-	hearsAgent   bool          // the agent
-	joined       bool          // it is connected to the one that looks
-	connectable  bool          // and can be
-	inTransit    []Note        // to it
-	abstainUntil time.Duration // it does not ask for the duty before
+	calledAt     time.Duration // when its poll of the agent began
+	seenSeq      int64         // of the last list from the agent or the leader
+	hearsAgent   bool          // it reaches the agent
+	joined       bool          // it is connected to the leader
+	connectable  bool          // it can connect to other limiters
+	inTransit    []Note        // notes to it
+	abstainUntil time.Duration // it does not take the duty before
 }
 
 const pool = "main"
@@ -47,7 +48,7 @@
 
 func (r *simulation) name(i int) string { return fmt.Sprint("n", i) }
 
-// use has a limiter use a list, which never is an older one.
+// useList has a limiter use a list, which must not be older than the previous one.
 func (r *simulation) useList(i int, seq int64) {
 	f := r.limiters[i]
 	if seq < f.listSeq {
@@ -91,8 +92,8 @@
 // step is one tick.
 func (r *simulation) step() {
 	r.now += tick
-	if r.leader < 0 && r.now >= r.termEnd+1500*time.Millisecond { // the next one that runs, as terms have it
-		for i, f := range r.limiters { // always in one order: who can't has to abstain
+	if r.leader < 0 && r.now >= r.termEnd+1500*time.Millisecond { // the next limiter takes the duty when the term is over
+		for i, f := range r.limiters { // always in the same order, so that an unfit limiter must abstain
 			if r.now >= f.abstainUntil {
 				r.leader = i
 				break
@@ -102,7 +103,7 @@
 	for i, f := range r.limiters {
 		if leads := i == r.leader; leads != f.watcher.Leads() {
 			f.watcher.Lead(leads)
-			for _, o := range r.limiters { // connections to the one before have ended
+			for _, o := range r.limiters { // connections to the previous leader end
 				o.joined, o.inTransit = false, nil
 				o.watcher.Cut()
 			}
@@ -129,7 +130,7 @@
 		if f.pollHold == 0 {
 			continue
 		}
-		switch { // its call to the agent
+		switch { // its poll of the agent
 		case f.hearsAgent && (f.seenSeq == 0 || r.agentSeq > f.seenSeq || r.now >= f.calledAt+f.pollHold):
 			r.agentCalls++
 			whole := f.seenSeq == 0
@@ -147,8 +148,8 @@
 	}
 }
 
-// Whatever ends, is cut off or is deaf: no list goes back, and once all is quiet whoever
-// hears the agent, or is connected to one that does, knows the newest list.
+// Whatever is disconnected or out of reach, no list is replaced by an older one. Once all is quiet, each
+// limiter that reaches the agent, or is connected to one that does, has the newest list.
 func TestAllKnowTheNewestList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newSimulation(t, rapid.IntRange(1, 6).Draw(t, "limiters"))
@@ -157,7 +158,7 @@
 			switch rapid.IntRange(0, 12).Draw(t, "event") {
 			case 0:
 				r.agentSeq += rapid.Int64Range(1, 3).Draw(t, "news")
-			case 1: // its term ends; nobody has it for a while
+			case 1: // the term ends, and nobody leads for a while
 				r.leader, r.termEnd = -1, r.now
 			case 2:
 				f := anyNode()
@@ -172,20 +173,20 @@
 		for _, f := range r.limiters {
 			f.connectable = true
 		}
-		r.limiters[len(r.limiters)-1].hearsAgent = true // one does, and would be the last to ask for the duty
-		// A deaf one finds out after 5 s, gives up 2.5 s later, and another one follows; each in turn may be deaf.
+		r.limiters[len(r.limiters)-1].hearsAgent = true // the last candidate for the duty reaches the agent
+		// An unfit leader notices after 5 s and gives up 2.5 s later; each limiter may be unfit in turn.
 		for end := r.now + time.Duration(len(r.limiters))*30*time.Second; r.now < end; {
 			r.step()
 		}
 		for i, f := range r.limiters {
 			if f.listSeq != r.agentSeq {
-				t.Fatalf("%s knows list %d of %d; %d leads, resigned %d times", r.name(i), f.listSeq, r.agentSeq, r.leader, r.resignations)
+				t.Fatalf("%s has list %d of %d; %d leads, %d resignations", r.name(i), f.listSeq, r.agentSeq, r.leader, r.resignations)
 			}
 		}
 	})
 }
 
-// Calls to the agent don't grow with the limiters of a room.
+// The number of polls of the agent does not grow with the number of limiters.
 func TestCallsDoNotGrow(t *testing.T) {
 	agentCalls := map[int]int{}
 	for _, n := range []int{3, 30, 300} {
@@ -201,9 +202,9 @@
 			r.step()
 		}
 		agentCalls[n] = r.agentCalls - before
-		t.Logf("%3d limiters: %d calls in a minute with six changes", n, agentCalls[n])
+		t.Logf("%3d limiters: %d polls in a minute with six changes", n, agentCalls[n])
 	}
 	if agentCalls[300] > agentCalls[3]+2 {
-		t.Errorf("calls: %v", agentCalls)
+		t.Errorf("polls: %v", agentCalls)
 	}
 }
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -17,19 +17,19 @@
 
 const dutyPrefix = "watch/"
 
-// Duty returns the name of a room's duty.
+// Duty returns the name of the duty whose owner leads a room.
 func Duty(room string) string { return dutyPrefix + room }
 
-// Room returns the room of such a duty; false if the name is that of another duty.
+// Room returns the room that the owner of a duty leads; false if the duty is of another kind.
 func Room(duty string) (string, bool) { return strings.CutPrefix(duty, dutyPrefix) }
 
 // Settings are the timing of probes and polls.
 type Settings struct {
 	ProbeInterval time.Duration // least interval between two probes of the leader at one box
 	CheckInterval time.Duration // least interval between two checks of a verdict that a box is unhealthy
-	Patience      time.Duration // a follower without an answer for so long probes itself
-	Silence       time.Duration // after so long without any note of the leader, followers poll agents themselves
-	Apart         time.Duration // how long all probe a box themselves after they disagreed about it
+	Patience      time.Duration // a follower that waits this long for an answer probes the box itself
+	Silence       time.Duration // followers poll agents themselves after this long without a note of the leader
+	Apart         time.Duration // how long limiters probe a box themselves after a disagreement about it
 	Unfit         time.Duration // how long a limiter that misses an agent which others reach does not ask for the duty
 }
 
@@ -50,8 +50,8 @@
 
 // Verdicts.
 const (
-	Well       Verdict = "well"
-	Ill        Verdict = "ill"
+	Well       Verdict = "well"  // the box can be used
+	Ill        Verdict = "ill"   // the box can not be used
 	CheckOnce  Verdict = "check" // the leader finds the box unhealthy: probe it once and report the result
 	ProbeAlone Verdict = "alone" // limiters disagree about the box: probe it yourself for a while
 )
@@ -76,7 +76,7 @@
 	probing       bool
 	probeStart    time.Duration // start of the current probe, or of the last one
 	lastChecker   string        // the limiter that was last asked to check the verdict
-	checkedAt     time.Duration
+	checkedAt     time.Duration // when a check was last requested
 	disagreeUntil time.Duration // until then each limiter probes itself
 	askedAt       time.Duration // when a limiter last asked about it
 }
@@ -126,8 +126,8 @@
 }
 
 // FinishProbe processes the end of a probe. It returns the verdicts for those that asked before the
-// probe began: an earlier observation does not answer a later question. An empty result means that
-// the probe could not be made.
+// probe began, as an earlier observation does not answer a later question. An empty result means
+// that the probe could not be made.
 func (l *Leader) Looked(now time.Duration, box uint64, result Verdict) (verdicts []BoxVerdict) {
 	state := l.states[box]
 	if state == nil || !state.probing {
