--- a/custody/custody.go
+++ b/custody/custody.go
@@ -184,13 +184,13 @@
 // concurrent use.
 type ReplicaStore struct {
 	self          string
-	maxBytes      int64 // bytes
+	maxBytes      int64
 	bytes         int64
 	highestTokens map[string]Token   // by owner
 	stored        map[string]*stored // by record ID
 }
 
-// storedRecord is a record with the local times of its changes.
+// stored is a record with the local times of its changes.
 type stored struct {
 	Record
 	firstAttemptAt time.Duration // when the first version with an attempt arrived
--- a/custody/model_test.go
+++ b/custody/model_test.go
@@ -429,7 +429,7 @@
 }
 
 // The model must find a double execution for each rule that is left out.
-func TestRulesThatAreLeftOutAreFound(t *testing.T) {
+func TestModelFindsOmittedRules(t *testing.T) {
 	for name, x := range map[string]struct {
 		policy RepeatPolicy
 		bounds
--- a/parts/book.go
+++ b/parts/book.go
@@ -81,8 +81,8 @@
 type Deal struct {
 	Account       uint64
 	First, Spread int
-	To            Shares // by place, from First on
-} // by index, from First on
+	To            Shares // by index, from First on
+}
 
 // Confirm says that a limiter's use has stayed within its targets of all deals up to a version.
 type Confirm struct {
--- a/parts/model_test.go
+++ b/parts/model_test.go
@@ -192,7 +192,7 @@
 
 // Shares never add up to more than the ceiling, with up to five limiters, random deals, lost and
 // duplicated confirmations, former stewards, crashes and restarts from older states.
-func TestPartsNeverComeToMore(t *testing.T) {
+func TestSharesNeverExceedTheCeiling(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	deals, done := 0, 0
 	for done < stepCount(1_000_000) {
@@ -210,7 +210,7 @@
 }
 
 // The same property with events drawn by rapid, which shrinks a failure.
-func TestPartsByRapid(t *testing.T) {
+func TestSharesByRapid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(rapid.IntRange(2, 4).Draw(t, "limiters"), 1)
 		for range 150 {
@@ -222,7 +222,7 @@
 }
 
 // The model must find the fault when limiters confirm too early, or start without the floors.
-func TestBrokenPartsAreFound(t *testing.T) {
+func TestModelFindsFaults(t *testing.T) {
 	for name, breakIt := range map[string]func(*model){
 		"confirms before it uses less":      func(m *model) { m.confirmsEarly = true },
 		"uses the shares of an older state": func(m *model) { m.usesStale = true },
@@ -247,7 +247,7 @@
 
 // The lost majority of a reset fleet may have made deals that the survivor does not know of. No share
 // may exceed the floor until all limiters have confirmed; then all shares are equal again.
-func TestBeginAnewWaitsForAll(t *testing.T) {
+func TestResetWaitsForAll(t *testing.T) {
 	m := newModel(3, 1)
 	deal := func(to ...uint32) { m.agree(Command{Epoch: m.epoch, Limiters: 3, Deals: []Deal{{0, 0, 3, to}}}) }
 	settle := func() {
--- a/parts/steward_test.go
+++ b/parts/steward_test.go
@@ -84,7 +84,7 @@
 
 // An account without demand goes back to equal shares and leaves the ledger. A new steward must not
 // equalize accounts whose demand it has not seen yet.
-func TestIdleAccountsLeaveTheBook(t *testing.T) {
+func TestIdleAccountsLeaveTheLedger(t *testing.T) {
 	b := &Book{}
 	playRounds := func(s *Steward, n int, asked float64) {
 		for range n {
--- a/tenure/tenure_test.go
+++ b/tenure/tenure_test.go
@@ -35,7 +35,7 @@
 }
 
 // Resetting a fleet voids all tokens, including those that its lost majority gave meanwhile.
-func TestBeginAnewVoidsTokens(t *testing.T) {
+func TestResetVoidsTokens(t *testing.T) {
 	a, b := Process{"a", 1}, Process{"b", 2}
 	var lost, reset Registry
 	take := func(r *Registry, p Process) uint64 {
--- a/watch/model_test.go
+++ b/watch/model_test.go
@@ -143,7 +143,7 @@
 
 // Whatever messages are lost, whichever limiters reach the box and with or without a leader, no limiter that
 // considers a box unhealthy goes without a probe or a verdict for longer than the timeout for answers.
-func TestNobodyIsLeftWithoutALook(t *testing.T) {
+func TestNoLimiterGoesWithoutAProbe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lossRate := 0
 		r := newRoom(rapid.IntRange(1, 8).Draw(t, "limiters"), nil)
@@ -176,7 +176,7 @@
 
 // If the leader does not reach a box, the followers that do must use it again. That takes longer with more
 // limiters but always happens, as followers check the verdict.
-func TestAWatcherThatDoesNotReachABoxIsFoundOut(t *testing.T) {
+func TestFollowersUseABoxTheLeaderDoesNotReach(t *testing.T) {
 	for _, n := range []int{2, 5, 50} {
 		run := func(ignoresChecks bool) (unhealthy int) {
 			r := newRoom(n, func() bool { return false })
@@ -210,7 +210,7 @@
 }
 
 // A verdict that a box is healthy holds until a limiter's own attempts fail.
-func TestOwnAttemptsGoBeforeAWord(t *testing.T) {
+func TestOwnAttemptsOverrideVerdicts(t *testing.T) {
 	r := newRoom(3, func() bool { return false })
 	r.reachable[2] = false
 	for r.now < 9*time.Second {
@@ -224,7 +224,7 @@
 
 // The number of probes of an unhealthy box does not grow with the number of limiters while they hear from
 // the leader. Without a leader it does.
-func TestLooksDoNotGrow(t *testing.T) {
+func TestProbesDoNotGrow(t *testing.T) {
 	probes := func(n int, led bool) int {
 		r := newRoom(n, func() bool { return false })
 		if !led {
