--- a/custody/custody.go
+++ b/custody/custody.go
@@ -1,10 +1,11 @@
-// Package custody decides how work in hand survives the loss of its limiter: what its holder
-// has to have noted with others before it sends anything, what those keep, and what
-// whoever takes the work over may still do about it. It has no input or output, no
-// goroutines and no clock: what happens goes in with the time, where it counts.
+// Package custody decides how a request in progress survives the loss of the limiter that owns it:
+// what the owner must replicate to other limiters before it sends anything upstream, what the
+// replicas store, and what a successor may still do with the request. The package has no I/O, no
+// goroutines and no clock; callers pass in the time where it matters.
 //
-// [Hold] is the holder's part in one piece of work, [Book] that of a keeper, [Findings] that
-// of a taker. The rules and why they hold stand in docs/design/work.md.
+// [Worker] executes one request on its owner or a successor, [ReplicaStore] holds the records that
+// a limiter stores for others, and [Recovery] collects what a successor learns from the replicas.
+// docs/design/work.md has the rules and why they hold.
 package custody
 
 import (
@@ -16,391 +17,398 @@
 	"example.org/madderdrum/peering"
 )
 
-// Token says under which term of a holder's duty something is done: 1 and up, rising with
-// each taker.
+// Token is a fencing token: the term of the owner's lease under which a change is made. It starts
+// at 1 and rises with each successor.
 type Token uint64
 
-// Repeat says what may be done twice, by a class's settings.
-type Repeat int
+// RepeatPolicy is the setting of a request class that says whether its requests may run twice.
+type RepeatPolicy int
 
-// Kinds of classes.
+// Repeat policies.
 const (
-	Safe   Repeat = iota // running twice does no harm
-	Keyed                // a group of boxes drops repeats of a key for a while
-	Unsafe               // must not run twice
+	Safe   RepeatPolicy = iota // running twice is harmless
+	Keyed                      // a group of boxes drops repeats of a key for a limited time
+	Unsafe                     // must not run twice
 )
 
-func (r Repeat) String() string {
+func (r RepeatPolicy) String() string {
 	if names := [...]string{"safe", "keyed", "unsafe"}; r >= 0 && int(r) < len(names) {
 		return names[r]
 	}
 	return fmt.Sprint("repeat ", int(r))
 }
 
-// Attempt is a try at a box whose last byte may have gone.
+// Attempt is one try at a box (upstream server) whose last byte may have been sent.
 type Attempt struct {
-	Try   int
-	Box   uint64
-	Group uint64 // of boxes that drop repeats of a key together; 0: none does
+	Try        int
+	Box        uint64
+	DedupGroup uint64 // boxes that share the deduplication of keys; 0: the box does not deduplicate
 }
 
-// End is how a piece of work has ended.
-type End struct {
-	Status int
-	Answer []byte
+// Result is the outcome of a finished request.
+type Result struct {
+	Status   int
+	Response []byte
 }
 
-// Record is what is kept of a piece of work. Version rises with each change.
+// Record is the replicated state of one request. Version rises with each change.
 type Record struct {
-	ID       string
-	Key      string // of the client's, if it gave one
-	Holder   string
-	Account  uint64
-	Units    float64
-	Charged  bool // the units have been drawn; by the holder before the first version
-	Class    int
-	Repeat   Repeat
-	Deadline int64 // wall clock, Unix ms
-	Body     []byte
-	Version  uint64
-	Token    Token    // under which the newest change was made
-	Keepers  []string // processes that have to know of each attempt; one that starts anew is another
-	Loose    bool     // its holder may go on although no keeper is left
-	Attempts []Attempt
-	End      *End // nil: it has not ended
+	ID               string
+	Key              string // the client's idempotency key, if it sent one
+	Owner            string
+	Account          uint64
+	Units            float64
+	Charged          bool // the units were drawn from the quota, by the owner before the first version
+	Class            int
+	RepeatPolicy     RepeatPolicy
+	Deadline         int64 // wall clock, Unix ms
+	Body             []byte
+	Version          uint64
+	Token            Token    // fencing token of the newest change
+	Replicas         []string // processes that must acknowledge each attempt; a restart makes a different process
+	ReplicasOptional bool     // the owner may go on although no replica is left
+	Attempts         []Attempt
+	Result           *Result // nil: not finished
 }
 
-// clone is a copy that shares the body alone, which is never changed.
+// clone returns a copy that shares only the body, which never changes.
 func (r Record) clone() Record {
-	r.Keepers, r.Attempts = slices.Clone(r.Keepers), slices.Clone(r.Attempts)
+	r.Replicas, r.Attempts = slices.Clone(r.Replicas), slices.Clone(r.Attempts)
 	return r
 }
 
-// MostKeepers is how many others keep a record.
-const MostKeepers = 2
+// MaxReplicas is the number of other limiters that store a record.
+const MaxReplicas = 2
 
-// Limiter is one that may keep records.
+// Limiter is a candidate for storing records, in the room (failure zone) where it runs.
 type Limiter struct{ Name, Room string }
 
-// Keepers are the limiters that keep the work of a key, or of an id that has none, for a holder:
-// by rendezvous, those of other rooms first. All limiters find the same ones.
-func Keepers(key string, holder Limiter, all []Limiter) (names []string) {
-	var near, far []string
-	for _, l := range all {
+// ChooseReplicas returns the limiters that store an owner's record, chosen by rendezvous hashing of
+// the client's key, or of the record's ID if there is none. Limiters in other rooms come first. All
+// limiters compute the same result.
+func ChooseReplicas(key string, owner Limiter, limiters []Limiter) (names []string) {
+	var sameZone, otherZones []string
+	for _, l := range limiters {
 		switch {
-		case l.Name == holder.Name:
-		case l.Room == holder.Room:
-			near = append(near, l.Name)
+		case l.Name == owner.Name:
+		case l.Room == owner.Room:
+			sameZone = append(sameZone, l.Name)
 		default:
-			far = append(far, l.Name)
+			otherZones = append(otherZones, l.Name)
 		}
 	}
-	names = append(peering.Order(key, far), peering.Order(key, near)...)
-	return names[:min(MostKeepers, len(names))]
+	names = append(peering.Order(key, otherZones), peering.Order(key, sameZone)...)
+	return names[:min(MaxReplicas, len(names))]
 }
 
-// Hold is the part of the one that works on a record: its holder, or a taker. Before each
-// send it asks May; what it returns to be noted goes to all keepers in the record. It is not
-// safe for concurrent use.
-type Hold struct {
-	r     Record
-	token Token
-	known map[string]uint64 // by keeper: the version that it has noted
-	over  bool              // a keeper knows a later token: nothing more may go out
+// Worker is the state of the limiter that executes a record: its owner, or a successor. It must call
+// MaySend before each send, and sends each new version of Record to all replicas named in it. It is
+// not safe for concurrent use.
+type Worker struct {
+	record     Record
+	token      Token
+	acked      map[string]uint64 // by replica: the newest version that it acknowledged
+	superseded bool              // a replica has seen a higher token: nothing more may be sent
 }
 
-// NewHold begins with a piece of work, under the holder's token.
-func NewHold(r Record, token Token) *Hold {
-	h := &Hold{r: r.clone(), token: token, known: map[string]uint64{}}
-	h.change()
-	return h
+// NewWorker starts work on a record under the worker's token.
+func NewWorker(record Record, token Token) *Worker {
+	w := &Worker{record: record.clone(), token: token, acked: map[string]uint64{}}
+	w.bumpVersion()
+	return w
 }
 
-// change makes a new version.
-func (h *Hold) change() {
-	h.r.Version++
-	h.r.Token = h.token
+// bumpVersion marks the record as changed under this worker's token.
+func (w *Worker) bumpVersion() {
+	w.record.Version++
+	w.record.Token = w.token
 }
 
-// Record is the newest version, which keepers are to note.
-func (h *Hold) Record() Record { return h.r.clone() }
+// Record returns the newest version, which the replicas must store.
+func (w *Worker) Record() Record { return w.record.clone() }
 
-// Try notes an attempt, before any byte of it goes out.
-func (h *Hold) Try(a Attempt) {
-	h.r.Attempts = append(h.r.Attempts, a)
-	h.change()
+// Try records an attempt. It must be called before any byte of the attempt is sent.
+func (w *Worker) Try(a Attempt) {
+	w.record.Attempts = append(w.record.Attempts, a)
+	w.bumpVersion()
 }
 
-// Finish notes the end.
-func (h *Hold) Finish(e End) {
-	if h.r.End == nil {
-		h.r.End = &e
-		h.change()
+// Finish records the result. Only the first result counts.
+func (w *Worker) Finish(result Result) {
+	if w.record.Result == nil {
+		w.record.Result = &result
+		w.bumpVersion()
 	}
 }
 
-// Without goes on without a keeper that is too slow, or gone. What remains has to know of it
-// before anything is sent. It returns false if that keeper is none of the record's, or the last
-// one of a record that is not loose: its old copy would say that nothing was sent.
-func (h *Hold) Without(keeper string) bool {
-	i := slices.Index(h.r.Keepers, keeper)
-	if i < 0 || len(h.r.Keepers) == 1 && !h.r.Loose {
+// RemoveReplica continues without a replica that is too slow or unreachable. The remaining replicas
+// must acknowledge the change before anything is sent. It returns false if the limiter is no replica
+// of the record, or is the last one and ReplicasOptional is not set: a successor that reads its old
+// copy would conclude that nothing was sent.
+func (w *Worker) RemoveReplica(replica string) bool {
+	i := slices.Index(w.record.Replicas, replica)
+	if i < 0 || len(w.record.Replicas) == 1 && !w.record.ReplicasOptional {
 		return false
 	}
-	h.r.Keepers = slices.Delete(h.r.Keepers, i, i+1)
-	h.change()
+	w.record.Replicas = slices.Delete(w.record.Replicas, i, i+1)
+	w.bumpVersion()
 	return true
 }
 
-// Noted takes in a keeper's answer to a version. One that was refused is over: another one
-// has taken the work.
-func (h *Hold) Noted(keeper string, version uint64, refused bool) {
+// HandleAck processes a replica's reply to a version. A refusal means that a successor has taken the
+// request over, so that this worker must stop.
+func (w *Worker) HandleAck(replica string, version uint64, refused bool) {
 	if refused {
-		h.over = true
+		w.superseded = true
 		return
 	}
-	h.known[keeper] = max(h.known[keeper], version)
+	w.acked[replica] = max(w.acked[replica], version)
 }
 
-// May tells whether the last byte of what was noted may go out, if this limiter's own term
-// holds, which has to be looked at last. With no keeper left nothing is taken over, and nobody else sends.
-func (h *Hold) May() bool {
-	if h.over {
+// MaySend reports whether the last byte of the recorded attempt may be sent: all replicas have
+// acknowledged the newest version. The caller must check after it that its own lease is still valid.
+// With no replica left no successor can take the request over, so nobody else sends it.
+func (w *Worker) MaySend() bool {
+	if w.superseded {
 		return false
 	}
-	for _, k := range h.r.Keepers {
-		if h.known[k] < h.r.Version {
+	for _, replica := range w.record.Replicas {
+		if w.acked[replica] < w.record.Version {
 			return false
 		}
 	}
 	return true
 }
 
-// Book is what one limiter keeps for others, in memory. It is not safe for concurrent use.
-type Book struct {
-	me     string
-	most   int64 // bytes
-	bytes  int64
-	tokens map[string]Token // by holder: the highest that was seen
-	kept   map[string]*kept // by id
+// ReplicaStore holds the records that one limiter stores for others, in memory. It is not safe for
+// concurrent use.
+type ReplicaStore struct {
+	self          string
+	maxBytes      int64
+	bytes         int64
+	highestTokens map[string]Token   // by owner
+	stored        map[string]*stored // by record ID
 }
 
-// kept is one record.
-type kept struct {
+// stored is a record with the local times of its changes.
+type stored struct {
 	Record
-	triedAt time.Duration // when the note of its first attempt came
-	endedAt time.Duration
+	firstAttemptAt time.Duration // when the first version with an attempt arrived
+	finishedAt     time.Duration // when the first version with a result arrived
 }
 
-// NewBook returns an empty book, of so many bytes at most.
-func NewBook(me string, most int64) *Book {
-	return &Book{me: me, most: most, tokens: map[string]Token{}, kept: map[string]*kept{}}
+// NewReplicaStore returns an empty store with a limit on its size in bytes. self is the name of this
+// process as records list it.
+func NewReplicaStore(self string, maxBytes int64) *ReplicaStore {
+	return &ReplicaStore{self: self, maxBytes: maxBytes, highestTokens: map[string]Token{}, stored: map[string]*stored{}}
 }
 
-// overhead is what a record takes beside what it names, in bytes.
-const overhead = 256
+// recordOverheadBytes is the approximate memory of a record in addition to its variable-length fields.
+const recordOverheadBytes = 256
 
-func size(r *Record) int64 {
-	n := overhead + len(r.ID) + len(r.Key) + len(r.Holder) + len(r.Body) + 24*len(r.Attempts)
-	for _, k := range r.Keepers {
-		n += len(k)
+func recordSize(r *Record) int64 {
+	n := recordOverheadBytes + len(r.ID) + len(r.Key) + len(r.Owner) + len(r.Body) + 24*len(r.Attempts)
+	for _, replica := range r.Replicas {
+		n += len(replica)
 	}
-	if r.End != nil {
-		n += len(r.End.Answer)
+	if r.Result != nil {
+		n += len(r.Result.Response)
 	}
 	return int64(n)
 }
 
-// Refusal is why something was not noted.
+// Refusal is the reason why a record was not stored; empty if it was.
 type Refusal string
 
-// Refusals.
+// Reasons for a refusal.
 const (
-	TakenOver Refusal = "taken over" // a later token was seen: the sender has to stop
-	NotMeant  Refusal = "not meant"  // for a process before this one: it is gone, with what it kept
-	Full      Refusal = "full"       // there is no place for it; the sender may go on without this keeper
+	TakenOver    Refusal = "taken over" // a higher token was seen: the sender must stop
+	WrongProcess Refusal = "not meant"  // addressed to an earlier process of this limiter, whose records are lost
+	Full         Refusal = "full"       // no space is left; the sender may continue without this replica
 )
 
-// Note takes a version of a record in. An older one changes nothing.
-func (b *Book) Note(now time.Duration, r Record) Refusal {
-	if r.Token < b.tokens[r.Holder] {
+// Put stores a version of a record. A version older than the stored one is ignored without a refusal.
+func (s *ReplicaStore) Put(now time.Duration, r Record) Refusal {
+	if r.Token < s.highestTokens[r.Owner] {
 		return TakenOver
 	}
-	if !slices.Contains(r.Keepers, b.me) {
-		return NotMeant
+	if !slices.Contains(r.Replicas, s.self) {
+		return WrongProcess
 	}
-	b.tokens[r.Holder] = r.Token
-	k := b.kept[r.ID]
-	if k != nil && (r.Token < k.Token || r.Token == k.Token && r.Version <= k.Version) {
+	s.highestTokens[r.Owner] = r.Token
+	entry := s.stored[r.ID]
+	if entry != nil && (r.Token < entry.Token || r.Token == entry.Token && r.Version <= entry.Version) {
 		return ""
 	}
-	was := int64(0)
-	if k != nil {
-		was = size(&k.Record)
+	oldSize := int64(0)
+	if entry != nil {
+		oldSize = recordSize(&entry.Record)
 	}
-	if b.bytes-was+size(&r) > b.most {
+	if s.bytes-oldSize+recordSize(&r) > s.maxBytes {
 		return Full
 	}
-	if k == nil {
-		k = &kept{}
-		b.kept[r.ID] = k
+	if entry == nil {
+		entry = &stored{}
+		s.stored[r.ID] = entry
 	}
-	if len(r.Attempts) > 0 && len(k.Attempts) == 0 {
-		k.triedAt = now
+	if len(r.Attempts) > 0 && len(entry.Attempts) == 0 {
+		entry.firstAttemptAt = now
 	}
-	if r.End != nil && k.End == nil {
-		k.endedAt = now
+	if r.Result != nil && entry.Result == nil {
+		entry.finishedAt = now
 	}
-	b.bytes += size(&r) - was
-	k.Record = r.clone()
+	s.bytes += recordSize(&r) - oldSize
+	entry.Record = r.clone()
 	return ""
 }
 
-// Told is what a keeper tells a taker of one record.
-type Told struct {
+// ReplicaRecord is a stored record as a replica sends it to a successor.
+type ReplicaRecord struct {
 	Record
-	TriedFor time.Duration // since the note of the first attempt came
+	SinceFirstAttempt time.Duration // time since the first version with an attempt arrived
 }
 
-// Tell tells a taker what is kept of a holder's work, and from then on refuses whoever has a
-// lower token. ok is false if the taker's own is one.
-func (b *Book) Tell(now time.Duration, holder string, token Token) (all []Told, ok bool) {
-	if token < b.tokens[holder] {
+// Claim returns all records of an owner to its successor, and from then on refuses writes under
+// lower tokens. ok is false if a higher token than the successor's own was seen already.
+func (s *ReplicaStore) Claim(now time.Duration, owner string, token Token) (records []ReplicaRecord, ok bool) {
+	if token < s.highestTokens[owner] {
 		return nil, false
 	}
-	b.tokens[holder] = token
-	for _, k := range b.kept {
-		if k.Holder == holder {
-			t := Told{Record: k.clone()}
-			if len(k.Attempts) > 0 {
-				t.TriedFor = now - k.triedAt
+	s.highestTokens[owner] = token
+	for _, entry := range s.stored {
+		if entry.Owner == owner {
+			reply := ReplicaRecord{Record: entry.clone()}
+			if len(entry.Attempts) > 0 {
+				reply.SinceFirstAttempt = now - entry.firstAttemptAt
 			}
-			all = append(all, t)
+			records = append(records, reply)
 		}
 	}
-	slices.SortFunc(all, func(x, y Told) int { return cmp.Compare(x.ID, y.ID) })
-	return all, true
+	slices.SortFunc(records, func(x, y ReplicaRecord) int { return cmp.Compare(x.ID, y.ID) })
+	return records, true
 }
 
-// Find is the record of a client's key and account, if one is kept: the newest.
-func (b *Book) Find(account uint64, key string) (found Record, ok bool) {
-	for _, k := range b.kept {
-		if k.Key == key && key != "" && k.Account == account && (!ok || k.Deadline > found.Deadline) {
-			found, ok = k.clone(), true
+// FindByKey returns the record of an account with the client's key. If there are several it returns
+// the one with the latest deadline.
+func (s *ReplicaStore) FindByKey(account uint64, key string) (found Record, ok bool) {
+	for _, entry := range s.stored {
+		if entry.Key == key && key != "" && entry.Account == account && (!ok || entry.Deadline > found.Deadline) {
+			found, ok = entry.clone(), true
 		}
 	}
 	return found, ok
 }
 
-// Forget drops records that ended so long ago.
-func (b *Book) Forget(now, after time.Duration) {
-	for id, k := range b.kept {
-		if k.End != nil && now-k.endedAt >= after {
-			b.bytes -= size(&k.Record)
-			delete(b.kept, id)
+// DeleteFinished drops records whose results have been stored for the retention time or longer.
+func (s *ReplicaStore) DeleteFinished(now, retention time.Duration) {
+	for id, entry := range s.stored {
+		if entry.Result != nil && now-entry.finishedAt >= retention {
+			s.bytes -= recordSize(&entry.Record)
+			delete(s.stored, id)
 		}
 	}
 }
 
-// Bytes is how much is kept.
-func (b *Book) Bytes() int64 { return b.bytes }
+// Bytes returns the approximate memory that the records take.
+func (s *ReplicaStore) Bytes() int64 { return s.bytes }
 
-// Findings are what keepers have told a taker of one piece of work.
-type Findings struct {
-	newest   Told
-	heard    map[string]bool // keepers that have told, whether they knew the record or not
-	triedFor time.Duration
+// Recovery collects the replies of replicas about one record, for a successor.
+type Recovery struct {
+	newest            ReplicaRecord
+	answered          map[string]bool // replicas that replied with this record
+	sinceFirstAttempt time.Duration
 }
 
-// Hear takes in what a keeper has told under the taker's token; nil: that it knows nothing of
-// this work, as it was never told or has started anew.
-func (f *Findings) Hear(keeper string, t *Told) {
-	if f.heard == nil {
-		f.heard = map[string]bool{}
+// AddReply processes a replica's reply to a claim under the successor's token. A nil record means
+// that the replica has none: it never received the record, or has restarted since.
+func (r *Recovery) AddReply(replica string, record *ReplicaRecord) {
+	if r.answered == nil {
+		r.answered = map[string]bool{}
 	}
-	if t == nil {
+	if record == nil {
 		return
 	}
-	f.heard[keeper] = true
-	f.triedFor = max(f.triedFor, t.TriedFor)
-	if n := &f.newest; t.Token > n.Token || t.Token == n.Token && t.Version > n.Version {
-		f.newest = *t
+	r.answered[replica] = true
+	r.sinceFirstAttempt = max(r.sinceFirstAttempt, record.SinceFirstAttempt)
+	if n := &r.newest; record.Token > n.Token || record.Token == n.Token && record.Version > n.Version {
+		r.newest = *record
 	}
 }
 
-// Record is the newest version that was told.
-func (f *Findings) Record() Record { return f.newest.clone() }
+// Record returns the newest version that a replica returned.
+func (r *Recovery) Record() Record { return r.newest.clone() }
 
-// whole tells that nobody can know more: all keepers of the newest version that was found have
-// told, and whatever went out behind it would have been noted with at least one of them.
-func (f *Findings) whole() bool {
-	for _, k := range f.newest.Keepers {
-		if !f.heard[k] {
+// complete reports whether no newer version can exist: all replicas of the newest version found have
+// replied, and anything sent after it would have been acknowledged by at least one of them.
+func (r *Recovery) complete() bool {
+	for _, replica := range r.newest.Replicas {
+		if !r.answered[replica] {
 			return false
 		}
 	}
-	return len(f.newest.Keepers) > 0 && !f.newest.Loose
+	return len(r.newest.Replicas) > 0 && !r.newest.ReplicasOptional
 }
 
-// Take begins to work on what was found, under the taker's token: with the keepers that have
-// told, which have to know of all that this one does before it does it, and others in place of
-// those that are gone. me is the taker's own process, which is no keeper of its own work.
-func (f *Findings) Take(me string, token Token, others []string) *Hold {
-	r := f.newest.clone()
-	was := r.Keepers
-	r.Keepers = nil
-	for _, k := range was {
-		if f.heard[k] && k != me {
-			r.Keepers = append(r.Keepers, k)
+// TakeOver starts work on the recovered record under the successor's token. The replicas that
+// replied stay, and must acknowledge everything the successor does before it does it; candidates
+// replace those that are lost. self is the successor's own process, which never is a replica of its
+// own work.
+func (r *Recovery) TakeOver(self string, token Token, candidates []string) *Worker {
+	record := r.newest.clone()
+	previous := record.Replicas
+	record.Replicas = nil
+	for _, replica := range previous {
+		if r.answered[replica] && replica != self {
+			record.Replicas = append(record.Replicas, replica)
 		}
 	}
-	for _, k := range others {
-		if len(r.Keepers) < MostKeepers && k != me && !slices.Contains(was, k) {
-			r.Keepers = append(r.Keepers, k)
+	for _, replica := range candidates {
+		if len(record.Replicas) < MaxReplicas && replica != self && !slices.Contains(previous, replica) {
+			record.Replicas = append(record.Replicas, replica)
 		}
 	}
-	return NewHold(r, token)
+	return NewWorker(record, token)
 }
 
-// Course is what a taker may do about a piece of work.
-type Course string
+// Action is what a successor may do with a recovered request.
+type Action string
 
-// Courses.
+// Actions of a successor.
 const (
-	Nothing Course = "nothing" // it has ended
-	Send    Course = "send"    // to any box
-	Again   Course = "again"   // to the group that drops its repeats alone
-	Unknown Course = "unknown" // it ends as one of which nobody knows
-	Doubt   Course = "doubt"   // the same, and it is entered in the ledger: it may have run, and must not twice
-	Late    Course = "late"    // nothing was sent, and its time is over
+	DoNothing     Action = "nothing" // the request has finished
+	Send          Action = "send"    // send to any box
+	SendToGroup   Action = "again"   // send only to the group that deduplicates its key
+	ReportUnknown Action = "unknown" // finish it with an unknown outcome
+	ReportInDoubt Action = "doubt"   // as ReportUnknown, and enter it in the ledger: it may have run already
+	ReportExpired Action = "late"    // nothing was sent, and the deadline has passed
 )
 
-// Decide says what may be done. left is what the deadline leaves, window how long a group
-// remembers a key. group is where Again has to go.
-func (f *Findings) Decide(left, window time.Duration) (c Course, group uint64) {
-	r := &f.newest
-	sent := len(r.Attempts) > 0
+// Decide returns what the successor may do. remaining is the time until the deadline, dedupWindow how
+// long a group remembers a key. group is the destination for SendToGroup, otherwise 0.
+func (r *Recovery) Decide(remaining, dedupWindow time.Duration) (action Action, group uint64) {
+	record := &r.newest
+	sent := len(record.Attempts) > 0
 	switch {
-	case r.End != nil:
-		return Nothing, 0
-	case r.Repeat == Safe || !sent && f.whole():
-		if left <= 0 {
-			return Late, 0
+	case record.Result != nil:
+		return DoNothing, 0
+	case record.RepeatPolicy == Safe || !sent && r.complete():
+		if remaining <= 0 {
+			return ReportExpired, 0
 		}
 		return Send, 0
-	case r.Repeat == Unsafe:
-		return Doubt, 0
+	case record.RepeatPolicy == Unsafe:
+		return ReportInDoubt, 0
 	}
-	// Keyed: all attempts have to be of one group, and no other may be unknown.
+	// Keyed: all attempts must have gone to one group, and there must be no unrecorded attempt.
 	group = 0
-	for i, a := range r.Attempts {
-		if i > 0 && a.Group != group {
-			return Unknown, 0
+	for i, a := range record.Attempts {
+		if i > 0 && a.DedupGroup != group {
+			return ReportUnknown, 0
 		}
-		group = a.Group
+		group = a.DedupGroup
 	}
-	if !sent || group == 0 || !f.whole() || left <= 0 || f.triedFor >= window {
-		return Unknown, 0
+	if !sent || group == 0 || !r.complete() || remaining <= 0 || r.sinceFirstAttempt >= dedupWindow {
+		return ReportUnknown, 0
 	}
-	return Again, group
+	return SendToGroup, group
 }
--- a/custody/model_test.go
+++ b/custody/model_test.go
@@ -10,99 +10,99 @@
 	"time"
 )
 
-// The model: a holder, two keepers, a spare limiter, boxes, and one request, with every
-// interleaving of what is delivered (late, twice, never), of crashes, of terms that end while
-// their owner is stopped between its last check and its last byte, and of takers that are lost
-// in the middle. It runs the real Hold, Book and Findings.
+// The model consists of an owner, two replicas, a spare limiter, boxes and one request. It covers every
+// interleaving of message delivery (late, duplicated, lost), crashes, leases that expire while their
+// owner is paused between its last check and its last byte, and successors that are lost midway. It
+// runs the real Worker, ReplicaStore and Recovery.
 
-// bounds are those of one exploration.
+// bounds limits one exploration.
 type bounds struct {
-	takers int // one after the other
-	drops  int // of keepers, by whoever works on the request
-	deaths int // of keepers
-	tries  int // of the holder, and of each taker
+	maxTakeovers int // one after the other
+	removals     int // of replicas, by the worker on the request
+	maxCrashes   int // of replicas
+	attempts     int // by the owner, and by each successor
 }
 
-// wrong is what is left out on purpose.
-type wrong struct{ term, token, note, window, whole bool }
+// omitted names the rules that an exploration leaves out on purpose.
+type omitted struct{ termValid, token, ackBeforeSend, dedupWindow, allReplies bool }
 
 const (
-	window  = time.Second
-	keeperA = "a"
-	keeperB = "b"
-	spareD  = "d"
+	dedupWindow = time.Second
+	replicaA    = "a"
+	replicaB    = "b"
+	spareD      = "d"
 )
 
-var names = []string{keeperA, keeperB, spareD}
+var limiterNames = []string{replicaA, replicaB, spareD}
 
-// actor is one that works on the request: the holder, or a taker.
+// actor executes the request: the owner or a successor.
 type actor struct {
-	me      string
-	token   Token
-	hold    *Hold
-	course  Course
-	group   uint64
-	tries   int
-	state   string   // "", "tried" (noted, not checked), "checked", "sent"
-	term    bool     // its term holds
-	gone    bool     // its process has ended
-	history []Record // versions that are on their way to keepers, any time, any number of times
-	asking  *Findings
-	told    string // keepers that have told a taker, or were found dead
-	// accepted is what keepers have noted; the actor may learn of it at any time, also late.
+	limiter   string
+	token     Token
+	worker    *Worker
+	action    Action
+	group     uint64
+	attempts  int
+	state     string // "", "tried" (recorded, not checked), "checked", "sent"
+	termValid bool   // its lease is valid
+	crashed   bool
+	inTransit []Record // versions sent to replicas; each may arrive at any time, any number of times
+	recovery  *Recovery
+	replies   string // replicas that replied to a successor, or were found dead
+	// accepted holds the versions that replicas stored; the actor may learn of them at any time, also late.
 	accepted map[string]uint64
 }
 
-// state is one state of the world.
+// state is one state of the whole system.
 type state struct {
-	repeat  Repeat
-	actors  []*actor
-	books   map[string]*Book // by process: those that live
-	ran     []uint64         // groups that it took effect in, in order; drops of a group are not in it
-	drops   int              // holders' drops of keepers
-	expired bool             // a group has forgotten
-	most    bounds
-	dead    int
+	policy       RepeatPolicy
+	actors       []*actor
+	stores       map[string]*ReplicaStore // by process; only live ones
+	executions   []uint64                 // groups in which the request took effect, in order
+	removals     int                      // replicas removed by workers
+	dedupExpired bool                     // a group has forgotten its keys
+	limits       bounds
+	crashCount   int
 }
 
 func (a *actor) clone() *actor {
 	b := *a
-	b.history, b.accepted = slices.Clone(a.history), maps.Clone(a.accepted)
-	if a.hold != nil {
-		h := *a.hold
-		h.r = h.r.clone()
-		h.known = maps.Clone(a.hold.known)
-		b.hold = &h
-	}
-	if a.asking != nil {
-		f := *a.asking
-		f.heard = maps.Clone(a.asking.heard)
-		b.asking = &f
+	b.inTransit, b.accepted = slices.Clone(a.inTransit), maps.Clone(a.accepted)
+	if a.worker != nil {
+		workerCopy := *a.worker
+		workerCopy.record = workerCopy.record.clone()
+		workerCopy.acked = maps.Clone(a.worker.acked)
+		b.worker = &workerCopy
+	}
+	if a.recovery != nil {
+		recoveryCopy := *a.recovery
+		recoveryCopy.answered = maps.Clone(a.recovery.answered)
+		b.recovery = &recoveryCopy
 	}
 	return &b
 }
 
 func (s *state) clone() *state {
-	n := *s
-	n.actors, n.books, n.ran = nil, map[string]*Book{}, slices.Clone(s.ran)
+	copied := *s
+	copied.actors, copied.stores, copied.executions = nil, map[string]*ReplicaStore{}, slices.Clone(s.executions)
 	for _, a := range s.actors {
-		n.actors = append(n.actors, a.clone())
-	}
-	for name, b := range s.books {
-		c := NewBook(b.me, b.most)
-		c.bytes = b.bytes
-		c.tokens = maps.Clone(b.tokens)
-		for id, k := range b.kept {
-			x := *k
-			x.Record = k.Record.clone()
-			c.kept[id] = &x
+		copied.actors = append(copied.actors, a.clone())
+	}
+	for name, b := range s.stores {
+		store := NewReplicaStore(b.self, b.maxBytes)
+		store.bytes = b.bytes
+		store.highestTokens = maps.Clone(b.highestTokens)
+		for id, k := range b.stored {
+			entry := *k
+			entry.Record = k.Record.clone()
+			store.stored[id] = &entry
 		}
-		n.books[name] = c
+		copied.stores[name] = store
 	}
-	return &n
+	return &copied
 }
 
-// key is what two equal states have in common.
+// key encodes what matters of a state: equal keys mean equal states.
 func (s *state) key() string {
 	b := make([]byte, 0, 512)
 	num := func(x uint64) { b = append(strconv.AppendUint(b, x, 10), ' ') }
@@ -114,258 +114,258 @@
 	record := func(r *Record) {
 		num(r.Version)
 		num(uint64(r.Token))
-		for _, k := range r.Keepers {
+		for _, k := range r.Replicas {
 			b = append(b, k...)
 		}
 		for _, a := range r.Attempts {
-			num(a.Group)
+			num(a.DedupGroup)
 		}
 		b = append(b, ';')
 	}
 	for _, a := range s.actors {
-		b = append(append(append(append(b, a.me...), a.course...), a.state...), a.told...)
+		b = append(append(append(append(b, a.limiter...), a.action...), a.state...), a.replies...)
 		num(a.group)
-		num(uint64(a.tries))
-		flag(a.term, a.gone, a.hold != nil, a.asking != nil)
-		if a.hold != nil {
-			flag(a.hold.over)
-			for _, k := range names {
-				num(a.hold.known[k])
+		num(uint64(a.attempts))
+		flag(a.termValid, a.crashed, a.worker != nil, a.recovery != nil)
+		if a.worker != nil {
+			flag(a.worker.superseded)
+			for _, k := range limiterNames {
+				num(a.worker.acked[k])
 				num(a.accepted[k])
 			}
 		}
-		for i := range a.history {
-			record(&a.history[i])
+		for i := range a.inTransit {
+			record(&a.inTransit[i])
 		}
-		if a.asking != nil {
-			record(&a.asking.newest.Record)
-			num(uint64(a.asking.triedFor))
-			for _, k := range names {
-				flag(a.asking.heard[k])
+		if a.recovery != nil {
+			record(&a.recovery.newest.Record)
+			num(uint64(a.recovery.sinceFirstAttempt))
+			for _, k := range limiterNames {
+				flag(a.recovery.answered[k])
 			}
 		}
 	}
-	for _, name := range names {
-		flag(s.books[name] != nil)
-		if book := s.books[name]; book != nil {
-			num(uint64(book.tokens["h"]))
-			for _, k := range book.kept {
+	for _, name := range limiterNames {
+		flag(s.stores[name] != nil)
+		if store := s.stores[name]; store != nil {
+			num(uint64(store.highestTokens["h"]))
+			for _, k := range store.stored {
 				record(&k.Record)
-				num(uint64(k.triedAt))
+				num(uint64(k.firstAttemptAt))
 			}
 		}
 	}
-	for _, g := range s.ran {
+	for _, g := range s.executions {
 		num(g)
 	}
-	num(uint64(s.drops))
-	num(uint64(s.dead))
-	flag(s.expired)
+	num(uint64(s.removals))
+	num(uint64(s.crashCount))
+	flag(s.dedupExpired)
 	return string(b)
 }
 
-// next are all states that may follow.
-func (s *state) next(w wrong) (all []*state) {
+// next returns all states that may follow.
+func (s *state) next(without omitted) (states []*state) {
 	do := func(f func(n *state)) {
 		n := s.clone()
 		f(n)
-		all = append(all, n)
+		states = append(states, n)
 	}
 	now := time.Duration(0)
-	if s.expired {
-		now = window
+	if s.dedupExpired {
+		now = dedupWindow
 	}
 	for i, a := range s.actors {
-		// What is on its way comes to keepers, late ones as well, and their answers back.
-		for v := range a.history {
-			for _, name := range a.history[v].Keepers {
-				if s.books[name] == nil || a.accepted[name] >= a.history[v].Version {
+		// Versions in transit reach replicas, also late, and the replies return.
+		for v := range a.inTransit {
+			for _, name := range a.inTransit[v].Replicas {
+				if s.stores[name] == nil || a.accepted[name] >= a.inTransit[v].Version {
 					continue
 				}
 				do(func(n *state) {
-					x, r := n.actors[i], n.actors[i].history[v]
-					switch refused := n.books[name].Note(now, r); {
-					case refused == TakenOver && !w.token:
-						x.hold.Noted(name, r.Version, true)
-					case refused == "" || refused == TakenOver:
-						x.accepted[name] = max(x.accepted[name], r.Version)
+					x, record := n.actors[i], n.actors[i].inTransit[v]
+					switch refusal := n.stores[name].Put(now, record); {
+					case refusal == TakenOver && !without.token:
+						x.worker.HandleAck(name, record.Version, true)
+					case refusal == "" || refusal == TakenOver:
+						x.accepted[name] = max(x.accepted[name], record.Version)
 					}
 				})
 			}
 		}
 		for name, version := range a.accepted {
-			if a.hold.known[name] < version {
-				do(func(n *state) { n.actors[i].hold.Noted(name, version, false) })
+			if a.worker.acked[name] < version {
+				do(func(n *state) { n.actors[i].worker.HandleAck(name, version, false) })
 			}
 		}
-		if a.gone { // as one that never does anything again, but for a keeper that dies
+		if a.crashed { // it takes no further steps; a crash of a replica also loses its store
 			continue
 		}
-		if a.term {
-			do(func(n *state) { n.actors[i].term = false })
+		if a.termValid {
+			do(func(n *state) { n.actors[i].termValid = false })
 		}
-		may := a.hold != nil && (a.hold.May() || w.note)
+		maySend := a.worker != nil && (a.worker.MaySend() || without.ackBeforeSend)
 		switch {
-		case a.hold == nil:
-		case a.state == "" && may && a.tries < s.most.tries && a.course != Nothing:
+		case a.worker == nil:
+		case a.state == "" && maySend && a.attempts < s.limits.attempts && a.action != DoNothing:
 			for _, group := range []uint64{1, 2} {
-				if a.course == Again && group != a.group || s.repeat != Keyed && group > 1 {
+				if a.action == SendToGroup && group != a.group || s.policy != Keyed && group > 1 {
 					continue
 				}
 				do(func(n *state) {
 					x := n.actors[i]
-					x.tries++
-					x.hold.Try(Attempt{Try: x.tries, Group: group})
-					x.history, x.state, x.group = append(x.history, x.hold.Record()), "tried", group
+					x.attempts++
+					x.worker.Try(Attempt{Try: x.attempts, DedupGroup: group})
+					x.inTransit, x.state, x.group = append(x.inTransit, x.worker.Record()), "tried", group
 				})
 			}
-		case a.state == "tried" && may && (a.term || w.term) && !(a.course == Again && s.expired && !w.window): // the last check; it may be stopped behind it for long
+		case a.state == "tried" && maySend && (a.termValid || without.termValid) && !(a.action == SendToGroup && s.dedupExpired && !without.dedupWindow): // the last check; a long pause may follow
 			do(func(n *state) { n.actors[i].state = "checked" })
 		case a.state == "checked":
-			do(func(n *state) { n.run(n.actors[i].group); n.actors[i].state = "sent" })
-			do(func(n *state) { // or the box took nothing: the holder may try again
+			do(func(n *state) { n.execute(n.actors[i].group); n.actors[i].state = "sent" })
+			do(func(n *state) { // or the box did not receive it: the owner may try again
 				n.actors[i].state = "sent"
-				if n.repeat != Keyed && i == 0 {
+				if n.policy != Keyed && i == 0 {
 					n.actors[i].state = ""
 				}
 			})
 		}
-		if a.hold != nil && s.drops < s.most.drops && len(a.hold.r.Keepers) > 0 && a.state != "sent" {
-			for _, k := range a.hold.r.Keepers {
+		if a.worker != nil && s.removals < s.limits.removals && len(a.worker.record.Replicas) > 0 && a.state != "sent" {
+			for _, k := range a.worker.record.Replicas {
 				do(func(n *state) {
 					x := n.actors[i]
-					if x.hold.Without(k) {
-						x.history = append(x.history, x.hold.Record())
-						n.drops++
+					if x.worker.RemoveReplica(k) {
+						x.inTransit = append(x.inTransit, x.worker.Record())
+						n.removals++
 					}
 				})
 			}
 		}
 	}
-	// A keeper dies, with what it knew.
-	if s.dead < s.most.deaths {
-		for _, name := range []string{keeperA, keeperB} {
-			if s.books[name] != nil {
+	// A replica crashes and loses its records.
+	if s.crashCount < s.limits.maxCrashes {
+		for _, name := range []string{replicaA, replicaB} {
+			if s.stores[name] != nil {
 				do(func(n *state) {
-					delete(n.books, name)
-					n.dead++
+					delete(n.stores, name)
+					n.crashCount++
 					for _, a := range n.actors {
-						if a.me == name {
-							a.gone, a.term = true, false
+						if a.limiter == name {
+							a.crashed, a.termValid = true, false
 						}
 					}
 				})
 			}
 		}
 	}
-	// A group forgets. That somebody is stopped between its last check and its last byte for longer
-	// than that can't be held against by anything but the box: it is left out here.
+	// A group forgets its keys. Only the box could protect against a worker that is paused between its
+	// last check and its last byte for longer than that, so the model excludes the case.
 	stopped := slices.ContainsFunc(s.actors, func(a *actor) bool { return a.state == "checked" })
-	if s.repeat == Keyed && !s.expired && len(s.ran) > 0 && !stopped {
-		do(func(n *state) { n.expired = true })
+	if s.policy == Keyed && !s.dedupExpired && len(s.executions) > 0 && !stopped {
+		do(func(n *state) { n.dedupExpired = true })
 	}
-	// Somebody takes the duty once the term of the one before has ended.
-	last := s.actors[len(s.actors)-1]
-	if !last.term && len(s.actors) <= s.most.takers {
+	// A successor takes the duty once the previous lease has ended.
+	latest := s.actors[len(s.actors)-1]
+	if !latest.termValid && len(s.actors) <= s.limits.maxTakeovers {
 		do(func(n *state) {
-			me := []string{spareD, keeperA}[len(n.actors)-1]
-			if n.books[me] == nil {
+			limiter := []string{spareD, replicaA}[len(n.actors)-1]
+			if n.stores[limiter] == nil {
 				return
 			}
-			n.actors = append(n.actors, &actor{me: me, token: Token(len(n.actors) + 1), term: true, asking: &Findings{}, accepted: map[string]uint64{}})
+			n.actors = append(n.actors, &actor{limiter: limiter, token: Token(len(n.actors) + 1), termValid: true, recovery: &Recovery{}, accepted: map[string]uint64{}})
 		})
 	}
-	// It asks the keepers, and decides when it likes.
-	if i := len(s.actors) - 1; i > 0 && last.term && last.hold == nil && last.course == "" {
-		for _, name := range names {
-			if strings.Contains(last.told, name) {
+	// It asks the replicas, and may decide at any time.
+	if i := len(s.actors) - 1; i > 0 && latest.termValid && latest.worker == nil && latest.action == "" {
+		for _, name := range limiterNames {
+			if strings.Contains(latest.replies, name) {
 				continue
 			}
 			do(func(n *state) {
 				x := n.actors[i]
-				x.told += name
-				book := n.books[name]
-				if book == nil {
+				x.replies += name
+				store := n.stores[name]
+				if store == nil {
 					return
 				}
-				before := book.tokens["h"]
-				told, ok := book.Tell(now, "h", x.token)
-				if w.token {
-					book.tokens["h"] = before
+				previous := store.highestTokens["h"]
+				replies, ok := store.Claim(now, "h", x.token)
+				if without.token {
+					store.highestTokens["h"] = previous
 				}
 				if !ok {
-					x.term = false
+					x.termValid = false
 				}
-				x.asking.Hear(name, nil)
-				for k := range told {
-					if w.window {
-						told[k].TriedFor = 0
+				x.recovery.AddReply(name, nil)
+				for k := range replies {
+					if without.dedupWindow {
+						replies[k].SinceFirstAttempt = 0
 					}
-					x.asking.Hear(name, &told[k])
+					x.recovery.AddReply(name, &replies[k])
 				}
 			})
 		}
-		if last.asking.newest.ID != "" {
+		if latest.recovery.newest.ID != "" {
 			do(func(n *state) {
 				x := n.actors[i]
-				f := x.asking
-				if w.whole {
-					for _, k := range f.newest.Keepers {
-						f.heard[k] = true
+				f := x.recovery
+				if without.allReplies {
+					for _, k := range f.newest.Replicas {
+						f.answered[k] = true
 					}
 				}
-				x.course, x.group = f.Decide(time.Minute, window)
-				if x.course == Send || x.course == Again {
-					x.hold = f.Take(x.me, x.token, []string{spareD, keeperB})
-					x.history = append(x.history, x.hold.Record())
-					if b := n.books[x.me]; b != nil && slices.Contains(f.newest.Keepers, x.me) {
-						b.Tell(now, "h", x.token)
+				x.action, x.group = f.Decide(time.Minute, dedupWindow)
+				if x.action == Send || x.action == SendToGroup {
+					x.worker = f.TakeOver(x.limiter, x.token, []string{spareD, replicaB})
+					x.inTransit = append(x.inTransit, x.worker.Record())
+					if b := n.stores[x.limiter]; b != nil && slices.Contains(f.newest.Replicas, x.limiter) {
+						b.Claim(now, "h", x.token)
 					}
 				}
-				x.asking = nil
+				x.recovery = nil
 			})
 		}
 	}
-	return all
+	return states
 }
 
-// run has the boxes of a group take it, which drop a repeat while they remember.
-func (s *state) run(group uint64) {
-	if s.repeat == Keyed && !s.expired && slices.Contains(s.ran, group) {
+// execute runs the request on the boxes of a group, which drop a repeat until they forget the key.
+func (s *state) execute(group uint64) {
+	if s.policy == Keyed && !s.dedupExpired && slices.Contains(s.executions, group) {
 		return
 	}
-	s.ran = append(s.ran, group)
+	s.executions = append(s.executions, group)
 }
 
-// begin is a request that its holder has just taken.
-func begin(repeat Repeat, most bounds) *state {
-	r := Record{ID: "r", Key: "k", Holder: "h", Charged: true, Repeat: repeat, Keepers: []string{keeperA, keeperB}}
-	first := &state{repeat: repeat, most: most, books: map[string]*Book{}}
-	for _, name := range names {
-		first.books[name] = NewBook(name, 1<<20)
-	}
-	h := &actor{me: "h", token: 1, term: true, hold: NewHold(r, 1), accepted: map[string]uint64{}}
-	h.history = append(h.history, h.hold.Record())
-	first.actors = append(first.actors, h)
+// newState returns the state in which the owner has just accepted a request.
+func newState(policy RepeatPolicy, limits bounds) *state {
+	record := Record{ID: "r", Key: "k", Owner: "h", Charged: true, RepeatPolicy: policy, Replicas: []string{replicaA, replicaB}}
+	first := &state{policy: policy, limits: limits, stores: map[string]*ReplicaStore{}}
+	for _, name := range limiterNames {
+		first.stores[name] = NewReplicaStore(name, 1<<20)
+	}
+	owner := &actor{limiter: "h", token: 1, termValid: true, worker: NewWorker(record, 1), accepted: map[string]uint64{}}
+	owner.inTransit = append(owner.inTransit, owner.worker.Record())
+	first.actors = append(first.actors, owner)
 	return first
 }
 
-// explore plays all states and returns how many there are, and the first in which it took effect
-// twice.
-func explore(repeat Repeat, most bounds, w wrong) (states int, twice *state) {
-	first := begin(repeat, most)
+// explore visits all reachable states. It returns how many there are, and the first one in which the
+// request took effect twice.
+func explore(policy RepeatPolicy, limits bounds, without omitted) (states int, twice *state) {
+	first := newState(policy, limits)
 	seen := map[string]bool{first.key(): true}
-	todo := []*state{first}
-	for len(todo) > 0 {
-		s := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
-		for _, n := range s.next(w) {
-			if len(n.ran) > 1 {
+	pending := []*state{first}
+	for len(pending) > 0 {
+		s := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
+		for _, n := range s.next(without) {
+			if len(n.executions) > 1 {
 				return len(seen), n
 			}
 			if k := n.key(); !seen[k] {
 				seen[k] = true
-				todo = append(todo, n)
+				pending = append(pending, n)
 			}
 		}
 	}
@@ -374,155 +374,155 @@
 
 func TestNothingTakesEffectTwice(t *testing.T) {
 	for _, x := range []struct {
-		repeat Repeat
+		policy RepeatPolicy
 		bounds
 	}{
-		{Unsafe, bounds{takers: 1, drops: 1, tries: 1}},
-		{Unsafe, bounds{takers: 1, deaths: 1, tries: 1}},
-		{Unsafe, bounds{takers: 1, tries: 2}},
-		{Keyed, bounds{takers: 1, tries: 2}},
+		{Unsafe, bounds{maxTakeovers: 1, removals: 1, attempts: 1}},
+		{Unsafe, bounds{maxTakeovers: 1, maxCrashes: 1, attempts: 1}},
+		{Unsafe, bounds{maxTakeovers: 1, attempts: 2}},
+		{Keyed, bounds{maxTakeovers: 1, attempts: 2}},
 	} {
-		states, twice := explore(x.repeat, x.bounds, wrong{})
-		t.Logf("%v, %+v: %d states", x.repeat, x.bounds, states)
+		states, twice := explore(x.policy, x.bounds, omitted{})
+		t.Logf("%v, %+v: %d states", x.policy, x.bounds, states)
 		if twice != nil {
-			t.Errorf("%v: it took effect %v: %s", x.repeat, twice.ran, twice.key())
+			t.Errorf("%v: the request took effect in groups %v: %s", x.policy, twice.executions, twice.key())
 		}
 	}
 }
 
-// Beyond what can be played in full: walks with two takers, a keeper that dies and one that is
-// dropped, from seeds.
+// Random walks cover what is too large to explore exhaustively: two successors, one replica crash and
+// one removed replica.
 func TestNothingTakesEffectTwiceInWalks(t *testing.T) {
-	sent, taken := 0, 0
+	effects, takeovers := 0, 0
 	for seed := range uint64(1500) {
 		r := rand.New(rand.NewPCG(seed, 7))
-		s := begin([]Repeat{Unsafe, Keyed}[seed%2], bounds{takers: 2, drops: 1, deaths: 1, tries: 2})
+		s := newState([]RepeatPolicy{Unsafe, Keyed}[seed%2], bounds{maxTakeovers: 2, removals: 1, maxCrashes: 1, attempts: 2})
 		for range 60 {
-			all := s.next(wrong{})
+			all := s.next(omitted{})
 			if len(all) == 0 {
 				break
 			}
-			if s = all[r.IntN(len(all))]; len(s.ran) > 1 {
-				t.Fatalf("seed %d: %v took effect %v: %s", seed, s.repeat, s.ran, s.key())
+			if s = all[r.IntN(len(all))]; len(s.executions) > 1 {
+				t.Fatalf("seed %d: %v: the request took effect in groups %v: %s", seed, s.policy, s.executions, s.key())
 			}
 		}
-		sent += len(s.ran)
+		effects += len(s.executions)
 		if len(s.actors) > 1 {
-			taken++
+			takeovers++
 		}
 	}
-	if sent == 0 || taken == 0 {
-		t.Errorf("%d took effect and %d were taken over: the walks show nothing", sent, taken)
+	if effects == 0 || takeovers == 0 {
+		t.Errorf("%d requests took effect and %d were taken over: the walks cover nothing", effects, takeovers)
 	}
 }
 
-// A holder whose clock is wrong, so that it believes in its term for ever, does no harm: keepers
-// refuse its notes once they have told a taker.
+// An owner whose clock is wrong may believe for ever that its lease is valid. It does no harm, as
+// replicas refuse its writes once they have replied to a successor.
 func TestTokensHoldWithoutTerms(t *testing.T) {
-	for _, most := range []bounds{{takers: 1, drops: 1, tries: 1}, {takers: 1, deaths: 1, tries: 1}, {takers: 1, tries: 2}} {
-		states, twice := explore(Unsafe, most, wrong{term: true})
-		t.Logf("%+v: %d states", most, states)
+	for _, limits := range []bounds{{maxTakeovers: 1, removals: 1, attempts: 1}, {maxTakeovers: 1, maxCrashes: 1, attempts: 1}, {maxTakeovers: 1, attempts: 2}} {
+		states, twice := explore(Unsafe, limits, omitted{termValid: true})
+		t.Logf("%+v: %d states", limits, states)
 		if twice != nil {
-			t.Errorf("it took effect %v: %s", twice.ran, twice.key())
+			t.Errorf("the request took effect in groups %v: %s", twice.executions, twice.key())
 		}
 	}
 }
 
-// Each rule that is left out is found.
-func TestRulesThatAreLeftOutAreFound(t *testing.T) {
+// The model must find a double execution for each rule that is left out.
+func TestModelFindsOmittedRules(t *testing.T) {
 	for name, x := range map[string]struct {
-		repeat Repeat
+		policy RepeatPolicy
 		bounds
-		wrong
+		omitted
 	}{
-		"the term and the token":            {Unsafe, bounds{1, 0, 0, 1}, wrong{term: true, token: true}},
-		"the note before the last byte":     {Unsafe, bounds{1, 0, 0, 1}, wrong{note: true}},
-		"the window":                        {Keyed, bounds{1, 0, 0, 1}, wrong{window: true}},
-		"that all keepers have to be heard": {Unsafe, bounds{1, 1, 0, 1}, wrong{whole: true}},
+		"the lease check and the token":            {Unsafe, bounds{1, 0, 0, 1}, omitted{termValid: true, token: true}},
+		"the acknowledgement before the last byte": {Unsafe, bounds{1, 0, 0, 1}, omitted{ackBeforeSend: true}},
+		"the deduplication window":                 {Keyed, bounds{1, 0, 0, 1}, omitted{dedupWindow: true}},
+		"the replies of all replicas":              {Unsafe, bounds{1, 1, 0, 1}, omitted{allReplies: true}},
 	} {
-		states, twice := explore(x.repeat, x.bounds, x.wrong)
+		states, twice := explore(x.policy, x.bounds, x.omitted)
 		if twice == nil {
-			t.Errorf("without %s nothing takes effect twice in %d states", name, states)
+			t.Errorf("without %s no double execution was found in %d states", name, states)
 		} else {
 			t.Logf("without %s: found after %d states", name, states)
 		}
 	}
 }
 
-// Keepers are others, those of other rooms first, and the same ones wherever they are asked for.
-func TestKeepers(t *testing.T) {
+// Replicas exclude the owner, prefer other rooms, and are the same on whichever limiter they are computed.
+func TestChooseReplicas(t *testing.T) {
 	all := []Limiter{{"n0", "a"}, {"n1", "b"}, {"n2", "a"}, {"n3", "b"}, {"n4", "a"}}
 	for i := range 100 {
 		key := strconv.Itoa(i)
-		names := Keepers(key, all[0], all)
-		again := slices.Clone(all)
-		slices.Reverse(again)
-		if len(names) != 2 || names[0] == names[1] || !slices.Equal(names, Keepers(key, all[0], again)) {
+		names := ChooseReplicas(key, all[0], all)
+		reversed := slices.Clone(all)
+		slices.Reverse(reversed)
+		if len(names) != 2 || names[0] == names[1] || !slices.Equal(names, ChooseReplicas(key, all[0], reversed)) {
 			t.Fatalf("%s: %v", key, names)
 		}
 		for _, n := range names {
 			if n != "n1" && n != "n3" {
-				t.Errorf("%s: %s is of the holder's room", key, n)
+				t.Errorf("%s: %s is in the owner's room", key, n)
 			}
 		}
 	}
-	if names := Keepers("k", all[0], all[:3]); !slices.Equal(names, []string{"n1", "n2"}) {
-		t.Errorf("one in another room: %v", names)
+	if names := ChooseReplicas("k", all[0], all[:3]); !slices.Equal(names, []string{"n1", "n2"}) {
+		t.Errorf("with one limiter in another room: %v", names)
 	}
-	if names := Keepers("k", all[0], all[:1]); len(names) != 0 {
-		t.Errorf("nobody else: %v", names)
+	if names := ChooseReplicas("k", all[0], all[:1]); len(names) != 0 {
+		t.Errorf("without other limiters: %v", names)
 	}
 }
 
-// A book takes so many bytes, finds what a client comes back for, and forgets what has ended.
-func TestBook(t *testing.T) {
-	b := NewBook("a/1", 4*(overhead+1000))
-	r := Record{ID: "r0", Key: "k", Account: 7, Holder: "h", Token: 1, Version: 1, Keepers: []string{"a/1"}, Body: make([]byte, 900)}
+// A store enforces its size limit, finds records by the client's key, and drops finished records.
+func TestReplicaStore(t *testing.T) {
+	b := NewReplicaStore("a/1", 4*(recordOverheadBytes+1000))
+	r := Record{ID: "r0", Key: "k", Account: 7, Owner: "h", Token: 1, Version: 1, Replicas: []string{"a/1"}, Body: make([]byte, 900)}
 	for _, id := range []string{"r1", "r2", "r3"} {
 		x := r
 		x.ID, x.Key = id, id
-		if got := b.Note(0, x); got != "" {
+		if got := b.Put(0, x); got != "" {
 			t.Errorf("%s: %q", id, got)
 		}
 	}
 	big, other := r, r
 	big.ID, big.Body = "big", make([]byte, 5000)
-	other.ID, other.Keepers = "other", []string{"a/0"} // the process before this one
-	if got := b.Note(0, big); got != Full {
+	other.ID, other.Replicas = "other", []string{"a/0"} // an earlier process of this limiter
+	if got := b.Put(0, big); got != Full {
 		t.Errorf("too large: %q", got)
 	}
-	if got := b.Note(0, other); got != NotMeant {
-		t.Errorf("meant for another process: %q", got)
+	if got := b.Put(0, other); got != WrongProcess {
+		t.Errorf("addressed to another process: %q", got)
 	}
-	held := b.Bytes()
-	if got := b.Note(0, r); got != "" || b.Bytes() <= held {
-		t.Errorf("%q, %d bytes after %d", got, b.Bytes(), held)
+	bytesBefore := b.Bytes()
+	if got := b.Put(0, r); got != "" || b.Bytes() <= bytesBefore {
+		t.Errorf("%q, %d bytes after %d", got, b.Bytes(), bytesBefore)
 	}
-	h := NewHold(r, 1) // its version is 2
-	h.Finish(End{Status: 200, Answer: []byte("sent")})
-	if got := b.Note(time.Second, h.Record()); got != "" {
+	h := NewWorker(r, 1) // its version is 2
+	h.Finish(Result{Status: 200, Response: []byte("sent")})
+	if got := b.Put(time.Second, h.Record()); got != "" {
 		t.Error(got)
 	}
-	if got := b.Note(time.Second, r); got != "" { // an older version, late
+	if got := b.Put(time.Second, r); got != "" { // an older version, late
 		t.Error(got)
 	}
-	if x, ok := b.Find(7, "k"); !ok || x.End == nil || string(x.End.Answer) != "sent" {
+	if x, ok := b.FindByKey(7, "k"); !ok || x.Result == nil || string(x.Result.Response) != "sent" {
 		t.Errorf("%+v %v", x, ok)
 	}
-	if _, ok := b.Find(8, "k"); ok {
-		t.Error("another account's is found")
+	if _, ok := b.FindByKey(8, "k"); ok {
+		t.Error("the record of another account was found")
 	}
-	if told, ok := b.Tell(time.Second, "h", 2); !ok || len(told) != 4 {
-		t.Errorf("%d told, %v", len(told), ok)
+	if records, ok := b.Claim(time.Second, "h", 2); !ok || len(records) != 4 {
+		t.Errorf("%d records, %v", len(records), ok)
 	}
-	if _, ok := b.Tell(time.Second, "h", 1); ok {
-		t.Error("a taker that is over is told")
+	if _, ok := b.Claim(time.Second, "h", 1); ok {
+		t.Error("a successor with a lower token got records")
 	}
-	if got := b.Note(time.Second, r); got != TakenOver {
-		t.Errorf("a holder that is over: %q", got)
+	if got := b.Put(time.Second, r); got != TakenOver {
+		t.Errorf("a write by the previous owner: %q", got)
 	}
-	b.Forget(time.Second+time.Minute, time.Minute)
-	if _, ok := b.Find(7, "k"); ok || b.Bytes() != held {
-		t.Errorf("%d bytes of %d", b.Bytes(), held)
+	b.DeleteFinished(time.Second+time.Minute, time.Minute)
+	if _, ok := b.FindByKey(7, "k"); ok || b.Bytes() != bytesBefore {
+		t.Errorf("%d bytes of %d", b.Bytes(), bytesBefore)
 	}
 }
--- a/watch/model_test.go
+++ b/watch/model_test.go
@@ -10,308 +10,308 @@
 
 const tick = 100 * time.Millisecond
 
-// room is a room of limiters that all use one box: the first has the duty, while it lives.
-// Messages between them may be lost. Time goes in ticks.
+// room simulates limiters that all use one box. The first one owns the duty while there is a leader.
+// Messages between them may be lost, and time advances in ticks.
 type room struct {
-	cfg     Settings
-	now     time.Duration
-	desk    *Desk // nil: nobody looks
-	posts   []*Post
-	reaches []bool          // whether each reaches the box; the first of them is the desk's
-	ill     []bool          // whether each holds it as ill
-	asked   []time.Duration // when each wanted to know last
-	saw     []time.Duration // when each last had a look or a word that it could believe
-	looks   int             // at the box
-	loses   func() bool
-	blind   bool // for a check of the checks: words are believed whatever the own looks say
+	cfg           Settings
+	now           time.Duration
+	leader        *Leader // nil: no leader
+	followers     []*Follower
+	reachable     []bool          // whether each limiter reaches the box; the first entry is the leader's
+	unhealthy     []bool          // whether each limiter considers the box unhealthy
+	wantedAt      []time.Duration // when each limiter last asked about the box
+	knownAt       []time.Duration // when each limiter last had a probe or a verdict that it could apply
+	probes        int             // number of probes of the box
+	loses         func() bool
+	ignoresChecks bool // deliberate fault: followers apply every verdict without a check of their own
 }
 
 func newRoom(n int, loses func() bool) *room {
-	r := &room{cfg: DefaultSettings(1600 * time.Millisecond), loses: loses, ill: make([]bool, n), reaches: make([]bool, n),
-		asked: make([]time.Duration, n), saw: make([]time.Duration, n)}
-	r.desk = NewDesk(r.cfg)
+	r := &room{cfg: DefaultSettings(1600 * time.Millisecond), loses: loses, unhealthy: make([]bool, n), reachable: make([]bool, n),
+		wantedAt: make([]time.Duration, n), knownAt: make([]time.Duration, n)}
+	r.leader = NewLeader(r.cfg)
 	for i := range n {
-		r.posts = append(r.posts, NewPost(r.cfg))
-		r.posts[i].Heard(0)
-		r.reaches[i] = true
+		r.followers = append(r.followers, NewFollower(r.cfg))
+		r.followers[i].Heard(0)
+		r.reachable[i] = true
 	}
 	return r
 }
 
 const box = 7
 
-func verdict(reaches bool) Verdict {
-	if reaches {
+func verdict(reachable bool) Verdict {
+	if reachable {
 		return Well
 	}
 	return Ill
 }
 
-func who(i int) string {
+func limiterName(i int) string {
 	if i == 0 {
 		return ""
 	}
 	return fmt.Sprintf("n%03d", i)
 }
 
-// believe is what a limiter's module does with what it hears of a box.
+// believe applies a verdict to a limiter's view of the box.
 func (r *room) believe(i int, v Verdict) {
-	r.saw[i] = r.now
+	r.knownAt[i] = r.now
 	if v == Well {
-		r.ill[i] = false
+		r.unhealthy[i] = false
 	}
 }
 
-// look has a limiter look itself.
-func (r *room) look(i int) {
-	r.looks++
-	v := verdict(r.reaches[i])
+// probe has a limiter probe the box itself.
+func (r *room) probe(i int) {
+	r.probes++
+	v := verdict(r.reachable[i])
 	r.believe(i, v)
-	if i > 0 && r.posts[i].Looked(box) && r.desk != nil && !r.loses() {
-		r.tell(r.desk.Checked(r.now, box, v))
+	if i > 0 && r.followers[i].Looked(box) && r.leader != nil && !r.loses() {
+		r.report(r.leader.Checked(r.now, box, v))
 	}
 }
 
-func (r *room) tell(words []Word) {
-	for _, w := range words {
+func (r *room) report(verdicts []BoxVerdict) {
+	for _, v := range verdicts {
 		i := 0
-		if w.To != "" {
-			fmt.Sscanf(w.To, "n%d", &i)
+		if v.To != "" {
+			fmt.Sscanf(v.To, "n%d", &i)
 		}
 		switch {
-		case i == 0 && w.Is == Alone:
-			r.look(0)
+		case i == 0 && v.Is == ProbeAlone:
+			r.probe(0)
 		case i == 0:
-			r.believe(0, w.Is)
+			r.believe(0, v.Is)
 		case !r.loses():
-			r.posts[i].Heard(r.now)
-			if r.blind && w.Is != Well {
-				w.Is = Ill
+			r.followers[i].Heard(r.now)
+			if r.ignoresChecks && v.Is != Well {
+				v.Is = Ill
 			}
-			tell, look := r.posts[i].Told(r.now, w)
-			if tell != "" {
-				r.believe(i, tell)
+			report, probe := r.followers[i].Told(r.now, v)
+			if report != "" {
+				r.believe(i, report)
 			}
-			if look {
-				r.look(i)
+			if probe {
+				r.probe(i)
 			}
 		}
 	}
 }
 
-// step is one tick: attempts fail where the box is not reached, whoever holds it as ill wants to
-// know, and the desk looks.
+// step plays one tick: attempts fail where the box is out of reach, limiters that consider it unhealthy
+// ask about it, and the leader probes.
 func (r *room) step() {
 	r.now += tick
-	for i := range r.posts {
-		if !r.reaches[i] && !r.ill[i] {
-			r.ill[i], r.saw[i] = true, r.now
+	for i := range r.followers {
+		if !r.reachable[i] && !r.unhealthy[i] {
+			r.unhealthy[i], r.knownAt[i] = true, r.now
 			if i > 0 {
-				r.posts[i].Failed(r.now, box)
+				r.followers[i].Failed(r.now, box)
 			}
 		}
-		if r.desk != nil && i > 0 && !r.loses() {
-			r.posts[i].Heard(r.now)
+		if r.leader != nil && i > 0 && !r.loses() {
+			r.followers[i].Heard(r.now)
 		}
-		if !r.ill[i] || r.now < r.asked[i]+r.cfg.Every {
+		if !r.unhealthy[i] || r.now < r.wantedAt[i]+r.cfg.ProbeInterval {
 			continue
 		}
-		r.asked[i] = r.now
+		r.wantedAt[i] = r.now
 		if i == 0 {
-			if r.desk == nil {
-				r.look(0)
+			if r.leader == nil {
+				r.probe(0)
 			} else {
-				r.tell(r.desk.Ask(r.now, "", box))
+				r.report(r.leader.Ask(r.now, "", box))
 			}
 			continue
 		}
-		ask, look := r.posts[i].Want(r.now, box)
-		if ask && r.desk != nil && !r.loses() {
-			r.tell(r.desk.Ask(r.now, who(i), box))
+		ask, probe := r.followers[i].Want(r.now, box)
+		if ask && r.leader != nil && !r.loses() {
+			r.report(r.leader.Ask(r.now, limiterName(i), box))
 		}
-		if look {
-			r.look(i)
+		if probe {
+			r.probe(i)
 		}
 	}
-	if r.desk != nil {
-		for _, b := range r.desk.Next(r.now) {
-			r.looks++
-			r.tell(r.desk.Looked(r.now, b, verdict(r.reaches[0])))
+	if r.leader != nil {
+		for _, b := range r.leader.StartProbes(r.now) {
+			r.probes++
+			r.report(r.leader.Looked(r.now, b, verdict(r.reachable[0])))
 		}
 	}
 }
 
-// Whatever is lost, whoever reaches the box and whether anybody looks: nobody who holds a box as
-// ill is left without a look or a word for longer than it is patient.
-func TestNobodyIsLeftWithoutALook(t *testing.T) {
+// Whatever messages are lost, whichever limiters reach the box and with or without a leader, no limiter that
+// considers a box unhealthy goes without a probe or a verdict for longer than the timeout for answers.
+func TestNoLimiterGoesWithoutAProbe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		lossy := 0
+		lossRate := 0
 		r := newRoom(rapid.IntRange(1, 8).Draw(t, "limiters"), nil)
-		r.loses = func() bool { return lossy > 0 && rapid.IntRange(0, 3).Draw(t, "lost") < lossy }
+		r.loses = func() bool { return lossRate > 0 && rapid.IntRange(0, 3).Draw(t, "lost") < lossRate }
 		for range 300 {
 			switch rapid.IntRange(0, 20).Draw(t, "event") {
 			case 0:
-				i := rapid.IntRange(0, len(r.posts)-1).Draw(t, "limiter")
-				r.reaches[i] = !r.reaches[i]
+				i := rapid.IntRange(0, len(r.followers)-1).Draw(t, "limiter")
+				r.reachable[i] = !r.reachable[i]
 			case 1:
-				lossy = rapid.IntRange(0, 4).Draw(t, "loss")
+				lossRate = rapid.IntRange(0, 4).Draw(t, "loss")
 			case 2:
-				if r.desk == nil {
-					r.desk = NewDesk(r.cfg)
+				if r.leader == nil {
+					r.leader = NewLeader(r.cfg)
 				} else {
-					r.desk = nil
+					r.leader = nil
 				}
 			case 3:
-				r.posts[rapid.IntRange(0, len(r.posts)-1).Draw(t, "cut")].Cut()
+				r.followers[rapid.IntRange(0, len(r.followers)-1).Draw(t, "cut")].Cut()
 			}
 			r.step()
-			for i := range r.posts {
-				if bound := r.cfg.Patience + 2*r.cfg.Every; r.ill[i] && r.now-r.saw[i] > bound {
-					t.Fatalf("limiter %d has known nothing of a box for %v", i, r.now-r.saw[i])
+			for i := range r.followers {
+				if bound := r.cfg.Patience + 2*r.cfg.ProbeInterval; r.unhealthy[i] && r.now-r.knownAt[i] > bound {
+					t.Fatalf("limiter %d has had no probe or verdict of the box for %v", i, r.now-r.knownAt[i])
 				}
 			}
 		}
 	})
 }
 
-// A limiter that reaches a box which the one that looks does not reach uses it again, and the more
-// limiters there are, the longer that may take, but not without end: the word is checked.
-func TestAWatcherThatDoesNotReachABoxIsFoundOut(t *testing.T) {
+// If the leader does not reach a box, the followers that do must use it again. That takes longer with more
+// limiters but always happens, as followers check the verdict.
+func TestFollowersUseABoxTheLeaderDoesNotReach(t *testing.T) {
 	for _, n := range []int{2, 5, 50} {
-		run := func(blind bool) (ill int) {
+		run := func(ignoresChecks bool) (unhealthy int) {
 			r := newRoom(n, func() bool { return false })
-			r.blind = blind
+			r.ignoresChecks = ignoresChecks
 			for i := range n {
-				r.reaches[i] = false
+				r.reachable[i] = false
 			}
 			for range 20 {
 				r.step()
 			}
 			for i := range n {
-				r.reaches[i] = i > 0
+				r.reachable[i] = i > 0
 			}
 			for r.now < 6*time.Second {
 				r.step()
 			}
 			for i := 1; i < n; i++ {
-				if r.ill[i] {
-					ill++
+				if r.unhealthy[i] {
+					unhealthy++
 				}
 			}
-			return ill
+			return unhealthy
 		}
-		if ill := run(false); ill > 0 {
-			t.Errorf("%d limiters: %d hold the box as ill", n, ill)
+		if unhealthy := run(false); unhealthy > 0 {
+			t.Errorf("%d limiters: %d consider the box unhealthy", n, unhealthy)
 		}
-		if ill := run(true); ill == 0 {
-			t.Errorf("%d limiters: without the check all are found out too", n)
+		if unhealthy := run(true); unhealthy == 0 {
+			t.Errorf("%d limiters: all use the box again even without the check", n)
 		}
 	}
 }
 
-// A word that a box is well holds until the own attempts say otherwise.
-func TestOwnAttemptsGoBeforeAWord(t *testing.T) {
+// A verdict that a box is healthy holds until a limiter's own attempts fail.
+func TestOwnAttemptsOverrideVerdicts(t *testing.T) {
 	r := newRoom(3, func() bool { return false })
-	r.reaches[2] = false
+	r.reachable[2] = false
 	for r.now < 9*time.Second {
 		r.step()
 	}
-	ask, look := r.posts[2].Want(r.now, box)
-	if ask || !look {
-		t.Errorf("it believes what it sees otherwise: asks %v, looks %v", ask, look)
+	ask, mustProbe := r.followers[2].Want(r.now, box)
+	if ask || !mustProbe {
+		t.Errorf("the limiter trusts the leader against its own attempts: asks %v, probes %v", ask, mustProbe)
 	}
 }
 
-// Looks at an ill box don't grow with the number of limiters, while the one that looks is heard;
-// alone they do.
-func TestLooksDoNotGrow(t *testing.T) {
-	looks := func(n int, watched bool) int {
+// The number of probes of an unhealthy box does not grow with the number of limiters while they hear from
+// the leader. Without a leader it does.
+func TestProbesDoNotGrow(t *testing.T) {
+	probes := func(n int, led bool) int {
 		r := newRoom(n, func() bool { return false })
-		if !watched {
-			r.desk = nil
-			for _, p := range r.posts {
+		if !led {
+			r.leader = nil
+			for _, p := range r.followers {
 				p.Cut()
 			}
 		}
 		for i := range n {
-			r.reaches[i] = false
+			r.reachable[i] = false
 		}
 		for r.now < 30*time.Second {
 			r.step()
 		}
-		return r.looks
+		return r.probes
 	}
-	one := looks(1, false)
+	one := probes(1, false)
 	for _, n := range []int{3, 30, 300} {
-		with, without := looks(n, true), looks(n, false)
-		t.Logf("%3d limiters: %d looks in 30 s, alone %d; one limiter %d", n, with, without, one)
+		with, without := probes(n, true), probes(n, false)
+		t.Logf("%3d limiters: %d probes in 30 s, without a leader %d; one limiter %d", n, with, without, one)
 		if with > 2*one || without < n*one*9/10 {
-			t.Errorf("%d limiters look %d times, alone %d, one alone %d", n, with, without, one)
+			t.Errorf("%d limiters probe %d times, without a leader %d, one limiter %d", n, with, without, one)
 		}
 	}
 }
 
-// Lists never go back, by whichever way they come, and news never leave a gap.
+// The list in use never goes back to an older one, whichever way lists arrive, and updates leave no gap.
 func TestListsNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var f Feed
-		at := int64(0)            // the agent's
-		own, led := at, at        // as far as this limiter and the other one have heard
-		known, told := at, at-100 // what is in use; what the connection has carried
+		agentSeq := int64(0)                           // of the agent's newest list
+		own, leaderSeq := agentSeq, agentSeq           // of the newest list that this limiter and the leader have received
+		knownSeq, carriedSeq := agentSeq, agentSeq-100 // of the list in use, and of the last one sent on the connection
 		for range 100 {
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 0:
-				at += rapid.Int64Range(1, 3).Draw(t, "news")
+				agentSeq += rapid.Int64Range(1, 3).Draw(t, "news")
 			case 1:
-				led = at
+				leaderSeq = agentSeq
 			case 2: // the agent answers this limiter
-				if !f.Led() {
-					own = at
-					f.Own(own)
-					known = own
+				if !f.FromLeader() {
+					own = agentSeq
+					f.SetSeq(own)
+					knownSeq = own
 				}
 			case 3:
-				if take, _ := f.Offer(led, true); take {
-					if led < known {
-						t.Fatalf("back from %d to %d", known, led)
+				if accept, _ := f.Offer(leaderSeq, true); accept {
+					if leaderSeq < knownSeq {
+						t.Fatalf("back from %d to %d", knownSeq, leaderSeq)
 					}
-					known = led
+					knownSeq = leaderSeq
 				}
-				told = led
-			case 4: // news behind what the connection has carried
-				if take, want := f.Offer(led, false); take {
-					if known < told {
-						t.Fatalf("news behind %d, known is %d", told, known)
+				carriedSeq = leaderSeq
+			case 4: // an update to what was last sent on the connection
+				if accept, requestFull := f.Offer(leaderSeq, false); accept {
+					if knownSeq < carriedSeq {
+						t.Fatalf("the update continues list %d, but list %d is in use", carriedSeq, knownSeq)
 					}
-					known = led
-				} else if want && led < known {
-					t.Fatalf("asks for an older list")
+					knownSeq = leaderSeq
+				} else if requestFull && leaderSeq < knownSeq {
+					t.Fatalf("the limiter requests an older list")
 				}
-				told = led
+				carriedSeq = leaderSeq
 			case 5:
-				f.Apart()
-				led = rapid.Int64Range(0, at).Draw(t, "another one's")
-				told = -100
+				f.Disconnected()
+				leaderSeq = rapid.Int64Range(0, agentSeq).Draw(t, "another one's")
+				carriedSeq = -100
 			case 6:
-				f.Alone()
+				f.FollowAgent()
 			}
 		}
 	})
 }
 
-// One that does not hear an agent which others hear gives the duty up; not if nobody does.
+// A limiter that does not reach an agent gives the duty up if others reach it, but not if none does.
 func TestUnfit(t *testing.T) {
-	d := NewDesk(DefaultSettings(time.Second))
-	d.Lost(0, "main")
-	if d.Unfit(time.Minute) {
-		t.Error("nobody hears the agent, and it is to go")
+	leader := NewLeader(DefaultSettings(time.Second))
+	leader.Lost(0, "main")
+	if leader.Unfit(time.Minute) {
+		t.Error("the leader is unfit although no limiter reaches the agent")
 	}
-	d.Others("main")
-	if d.Unfit(time.Second) || !d.Unfit(time.Minute) {
-		t.Error("it is to go after a while")
+	leader.AgentHeardByFollower("main")
+	if leader.Unfit(time.Second) || !leader.Unfit(time.Minute) {
+		t.Error("the leader must become unfit only after a while")
 	}
-	d.Heard("main")
-	if d.Unfit(time.Minute) {
-		t.Error("it hears the agent, and is to go")
+	leader.AgentHeard("main")
+	if leader.Unfit(time.Minute) {
+		t.Error("the leader is unfit although it reaches the agent")
 	}
 }
--- a/watch/part.go
+++ b/watch/part.go
@@ -7,51 +7,51 @@
 	"time"
 )
 
-// How long agents may hold calls for their lists.
+// How long agents may hold a poll open until their list changes.
 const (
-	HoldAlone = 20 * time.Second
-	// What the one that looks does not hear all of its room miss: it has to find out soon.
-	HoldForAll = 3 * time.Second
+	PollHoldAlone = 20 * time.Second
+	// An agent that the leader does not reach is missed by its whole room, so it must notice soon.
+	PollHoldLeader = 3 * time.Second
 )
 
-// Note is what one that looks for a room and one of the others say to each other.
+// Note is a message between the leader of a room and a follower.
 type Note struct {
-	// Of the one that looks:
-	Words []Word   `json:",omitempty"`
-	List  *List    `json:",omitempty"`
-	Lost  []string `json:",omitempty"` // pools whose agents it does not hear
-	// Of the others:
-	Ask     uint64 `json:",omitempty"` // a box that is held as ill; 0: none
-	Checked *Word  `json:",omitempty"`
-	Hears   string `json:",omitempty"` // the pool whose agent it follows itself
-	Want    string `json:",omitempty"` // the pool whose whole list it needs
+	// From the leader:
+	Words []BoxVerdict `json:",omitempty"` // about boxes that the follower asked about
+	List  *List        `json:",omitempty"` // a full list, or an update to the previous one
+	Lost  []string     `json:",omitempty"` // pools whose agents don't answer the leader
+	// From a follower:
+	Ask     uint64      `json:",omitempty"` // a box that the follower considers unhealthy; 0: none
+	Checked *BoxVerdict `json:",omitempty"` // the result of a check that the leader asked for
+	Hears   string      `json:",omitempty"` // the pool whose agent the follower polls itself
+	Want    string      `json:",omitempty"` // the pool whose full list the follower needs
 }
 
-// List is what an agent has told of a pool: all hosts, or those that have changed, in its form.
+// List is what an agent sent about a pool, in its format: all hosts, or those that have changed.
 type List struct {
 	Pool  string
 	Seq   int64
-	Whole bool
+	Whole bool // all hosts
 	Hosts json.RawMessage
 }
 
-// Kind is what an act is.
+// Kind is the type of an action.
 type Kind int
 
-// Kinds of acts.
+// Kinds of actions.
 const (
-	Look      Kind = iota // at a box, and tell its end by Looked
-	Believe               // a word about a box: Is
-	Follow                // an agent, by calls held so long; 0: another limiter tells what it says
-	Take                  // a list
-	Say                   // a note to the one that looks
-	Tell                  // a note to another one; to all that this one looks for if To is empty
-	TellWhole             // the whole list of a pool to another one
-	Resign                // others can do it, this limiter can't: it is not to ask for it before Hold is over
+	Look      Kind = iota // probe a box, and report the end to FinishProbe
+	Believe               // apply the verdict Is about a box
+	Follow                // poll an agent, with polls held open for Hold; 0: the leader sends the list
+	Take                  // apply a list
+	Say                   // send a note to the leader
+	Tell                  // send a note to a follower; to all followers if To is empty
+	TellWhole             // send the full list of a pool to a follower
+	Resign                // give up the duty, as others are fit for it, and don't ask for it again for Hold
 )
 
-// Act is something to be done.
-type Act struct {
+// Action is something that the caller must do.
+type Action struct {
 	Kind Kind
 	To   string
 	Box  uint64
@@ -62,53 +62,53 @@
 	List *List
 }
 
-// Figures are how a limiter's looks have gone.
+// Figures count what happened in probing.
 type Figures struct {
-	Asked   int64 // of another one, to look at a box
-	Told    int64 // words that were believed
-	Itself  int64 // looks of its own
-	Differs int64 // words that its own attempts did not confirm
+	Asked   int64 // questions about boxes sent to the leader
+	Told    int64 // verdicts that were applied
+	Itself  int64 // own probes
+	Differs int64 // verdicts that own attempts did not confirm
 }
 
-// Part is one limiter's part in the looks of its room, whether it is the one that looks or
-// another. What happens goes in; what is to be done comes out of Acts. It is not safe for
-// concurrent use.
+// Watcher is one limiter's part in the probing and polling of its room, as leader or as follower. Events
+// are passed in, and TakeActions returns what to do. It is not safe for concurrent use.
 type Part struct {
-	cfg     Settings
-	post    *Post
-	desk    *Desk // nil: another one looks, or nobody
-	feeds   map[string]*Feed
-	holds   map[string]time.Duration // as Follow has said
-	beatAt  time.Duration
-	acts    []Act
-	figures Figures
+	cfg         Settings
+	follower    *Follower
+	leader      *Leader // nil: another limiter leads, or none does
+	feeds       map[string]*Feed
+	pollHolds   map[string]time.Duration // by pool, as the last PollAgent said
+	heartbeatAt time.Duration            // when the leader next sends an empty note to all followers
+	actions     []Action                 // not yet returned by TakeActions
+	figures     Figures
 }
 
-// NewPart returns the part of a limiter that has heard nobody yet, with the pools whose lists
-// agents tell.
+// NewWatcher returns the watcher of a limiter that has not heard from a leader yet. pools are those whose
+// lists come from discovery agents.
 func NewPart(cfg Settings, pools []string) *Part {
-	p := &Part{cfg: cfg, post: NewPost(cfg), feeds: map[string]*Feed{}, holds: map[string]time.Duration{}}
+	w := &Part{cfg: cfg, follower: NewFollower(cfg), feeds: map[string]*Feed{}, pollHolds: map[string]time.Duration{}}
 	for _, pool := range pools {
-		p.feeds[pool] = &Feed{}
+		w.feeds[pool] = &Feed{}
 	}
-	return p
+	return w
 }
 
-// Acts are to be done now, in their order.
-func (p *Part) Acts() []Act {
-	all := p.acts
-	p.acts = nil
-	return all
+// TakeActions returns what to do now, in order, and clears it.
+func (w *Part) Acts() []Action {
+	pending := w.actions
+	w.actions = nil
+	return pending
 }
 
-func (p *Part) act(a Act) { p.acts = append(p.acts, a) }
+// add appends an action for TakeActions.
+func (w *Part) add(action Action) { w.actions = append(w.actions, action) }
 
-// Figures returns them.
-func (p *Part) Figures() Figures { return p.figures }
+// Figures returns the counts.
+func (w *Part) Figures() Figures { return w.figures }
 
-// Follows are the pools whose agents this limiter follows itself.
-func (p *Part) Follows() (pools []string) {
-	for pool, hold := range p.holds {
+// PolledPools returns the pools whose agents this limiter polls itself.
+func (w *Part) Follows() (pools []string) {
+	for pool, hold := range w.pollHolds {
 		if hold > 0 {
 			pools = append(pools, pool)
 		}
@@ -117,211 +117,211 @@
 	return pools
 }
 
-// Leads tells whether this limiter looks for its room.
-func (p *Part) Leads() bool { return p.desk != nil }
+// IsLeader reports whether this limiter leads its room.
+func (w *Part) Leads() bool { return w.leader != nil }
 
-// Alone tells whether nobody is heard that looks for this limiter.
-func (p *Part) Alone(now time.Duration) bool { return p.desk == nil && p.post.Silent(now) }
+// NoLeader reports whether this limiter does not lead and hears from no leader.
+func (w *Part) Alone(now time.Duration) bool { return w.leader == nil && w.follower.Silent(now) }
 
-// Lead begins a term of this limiter's own, or ends it.
-func (p *Part) Lead(leads bool) {
-	p.desk = nil
-	if leads {
-		p.desk = NewDesk(p.cfg)
-		for _, f := range p.feeds {
-			f.Alone()
+// SetLeader starts or ends this limiter's own term as leader.
+func (w *Part) Lead(isLeader bool) {
+	w.leader = nil
+	if isLeader {
+		w.leader = NewLeader(w.cfg)
+		for _, f := range w.feeds {
+			f.FollowAgent()
 		}
 	}
 }
 
-// Tick does what the time asks for. It is to come some ten times a second.
-func (p *Part) Tick(now time.Duration) {
-	silent := p.post.Silent(now)
-	for _, pool := range slices.Sorted(maps.Keys(p.feeds)) {
-		f := p.feeds[pool]
+// Tick does what is due. It should be called about ten times a second.
+func (w *Part) Tick(now time.Duration) {
+	silent := w.follower.Silent(now)
+	for _, pool := range slices.Sorted(maps.Keys(w.feeds)) {
+		feed := w.feeds[pool]
 		if silent {
-			f.Alone()
+			feed.FollowAgent()
 		}
-		hold := HoldAlone
+		hold := PollHoldAlone
 		switch {
-		case p.desk != nil:
-			hold = HoldForAll
-		case f.Led():
+		case w.leader != nil:
+			hold = PollHoldLeader
+		case feed.FromLeader():
 			hold = 0
 		}
-		if was, known := p.holds[pool]; !known || was != hold {
-			p.holds[pool] = hold
-			p.act(Act{Kind: Follow, Pool: pool, Hold: hold})
+		if previous, known := w.pollHolds[pool]; !known || previous != hold {
+			w.pollHolds[pool] = hold
+			w.add(Action{Kind: Follow, Pool: pool, Hold: hold})
 		}
 	}
-	if p.desk == nil {
+	if w.leader == nil {
 		return
 	}
-	for _, box := range p.desk.Next(now) {
-		p.act(Act{Kind: Look, Box: box})
+	for _, box := range w.leader.StartProbes(now) {
+		w.add(Action{Kind: Look, Box: box})
 	}
-	if now >= p.beatAt {
-		p.beatAt = now + p.cfg.Patience/3
-		p.act(Act{Kind: Tell})
+	if now >= w.heartbeatAt {
+		w.heartbeatAt = now + w.cfg.Patience/3
+		w.add(Action{Kind: Tell})
 	}
-	if p.desk.Unfit(now) {
-		p.act(Act{Kind: Resign, Hold: p.cfg.Unfit})
+	if w.leader.Unfit(now) {
+		w.add(Action{Kind: Resign, Hold: w.cfg.Unfit})
 	}
 }
 
-// Want is a box that is held as ill here.
-func (p *Part) Want(now time.Duration, box uint64) {
-	if p.desk != nil {
-		p.say(p.desk.Ask(now, "", box))
+// HandleUnhealthy processes that this limiter considers a box unhealthy.
+func (w *Part) Want(now time.Duration, box uint64) {
+	if w.leader != nil {
+		w.deliver(w.leader.Ask(now, "", box))
 		return
 	}
-	ask, look := p.post.Want(now, box)
+	ask, probe := w.follower.Want(now, box)
 	if ask {
-		p.figures.Asked++
-		p.act(Act{Kind: Say, Note: Note{Ask: box}})
+		w.figures.Asked++
+		w.add(Action{Kind: Say, Note: Note{Ask: box}})
 	}
-	if look {
-		p.act(Act{Kind: Look, Box: box})
+	if probe {
+		w.add(Action{Kind: Look, Box: box})
 	}
 }
 
-// Looked is the end of a look of this limiter's own; empty: it could not be made.
-func (p *Part) Looked(now time.Duration, box uint64, saw Verdict) {
-	p.figures.Itself++
-	if p.desk != nil {
-		p.say(p.desk.Looked(now, box, saw))
+// FinishProbe processes the end of this limiter's own probe; an empty result: it could not be made.
+func (w *Part) Looked(now time.Duration, box uint64, result Verdict) {
+	w.figures.Itself++
+	if w.leader != nil {
+		w.deliver(w.leader.Looked(now, box, result))
 	}
-	if p.post.Looked(box) && saw != "" {
-		p.act(Act{Kind: Say, Note: Note{Checked: &Word{Box: box, Is: saw}}})
+	if w.follower.Looked(box) && result != "" {
+		w.add(Action{Kind: Say, Note: Note{Checked: &BoxVerdict{Box: box, Is: result}}})
 	}
 }
 
-// Failed is an attempt of this limiter's own that has failed at a box.
-func (p *Part) Failed(now time.Duration, box uint64) {
-	if p.post.Failed(now, box) {
-		p.figures.Differs++
+// AttemptFailed processes a failed attempt of this limiter at a box.
+func (w *Part) Failed(now time.Duration, box uint64) {
+	if w.follower.Failed(now, box) {
+		w.figures.Differs++
 	}
 }
 
-// Listed is what an agent has told this limiter itself.
-func (p *Part) Listed(l List) {
-	f := p.feeds[l.Pool]
-	if f == nil {
+// HandleAgentList processes a list that an agent sent to this limiter.
+func (w *Part) Listed(l List) {
+	feed := w.feeds[l.Pool]
+	if feed == nil {
 		return
 	}
-	f.Own(l.Seq)
-	if p.desk == nil {
-		p.act(Act{Kind: Say, Note: Note{Hears: l.Pool}})
+	feed.SetSeq(l.Seq)
+	if w.leader == nil {
+		w.add(Action{Kind: Say, Note: Note{Hears: l.Pool}})
 		return
 	}
-	p.desk.Heard(l.Pool)
-	p.act(Act{Kind: Tell, Note: Note{List: &l}})
+	w.leader.AgentHeard(l.Pool)
+	w.add(Action{Kind: Tell, Note: Note{List: &l}})
 }
 
-// Lost is an agent that does not answer this limiter.
-func (p *Part) Lost(now time.Duration, pool string) {
-	if p.desk != nil && p.desk.Lost(now, pool) {
-		p.act(Act{Kind: Tell, Note: Note{Lost: p.desk.Unheard()}})
+// Lost processes that the agent of a pool does not answer this limiter.
+func (w *Part) Lost(now time.Duration, pool string) {
+	if w.leader != nil && w.leader.Lost(now, pool) {
+		w.add(Action{Kind: Tell, Note: Note{Lost: w.leader.LostPools()}})
 	}
 }
 
-// say tells words to whom they are for. This limiter has seen itself what the others are told.
-func (p *Part) say(words []Word) {
-	for _, w := range words {
-		if w.To != "" {
-			p.act(Act{Kind: Tell, To: w.To, Note: Note{Words: []Word{w}}})
-		} else if w.Is == Alone {
-			p.act(Act{Kind: Look, Box: w.Box})
+// deliver sends verdicts to those they are for. The leader knows its own probe's result already.
+func (w *Part) deliver(verdicts []BoxVerdict) {
+	for _, v := range verdicts {
+		if v.To != "" {
+			w.add(Action{Kind: Tell, To: v.To, Note: Note{Words: []BoxVerdict{v}}})
+		} else if v.Is == ProbeAlone {
+			w.add(Action{Kind: Look, Box: v.Box})
 		}
 	}
 }
 
-// Join is another limiter that this one is to look for; false: it does not look.
-func (p *Part) Join(name string) bool {
-	if p.desk == nil {
+// AddFollower processes that a follower has connected; false: this limiter does not lead.
+func (w *Part) Join(limiter string) bool {
+	if w.leader == nil {
 		return false
 	}
-	p.act(Act{Kind: Tell, To: name, Note: Note{Lost: p.desk.Unheard()}})
-	for _, pool := range slices.Sorted(maps.Keys(p.feeds)) {
-		p.whole(name, pool)
+	w.add(Action{Kind: Tell, To: limiter, Note: Note{Lost: w.leader.LostPools()}})
+	for _, pool := range slices.Sorted(maps.Keys(w.feeds)) {
+		w.sendFullList(limiter, pool)
 	}
 	return true
 }
 
-// whole tells a limiter the whole list of a pool, if this one hears its agent.
-func (p *Part) whole(name, pool string) {
-	if p.feeds[pool] != nil && !slices.Contains(p.desk.Unheard(), pool) {
-		p.act(Act{Kind: TellWhole, To: name, Pool: pool})
+// sendFullList sends a limiter the full list of a pool, if this limiter reaches its agent.
+func (w *Part) sendFullList(limiter, pool string) {
+	if w.feeds[pool] != nil && !slices.Contains(w.leader.LostPools(), pool) {
+		w.add(Action{Kind: TellWhole, To: limiter, Pool: pool})
 	}
 }
 
-// Leave is a limiter that this one does not look for any more.
-func (p *Part) Leave(name string) {
-	if p.desk != nil {
-		p.desk.Leave(name)
+// RemoveFollower processes that a follower has disconnected.
+func (w *Part) Leave(limiter string) {
+	if w.leader != nil {
+		w.leader.Leave(limiter)
 	}
 }
 
-// From is a note of a limiter that this one looks for.
-func (p *Part) From(now time.Duration, name string, n Note) {
-	if p.desk == nil {
+// HandleFollowerNote processes a note of a follower.
+func (w *Part) From(now time.Duration, limiter string, note Note) {
+	if w.leader == nil {
 		return
 	}
-	if n.Ask != 0 {
-		p.say(p.desk.Ask(now, name, n.Ask))
+	if note.Ask != 0 {
+		w.deliver(w.leader.Ask(now, limiter, note.Ask))
 	}
-	if n.Checked != nil {
-		p.say(p.desk.Checked(now, n.Checked.Box, n.Checked.Is))
+	if note.Checked != nil {
+		w.deliver(w.leader.Checked(now, note.Checked.Box, note.Checked.Is))
 	}
-	if n.Hears != "" {
-		p.desk.Others(n.Hears)
+	if note.Hears != "" {
+		w.leader.AgentHeardByFollower(note.Hears)
 	}
-	if n.Want != "" {
-		p.whole(name, n.Want)
+	if note.Want != "" {
+		w.sendFullList(limiter, note.Want)
 	}
 }
 
-// Heard is a note of the one that looks.
-func (p *Part) Heard(now time.Duration, n Note) {
-	if p.desk != nil {
-		return // of one before
-	}
-	p.post.Heard(now)
-	for _, w := range n.Words {
-		tell, look := p.post.Told(now, w)
-		if tell != "" {
-			p.figures.Told++
-			p.act(Act{Kind: Believe, Box: w.Box, Is: tell})
+// LeaderHeard processes a note of the leader.
+func (w *Part) Heard(now time.Duration, note Note) {
+	if w.leader != nil {
+		return // from a previous leader
+	}
+	w.follower.Heard(now)
+	for _, v := range note.Words {
+		believed, probe := w.follower.Told(now, v)
+		if believed != "" {
+			w.figures.Told++
+			w.add(Action{Kind: Believe, Box: v.Box, Is: believed})
 		}
-		if look {
-			p.act(Act{Kind: Look, Box: w.Box})
+		if probe {
+			w.add(Action{Kind: Look, Box: v.Box})
 		}
 	}
-	for _, pool := range n.Lost {
-		p.Itself(pool)
+	for _, pool := range note.Lost {
+		w.Itself(pool)
 	}
-	if l := n.List; l != nil && p.feeds[l.Pool] != nil {
-		take, want := p.feeds[l.Pool].Offer(l.Seq, l.Whole)
-		if take {
-			p.act(Act{Kind: Take, List: l})
+	if list := note.List; list != nil && w.feeds[list.Pool] != nil {
+		accept, requestFull := w.feeds[list.Pool].Offer(list.Seq, list.Whole)
+		if accept {
+			w.add(Action{Kind: Take, List: list})
 		}
-		if want {
-			p.act(Act{Kind: Say, Note: Note{Want: l.Pool}})
+		if requestFull {
+			w.add(Action{Kind: Say, Note: Note{Want: list.Pool}})
 		}
 	}
 }
 
-// Itself has this limiter follow the agent of a pool itself: what it was told is of no use.
-func (p *Part) Itself(pool string) {
-	if f := p.feeds[pool]; f != nil {
-		f.Alone()
+// FollowAgentDirectly makes this limiter poll the agent of a pool itself, as the leader's list is of no use.
+func (w *Part) Itself(pool string) {
+	if f := w.feeds[pool]; f != nil {
+		f.FollowAgent()
 	}
 }
 
-// Cut is a connection to the one that looks that has ended.
-func (p *Part) Cut() {
-	p.post.Cut()
-	for _, f := range p.feeds {
-		f.Apart()
+// LeaderDisconnected processes that the connection to the leader has ended.
+func (w *Part) Cut() {
+	w.follower.Cut()
+	for _, f := range w.feeds {
+		f.Disconnected()
 	}
 }
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -1,10 +1,11 @@
-// Package watch decides how the limiters of a room share their looks at ill boxes and at
-// discovery: one of them, the owner of the room's duty, looks, and tells the others. They
-// check its word against their own attempts, and go on alone while it is silent. The package
-// has no input or output, no goroutines and no clock: what happens goes in with the time.
+// Package watch decides how the limiters of a room (failure zone) share the probing of unhealthy boxes
+// and the polling of discovery agents. One limiter, the owner of the room's duty, leads: it probes and
+// polls, and sends the results to the others. The followers check its verdicts against their own
+// attempts, and probe and poll themselves while the leader is silent. The package has no I/O, no
+// goroutines and no clock: events are passed in with the time.
 //
-// [Desk] is the part of the one that looks, [Post] that of the others, for boxes; [Feed] is
-// what a limiter knows of one discovery agent's list.
+// [Leader] and [Follower] are the two roles in probing boxes, [Feed] is what a limiter knows of one
+// discovery agent's list, and [Watcher] combines them for one limiter.
 package watch
 
 import (
@@ -14,150 +15,152 @@
 	"time"
 )
 
-const prefix = "watch/"
+const dutyPrefix = "watch/"
 
-// Duty is the name of a room's duty.
-func Duty(room string) string { return prefix + room }
+// Duty returns the name of the duty whose owner leads a room.
+func Duty(room string) string { return dutyPrefix + room }
 
-// Room is the room of such a duty; false: it is another duty.
-func Room(duty string) (string, bool) { return strings.CutPrefix(duty, prefix) }
+// Room returns the room that the owner of a duty leads; false if the duty is of another kind.
+func Room(duty string) (string, bool) { return strings.CutPrefix(duty, dutyPrefix) }
 
-// Settings are those of looks.
+// Settings are the timing of probes and polls.
 type Settings struct {
-	Every      time.Duration // least pause between two looks of the desk at a box
-	CheckEvery time.Duration // and between two checks of its word that a box is ill
-	Patience   time.Duration // without a word on an ask for so long, the asker looks itself
-	Quiet      time.Duration // without any word for so long, lists are followed alone
-	Apart      time.Duration // for so long each looks for itself at a box of which they differ
-	Unfit      time.Duration // one that does not hear what others hear does not ask for the duty so long
+	ProbeInterval time.Duration // least interval between two probes of the leader at one box
+	CheckInterval time.Duration // least interval between two checks of a verdict that a box is unhealthy
+	Patience      time.Duration // a follower that waits this long for an answer probes the box itself
+	Silence       time.Duration // followers poll agents themselves after this long without a note of the leader
+	Apart         time.Duration // how long limiters probe a box themselves after a disagreement about it
+	Unfit         time.Duration // how long a limiter that misses an agent which others reach does not ask for the duty
 }
 
-// DefaultSettings are those for terms of so long.
+// DefaultSettings returns the settings that suit a duty with this term.
 func DefaultSettings(term time.Duration) Settings {
 	return Settings{
-		Every:      500 * time.Millisecond, // as a limiter alone does
-		CheckEvery: time.Second,
-		Patience:   1500 * time.Millisecond, // three asks in a row
-		Quiet:      5 * term / 2,            // the next owner is there within about two terms
-		Apart:      10 * time.Second,
-		Unfit:      5 * time.Minute, // with a term of 25 s at most each, ten that are deaf come by once
+		ProbeInterval: 500 * time.Millisecond, // as without a leader
+		CheckInterval: time.Second,
+		Patience:      1500 * time.Millisecond, // three requests in a row
+		Silence:       5 * term / 2,            // the next owner takes over within about two terms
+		Apart:         10 * time.Second,
+		Unfit:         5 * time.Minute, // with terms of up to 25 s, ten limiters that miss the agent get one turn each
 	}
 }
 
-// Verdict is what is said of a box.
+// Verdict is the result of a probe, or an instruction to probe.
 type Verdict string
 
 // Verdicts.
 const (
-	Well  Verdict = "well"
-	Ill   Verdict = "ill"
-	Check Verdict = "check" // ill here: look yourself, once, and say what you saw
-	Alone Verdict = "alone" // some reach it and some don't: look yourself for a while
+	Well       Verdict = "well"  // the box can be used
+	Ill        Verdict = "ill"   // the box can not be used
+	CheckOnce  Verdict = "check" // the leader finds the box unhealthy: probe it once and report the result
+	ProbeAlone Verdict = "alone" // limiters disagree about the box: probe it yourself for a while
 )
 
-// Word is a verdict for one limiter.
-type Word struct {
+// BoxVerdict is a verdict about a box for one limiter.
+type BoxVerdict struct {
 	To  string `json:"-"`
 	Box uint64
 	Is  Verdict
 }
 
-// Desk is the part of the limiter that looks for its room. It is not safe for concurrent use.
-type Desk struct {
-	cfg   Settings
-	wards map[uint64]*ward
-	lists map[string]*lost
+// Leader is the state of the limiter that probes for its room. It is not safe for concurrent use.
+type Leader struct {
+	cfg        Settings
+	states     map[uint64]*boxState
+	lostAgents map[string]*lostAgent
 }
 
-// ward is a box that somebody holds as ill.
-type ward struct {
-	asks      map[string]time.Duration // since when each waits for a word
-	looking   bool
-	begun     time.Duration // of the look under way, or of the last one
-	checkedBy string        // who was last made to check the word
-	checkedAt time.Duration
-	apart     time.Duration // until then each looks for itself
-	seenAt    time.Duration // when it was last asked for
+// boxState is a box that some limiter considers unhealthy.
+type boxState struct {
+	waitingSince  map[string]time.Duration // when each limiter that waits for a verdict first asked
+	probing       bool
+	probeStart    time.Duration // start of the current probe, or of the last one
+	lastChecker   string        // the limiter that was last asked to check the verdict
+	checkedAt     time.Duration // when a check was last requested
+	disagreeUntil time.Duration // until then each limiter probes itself
+	askedAt       time.Duration // when a limiter last asked about it
 }
 
-// lost is an agent that this limiter does not hear.
-type lost struct {
-	at  time.Duration
-	has bool // another limiter hears it
+// lostAgent is a discovery agent that does not answer this limiter.
+type lostAgent struct {
+	since        time.Duration
+	heardByOther bool // another limiter reaches it
 }
 
-// NewDesk returns the desk of a limiter whose term begins.
-func NewDesk(cfg Settings) *Desk {
-	return &Desk{cfg: cfg, wards: map[uint64]*ward{}, lists: map[string]*lost{}}
+// NewLeader returns the state of a limiter whose term begins.
+func NewLeader(cfg Settings) *Leader {
+	return &Leader{cfg: cfg, states: map[uint64]*boxState{}, lostAgents: map[string]*lostAgent{}}
 }
 
-// Ask notes that a limiter holds a box as ill and wants to know. Words are to be told at once.
-func (d *Desk) Ask(now time.Duration, who string, box uint64) []Word {
-	w := d.wards[box]
-	if w == nil {
-		w = &ward{asks: map[string]time.Duration{}, begun: now - d.cfg.Every, checkedAt: now}
-		d.wards[box] = w
+// Ask processes a limiter's question about a box that it considers unhealthy. It returns verdicts to
+// send at once.
+func (l *Leader) Ask(now time.Duration, limiter string, box uint64) []BoxVerdict {
+	state := l.states[box]
+	if state == nil {
+		state = &boxState{waitingSince: map[string]time.Duration{}, probeStart: now - l.cfg.ProbeInterval, checkedAt: now}
+		l.states[box] = state
 	}
-	w.seenAt = now
-	if now < w.apart {
-		return []Word{{who, box, Alone}}
+	state.askedAt = now
+	if now < state.disagreeUntil {
+		return []BoxVerdict{{limiter, box, ProbeAlone}}
 	}
-	if _, waits := w.asks[who]; !waits {
-		w.asks[who] = now
+	if _, waiting := state.waitingSince[limiter]; !waiting {
+		state.waitingSince[limiter] = now
 	}
 	return nil
 }
 
-// Next are the boxes to be looked at now. Each look's end has to be told by Looked.
-func (d *Desk) Next(now time.Duration) (boxes []uint64) {
-	for _, box := range slices.Sorted(maps.Keys(d.wards)) {
-		w := d.wards[box]
+// StartProbes returns the boxes to probe now. The end of each probe must be reported to FinishProbe.
+func (l *Leader) StartProbes(now time.Duration) (boxes []uint64) {
+	for _, box := range slices.Sorted(maps.Keys(l.states)) {
+		state := l.states[box]
 		switch {
-		case !w.looking && len(w.asks) > 0 && now >= w.begun+d.cfg.Every:
-			w.looking, w.begun = true, now
+		case !state.probing && len(state.waitingSince) > 0 && now >= state.probeStart+l.cfg.ProbeInterval:
+			state.probing, state.probeStart = true, now
 			boxes = append(boxes, box)
-		case !w.looking && now > w.seenAt+d.cfg.Apart+d.cfg.Patience:
-			delete(d.wards, box)
+		case !state.probing && now > state.askedAt+l.cfg.Apart+l.cfg.Patience:
+			delete(l.states, box)
 		}
 	}
 	return boxes
 }
 
-// Looked is the end of a look, and returns what is told to those who asked before it began:
-// what was seen before an ask says nothing about it. Empty: the look could not be made.
-func (d *Desk) Looked(now time.Duration, box uint64, saw Verdict) (words []Word) {
-	w := d.wards[box]
-	if w == nil || !w.looking {
+// FinishProbe processes the end of a probe. It returns the verdicts for those that asked before the
+// probe began, as an earlier observation does not answer a later question. An empty result means
+// that the probe could not be made.
+func (l *Leader) Looked(now time.Duration, box uint64, result Verdict) (verdicts []BoxVerdict) {
+	state := l.states[box]
+	if state == nil || !state.probing {
 		return nil
 	}
-	w.looking = false
-	if saw == "" {
+	state.probing = false
+	if result == "" {
 		return nil
 	}
-	var told []string
-	for _, who := range slices.Sorted(maps.Keys(w.asks)) {
-		if w.asks[who] <= w.begun {
-			told = append(told, who)
-			delete(w.asks, who)
+	var answered []string
+	for _, limiter := range slices.Sorted(maps.Keys(state.waitingSince)) {
+		if state.waitingSince[limiter] <= state.probeStart {
+			answered = append(answered, limiter)
+			delete(state.waitingSince, limiter)
 		}
 	}
-	check := ""
-	if saw == Ill && now >= w.checkedAt+d.cfg.CheckEvery {
-		check = after(told, w.checkedBy)
+	checker := ""
+	if result == Ill && now >= state.checkedAt+l.cfg.CheckInterval {
+		checker = nextChecker(answered, state.lastChecker)
 	}
-	for _, who := range told {
-		is := saw
-		if who == check && check != "" {
-			is, w.checkedBy, w.checkedAt = Check, who, now
+	for _, limiter := range answered {
+		verdict := result
+		if limiter == checker && checker != "" {
+			verdict, state.lastChecker, state.checkedAt = CheckOnce, limiter, now
 		}
-		words = append(words, Word{who, box, is})
+		verdicts = append(verdicts, BoxVerdict{limiter, box, verdict})
 	}
-	return words
+	return verdicts
 }
 
-// after is the next name of a sorted list behind another one, round; the empty name, which is
-// this limiter itself, has nothing to check. Empty: there is none.
-func after(names []string, last string) string {
+// nextChecker returns the name after last in a sorted list, wrapping around. It skips the empty name,
+// which is this limiter itself. It returns the empty name if there is no other.
+func nextChecker(names []string, last string) string {
 	names = slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == "" })
 	if len(names) == 0 {
 		return ""
@@ -170,195 +173,196 @@
 	return names[0]
 }
 
-// Checked is what a limiter saw that was to check that a box is ill. If it reaches the box, each
-// looks for itself for a while.
-func (d *Desk) Checked(now time.Duration, box uint64, saw Verdict) (words []Word) {
-	w := d.wards[box]
-	if w == nil || saw != Well {
+// Checked processes the result of a limiter that was asked to check that a box is unhealthy. If that
+// limiter reaches the box, all probe it themselves for a while.
+func (l *Leader) Checked(now time.Duration, box uint64, result Verdict) (verdicts []BoxVerdict) {
+	state := l.states[box]
+	if state == nil || result != Well {
 		return nil
 	}
-	w.apart = now + d.cfg.Apart
-	for _, who := range slices.Sorted(maps.Keys(w.asks)) {
-		words = append(words, Word{who, box, Alone})
+	state.disagreeUntil = now + l.cfg.Apart
+	for _, limiter := range slices.Sorted(maps.Keys(state.waitingSince)) {
+		verdicts = append(verdicts, BoxVerdict{limiter, box, ProbeAlone})
 	}
-	clear(w.asks)
-	return words
+	clear(state.waitingSince)
+	return verdicts
 }
 
-// Leave forgets a limiter that is gone.
-func (d *Desk) Leave(who string) {
-	for _, w := range d.wards {
-		delete(w.asks, who)
+// RemoveFollower forgets a limiter that is gone.
+func (l *Leader) Leave(limiter string) {
+	for _, state := range l.states {
+		delete(state.waitingSince, limiter)
 	}
 }
 
-// Lost notes that the agent of a pool does not answer this limiter, Heard that it does. news: it
-// did before.
-func (d *Desk) Lost(now time.Duration, pool string) (news bool) {
-	if d.lists[pool] != nil {
+// Lost records that the agent of a pool does not answer this limiter. changed is false if that was
+// known before.
+func (l *Leader) Lost(now time.Duration, pool string) (changed bool) {
+	if l.lostAgents[pool] != nil {
 		return false
 	}
-	d.lists[pool] = &lost{at: now}
+	l.lostAgents[pool] = &lostAgent{since: now}
 	return true
 }
 
-// Heard is described at Lost.
-func (d *Desk) Heard(pool string) { delete(d.lists, pool) }
+// AgentHeard records that the agent of a pool answers this limiter.
+func (l *Leader) AgentHeard(pool string) { delete(l.lostAgents, pool) }
 
-// Unheard are the pools whose agents don't answer this limiter.
-func (d *Desk) Unheard() []string { return slices.Sorted(maps.Keys(d.lists)) }
+// LostPools returns the pools whose agents don't answer this limiter.
+func (l *Leader) LostPools() []string { return slices.Sorted(maps.Keys(l.lostAgents)) }
 
-// Others notes that another limiter hears the agent of a pool.
-func (d *Desk) Others(pool string) {
-	if l := d.lists[pool]; l != nil {
-		l.has = true
+// AgentHeardByFollower records that another limiter reaches the agent of a pool.
+func (l *Leader) AgentHeardByFollower(pool string) {
+	if agent := l.lostAgents[pool]; agent != nil {
+		agent.heardByOther = true
 	}
 }
 
-// Unfit tells that this limiter should give the duty up: others hear an agent that it has not
-// heard for long.
-func (d *Desk) Unfit(now time.Duration) bool {
-	for _, l := range d.lists {
-		if l.has && now >= l.at+d.cfg.Quiet {
+// Unfit reports whether this limiter should give up the duty: others reach an agent that it has not
+// reached for a while.
+func (l *Leader) Unfit(now time.Duration) bool {
+	for _, agent := range l.lostAgents {
+		if agent.heardByOther && now >= agent.since+l.cfg.Silence {
 			return true
 		}
 	}
 	return false
 }
 
-// Post is the part of a limiter that another one looks for. It is not safe for concurrent use.
-type Post struct {
+// Follower is the state of a limiter for which another one probes. It is not safe for concurrent use.
+type Follower struct {
 	cfg   Settings
-	up    bool
-	heard time.Duration // the last word of any kind
-	ever  bool          // there was one
-	views map[uint64]*view
+	up    bool          // the connection to the leader is up
+	heard time.Duration // when the last note of any kind arrived
+	known bool          // a note has arrived
+	boxes map[uint64]*boxView
 }
 
-// view is what is known of a box that was held as ill.
-type view struct {
-	asks   bool          // it waits for a word
-	asked  time.Duration // since when, however often it was cut off since
-	alone  time.Duration // until then this limiter looks itself
-	well   time.Duration // when it was told to be well
-	told   bool          // it was
-	checks bool          // the look under way is a check
-	seenAt time.Duration
+// boxView is what a follower knows of a box that it considered unhealthy.
+type boxView struct {
+	asking          bool          // it waits for a verdict
+	askedAt         time.Duration // since when, even across lost connections
+	probeAloneUntil time.Duration // until then this limiter probes itself
+	healthyAt       time.Duration // when the leader last called the box healthy
+	toldHealthy     bool          // the leader called the box healthy, and no attempt has failed since
+	checking        bool          // the current probe is a check for the leader
+	usedAt          time.Duration // when it was last used
 }
 
-// NewPost returns the part of a limiter that has heard nobody yet.
-func NewPost(cfg Settings) *Post { return &Post{cfg: cfg, views: map[uint64]*view{}} }
+// NewFollower returns the state of a limiter that has not heard from a leader yet.
+func NewFollower(cfg Settings) *Follower { return &Follower{cfg: cfg, boxes: map[uint64]*boxView{}} }
 
-// Heard notes a word of the one that looks, of any kind.
-func (p *Post) Heard(now time.Duration) { p.up, p.ever, p.heard = true, true, now }
+// LeaderHeard records that a note of any kind arrived from the leader.
+func (f *Follower) Heard(now time.Duration) { f.up, f.known, f.heard = true, true, now }
 
-// Cut notes that it can't be heard any more, as far as is known here.
-func (p *Post) Cut() { p.up = false }
+// LeaderDisconnected records that the connection to the leader has ended.
+func (f *Follower) Cut() { f.up = false }
 
-// Silent tells whether it has been silent for so long that lists are followed alone.
-func (p *Post) Silent(now time.Duration) bool { return !p.ever || now > p.heard+p.cfg.Quiet }
+// Silent reports whether the leader has been silent for so long that agents must be polled directly.
+func (f *Follower) Silent(now time.Duration) bool { return !f.known || now > f.heard+f.cfg.Silence }
 
-// Want tells what is done about a box that is held as ill here: the other one is asked, this
-// limiter looks itself, or, where asks bring no word, both.
-func (p *Post) Want(now time.Duration, box uint64) (ask, look bool) {
-	v := p.views[box]
-	if v == nil {
-		for id, o := range p.views {
-			if now > o.seenAt+2*p.cfg.Apart {
-				delete(p.views, id)
+// HandleUnhealthy returns what to do about a box that this limiter considers unhealthy: ask the leader,
+// probe the box, or both if questions remain unanswered.
+func (f *Follower) Want(now time.Duration, box uint64) (ask, probe bool) {
+	view := f.boxes[box]
+	if view == nil {
+		for id, other := range f.boxes {
+			if now > other.usedAt+2*f.cfg.Apart {
+				delete(f.boxes, id)
 			}
 		}
-		v = &view{}
-		p.views[box] = v
+		view = &boxView{}
+		f.boxes[box] = view
 	}
-	v.seenAt = now
-	if !p.up || now > p.heard+p.cfg.Patience || now < v.alone {
+	view.usedAt = now
+	if !f.up || now > f.heard+f.cfg.Patience || now < view.probeAloneUntil {
 		return false, true
 	}
-	if !v.asks {
-		v.asks, v.asked = true, now
+	if !view.asking {
+		view.asking, view.askedAt = true, now
 	}
-	return true, now >= v.asked+p.cfg.Patience
+	return true, now >= view.askedAt+f.cfg.Patience
 }
 
-// Told takes a word about a box in. tell is what the limiter may believe of it (empty: nothing),
-// look that it has to look itself.
-func (p *Post) Told(now time.Duration, w Word) (tell Verdict, look bool) {
-	v := p.views[w.Box]
-	if v == nil || !v.asks { // nothing was asked, or it looks itself by now
+// Told processes a verdict of the leader. believed is the verdict to apply (empty: none), and probe
+// reports whether this limiter must probe the box itself.
+func (f *Follower) Told(now time.Duration, received BoxVerdict) (believed Verdict, probe bool) {
+	view := f.boxes[received.Box]
+	if view == nil || !view.asking { // nothing was asked, or it probes itself already
 		return "", false
 	}
-	v.asks = false
-	switch w.Is {
+	view.asking = false
+	switch received.Is {
 	case Well:
-		v.well, v.told = now, true
+		view.healthyAt, view.toldHealthy = now, true
 		return Well, false
 	case Ill:
 		return Ill, false
-	case Check:
-		v.checks = true
+	case CheckOnce:
+		view.checking = true
 		return "", true
-	case Alone:
-		v.alone = now + p.cfg.Apart
+	case ProbeAlone:
+		view.probeAloneUntil = now + f.cfg.Apart
 		return "", true
 	}
 	return "", false
 }
 
-// Looked is the end of a look of this limiter's own; it tells whether the one that looks for it
-// is to know.
-func (p *Post) Looked(box uint64) bool {
-	v := p.views[box]
-	if v == nil || !v.checks {
+// FinishProbe processes the end of this limiter's own probe. It reports whether the leader must get the
+// result.
+func (f *Follower) Looked(box uint64) bool {
+	view := f.boxes[box]
+	if view == nil || !view.checking {
 		return false
 	}
-	v.checks = false
+	view.checking = false
 	return true
 }
 
-// Failed notes that an attempt of this limiter's own has failed at a box. If the box was told
-// to be well not long ago, the word does not hold here, and it looks itself for a while.
-func (p *Post) Failed(now time.Duration, box uint64) (differs bool) {
-	v := p.views[box]
-	if v == nil || !v.told || now > v.well+p.cfg.Apart {
+// AttemptFailed processes a failed attempt of this limiter at a box. If the leader called the box healthy
+// recently, the verdict does not hold for this limiter, which then probes the box itself for a while.
+func (f *Follower) Failed(now time.Duration, box uint64) (differs bool) {
+	view := f.boxes[box]
+	if view == nil || !view.toldHealthy || now > view.healthyAt+f.cfg.Apart {
 		return false
 	}
-	v.told, v.alone = false, now+p.cfg.Apart
+	view.toldHealthy, view.probeAloneUntil = false, now+f.cfg.Apart
 	return true
 }
 
-// Feed is what a limiter knows of the list of one discovery agent. The agent's own sequence
-// numbers order what comes by two ways. The zero value knows nothing and follows the agent
-// itself. It is not safe for concurrent use.
+// Feed is what a limiter knows of the list of one discovery agent. The agent's sequence numbers order
+// what arrives from the agent and from the leader. The zero value knows nothing and polls the agent
+// directly. It is not safe for concurrent use.
 type Feed struct {
-	seq   int64
-	have  bool
-	led   bool // another limiter tells it
-	chain bool // and news continue what is known
+	seq        int64 // of the newest list
+	known      bool  // a list has arrived
+	fromLeader bool  // the leader sends the list
+	chained    bool  // the next update of the leader continues the known list
 }
 
-// Own takes in what the agent itself has told.
-func (f *Feed) Own(seq int64) { f.seq, f.have, f.led, f.chain = seq, true, false, false }
+// SetSeq records a list that came from the agent itself.
+func (f *Feed) SetSeq(seq int64) { f.seq, f.known, f.fromLeader, f.chained = seq, true, false, false }
 
-// Offer is a list, or news behind the one before on the same connection, as the one that looks
-// tells it. take: it is as new as what is known; want: the whole list is to be asked for.
-func (f *Feed) Offer(seq int64, whole bool) (take, want bool) {
-	current := !f.have || seq >= f.seq
-	if !whole && !f.chain {
+// Offer processes a list of the leader: a full one, or an update to the previous one on the same
+// connection. accept is true if it is at least as new as the known list, requestFull if the leader
+// must be asked for a full list.
+func (f *Feed) Offer(seq int64, full bool) (accept, requestFull bool) {
+	current := !f.known || seq >= f.seq
+	if !full && !f.chained {
 		return false, current
 	}
 	if !current {
 		return false, false
 	}
-	f.seq, f.have, f.led, f.chain = seq, true, true, true
+	f.seq, f.known, f.fromLeader, f.chained = seq, true, true, true
 	return true, false
 }
 
-// Apart notes that the connection has ended: news don't continue what is known any more.
-func (f *Feed) Apart() { f.chain = false }
+// Disconnected records that the connection has ended: updates no longer continue the known list.
+func (f *Feed) Disconnected() { f.chained = false }
 
-// Alone has the limiter follow the agent itself.
-func (f *Feed) Alone() { f.led, f.chain = false, false }
+// FollowAgent switches to polling the agent directly.
+func (f *Feed) FollowAgent() { f.fromLeader, f.chained = false, false }
 
-// Led tells whether another limiter tells it.
-func (f *Feed) Led() bool { return f.led }
+// FromLeader reports whether the leader sends the list.
+func (f *Feed) FromLeader() bool { return f.fromLeader }
