--- a/control/catalog/catalog.go
+++ b/control/catalog/catalog.go
@@ -1,11 +1,12 @@
-// Package catalog is the mergeable record of which servers and limiters there are. Any core
-// machine may write it. Each record is of one life of a server and carries the number of
-// the beat that it rests on: of two copies the one with the later beat holds, whatever way
-// they came. Whoever learns something first stamps it with its own source and a version
-// that rises; others pull what they lack by a vector of versions, one a source.
+// Package catalog is a replicated, mergeable catalog of the servers and limiters that exist. Any
+// core machine may write to it. Each record describes one incarnation of a server and carries the
+// sequence number of the heartbeat that it is based on. Of two copies the one with the later
+// heartbeat wins, regardless of the order in which they arrive. The process that first learns of a
+// change stamps the record with its own source name and its next version number; other processes
+// pull the records that they lack by sending a version vector with one version per source.
 //
-// A [Book] does no input or output and reads no clock: times are handed in, in milliseconds
-// on any clock that does not go backwards. It is not safe for concurrent use.
+// A [Catalog] does no input or output and reads no clock: the caller passes the time, in
+// milliseconds on any monotonic clock. It is not safe for concurrent use.
 package catalog
 
 import (
@@ -17,22 +18,24 @@
 	"github.com/google/btree"
 )
 
-// State is how a server stands.
+// State is the availability of a server.
 type State uint8
 
-// The states. Of two records that rest on the same beat the greater one holds.
+// The states of a server. Of two records that are based on the same heartbeat the one with the
+// greater state wins.
 const (
 	Available State = iota
-	Silent          // no beat for long
+	Silent          // no heartbeat within the limit
 	Draining
-	Gone // it has left: no later word brings it back
+	Gone // left for good: no later heartbeat makes it available again
 )
 
 var stateNames = [...]string{"available", "silent", "draining", "gone"}
 
+// String returns the name of the state as it appears in reports and logs.
 func (s State) String() string { return stateNames[min(int(s), len(stateNames)-1)] }
 
-// Record is one life of a server or, where Service is [Limiters], of a limiter.
+// Record describes one incarnation of a server or, if Service is [Limiters], of a limiter.
 type Record struct {
 	ID       string `cbor:"1,keyasint"`
 	Service  string `cbor:"2,keyasint,omitempty"`
@@ -40,21 +43,21 @@
 	Zone     string `cbor:"4,keyasint,omitempty"`
 	Slots    int    `cbor:"5,keyasint,omitempty"`
 	State    State  `cbor:"6,keyasint,omitempty"`
-	Sequence uint64 `cbor:"7,keyasint,omitempty"` // of the beat that it rests on
-	WarmMs   uint64 `cbor:"8,keyasint,omitempty"` // how much longer it is cold, when it is told
-	Source   string `cbor:"9,keyasint,omitempty"` // who stamped it
+	Sequence uint64 `cbor:"7,keyasint,omitempty"` // of the heartbeat that the record is based on
+	WarmMs   uint64 `cbor:"8,keyasint,omitempty"` // remaining warm-up time when the record was sent
+	Source   string `cbor:"9,keyasint,omitempty"` // process that stamped this version
 	Version  uint64 `cbor:"10,keyasint,omitempty"`
-	Since    uint64 `cbor:"11,keyasint,omitempty"` // ms for which it has stood so, when it is told
+	Since    uint64 `cbor:"11,keyasint,omitempty"` // milliseconds in this state when the record was sent
 }
 
-// Limiters is the service of limiters themselves, Cores that of registries.
+// Reserved service names: Limiters for the limiters themselves, Cores for the registries.
 const (
 	Limiters = "@limiters"
 	Cores    = "@cores"
 )
 
-// newer tells that a takes the place of b.
-func newer(a, b *Record) bool {
+// supersedes reports whether record a replaces record b.
+func supersedes(a, b *Record) bool {
 	switch {
 	case a.State == Gone || b.State == Gone:
 		return a.State == Gone && b.State != Gone
@@ -66,123 +69,127 @@
 
 type entry struct {
 	Record
-	warmAt  float64 // warm from then on
-	heardAt float64 // when its last beat came here, or word of it
-	setAt   float64 // when its state was last changed
+	warmUntil  float64 // time at which the warm-up ends
+	lastHeard  float64 // time of the last heartbeat or record received
+	stateSince float64 // time of the last change of state
 }
 
-func less(a, b *entry) bool { return a.ID < b.ID }
+func lessByID(a, b *entry) bool { return a.ID < b.ID }
 
-// Vector is what somebody has: of each source the latest version.
+// Vector is a version vector: for each source, the version up to which a process has its records.
 type Vector map[string]uint64
 
-// Book holds the records that one process knows.
+// Catalog holds the records that one process knows.
 type Book struct {
 	source  string
 	version uint64
-	all     *btree.BTreeG[*entry]
+	records *btree.BTreeG[*entry]
 	vector  Vector
 }
 
-// New returns an empty book. source is unique to this life of this process; a process that
-// only reads has none.
+// New returns an empty catalog. source must be unique to this run of the process; it is empty for a
+// process that only reads.
 func New(source string) *Book {
-	return &Book{source: source, all: btree.NewG(8, less), vector: Vector{}}
+	return &Book{source: source, records: btree.NewG(8, lessByID), vector: Vector{}}
 }
 
-// Source is this process's own.
+// Source returns the source name with which this process stamps records.
 func (b *Book) Source() string { return b.source }
 
-// Len is the number of records.
-func (b *Book) Len() int { return b.all.Len() }
+// Len returns the number of records, including those of servers that have left.
+func (b *Book) Len() int { return b.records.Len() }
 
-// Vector is what this book has.
+// Vector returns the version vector of this catalog. The caller must not modify it.
 func (b *Book) Vector() Vector { return b.vector }
 
-func (b *Book) get(id string) *entry {
-	e, _ := b.all.Get(&entry{Record: Record{ID: id}})
+// lookup returns the entry with an id, or nil.
+func (b *Book) lookup(id string) *entry {
+	e, _ := b.records.Get(&entry{Record: Record{ID: id}})
 	return e
 }
 
-// Get returns a record as it stands now.
+// Get returns the record with an id, with its durations as of now.
 func (b *Book) Get(now float64, id string) (Record, bool) {
-	e := b.get(id)
+	e := b.lookup(id)
 	if e == nil {
 		return Record{}, false
 	}
-	return e.at(now), true
+	return e.recordAt(now), true
 }
 
-// at is the record with its spans as of now.
-func (e *entry) at(now float64) Record {
+// recordAt returns the record with its durations as of now.
+func (e *entry) recordAt(now float64) Record {
 	r := e.Record
-	r.WarmMs = uint64(max(0, e.warmAt-now))
-	r.Since = uint64(max(0, now-e.setAt))
+	r.WarmMs = uint64(max(0, e.warmUntil-now))
+	r.Since = uint64(max(0, now-e.stateSince))
 	return r
 }
 
-// warmNews is by how much a cold server's end of warming may differ from what is known
-// without being news.
-const warmNews = 400.0
+// warmupToleranceMs is the difference from the known end of a server's warm-up that is not reported
+// as a change.
+const warmupToleranceMs = 400.0
 
-// Beat takes in what a server says of itself and tells whether that is news for others. A
-// beat that is late changes nothing.
-func (b *Book) Beat(now float64, r Record) (news bool) {
-	e := b.get(r.ID)
+// Heartbeat applies a heartbeat from a server and reports whether it changes something that other
+// processes must learn. A heartbeat that was overtaken by a later one is ignored.
+func (b *Book) Beat(now float64, r Record) (changed bool) {
+	e := b.lookup(r.ID)
 	if e != nil && (e.State == Gone || r.Sequence < e.Sequence) {
 		return false
 	}
 	if e == nil {
-		b.put(now, r)
+		b.stamp(now, r)
 		return true
 	}
-	e.heardAt = now
-	warmAt := now + float64(r.WarmMs)
-	cold := r.WarmMs > 0 && (warmAt > e.warmAt+warmNews || e.warmAt <= now) || r.WarmMs == 0 && e.warmAt > now+warmNews
-	if e.Source == b.source && e.State == r.State && e.Address == r.Address && e.Service == r.Service && !cold {
+	e.lastHeard = now
+	warmUntil := now + float64(r.WarmMs)
+	warmupChanged := r.WarmMs > 0 && (warmUntil > e.warmUntil+warmupToleranceMs || e.warmUntil <= now) ||
+		r.WarmMs == 0 && e.warmUntil > now+warmupToleranceMs
+	if e.Source == b.source && e.State == r.State && e.Address == r.Address && e.Service == r.Service && !warmupChanged {
 		e.Sequence = max(e.Sequence, r.Sequence)
 		return false
 	}
-	b.put(now, r)
+	b.stamp(now, r)
 	return true
 }
 
-// Leave notes that a server has left for good, and tells whether that is news.
+// MarkGone records that a server has left for good and reports whether that is a change.
 func (b *Book) Leave(now float64, id string) bool {
-	e := b.get(id)
+	e := b.lookup(id)
 	if e != nil && e.State == Gone {
 		return false
 	}
 	r := Record{ID: id}
 	if e != nil {
-		r = e.at(now)
+		r = e.recordAt(now)
 	}
 	r.State = Gone
-	b.put(now, r)
+	b.stamp(now, r)
 	return true
 }
 
-// put stamps a record as this process's word.
-func (b *Book) put(now float64, r Record) {
+// stamp stores a record under the source of this process and its next version.
+func (b *Book) stamp(now float64, r Record) {
 	b.version++
 	r.Source, r.Version = b.source, b.version
 	b.vector[b.source] = b.version
-	b.set(now, r, 0)
+	b.store(now, r, 0)
 }
 
-func (b *Book) set(now float64, r Record, since float64) {
-	e := &entry{Record: r, heardAt: now, warmAt: now + float64(r.WarmMs), setAt: now - since}
-	if o := b.get(r.ID); o != nil && o.State == r.State {
-		e.setAt = min(e.setAt, o.setAt)
+// store replaces the record with the same id. since is how long it has been in its state, in
+// milliseconds; an earlier start that is known here is kept.
+func (b *Book) store(now float64, r Record, since float64) {
+	e := &entry{Record: r, lastHeard: now, warmUntil: now + float64(r.WarmMs), stateSince: now - since}
+	if o := b.lookup(r.ID); o != nil && o.State == r.State {
+		e.stateSince = min(e.stateSince, o.stateSince)
 	}
-	b.all.ReplaceOrInsert(e)
+	b.records.ReplaceOrInsert(e)
 }
 
-// Merge takes in records of others and returns those that were news here. The vector rises by a
-// record only if it is the next one of its source: whoever tells records may have single ones, that
-// were pushed to it, ahead of what it has whole. What is told whole comes with the vector of
-// whoever tells it, for [Book.Know].
-func (b *Book) Merge(now float64, records []Record) (news []Record) {
+// Merge applies records from another process and returns those that changed this catalog. A record
+// advances the version vector only if it carries the next version of its source: the sender may hold
+// single records that were pushed to it and lack earlier ones. For a complete answer the caller passes
+// the sender's vector to [Catalog.AdvanceVector] afterwards.
+func (b *Book) Merge(now float64, records []Record) (changed []Record) {
 	for _, r := range records {
 		if r.Source == "" || r.Source == b.source {
 			continue
@@ -190,36 +197,36 @@
 		if r.Version == b.vector[r.Source]+1 {
 			b.vector[r.Source] = r.Version
 		}
-		if e := b.get(r.ID); e != nil && !newer(&r, &e.Record) {
+		if e := b.lookup(r.ID); e != nil && !supersedes(&r, &e.Record) {
 			if r.Source == e.Source && r.Version > e.Version {
 				e.Version = r.Version
 			}
 			if e.Source == b.source && r.State != e.State && e.State != Gone {
-				// Another takes it for silent, and this process hears its beats: they are told
-				// again, with the number of the latest.
-				b.put(now, e.at(now))
-				news = append(news, b.get(r.ID).at(now))
+				// Another process considers the server silent, but this one receives its heartbeats:
+				// stamp the record anew with the sequence number of the latest heartbeat.
+				b.stamp(now, e.recordAt(now))
+				changed = append(changed, b.lookup(r.ID).recordAt(now))
 			}
 			continue
 		}
-		b.set(now, r, float64(r.Since))
-		news = append(news, r)
+		b.store(now, r, float64(r.Since))
+		changed = append(changed, r)
 	}
-	return news
+	return changed
 }
 
-// Since returns the records that somebody with a vector lacks.
+// RecordsAfter returns the records that a process with version vector v lacks.
 func (b *Book) Since(now float64, v Vector) (all []Record) {
-	b.all.Ascend(func(e *entry) bool {
+	b.records.Ascend(func(e *entry) bool {
 		if e.Version > v[e.Source] {
-			all = append(all, e.at(now))
+			all = append(all, e.recordAt(now))
 		}
 		return true
 	})
 	return all
 }
 
-// Lacks tells that somebody with a vector lacks something of this book.
+// HasNewerThan reports whether this catalog has a version that a process with version vector v lacks.
 func (b *Book) Lacks(v Vector) bool {
 	for s, n := range b.vector {
 		if n > v[s] {
@@ -229,7 +236,7 @@
 	return false
 }
 
-// Know raises the vector to what another is known to have told whole.
+// AdvanceVector raises the version vector to that of a process whose records have been merged completely.
 func (b *Book) Know(v Vector) {
 	for s, n := range v {
 		if n > b.vector[s] {
@@ -238,91 +245,92 @@
 	}
 }
 
-// Expire marks those whose beats have ceased. limit is how long a beat may be out for
-// servers and for limiters; alive tells whether another source still runs, which then sees
-// to its own. A process that hears no majority must not call it: it can't tell who is silent
-// from who is on the other side. It forgets what has been gone for long. It tells whether
-// there is news.
-func (b *Book) Expire(now, servers, limiters float64, alive func(source string) bool) (news bool) {
-	var due, old []*entry
-	b.all.Ascend(func(e *entry) bool {
+// Expire marks servers and limiters as silent whose heartbeats have ceased, deletes records that have
+// been gone or silent for [retentionMs], and reports whether a record was marked. servers and limiters
+// are the longest accepted times without a heartbeat, in milliseconds. alive reports whether another
+// source still runs; such a source expires its own records. A process that is cut off from the majority
+// must not call Expire: it can't distinguish silent servers from servers across the partition.
+func (b *Book) Expire(now, servers, limiters float64, alive func(source string) bool) (changed bool) {
+	var silent, forgotten []*entry
+	b.records.Ascend(func(e *entry) bool {
 		limit := servers
 		if e.Service == Limiters || e.Service == Cores {
 			limit = limiters
 		}
-		switch silent := now - e.heardAt; {
+		switch silentFor := now - e.lastHeard; {
 		case e.State == Gone || e.State == Silent:
-			if now-e.setAt > forgetMs {
-				old = append(old, e)
+			if now-e.stateSince > retentionMs {
+				forgotten = append(forgotten, e)
 			}
-		case e.Source == b.source && silent > limit, e.Source != b.source && silent > 2*limit && !alive(e.Source):
-			due = append(due, e)
+		case e.Source == b.source && silentFor > limit, e.Source != b.source && silentFor > 2*limit && !alive(e.Source):
+			silent = append(silent, e)
 		}
 		return true
 	})
-	for _, e := range due {
-		r := e.at(now)
+	for _, e := range silent {
+		r := e.recordAt(now)
 		r.State = Silent
-		b.put(now, r)
+		b.stamp(now, r)
 	}
-	for _, e := range old {
-		b.all.Delete(e)
+	for _, e := range forgotten {
+		b.records.Delete(e)
 	}
-	return len(due) > 0
+	return len(silent) > 0
 }
 
-// forgetMs is how long a record of one that is gone or silent is kept: much longer than any
-// word of it can be under way.
-const forgetMs = 120_000.0
+// retentionMs is how long the record of a server that is gone or silent is kept: much longer than any
+// message about it can be in transit.
+const retentionMs = 120_000.0
 
-// Each calls f for every record, by id.
+// Each calls f for every record, in order of ids.
 func (b *Book) Each(now float64, f func(Record)) {
-	b.all.Ascend(func(e *entry) bool {
-		f(e.at(now))
+	b.records.Ascend(func(e *entry) bool {
+		f(e.recordAt(now))
 		return true
 	})
 }
 
-// Ranges is into how many ranges of ids digests divide a book.
+// DigestRanges is the number of hash ranges of ids for which digests are computed.
 const Ranges = 16
 
-func rangeOf(id string) int {
+// digestRange returns the digest range that an id belongs to.
+func digestRange(id string) int {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return int(h.Sum32() % Ranges)
 }
 
-// Digests are one number a range, equal in books that hold the same.
+// Digests returns one digest per range. Catalogs that hold the same records have equal digests.
 func (b *Book) Digests() (d [Ranges]uint64) {
-	b.all.Ascend(func(e *entry) bool {
+	b.records.Ascend(func(e *entry) bool {
 		h := fnv.New64a()
 		h.Write([]byte(e.ID))
-		// The number of the beat rises all the time without being news: the stamp is what
-		// copies share.
+		// The digest covers the stamp, which all copies share, and not the heartbeat sequence, which
+		// rises continually without being sent to other processes.
 		h.Write([]byte{byte(e.State), byte(e.Version), byte(e.Version >> 8), byte(e.Version >> 16)})
 		h.Write([]byte(e.Source))
-		d[rangeOf(e.ID)] ^= h.Sum64()
+		d[digestRange(e.ID)] ^= h.Sum64()
 		return true
 	})
 	return d
 }
 
-// Differing returns the records of the ranges whose digests differ.
+// DifferingRecords returns the records of the ranges whose digests differ from d.
 func (b *Book) Differing(now float64, d [Ranges]uint64) (all []Record) {
-	mine := b.Digests()
-	if mine == d {
+	own := b.Digests()
+	if own == d {
 		return nil
 	}
-	b.all.Ascend(func(e *entry) bool {
-		if k := rangeOf(e.ID); mine[k] != d[k] {
-			all = append(all, e.at(now))
+	b.records.Ascend(func(e *entry) bool {
+		if k := digestRange(e.ID); own[k] != d[k] {
+			all = append(all, e.recordAt(now))
 		}
 		return true
 	})
 	return all
 }
 
-// Sources lists the sources that the book has heard of, in order.
+// Sources returns the names of the sources in the version vector, sorted.
 func (b *Book) Sources() (all []string) {
 	for s := range b.vector {
 		all = append(all, s)
@@ -331,14 +339,14 @@
 	return all
 }
 
-// ServiceCount is how many lives of a service's servers stand how.
+// ServiceCount counts the server incarnations of one service by state.
 type ServiceCount struct {
 	Service string
-	States  [len(stateNames)]int // by State
+	States  [len(stateNames)]int // indexed by State
 	Cold    int
 }
 
-// Counts are those of all services, by name.
+// Counts returns the counts of all services, sorted by name.
 func (b *Book) Counts(now float64) []ServiceCount {
 	byName := map[string]*ServiceCount{}
 	b.Each(now, func(r Record) {
@@ -359,7 +367,7 @@
 	return all
 }
 
-// Report is one line of key=value pairs for each source and each service.
+// Report returns one line of key=value pairs for each source and each service.
 func (b *Book) Report(now float64) (lines []string) {
 	for _, s := range b.Sources() {
 		lines = append(lines, fmt.Sprintf("source=%s version=%d", s, b.vector[s]))
--- a/control/configdelta/configdelta_test.go
+++ b/control/configdelta/configdelta_test.go
@@ -62,7 +62,7 @@
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, delta []byte) {
 		text, err := Apply(older, delta)
-		if err == nil && len(text) > mostSize {
+		if err == nil && len(text) > maxTextBytes {
 			t.Errorf("%d bytes", len(text))
 		}
 	})
--- a/control/configuration/configuration.go
+++ b/control/configuration/configuration.go
@@ -1,6 +1,6 @@
-// Package configuration holds configurations: it reads and checks them, applies changes of
-// named items, and finds the route of a request. It does no input or output and reads no
-// clock. A [Table] does not change once it is read and may be used by many at once.
+// Package configuration parses and validates configurations, applies changes to named items, and
+// finds the route of a request. It does no input or output and reads no clock. A [Table] is immutable
+// once parsed and safe for concurrent use.
 package configuration
 
 import (
@@ -13,70 +13,70 @@
 	"github.com/valyala/fastjson"
 )
 
-// Kind tells what a second execution of a request would do.
+// Kind is the type of a route: whether its requests may safely be executed more than once.
 type Kind int
 
-// The kinds of routes.
+// The route types.
 const (
 	Idempotent Kind = iota
 	NonIdempotent
-	Download // large answers, repeated as idempotent ones
+	Download // large responses; may be retried like idempotent requests
 )
 
-// Repeatable tells that a request may run more than once.
+// Repeatable reports whether a request may be executed more than once.
 func (k Kind) Repeatable() bool { return k != NonIdempotent }
 
-var kinds = map[string]Kind{"idempotent": Idempotent, "non_idempotent": NonIdempotent, "download": Download}
+var kindsByName = map[string]Kind{"idempotent": Idempotent, "non_idempotent": NonIdempotent, "download": Download}
 
-// Table is one version of the configuration.
+// Table is one parsed version of the configuration, with indexes for lookups.
 type Table struct {
 	Version  uint64
 	Limits   Limits
 	Tenants  []Tenant
-	Routes   []Route // in order of their listeners
+	Routes   []Route // in the order of the listeners in the text
 	Services map[string]*Service
 
-	hosts map[string][]*Route // by host, the longest prefix first
-	keys  map[string]*Tenant
+	routesByHost map[string][]*Route // by host; the longest prefix first
+	tenantsByKey map[string]*Tenant
 }
 
-// Limits bound what a client may send and how long it may take. Zero is no bound.
+// Limits bound the size of a client's request and the time for sending it. Zero means no limit.
 type Limits struct {
 	Header, Body  int64 // bytes
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
 
-// Tenant is one customer.
+// Tenant is one customer with its API keys and its quota.
 type Tenant struct {
 	Name     string
 	Keys     []string
 	Priority int
-	Rate     float64 // requests a second over all limiters; 0: no limit
+	Rate     float64 // requests per second across all limiters; 0: no limit
 	Burst    float64
-	Homes    []string // regions that may serve it; none: all
+	Homes    []string // regions that may serve it; empty: all
 }
 
-// Route says where requests of a host and path go.
+// Route maps requests with a host and a path prefix to services.
 type Route struct {
 	Name, Host, Prefix string
 	Kind               Kind
-	Aim                time.Duration // target_latency
+	Aim                time.Duration // target_latency in the text
 	Timeout            time.Duration
 	Priority           int
-	Attempts           int  // servers that one try may be sent to at most
-	Open               bool // auth_exempt
-	Homes              []string
-	To                 []Share
+	Attempts           int  // most servers to which one client request may be sent
+	Open               bool // auth_exempt: no API key needed
+	AllowedRegions     []string
+	To                 []Destination
 }
 
-// Share is a service's part of a route.
-type Share struct {
+// Destination is a service that receives a part of a route's requests, by weight.
+type Destination struct {
 	Service string
 	Weight  float64
 }
 
-// Service is a set of servers that do the same work.
+// Service is a set of interchangeable servers, called a cluster in the text.
 type Service struct {
 	Name        string
 	HealthPath  string
@@ -85,26 +85,27 @@
 	ColdPerS    float64
 }
 
-// Fault says why a configuration or a change can't be taken.
+// Fault describes why a configuration or a change is rejected. It is sent to the operator.
 type Fault struct {
-	Code  string // one of the codes below
-	Where string // path of the item, as listeners[0].policy[r-1].timeout
+	Code  string // one of the constants below
+	Where string // path of the item, such as listeners[0].policy[1].forward_action.timeout
 	Wrong string
 	Fix   string
 }
 
-// The codes of faults.
+// Codes of a [Fault].
 const (
-	Unreadable     = "unreadable"
-	StaleVersion   = "stale_version"
-	SharedKey      = "shared_key"
-	UnknownKind    = "unknown_route_type"
-	UnknownService = "unknown_service"
-	NoTimeout      = "no_timeout"
-	AimBeyond      = "aim_beyond_timeout"
-	WrongBase      = "wrong_base" // another version is current
+	Unreadable          = "unreadable"
+	StaleVersion        = "stale_version"
+	SharedKey           = "shared_key"
+	UnknownRouteType    = "unknown_route_type"
+	UnknownService      = "unknown_service"
+	NoTimeout           = "no_timeout"
+	TargetBeyondTimeout = "aim_beyond_timeout"
+	WrongBase           = "wrong_base" // the change is not based on the current version
 )
 
+// Error returns the code, the path, the problem and the suggested fix in one line.
 func (f *Fault) Error() string {
 	text := "configuration: " + f.Code
 	if f.Where != "" {
@@ -117,11 +118,13 @@
 	return text
 }
 
-// aimBeyond is by how much a target_latency may not exceed its route's timeout.
-const aimBeyond = time.Minute
+// targetExcessLimit is the excess of a target_latency over its route's timeout from which on the
+// configuration is rejected.
+const targetExcessLimit = time.Minute
 
-// Revision reads a version: r and a number, or 0 for none.
-func Revision(v *fastjson.Value) (uint64, bool) {
+// ParseVersion parses a version, which is written as "r" and a number or as a plain number. 0 and the
+// empty string mean no version.
+func ParseVersion(v *fastjson.Value) (uint64, bool) {
 	if v == nil {
 		return 0, false
 	}
@@ -141,40 +144,42 @@
 	return n, err == nil
 }
 
-// Call is a change of the configuration as the operator sends it.
-type Call struct {
-	Update  bool // named items alone
-	Version uint64
-	Base    uint64
-	Body    []byte // as it came
+// Change is a change of the configuration as the operator sends it.
+type Change struct {
+	Partial     bool // changes named items only; otherwise the body is a whole configuration
+	Version     uint64
+	BaseVersion uint64
+	Body        []byte // as received
 }
 
-// ReadCall reads the head of a change: that it is whole, its version and its base.
-func ReadCall(body []byte, update bool) (*Call, *Fault) {
+// ParseChange checks that a change is a complete JSON object and reads its version and base version.
+// The items are checked by [Apply].
+func ReadCall(body []byte, partial bool) (*Change, *Fault) {
 	v, err := fastjson.ParseBytes(body)
 	if err != nil || v.Type() != fastjson.TypeObject {
 		return nil, &Fault{Code: Unreadable, Wrong: fmt.Sprintf("the body is not a JSON object (%d bytes)", len(body)), Fix: "send it whole"}
 	}
-	c := &Call{Update: update, Body: body}
+	c := &Change{Partial: partial, Body: body}
 	var ok bool
-	if c.Version, ok = Revision(v.Get("config_version")); !ok || c.Version == 0 {
+	if c.Version, ok = ParseVersion(v.Get("config_version")); !ok || c.Version == 0 {
 		return nil, &Fault{Code: Unreadable, Where: "config_version", Wrong: "is missing or not a version", Fix: "write r and a number, as in \"r12\""}
 	}
-	if c.Base, ok = Revision(v.Get("base_revision")); !ok {
+	if c.BaseVersion, ok = ParseVersion(v.Get("base_revision")); !ok {
 		return nil, &Fault{Code: Unreadable, Where: "base_revision", Wrong: "is missing or not a version", Fix: "write the version it builds on, or 0 for the first"}
 	}
 	return c, nil
 }
 
-// Apply gives the configuration that a change makes of the current one, as text, or why it
-// can't be taken. current is nil before the first.
-func Apply(current []byte, version uint64, c *Call) ([]byte, *Fault) {
-	if c.Base != version {
-		return nil, &Fault{Code: WrongBase, Where: "base_revision", Wrong: fmt.Sprintf("is r%d and r%d is current", c.Base, version),
+// Apply returns the text of the configuration that results from applying a change to the current one,
+// or the reason for rejecting the change. current is nil before the first configuration; version is the
+// current version.
+func Apply(current []byte, version uint64, c *Change) ([]byte, *Fault) {
+	if c.BaseVersion != version {
+		return nil, &Fault{Code: WrongBase, Where: "base_revision", Wrong: fmt.Sprintf("is r%d and r%d is current", c.BaseVersion, version),
 			Fix: "read the current one and build on it"}
 	}
 	next := c.Body
-	if c.Update {
+	if c.Partial {
 		var f *Fault
 		if next, f = merge(current, c.Body); f != nil {
 			return nil, f
@@ -189,17 +194,17 @@
 	return next, nil
 }
 
-// read collects the first fault of a configuration.
-type read struct{ fault *Fault }
+// reader extracts typed fields from JSON and keeps the first fault found.
+type reader struct{ fault *Fault }
 
-func (r *read) fail(code, where, wrong, fix string) {
-	where = strings.TrimPrefix(where, ".") // of what stands at the top
+func (r *reader) fail(code, where, wrong, fix string) {
+	where = strings.TrimPrefix(where, ".") // items at the top level have no parent
 	if r.fault == nil {
 		r.fault = &Fault{Code: code, Where: where, Wrong: wrong, Fix: fix}
 	}
 }
 
-func (r *read) text(v *fastjson.Value, where, key string) string {
+func (r *reader) stringField(v *fastjson.Value, where, key string) string {
 	x := v.Get(key)
 	if x == nil || x.Type() != fastjson.TypeString {
 		r.fail(Unreadable, where+"."+key, "is missing or not a string", "write a string")
@@ -208,7 +213,7 @@
 	return string(x.GetStringBytes())
 }
 
-func (r *read) number(v *fastjson.Value, where, key string) float64 {
+func (r *reader) numberField(v *fastjson.Value, where, key string) float64 {
 	x := v.Get(key)
 	if x == nil || x.Type() == fastjson.TypeNull {
 		return 0
@@ -220,7 +225,7 @@
 	return f
 }
 
-func (r *read) duration(v *fastjson.Value, where, key string) time.Duration {
+func (r *reader) durationField(v *fastjson.Value, where, key string) time.Duration {
 	x := v.Get(key)
 	if x == nil || x.Type() == fastjson.TypeNull {
 		return 0
@@ -232,10 +237,10 @@
 	return d
 }
 
-// longest is the longest time that is taken for one.
-const longest = 1000 * 24 * time.Hour
+// maxDuration is the longest duration that is accepted.
+const maxDuration = 1000 * 24 * time.Hour
 
-// Duration reads a time: a number followed by ms or s.
+// ParseDuration parses a duration: a number followed by ms or s.
 func Duration(text string) (time.Duration, bool) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(text, "ms")
@@ -246,13 +251,13 @@
 		}
 	}
 	f, err := strconv.ParseFloat(number, 64)
-	if err != nil || !(f >= 0) || f*float64(unit) > float64(longest) {
+	if err != nil || !(f >= 0) || f*float64(unit) > float64(maxDuration) {
 		return 0, false
 	}
 	return time.Duration(f * float64(unit)), true
 }
 
-func (r *read) list(v *fastjson.Value, where, key string) []*fastjson.Value {
+func (r *reader) listField(v *fastjson.Value, where, key string) []*fastjson.Value {
 	x := v.Get(key)
 	if x == nil || x.Type() == fastjson.TypeNull {
 		return nil
@@ -264,8 +269,8 @@
 	return x.GetArray()
 }
 
-func (r *read) texts(v *fastjson.Value, where, key string) (all []string) {
-	for _, x := range r.list(v, where, key) {
+func (r *reader) stringListField(v *fastjson.Value, where, key string) (all []string) {
+	for _, x := range r.listField(v, where, key) {
 		if x.Type() != fastjson.TypeString {
 			r.fail(Unreadable, where+"."+key, "holds what is not a string", "write strings")
 		}
@@ -274,110 +279,111 @@
 	return all
 }
 
-// Read reads and checks a whole configuration.
+// Parse parses and validates a whole configuration.
 func Read(text []byte) (*Table, *Fault) {
-	v, err := fastjson.ParseBytes(text)
-	if err != nil || v.Type() != fastjson.TypeObject {
+	document, err := fastjson.ParseBytes(text)
+	if err != nil || document.Type() != fastjson.TypeObject {
 		return nil, &Fault{Code: Unreadable, Wrong: "is not a JSON object", Fix: "send it whole"}
 	}
-	var r read
-	t := &Table{Services: map[string]*Service{}, hosts: map[string][]*Route{}, keys: map[string]*Tenant{}}
-	t.Version, _ = Revision(v.Get("config_version"))
-	if l := v.Get("limits"); l != nil {
-		t.Limits = Limits{Header: int64(r.number(l, "limits", "max_header_bytes")), Body: int64(r.number(l, "limits", "max_body_bytes")),
-			HeaderTimeout: r.duration(l, "limits", "header_timeout"), IdleTimeout: r.duration(l, "limits", "idle_timeout")}
+	var r reader
+	t := &Table{Services: map[string]*Service{}, routesByHost: map[string][]*Route{}, tenantsByKey: map[string]*Tenant{}}
+	t.Version, _ = ParseVersion(document.Get("config_version"))
+	if limits := document.Get("limits"); limits != nil {
+		t.Limits = Limits{Header: int64(r.numberField(limits, "limits", "max_header_bytes")), Body: int64(r.numberField(limits, "limits", "max_body_bytes")),
+			HeaderTimeout: r.durationField(limits, "limits", "header_timeout"), IdleTimeout: r.durationField(limits, "limits", "idle_timeout")}
 	}
-	for i, x := range r.list(v, "", "clusters") {
+	for i, item := range r.listField(document, "", "clusters") {
 		where := fmt.Sprintf("clusters[%d]", i)
-		s := &Service{Name: r.text(x, where, "name"), HealthPath: string(x.GetStringBytes("health_path")),
-			Connections: int(r.number(x, where, "max_connections")), Warmup: r.duration(x, where, "warmup"),
-			ColdPerS: r.number(x, where, "cold_per_s")}
-		t.Services[s.Name] = s
+		service := &Service{Name: r.stringField(item, where, "name"), HealthPath: string(item.GetStringBytes("health_path")),
+			Connections: int(r.numberField(item, where, "max_connections")), Warmup: r.durationField(item, where, "warmup"),
+			ColdPerS: r.numberField(item, where, "cold_per_s")}
+		t.Services[service.Name] = service
 	}
-	for i, x := range r.list(v, "", "tenants") {
+	for i, item := range r.listField(document, "", "tenants") {
 		where := fmt.Sprintf("tenants[%d]", i)
-		t.Tenants = append(t.Tenants, Tenant{Name: r.text(x, where, "name"), Keys: r.texts(x, where, "api_keys"),
-			Priority: int(r.number(x, where, "priority")), Rate: r.number(x, where, "rate_per_s"),
-			Burst: r.number(x, where, "burst_size"), Homes: r.texts(x, where, "allowed_regions")})
+		t.Tenants = append(t.Tenants, Tenant{Name: r.stringField(item, where, "name"), Keys: r.stringListField(item, where, "api_keys"),
+			Priority: int(r.numberField(item, where, "priority")), Rate: r.numberField(item, where, "rate_per_s"),
+			Burst: r.numberField(item, where, "burst_size"), Homes: r.stringListField(item, where, "allowed_regions")})
 	}
 	for i := range t.Tenants {
-		for _, k := range t.Tenants[i].Keys {
-			if o := t.keys[k]; o != nil && o.Name != t.Tenants[i].Name {
-				r.fail(SharedKey, fmt.Sprintf("tenants[%d].api_keys", i), fmt.Sprintf("%s and %s hold the same key", o.Name, t.Tenants[i].Name), "give each a key of its own")
+		for _, key := range t.Tenants[i].Keys {
+			if owner := t.tenantsByKey[key]; owner != nil && owner.Name != t.Tenants[i].Name {
+				r.fail(SharedKey, fmt.Sprintf("tenants[%d].api_keys", i), fmt.Sprintf("%s and %s hold the same key", owner.Name, t.Tenants[i].Name), "give each a key of its own")
 			}
-			t.keys[k] = &t.Tenants[i]
+			t.tenantsByKey[key] = &t.Tenants[i]
 		}
 	}
-	for i, x := range r.list(v, "", "listeners") {
-		host := r.text(x, fmt.Sprintf("listeners[%d]", i), "hostname")
-		for j, p := range r.list(x, fmt.Sprintf("listeners[%d]", i), "policy") {
-			t.Routes = append(t.Routes, r.route(t, fmt.Sprintf("listeners[%d].policy[%d]", i, j), host, p))
+	for i, item := range r.listField(document, "", "listeners") {
+		host := r.stringField(item, fmt.Sprintf("listeners[%d]", i), "hostname")
+		for j, policy := range r.listField(item, fmt.Sprintf("listeners[%d]", i), "policy") {
+			t.Routes = append(t.Routes, r.parseRoute(t, fmt.Sprintf("listeners[%d].policy[%d]", i, j), host, policy))
 		}
 	}
 	if r.fault != nil {
 		return nil, r.fault
 	}
 	for i := range t.Routes {
-		rt := &t.Routes[i]
-		all := append(t.hosts[rt.Host], rt)
-		for k := len(all) - 1; k > 0 && len(all[k].Prefix) > len(all[k-1].Prefix); k-- {
-			all[k], all[k-1] = all[k-1], all[k]
+		route := &t.Routes[i]
+		routes := append(t.routesByHost[route.Host], route)
+		for k := len(routes) - 1; k > 0 && len(routes[k].Prefix) > len(routes[k-1].Prefix); k-- {
+			routes[k], routes[k-1] = routes[k-1], routes[k]
 		}
-		t.hosts[rt.Host] = all
+		t.routesByHost[route.Host] = routes
 	}
 	return t, nil
 }
 
-func (r *read) route(t *Table, where, host string, x *fastjson.Value) Route {
-	action, match := x.Get("forward_action"), x.Get("match_criteria")
+func (r *reader) parseRoute(t *Table, where, host string, item *fastjson.Value) Route {
+	action, match := item.Get("forward_action"), item.Get("match_criteria")
 	if action == nil || match == nil {
 		r.fail(Unreadable, where, "has no forward_action or no match_criteria", "write both")
 		return Route{}
 	}
-	rt := Route{Name: r.text(x, where, "name"), Host: strings.ToLower(host),
-		Prefix: r.text(match, where+".match_criteria", "path_prefix"),
-		Aim:    r.duration(x, where, "target_latency"), Timeout: r.duration(action, where+".forward_action", "timeout"),
-		Priority: int(r.number(x, where, "priority")), Attempts: int(r.number(action, where+".forward_action", "max_attempts")),
-		Open: x.GetBool("auth_exempt"), Homes: r.texts(action, where+".forward_action", "allowed_regions")}
-	kind := r.text(x, where, "route_type")
+	route := Route{Name: r.stringField(item, where, "name"), Host: strings.ToLower(host),
+		Prefix: r.stringField(match, where+".match_criteria", "path_prefix"),
+		Aim:    r.durationField(item, where, "target_latency"), Timeout: r.durationField(action, where+".forward_action", "timeout"),
+		Priority: int(r.numberField(item, where, "priority")), Attempts: int(r.numberField(action, where+".forward_action", "max_attempts")),
+		Open: item.GetBool("auth_exempt"), AllowedRegions: r.stringListField(action, where+".forward_action", "allowed_regions")}
+	kind := r.stringField(item, where, "route_type")
 	var ok bool
-	if rt.Kind, ok = kinds[kind]; !ok {
-		r.fail(UnknownKind, where+".route_type", fmt.Sprintf("%q is not known", kind), "write idempotent, non_idempotent or download")
+	if route.Kind, ok = kindsByName[kind]; !ok {
+		r.fail(UnknownRouteType, where+".route_type", fmt.Sprintf("%q is not known", kind), "write idempotent, non_idempotent or download")
 	}
-	if split := r.list(action, where+".forward_action", "traffic_split"); len(split) > 0 {
-		for _, s := range split {
-			rt.To = append(rt.To, Share{r.text(s, where+".traffic_split", "service"), r.number(s, where+".traffic_split", "weight")})
+	if split := r.listField(action, where+".forward_action", "traffic_split"); len(split) > 0 {
+		for _, destination := range split {
+			route.To = append(route.To, Destination{r.stringField(destination, where+".traffic_split", "service"), r.numberField(destination, where+".traffic_split", "weight")})
 		}
 	} else {
-		rt.To = []Share{{r.text(action, where+".forward_action", "service"), 1}}
+		route.To = []Destination{{r.stringField(action, where+".forward_action", "service"), 1}}
 	}
-	for _, s := range rt.To {
-		if t.Services[s.Service] == nil {
-			r.fail(UnknownService, where+".forward_action", fmt.Sprintf("service %q is not among the clusters", s.Service), "add the cluster or name another one")
+	for _, destination := range route.To {
+		if t.Services[destination.Service] == nil {
+			r.fail(UnknownService, where+".forward_action", fmt.Sprintf("service %q is not among the clusters", destination.Service), "add the cluster or name another one")
 		}
 	}
 	switch {
-	case rt.Timeout == 0:
+	case route.Timeout == 0:
 		r.fail(NoTimeout, where+".forward_action.timeout", "is 0 or missing", "write how long a request may be held")
-	case rt.Aim-rt.Timeout >= aimBeyond:
-		r.fail(AimBeyond, where+".target_latency", fmt.Sprintf("is %v and the timeout %v", rt.Aim, rt.Timeout), "write less")
+	case route.Aim-route.Timeout >= targetExcessLimit:
+		r.fail(TargetBeyondTimeout, where+".target_latency", fmt.Sprintf("is %v and the timeout %v", route.Aim, route.Timeout), "write less")
 	}
-	return rt
+	return route
 }
 
-// Find returns the route of a request, or nil. host may carry a port.
+// FindRoute returns the route with the longest prefix that matches a request, or nil. host may include a
+// port and path a query.
 func (t *Table) Find(host, path string) *Route {
 	if i := strings.IndexByte(host, ':'); i >= 0 {
 		host = host[:i]
 	}
-	all, ok := t.hosts[host]
+	routes, ok := t.routesByHost[host]
 	if !ok {
-		all = t.hosts[strings.ToLower(host)]
+		routes = t.routesByHost[strings.ToLower(host)]
 	}
 	if i := strings.IndexByte(path, '?'); i >= 0 {
 		path = path[:i]
 	}
-	for _, r := range all {
+	for _, r := range routes {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -385,56 +391,56 @@
 	return nil
 }
 
-// HostHomes are the regions that may serve all routes of a host; bound is false where none of them is
-// bound to regions. host may carry a port.
-func (t *Table) HostHomes(host string) (regions []string, bound bool) {
+// HostRegions returns the regions that may serve all routes of a host. restricted is false if none of the
+// routes is restricted to regions. host may include a port.
+func (t *Table) HostHomes(host string) (regions []string, restricted bool) {
 	if i := strings.IndexByte(host, ':'); i >= 0 {
 		host = host[:i]
 	}
-	for _, r := range t.hosts[strings.ToLower(host)] {
+	for _, r := range t.routesByHost[strings.ToLower(host)] {
 		switch {
-		case len(r.Homes) == 0:
-		case !bound:
-			regions, bound = slices.Clone(r.Homes), true
+		case len(r.AllowedRegions) == 0:
+		case !restricted:
+			regions, restricted = slices.Clone(r.AllowedRegions), true
 		default:
-			regions = slices.DeleteFunc(regions, func(region string) bool { return !slices.Contains(r.Homes, region) })
+			regions = slices.DeleteFunc(regions, func(region string) bool { return !slices.Contains(r.AllowedRegions, region) })
 		}
 	}
-	return regions, bound
+	return regions, restricted
 }
 
-// TenantOf returns the tenant that holds a key, or nil.
-func (t *Table) TenantOf(key string) *Tenant { return t.keys[key] }
+// TenantByKey returns the tenant that owns an API key, or nil.
+func (t *Table) TenantOf(key string) *Tenant { return t.tenantsByKey[key] }
 
-// Guarded tells that requests need a key, unless their route is open.
+// RequiresKey reports whether requests need an API key unless their route is exempt.
 func (t *Table) Guarded() bool { return len(t.Tenants) > 0 }
 
-// Lost tells that some key of an older table is in the newer one no more, or has passed to
-// another tenant.
+// KeyRevoked reports whether an API key of the old table is missing from the new one or belongs to
+// another tenant there.
 func Lost(old, new *Table) bool {
 	if old == nil {
 		return false
 	}
-	for k, was := range old.keys {
-		if is := new.keys[k]; is == nil || is.Name != was.Name {
+	for k, was := range old.tenantsByKey {
+		if is := new.tenantsByKey[k]; is == nil || is.Name != was.Name {
 			return true
 		}
 	}
 	return false
 }
 
-// Homes are the regions in which both a route and a tenant may be served; all is true where
-// neither bounds them.
+// CommonRegions returns the regions in which both a route and a tenant may be served. all is true if
+// neither is restricted to regions.
 func Homes(r *Route, t *Tenant) (regions []string, all bool) {
 	switch {
-	case len(r.Homes) == 0 && (t == nil || len(t.Homes) == 0):
+	case len(r.AllowedRegions) == 0 && (t == nil || len(t.Homes) == 0):
 		return nil, true
-	case len(r.Homes) == 0:
+	case len(r.AllowedRegions) == 0:
 		return t.Homes, false
 	case t == nil || len(t.Homes) == 0:
-		return r.Homes, false
+		return r.AllowedRegions, false
 	}
-	for _, x := range r.Homes {
+	for _, x := range r.AllowedRegions {
 		for _, y := range t.Homes {
 			if x == y {
 				regions = append(regions, x)
--- a/control/configuration/configuration_test.go
+++ b/control/configuration/configuration_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-const whole = `{"config_version":"r7","base_revision":0,"limits":{"max_header_bytes":16384,"idle_timeout":"15000ms"},
+const exampleConfiguration = `{"config_version":"r7","base_revision":0,"limits":{"max_header_bytes":16384,"idle_timeout":"15000ms"},
 "tenants":[{"name":"t1","api_keys":["k1","k2"],"priority":1,"rate_per_s":45,"burst_size":45,"allowed_regions":["north"]},{"name":"t2","api_keys":["k3"]}],
 "listeners":[{"hostname":"h.example","policy":[
  {"name":"r1","route_type":"idempotent","target_latency":"600ms","priority":2,"match_criteria":{"path_prefix":"/a/"},"forward_action":{"traffic_split":[{"service":"s1","weight":90},{"service":"s2","weight":10}],"timeout":"2.5s","max_attempts":2,"allowed_regions":["north","south"]}},
@@ -14,7 +14,7 @@
 "clusters":[{"name":"s1","health_path":"/health","max_connections":110,"warmup":"3s","cold_per_s":3.6},{"name":"s2","health_path":"/health"}]}`
 
 func TestRead(t *testing.T) {
-	table, f := Read([]byte(whole))
+	table, f := Read([]byte(exampleConfiguration))
 	if f != nil {
 		t.Fatal(f)
 	}
@@ -37,14 +37,14 @@
 	for name, x := range map[string]struct{ from, to, code string }{
 		"cut short":       {`"cold_per_s":3.6},{"name":"s2","health_path":"/health"}]}`, ``, Unreadable},
 		"unknown service": {`"service":"s2","timeout"`, `"service":"s9","timeout"`, UnknownService},
-		"odd kind":        {`"non_idempotent"`, `"sometimes"`, UnknownKind},
+		"odd kind":        {`"non_idempotent"`, `"sometimes"`, UnknownRouteType},
 		"no timeout":      {`"timeout":"2500ms"`, `"timeout":"0ms"`, NoTimeout},
-		"aim over":        {`"target_latency":"600ms","priority":1`, `"target_latency":"62500ms","priority":1`, AimBeyond},
+		"aim over":        {`"target_latency":"600ms","priority":1`, `"target_latency":"62500ms","priority":1`, TargetBeyondTimeout},
 		"shared key":      {`"k3"`, `"k1"`, SharedKey},
 		"odd time":        {`"timeout":"2500ms"`, `"timeout":"soon"`, Unreadable},
 	} {
-		text := strings.Replace(whole, x.from, x.to, 1)
-		if text == whole {
+		text := strings.Replace(exampleConfiguration, x.from, x.to, 1)
+		if text == exampleConfiguration {
 			t.Fatalf("%s: nothing was changed", name)
 		}
 		var code string
@@ -68,7 +68,7 @@
 		if f != nil {
 			return nil, f
 		}
-		return Apply([]byte(whole), 7, c)
+		return Apply([]byte(exampleConfiguration), 7, c)
 	}
 	next, f := call(`{"config_version":"r9","base_revision":"r7","upsert":{"listeners":[{"hostname":"new.example","policy":[{"name":"r1","route_type":"idempotent","match_criteria":{"path_prefix":"/z/"},"forward_action":{"service":"s2","timeout":"1s"}}]}],"tenants":[{"name":"t2","api_keys":["k4"]}]},"remove":{"routes":["r2"]}}`)
 	if f != nil {
@@ -84,7 +84,7 @@
 	if table.TenantOf("k3") != nil || table.TenantOf("k4") == nil || table.TenantOf("k1") == nil {
 		t.Error("a tenant is replaced by its name, the others stay")
 	}
-	old, _ := Read([]byte(whole))
+	old, _ := Read([]byte(exampleConfiguration))
 	if !Lost(old, table) || Lost(table, table) {
 		t.Error("a key was taken away, and not by nothing")
 	}
@@ -103,7 +103,7 @@
 
 // No body makes the checks panic, and what they take can be read again.
 func FuzzCalls(f *testing.F) {
-	f.Add([]byte(whole), false)
+	f.Add([]byte(exampleConfiguration), false)
 	f.Add([]byte(`{"config_version":"r9","base_revision":"r7","upsert":{"listeners":[{"hostname":"x","policy":[{}]}]},"remove":{"routes":["r2"]}}`), true)
 	f.Add([]byte(`{"config_version":1,"base_revision":"","upsert":{"limits":{},"clusters":[{}]},"remove":{"tenants":[1,null]}}`), true)
 	f.Fuzz(func(t *testing.T, body []byte, update bool) {
@@ -113,7 +113,7 @@
 		}
 		current, version := []byte(nil), uint64(0)
 		if update {
-			current, version = []byte(whole), 7
+			current, version = []byte(exampleConfiguration), 7
 		}
 		next, fault := Apply(current, version, c)
 		if fault != nil {
--- a/control/configuration/merge.go
+++ b/control/configuration/merge.go
@@ -6,7 +6,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// merge applies a change of named items to a configuration.
+// merge applies a change of named items to the current configuration and returns the resulting text.
 func merge(current, change []byte) ([]byte, *Fault) {
 	if current == nil {
 		return nil, &Fault{Code: WrongBase, Wrong: "there is no configuration yet", Fix: "send a whole one first"}
@@ -15,21 +15,21 @@
 	if err != nil {
 		return nil, &Fault{Code: Unreadable, Wrong: "the current configuration can't be read"}
 	}
-	c, err := fastjson.ParseBytes(change)
+	changeDoc, err := fastjson.ParseBytes(change)
 	if err != nil {
 		return nil, &Fault{Code: Unreadable, Wrong: "the change is not JSON", Fix: "send it whole"}
 	}
-	var a fastjson.Arena
-	m := merger{doc: doc, arena: &a}
-	if up := c.Get("upsert"); up != nil {
-		o, err := up.Object()
+	var arena fastjson.Arena
+	m := merger{doc: doc, arena: &arena}
+	if upsert := changeDoc.Get("upsert"); upsert != nil {
+		o, err := upsert.Object()
 		if err != nil {
 			return nil, &Fault{Code: Unreadable, Where: "upsert", Wrong: "is not an object", Fix: "write lists by name"}
 		}
 		o.Visit(func(k []byte, v *fastjson.Value) { m.upsert(string(k), v) })
 	}
-	if rm := c.Get("remove"); rm != nil {
-		o, err := rm.Object()
+	if remove := changeDoc.Get("remove"); remove != nil {
+		o, err := remove.Object()
 		if err != nil {
 			return nil, &Fault{Code: Unreadable, Where: "remove", Wrong: "is not an object", Fix: "write lists of names"}
 		}
@@ -39,11 +39,12 @@
 		return nil, m.fault
 	}
 	for _, key := range []string{"config_version", "base_revision"} {
-		doc.Set(key, c.Get(key))
+		doc.Set(key, changeDoc.Get(key))
 	}
 	return doc.MarshalTo(nil), nil
 }
 
+// merger modifies a configuration document and keeps the first fault found.
 type merger struct {
 	doc   *fastjson.Value
 	arena *fastjson.Arena
@@ -56,6 +57,7 @@
 	}
 }
 
+// upsert adds or replaces the items of one top-level list.
 func (m *merger) upsert(list string, items *fastjson.Value) {
 	if list == "limits" && items.Type() == fastjson.TypeObject {
 		m.doc.Set("limits", items)
@@ -67,16 +69,16 @@
 	}
 	switch list {
 	case "clusters", "services":
-		m.put(m.doc, "clusters", "name", items.GetArray())
+		m.upsertItems(m.doc, "clusters", "name", items.GetArray())
 	case "tenants":
-		m.put(m.doc, "tenants", "name", items.GetArray())
+		m.upsertItems(m.doc, "tenants", "name", items.GetArray())
 	case "listeners":
 		for _, l := range items.GetArray() {
 			for _, rule := range l.GetArray("policy") {
-				m.rule(l.GetStringBytes("hostname"), rule)
+				m.upsertRule(l.GetStringBytes("hostname"), rule)
 			}
 			if len(l.GetArray("policy")) == 0 {
-				m.put(m.doc, "listeners", "hostname", []*fastjson.Value{l})
+				m.upsertItems(m.doc, "listeners", "hostname", []*fastjson.Value{l})
 			}
 		}
 	default:
@@ -84,63 +86,65 @@
 	}
 }
 
-// rule adds a rule to a host, or replaces the one of its name, which may stand at another host.
-func (m *merger) rule(host []byte, rule *fastjson.Value) {
+// upsertRule adds a rule to a host or replaces the rule of the same name. A rule of that name under
+// another host is removed, so that a rule can be moved between hosts.
+func (m *merger) upsertRule(host []byte, rule *fastjson.Value) {
 	name := rule.GetStringBytes("name")
-	var to *fastjson.Value
-	for _, l := range m.doc.GetArray("listeners") {
-		if bytes.Equal(l.GetStringBytes("hostname"), host) {
-			to = l
+	var listener *fastjson.Value
+	for _, candidate := range m.doc.GetArray("listeners") {
+		if bytes.Equal(candidate.GetStringBytes("hostname"), host) {
+			listener = candidate
 			continue
 		}
-		m.drop(l, "policy", "name", name)
+		m.removeItem(candidate, "policy", "name", name)
 	}
-	if to == nil {
-		to = m.arena.NewObject()
-		to.Set("hostname", m.arena.NewStringBytes(host))
-		to.Set("policy", m.arena.NewArray())
+	if listener == nil {
+		listener = m.arena.NewObject()
+		listener.Set("hostname", m.arena.NewStringBytes(host))
+		listener.Set("policy", m.arena.NewArray())
 		if m.doc.Get("listeners") == nil {
 			m.doc.Set("listeners", m.arena.NewArray())
 		}
-		m.doc.Get("listeners").SetArrayItem(len(m.doc.GetArray("listeners")), to)
+		m.doc.Get("listeners").SetArrayItem(len(m.doc.GetArray("listeners")), listener)
 	}
-	m.put(to, "policy", "name", []*fastjson.Value{rule})
+	m.upsertItems(listener, "policy", "name", []*fastjson.Value{rule})
 }
 
-// put adds items to a list, or replaces those of the same name.
-func (m *merger) put(in *fastjson.Value, list, by string, items []*fastjson.Value) {
-	if in.Get(list) == nil || in.Get(list).Type() != fastjson.TypeArray {
-		in.Set(list, m.arena.NewArray())
+// upsertItems adds items to a list of parent, or replaces those with the same value of key.
+func (m *merger) upsertItems(parent *fastjson.Value, list, key string, items []*fastjson.Value) {
+	if parent.Get(list) == nil || parent.Get(list).Type() != fastjson.TypeArray {
+		parent.Set(list, m.arena.NewArray())
 	}
 	for _, item := range items {
-		at := len(in.GetArray(list))
-		for i, x := range in.GetArray(list) {
-			if bytes.Equal(x.GetStringBytes(by), item.GetStringBytes(by)) {
+		at := len(parent.GetArray(list))
+		for i, x := range parent.GetArray(list) {
+			if bytes.Equal(x.GetStringBytes(key), item.GetStringBytes(key)) {
 				at = i
 				break
 			}
 		}
-		in.Get(list).SetArrayItem(at, item)
+		parent.Get(list).SetArrayItem(at, item)
 	}
 }
 
-// drop removes an item of a list by its name.
-func (m *merger) drop(in *fastjson.Value, list, by string, name []byte) {
-	left := m.arena.NewArray()
+// removeItem removes the item whose key has the value name from a list of parent.
+func (m *merger) removeItem(parent *fastjson.Value, list, key string, name []byte) {
+	remaining := m.arena.NewArray()
 	n, found := 0, false
-	for _, x := range in.GetArray(list) {
-		if bytes.Equal(x.GetStringBytes(by), name) {
+	for _, x := range parent.GetArray(list) {
+		if bytes.Equal(x.GetStringBytes(key), name) {
 			found = true
 			continue
 		}
-		left.SetArrayItem(n, x)
+		remaining.SetArrayItem(n, x)
 		n++
 	}
 	if found {
-		in.Set(list, left)
+		parent.Set(list, remaining)
 	}
 }
 
+// remove removes the named items from one top-level list.
 func (m *merger) remove(list string, names *fastjson.Value) {
 	if names.Type() != fastjson.TypeArray {
 		m.fail("remove."+list, "is not a list of names")
@@ -151,14 +155,14 @@
 		switch list {
 		case "routes", "policy", "rules":
 			for _, l := range m.doc.GetArray("listeners") {
-				m.drop(l, "policy", "name", name)
+				m.removeItem(l, "policy", "name", name)
 			}
 		case "clusters", "services":
-			m.drop(m.doc, "clusters", "name", name)
+			m.removeItem(m.doc, "clusters", "name", name)
 		case "tenants":
-			m.drop(m.doc, "tenants", "name", name)
+			m.removeItem(m.doc, "tenants", "name", name)
 		case "listeners", "hosts":
-			m.drop(m.doc, "listeners", "hostname", name)
+			m.removeItem(m.doc, "listeners", "hostname", name)
 		default:
 			m.fail("remove."+list, "is not a list that can be changed")
 		}
--- a/control/places/absence.go
+++ b/control/places/absence.go
@@ -5,40 +5,42 @@
 	"time"
 )
 
-// GoneAfter is the silence after which a limiter's place is released. One that returns before that is
-// settled has it again at once.
-const GoneAfter = 15 * time.Second
+// ReleaseAfterSilence is the silence after which a limiter's place is released. A limiter that returns
+// before the release is settled gets its place back at once.
+const ReleaseAfterSilence = 15 * time.Second
 
-// Absences is since when holders of places have not been heard of, as one registry knows.
-type Absences struct {
-	since map[string]time.Duration
+// AbsenceTracker records, for one registry, since when holders of places have been absent.
+type AbsenceTracker struct {
+	absentSince map[string]time.Duration
 }
 
-// NewAbsences returns one that misses nobody.
-func NewAbsences() *Absences { return &Absences{since: map[string]time.Duration{}} }
+// NewAbsenceTracker returns a tracker in which no holder is absent.
+func NewAbsenceTracker() *AbsenceTracker {
+	return &AbsenceTracker{absentSince: map[string]time.Duration{}}
+}
 
-// Look takes in which holders of places are there, and returns those that have been away for too long,
-// sorted. A registry that is cut off can't tell: it sees nobody away.
-func (a *Absences) Look(now time.Duration, t Table, cutOff bool, there func(holder string) bool) (gone []string) {
+// Update checks which holders of places are present and returns those that have been absent for at least
+// [ReleaseAfterSilence], sorted. A registry that is cut off can't know, so it considers nobody absent.
+func (a *AbsenceTracker) Update(now time.Duration, t Table, cutOff bool, present func(holder string) bool) (gone []string) {
 	held := map[string]bool{}
 	for i := range t.Places {
 		if p := &t.Places[i]; p.Held() {
 			held[p.Holder()] = true
 		}
 	}
-	for holder := range a.since {
+	for holder := range a.absentSince {
 		if !held[holder] {
-			delete(a.since, holder)
+			delete(a.absentSince, holder)
 		}
 	}
 	for holder := range held {
-		since, away := a.since[holder]
+		since, absent := a.absentSince[holder]
 		switch {
-		case cutOff || there(holder):
-			delete(a.since, holder)
-		case !away:
-			a.since[holder] = now
-		case now-since >= GoneAfter:
+		case cutOff || present(holder):
+			delete(a.absentSince, holder)
+		case !absent:
+			a.absentSince[holder] = now
+		case now-since >= ReleaseAfterSilence:
 			gone = append(gone, holder)
 		}
 	}
--- a/control/places/delta.go
+++ b/control/places/delta.go
@@ -1,12 +1,12 @@
 package places
 
-// Delta makes a table's places of those that somebody has.
+// Delta is the difference between two versions of a table's places.
 type Delta struct {
-	Size    int           `cbor:"1,keyasint"` // slots
+	Size    int           `cbor:"1,keyasint"` // number of slots in the newer table
 	Changed map[int]Place `cbor:"2,keyasint,omitempty"`
 }
 
-// Difference is what has changed from one table's places to another's.
+// Difference returns the delta that turns one table's places into another's.
 func Difference(from, to []Place) Delta {
 	d := Delta{Size: len(to)}
 	for slot, p := range to {
@@ -20,10 +20,10 @@
 	return d
 }
 
-// maxSlots bounds what is believed of a table's size.
+// maxSlots is the largest table size accepted from a peer.
 const maxSlots = 1 << 16
 
-// Apply makes the newer places. ok is false where the delta makes no sense.
+// Apply returns the newer places. ok is false if the delta is invalid.
 func (d Delta) Apply(from []Place) (to []Place, ok bool) {
 	if d.Size < 0 || d.Size > maxSlots {
 		return nil, false
--- a/control/places/lease.go
+++ b/control/places/lease.go
@@ -3,33 +3,33 @@
 import "time"
 
 const (
-	// LeaseLength is how long a limiter goes by a table after the latest proof that it is current. It is
-	// longer than what limiters and core machines are cut off from each other for on the days of both
-	// sites (20 s), and than a core without majority is to be borne (30 s).
+	// LeaseLength is how long a limiter may use a table after the latest proof that it is current. It is
+	// longer than the partitions between limiters and core machines that have to be survived at both sites
+	// (20 s), and longer than the core may be without a majority (30 s).
 	LeaseLength = 40 * time.Second
-	// provisionalLength is how long a life goes by proof from before it began. A former life may have
-	// acknowledged a newer table than such a proof is of: see ackWait.
-	provisionalLength = 2 * time.Second
-	// ClockDrift bounds by how much two steady clocks may differ in pace.
+	// provisionalLeaseLength is the length of a lease whose proof dates from before the process began. The
+	// limiter's previous process may have acknowledged a newer table than the proof covers: see minAckWait.
+	provisionalLeaseLength = 2 * time.Second
+	// ClockDrift bounds the relative difference in rate of two monotonic clocks.
 	ClockDrift = 0.01
-	// leaseEndsWithin is the span after which a lease has ended by any clock, whoever had it.
-	leaseEndsWithin = LeaseLength + time.Duration(2*ClockDrift*float64(LeaseLength)) + 200*time.Millisecond
-	// ackWait is how long acknowledgements of a table must have been waited for at least: by then no
-	// provisional lease of an older one is left.
-	ackWait = provisionalLength + 500*time.Millisecond
+	// allLeasesExpireWithin is the time after which every lease on an older table has expired by any clock.
+	allLeasesExpireWithin = LeaseLength + time.Duration(2*ClockDrift*float64(LeaseLength)) + 200*time.Millisecond
+	// minAckWait is the shortest time to wait for acknowledgements of a table: after it no provisional
+	// lease on an older table is left.
+	minAckWait = provisionalLeaseLength + 500*time.Millisecond
 )
 
-// Lease is for how long a limiter may go by the table that it has. The zero value has ended.
+// Lease bounds how long a limiter may use the table that it has. The zero value has expired.
 type Lease struct {
 	end time.Duration
 }
 
-// Renew takes in proof that the table was current at a time, on the clock of the process, which began
-// at another. It tells whether the lease ends later now.
+// Renew extends the lease by a proof that the table was current at the time proved. The process began at
+// the time began; both are on its own clock. Renew reports whether the lease now ends later.
 func (l *Lease) Renew(proved, began time.Duration) bool {
 	end := proved + LeaseLength
 	if proved <= began {
-		end = proved + provisionalLength
+		end = proved + provisionalLeaseLength
 	}
 	if end <= l.end {
 		return false
@@ -38,11 +38,11 @@
 	return true
 }
 
-// End is when the lease ends.
+// End returns the time at which the lease expires.
 func (l *Lease) End() time.Duration { return l.end }
 
-// Use is what the limiter of a slot may use by a table, and until when by its lease. Without a slot, which
-// is less than 0, it may use nothing.
+// UsableShare returns the share that the limiter of a slot may use under a table, and the time until which
+// its lease permits that. A limiter without a slot, which is given as a negative number, may use nothing.
 func (l *Lease) Use(t Table, slot int) (share float64, until time.Duration) {
 	if slot < 0 {
 		return 0, 0
@@ -53,5 +53,5 @@
 	return share, l.end
 }
 
-// Valid tells that the lease has not ended.
+// Valid reports whether the lease has not expired.
 func (l *Lease) Valid(now time.Duration) bool { return now < l.end }
--- a/control/places/model_test.go
+++ b/control/places/model_test.go
@@ -12,13 +12,13 @@
 // have its place and always knows the newest table, a majority of the core that changes the table, and a core
 // machine that is cut off from it and still knows the first table. Limiter a's clock is as slow as is allowed.
 type model struct {
-	now      time.Duration
-	tables   []Table // by version, from 1 on
-	seen     []time.Duration
-	acks     []modelAck
-	a        modelLimiter
-	flying   *modelAnswer // on its way to a
-	advanced int
+	now        time.Duration
+	tables     []Table // by version, from 1 on
+	seen       []time.Duration
+	acks       []modelAck
+	a          modelLimiter
+	inFlight   *modelAnswer // on its way to a
+	clockSteps int
 }
 
 type modelAck struct {
@@ -46,15 +46,15 @@
 
 const (
 	noFault modelFault = iota
-	noMargin
-	noFence
-	noWait
-	minorityRenews
-	longProvisional
+	noClockMargin
+	noSendFence
+	noSettleWait
+	renewedByMinority
+	fullLeaseForOldProof
 )
 
 // slow is a's clock at a time.
-func slow(t time.Duration) time.Duration { return time.Duration(float64(t) * (1 - ClockDrift)) }
+func onSlowClock(t time.Duration) time.Duration { return time.Duration(float64(t) * (1 - ClockDrift)) }
 
 func (m *model) newest() uint64 { return uint64(len(m.tables)) }
 
@@ -62,7 +62,7 @@
 
 // shareA is what a may use now.
 func (m *model) shareA() float64 {
-	if m.a.version == 0 || !m.a.lease.Valid(slow(m.now)) {
+	if m.a.version == 0 || !m.a.lease.Valid(onSlowClock(m.now)) {
 		return 0
 	}
 	return shareIn(m.table(m.a.version), "a")
@@ -82,20 +82,20 @@
 // settled is the version that the majority takes for settled.
 func (m *model) settled(fault modelFault) (uint64, bool) {
 	t := m.table(m.newest())
-	if changes := t.Changes(); len(changes) > 0 {
+	if changes := t.UnsettledVersions(); len(changes) > 0 {
 		last := changes[len(changes)-1]
-		if fault == noWait || fault == noMargin && m.now-m.seen[last-1] >= LeaseLength {
+		if fault == noSettleWait || fault == noClockMargin && m.now-m.seen[last-1] >= LeaseLength {
 			return last, true
 		}
 	}
-	s := NewSettler()
+	s := NewSettlementTracker()
 	for i, at := range m.seen {
-		s.See(at, m.tables[i], uint64(i+1))
+		s.ObserveTable(at, m.tables[i], uint64(i+1))
 	}
 	for _, ack := range m.acks {
-		s.Hear(ack.at, Acknowledgement{Holder: HolderOf("a", "a"), Version: ack.version})
+		s.RecordAcknowledgement(ack.at, Acknowledgement{Holder: HolderOf("a", "a"), Version: ack.version})
 	}
-	return s.Due(m.now, t)
+	return s.VersionToSettle(m.now, t)
 }
 
 // change is a state with a newer table.
@@ -123,17 +123,17 @@
 		add(m.change(func(t *Table, v uint64) bool { return t.Settle(settled) }))
 	}
 	for _, answer := range m.answers(fault) {
-		x := m.asked()
+		x := m.withPull()
 		add(x.deliver(answer, fault), true)
-		if m.flying == nil {
-			x.flying = &answer
+		if m.inFlight == nil {
+			x.inFlight = &answer
 			add(x, true)
 		}
 	}
-	if m.flying != nil {
+	if m.inFlight != nil {
 		x := m
-		x.flying = nil
-		add(x.deliver(*m.flying, fault), true)
+		x.inFlight = nil
+		add(x.deliver(*m.inFlight, fault), true)
 	}
 	if m.shareA() > 0 && !m.a.pending {
 		x := m
@@ -143,21 +143,21 @@
 	if m.a.pending {
 		x := m
 		x.a.pending = false
-		if (fault == noFence || m.shareA() > 0) && m.shareA() < 1 && m.shareB() >= 1 {
+		if (fault == noSendFence || m.shareA() > 0) && m.shareA() < 1 && m.shareB() >= 1 {
 			broken = "a sends what it admitted while b uses everything"
 		}
 		add(x, true)
 	}
 	if m.a.life < 1 {
 		x := m
-		x.a, x.flying = modelLimiter{began: slow(m.now), life: m.a.life + 1}, nil
+		x.a, x.inFlight = modelLimiter{began: onSlowClock(m.now), life: m.a.life + 1}, nil
 		add(x, true)
 	}
 	for _, step := range []time.Duration{time.Second, 3 * time.Second, LeaseLength - 3*time.Second} {
 		x := m
 		x.now += step
-		x.advanced++
-		add(x, m.advanced < 3)
+		x.clockSteps++
+		add(x, m.clockSteps < 3)
 	}
 	if sum := m.shareA() + m.shareB(); sum > 1 {
 		broken = fmt.Sprintf("a uses %g and b %g", m.shareA(), m.shareB())
@@ -169,14 +169,14 @@
 // has proof of the beginning.
 func (m *model) answers(fault modelFault) []modelAnswer {
 	cutOff := modelAnswer{version: 1}
-	if fault == minorityRenews {
+	if fault == renewedByMinority {
 		cutOff.proved = m.now
 	}
 	return []modelAnswer{{m.newest(), m.now}, cutOff}
 }
 
 // asked has the core hear of a pull, and with it of the table that a goes by.
-func (m model) asked() model {
+func (m model) withPull() model {
 	if n := len(m.acks); m.a.version > 0 && (n == 0 || m.acks[n-1].version < m.a.version) {
 		m.acks = append(m.acks[:n:n], modelAck{m.now, m.a.version})
 	}
@@ -186,8 +186,8 @@
 // deliver has an answer arrive.
 func (m model) deliver(answer modelAnswer, fault modelFault) model {
 	m.a.version = max(m.a.version, answer.version)
-	proved := slow(answer.proved)
-	if fault == longProvisional {
+	proved := onSlowClock(answer.proved)
+	if fault == fullLeaseForOldProof {
 		proved = max(proved, m.a.began+1)
 	}
 	m.a.lease.Renew(proved, m.a.began)
@@ -202,7 +202,7 @@
 			key = binary.AppendUvarint(key, n)
 		}
 	}
-	number(uint64(m.now), uint64(m.advanced), m.a.version, uint64(m.a.lease.end), uint64(m.a.began), uint64(m.a.life))
+	number(uint64(m.now), uint64(m.clockSteps), m.a.version, uint64(m.a.lease.end), uint64(m.a.began), uint64(m.a.life))
 	if m.a.pending {
 		number(1)
 	}
@@ -218,8 +218,8 @@
 			number(p.From, p.To, p.Left, p.Back)
 		}
 	}
-	if m.flying != nil {
-		number(m.flying.version, uint64(m.flying.proved))
+	if m.inFlight != nil {
+		number(m.inFlight.version, uint64(m.inFlight.proved))
 	}
 	return string(key)
 }
@@ -262,8 +262,8 @@
 		t.Error(broken)
 	}
 	t.Logf("%d states", states)
-	for fault, name := range map[modelFault]string{noMargin: "no margin for clocks", noFence: "no fence where it sends", noWait: "freed without waiting",
-		minorityRenews: "renewed by a minority", longProvisional: "an old proof holds for a new life as long as a new one"} {
+	for fault, name := range map[modelFault]string{noClockMargin: "no margin for clocks", noSendFence: "no fence where it sends", noSettleWait: "freed without waiting",
+		renewedByMinority: "renewed by a minority", fullLeaseForOldProof: "an old proof holds for a new life as long as a new one"} {
 		if _, broken := search(fault, 9); broken == "" {
 			t.Errorf("%s: not found", name)
 		} else {
--- a/control/places/places_test.go
+++ b/control/places/places_test.go
@@ -44,7 +44,7 @@
 	check("that is settled", .2, .2, .2, .2, .2)
 	x.Release(3, []string{"e1@1", "e3@3", "e9@9"})
 	check("two leave", .2, 0, .2, 0, .2)
-	if d := cmp.Diff([]string{"e0@0", "e1@1", "e2@2", "e3@3", "e4@4"}, x.Holders(3)); d != "" {
+	if d := cmp.Diff([]string{"e0@0", "e1@1", "e2@2", "e3@3", "e4@4"}, x.HoldersBefore(3)); d != "" {
 		t.Error(d)
 	}
 	x.Join(4, 4, limiters(1, 2))
@@ -54,7 +54,7 @@
 	x.Settle(5)
 	check("all is settled", 1./6, 1./6, 1./6, 0, 1./6, 1./6, 1./6)
 	x.Join(6, 6, limiters(7, 8))
-	if x.Places[3].Name != "e7" || len(x.Changes()) != 1 {
+	if x.Places[3].Name != "e7" || len(x.UnsettledVersions()) != 1 {
 		t.Errorf("a slot that is free is not used again: %+v", x.Places)
 	}
 	if n, near := x.Count(), x.InZone("z1"); n != 7 || near != 3 {
@@ -77,15 +77,15 @@
 	}
 	began := time.Minute
 	l.Renew(began-time.Second, began)
-	if l.End() != began-time.Second+provisionalLength {
+	if l.End() != began-time.Second+provisionalLeaseLength {
 		t.Errorf("by proof from before the life: until %v", l.End())
 	}
 	l.Renew(began+time.Second, began)
 	if l.Renew(began, began) || !l.Valid(began+time.Second+LeaseLength-1) || l.Valid(began+time.Second+LeaseLength) {
 		t.Errorf("until %v", l.End())
 	}
-	if slow := float64(LeaseLength) * (1 + 2*ClockDrift); float64(leaseEndsWithin) <= slow {
-		t.Errorf("a slow clock's lease of %v ends after a fast one takes it for ended: %v", slow, leaseEndsWithin)
+	if slow := float64(LeaseLength) * (1 + 2*ClockDrift); float64(allLeasesExpireWithin) <= slow {
+		t.Errorf("a slow clock's lease of %v ends after a fast one takes it for ended: %v", slow, allLeasesExpireWithin)
 	}
 }
 
@@ -93,48 +93,48 @@
 // their leases must have.
 func TestSettler(t *testing.T) {
 	var x Table
-	s := NewSettler()
+	s := NewSettlementTracker()
 	x.Join(1, 1, limiters(0, 3))
-	s.See(0, x, 1)
+	s.ObserveTable(0, x, 1)
 	x.Release(2, []string{"e2@2"})
 	now := 10 * time.Second
-	s.See(now, x, 2)
+	s.ObserveTable(now, x, 2)
 	x.Release(3, []string{"e1@1"})
-	s.See(now+time.Second, x, 3)
+	s.ObserveTable(now+time.Second, x, 3)
 	due := func(at time.Duration, want uint64) {
 		t.Helper()
-		if got, _ := s.Due(at, x); got != want {
+		if got, _ := s.VersionToSettle(at, x); got != want {
 			t.Errorf("settled up to %d after %v, %d wanted", got, at-now, want)
 		}
 	}
-	s.Hear(now, Acknowledgement{Holder: "e0@0", Version: 3})
-	s.Hear(now, Acknowledgement{Holder: "e1@1", Version: 2})
-	due(now+ackWait, 0)
-	s.Hear(now, Acknowledgement{Holder: "e2@2", Version: 3, InMs: 5000})
-	due(now+ackWait, 0)
+	s.RecordAcknowledgement(now, Acknowledgement{Holder: "e0@0", Version: 3})
+	s.RecordAcknowledgement(now, Acknowledgement{Holder: "e1@1", Version: 2})
+	due(now+minAckWait, 0)
+	s.RecordAcknowledgement(now, Acknowledgement{Holder: "e2@2", Version: 3, InMs: 5000})
+	due(now+minAckWait, 0)
 	due(now+5*time.Second-1, 0)
 	due(now+5*time.Second, 2)
-	s.Hear(now+5*time.Second, Acknowledgement{Holder: "e1@1", Version: 3, InMs: 2000})
+	s.RecordAcknowledgement(now+5*time.Second, Acknowledgement{Holder: "e1@1", Version: 3, InMs: 2000})
 	due(now+6*time.Second, 2)
 	// The same as another registry tells it.
-	other := NewSettler()
-	other.See(now, x, 3)
+	other := NewSettlementTracker()
+	other.ObserveTable(now, x, 3)
 	for _, a := range s.Acknowledgements(now+6*time.Second, []string{"e0@0", "e1@1", "e2@2"}) {
-		other.Hear(now+6*time.Second, a)
+		other.RecordAcknowledgement(now+6*time.Second, a)
 	}
-	if got, _ := other.Due(now+6*time.Second, x); got != 2 {
+	if got, _ := other.VersionToSettle(now+6*time.Second, x); got != 2 {
 		t.Errorf("another registry takes it for settled up to %d", got)
 	}
 	due(now+7*time.Second, 3)
-	if got, _ := other.Due(now+8*time.Second, x); got != 3 {
+	if got, _ := other.VersionToSettle(now+8*time.Second, x); got != 3 {
 		t.Errorf("another registry takes it for settled up to %d later", got)
 	}
-	silent := NewSettler()
-	silent.See(now, x, 3)
-	if _, ok := silent.Due(now+leaseEndsWithin-1, x); ok {
+	silent := NewSettlementTracker()
+	silent.ObserveTable(now, x, 3)
+	if _, ok := silent.VersionToSettle(now+allLeasesExpireWithin-1, x); ok {
 		t.Error("settled before all leases have ended")
 	}
-	if got, _ := silent.Due(now+leaseEndsWithin, x); got != 3 {
+	if got, _ := silent.VersionToSettle(now+allLeasesExpireWithin, x); got != 3 {
 		t.Error("not settled when all leases have ended")
 	}
 }
@@ -143,18 +143,18 @@
 func TestAbsences(t *testing.T) {
 	var x Table
 	x.Join(1, 1, limiters(0, 2))
-	a := NewAbsences()
+	a := NewAbsenceTracker()
 	there := func(holder string) bool { return holder == "e0@0" }
-	look := func(at time.Duration, cutOff bool) []string { return a.Look(at, x, cutOff, there) }
+	look := func(at time.Duration, cutOff bool) []string { return a.Update(at, x, cutOff, there) }
 	look(0, false)
-	if got := look(GoneAfter-1, false); got != nil {
+	if got := look(ReleaseAfterSilence-1, false); got != nil {
 		t.Error(got)
 	}
-	look(GoneAfter-1, true)
-	if got := look(GoneAfter, false); got != nil {
+	look(ReleaseAfterSilence-1, true)
+	if got := look(ReleaseAfterSilence, false); got != nil {
 		t.Errorf("%v away since before it was cut off", got)
 	}
-	if d := cmp.Diff([]string{"e1@1"}, look(2*GoneAfter, false)); d != "" {
+	if d := cmp.Diff([]string{"e1@1"}, look(2*ReleaseAfterSilence, false)); d != "" {
 		t.Error(d)
 	}
 }
@@ -319,15 +319,15 @@
 	}
 	x.Settle(2)
 	r.Hear(6*time.Second, x, Report{Place: limiters(7, 8)[0]})
-	if c := due(6*time.Second + joinerSilent); len(c.Join) != 1 {
+	if c := due(6*time.Second + joinRequestTTL); len(c.Join) != 1 {
 		t.Errorf("%+v is due while one that was just heard has no place", c)
 	}
-	if c := due(6*time.Second + joinerSilent + 1); !c.Empty() {
+	if c := due(6*time.Second + joinRequestTTL + 1); !c.Empty() {
 		t.Errorf("%+v is due, and who wanted a place is silent", c)
 	}
 	delete(there, "e2@2")
 	due(9 * time.Second)
-	if d := cmp.Diff(Changes{Release: []string{"e2@2"}}, due(9*time.Second+GoneAfter)); d != "" {
+	if d := cmp.Diff(Changes{Release: []string{"e2@2"}}, due(9*time.Second+ReleaseAfterSilence)); d != "" {
 		t.Error(d)
 	}
 }
--- a/control/places/registrar.go
+++ b/control/places/registrar.go
@@ -6,116 +6,121 @@
 	"time"
 )
 
-// Registrar works out, for one registry, which changes of the table are due: by what limiters tell of
-// themselves with their pulls, by who is silent, and by who has acknowledged what.
+// Registrar determines, for one registry, which changes of the table are due. It considers the reports
+// that limiters send with their pulls, which limiters are silent, and which versions they have
+// acknowledged.
 type Registrar struct {
-	settler  *Settler
-	absences *Absences
-	joining  map[string]joiner // limiters without a place, by holder
-	done     map[string]bool   // holders that have left
+	settlement   *SettlementTracker
+	absences     *AbsenceTracker
+	joinRequests map[string]joinRequest // from limiters without a place, by holder
+	stopped      map[string]bool        // holders that have stopped sending requests
 }
 
-// joiner is a limiter without a place.
-type joiner struct {
-	place   Place
-	heardAt time.Duration
+// joinRequest is the latest report of a limiter that has no place.
+type joinRequest struct {
+	place      Place
+	receivedAt time.Duration
 }
 
-// joinerSilent is the silence after which a limiter without a place is not taken for one that still wants
-// one: it may have got it, and have left, by way of another registry.
-const joinerSilent = 2 * time.Second
+// joinRequestTTL is the silence after which a limiter without a place is assumed not to want one any more:
+// it may have joined and left again through another registry.
+const joinRequestTTL = 2 * time.Second
 
-// NewRegistrar returns one that has heard nothing.
+// NewRegistrar returns a registrar that has received no reports.
 func NewRegistrar() *Registrar {
-	return &Registrar{settler: NewSettler(), absences: NewAbsences(), joining: map[string]joiner{}, done: map[string]bool{}}
+	return &Registrar{settlement: NewSettlementTracker(), absences: NewAbsenceTracker(), joinRequests: map[string]joinRequest{}, stopped: map[string]bool{}}
 }
 
-// Changes are what a registry asks the core for.
+// Changes lists the changes of the table that a registry requests from the core.
 type Changes struct {
 	Join    []Place
 	Release []string // holders
-	Settle  uint64   // version; 0: nothing is to be settled
+	Settle  uint64   // version up to which to settle; 0: none
 }
 
-// Empty tells that nothing is due.
+// Empty reports whether no change is due.
 func (c *Changes) Empty() bool { return len(c.Join) == 0 && len(c.Release) == 0 && c.Settle == 0 }
 
-// Report is what a limiter tells of itself with a pull.
+// Report is what a limiter reports about itself with a pull.
 type Report struct {
 	Place   Place
-	Version uint64        // of the table that it goes by; 0: none
-	Loans   time.Duration // until nobody uses more of its part than that table gives it
-	Done    bool          // it sends nothing any more, and can be released
+	Version uint64        // of the table that it uses; 0: none
+	Loans   time.Duration // time until no borrower uses more of its share than that table grants it
+	Done    bool          // it has stopped sending requests and can be released
 }
 
-// See takes in a table that was heard of.
-func (r *Registrar) See(now time.Duration, t Table, version uint64) { r.settler.See(now, t, version) }
+// ObserveTable records that a version of the table was received.
+func (r *Registrar) See(now time.Duration, t Table, version uint64) {
+	r.settlement.ObserveTable(now, t, version)
+}
 
-// Hear takes in what a limiter tells of itself. It tells whether a change is due for it.
+// HandleReport processes a report from a limiter and reports whether a change is due because of it.
 func (r *Registrar) Hear(now time.Duration, t Table, report Report) (due bool) {
 	holder := report.Place.Holder()
 	if report.Version > 0 {
-		r.settler.Hear(now, Acknowledgement{Holder: holder, Version: report.Version, InMs: uint64(report.Loans / time.Millisecond)})
+		r.settlement.RecordAcknowledgement(now, Acknowledgement{Holder: holder, Version: report.Version, InMs: uint64(report.Loans / time.Millisecond)})
 	}
 	has := t.SlotOf(report.Place.Name, report.Place.IP) >= 0
-	delete(r.joining, holder)
-	delete(r.done, holder)
+	delete(r.joinRequests, holder)
+	delete(r.stopped, holder)
 	switch {
 	case report.Done && has:
-		r.done[holder] = true
+		r.stopped[holder] = true
 		return true
 	case report.Done || has:
 		return false
 	}
-	r.joining[holder] = joiner{report.Place, now}
+	r.joinRequests[holder] = joinRequest{report.Place, now}
 	return true
 }
 
-// Due are the changes that are due. A registry that is cut off from the others releases nobody for being
-// silent; there tells who is known to run.
-func (r *Registrar) Due(now time.Duration, t Table, cutOff bool, there func(holder string) bool) (c Changes) {
-	for holder, j := range r.joining {
-		if now-j.heardAt > joinerSilent || t.SlotOf(j.place.Name, j.place.IP) >= 0 {
-			delete(r.joining, holder)
+// DueChanges returns the changes that are due. A registry that is cut off from the others releases nobody
+// for being silent. present reports whether a holder is known to be running.
+func (r *Registrar) Due(now time.Duration, t Table, cutOff bool, present func(holder string) bool) (c Changes) {
+	for holder, j := range r.joinRequests {
+		if now-j.receivedAt > joinRequestTTL || t.SlotOf(j.place.Name, j.place.IP) >= 0 {
+			delete(r.joinRequests, holder)
 			continue
 		}
 		c.Join = append(c.Join, j.place)
 	}
 	slices.SortFunc(c.Join, func(a, b Place) int { return strings.Compare(a.Holder(), b.Holder()) })
-	c.Release = r.absences.Look(now, t, cutOff, there)
-	for holder := range r.done {
-		if slot := t.slotOf(holder); slot < 0 || !t.Places[slot].Held() {
-			delete(r.done, holder)
+	c.Release = r.absences.Update(now, t, cutOff, present)
+	for holder := range r.stopped {
+		if slot := t.slotOfHolder(holder); slot < 0 || !t.Places[slot].Held() {
+			delete(r.stopped, holder)
 			continue
 		}
 		c.Release = append(c.Release, holder)
 	}
 	slices.Sort(c.Release)
 	c.Release = slices.Compact(c.Release)
-	if version, ok := r.settler.Due(now, t); ok {
+	if version, ok := r.settlement.VersionToSettle(now, t); ok {
 		c.Settle = version
 	}
 	return c
 }
 
-// Wanted are the holders whose acknowledgements, if other registries have heard them, would settle the
-// newest change that can be settled by now.
-func (r *Registrar) Wanted(now time.Duration, t Table) []string { return r.settler.Wanted(now, t) }
+// AwaitedHolders returns the holders whose acknowledgements are missing for the newest change that could
+// be settled now. Other registries may have received them.
+func (r *Registrar) Wanted(now time.Duration, t Table) []string {
+	return r.settlement.AwaitedHolders(now, t)
+}
 
-// Acknowledgements are those that were heard of some holders, for another registry.
+// Acknowledgements returns the acknowledgements received from some holders, to be sent to another registry.
 func (r *Registrar) Acknowledgements(now time.Duration, holders []string) []Acknowledgement {
-	return r.settler.Acknowledgements(now, holders)
+	return r.settlement.Acknowledgements(now, holders)
 }
 
-// HearAll takes in what another registry has heard.
+// RecordAcknowledgements records acknowledgements that another registry has received.
 func (r *Registrar) HearAll(now time.Duration, all []Acknowledgement) {
 	for _, a := range all {
-		r.settler.Hear(now, a)
+		r.settlement.RecordAcknowledgement(now, a)
 	}
 }
 
-// Pending tells of the change by which a place was made or released last, if that is not settled: by
-// when it is at the latest, and whose acknowledgements are waited for.
+// PendingChange describes the latest join or release of a place if it is not settled: the longest time
+// until it is, and the holders whose acknowledgements are missing.
 func (r *Registrar) Pending(now time.Duration, t Table, p *Place) (state string, left time.Duration, missing []string) {
 	change := max(p.From, p.To, p.Back)
 	switch {
@@ -126,5 +131,5 @@
 	default:
 		return "held", 0, nil
 	}
-	return state, r.settler.Left(now, change), r.settler.Missing(now, &t, change)
+	return state, r.settlement.MaxTimeLeft(now, change), r.settlement.MissingHolders(now, &t, change)
 }
--- a/control/places/settler.go
+++ b/control/places/settler.go
@@ -5,151 +5,153 @@
 	"time"
 )
 
-// Acknowledgement is that a limiter goes by the table of a version, and by no older one ever after,
-// from a time on.
+// Acknowledgement states that a limiter uses the table of a version, and will never again use an older
+// one, from some time on.
 type Acknowledgement struct {
 	Holder  string `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint"`
-	// InMs is in how many milliseconds it holds: until then others may use what they have borrowed of a
-	// part that the limiter has no more.
+	// InMs is the number of milliseconds after which it takes effect. Until then borrowers may still use
+	// what the limiter lent from a share that it no longer has.
 	InMs uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// acknowledged is an acknowledgement as it was heard.
-type acknowledged struct {
-	version uint64
-	at      time.Duration // from then on
+// receivedAck is an acknowledgement with its effective time on the local clock.
+type receivedAck struct {
+	version     uint64
+	effectiveAt time.Duration // it takes effect then
 }
 
-// seen is when a version was first heard of.
-type seen struct {
-	version uint64
-	at      time.Duration
+// observedVersion is a version with the time at which it was first observed.
+type observedVersion struct {
+	version    uint64
+	observedAt time.Duration
 }
 
-// Settler works out, for a registry, up to which version the table is settled. It decides by what
-// limiters have acknowledged and by the time since versions were heard of.
-type Settler struct {
-	seen         []seen // ascending
-	acknowledged map[string][]acknowledged
+// SettlementTracker determines, for one registry, up to which version the table is settled. It decides by
+// the acknowledgements of the limiters and by the time since each version was first observed.
+type SettlementTracker struct {
+	observed         []observedVersion // by ascending version
+	acknowledgements map[string][]receivedAck
 }
 
-// NewSettler returns one that has heard nothing.
-func NewSettler() *Settler { return &Settler{acknowledged: map[string][]acknowledged{}} }
+// NewSettlementTracker returns a tracker that has observed no version.
+func NewSettlementTracker() *SettlementTracker {
+	return &SettlementTracker{acknowledgements: map[string][]receivedAck{}}
+}
 
-// See notes that a table was heard of, and drops what is of no use any more.
-func (s *Settler) See(now time.Duration, t Table, version uint64) {
-	if n := len(s.seen); n == 0 || s.seen[n-1].version < version {
-		s.seen = append(s.seen, seen{version, now})
+// ObserveTable records that a version of the table was received, and drops entries that are no longer needed.
+func (s *SettlementTracker) ObserveTable(now time.Duration, t Table, version uint64) {
+	if n := len(s.observed); n == 0 || s.observed[n-1].version < version {
+		s.observed = append(s.observed, observedVersion{version, now})
 	}
-	changes := t.Changes()
-	s.seen = slices.DeleteFunc(s.seen, func(x seen) bool {
-		return len(changes) == 0 || x.version < changes[0]
+	changes := t.UnsettledVersions()
+	s.observed = slices.DeleteFunc(s.observed, func(observed observedVersion) bool {
+		return len(changes) == 0 || observed.version < changes[0]
 	})
-	for holder := range s.acknowledged {
-		if t.slotOf(holder) < 0 {
-			delete(s.acknowledged, holder)
+	for holder := range s.acknowledgements {
+		if t.slotOfHolder(holder) < 0 {
+			delete(s.acknowledgements, holder)
 		}
 	}
 }
 
-// Hear takes in an acknowledgement.
-func (s *Settler) Hear(now time.Duration, a Acknowledgement) {
-	at := now + time.Duration(a.InMs)*time.Millisecond
-	all := slices.DeleteFunc(s.acknowledged[a.Holder], func(x acknowledged) bool {
-		return x.version <= a.Version && x.at >= at // the new one says more
+// RecordAcknowledgement records an acknowledgement received at the time now.
+func (s *SettlementTracker) RecordAcknowledgement(now time.Duration, a Acknowledgement) {
+	effectiveAt := now + time.Duration(a.InMs)*time.Millisecond
+	all := slices.DeleteFunc(s.acknowledgements[a.Holder], func(ack receivedAck) bool {
+		return ack.version <= a.Version && ack.effectiveAt >= effectiveAt // subsumed by the new one
 	})
-	known := slices.ContainsFunc(all, func(x acknowledged) bool { return x.version >= a.Version && x.at <= at })
+	known := slices.ContainsFunc(all, func(ack receivedAck) bool { return ack.version >= a.Version && ack.effectiveAt <= effectiveAt })
 	if !known {
-		all = append(all, acknowledged{a.Version, at})
+		all = append(all, receivedAck{a.Version, effectiveAt})
 	}
-	s.acknowledged[a.Holder] = forgetSuperseded(now, all)
+	s.acknowledgements[a.Holder] = forgetSuperseded(now, all)
 }
 
-// forgetSuperseded drops acknowledgements of versions older than the newest that holds already.
-func forgetSuperseded(now time.Duration, all []acknowledged) []acknowledged {
+// forgetSuperseded drops acknowledgements of versions older than the newest one in effect.
+func forgetSuperseded(now time.Duration, all []receivedAck) []receivedAck {
 	newest := uint64(0)
-	for _, x := range all {
-		if x.at <= now {
-			newest = max(newest, x.version)
+	for _, ack := range all {
+		if ack.effectiveAt <= now {
+			newest = max(newest, ack.version)
 		}
 	}
-	return slices.DeleteFunc(all, func(x acknowledged) bool { return x.version < newest })
+	return slices.DeleteFunc(all, func(ack receivedAck) bool { return ack.version < newest })
 }
 
-// Acknowledgements are those that were heard of some holders, for another registry.
-func (s *Settler) Acknowledgements(now time.Duration, holders []string) (all []Acknowledgement) {
+// Acknowledgements returns the acknowledgements received from some holders, to be sent to another registry.
+func (s *SettlementTracker) Acknowledgements(now time.Duration, holders []string) (all []Acknowledgement) {
 	for _, holder := range holders {
-		for _, x := range s.acknowledged[holder] {
-			in := max(0, x.at-now+time.Millisecond-1)
-			all = append(all, Acknowledgement{Holder: holder, Version: x.version, InMs: uint64(in / time.Millisecond)})
+		for _, ack := range s.acknowledgements[holder] {
+			in := max(0, ack.effectiveAt-now+time.Millisecond-1)
+			all = append(all, Acknowledgement{Holder: holder, Version: ack.version, InMs: uint64(in / time.Millisecond)})
 		}
 	}
 	return all
 }
 
-// Wanted are the holders whose acknowledgements would settle the newest change that was heard of for long
-// enough.
-func (s *Settler) Wanted(now time.Duration, t Table) []string {
-	for _, change := range slices.Backward(t.Changes()) {
-		if heard, ok := s.heardOf(change); ok && now-heard >= ackWait {
-			return s.Missing(now, &t, change)
+// AwaitedHolders returns the holders whose acknowledgements are missing for the newest change that was
+// first observed at least [minAckWait] ago.
+func (s *SettlementTracker) AwaitedHolders(now time.Duration, t Table) []string {
+	for _, change := range slices.Backward(t.UnsettledVersions()) {
+		if observedAt, ok := s.firstObserved(change); ok && now-observedAt >= minAckWait {
+			return s.MissingHolders(now, &t, change)
 		}
 	}
 	return nil
 }
 
-// Due is the newest version up to which the table is settled; ok is false where that is no later
-// than is agreed.
-func (s *Settler) Due(now time.Duration, t Table) (version uint64, ok bool) {
-	changes := t.Changes()
+// VersionToSettle returns the newest version up to which the table is settled. ok is false if the table
+// already has it, or a later one, as its settled version.
+func (s *SettlementTracker) VersionToSettle(now time.Duration, t Table) (version uint64, ok bool) {
+	changes := t.UnsettledVersions()
 	for _, change := range slices.Backward(changes) {
-		if s.settled(now, &t, change) {
-			version = t.settleable(change)
+		if s.isSettled(now, &t, change) {
+			version = t.newestSettleable(change)
 			return version, version > t.Settled
 		}
 	}
 	return 0, false
 }
 
-// settled tells that nobody goes by a table older than that of a change.
-func (s *Settler) settled(now time.Duration, t *Table, change uint64) bool {
-	heard, ok := s.heardOf(change)
+// isSettled reports whether nobody uses a table older than the one with a change any more.
+func (s *SettlementTracker) isSettled(now time.Duration, t *Table, change uint64) bool {
+	observedAt, ok := s.firstObserved(change)
 	switch {
 	case !ok:
 		return false
-	case now-heard >= leaseEndsWithin:
+	case now-observedAt >= allLeasesExpireWithin:
 		return true
-	case now-heard < ackWait:
+	case now-observedAt < minAckWait:
 		return false
 	}
-	return len(s.Missing(now, t, change)) == 0
+	return len(s.MissingHolders(now, t, change)) == 0
 }
 
-// heardOf is when a version, or one after it, was first heard of.
-func (s *Settler) heardOf(version uint64) (at time.Duration, ok bool) {
-	i := slices.IndexFunc(s.seen, func(x seen) bool { return x.version >= version })
+// firstObserved returns the time at which a version or a later one was first observed.
+func (s *SettlementTracker) firstObserved(version uint64) (at time.Duration, ok bool) {
+	i := slices.IndexFunc(s.observed, func(observed observedVersion) bool { return observed.version >= version })
 	if i < 0 {
 		return 0, false
 	}
-	return s.seen[i].at, true
+	return s.observed[i].observedAt, true
 }
 
-// Missing are the holders of parts under tables before that of a version that have not acknowledged it
-// or a later one yet, sorted.
-func (s *Settler) Missing(now time.Duration, t *Table, version uint64) []string {
-	return slices.DeleteFunc(t.Holders(version), func(holder string) bool {
-		return slices.ContainsFunc(s.acknowledged[holder], func(x acknowledged) bool {
-			return x.version >= version && x.at <= now
+// MissingHolders returns the holders of shares under tables older than a version that have not yet
+// acknowledged that version or a later one, sorted.
+func (s *SettlementTracker) MissingHolders(now time.Duration, t *Table, version uint64) []string {
+	return slices.DeleteFunc(t.HoldersBefore(version), func(holder string) bool {
+		return slices.ContainsFunc(s.acknowledgements[holder], func(ack receivedAck) bool {
+			return ack.version >= version && ack.effectiveAt <= now
 		})
 	})
 }
 
-// Left is the longest that it can take until a version is settled.
-func (s *Settler) Left(now time.Duration, version uint64) time.Duration {
-	heard, ok := s.heardOf(version)
+// MaxTimeLeft returns the longest time that it can take until a version is settled.
+func (s *SettlementTracker) MaxTimeLeft(now time.Duration, version uint64) time.Duration {
+	observedAt, ok := s.firstObserved(version)
 	if !ok {
-		return leaseEndsWithin
+		return allLeasesExpireWithin
 	}
-	return max(0, heard+leaseEndsWithin-now)
+	return max(0, observedAt+allLeasesExpireWithin-now)
 }
--- a/control/places/table.go
+++ b/control/places/table.go
@@ -1,20 +1,21 @@
-// Package places decides which limiters hold a part of what binds all limiters together (tenants'
-// quotas, further tries, what cold servers bear), and for how long.
+// Package places decides which limiters hold a share of the limits that apply to all limiters together
+// (tenants' quotas, retry budgets, request rates to cold servers), and for how long.
 //
-// A place is a lease. The core machines agree on the table of places: a limiter joins it, and is
-// released from it when it has left or is silent. A limiter goes by a table only while it has young
-// proof that a majority had agreed on nothing newer (see [Lease]); that proof comes with the answers
-// to its pulls, so renewing costs no rounds of its own, however many limiters there are.
+// A place is a slot in a table that the core machines agree on, and it is held by lease. A limiter joins
+// the table, and is released from it when it has left or is silent. A limiter uses a table only while it
+// has recent proof that a majority had agreed on nothing newer (see [Lease]). The proof comes with the
+// answers to the limiter's pulls, so renewal costs no agreement rounds, however many limiters there are.
 //
-// A change of the table takes effect in two steps. A limiter that hears of it gives up at once what it
-// has too much, and takes nothing more until the table is settled: until nobody can go by an older
-// one any more, because all who held a part under it have acknowledged the newer one or their leases
-// have ended (see [Settler]). At any moment each limiter uses the least of its parts under all tables
-// from the settled one to the newest that it knows. The oldest table that anybody still goes by is
-// among these for everyone, so all parts together are never more than one.
+// A change of the table takes effect in two steps. A limiter that learns of it immediately reduces its
+// share where the new table grants less, and increases it only when the change is settled. A change is
+// settled when nobody can use an older table any more, because all who held a share under one have
+// acknowledged the newer table or their leases have expired (see [SettlementTracker]). At any time each
+// limiter uses the smallest of its shares under all tables from the settled one to the newest that it
+// knows. The oldest table that is still in use is among these for every limiter, so the sum of all
+// shares never exceeds one.
 //
-// Nothing here does input or output, reads a clock or starts a goroutine. Times are spans on a steady
-// clock of the process that asks.
+// The package does no input or output, reads no clock and starts no goroutine. Times are durations on
+// a monotonic clock of the calling process.
 package places
 
 import (
@@ -22,102 +23,105 @@
 	"strings"
 )
 
-// Place is what one limiter holds, or held until it was released.
+// Place is a slot of the table with the limiter that holds it, or that held it until it was released.
 type Place struct {
 	Name string `cbor:"1,keyasint"` // empty: the slot is free
 	IP   string `cbor:"2,keyasint"`
 	Zone string `cbor:"3,keyasint"`
-	// Life is of the process that the place was made for. Later lives on the same machine keep it.
+	// Incarnation identifies the process that the place was created for. Later processes of the same
+	// limiter on the same machine keep the place and this value.
 	Life string `cbor:"4,keyasint,omitempty"`
-	From uint64 `cbor:"5,keyasint,omitempty"` // the version of the table that it was made by
-	To   uint64 `cbor:"6,keyasint,omitempty"` // the version that it was released by; 0: it is held
-	// Left and Back are the versions that it was released by and given back by before the release was
-	// settled; 0: it was not. By newer tables it was held in between, by those in between it was not:
-	// none of those can be the settled one.
+	From uint64 `cbor:"5,keyasint,omitempty"` // version of the table that created the place
+	To   uint64 `cbor:"6,keyasint,omitempty"` // version that released it; 0: it is held
+	// FirstReleasedVersion and RestoredVersion are set if the place was released and then restored before
+	// the release was settled; otherwise they are 0. Tables from RestoredVersion on have the place as held
+	// throughout, while the tables from FirstReleasedVersion up to RestoredVersion did not have it as held;
+	// so none of the latter can become the settled one.
 	Left uint64 `cbor:"7,keyasint,omitempty"`
 	Back uint64 `cbor:"8,keyasint,omitempty"`
 }
 
-// Holder identifies who holds a place: a limiter on a machine. Another machine under the same name is
-// another holder, as the former one may still run.
+// Holder identifies the limiter that holds the place by its name and machine. The same name on another
+// machine is a different holder, because the limiter on the former machine may still run.
 func (p *Place) Holder() string { return HolderOf(p.Name, p.IP) }
 
-// HolderOf is the holder of a name, on the machine with an IP number.
+// HolderOf returns the identifier of the holder with a name on the machine with an IP address.
 func HolderOf(name, ip string) string { return name + "@" + ip }
 
-// Held tells that the newest table gives the place to its limiter.
+// Held reports whether the limiter holds the place in the newest table.
 func (p *Place) Held() bool { return p.Name != "" && p.To == 0 }
 
-// heldAt tells that the table of a version gives it to its limiter.
+// heldAt reports whether the limiter holds the place in the table of a version.
 func (p *Place) heldAt(version uint64) bool {
 	return p.Name != "" && p.From <= version && (p.To == 0 || version < p.To)
 }
 
-// Table is all places, by slot, as one version of it has them. A slot is used again once the release
-// of its former limiter is settled, so there are as many as limiters held places at once.
+// Table is one version of all places, indexed by slot. A slot is reused once the release of its former
+// holder is settled, so the number of slots is bounded by the number of places held at the same time.
 type Table struct {
 	Places []Place
-	// Settled is the oldest version that anybody may still go by.
+	// Settled is the oldest version that any limiter may still use.
 	Settled uint64
 }
 
-// Join gives limiters places in the table of a version, or notes where they are now. A limiter that was
-// released and returns before that is settled has its former place again. seen is the version that
-// whoever asks had seen when the limiters had no places: what was released or settled since then may be
-// theirs, after they have left. It tells whether anything has changed.
+// Join creates places for limiters in the table of a version, or updates their zones. A limiter that was
+// released and returns before the release is settled gets its former place back. seen is the version at
+// which the requester saw that the limiters had no places; if the table was settled or a limiter released
+// after that version, the request may be outdated, as the limiter may have joined and left since then.
+// Join reports whether the table has changed.
 func (t *Table) Join(version, seen uint64, limiters []Place) (changed bool) {
 	if seen < t.Settled {
 		return false
 	}
-	first := !slices.ContainsFunc(t.Places, func(p Place) bool { return p.Name != "" })
-	for _, l := range limiters {
-		if l.Name != "" && t.join(version, seen, l) {
+	firstJoin := !slices.ContainsFunc(t.Places, func(p Place) bool { return p.Name != "" })
+	for _, limiter := range limiters {
+		if limiter.Name != "" && t.join(version, seen, limiter) {
 			changed = true
 		}
 	}
-	if first && changed { // nobody has gone by an older one
+	if firstJoin && changed { // no limiter has used an older table
 		t.Settled = version
 	}
 	return changed
 }
 
-// join gives one limiter a place.
-func (t *Table) join(version, seen uint64, l Place) (changed bool) {
-	for i := range t.Places { // its name has moved to another machine
-		if p := &t.Places[i]; p.Name == l.Name && p.IP != l.IP && p.Held() {
+// join creates or restores the place of one limiter.
+func (t *Table) join(version, seen uint64, limiter Place) (changed bool) {
+	for i := range t.Places { // the limiter of this name has moved to another machine
+		if p := &t.Places[i]; p.Name == limiter.Name && p.IP != limiter.IP && p.Held() {
 			p.To, changed = version, true
 		}
 	}
-	slot := t.slotOf(l.Holder())
+	slot := t.slotOfHolder(limiter.Holder())
 	if slot < 0 {
-		l.From, l.To = version, 0
-		t.put(l)
+		limiter.From, limiter.To = version, 0
+		t.insert(limiter)
 		return true
 	}
-	now := t.Places[slot]
-	now.Zone = l.Zone
-	if now.To > seen {
+	place := t.Places[slot]
+	place.Zone = limiter.Zone
+	if place.To > seen {
 		return changed
 	}
-	if now.To > 0 {
-		now.giveBack(version)
+	if place.To > 0 {
+		place.restore(version)
 	}
-	if now != t.Places[slot] {
-		t.Places[slot], changed = now, true
+	if place != t.Places[slot] {
+		t.Places[slot], changed = place, true
 	}
 	return changed
 }
 
-// giveBack has a place that was released held again by the table of a version.
-func (p *Place) giveBack(version uint64) {
+// restore marks a released place as held again from the table of a version on.
+func (p *Place) restore(version uint64) {
 	if p.Left == 0 {
 		p.Left = p.To
 	}
 	p.Back, p.To = version, 0
 }
 
-// put puts a place into the first free slot.
-func (t *Table) put(p Place) {
+// insert stores a place in the first free slot.
+func (t *Table) insert(p Place) {
 	for i := range t.Places {
 		if t.Places[i].Name == "" {
 			t.Places[i] = p
@@ -127,35 +131,36 @@
 	t.Places = append(t.Places, p)
 }
 
-// slotOf is the slot of a holder, or -1.
-func (t *Table) slotOf(holder string) int {
-	at := strings.LastIndexByte(holder, '@')
-	if at < 0 {
+// slotOfHolder returns the slot of a holder, which may have been released, or -1.
+func (t *Table) slotOfHolder(holder string) int {
+	separator := strings.LastIndexByte(holder, '@')
+	if separator < 0 {
 		return -1
 	}
-	name, ip := holder[:at], holder[at+1:]
+	name, ip := holder[:separator], holder[separator+1:]
 	return slices.IndexFunc(t.Places, func(p Place) bool { return p.Name != "" && p.Name == name && p.IP == ip })
 }
 
-// SlotOf is the slot that a limiter on a machine holds by the newest table, or -1.
+// SlotOf returns the slot that a limiter on a machine holds in the newest table, or -1.
 func (t *Table) SlotOf(name, ip string) int {
 	return slices.IndexFunc(t.Places, func(p Place) bool { return p.Held() && p.Name == name && p.IP == ip })
 }
 
-// Release ends the places of holders with the table of a version. It tells whether anything has changed.
+// Release marks the places of holders as released by the table of a version. It reports whether the table
+// has changed.
 func (t *Table) Release(version uint64, holders []string) (changed bool) {
 	for _, holder := range holders {
-		if slot := t.slotOf(holder); slot >= 0 && t.Places[slot].To == 0 {
+		if slot := t.slotOfHolder(holder); slot >= 0 && t.Places[slot].To == 0 {
 			t.Places[slot].To, changed = version, true
 		}
 	}
 	return changed
 }
 
-// Settle notes that nobody goes by a table older than that of a version any more. The slots of
-// limiters that were released by then are free. It tells whether anything has changed.
+// Settle records that nobody uses a table older than a version any more. It frees the slots of limiters
+// that were released up to that version, and reports whether the table has changed.
 func (t *Table) Settle(version uint64) (changed bool) {
-	version = t.settleable(version)
+	version = t.newestSettleable(version)
 	if version <= t.Settled {
 		return false
 	}
@@ -172,22 +177,22 @@
 	return true
 }
 
-// settleable is the newest version up to that given which can be the settled one.
-func (t *Table) settleable(version uint64) uint64 {
-	for again := true; again; {
-		again = false
+// newestSettleable returns the newest version, up to the given one, that can become the settled version.
+func (t *Table) newestSettleable(version uint64) uint64 {
+	for lowered := true; lowered; {
+		lowered = false
 		for i := range t.Places {
 			if p := &t.Places[i]; p.Left > 0 && p.Left <= version && version < p.Back {
-				version, again = p.Left-1, true
+				version, lowered = p.Left-1, true
 			}
 		}
 	}
 	return version
 }
 
-// Changes are the versions after the settled one by which limiters joined, were released or returned,
-// ascending.
-func (t *Table) Changes() (versions []uint64) {
+// UnsettledVersions returns the versions after the settled one in which limiters joined, were released or
+// were restored, in ascending order.
+func (t *Table) UnsettledVersions() (versions []uint64) {
 	for _, p := range t.Places {
 		for _, version := range []uint64{p.From, p.To, p.Left, p.Back} {
 			if version > t.Settled {
@@ -199,11 +204,11 @@
 	return slices.Compact(versions)
 }
 
-// Set is the slots that hold a part under one version of the table, ascending.
-type Set []int
+// SlotSet is the slots that hold a share under one version of the table, in ascending order.
+type SlotSet []int
 
-// at is the set of a version.
-func (t *Table) at(version uint64) (set Set) {
+// slotsAt returns the slots that are held under a version.
+func (t *Table) slotsAt(version uint64) (set SlotSet) {
 	for slot := range t.Places {
 		if t.Places[slot].heldAt(version) {
 			set = append(set, slot)
@@ -212,18 +217,19 @@
 	return set
 }
 
-// Sets are those that somebody may still go by, the settled one first and the newest last.
-func (t *Table) Sets() []Set {
-	sets := []Set{t.at(t.Settled)}
-	for _, version := range t.Changes() {
-		sets = append(sets, t.at(version))
+// SetsInUse returns the slot sets of all versions that a limiter may still use, from the settled version to
+// the newest.
+func (t *Table) Sets() []SlotSet {
+	sets := []SlotSet{t.slotsAt(t.Settled)}
+	for _, version := range t.UnsettledVersions() {
+		sets = append(sets, t.slotsAt(version))
 	}
 	return sets
 }
 
-// Share is the part of the whole that the limiter of a slot may use by some sets: the least that it has
-// in any of them.
-func Share(sets []Set, slot int) float64 {
+// Share returns the share of the whole, from 0 to 1, that the limiter of a slot may use: its smallest share
+// in any of the sets.
+func Share(sets []SlotSet, slot int) float64 {
 	share := 1.0
 	for _, set := range sets {
 		if !slices.Contains(set, slot) {
@@ -234,7 +240,7 @@
 	return share
 }
 
-// InZone is how many limiters of a zone hold places under one of the tables, at most.
+// MaxInZone returns the largest number of limiters of a zone that hold places under any version in use.
 func (t *Table) InZone(zone string) (most int) {
 	for _, set := range t.Sets() {
 		n := 0
@@ -248,9 +254,9 @@
 	return most
 }
 
-// Holders are those that held a place under the settled table or one after it and before that of a
-// version, sorted.
-func (t *Table) Holders(version uint64) (holders []string) {
+// HoldersBefore returns the holders of places under any table from the settled one up to, but not
+// including, a version, sorted.
+func (t *Table) HoldersBefore(version uint64) (holders []string) {
 	for _, p := range t.Places {
 		until := p.To
 		if until == 0 || until > version {
@@ -264,7 +270,7 @@
 	return holders
 }
 
-// Count is how many limiters hold places by the newest table.
+// HeldCount returns the number of limiters that hold places in the newest table.
 func (t *Table) Count() (n int) {
 	for i := range t.Places {
 		if t.Places[i].Held() {
