--- a/control/configdelta/configdelta_test.go
+++ b/control/configdelta/configdelta_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// configuration is a text of many items, like those that operators send.
+// configuration returns a text of many items, similar to what operators send.
 func configuration(rng *rand.Rand, items int) []byte {
 	var b bytes.Buffer
 	for i := range items {
@@ -16,7 +16,7 @@
 	return b.Bytes()
 }
 
-// changed is a text with some items put in, taken out or changed.
+// changed returns a copy of a text with a few random replacements and insertions.
 func changed(rng *rand.Rand, text []byte) []byte {
 	next := bytes.Clone(text)
 	for range 1 + rng.IntN(4) {
@@ -27,6 +27,7 @@
 	return next
 }
 
+// Applying the delta between two texts gives the newer one, and a small change of a long text has a small delta.
 func TestDeltas(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, items := range []int{0, 1, 100, 400, 5000} {
@@ -42,16 +43,17 @@
 				t.Fatalf("%d items: %v", items, err)
 			}
 			if items >= 400 && len(delta) > len(newer)/10 {
-				t.Errorf("%d items: %d bytes for a change of %d", items, len(delta), len(newer))
+				t.Errorf("%d items: the delta has %d bytes for a text of %d", items, len(delta), len(newer))
 			}
 			if wrong, err := Apply(append([]byte("x"), older...), delta); err == nil && !bytes.Equal(wrong, newer) {
-				t.Error("a delta makes another text of another text")
+				t.Error("applying a delta to a different text gave a wrong text and no error")
 			}
 			older = newer
 		}
 	}
 }
 
+// Applying arbitrary bytes as a delta never panics and never exceeds the size limit.
 func FuzzApply(f *testing.F) {
 	older := configuration(rand.New(rand.NewPCG(3, 4)), 50)
 	delta, err := Between(older, changed(rand.New(rand.NewPCG(5, 6)), older))
@@ -68,7 +70,7 @@
 	})
 }
 
-// A version that is kept gets a delta to the newest one; one that is not, none.
+// A version that is kept has a delta to the newest one; a version that was dropped has none.
 func TestHistory(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 8))
 	h := NewHistory(100 << 10)
@@ -92,7 +94,7 @@
 		}
 	}
 	if _, ok := h.Delta(19); !ok || kept > 8 || kept < 3 {
-		t.Errorf("%d versions are kept; the latest %v", kept, ok)
+		t.Errorf("%d versions are kept, want 3 to 8; delta from the latest older version: %v", kept, ok)
 	}
 }
 
--- a/control/configuration/configuration_test.go
+++ b/control/configuration/configuration_test.go
@@ -19,33 +19,33 @@
 		t.Fatal(f)
 	}
 	if r := table.Find("h.example:8080", "/a/b/c?x=/a/"); r == nil || r.Name != "r2" || r.Kind != NonIdempotent || r.Timeout != 2500*time.Millisecond {
-		t.Errorf("the longest prefix counts: %+v", r)
+		t.Errorf("want the route with the longest prefix: %+v", r)
 	}
 	if r := table.Find("H.example", "/a/x"); r == nil || r.Name != "r1" || len(r.To) != 2 {
-		t.Errorf("a host's letters are alike: %+v", r)
+		t.Errorf("host names must match regardless of case: %+v", r)
 	}
 	if table.Find("h.example", "/a") != nil || table.Find("other", "/a/x") != nil {
-		t.Error("a request without a route has found one")
+		t.Error("found a route for a request that matches none")
 	}
-	homes, all := Homes(table.Find("h.example", "/a/x"), table.TenantOf("k2"))
-	if all || len(homes) != 1 || homes[0] != "north" {
-		t.Errorf("homes of route and tenant bind both: %v", homes)
+	regions, all := Homes(table.Find("h.example", "/a/x"), table.TenantOf("k2"))
+	if all || len(regions) != 1 || regions[0] != "north" {
+		t.Errorf("want the regions common to route and tenant: %v", regions)
 	}
 }
 
 func TestInvalid(t *testing.T) {
 	for name, x := range map[string]struct{ from, to, code string }{
-		"cut short":       {`"cold_per_s":3.6},{"name":"s2","health_path":"/health"}]}`, ``, Unreadable},
-		"unknown service": {`"service":"s2","timeout"`, `"service":"s9","timeout"`, UnknownService},
-		"odd kind":        {`"non_idempotent"`, `"sometimes"`, UnknownRouteType},
-		"no timeout":      {`"timeout":"2500ms"`, `"timeout":"0ms"`, NoTimeout},
-		"aim over":        {`"target_latency":"600ms","priority":1`, `"target_latency":"62500ms","priority":1`, TargetBeyondTimeout},
-		"shared key":      {`"k3"`, `"k1"`, SharedKey},
-		"odd time":        {`"timeout":"2500ms"`, `"timeout":"soon"`, Unreadable},
+		"truncated":             {`"cold_per_s":3.6},{"name":"s2","health_path":"/health"}]}`, ``, Unreadable},
+		"unknown service":       {`"service":"s2","timeout"`, `"service":"s9","timeout"`, UnknownService},
+		"unknown route type":    {`"non_idempotent"`, `"sometimes"`, UnknownRouteType},
+		"no timeout":            {`"timeout":"2500ms"`, `"timeout":"0ms"`, NoTimeout},
+		"target beyond timeout": {`"target_latency":"600ms","priority":1`, `"target_latency":"62500ms","priority":1`, TargetBeyondTimeout},
+		"shared key":            {`"k3"`, `"k1"`, SharedKey},
+		"invalid duration":      {`"timeout":"2500ms"`, `"timeout":"soon"`, Unreadable},
 	} {
 		text := strings.Replace(exampleConfiguration, x.from, x.to, 1)
 		if text == exampleConfiguration {
-			t.Fatalf("%s: nothing was changed", name)
+			t.Fatalf("%s: the replacement matched nothing", name)
 		}
 		var code string
 		if c, f := ReadCall([]byte(text), false); f != nil {
@@ -53,11 +53,11 @@
 		} else if _, f := Apply(nil, 0, c); f != nil {
 			code = f.Code
 			if f.Error() == "" || f.Wrong == "" {
-				t.Errorf("%s: no text that a person can act on", name)
+				t.Errorf("%s: the fault has no description", name)
 			}
 		}
 		if code != x.code {
-			t.Errorf("%s: code %q, %q wanted", name, code, x.code)
+			t.Errorf("%s: code %q, want %q", name, code, x.code)
 		}
 	}
 }
@@ -79,14 +79,14 @@
 		t.Fatal(f)
 	}
 	if table.Version != 9 || table.Find("h.example", "/a/b/c") != nil || table.Find("new.example", "/z/1") == nil {
-		t.Errorf("a rule that moves to another host, and one that is removed: %+v", table.Routes)
+		t.Errorf("a rule was not moved to another host, or another one was not removed: %+v", table.Routes)
 	}
 	if table.TenantOf("k3") != nil || table.TenantOf("k4") == nil || table.TenantOf("k1") == nil {
-		t.Error("a tenant is replaced by its name, the others stay")
+		t.Error("want tenant t2 replaced by name and t1 unchanged")
 	}
 	old, _ := Read([]byte(exampleConfiguration))
 	if !Lost(old, table) || Lost(table, table) {
-		t.Error("a key was taken away, and not by nothing")
+		t.Error("want a revoked key between the old and the new table, and none between equal tables")
 	}
 	for text, code := range map[string]string{
 		`{"config_version":"r9","base_revision":"r6","upsert":{}}`:                  WrongBase,
@@ -96,12 +96,12 @@
 		`{"config_version":"r9","base_revision":"r7","remove":`:                     Unreadable,
 	} {
 		if _, f := call(text); f == nil || f.Code != code {
-			t.Errorf("%s: %v, %s wanted", text, f, code)
+			t.Errorf("%s: fault %v, want %s", text, f, code)
 		}
 	}
 }
 
-// No body makes the checks panic, and what they take can be read again.
+// No body makes validation panic, and every accepted configuration can be parsed again.
 func FuzzCalls(f *testing.F) {
 	f.Add([]byte(exampleConfiguration), false)
 	f.Add([]byte(`{"config_version":"r9","base_revision":"r7","upsert":{"listeners":[{"hostname":"x","policy":[{}]}]},"remove":{"routes":["r2"]}}`), true)
@@ -121,16 +121,16 @@
 		}
 		table, fault := Read(next)
 		if fault != nil {
-			t.Fatalf("taken and can't be read: %v", fault)
+			t.Fatalf("accepted, but can't be parsed: %v", fault)
 		}
 		table.Find("h.example", "/a/")
 	})
 }
 
-// The homes of a host are those that all its bound routes have in common.
+// The regions of a host are those that all its restricted routes have in common.
 func TestHostHomes(t *testing.T) {
-	route := func(name, homes string) string {
-		return `{"name":"` + name + `","route_type":"idempotent","target_latency":"600ms","match_criteria":{"path_prefix":"/` + name + `/"},"forward_action":{"service":"s","timeout":"1s","max_attempts":2,"allowed_regions":[` + homes + `]}}`
+	route := func(name, regions string) string {
+		return `{"name":"` + name + `","route_type":"idempotent","target_latency":"600ms","match_criteria":{"path_prefix":"/` + name + `/"},"forward_action":{"service":"s","timeout":"1s","max_attempts":2,"allowed_regions":[` + regions + `]}}`
 	}
 	text := `{"config_version":"r1","base_revision":0,"tenants":[],"listeners":[
 {"hostname":"free","policy":[` + route("a", "") + `]},
@@ -140,13 +140,13 @@
 	if fault != nil {
 		t.Fatal(fault)
 	}
-	if regions, bound := table.HostHomes("free:80"); bound || regions != nil {
-		t.Errorf("%v %v", regions, bound)
+	if regions, restricted := table.HostHomes("free:80"); restricted || regions != nil {
+		t.Errorf("%v %v", regions, restricted)
 	}
-	if regions, bound := table.HostHomes("bound"); !bound || len(regions) != 1 || regions[0] != "isles" {
-		t.Errorf("%v %v", regions, bound)
+	if regions, restricted := table.HostHomes("bound"); !restricted || len(regions) != 1 || regions[0] != "isles" {
+		t.Errorf("%v %v", regions, restricted)
 	}
-	if _, bound := table.HostHomes("nobody"); bound {
-		t.Error("a host without routes is bound")
+	if _, restricted := table.HostHomes("nobody"); restricted {
+		t.Error("a host without routes is restricted to regions")
 	}
 }
--- a/control/places/model_test.go
+++ b/control/places/model_test.go
@@ -8,40 +8,41 @@
 	"time"
 )
 
-// model is one state of a small system: a limiter a that holds everything at first, a limiter b that is to
-// have its place and always knows the newest table, a majority of the core that changes the table, and a core
-// machine that is cut off from it and still knows the first table. Limiter a's clock is as slow as is allowed.
+// model is one state of a small system: limiter a, which holds the whole at first; limiter b, which is to take
+// over its place and always knows the newest table; a core majority that changes the table; and a core machine
+// that is cut off from the majority and still has the first table. Limiter a's clock runs as slowly as is allowed.
 type model struct {
 	now        time.Duration
-	tables     []Table // by version, from 1 on
+	tables     []Table // by version, starting at 1
 	seen       []time.Duration
 	acks       []modelAck
 	a          modelLimiter
-	inFlight   *modelAnswer // on its way to a
+	inFlight   *modelAnswer // in transit to a
 	clockSteps int
 }
 
+// modelAck is an acknowledgement that the majority has received from limiter a.
 type modelAck struct {
 	at      time.Duration
 	version uint64
 }
 
-// modelAnswer is a core machine's answer to a pull: a table, and when it was known to be current.
+// modelAnswer is a core machine's answer to a pull: a table, and the time at which it was known to be current.
 type modelAnswer struct {
 	version uint64
 	proved  time.Duration
 }
 
-// modelLimiter goes by its own clock.
+// modelLimiter is the state of limiter a. Its times are on its own clock.
 type modelLimiter struct {
 	version uint64 // of its table; 0: none
 	lease   Lease
 	began   time.Duration
 	life    int
-	pending bool // admitted, not sent
+	pending bool // a request is admitted and not yet sent
 }
 
-// modelFault is built in on purpose.
+// modelFault is a safety rule that is left out on purpose, to check that the search finds the violation.
 type modelFault int
 
 const (
@@ -53,14 +54,14 @@
 	fullLeaseForOldProof
 )
 
-// slow is a's clock at a time.
+// onSlowClock converts a time to a's clock.
 func onSlowClock(t time.Duration) time.Duration { return time.Duration(float64(t) * (1 - ClockDrift)) }
 
 func (m *model) newest() uint64 { return uint64(len(m.tables)) }
 
 func (m *model) table(version uint64) Table { return m.tables[version-1] }
 
-// shareA is what a may use now.
+// shareA returns the share that a may use now.
 func (m *model) shareA() float64 {
 	if m.a.version == 0 || !m.a.lease.Valid(onSlowClock(m.now)) {
 		return 0
@@ -68,9 +69,10 @@
 	return shareIn(m.table(m.a.version), "a")
 }
 
-// shareB is what b may use now.
+// shareB returns the share that b may use now.
 func (m *model) shareB() float64 { return shareIn(m.table(m.newest()), "b") }
 
+// shareIn returns the share that a limiter has under a table.
 func shareIn(t Table, name string) float64 {
 	slot := t.SlotOf(name, name)
 	if slot < 0 {
@@ -79,7 +81,7 @@
 	return Share(t.Sets(), slot)
 }
 
-// settled is the version that the majority takes for settled.
+// settled returns the version that the majority would settle now, if any.
 func (m *model) settled(fault modelFault) (uint64, bool) {
 	t := m.table(m.newest())
 	if changes := t.UnsettledVersions(); len(changes) > 0 {
@@ -98,8 +100,8 @@
 	return s.VersionToSettle(m.now, t)
 }
 
-// change is a state with a newer table.
-func (m model) change(f func(t *Table, version uint64) bool) (model, bool) {
+// change returns the state after a change of the table. ok is false if f changes nothing.
+func (m model) change(f func(t *Table, version uint64) bool) (next model, ok bool) {
 	t := m.table(m.newest())
 	t.Places = append([]Place(nil), t.Places...)
 	if !f(&t, m.newest()+1) {
@@ -110,8 +112,8 @@
 	return m, true
 }
 
-// next are the states that may follow. broken tells of one in which more than everything is used.
-func (m model) next(fault modelFault) (all []model, broken string) {
+// next returns the states that can follow. violation describes a case in which more than the whole is used.
+func (m model) next(fault modelFault) (all []model, violation string) {
 	add := func(x model, ok bool) {
 		if ok {
 			all = append(all, x)
@@ -144,7 +146,7 @@
 		x := m
 		x.a.pending = false
 		if (fault == noSendFence || m.shareA() > 0) && m.shareA() < 1 && m.shareB() >= 1 {
-			broken = "a sends what it admitted while b uses everything"
+			violation = "a sends an admitted request while b uses the whole"
 		}
 		add(x, true)
 	}
@@ -160,13 +162,13 @@
 		add(x, m.clockSteps < 3)
 	}
 	if sum := m.shareA() + m.shareB(); sum > 1 {
-		broken = fmt.Sprintf("a uses %g and b %g", m.shareA(), m.shareB())
+		violation = fmt.Sprintf("a uses %g and b %g", m.shareA(), m.shareB())
 	}
-	return all, broken
+	return all, violation
 }
 
-// answers are those that a may get to a pull now: of the majority, and of the machine that is cut off, which
-// has proof of the beginning.
+// answers returns the answers that a can get to a pull now: from the majority, and from the machine that is
+// cut off, whose proof dates from the beginning.
 func (m *model) answers(fault modelFault) []modelAnswer {
 	cutOff := modelAnswer{version: 1}
 	if fault == renewedByMinority {
@@ -175,7 +177,7 @@
 	return []modelAnswer{{m.newest(), m.now}, cutOff}
 }
 
-// asked has the core hear of a pull, and with it of the table that a goes by.
+// withPull returns the state after the core has received a pull and, with it, the version of a's table.
 func (m model) withPull() model {
 	if n := len(m.acks); m.a.version > 0 && (n == 0 || m.acks[n-1].version < m.a.version) {
 		m.acks = append(m.acks[:n:n], modelAck{m.now, m.a.version})
@@ -183,7 +185,7 @@
 	return m
 }
 
-// deliver has an answer arrive.
+// deliver returns the state after a has received an answer.
 func (m model) deliver(answer modelAnswer, fault modelFault) model {
 	m.a.version = max(m.a.version, answer.version)
 	proved := onSlowClock(answer.proved)
@@ -194,7 +196,7 @@
 	return m
 }
 
-// key names a state.
+// key returns a unique encoding of a state.
 func (m *model) key() string {
 	key := make([]byte, 0, 160)
 	number := func(all ...uint64) {
@@ -224,50 +226,50 @@
 	return string(key)
 }
 
-// search looks at all states that can be reached by so many steps.
-func search(fault modelFault, depth int) (states int, broken string) {
+// search visits all states that can be reached in depth steps. It stops at the first violation.
+func search(fault modelFault, depth int) (states int, violation string) {
 	var first Table
 	first.Join(1, 1, []Place{{Name: "a", IP: "a"}})
-	begin := model{tables: []Table{first}, seen: []time.Duration{0}}
-	begin.a.version = 1
-	begin.a.lease.Renew(0, 0)
+	initial := model{tables: []Table{first}, seen: []time.Duration{0}}
+	initial.a.version = 1
+	initial.a.lease.Renew(0, 0)
 	seen := map[string]bool{}
-	level := []model{begin}
+	level := []model{initial}
 	for range depth {
-		var below []model
+		var nextLevel []model
 		for _, m := range level {
-			all, bad := m.next(fault)
-			if bad != "" {
-				return len(seen), bad
+			all, violation := m.next(fault)
+			if violation != "" {
+				return len(seen), violation
 			}
 			for _, x := range all {
 				if k := x.key(); !seen[k] {
 					seen[k] = true
-					below = append(below, x)
+					nextLevel = append(nextLevel, x)
 				}
 			}
 		}
-		level = below
+		level = nextLevel
 	}
 	return len(seen), ""
 }
 
-var modelDepth = flag.Int("places.depth", 7, "steps that the search of the model takes")
+var modelDepth = flag.Int("places.depth", 7, "search depth of the model test, in steps")
 
-// All that a holder, its successor and the core can do in so many steps: their parts together are never
-// more than one. Each rule that is left out is found.
+// Whatever a holder, its successor and the core do within the search depth, the sum of the shares never
+// exceeds one. If one of the safety rules is left out, the search must find a violation.
 func TestModel(t *testing.T) {
-	states, broken := search(noFault, *modelDepth)
-	if broken != "" {
-		t.Error(broken)
+	states, violation := search(noFault, *modelDepth)
+	if violation != "" {
+		t.Error(violation)
 	}
 	t.Logf("%d states", states)
-	for fault, name := range map[modelFault]string{noClockMargin: "no margin for clocks", noSendFence: "no fence where it sends", noSettleWait: "freed without waiting",
-		renewedByMinority: "renewed by a minority", fullLeaseForOldProof: "an old proof holds for a new life as long as a new one"} {
-		if _, broken := search(fault, 9); broken == "" {
-			t.Errorf("%s: not found", name)
+	for fault, name := range map[modelFault]string{noClockMargin: "no margin for clock drift", noSendFence: "lease not checked before sending", noSettleWait: "settled without waiting",
+		renewedByMinority: "lease renewed by a minority", fullLeaseForOldProof: "full lease after a restart for a proof from before it"} {
+		if _, violation := search(fault, 9); violation == "" {
+			t.Errorf("%s: no violation found", name)
 		} else {
-			t.Logf("%s: %s", name, broken)
+			t.Logf("%s: %s", name, violation)
 		}
 	}
 }
--- a/control/places/places_test.go
+++ b/control/places/places_test.go
@@ -11,6 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// limiters returns places for the limiters with numbers from (inclusive) to (exclusive), in alternating zones.
 func limiters(from, to int) (all []Place) {
 	for i := from; i < to; i++ {
 		all = append(all, Place{Name: fmt.Sprint("e", i), IP: fmt.Sprint(i), Zone: fmt.Sprint("z", i%2)})
@@ -18,7 +19,7 @@
 	return all
 }
 
-// shares are those of all slots.
+// shares returns the shares of all slots.
 func shares(t *Table) (all []float64) {
 	sets := t.Sets()
 	for slot := range t.Places {
@@ -27,7 +28,8 @@
 	return all
 }
 
-// One that joins has nothing, and one that leaves takes its part along, until the change is settled.
+// Until a change is settled, a limiter that joins has no share, and the share of one that leaves is not
+// redistributed.
 func TestSharesThroughChanges(t *testing.T) {
 	var x Table
 	check := func(what string, want ...float64) {
@@ -37,60 +39,61 @@
 		}
 	}
 	x.Join(1, 1, limiters(0, 4))
-	check("all begin", .25, .25, .25, .25)
+	check("all join an empty table", .25, .25, .25, .25)
 	x.Join(2, 2, limiters(4, 5))
-	check("one joins", .2, .2, .2, .2, 0)
+	check("one more joins", .2, .2, .2, .2, 0)
 	x.Settle(2)
-	check("that is settled", .2, .2, .2, .2, .2)
+	check("the join is settled", .2, .2, .2, .2, .2)
 	x.Release(3, []string{"e1@1", "e3@3", "e9@9"})
 	check("two leave", .2, 0, .2, 0, .2)
 	if d := cmp.Diff([]string{"e0@0", "e1@1", "e2@2", "e3@3", "e4@4"}, x.HoldersBefore(3)); d != "" {
 		t.Error(d)
 	}
 	x.Join(4, 4, limiters(1, 2))
-	check("one of them returns before that is settled", .2, .2, .2, 0, .2)
+	check("one of them returns before the release is settled", .2, .2, .2, 0, .2)
 	x.Join(5, 5, limiters(5, 7))
-	check("two join in its stead", 1./6, 1./6, 1./6, 0, 1./6, 0, 0)
+	check("two more join", 1./6, 1./6, 1./6, 0, 1./6, 0, 0)
 	x.Settle(5)
-	check("all is settled", 1./6, 1./6, 1./6, 0, 1./6, 1./6, 1./6)
+	check("all changes are settled", 1./6, 1./6, 1./6, 0, 1./6, 1./6, 1./6)
 	x.Join(6, 6, limiters(7, 8))
 	if x.Places[3].Name != "e7" || len(x.UnsettledVersions()) != 1 {
-		t.Errorf("a slot that is free is not used again: %+v", x.Places)
+		t.Errorf("a free slot was not reused: %+v", x.Places)
 	}
 	if n, near := x.Count(), x.InZone("z1"); n != 7 || near != 3 {
-		t.Errorf("%d hold places, %d in a zone", n, near)
+		t.Errorf("%d limiters hold places, want 7; %d in zone z1, want 3", n, near)
 	}
 	x.Join(7, 7, []Place{{Name: "e7", IP: "70", Zone: "z1"}, {Name: "e8", IP: "0", Zone: "z1"}})
 	if a, b := x.SlotOf("e0", "0"), x.SlotOf("e8", "0"); a < 0 || b < 0 || a == b {
-		t.Errorf("two that have had one address hold slots %d and %d", a, b)
+		t.Errorf("two limiters that share an address hold slots %d and %d, want two different slots", a, b)
 	}
 	if got := x.SlotOf("e7", "7"); got >= 0 {
-		t.Errorf("a former machine under a name holds slot %d", got)
+		t.Errorf("the former machine of a name still holds slot %d", got)
 	}
 }
 
-// A lease ends a fixed span after the latest proof, and soon where that is from before the life began.
+// A lease ends a fixed time after the latest proof, and much sooner if the proof dates from before the process
+// began.
 func TestLease(t *testing.T) {
 	var l Lease
 	if l.Valid(0) {
-		t.Error("a lease that nobody gave")
+		t.Error("the zero lease is valid")
 	}
 	began := time.Minute
 	l.Renew(began-time.Second, began)
 	if l.End() != began-time.Second+provisionalLeaseLength {
-		t.Errorf("by proof from before the life: until %v", l.End())
+		t.Errorf("proof from before the process began: lease ends at %v", l.End())
 	}
 	l.Renew(began+time.Second, began)
 	if l.Renew(began, began) || !l.Valid(began+time.Second+LeaseLength-1) || l.Valid(began+time.Second+LeaseLength) {
-		t.Errorf("until %v", l.End())
+		t.Errorf("lease ends at %v", l.End())
 	}
 	if slow := float64(LeaseLength) * (1 + 2*ClockDrift); float64(allLeasesExpireWithin) <= slow {
-		t.Errorf("a slow clock's lease of %v ends after a fast one takes it for ended: %v", slow, allLeasesExpireWithin)
+		t.Errorf("a lease lasts %v by a slow clock, but a fast clock considers it expired after %v", slow, allLeasesExpireWithin)
 	}
 }
 
-// A change is settled once all who held a part have acknowledged it and their loans have ended, or when
-// their leases must have.
+// A change is settled once all holders of shares have acknowledged it and the loans of their shares have ended,
+// or once their leases must have expired.
 func TestSettler(t *testing.T) {
 	var x Table
 	s := NewSettlementTracker()
@@ -104,7 +107,7 @@
 	due := func(at time.Duration, want uint64) {
 		t.Helper()
 		if got, _ := s.VersionToSettle(at, x); got != want {
-			t.Errorf("settled up to %d after %v, %d wanted", got, at-now, want)
+			t.Errorf("settled up to %d after %v, want %d", got, at-now, want)
 		}
 	}
 	s.RecordAcknowledgement(now, Acknowledgement{Holder: "e0@0", Version: 3})
@@ -116,50 +119,51 @@
 	due(now+5*time.Second, 2)
 	s.RecordAcknowledgement(now+5*time.Second, Acknowledgement{Holder: "e1@1", Version: 3, InMs: 2000})
 	due(now+6*time.Second, 2)
-	// The same as another registry tells it.
+	// Another registry that receives these acknowledgements decides the same.
 	other := NewSettlementTracker()
 	other.ObserveTable(now, x, 3)
 	for _, a := range s.Acknowledgements(now+6*time.Second, []string{"e0@0", "e1@1", "e2@2"}) {
 		other.RecordAcknowledgement(now+6*time.Second, a)
 	}
 	if got, _ := other.VersionToSettle(now+6*time.Second, x); got != 2 {
-		t.Errorf("another registry takes it for settled up to %d", got)
+		t.Errorf("another registry considers the table settled up to %d, want 2", got)
 	}
 	due(now+7*time.Second, 3)
 	if got, _ := other.VersionToSettle(now+8*time.Second, x); got != 3 {
-		t.Errorf("another registry takes it for settled up to %d later", got)
+		t.Errorf("another registry later considers the table settled up to %d, want 3", got)
 	}
 	silent := NewSettlementTracker()
 	silent.ObserveTable(now, x, 3)
 	if _, ok := silent.VersionToSettle(now+allLeasesExpireWithin-1, x); ok {
-		t.Error("settled before all leases have ended")
+		t.Error("settled before all leases have expired")
 	}
 	if got, _ := silent.VersionToSettle(now+allLeasesExpireWithin, x); got != 3 {
-		t.Error("not settled when all leases have ended")
+		t.Error("not settled although all leases have expired")
 	}
 }
 
-// A place is released after a silence, and by nobody who is cut off.
+// A place is released after its holder has been silent, but not by a registry that is cut off. Being cut off
+// restarts the period of silence.
 func TestAbsences(t *testing.T) {
 	var x Table
 	x.Join(1, 1, limiters(0, 2))
 	a := NewAbsenceTracker()
-	there := func(holder string) bool { return holder == "e0@0" }
-	look := func(at time.Duration, cutOff bool) []string { return a.Update(at, x, cutOff, there) }
-	look(0, false)
-	if got := look(ReleaseAfterSilence-1, false); got != nil {
+	present := func(holder string) bool { return holder == "e0@0" }
+	update := func(at time.Duration, cutOff bool) []string { return a.Update(at, x, cutOff, present) }
+	update(0, false)
+	if got := update(ReleaseAfterSilence-1, false); got != nil {
 		t.Error(got)
 	}
-	look(ReleaseAfterSilence-1, true)
-	if got := look(ReleaseAfterSilence, false); got != nil {
-		t.Errorf("%v away since before it was cut off", got)
+	update(ReleaseAfterSilence-1, true)
+	if got := update(ReleaseAfterSilence, false); got != nil {
+		t.Errorf("%v released for silence from before the registry was cut off", got)
 	}
-	if d := cmp.Diff([]string{"e1@1"}, look(2*ReleaseAfterSilence, false)); d != "" {
+	if d := cmp.Diff([]string{"e1@1"}, update(2*ReleaseAfterSilence, false)); d != "" {
 		t.Error(d)
 	}
 }
 
-// Differences of tables make the newer one, whatever has changed.
+// Applying the difference of two tables gives the newer one, for random changes.
 func TestDelta(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var x Table
@@ -175,11 +179,12 @@
 	}
 	for _, d := range []Delta{{Size: -1}, {Size: maxSlots + 1}, {Size: 1, Changed: map[int]Place{1: {}}}, {Size: 1, Changed: map[int]Place{-1: {}}}} {
 		if _, ok := d.Apply(nil); ok {
-			t.Errorf("%+v is taken", d)
+			t.Errorf("invalid delta %+v was accepted", d)
 		}
 	}
 }
 
+// randomChange makes a random join, release or settlement with the table of a version.
 func randomChange(rng *rand.Rand, x *Table, version uint64) {
 	k := rng.IntN(12)
 	switch rng.IntN(5) {
@@ -192,9 +197,9 @@
 	}
 }
 
-var tableSeeds = flag.Uint64("places.seeds", 300, "random tables that are looked at")
+var tableSeeds = flag.Uint64("places.seeds", 300, "number of random table histories to check")
 
-// Whoever goes by whichever table from the settled one on, all parts together are never more than one.
+// Whichever tables from the settled one on the limiters use, the sum of their shares never exceeds one.
 func TestSharesNeverComeToMoreThanOne(t *testing.T) {
 	for seed := range *tableSeeds {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -204,13 +209,13 @@
 		tables = append(tables, Table{}, x)
 		for v := uint64(2); v < 60; v++ {
 			x.Places = append([]Place(nil), x.Places...)
-			if rng.IntN(4) == 0 { // only what nobody goes by any more is settled: here all of the past may be
+			if rng.IntN(4) == 0 { // settle only what nobody uses any more; here that may be the whole past
 				x.Settle(v - 1)
 			} else {
 				randomChange(rng, &x, v)
 			}
 			tables = append(tables, x)
-			// Holders go by any table from the oldest that may be in use to the newest.
+			// Each holder uses any table from the oldest that may be in use to the newest.
 			oldest := x.Settled
 			for range 8 {
 				least := oldest + uint64(rng.IntN(int(v-oldest)+1))
@@ -223,39 +228,39 @@
 					}
 				}
 				if sum > 1+1e-9 {
-					t.Fatalf("seed %d, version %d, oldest in use %d: all parts come to %g", seed, v, least, sum)
+					t.Fatalf("seed %d, version %d, oldest in use %d: the sum of all shares is %g", seed, v, least, sum)
 				}
 			}
 		}
 	}
 }
 
-// Over 30 days with 1,900 limiters replaced a day beside 760 the table does not grow.
+// The table does not grow over 30 days if 1,900 limiters are replaced per day and 760 hold places at any time.
 func TestTableStaysBounded(t *testing.T) {
-	const living, replaced, days = 760, 1900, 30
+	const holders, replaced, days = 760, 1900, 30
 	var x Table
-	x.Join(1, 1, limiters(0, living))
-	version, next := uint64(1), living
+	x.Join(1, 1, limiters(0, holders))
+	version, next := uint64(1), holders
 	rng := rand.New(rand.NewPCG(3, 3))
-	names := make([]int, living)
+	names := make([]int, holders)
 	for i := range names {
 		names[i] = i
 	}
 	most := 0
 	for range days * replaced {
-		k := rng.IntN(living)
+		k := rng.IntN(holders)
 		version++
 		x.Release(version, []string{HolderOf(fmt.Sprint("e", names[k]), fmt.Sprint(names[k]))})
 		version++
 		x.Join(version, version, limiters(next, next+1))
 		names[k], next = next, next+1
-		if rng.IntN(3) == 0 { // a replacement is settled before the next one but a few
+		if rng.IntN(3) == 0 { // settle a third of the replacements at once, and the others soon after
 			x.Settle(version)
 		}
 		most = max(most, len(x.Places))
 	}
-	if most > living+30 || x.Count() != living {
-		t.Errorf("%d slots for %d limiters, %d of them held", most, living, x.Count())
+	if most > holders+30 || x.Count() != holders {
+		t.Errorf("%d slots for %d limiters, %d of them held", most, holders, x.Count())
 	}
 	x.Settle(version)
 	sum := 0.0
@@ -263,24 +268,24 @@
 		sum += share
 	}
 	if math.Abs(sum-1) > 1e-9 {
-		t.Errorf("the living hold %g of everything", sum)
+		t.Errorf("the shares of all holders add up to %g, want 1", sum)
 	}
 }
 
-// A registry has limiters join that are without a place, those that have left released at once and those that
-// are silent after a while, and what all have acknowledged settled, whoever has heard them.
+// A registry requests a join for limiters without a place, a release for limiters that have stopped (at once)
+// or are silent (after a while), and a settlement for versions that all have acknowledged to some registry.
 func TestRegistrar(t *testing.T) {
 	var x Table
 	r, other := NewRegistrar(), NewRegistrar()
-	there := map[string]bool{}
+	present := map[string]bool{}
 	due := func(now time.Duration) Changes {
-		return r.Due(now, x, false, func(holder string) bool { return there[holder] })
+		return r.Due(now, x, false, func(holder string) bool { return present[holder] })
 	}
 	all := limiters(0, 3)
 	for _, p := range all {
-		there[p.Holder()] = true
+		present[p.Holder()] = true
 		if !r.Hear(0, x, Report{Place: p}) {
-			t.Errorf("%s needs nothing", p.Name)
+			t.Errorf("no change is due for %s, which has no place", p.Name)
 		}
 	}
 	if d := cmp.Diff(Changes{Join: all}, due(0)); d != "" {
@@ -289,7 +294,7 @@
 	x.Join(1, 1, all)
 	r.See(0, x, 1)
 	if c := due(0); !c.Empty() || r.Wanted(time.Hour, x) != nil {
-		t.Errorf("%+v is due, and all hold their places", c)
+		t.Errorf("%+v is due although all limiters hold their places", c)
 	}
 	for _, p := range all[:2] {
 		r.Hear(time.Second, x, Report{Place: p, Version: 1, Done: p.Name == "e1"})
@@ -305,13 +310,13 @@
 	}
 	other.Hear(2*time.Second, x, Report{Place: all[2], Version: 2})
 	if c := due(5 * time.Second); !c.Empty() {
-		t.Errorf("%+v is due before all are known to have acknowledged", c)
+		t.Errorf("%+v is due before all acknowledgements are known", c)
 	}
 	if state, left, missing := r.Pending(5*time.Second, x, &x.Places[1]); state != "released" || left <= 0 || !cmp.Equal(missing, []string{"e2@2"}) {
-		t.Errorf("%s, %v left, waits for %v", state, left, missing)
+		t.Errorf("state %s, %v left, missing acknowledgements from %v", state, left, missing)
 	}
 	if d := cmp.Diff([]string{"e2@2"}, r.Wanted(5*time.Second, x)); d != "" || r.Wanted(2*time.Second, x) != nil {
-		t.Errorf("others are asked for %s", d)
+		t.Errorf("wrong holders awaited: %s", d)
 	}
 	r.HearAll(5*time.Second, other.Acknowledgements(5*time.Second, []string{"e2@2"}))
 	if d := cmp.Diff(Changes{Settle: 2}, due(5*time.Second)); d != "" {
@@ -320,20 +325,20 @@
 	x.Settle(2)
 	r.Hear(6*time.Second, x, Report{Place: limiters(7, 8)[0]})
 	if c := due(6*time.Second + joinRequestTTL); len(c.Join) != 1 {
-		t.Errorf("%+v is due while one that was just heard has no place", c)
+		t.Errorf("%+v is due, want one join for a limiter that has just reported without a place", c)
 	}
 	if c := due(6*time.Second + joinRequestTTL + 1); !c.Empty() {
-		t.Errorf("%+v is due, and who wanted a place is silent", c)
+		t.Errorf("%+v is due although the limiter that wanted a place is silent", c)
 	}
-	delete(there, "e2@2")
+	delete(present, "e2@2")
 	due(9 * time.Second)
 	if d := cmp.Diff(Changes{Release: []string{"e2@2"}}, due(9*time.Second+ReleaseAfterSilence)); d != "" {
 		t.Error(d)
 	}
 }
 
-// A version that can't be the settled one, as a limiter was away by it, is not asked for: the table would stay
-// as it is.
+// A registry doesn't request settlement of a version that can't become the settled one, because a limiter was
+// released by it and restored later: the request would change nothing.
 func TestNothingIsAskedForInVain(t *testing.T) {
 	var x Table
 	r := NewRegistrar()
@@ -344,17 +349,17 @@
 	r.See(0, x, 2)
 	x.Join(3, 3, all[:1])
 	r.See(0, x, 3)
-	there := func(string) bool { return true }
-	for _, p := range all { // by the version in between
+	present := func(string) bool { return true }
+	for _, p := range all { // acknowledge the version in which e0 was released
 		r.Hear(time.Second, x, Report{Place: p, Version: 2})
 	}
-	if c := r.Due(5*time.Second, x, false, there); !c.Empty() {
-		t.Errorf("%+v is asked for, and changes nothing", c)
+	if c := r.Due(5*time.Second, x, false, present); !c.Empty() {
+		t.Errorf("%+v is requested although it would change nothing", c)
 	}
 	for _, p := range all {
 		r.Hear(6*time.Second, x, Report{Place: p, Version: 3})
 	}
-	if d := cmp.Diff(Changes{Settle: 3}, r.Due(6*time.Second, x, false, there)); d != "" {
+	if d := cmp.Diff(Changes{Settle: 3}, r.Due(6*time.Second, x, false, present)); d != "" {
 		t.Error(d)
 	}
 }
