--- a/control/catalog/catalog.go
+++ b/control/catalog/catalog.go
@@ -216,14 +216,14 @@
 }
 
 // RecordsAfter returns the records that a process with version vector v lacks.
-func (b *Book) Since(now float64, v Vector) (all []Record) {
+func (b *Book) Since(now float64, v Vector) (records []Record) {
 	b.records.Ascend(func(e *entry) bool {
 		if e.Version > v[e.Source] {
-			all = append(all, e.recordAt(now))
+			records = append(records, e.recordAt(now))
 		}
 		return true
 	})
-	return all
+	return records
 }
 
 // HasNewerThan reports whether this catalog has a version that a process with version vector v lacks.
@@ -316,18 +316,18 @@
 }
 
 // DifferingRecords returns the records of the ranges whose digests differ from d.
-func (b *Book) Differing(now float64, d [Ranges]uint64) (all []Record) {
+func (b *Book) Differing(now float64, d [Ranges]uint64) (records []Record) {
 	own := b.Digests()
 	if own == d {
 		return nil
 	}
 	b.records.Ascend(func(e *entry) bool {
 		if k := digestRange(e.ID); own[k] != d[k] {
-			all = append(all, e.recordAt(now))
+			records = append(records, e.recordAt(now))
 		}
 		return true
 	})
-	return all
+	return records
 }
 
 // Sources returns the names of the sources in the version vector, sorted.
--- a/control/configuration/configuration.go
+++ b/control/configuration/configuration.go
@@ -66,7 +66,7 @@
 	Priority           int
 	Attempts           int  // most servers to which one client request may be sent
 	Open               bool // auth_exempt: no API key needed
-	AllowedRegions     []string
+	Homes              []string
 	To                 []Destination
 }
 
@@ -197,6 +197,7 @@
 // reader extracts typed fields from JSON and keeps the first fault found.
 type reader struct{ fault *Fault }
 
+// fail records a fault unless one was found before.
 func (r *reader) fail(code, where, wrong, fix string) {
 	where = strings.TrimPrefix(where, ".") // items at the top level have no parent
 	if r.fault == nil {
@@ -204,7 +205,8 @@
 	}
 }
 
-func (r *reader) stringField(v *fastjson.Value, where, key string) string {
+// text returns the value of a string field. A missing one is a fault.
+func (r *reader) text(v *fastjson.Value, where, key string) string {
 	x := v.Get(key)
 	if x == nil || x.Type() != fastjson.TypeString {
 		r.fail(Unreadable, where+"."+key, "is missing or not a string", "write a string")
@@ -213,7 +215,8 @@
 	return string(x.GetStringBytes())
 }
 
-func (r *reader) numberField(v *fastjson.Value, where, key string) float64 {
+// number returns the value of a number field, or 0 if it is missing.
+func (r *reader) number(v *fastjson.Value, where, key string) float64 {
 	x := v.Get(key)
 	if x == nil || x.Type() == fastjson.TypeNull {
 		return 0
@@ -225,7 +228,8 @@
 	return f
 }
 
-func (r *reader) durationField(v *fastjson.Value, where, key string) time.Duration {
+// duration returns the value of a duration field, or 0 if it is missing.
+func (r *reader) duration(v *fastjson.Value, where, key string) time.Duration {
 	x := v.Get(key)
 	if x == nil || x.Type() == fastjson.TypeNull {
 		return 0
@@ -257,7 +261,8 @@
 	return time.Duration(f * float64(unit)), true
 }
 
-func (r *reader) listField(v *fastjson.Value, where, key string) []*fastjson.Value {
+// list returns the items of a list field, or nil if it is missing.
+func (r *reader) list(v *fastjson.Value, where, key string) []*fastjson.Value {
 	x := v.Get(key)
 	if x == nil || x.Type() == fastjson.TypeNull {
 		return nil
@@ -269,8 +274,9 @@
 	return x.GetArray()
 }
 
-func (r *reader) stringListField(v *fastjson.Value, where, key string) (all []string) {
-	for _, x := range r.listField(v, where, key) {
+// texts returns the items of a list of strings.
+func (r *reader) texts(v *fastjson.Value, where, key string) (all []string) {
+	for _, x := range r.list(v, where, key) {
 		if x.Type() != fastjson.TypeString {
 			r.fail(Unreadable, where+"."+key, "holds what is not a string", "write strings")
 		}
@@ -289,33 +295,33 @@
 	t := &Table{Services: map[string]*Service{}, routesByHost: map[string][]*Route{}, tenantsByKey: map[string]*Tenant{}}
 	t.Version, _ = ParseVersion(document.Get("config_version"))
 	if limits := document.Get("limits"); limits != nil {
-		t.Limits = Limits{Header: int64(r.numberField(limits, "limits", "max_header_bytes")), Body: int64(r.numberField(limits, "limits", "max_body_bytes")),
-			HeaderTimeout: r.durationField(limits, "limits", "header_timeout"), IdleTimeout: r.durationField(limits, "limits", "idle_timeout")}
+		t.Limits = Limits{Header: int64(r.number(limits, "limits", "max_header_bytes")), Body: int64(r.number(limits, "limits", "max_body_bytes")),
+			HeaderTimeout: r.duration(limits, "limits", "header_timeout"), IdleTimeout: r.duration(limits, "limits", "idle_timeout")}
 	}
-	for i, item := range r.listField(document, "", "clusters") {
+	for i, item := range r.list(document, "", "clusters") {
 		where := fmt.Sprintf("clusters[%d]", i)
-		service := &Service{Name: r.stringField(item, where, "name"), HealthPath: string(item.GetStringBytes("health_path")),
-			Connections: int(r.numberField(item, where, "max_connections")), Warmup: r.durationField(item, where, "warmup"),
-			ColdPerS: r.numberField(item, where, "cold_per_s")}
+		service := &Service{Name: r.text(item, where, "name"), HealthPath: string(item.GetStringBytes("health_path")),
+			Connections: int(r.number(item, where, "max_connections")), Warmup: r.duration(item, where, "warmup"),
+			ColdPerS: r.number(item, where, "cold_per_s")}
 		t.Services[service.Name] = service
 	}
-	for i, item := range r.listField(document, "", "tenants") {
+	for i, item := range r.list(document, "", "tenants") {
 		where := fmt.Sprintf("tenants[%d]", i)
-		t.Tenants = append(t.Tenants, Tenant{Name: r.stringField(item, where, "name"), Keys: r.stringListField(item, where, "api_keys"),
-			Priority: int(r.numberField(item, where, "priority")), Rate: r.numberField(item, where, "rate_per_s"),
-			Burst: r.numberField(item, where, "burst_size"), Homes: r.stringListField(item, where, "allowed_regions")})
+		t.Tenants = append(t.Tenants, Tenant{Name: r.text(item, where, "name"), Keys: r.texts(item, where, "api_keys"),
+			Priority: int(r.number(item, where, "priority")), Rate: r.number(item, where, "rate_per_s"),
+			Burst: r.number(item, where, "burst_size"), Homes: r.texts(item, where, "allowed_regions")})
 	}
 	for i := range t.Tenants {
-		for _, key := range t.Tenants[i].Keys {
-			if owner := t.tenantsByKey[key]; owner != nil && owner.Name != t.Tenants[i].Name {
+		for _, k := range t.Tenants[i].Keys {
+			if owner := t.tenantsByKey[k]; owner != nil && owner.Name != t.Tenants[i].Name {
 				r.fail(SharedKey, fmt.Sprintf("tenants[%d].api_keys", i), fmt.Sprintf("%s and %s hold the same key", owner.Name, t.Tenants[i].Name), "give each a key of its own")
 			}
-			t.tenantsByKey[key] = &t.Tenants[i]
+			t.tenantsByKey[k] = &t.Tenants[i]
 		}
 	}
-	for i, item := range r.listField(document, "", "listeners") {
-		host := r.stringField(item, fmt.Sprintf("listeners[%d]", i), "hostname")
-		for j, policy := range r.listField(item, fmt.Sprintf("listeners[%d]", i), "policy") {
+	for i, item := range r.list(document, "", "listeners") {
+		host := r.text(item, fmt.Sprintf("listeners[%d]", i), "hostname")
+		for j, policy := range r.list(item, fmt.Sprintf("listeners[%d]", i), "policy") {
 			t.Routes = append(t.Routes, r.parseRoute(t, fmt.Sprintf("listeners[%d].policy[%d]", i, j), host, policy))
 		}
 	}
@@ -333,28 +339,29 @@
 	return t, nil
 }
 
+// parseRoute parses one policy of a listener. Services must already be in the table.
 func (r *reader) parseRoute(t *Table, where, host string, item *fastjson.Value) Route {
 	action, match := item.Get("forward_action"), item.Get("match_criteria")
 	if action == nil || match == nil {
 		r.fail(Unreadable, where, "has no forward_action or no match_criteria", "write both")
 		return Route{}
 	}
-	route := Route{Name: r.stringField(item, where, "name"), Host: strings.ToLower(host),
-		Prefix: r.stringField(match, where+".match_criteria", "path_prefix"),
-		Aim:    r.durationField(item, where, "target_latency"), Timeout: r.durationField(action, where+".forward_action", "timeout"),
-		Priority: int(r.numberField(item, where, "priority")), Attempts: int(r.numberField(action, where+".forward_action", "max_attempts")),
-		Open: item.GetBool("auth_exempt"), AllowedRegions: r.stringListField(action, where+".forward_action", "allowed_regions")}
-	kind := r.stringField(item, where, "route_type")
+	route := Route{Name: r.text(item, where, "name"), Host: strings.ToLower(host),
+		Prefix: r.text(match, where+".match_criteria", "path_prefix"),
+		Aim:    r.duration(item, where, "target_latency"), Timeout: r.duration(action, where+".forward_action", "timeout"),
+		Priority: int(r.number(item, where, "priority")), Attempts: int(r.number(action, where+".forward_action", "max_attempts")),
+		Open: item.GetBool("auth_exempt"), Homes: r.texts(action, where+".forward_action", "allowed_regions")}
+	kind := r.text(item, where, "route_type")
 	var ok bool
 	if route.Kind, ok = kindsByName[kind]; !ok {
 		r.fail(UnknownRouteType, where+".route_type", fmt.Sprintf("%q is not known", kind), "write idempotent, non_idempotent or download")
 	}
-	if split := r.listField(action, where+".forward_action", "traffic_split"); len(split) > 0 {
+	if split := r.list(action, where+".forward_action", "traffic_split"); len(split) > 0 {
 		for _, destination := range split {
-			route.To = append(route.To, Destination{r.stringField(destination, where+".traffic_split", "service"), r.numberField(destination, where+".traffic_split", "weight")})
+			route.To = append(route.To, Destination{r.text(destination, where+".traffic_split", "service"), r.number(destination, where+".traffic_split", "weight")})
 		}
 	} else {
-		route.To = []Destination{{r.stringField(action, where+".forward_action", "service"), 1}}
+		route.To = []Destination{{r.text(action, where+".forward_action", "service"), 1}}
 	}
 	for _, destination := range route.To {
 		if t.Services[destination.Service] == nil {
@@ -399,11 +406,11 @@
 	}
 	for _, r := range t.routesByHost[strings.ToLower(host)] {
 		switch {
-		case len(r.AllowedRegions) == 0:
+		case len(r.Homes) == 0:
 		case !restricted:
-			regions, restricted = slices.Clone(r.AllowedRegions), true
+			regions, restricted = slices.Clone(r.Homes), true
 		default:
-			regions = slices.DeleteFunc(regions, func(region string) bool { return !slices.Contains(r.AllowedRegions, region) })
+			regions = slices.DeleteFunc(regions, func(region string) bool { return !slices.Contains(r.Homes, region) })
 		}
 	}
 	return regions, restricted
@@ -429,18 +436,18 @@
 	return false
 }
 
-// CommonRegions returns the regions in which both a route and a tenant may be served. all is true if
+// AllowedRegions returns the regions in which both a route and a tenant may be served. all is true if
 // neither is restricted to regions.
 func Homes(r *Route, t *Tenant) (regions []string, all bool) {
 	switch {
-	case len(r.AllowedRegions) == 0 && (t == nil || len(t.Homes) == 0):
+	case len(r.Homes) == 0 && (t == nil || len(t.Homes) == 0):
 		return nil, true
-	case len(r.AllowedRegions) == 0:
+	case len(r.Homes) == 0:
 		return t.Homes, false
 	case t == nil || len(t.Homes) == 0:
-		return r.AllowedRegions, false
+		return r.Homes, false
 	}
-	for _, x := range r.AllowedRegions {
+	for _, x := range r.Homes {
 		for _, y := range t.Homes {
 			if x == y {
 				regions = append(regions, x)
--- a/control/configuration/configuration_test.go
+++ b/control/configuration/configuration_test.go
@@ -129,8 +129,8 @@
 
 // The regions of a host are those that all its restricted routes have in common.
 func TestHostHomes(t *testing.T) {
-	route := func(name, regions string) string {
-		return `{"name":"` + name + `","route_type":"idempotent","target_latency":"600ms","match_criteria":{"path_prefix":"/` + name + `/"},"forward_action":{"service":"s","timeout":"1s","max_attempts":2,"allowed_regions":[` + regions + `]}}`
+	route := func(name, allowed string) string {
+		return `{"name":"` + name + `","route_type":"idempotent","target_latency":"600ms","match_criteria":{"path_prefix":"/` + name + `/"},"forward_action":{"service":"s","timeout":"1s","max_attempts":2,"allowed_regions":[` + allowed + `]}}`
 	}
 	text := `{"config_version":"r1","base_revision":0,"tenants":[],"listeners":[
 {"hostname":"free","policy":[` + route("a", "") + `]},
--- a/control/configuration/merge.go
+++ b/control/configuration/merge.go
@@ -19,17 +19,17 @@
 	if err != nil {
 		return nil, &Fault{Code: Unreadable, Wrong: "the change is not JSON", Fix: "send it whole"}
 	}
-	var arena fastjson.Arena
-	m := merger{doc: doc, arena: &arena}
-	if upsert := changeDoc.Get("upsert"); upsert != nil {
-		o, err := upsert.Object()
+	var a fastjson.Arena
+	m := merger{doc: doc, arena: &a}
+	if upserts := changeDoc.Get("upsert"); upserts != nil {
+		o, err := upserts.Object()
 		if err != nil {
 			return nil, &Fault{Code: Unreadable, Where: "upsert", Wrong: "is not an object", Fix: "write lists by name"}
 		}
 		o.Visit(func(k []byte, v *fastjson.Value) { m.upsert(string(k), v) })
 	}
-	if remove := changeDoc.Get("remove"); remove != nil {
-		o, err := remove.Object()
+	if removals := changeDoc.Get("remove"); removals != nil {
+		o, err := removals.Object()
 		if err != nil {
 			return nil, &Fault{Code: Unreadable, Where: "remove", Wrong: "is not an object", Fix: "write lists of names"}
 		}
@@ -51,6 +51,7 @@
 	fault *Fault
 }
 
+// fail records a fault unless one was found before.
 func (m *merger) fail(where, wrong string) {
 	if m.fault == nil {
 		m.fault = &Fault{Code: Unreadable, Where: where, Wrong: wrong, Fix: "write lists of limits, tenants, listeners or clusters"}
@@ -75,7 +76,7 @@
 	case "listeners":
 		for _, l := range items.GetArray() {
 			for _, rule := range l.GetArray("policy") {
-				m.upsertRule(l.GetStringBytes("hostname"), rule)
+				m.rule(l.GetStringBytes("hostname"), rule)
 			}
 			if len(l.GetArray("policy")) == 0 {
 				m.upsertItems(m.doc, "listeners", "hostname", []*fastjson.Value{l})
@@ -86,9 +87,9 @@
 	}
 }
 
-// upsertRule adds a rule to a host or replaces the rule of the same name. A rule of that name under
+// rule adds a rule to a host or replaces the rule of the same name. A rule of that name under
 // another host is removed, so that a rule can be moved between hosts.
-func (m *merger) upsertRule(host []byte, rule *fastjson.Value) {
+func (m *merger) rule(host []byte, rule *fastjson.Value) {
 	name := rule.GetStringBytes("name")
 	var listener *fastjson.Value
 	for _, candidate := range m.doc.GetArray("listeners") {
--- a/control/places/absence.go
+++ b/control/places/absence.go
@@ -11,13 +11,11 @@
 
 // AbsenceTracker records, for one registry, since when holders of places have been absent.
 type AbsenceTracker struct {
-	absentSince map[string]time.Duration
+	since map[string]time.Duration
 }
 
 // NewAbsenceTracker returns a tracker in which no holder is absent.
-func NewAbsenceTracker() *AbsenceTracker {
-	return &AbsenceTracker{absentSince: map[string]time.Duration{}}
-}
+func NewAbsenceTracker() *AbsenceTracker { return &AbsenceTracker{since: map[string]time.Duration{}} }
 
 // Update checks which holders of places are present and returns those that have been absent for at least
 // [ReleaseAfterSilence], sorted. A registry that is cut off can't know, so it considers nobody absent.
@@ -28,18 +26,18 @@
 			held[p.Holder()] = true
 		}
 	}
-	for holder := range a.absentSince {
+	for holder := range a.since {
 		if !held[holder] {
-			delete(a.absentSince, holder)
+			delete(a.since, holder)
 		}
 	}
 	for holder := range held {
-		since, absent := a.absentSince[holder]
+		since, absent := a.since[holder]
 		switch {
 		case cutOff || present(holder):
-			delete(a.absentSince, holder)
+			delete(a.since, holder)
 		case !absent:
-			a.absentSince[holder] = now
+			a.since[holder] = now
 		case now-since >= ReleaseAfterSilence:
 			gone = append(gone, holder)
 		}
--- a/control/places/model_test.go
+++ b/control/places/model_test.go
@@ -90,18 +90,18 @@
 			return last, true
 		}
 	}
-	s := NewSettlementTracker()
+	s := NewAckTracker()
 	for i, at := range m.seen {
-		s.ObserveTable(at, m.tables[i], uint64(i+1))
+		s.See(at, m.tables[i], uint64(i+1))
 	}
 	for _, ack := range m.acks {
-		s.RecordAcknowledgement(ack.at, Acknowledgement{Holder: HolderOf("a", "a"), Version: ack.version})
+		s.Hear(ack.at, Acknowledgement{Holder: HolderOf("a", "a"), Version: ack.version})
 	}
-	return s.VersionToSettle(m.now, t)
+	return s.Due(m.now, t)
 }
 
-// change returns the state after a change of the table. ok is false if f changes nothing.
-func (m model) change(f func(t *Table, version uint64) bool) (next model, ok bool) {
+// change returns the state after a change of the table. The second result is false if f changes nothing.
+func (m model) change(f func(t *Table, version uint64) bool) (model, bool) {
 	t := m.table(m.newest())
 	t.Places = append([]Place(nil), t.Places...)
 	if !f(&t, m.newest()+1) {
@@ -238,9 +238,9 @@
 	for range depth {
 		var nextLevel []model
 		for _, m := range level {
-			all, violation := m.next(fault)
-			if violation != "" {
-				return len(seen), violation
+			all, found := m.next(fault)
+			if found != "" {
+				return len(seen), found
 			}
 			for _, x := range all {
 				if k := x.key(); !seen[k] {
--- a/control/places/places_test.go
+++ b/control/places/places_test.go
@@ -96,48 +96,48 @@
 // or once their leases must have expired.
 func TestSettler(t *testing.T) {
 	var x Table
-	s := NewSettlementTracker()
+	s := NewAckTracker()
 	x.Join(1, 1, limiters(0, 3))
-	s.ObserveTable(0, x, 1)
+	s.See(0, x, 1)
 	x.Release(2, []string{"e2@2"})
 	now := 10 * time.Second
-	s.ObserveTable(now, x, 2)
+	s.See(now, x, 2)
 	x.Release(3, []string{"e1@1"})
-	s.ObserveTable(now+time.Second, x, 3)
+	s.See(now+time.Second, x, 3)
 	due := func(at time.Duration, want uint64) {
 		t.Helper()
-		if got, _ := s.VersionToSettle(at, x); got != want {
+		if got, _ := s.Due(at, x); got != want {
 			t.Errorf("settled up to %d after %v, want %d", got, at-now, want)
 		}
 	}
-	s.RecordAcknowledgement(now, Acknowledgement{Holder: "e0@0", Version: 3})
-	s.RecordAcknowledgement(now, Acknowledgement{Holder: "e1@1", Version: 2})
+	s.Hear(now, Acknowledgement{Holder: "e0@0", Version: 3})
+	s.Hear(now, Acknowledgement{Holder: "e1@1", Version: 2})
 	due(now+minAckWait, 0)
-	s.RecordAcknowledgement(now, Acknowledgement{Holder: "e2@2", Version: 3, InMs: 5000})
+	s.Hear(now, Acknowledgement{Holder: "e2@2", Version: 3, InMs: 5000})
 	due(now+minAckWait, 0)
 	due(now+5*time.Second-1, 0)
 	due(now+5*time.Second, 2)
-	s.RecordAcknowledgement(now+5*time.Second, Acknowledgement{Holder: "e1@1", Version: 3, InMs: 2000})
+	s.Hear(now+5*time.Second, Acknowledgement{Holder: "e1@1", Version: 3, InMs: 2000})
 	due(now+6*time.Second, 2)
 	// Another registry that receives these acknowledgements decides the same.
-	other := NewSettlementTracker()
-	other.ObserveTable(now, x, 3)
+	other := NewAckTracker()
+	other.See(now, x, 3)
 	for _, a := range s.Acknowledgements(now+6*time.Second, []string{"e0@0", "e1@1", "e2@2"}) {
-		other.RecordAcknowledgement(now+6*time.Second, a)
+		other.Hear(now+6*time.Second, a)
 	}
-	if got, _ := other.VersionToSettle(now+6*time.Second, x); got != 2 {
+	if got, _ := other.Due(now+6*time.Second, x); got != 2 {
 		t.Errorf("another registry considers the table settled up to %d, want 2", got)
 	}
 	due(now+7*time.Second, 3)
-	if got, _ := other.VersionToSettle(now+8*time.Second, x); got != 3 {
+	if got, _ := other.Due(now+8*time.Second, x); got != 3 {
 		t.Errorf("another registry later considers the table settled up to %d, want 3", got)
 	}
-	silent := NewSettlementTracker()
-	silent.ObserveTable(now, x, 3)
-	if _, ok := silent.VersionToSettle(now+allLeasesExpireWithin-1, x); ok {
+	silent := NewAckTracker()
+	silent.See(now, x, 3)
+	if _, ok := silent.Due(now+allLeasesExpireWithin-1, x); ok {
 		t.Error("settled before all leases have expired")
 	}
-	if got, _ := silent.VersionToSettle(now+allLeasesExpireWithin, x); got != 3 {
+	if got, _ := silent.Due(now+allLeasesExpireWithin, x); got != 3 {
 		t.Error("not settled although all leases have expired")
 	}
 }
--- a/control/places/registrar.go
+++ b/control/places/registrar.go
@@ -10,7 +10,7 @@
 // that limiters send with their pulls, which limiters are silent, and which versions they have
 // acknowledged.
 type Registrar struct {
-	settlement   *SettlementTracker
+	tracker      *AckTracker
 	absences     *AbsenceTracker
 	joinRequests map[string]joinRequest // from limiters without a place, by holder
 	stopped      map[string]bool        // holders that have stopped sending requests
@@ -28,7 +28,7 @@
 
 // NewRegistrar returns a registrar that has received no reports.
 func NewRegistrar() *Registrar {
-	return &Registrar{settlement: NewSettlementTracker(), absences: NewAbsenceTracker(), joinRequests: map[string]joinRequest{}, stopped: map[string]bool{}}
+	return &Registrar{tracker: NewAckTracker(), absences: NewAbsenceTracker(), joinRequests: map[string]joinRequest{}, stopped: map[string]bool{}}
 }
 
 // Changes lists the changes of the table that a registry requests from the core.
@@ -49,16 +49,14 @@
 	Done    bool          // it has stopped sending requests and can be released
 }
 
-// ObserveTable records that a version of the table was received.
-func (r *Registrar) See(now time.Duration, t Table, version uint64) {
-	r.settlement.ObserveTable(now, t, version)
-}
+// Add records that a version of the table was received.
+func (r *Registrar) See(now time.Duration, t Table, version uint64) { r.tracker.See(now, t, version) }
 
-// HandleReport processes a report from a limiter and reports whether a change is due because of it.
+// Receive processes a report from a limiter and reports whether a change is due because of it.
 func (r *Registrar) Hear(now time.Duration, t Table, report Report) (due bool) {
 	holder := report.Place.Holder()
 	if report.Version > 0 {
-		r.settlement.RecordAcknowledgement(now, Acknowledgement{Holder: holder, Version: report.Version, InMs: uint64(report.Loans / time.Millisecond)})
+		r.tracker.Hear(now, Acknowledgement{Holder: holder, Version: report.Version, InMs: uint64(report.Loans / time.Millisecond)})
 	}
 	has := t.SlotOf(report.Place.Name, report.Place.IP) >= 0
 	delete(r.joinRequests, holder)
@@ -74,7 +72,7 @@
 	return true
 }
 
-// DueChanges returns the changes that are due. A registry that is cut off from the others releases nobody
+// Due returns the changes that are due. A registry that is cut off from the others releases nobody
 // for being silent. present reports whether a holder is known to be running.
 func (r *Registrar) Due(now time.Duration, t Table, cutOff bool, present func(holder string) bool) (c Changes) {
 	for holder, j := range r.joinRequests {
@@ -95,27 +93,25 @@
 	}
 	slices.Sort(c.Release)
 	c.Release = slices.Compact(c.Release)
-	if version, ok := r.settlement.VersionToSettle(now, t); ok {
+	if version, ok := r.tracker.Due(now, t); ok {
 		c.Settle = version
 	}
 	return c
 }
 
-// AwaitedHolders returns the holders whose acknowledgements are missing for the newest change that could
+// Awaited returns the holders whose acknowledgements are missing for the newest change that could
 // be settled now. Other registries may have received them.
-func (r *Registrar) Wanted(now time.Duration, t Table) []string {
-	return r.settlement.AwaitedHolders(now, t)
-}
+func (r *Registrar) Wanted(now time.Duration, t Table) []string { return r.tracker.Wanted(now, t) }
 
 // Acknowledgements returns the acknowledgements received from some holders, to be sent to another registry.
 func (r *Registrar) Acknowledgements(now time.Duration, holders []string) []Acknowledgement {
-	return r.settlement.Acknowledgements(now, holders)
+	return r.tracker.Acknowledgements(now, holders)
 }
 
-// RecordAcknowledgements records acknowledgements that another registry has received.
+// ReceiveAcknowledgements records acknowledgements that another registry has received.
 func (r *Registrar) HearAll(now time.Duration, all []Acknowledgement) {
 	for _, a := range all {
-		r.settlement.RecordAcknowledgement(now, a)
+		r.tracker.Hear(now, a)
 	}
 }
 
@@ -131,5 +127,5 @@
 	default:
 		return "held", 0, nil
 	}
-	return state, r.settlement.MaxTimeLeft(now, change), r.settlement.MissingHolders(now, &t, change)
+	return state, r.tracker.MaxTimeLeft(now, change), r.tracker.MissingHolders(now, &t, change)
 }
--- a/control/places/settler.go
+++ b/control/places/settler.go
@@ -15,74 +15,72 @@
 	InMs uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// receivedAck is an acknowledgement with its effective time on the local clock.
-type receivedAck struct {
+// received is an acknowledgement with its effective time on the local clock.
+type received struct {
 	version     uint64
 	effectiveAt time.Duration // it takes effect then
 }
 
-// observedVersion is a version with the time at which it was first observed.
-type observedVersion struct {
+// observed is a version with the time at which it was first observed.
+type observed struct {
 	version    uint64
 	observedAt time.Duration
 }
 
-// SettlementTracker determines, for one registry, up to which version the table is settled. It decides by
+// AckTracker determines, for one registry, up to which version the table is settled. It decides by
 // the acknowledgements of the limiters and by the time since each version was first observed.
-type SettlementTracker struct {
-	observed         []observedVersion // by ascending version
-	acknowledgements map[string][]receivedAck
+type AckTracker struct {
+	observed []observed // by ascending version
+	received map[string][]received
 }
 
-// NewSettlementTracker returns a tracker that has observed no version.
-func NewSettlementTracker() *SettlementTracker {
-	return &SettlementTracker{acknowledgements: map[string][]receivedAck{}}
-}
+// NewAckTracker returns a tracker that has observed no version.
+func NewAckTracker() *AckTracker { return &AckTracker{received: map[string][]received{}} }
 
-// ObserveTable records that a version of the table was received, and drops entries that are no longer needed.
-func (s *SettlementTracker) ObserveTable(now time.Duration, t Table, version uint64) {
+// Add records that a version of the table was received, and drops entries that are no longer needed.
+func (s *AckTracker) See(now time.Duration, t Table, version uint64) {
 	if n := len(s.observed); n == 0 || s.observed[n-1].version < version {
-		s.observed = append(s.observed, observedVersion{version, now})
+		s.observed = append(s.observed, observed{version, now})
 	}
 	changes := t.UnsettledVersions()
-	s.observed = slices.DeleteFunc(s.observed, func(observed observedVersion) bool {
-		return len(changes) == 0 || observed.version < changes[0]
+	s.observed = slices.DeleteFunc(s.observed, func(x observed) bool {
+		return len(changes) == 0 || x.version < changes[0]
 	})
-	for holder := range s.acknowledgements {
+	for holder := range s.received {
 		if t.slotOfHolder(holder) < 0 {
-			delete(s.acknowledgements, holder)
+			delete(s.received, holder)
 		}
 	}
 }
 
-// RecordAcknowledgement records an acknowledgement received at the time now.
-func (s *SettlementTracker) RecordAcknowledgement(now time.Duration, a Acknowledgement) {
+// Receive records an acknowledgement received at the time now.
+func (s *AckTracker) Hear(now time.Duration, a Acknowledgement) {
 	effectiveAt := now + time.Duration(a.InMs)*time.Millisecond
-	all := slices.DeleteFunc(s.acknowledgements[a.Holder], func(ack receivedAck) bool {
+	all := slices.DeleteFunc(s.received[a.Holder], func(ack received) bool {
 		return ack.version <= a.Version && ack.effectiveAt >= effectiveAt // subsumed by the new one
 	})
-	known := slices.ContainsFunc(all, func(ack receivedAck) bool { return ack.version >= a.Version && ack.effectiveAt <= effectiveAt })
+	known := slices.ContainsFunc(all, func(ack received) bool { return ack.version >= a.Version && ack.effectiveAt <= effectiveAt })
 	if !known {
-		all = append(all, receivedAck{a.Version, effectiveAt})
+		all = append(all, received{a.Version, effectiveAt})
 	}
-	s.acknowledgements[a.Holder] = forgetSuperseded(now, all)
+	s.received[a.Holder] = forgetSuperseded(now, all)
 }
 
 // forgetSuperseded drops acknowledgements of versions older than the newest one in effect.
-func forgetSuperseded(now time.Duration, all []receivedAck) []receivedAck {
+func forgetSuperseded(now time.Duration, all []received) []received {
 	newest := uint64(0)
 	for _, ack := range all {
 		if ack.effectiveAt <= now {
 			newest = max(newest, ack.version)
 		}
 	}
-	return slices.DeleteFunc(all, func(ack receivedAck) bool { return ack.version < newest })
+	return slices.DeleteFunc(all, func(ack received) bool { return ack.version < newest })
 }
 
 // Acknowledgements returns the acknowledgements received from some holders, to be sent to another registry.
-func (s *SettlementTracker) Acknowledgements(now time.Duration, holders []string) (all []Acknowledgement) {
+func (s *AckTracker) Acknowledgements(now time.Duration, holders []string) (all []Acknowledgement) {
 	for _, holder := range holders {
-		for _, ack := range s.acknowledgements[holder] {
+		for _, ack := range s.received[holder] {
 			in := max(0, ack.effectiveAt-now+time.Millisecond-1)
 			all = append(all, Acknowledgement{Holder: holder, Version: ack.version, InMs: uint64(in / time.Millisecond)})
 		}
@@ -90,9 +88,9 @@
 	return all
 }
 
-// AwaitedHolders returns the holders whose acknowledgements are missing for the newest change that was
+// Awaited returns the holders whose acknowledgements are missing for the newest change that was
 // first observed at least [minAckWait] ago.
-func (s *SettlementTracker) AwaitedHolders(now time.Duration, t Table) []string {
+func (s *AckTracker) Wanted(now time.Duration, t Table) []string {
 	for _, change := range slices.Backward(t.UnsettledVersions()) {
 		if observedAt, ok := s.firstObserved(change); ok && now-observedAt >= minAckWait {
 			return s.MissingHolders(now, &t, change)
@@ -101,9 +99,9 @@
 	return nil
 }
 
-// VersionToSettle returns the newest version up to which the table is settled. ok is false if the table
+// Due returns the newest version up to which the table is settled. ok is false if the table
 // already has it, or a later one, as its settled version.
-func (s *SettlementTracker) VersionToSettle(now time.Duration, t Table) (version uint64, ok bool) {
+func (s *AckTracker) Due(now time.Duration, t Table) (version uint64, ok bool) {
 	changes := t.UnsettledVersions()
 	for _, change := range slices.Backward(changes) {
 		if s.isSettled(now, &t, change) {
@@ -115,7 +113,7 @@
 }
 
 // isSettled reports whether nobody uses a table older than the one with a change any more.
-func (s *SettlementTracker) isSettled(now time.Duration, t *Table, change uint64) bool {
+func (s *AckTracker) isSettled(now time.Duration, t *Table, change uint64) bool {
 	observedAt, ok := s.firstObserved(change)
 	switch {
 	case !ok:
@@ -129,8 +127,8 @@
 }
 
 // firstObserved returns the time at which a version or a later one was first observed.
-func (s *SettlementTracker) firstObserved(version uint64) (at time.Duration, ok bool) {
-	i := slices.IndexFunc(s.observed, func(observed observedVersion) bool { return observed.version >= version })
+func (s *AckTracker) firstObserved(version uint64) (observedAt time.Duration, ok bool) {
+	i := slices.IndexFunc(s.observed, func(x observed) bool { return x.version >= version })
 	if i < 0 {
 		return 0, false
 	}
@@ -139,16 +137,16 @@
 
 // MissingHolders returns the holders of shares under tables older than a version that have not yet
 // acknowledged that version or a later one, sorted.
-func (s *SettlementTracker) MissingHolders(now time.Duration, t *Table, version uint64) []string {
+func (s *AckTracker) MissingHolders(now time.Duration, t *Table, version uint64) []string {
 	return slices.DeleteFunc(t.HoldersBefore(version), func(holder string) bool {
-		return slices.ContainsFunc(s.acknowledgements[holder], func(ack receivedAck) bool {
+		return slices.ContainsFunc(s.received[holder], func(ack received) bool {
 			return ack.version >= version && ack.effectiveAt <= now
 		})
 	})
 }
 
 // MaxTimeLeft returns the longest time that it can take until a version is settled.
-func (s *SettlementTracker) MaxTimeLeft(now time.Duration, version uint64) time.Duration {
+func (s *AckTracker) MaxTimeLeft(now time.Duration, version uint64) time.Duration {
 	observedAt, ok := s.firstObserved(version)
 	if !ok {
 		return allLeasesExpireWithin
--- a/control/places/table.go
+++ b/control/places/table.go
@@ -9,7 +9,7 @@
 // A change of the table takes effect in two steps. A limiter that learns of it immediately reduces its
 // share where the new table grants less, and increases it only when the change is settled. A change is
 // settled when nobody can use an older table any more, because all who held a share under one have
-// acknowledged the newer table or their leases have expired (see [SettlementTracker]). At any time each
+// acknowledged the newer table or their leases have expired (see [AckTracker]). At any time each
 // limiter uses the smallest of its shares under all tables from the settled one to the newest that it
 // knows. The oldest table that is still in use is among these for every limiter, so the sum of all
 // shares never exceeds one.
