--- a/control/catalog/catalog.go
+++ b/control/catalog/catalog.go
@@ -41,7 +41,7 @@
 	Service  string `cbor:"2,keyasint,omitempty"`
 	Address  string `cbor:"3,keyasint,omitempty"`
 	Zone     string `cbor:"4,keyasint,omitempty"`
-	Slots    int    `cbor:"5,keyasint,omitempty"`
+	Slots    int    `cbor:"5,keyasint,omitempty"` // requests that it can process at the same time
 	State    State  `cbor:"6,keyasint,omitempty"`
 	Sequence uint64 `cbor:"7,keyasint,omitempty"` // of the heartbeat that the record is based on
 	WarmMs   uint64 `cbor:"8,keyasint,omitempty"` // remaining warm-up time when the record was sent
@@ -67,6 +67,7 @@
 	return a.State > b.State
 }
 
+// entry is a record with local times, in milliseconds.
 type entry struct {
 	Record
 	warmUntil  float64 // time at which the warm-up ends
@@ -129,7 +130,7 @@
 // as a change.
 const warmupToleranceMs = 400.0
 
-// Heartbeat applies a heartbeat from a server and reports whether it changes something that other
+// ApplyHeartbeat applies a heartbeat from a server and reports whether it changes something that other
 // processes must learn. A heartbeat that was overtaken by a later one is ignored.
 func (b *Book) Beat(now float64, r Record) (changed bool) {
 	e := b.lookup(r.ID)
@@ -215,7 +216,7 @@
 	return changed
 }
 
-// RecordsAfter returns the records that a process with version vector v lacks.
+// Since returns the records that a process with version vector v lacks.
 func (b *Book) Since(now float64, v Vector) (records []Record) {
 	b.records.Ascend(func(e *entry) bool {
 		if e.Version > v[e.Source] {
@@ -246,10 +247,11 @@
 }
 
 // Expire marks servers and limiters as silent whose heartbeats have ceased, deletes records that have
-// been gone or silent for [retentionMs], and reports whether a record was marked. servers and limiters
-// are the longest accepted times without a heartbeat, in milliseconds. alive reports whether another
-// source still runs; such a source expires its own records. A process that is cut off from the majority
-// must not call Expire: it can't distinguish silent servers from servers across the partition.
+// been gone or silent for retentionMs, and reports whether a record was marked. servers and limiters
+// are the longest accepted times without a heartbeat, in milliseconds; twice that time applies to records
+// of other sources. alive reports whether another source still runs; such a source expires its own records.
+// A process that is cut off from the majority must not call Expire: it can't distinguish silent servers
+// from servers across the partition.
 func (b *Book) Expire(now, servers, limiters float64, alive func(source string) bool) (changed bool) {
 	var silent, forgotten []*entry
 	b.records.Ascend(func(e *entry) bool {
--- a/control/configuration/configuration.go
+++ b/control/configuration/configuration.go
@@ -52,8 +52,8 @@
 	Name     string
 	Keys     []string
 	Priority int
-	Rate     float64 // requests per second across all limiters; 0: no limit
-	Burst    float64
+	Rate     float64  // requests per second across all limiters; 0: no limit
+	Burst    float64  // requests
 	Homes    []string // regions that may serve it; empty: all
 }
 
@@ -80,17 +80,17 @@
 type Service struct {
 	Name        string
 	HealthPath  string
-	Connections int
-	Warmup      time.Duration
-	ColdPerS    float64
+	Connections int           // max_connections in the text
+	Warmup      time.Duration // time for which a new server is cold
+	ColdPerS    float64       // requests per second that a cold server may receive; cold_per_s in the text
 }
 
 // Fault describes why a configuration or a change is rejected. It is sent to the operator.
 type Fault struct {
 	Code  string // one of the constants below
 	Where string // path of the item, such as listeners[0].policy[1].forward_action.timeout
-	Wrong string
-	Fix   string
+	Wrong string // what is wrong
+	Fix   string // what the operator can do about it
 }
 
 // Codes of a [Fault].
@@ -244,7 +244,7 @@
 // maxDuration is the longest duration that is accepted.
 const maxDuration = 1000 * 24 * time.Hour
 
-// ParseDuration parses a duration: a number followed by ms or s.
+// Duration parses a duration: a number followed by ms or s.
 func Duration(text string) (time.Duration, bool) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(text, "ms")
--- a/control/places/registrar.go
+++ b/control/places/registrar.go
@@ -28,7 +28,8 @@
 
 // NewRegistrar returns a registrar that has received no reports.
 func NewRegistrar() *Registrar {
-	return &Registrar{tracker: NewAckTracker(), absences: NewAbsenceTracker(), joinRequests: map[string]joinRequest{}, stopped: map[string]bool{}}
+	return &Registrar{tracker: NewAckTracker(), absences: NewAbsenceTracker(),
+		joinRequests: map[string]joinRequest{}, stopped: map[string]bool{}}
 }
 
 // Changes lists the changes of the table that a registry requests from the core.
@@ -56,7 +57,8 @@
 func (r *Registrar) Hear(now time.Duration, t Table, report Report) (due bool) {
 	holder := report.Place.Holder()
 	if report.Version > 0 {
-		r.tracker.Hear(now, Acknowledgement{Holder: holder, Version: report.Version, InMs: uint64(report.Loans / time.Millisecond)})
+		r.tracker.Hear(now, Acknowledgement{Holder: holder, Version: report.Version,
+			InMs: uint64(report.Loans / time.Millisecond)})
 	}
 	has := t.SlotOf(report.Place.Name, report.Place.IP) >= 0
 	delete(r.joinRequests, holder)
--- a/control/places/settler.go
+++ b/control/places/settler.go
@@ -18,7 +18,7 @@
 // received is an acknowledgement with its effective time on the local clock.
 type received struct {
 	version     uint64
-	effectiveAt time.Duration // it takes effect then
+	effectiveAt time.Duration
 }
 
 // observed is a version with the time at which it was first observed.
@@ -59,7 +59,8 @@
 	all := slices.DeleteFunc(s.received[a.Holder], func(ack received) bool {
 		return ack.version <= a.Version && ack.effectiveAt >= effectiveAt // subsumed by the new one
 	})
-	known := slices.ContainsFunc(all, func(ack received) bool { return ack.version >= a.Version && ack.effectiveAt <= effectiveAt })
+	known := slices.ContainsFunc(all,
+		func(ack received) bool { return ack.version >= a.Version && ack.effectiveAt <= effectiveAt })
 	if !known {
 		all = append(all, received{a.Version, effectiveAt})
 	}
