--- a/advice/advice.go
+++ b/advice/advice.go
@@ -42,7 +42,7 @@
 }
 
 // within brings advice within a grant. NaN and infinities are no opinion.
-func (g *Grant) within(a Advice) Advice {
+func (g *Grant) clamp(a Advice) Advice {
 	a.Refuse = a.Refuse && g.Refuse
 	if !(a.WaitMs > 0) || !a.Refuse {
 		a.WaitMs = 0
@@ -76,7 +76,7 @@
 )
 
 // mostLabels bounds the labels of one request.
-const mostLabels = 8
+const maxLabels = 8
 
 // Combined is what several plug-ins say together. Make one with [Start].
 type Combined struct {
@@ -97,15 +97,15 @@
 // the next one is to be asked: the first refusal ends it. Factors multiply, labels add up,
 // the first preference for a tier holds and any tier that one avoids is avoided.
 func (c *Combined) Add(place int, g *Grant, a Advice) (more bool) {
-	a = g.within(a)
+	a = g.clamp(a)
 	c.Factor = max(LeastFactor, min(MostFactor, c.Factor*a.Priority))
-	if a.Label != "" && len(c.Labels) < mostLabels {
+	if a.Label != "" && len(c.Labels) < maxLabels {
 		c.Labels = append(c.Labels, a.Label)
 	}
 	if c.Prefer == "" {
 		c.Prefer = a.Prefer
 	}
-	if a.Avoid != "" && len(c.Avoid) < mostLabels {
+	if a.Avoid != "" && len(c.Avoid) < maxLabels {
 		c.Avoid = append(c.Avoid, a.Avoid)
 	}
 	if a.Refuse {
--- a/advice/advice_test.go
+++ b/advice/advice_test.go
@@ -66,7 +66,7 @@
 		"header beyond":  {change(3, 255), ErrLayout},
 		"kind":           {change(4, 2), ErrLayout},
 		"text beyond":    {change(30, 200), ErrLayout},
-		"text too long":  {(&Advice{Label: strings.Repeat("x", mostText+1)}).Append(nil), ErrText},
+		"text too long":  {(&Advice{Label: strings.Repeat("x", maxTextBytes+1)}).Append(nil), ErrText},
 		"text not UTF-8": {(&Advice{Label: "\xff\xfe"}).Append(nil), ErrText},
 	} {
 		if got, err := Decode(c.b); !errors.Is(err, c.want) || got != (Advice{}) && err != nil && got.Reason != "" {
--- a/advice/wire.go
+++ b/advice/wire.go
@@ -26,9 +26,9 @@
 //	                          56 and for each header u16 name, u16 value
 //	                             and last, if flag 2 is set, u32 length of the body
 const (
-	requestHeader = 56
-	flagRetry     = 1
-	flagBody      = 2
+	requestHeaderBytes = 56
+	flagRetry          = 1
+	flagBody           = 2
 )
 
 // MostRequest is the most bytes that a request takes without its body; what is longer
@@ -64,7 +64,7 @@
 func (r *Request) Append(b []byte) []byte {
 	le := binary.LittleEndian
 	headers, path := r.Headers, r.Path
-	size := requestHeader + len(r.PlanName) + len(r.ClassName) + len(r.Method) + len(path)
+	size := requestHeaderBytes + len(r.PlanName) + len(r.ClassName) + len(r.Method) + len(path)
 	for i, h := range headers {
 		if size += 4 + len(h[0]) + len(h[1]); size > MostRequest || i == math.MaxUint16 {
 			headers = headers[:i]
@@ -78,7 +78,7 @@
 	if r.Retry {
 		flags |= flagRetry
 	}
-	header, body := requestHeader+4*len(headers), r.Body
+	header, body := requestHeaderBytes+4*len(headers), r.Body
 	if body != nil {
 		flags |= flagBody
 		header += 4
@@ -116,14 +116,14 @@
 // version is passed over.
 func DecodeRequest(b []byte) (r Request, err error) {
 	le := binary.LittleEndian
-	if len(b) < requestHeader {
+	if len(b) < requestHeaderBytes {
 		return r, fmt.Errorf("%w: a request of %d bytes", ErrLayout, len(b))
 	}
 	if v := le.Uint16(b); v != Version {
 		return r, fmt.Errorf("%w: a request of version %d", ErrVersion, v)
 	}
 	header, headers := int(le.Uint16(b[2:])), int(le.Uint16(b[20:]))
-	flags, fixed := le.Uint32(b[4:]), requestHeader+4*headers
+	flags, fixed := le.Uint32(b[4:]), requestHeaderBytes+4*headers
 	withBody := flags&flagBody != 0
 	if header < fixed || withBody && header < fixed+4 || header > len(b) {
 		return r, fmt.Errorf("%w: a header of %d bytes", ErrLayout, header)
@@ -168,14 +168,14 @@
 //	8 f64 time to come back, ms    28 u16 ... of the tier to prefer
 //	                               30 u16 ... of the tier to avoid
 const (
-	adviceHeader = 32
-	kindRefuse   = 1
+	adviceHeaderBytes = 32
+	kindRefuse        = 1
 )
 
 // Bounds of what a plug-in may write, in bytes.
 const (
-	MostAdvice = 1 << 10
-	mostText   = 200
+	MostAdvice   = 1 << 10
+	maxTextBytes = 200
 )
 
 // The errors of advice that can't be used; all are the plug-in's fault.
@@ -188,14 +188,14 @@
 // Decode reads advice. Whatever the bytes are, it returns advice or one of the errors.
 func Decode(b []byte) (a Advice, err error) {
 	le := binary.LittleEndian
-	if len(b) < adviceHeader || len(b) > MostAdvice {
+	if len(b) < adviceHeaderBytes || len(b) > MostAdvice {
 		return a, fmt.Errorf("%w: %d bytes", ErrLayout, len(b))
 	}
 	if v := le.Uint16(b); v != Version {
 		return a, fmt.Errorf("%w: %d, this is %d", ErrVersion, v, Version)
 	}
 	header, kind := int(le.Uint16(b[2:])), le.Uint32(b[4:])
-	if header < adviceHeader || header > len(b) || kind > kindRefuse {
+	if header < adviceHeaderBytes || header > len(b) || kind > kindRefuse {
 		return a, fmt.Errorf("%w: a header of %d bytes, kind %d", ErrLayout, header, kind)
 	}
 	a.Refuse = kind == kindRefuse
@@ -206,17 +206,17 @@
 		if n > len(b)-at {
 			return Advice{}, fmt.Errorf("%w: a text beyond its end", ErrLayout)
 		}
-		if n > mostText || !utf8.Valid(b[at:at+n]) {
+		if n > maxTextBytes || !utf8.Valid(b[at:at+n]) {
 			return Advice{}, fmt.Errorf("%w: %d bytes", ErrText, n)
 		}
-		*to = clean(b[at : at+n])
+		*to = sanitize(b[at : at+n])
 		at += n
 	}
 	return a, nil
 }
 
 // clean is a text that can go into a log: control characters become blanks.
-func clean(b []byte) string {
+func sanitize(b []byte) string {
 	s := []rune(string(b))
 	for i, r := range s {
 		if r < ' ' || r == 0x7f || r == 0x85 || r == 0x2028 || r == 0x2029 {
@@ -233,7 +233,7 @@
 	if a.Refuse {
 		kind = kindRefuse
 	}
-	b = le.AppendUint32(le.AppendUint16(le.AppendUint16(b, Version), adviceHeader), kind)
+	b = le.AppendUint32(le.AppendUint16(le.AppendUint16(b, Version), adviceHeaderBytes), kind)
 	b = le.AppendUint64(le.AppendUint64(b, math.Float64bits(a.WaitMs)), math.Float64bits(a.Priority))
 	for _, s := range []string{a.Reason, a.Label, a.Prefer, a.Avoid} {
 		b = le.AppendUint16(b, uint16(len(s)))
--- a/durable/bench_test.go
+++ b/durable/bench_test.go
@@ -25,30 +25,30 @@
 		b.Run(fmt.Sprint("folder/all/", n), func(b *testing.B) {
 			f, _ := open(b, b.TempDir(), Options{Owner: "n0"})
 			for b.Loop() {
-				whole(b, f, n)
+				writeBenchSnapshot(b, f, n)
 			}
-			b.ReportMetric(float64(f.whole)/1024, "KiB")
+			b.ReportMetric(float64(f.snapshotSize)/1024, "KiB")
 		})
 		b.Run(fmt.Sprint("bbolt/all/", n), func(b *testing.B) {
-			db := bolt(b)
+			db := openBolt(b)
 			for b.Loop() {
-				put(b, db, 0, n)
+				putBolt(b, db, 0, n)
 			}
 		})
 		b.Run(fmt.Sprint("folder/some/", n), func(b *testing.B) {
 			f, _ := open(b, b.TempDir(), Options{Owner: "n0"})
-			whole(b, f, n)
+			writeBenchSnapshot(b, f, n)
 			var some []Record
 			for k := range n / 100 {
 				some = append(some, Record{Kind: 1, Key: k * 100, Value: value(k, valueBytes)})
 			}
 			for b.Loop() {
-				appends(b, f, some...)
+				mustAppend(b, f, some...)
 			}
 		})
 		b.Run(fmt.Sprint("bbolt/some/", n), func(b *testing.B) {
-			db := bolt(b)
-			put(b, db, 0, n)
+			db := openBolt(b)
+			putBolt(b, db, 0, n)
 			for b.Loop() {
 				if err := db.Update(func(tx *bbolt.Tx) error {
 					for k := range n / 100 {
@@ -65,7 +65,7 @@
 		b.Run(fmt.Sprint("folder/recover/", n), func(b *testing.B) {
 			dir := b.TempDir()
 			f, _ := open(b, dir, Options{Owner: "n0"})
-			whole(b, f, n)
+			writeBenchSnapshot(b, f, n)
 			f.Abandon()
 			for b.Loop() {
 				f, r := open(b, dir, Options{Owner: "n0"})
@@ -78,7 +78,7 @@
 	}
 }
 
-func whole(b *testing.B, f *Folder, n uint64) {
+func writeBenchSnapshot(b *testing.B, f *Folder, n uint64) {
 	err := f.Snapshot(func(put func(Record) error) error {
 		for k := range n {
 			if err := put(Record{Kind: 1, Key: k, Value: value(k, valueBytes)}); err != nil {
@@ -92,7 +92,7 @@
 	}
 }
 
-func bolt(b *testing.B) *bbolt.DB {
+func openBolt(b *testing.B) *bbolt.DB {
 	db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), 0o600, nil)
 	if err != nil {
 		b.Fatal(err)
@@ -101,7 +101,7 @@
 	return db
 }
 
-func put(b *testing.B, db *bbolt.DB, from, to uint64) {
+func putBolt(b *testing.B, db *bbolt.DB, from, to uint64) {
 	err := db.Update(func(tx *bbolt.Tx) error {
 		bucket, err := tx.CreateBucketIfNotExists([]byte("a"))
 		for k := from; k < to && err == nil; k++ {
--- a/durable/boot.go
+++ b/durable/boot.go
@@ -10,7 +10,7 @@
 
 // bootOf is the machine's present life, and how long it has lasted, also while the machine
 // slept; "" where the system does not tell.
-func bootOf() (id string, up time.Duration) {
+func readBootClock() (id string, up time.Duration) {
 	data, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
 		return "", 0
--- a/durable/disk.go
+++ b/durable/disk.go
@@ -16,7 +16,7 @@
 	// Extend for writing behind what is there.
 	Open(path string) (diskFile, error)
 	Create(path string, fresh bool) (diskFile, error)
-	Extend(path string) (diskFile, error)
+	OpenAppend(path string) (diskFile, error)
 	Rename(from, to string) error
 	Remove(path string) error
 	List(dir string) ([]string, error)
@@ -31,7 +31,7 @@
 }
 
 // system is the machine's own disk.
-type system struct{}
+type systemDisk struct{}
 
 type systemFile struct{ *os.File }
 
@@ -46,16 +46,16 @@
 	return 0, nil
 }
 
-func opened(f *os.File, err error) (diskFile, error) {
+func wrapFile(f *os.File, err error) (diskFile, error) {
 	if err != nil {
 		return nil, err
 	}
 	return systemFile{f}, nil
 }
 
-func (system) MkdirAll(dir string) error { return os.MkdirAll(dir, 0o700) }
+func (systemDisk) MkdirAll(dir string) error { return os.MkdirAll(dir, 0o700) }
 
-func (system) Lock(path string) (io.Closer, error) {
+func (systemDisk) Lock(path string) (io.Closer, error) {
 	lock, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
@@ -70,24 +70,24 @@
 	return lock, nil
 }
 
-func (system) Open(path string) (diskFile, error) { return opened(os.Open(path)) }
+func (systemDisk) Open(path string) (diskFile, error) { return wrapFile(os.Open(path)) }
 
-func (system) Create(path string, fresh bool) (diskFile, error) {
+func (systemDisk) Create(path string, fresh bool) (diskFile, error) {
 	flag := os.O_TRUNC
 	if fresh {
 		flag = os.O_EXCL
 	}
-	return opened(os.OpenFile(path, os.O_WRONLY|os.O_CREATE|flag, 0o600))
+	return wrapFile(os.OpenFile(path, os.O_WRONLY|os.O_CREATE|flag, 0o600))
 }
 
-func (system) Extend(path string) (diskFile, error) {
-	return opened(os.OpenFile(path, os.O_WRONLY|os.O_APPEND, 0))
+func (systemDisk) OpenAppend(path string) (diskFile, error) {
+	return wrapFile(os.OpenFile(path, os.O_WRONLY|os.O_APPEND, 0))
 }
 
-func (system) Rename(from, to string) error { return os.Rename(from, to) }
-func (system) Remove(path string) error     { return os.Remove(path) }
+func (systemDisk) Rename(from, to string) error { return os.Rename(from, to) }
+func (systemDisk) Remove(path string) error     { return os.Remove(path) }
 
-func (system) List(dir string) (names []string, err error) {
+func (systemDisk) List(dir string) (names []string, err error) {
 	entries, err := os.ReadDir(dir)
 	for _, e := range entries {
 		names = append(names, e.Name())
@@ -95,7 +95,7 @@
 	return names, err
 }
 
-func (system) SyncDir(dir string) error {
+func (systemDisk) SyncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
 		return err
--- a/durable/durable.go
+++ b/durable/durable.go
@@ -32,23 +32,23 @@
 	Owner      string `json:"owner"`   // of the folder: another one's is not read
 	Wall       int64  `json:"wall_ms"` // Unix time
 	Boot       string `json:"boot"`    // of the machine's start; see Up
-	Up         int64  `json:"up_ms"`   // since that start, also while it slept
+	UptimeMs   int64  `json:"up_ms"`   // since that start, also while it slept
 	Inode      uint64 `json:"inode"`   // of the file itself: a copy has another
 }
 
 // Options are what a folder is opened with.
 type Options struct {
-	Owner string           // who keeps what in it, such as a limiter's name
-	Now   func() time.Time // time.Now if nil
-	Boot  func() (id string, up time.Duration)
-	Most  int64 // bytes of a snapshot, and of a log; 0: no bound
-	disk  disk  // the system's if nil
+	Owner    string           // who keeps what in it, such as a limiter's name
+	Now      func() time.Time // time.Now if nil
+	Boot     func() (id string, up time.Duration)
+	MaxBytes int64 // bytes of a snapshot, and of a log; 0: no bound
+	disk     disk  // the system's if nil
 }
 
 // Uptime is how long the machine has run, also while it slept, by a clock that nobody sets; 0
 // where the system does not tell.
 func Uptime() time.Duration {
-	_, up := bootOf()
+	_, up := readBootClock()
 	return up
 }
 
@@ -63,26 +63,26 @@
 	// Intact tells that nothing of what the process before had on the disk is missing, as far
 	// as can be told, and that this process is the first to go on from it; as with Clean, of
 	// one that was killed too.
-	Intact  bool
-	Up      time.Duration // now, by Uptime's clock
-	Moved   bool          // the files are copies, or the machine has started anew since
-	Age     time.Duration // of the snapshot
-	Down    time.Duration // with Clean: since that end, by a clock that nobody sets
-	Records []Record      // in the order in which they were written: the last of a key holds
-	Notes   []string      // what was passed over, and why
+	Intact   bool
+	Uptime   time.Duration // now, by Uptime's clock
+	Moved    bool          // the files are copies, or the machine has started anew since
+	Age      time.Duration // of the snapshot
+	Downtime time.Duration // with Clean: since that end, by a clock that nobody sets
+	Records  []Record      // in the order in which they were written: the last of a key holds
+	Notes    []string      // what was passed over, and why
 }
 
 // Folder is one that this process owns. Its methods are not safe for concurrent use.
 type Folder struct {
-	dir   string
-	o     Options
-	lock  io.Closer
-	log   diskFile
-	gen   uint64
-	size  int64 // bytes of the log
-	whole int64 // bytes of the snapshot
-	buf   []byte
-	err   error // of a write: the log takes nothing more, until a snapshot is written
+	dir          string
+	options      Options
+	lock         io.Closer
+	log          diskFile
+	generation   uint64
+	logSize      int64 // bytes of the log
+	snapshotSize int64 // bytes of the snapshot
+	buf          []byte
+	err          error // of a write: the log takes nothing more, until a snapshot is written
 }
 
 // Errors of opening.
@@ -97,7 +97,7 @@
 	lockName   = "lock"
 	snapSuffix = ".snapshot"
 	logSuffix  = ".log"
-	partSuffix = ".part"
+	tempSuffix = ".part"
 )
 
 // Open takes a folder, which is made if it is not there, and reads what is in it. What can't
@@ -107,10 +107,10 @@
 		o.Now = time.Now
 	}
 	if o.Boot == nil {
-		o.Boot = bootOf
+		o.Boot = readBootClock
 	}
 	if o.disk == nil {
-		o.disk = system{}
+		o.disk = systemDisk{}
 	}
 	if err := o.disk.MkdirAll(dir); err != nil {
 		return nil, nil, fmt.Errorf("durable: %w", err)
@@ -122,10 +122,10 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("durable: lock: %w", err)
 	}
-	f := &Folder{dir: dir, o: o, lock: lock}
+	f := &Folder{dir: dir, options: o, lock: lock}
 	r, err := f.recover()
 	if err == nil && r.Intact {
-		err = f.take(r.Stamp.Generation)
+		err = f.markTaken(r.Stamp.Generation)
 	}
 	if err != nil {
 		lock.Close()
@@ -140,20 +140,20 @@
 
 // generations are those of which a file is there, the latest first.
 func (f *Folder) generations() ([]uint64, error) {
-	names, err := f.o.disk.List(f.dir)
+	names, err := f.options.disk.List(f.dir)
 	if err != nil {
 		return nil, fmt.Errorf("durable: %w", err)
 	}
 	for _, name := range names {
-		if strings.HasSuffix(name, partSuffix) { // of a process that was killed
-			f.o.disk.Remove(filepath.Join(f.dir, name))
+		if strings.HasSuffix(name, tempSuffix) { // of a process that was killed
+			f.options.disk.Remove(filepath.Join(f.dir, name))
 		}
 	}
-	return generations(names), nil
+	return parseGenerations(names), nil
 }
 
 // generations are those that files are named after, the latest first.
-func generations(names []string) (all []uint64) {
+func parseGenerations(names []string) (all []uint64) {
 	for _, full := range names {
 		name, ok := strings.CutSuffix(full, snapSuffix)
 		if !ok {
@@ -176,10 +176,10 @@
 	}
 	r := &Recovered{}
 	if len(all) > 0 {
-		f.gen = all[0] // a new one is written above all that there are
+		f.generation = all[0] // a new one is written above all that there are
 	}
 	for _, gen := range all {
-		if f.read(gen, r) {
+		if f.readGeneration(gen, r) {
 			break
 		}
 	}
@@ -190,8 +190,8 @@
 }
 
 // take marks the end of a log as gone on from, on the disk, before anybody does.
-func (f *Folder) take(gen uint64) error {
-	log, err := f.o.disk.Extend(f.path(gen, logSuffix))
+func (f *Folder) markTaken(gen uint64) error {
+	log, err := f.options.disk.OpenAppend(f.path(gen, logSuffix))
 	if err == nil {
 		_, err = log.Write(appendRecord(nil, Record{Kind: kindTaken}))
 		err = errors.Join(err, log.Sync(), log.Close())
@@ -203,14 +203,14 @@
 }
 
 // read reads one generation and tells whether it is sound.
-func (f *Folder) read(gen uint64, r *Recovered) bool {
+func (f *Folder) readGeneration(gen uint64, r *Recovered) bool {
 	note := func(name string, err error) {
 		r.Notes = append(r.Notes, fmt.Sprintf("%s: %v", filepath.Base(name), err))
 	}
 	name := f.path(gen, snapSuffix)
-	stamp, records, inode, err := readFile(f.o.disk, name, true)
-	if err == nil && stamp.Owner != f.o.Owner {
-		err = fmt.Errorf("%w: %q, this is %q", ErrOwner, stamp.Owner, f.o.Owner)
+	stamp, records, inode, err := readFile(f.options.disk, name, true)
+	if err == nil && stamp.Owner != f.options.Owner {
+		err = fmt.Errorf("%w: %q, this is %q", ErrOwner, stamp.Owner, f.options.Owner)
 	}
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
@@ -218,20 +218,20 @@
 		}
 		return false
 	}
-	boot, up := f.o.Boot()
+	boot, up := f.options.Boot()
 	r.Found, r.Stamp, r.Records = true, stamp, records
 	r.Moved = inode != stamp.Inode || boot == "" || boot != stamp.Boot
-	r.Age = f.o.Now().Sub(time.UnixMilli(stamp.Wall))
+	r.Age = f.options.Now().Sub(time.UnixMilli(stamp.Wall))
 	if boot != "" && boot == stamp.Boot { // a clock that nobody sets
-		r.Age = up - time.Duration(stamp.Up)*time.Millisecond
+		r.Age = up - time.Duration(stamp.UptimeMs)*time.Millisecond
 	}
 	name = f.path(gen, logSuffix)
-	logged, more, inode, err := readFile(f.o.disk, name, false)
+	logged, more, inode, err := readFile(f.options.disk, name, false)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 	case err != nil && more == nil:
 		note(name, err)
-	case logged.Owner != f.o.Owner || logged.Generation != gen:
+	case logged.Owner != f.options.Owner || logged.Generation != gen:
 		note(name, fmt.Errorf("%w: it belongs to another snapshot", ErrDamaged))
 	default:
 		if err != nil {
@@ -239,13 +239,13 @@
 		}
 		r.Moved = r.Moved || inode != logged.Inode
 		last := len(more) - 1
-		r.Intact, r.Up = err == nil && !r.Moved && (last < 0 || more[last].Kind != kindTaken), up
+		r.Intact, r.Uptime = err == nil && !r.Moved && (last < 0 || more[last].Kind != kindTaken), up
 		if r.Intact && last >= 0 && more[last].Kind == kindClean && len(more[last].Value) == 8 {
-			r.Down = up - time.Duration(binary.LittleEndian.Uint64(more[last].Value))*time.Millisecond
-			r.Clean = r.Down >= 0
+			r.Downtime = up - time.Duration(binary.LittleEndian.Uint64(more[last].Value))*time.Millisecond
+			r.Clean = r.Downtime >= 0
 		}
 		for _, x := range more {
-			if x.Kind < firstOwn {
+			if x.Kind < firstReservedKind {
 				r.Records = append(r.Records, x)
 			}
 		}
@@ -292,7 +292,7 @@
 			}
 			return stamp, records, inode, nil
 		}
-		if len(records) >= mostRecords {
+		if len(records) >= maxRecords {
 			return stamp, nil, inode, fmt.Errorf("%w: too many records", ErrDamaged)
 		}
 		r.Value = slices.Clone(r.Value)
@@ -301,13 +301,13 @@
 }
 
 // stamp is that of a file that is begun now.
-func (f *Folder) stamp(gen uint64, file diskFile) ([]byte, error) {
+func (f *Folder) newStamp(gen uint64, file diskFile) ([]byte, error) {
 	inode, err := file.Inode()
 	if err != nil {
 		return nil, err
 	}
-	boot, up := f.o.Boot()
-	return json.Marshal(Stamp{Generation: gen, Owner: f.o.Owner, Wall: f.o.Now().UnixMilli(), Boot: boot, Up: up.Milliseconds(), Inode: inode})
+	boot, up := f.options.Boot()
+	return json.Marshal(Stamp{Generation: gen, Owner: f.options.Owner, Wall: f.options.Now().UnixMilli(), Boot: boot, UptimeMs: up.Milliseconds(), Inode: inode})
 }
 
 // Snapshot writes all that is remembered, and begins a new log. all hands over each record;
@@ -321,15 +321,15 @@
 }
 
 func (f *Folder) snapshot(all func(put func(Record) error) error) error {
-	gen := f.gen + 1
+	gen := f.generation + 1
 	name := f.path(gen, snapSuffix)
-	part, err := f.o.disk.Create(name+partSuffix, true)
+	part, err := f.options.disk.Create(name+tempSuffix, true)
 	if err != nil {
 		return err
 	}
-	defer f.o.disk.Remove(name + partSuffix) // of no effect once it was renamed
+	defer f.options.disk.Remove(name + tempSuffix) // of no effect once it was renamed
 	defer part.Close()
-	stamp, err := f.stamp(gen, part)
+	stamp, err := f.newStamp(gen, part)
 	if err != nil {
 		return err
 	}
@@ -337,8 +337,8 @@
 	n, whole := uint64(0), int64(0)
 	put := func(r Record) error {
 		f.buf = appendRecord(f.buf[:0], r)
-		if whole += int64(len(f.buf)); f.o.Most > 0 && whole > f.o.Most {
-			return fmt.Errorf("%w of %d bytes", ErrTooLarge, f.o.Most)
+		if whole += int64(len(f.buf)); f.options.MaxBytes > 0 && whole > f.options.MaxBytes {
+			return fmt.Errorf("%w of %d bytes", ErrTooLarge, f.options.MaxBytes)
 		}
 		_, err := out.Write(f.buf)
 		return err
@@ -347,7 +347,7 @@
 		return err
 	}
 	err = all(func(r Record) error {
-		if r.Kind >= firstOwn || len(r.Value) > MostValue {
+		if r.Kind >= firstReservedKind || len(r.Value) > MaxValueBytes {
 			return fmt.Errorf("a record of kind %d with %d bytes", r.Kind, len(r.Value))
 		}
 		n++
@@ -364,45 +364,45 @@
 	}
 	// The log is there before the snapshot counts, so that a snapshot without one means
 	// that nothing has changed since.
-	log, size, err := f.begin(gen)
+	log, size, err := f.createLog(gen)
 	if err != nil {
 		return err
 	}
-	if err := f.o.disk.Rename(name+partSuffix, name); err != nil {
+	if err := f.options.disk.Rename(name+tempSuffix, name); err != nil {
 		log.Close()
-		f.o.disk.Remove(f.path(gen, logSuffix)) // else the snapshot would count as lost
+		f.options.disk.Remove(f.path(gen, logSuffix)) // else the snapshot would count as lost
 		return err
 	}
 	// From here on the new generation may count. One that fails now is not gone back to.
-	f.gen = gen
-	if err := f.o.disk.SyncDir(f.dir); err != nil {
+	f.generation = gen
+	if err := f.options.disk.SyncDir(f.dir); err != nil {
 		log.Close()
 		return err
 	}
 	if f.log != nil {
 		f.log.Close()
 	}
-	f.log, f.size, f.whole = log, size, whole
+	f.log, f.logSize, f.snapshotSize = log, size, whole
 	gens, err := f.generations()
 	if err != nil {
 		return err
 	}
 	for i, g := range gens { // the one before is kept
 		if i > 1 {
-			f.o.disk.Remove(f.path(g, snapSuffix))
-			f.o.disk.Remove(f.path(g, logSuffix))
+			f.options.disk.Remove(f.path(g, snapSuffix))
+			f.options.disk.Remove(f.path(g, logSuffix))
 		}
 	}
 	return nil
 }
 
 // begin begins a log.
-func (f *Folder) begin(gen uint64) (diskFile, int64, error) {
-	log, err := f.o.disk.Create(f.path(gen, logSuffix), false)
+func (f *Folder) createLog(gen uint64) (diskFile, int64, error) {
+	log, err := f.options.disk.Create(f.path(gen, logSuffix), false)
 	if err != nil {
 		return nil, 0, err
 	}
-	stamp, err := f.stamp(gen, log)
+	stamp, err := f.newStamp(gen, log)
 	if err == nil {
 		head := appendHeader(nil, stamp)
 		if _, err = log.Write(head); err == nil {
@@ -412,7 +412,7 @@
 		}
 	}
 	log.Close()
-	f.o.disk.Remove(f.path(gen, logSuffix))
+	f.options.disk.Remove(f.path(gen, logSuffix))
 	return nil, 0, err
 }
 
@@ -428,13 +428,13 @@
 	}
 	f.buf = f.buf[:0]
 	for _, r := range records {
-		if (r.Kind >= firstOwn && r.Kind != kindClean) || len(r.Value) > MostValue {
+		if (r.Kind >= firstReservedKind && r.Kind != kindClean) || len(r.Value) > MaxValueBytes {
 			return fmt.Errorf("durable: a record of kind %d with %d bytes", r.Kind, len(r.Value))
 		}
 		f.buf = appendRecord(f.buf, r)
 	}
-	if f.o.Most > 0 && f.size+int64(len(f.buf)) > f.o.Most {
-		return fmt.Errorf("durable: log: %w of %d bytes", ErrTooLarge, f.o.Most)
+	if f.options.MaxBytes > 0 && f.logSize+int64(len(f.buf)) > f.options.MaxBytes {
+		return fmt.Errorf("durable: log: %w of %d bytes", ErrTooLarge, f.options.MaxBytes)
 	}
 	_, err := f.log.Write(f.buf)
 	if err == nil {
@@ -444,16 +444,16 @@
 		f.err = fmt.Errorf("durable: log: %w", err)
 		return f.err
 	}
-	f.size += int64(len(f.buf))
+	f.logSize += int64(len(f.buf))
 	return nil
 }
 
 // Due tells that the log has grown past the snapshot, so that a new one is worth its cost.
-func (f *Folder) Due() bool { return f.size > max(f.whole, 64<<10) }
+func (f *Folder) SnapshotDue() bool { return f.logSize > max(f.snapshotSize, 64<<10) }
 
 // clean is the record of an end in good order.
-func (f *Folder) clean() Record {
-	_, up := f.o.Boot()
+func (f *Folder) cleanEndRecord() Record {
+	_, up := f.options.Boot()
 	return Record{Kind: kindClean, Value: binary.LittleEndian.AppendUint64(nil, uint64(up.Milliseconds()))}
 }
 
@@ -461,7 +461,7 @@
 func (f *Folder) Close(last []Record) error {
 	var err error
 	if f.log != nil && f.err == nil {
-		err = f.Append(append(slices.Clone(last), f.clean()))
+		err = f.Append(append(slices.Clone(last), f.cleanEndRecord()))
 	}
 	if f.log != nil {
 		err = errors.Join(err, f.log.Close())
--- a/durable/durable_test.go
+++ b/durable/durable_test.go
@@ -37,7 +37,7 @@
 }
 
 // state is what records come to: the last of each key.
-func state(all []Record) map[string]string {
+func latestValues(all []Record) map[string]string {
 	m := map[string]string{}
 	for _, r := range all {
 		key := fmt.Sprint(r.Kind, "/", r.Key)
@@ -50,7 +50,9 @@
 	return m
 }
 
-func rec(key uint64, value string) Record { return Record{Kind: 1, Key: key, Value: []byte(value)} }
+func newRecord(key uint64, value string) Record {
+	return Record{Kind: 1, Key: key, Value: []byte(value)}
+}
 
 // snapshot writes records as a snapshot.
 func snapshot(t testing.TB, f *Folder, all ...Record) {
@@ -68,7 +70,7 @@
 	}
 }
 
-func appends(t testing.TB, f *Folder, all ...Record) {
+func mustAppend(t testing.TB, f *Folder, all ...Record) {
 	t.Helper()
 	if err := f.Append(all); err != nil {
 		t.Fatal(err)
@@ -85,34 +87,34 @@
 	if err := f.Append(nil); err == nil {
 		t.Error("a log without a snapshot")
 	}
-	snapshot(t, f, rec(1, "one"), rec(2, "two"))
-	appends(t, f, rec(2, "deux"), rec(3, "trois"))
-	appends(t, f, rec(1, ""))
+	snapshot(t, f, newRecord(1, "one"), newRecord(2, "two"))
+	mustAppend(t, f, newRecord(2, "deux"), newRecord(3, "trois"))
+	mustAppend(t, f, newRecord(1, ""))
 	if _, _, err := Open(dir, c.options("n0")); !errors.Is(err, ErrInUse) {
 		t.Errorf("two at once: %v", err)
 	}
-	if err := f.Close([]Record{rec(4, "last")}); err != nil {
+	if err := f.Close([]Record{newRecord(4, "last")}); err != nil {
 		t.Fatal(err)
 	}
 	c.up, c.wall = c.up+10*time.Second, c.wall.Add(-time.Hour) // a clock that went back
 	f, r = open(t, dir, c.options("n0"))
-	if got := fmt.Sprint(state(r.Records)); !r.Found || !r.Clean || r.Moved || r.Age != 10*time.Second || got != "map[1/2:deux 1/3:trois 1/4:last]" || len(r.Notes) > 0 {
+	if got := fmt.Sprint(latestValues(r.Records)); !r.Found || !r.Clean || r.Moved || r.Age != 10*time.Second || got != "map[1/2:deux 1/3:trois 1/4:last]" || len(r.Notes) > 0 {
 		t.Errorf("%+v, %s", r, got)
 	}
-	if r.Down != 10*time.Second {
-		t.Errorf("down for %v", r.Down)
+	if r.Downtime != 10*time.Second {
+		t.Errorf("down for %v", r.Downtime)
 	}
 	// What was handed over is had once: the one that took it may have been killed.
 	f.lock.Close()
-	if f, r = open(t, dir, c.options("n0")); r.Clean || r.Intact || fmt.Sprint(state(r.Records)) != "map[1/2:deux 1/3:trois 1/4:last]" {
+	if f, r = open(t, dir, c.options("n0")); r.Clean || r.Intact || fmt.Sprint(latestValues(r.Records)) != "map[1/2:deux 1/3:trois 1/4:last]" {
 		t.Errorf("taken over again: %+v", r)
 	}
 	// A process that is killed leaves no clean end, and two generations.
-	snapshot(t, f, rec(7, "seven"))
-	appends(t, f, rec(8, "eight"))
+	snapshot(t, f, newRecord(7, "seven"))
+	mustAppend(t, f, newRecord(8, "eight"))
 	f.lock.Close()
 	f, r = open(t, dir, c.options("n0"))
-	if got := fmt.Sprint(state(r.Records)); r.Clean || !r.Intact || r.Up != c.up || got != "map[1/7:seven 1/8:eight]" {
+	if got := fmt.Sprint(latestValues(r.Records)); r.Clean || !r.Intact || r.Uptime != c.up || got != "map[1/7:seven 1/8:eight]" {
 		t.Errorf("%+v, %s", r, got)
 	}
 	f.lock.Close() // killed again, before it wrote anything
@@ -120,21 +122,21 @@
 		t.Errorf("gone on from twice: %+v", r)
 	}
 	for range 5 {
-		snapshot(t, f, rec(9, "nine"))
+		snapshot(t, f, newRecord(9, "nine"))
 	}
 	if all, _ := f.generations(); len(all) != 2 {
 		t.Errorf("%d generations", len(all))
 	}
-	if f.Due() {
+	if f.SnapshotDue() {
 		t.Error("a new snapshot is due at once")
 	}
 	for range 70 {
-		appends(t, f, Record{Kind: 1, Key: 5, Value: make([]byte, 1000)})
+		mustAppend(t, f, Record{Kind: 1, Key: 5, Value: make([]byte, 1000)})
 	}
-	if !f.Due() {
+	if !f.SnapshotDue() {
 		t.Error("70 KB of log, and no snapshot is due")
 	}
-	for _, bad := range []Record{{Kind: kindEnd}, {Kind: firstOwn}, {Value: make([]byte, MostValue+1)}} {
+	for _, bad := range []Record{{Kind: kindEnd}, {Kind: firstReservedKind}, {Value: make([]byte, MaxValueBytes+1)}} {
 		if err := f.Append([]Record{bad}); err == nil {
 			t.Errorf("kind %d with %d bytes is taken", bad.Kind, len(bad.Value))
 		}
@@ -146,7 +148,7 @@
 func TestMoved(t *testing.T) {
 	dir, c := t.TempDir(), &clock{"boot-1", time.Hour, time.Unix(1e9, 0)}
 	f, _ := open(t, dir, c.options("n0"))
-	snapshot(t, f, rec(1, "one"))
+	snapshot(t, f, newRecord(1, "one"))
 	if err := f.Close(nil); err != nil {
 		t.Fatal(err)
 	}
@@ -178,24 +180,24 @@
 
 // written is a folder with two generations, and the states that may come of it: that of the
 // last one after each of its records, and that of the one before.
-func written(t testing.TB, dir string) (files []string, states []string) {
+func writeGenerations(t testing.TB, dir string) (files []string, states []string) {
 	c := &clock{"boot-1", time.Hour, time.Unix(1e9, 0)}
 	f, _ := open(t, dir, c.options("n0"))
-	all := []Record{rec(1, "old one"), rec(2, "old two")}
+	all := []Record{newRecord(1, "old one"), newRecord(2, "old two")}
 	snapshot(t, f, all...)
-	states = append(states, "map[]", fmt.Sprint(state(all)))
-	for _, r := range []Record{rec(2, "older"), rec(5, "five")} {
-		appends(t, f, r)
+	states = append(states, "map[]", fmt.Sprint(latestValues(all)))
+	for _, r := range []Record{newRecord(2, "older"), newRecord(5, "five")} {
+		mustAppend(t, f, r)
 		all = append(all, r)
-		states = append(states, fmt.Sprint(state(all)))
+		states = append(states, fmt.Sprint(latestValues(all)))
 	}
-	all = []Record{rec(1, "new one"), rec(2, "new two"), rec(3, strings.Repeat("x", 300))}
+	all = []Record{newRecord(1, "new one"), newRecord(2, "new two"), newRecord(3, strings.Repeat("x", 300))}
 	snapshot(t, f, all...)
-	states = append(states, fmt.Sprint(state(all)))
-	for _, r := range []Record{rec(4, "four"), rec(1, ""), rec(4, "vier")} {
-		appends(t, f, r)
+	states = append(states, fmt.Sprint(latestValues(all)))
+	for _, r := range []Record{newRecord(4, "four"), newRecord(1, ""), newRecord(4, "vier")} {
+		mustAppend(t, f, r)
 		all = append(all, r)
-		states = append(states, fmt.Sprint(state(all)))
+		states = append(states, fmt.Sprint(latestValues(all)))
 	}
 	if err := f.Close(nil); err != nil {
 		t.Fatal(err)
@@ -217,7 +219,7 @@
 // goes on from there.
 func TestDamage(t *testing.T) {
 	from := t.TempDir()
-	files, states := written(t, from)
+	files, states := writeGenerations(t, from)
 	if len(files) != 4 {
 		t.Fatalf("%v", files)
 	}
@@ -248,14 +250,14 @@
 		}
 		f, r := open(t, dir, c.options("n0"))
 		defer f.lock.Close()
-		if got := fmt.Sprint(state(r.Records)); !slices.Contains(states, got) || r.Clean && got != states[len(states)-1] {
+		if got := fmt.Sprint(latestValues(r.Records)); !slices.Contains(states, got) || r.Clean && got != states[len(states)-1] {
 			t.Fatalf("%s of %s: %s, clean %v", what, name, got, r.Clean)
 		}
 		if tried%97 == 0 { // and it goes on
-			snapshot(t, f, rec(1, "again"))
+			snapshot(t, f, newRecord(1, "again"))
 			f.lock.Close()
 			f, r := open(t, dir, c.options("n0"))
-			if got := fmt.Sprint(state(r.Records)); got != "map[1/1:again]" {
+			if got := fmt.Sprint(latestValues(r.Records)); got != "map[1/1:again]" {
 				t.Fatalf("%s of %s: after it %s, %v", what, name, got, r.Notes)
 			}
 			f.lock.Close()
@@ -283,7 +285,7 @@
 // future stays where it is.
 func TestLaterVersion(t *testing.T) {
 	dir := t.TempDir()
-	files, states := written(t, dir)
+	files, states := writeGenerations(t, dir)
 	slices.Sort(files)
 	last := filepath.Join(dir, files[len(files)-1])
 	b, err := os.ReadFile(last)
@@ -297,7 +299,7 @@
 	c := &clock{"boot-1", time.Hour, time.Unix(1e9, 0)}
 	f, r := open(t, dir, c.options("n0"))
 	defer f.lock.Close()
-	if got := fmt.Sprint(state(r.Records)); got != states[3] || len(r.Notes) != 1 || !strings.Contains(r.Notes[0], "later version: 2") {
+	if got := fmt.Sprint(latestValues(r.Records)); got != states[3] || len(r.Notes) != 1 || !strings.Contains(r.Notes[0], "later version: 2") {
 		t.Errorf("%s, %v", got, r.Notes)
 	}
 	if _, err := os.Stat(last); err != nil {
@@ -314,11 +316,11 @@
 		os.Exit(1)
 	}
 	n := uint64(0)
-	if s := state(r.Records); s["1/1"] != "" {
+	if s := latestValues(r.Records); s["1/1"] != "" {
 		n, _ = strconv.ParseUint(s["1/1"], 10, 64)
 	}
 	all := func(put func(Record) error) error {
-		return errors.Join(put(rec(1, fmt.Sprint(n))), put(rec(2, fmt.Sprint(n))))
+		return errors.Join(put(newRecord(1, fmt.Sprint(n))), put(newRecord(2, fmt.Sprint(n))))
 	}
 	if err := f.Snapshot(all); err != nil {
 		fmt.Println("error", err)
@@ -329,7 +331,7 @@
 		if n%7 == 0 {
 			err = f.Snapshot(all)
 		} else {
-			err = f.Append([]Record{rec(2, fmt.Sprint(n)), rec(1, fmt.Sprint(n))})
+			err = f.Append([]Record{newRecord(2, fmt.Sprint(n)), newRecord(1, fmt.Sprint(n))})
 		}
 		if err != nil {
 			fmt.Println("error", err)
@@ -388,7 +390,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := state(found.Records)
+		s := latestValues(found.Records)
 		one, _ := strconv.ParseUint(s["1/1"], 10, 64)
 		two, _ := strconv.ParseUint(s["1/2"], 10, 64)
 		if !found.Found || found.Clean || one < said || one > said+1 || two < one || two > one+1 {
@@ -405,7 +407,7 @@
 // FuzzRead: whatever is in a file, reading it ends, and what it gives passes the checksums.
 func FuzzRead(f *testing.F) {
 	b := appendHeader(nil, []byte(`{"generation":1,"owner":"n0"}`))
-	b = appendRecord(b, rec(1, "one"))
+	b = appendRecord(b, newRecord(1, "one"))
 	f.Add(appendRecord(slices.Clone(b), Record{Kind: kindEnd, Key: 1}), true)
 	f.Add(b, false)
 	f.Fuzz(func(t *testing.T, b []byte, whole bool) {
@@ -413,7 +415,7 @@
 		if err := os.WriteFile(path, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		_, records, _, err := readFile(system{}, path, whole)
+		_, records, _, err := readFile(systemDisk{}, path, whole)
 		if err == nil && whole && len(records) > len(b) {
 			t.Errorf("%d records of %d bytes", len(records), len(b))
 		}
--- a/durable/format.go
+++ b/durable/format.go
@@ -27,14 +27,14 @@
 // A snapshot ends with a record of kindEnd whose key is the number of records before it; a
 // log ends anywhere. Checksums are CRC-32C (Castagnoli), as iSCSI and ext4 have them.
 const (
-	magic      = "MDRMEM"
-	headerSize = len(magic) + 2 + 4 + 4
-	frameSize  = 8
-	keySize    = 9
-	kindEnd    = 0xff
-	kindClean  = 0xfe // the log of a process that ended in good order; its value is Stamp.Up of then
-	kindTaken  = 0xfd // behind that: another process goes on from it, and none other may
-	firstOwn   = 0xf0
+	magic             = "MDRMEM"
+	headerSize        = len(magic) + 2 + 4 + 4
+	frameSize         = 8
+	keySize           = 9
+	kindEnd           = 0xff
+	kindClean         = 0xfe // the log of a process that ended in good order; its value is Stamp.Up of then
+	kindTaken         = 0xfd // behind that: another process goes on from it, and none other may
+	firstReservedKind = 0xf0
 )
 
 // Version is that of the layout. Files of a later one are not read.
@@ -42,8 +42,8 @@
 
 // Bounds of what is read: a damaged length must not take the memory.
 const (
-	mostStamp = 4 << 10
-	MostValue = 64 << 10
+	maxStampBytes = 4 << 10
+	MaxValueBytes = 64 << 10
 )
 
 // Errors of a file that can't be used.
@@ -51,17 +51,17 @@
 	ErrVersion = errors.New("written by a later version")
 	ErrDamaged = errors.New("damaged")
 	// ErrCut is of a file that ends in the midst of a record; it is damaged too.
-	ErrCut = fmt.Errorf("%w: a record is cut off", ErrDamaged)
+	ErrTruncated = fmt.Errorf("%w: a record is cut off", ErrDamaged)
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
 // appendHeader writes a header.
 func appendHeader(b []byte, stamp []byte) []byte {
 	b = append(b, magic...)
 	b = binary.LittleEndian.AppendUint16(b, Version)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(stamp)))
-	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(stamp, table))
+	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(stamp, crcTable))
 	return append(b, stamp...)
 }
 
@@ -73,12 +73,12 @@
 	b = append(b, r.Kind)
 	b = binary.LittleEndian.AppendUint64(b, r.Key)
 	b = append(b, r.Value...)
-	binary.LittleEndian.PutUint32(b[from+4:], sum(b[from:from+4], b[from+frameSize:]))
+	binary.LittleEndian.PutUint32(b[from+4:], checksum(b[from:from+4], b[from+frameSize:]))
 	return b
 }
 
-func sum(length, payload []byte) uint32 {
-	return crc32.Update(crc32.Checksum(length, table), table, payload)
+func checksum(length, payload []byte) uint32 {
+	return crc32.Update(crc32.Checksum(length, crcTable), crcTable, payload)
 }
 
 // readHeader reads a header and returns the stamp.
@@ -97,14 +97,14 @@
 		return nil, fmt.Errorf("%w: version 0", ErrDamaged)
 	}
 	n := binary.LittleEndian.Uint32(rest[2:])
-	if n > mostStamp {
+	if n > maxStampBytes {
 		return nil, fmt.Errorf("%w: a stamp of %d bytes", ErrDamaged, n)
 	}
 	stamp := make([]byte, n)
 	if _, err := io.ReadFull(r, stamp); err != nil {
 		return nil, fmt.Errorf("%w: its stamp is cut off", ErrDamaged)
 	}
-	if crc32.Checksum(stamp, table) != binary.LittleEndian.Uint32(rest[6:]) {
+	if crc32.Checksum(stamp, crcTable) != binary.LittleEndian.Uint32(rest[6:]) {
 		return nil, fmt.Errorf("%w: the checksum of its stamp", ErrDamaged)
 	}
 	return stamp, nil
@@ -117,10 +117,10 @@
 	if _, err := io.ReadFull(r, frame[:]); err == io.EOF {
 		return Record{}, buffer, io.EOF
 	} else if err != nil {
-		return Record{}, buffer, ErrCut
+		return Record{}, buffer, ErrTruncated
 	}
 	n := binary.LittleEndian.Uint32(frame[:])
-	if n < keySize || n > keySize+MostValue {
+	if n < keySize || n > keySize+MaxValueBytes {
 		return Record{}, buffer, fmt.Errorf("%w: a record of %d bytes", ErrDamaged, n)
 	}
 	if cap(buffer) < int(n) {
@@ -128,13 +128,13 @@
 	}
 	buffer = buffer[:n]
 	if _, err := io.ReadFull(r, buffer); err != nil {
-		return Record{}, buffer, ErrCut
+		return Record{}, buffer, ErrTruncated
 	}
-	if sum(frame[:4], buffer) != binary.LittleEndian.Uint32(frame[4:]) {
+	if checksum(frame[:4], buffer) != binary.LittleEndian.Uint32(frame[4:]) {
 		return Record{}, buffer, fmt.Errorf("%w: the checksum of a record", ErrDamaged)
 	}
 	return Record{Kind: buffer[0], Key: binary.LittleEndian.Uint64(buffer[1:]), Value: buffer[keySize:]}, buffer, nil
 }
 
 // mostRecords bounds the records of a file, so that a count fits anywhere.
-const mostRecords = math.MaxInt32
+const maxRecords = math.MaxInt32
--- a/durable/inspect.go
+++ b/durable/inspect.go
@@ -37,13 +37,13 @@
 
 // Inspect looks at a folder without taking it: it may be in use. Nothing is changed.
 func Inspect(dir string) (*Listing, error) {
-	d := system{}
+	d := systemDisk{}
 	names, err := d.List(dir)
 	if err != nil {
 		return nil, fmt.Errorf("durable: %w", err)
 	}
 	l := &Listing{}
-	all := generations(names)
+	all := parseGenerations(names)
 	for _, gen := range all {
 		for _, suffix := range []string{snapSuffix, logSuffix} {
 			name := fmt.Sprintf("%016x%s", gen, suffix)
@@ -53,7 +53,7 @@
 		}
 	}
 	for _, name := range names {
-		if name != lockName && !strings.HasSuffix(name, partSuffix) && len(generations([]string{name})) == 0 {
+		if name != lockName && !strings.HasSuffix(name, tempSuffix) && len(parseGenerations([]string{name})) == 0 {
 			l.Foreign = append(l.Foreign, name)
 		}
 	}
@@ -79,7 +79,7 @@
 		return f
 	}
 	switch {
-	case errors.Is(err, ErrCut):
+	case errors.Is(err, ErrTruncated):
 		f.End, f.Err = EndCut, nil
 	case err != nil:
 		f.End = EndDamaged
@@ -98,13 +98,13 @@
 	}
 	for _, f := range l.Files {
 		if f.Snapshot && f.Err == nil {
-			return (&Folder{dir: dir, o: Options{Owner: f.Stamp.Owner, Now: time.Now, Boot: bootOf, disk: readOnly{}}}).recover()
+			return (&Folder{dir: dir, options: Options{Owner: f.Stamp.Owner, Now: time.Now, Boot: readBootClock, disk: readOnlyDisk{}}}).recover()
 		}
 	}
 	return &Recovered{}, nil
 }
 
 // readOnly is the system's disk, which nothing is removed from.
-type readOnly struct{ system }
+type readOnlyDisk struct{ systemDisk }
 
-func (readOnly) Remove(string) error { return fs.ErrPermission }
+func (readOnlyDisk) Remove(string) error { return fs.ErrPermission }
--- a/durable/plug_test.go
+++ b/durable/plug_test.go
@@ -14,14 +14,14 @@
 
 // simulated is a disk that loses what was not synced. Each file has what is on the disk for
 // certain and the writes that may be there or not; the folder likewise has its changes.
-type simulated struct {
-	inodes  map[string]*inode // as the running system sees the folder
-	kept    map[string]*inode // as it is on the disk for certain
+type simulatedDisk struct {
+	files   map[string]*inode // as the running system sees the folder
+	durable map[string]*inode // as it is on the disk for certain
 	changes []change          // since then, each of which may be there or not
 	count   uint64
 	ops     int // done so far
-	full    int // from this operation on writes fail, having written a part; 0: never
-	plug    int // the operation before which the power fails; -1: never
+	fullAt  int // from this operation on writes fail, having written a part; 0: never
+	failAt  int // the operation before which the power fails; -1: never
 }
 
 type inode struct {
@@ -39,44 +39,44 @@
 	from string // of a rename
 }
 
-var errPlug = errors.New("the power has failed")
+var errPowerFailure = errors.New("the power has failed")
 
-func newSimulated() *simulated {
-	return &simulated{inodes: map[string]*inode{}, kept: map[string]*inode{}, plug: -1}
+func newSimulated() *simulatedDisk {
+	return &simulatedDisk{files: map[string]*inode{}, durable: map[string]*inode{}, failAt: -1}
 }
 
-func (s *simulated) op() error {
-	if s.ops == s.plug {
-		return errPlug
+func (s *simulatedDisk) op() error {
+	if s.ops == s.failAt {
+		return errPowerFailure
 	}
 	s.ops++
 	return nil
 }
 
 type simulatedFile struct {
-	s     *simulated
+	s     *simulatedDisk
 	n     *inode
 	at    int
 	write bool
 }
 
-func (s *simulated) MkdirAll(string) error          { return nil }
-func (s *simulated) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
+func (s *simulatedDisk) MkdirAll(string) error          { return nil }
+func (s *simulatedDisk) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
 
-func (s *simulated) Open(path string) (diskFile, error) {
-	n := s.inodes[filepath.Base(path)]
+func (s *simulatedDisk) Open(path string) (diskFile, error) {
+	n := s.files[filepath.Base(path)]
 	if n == nil {
 		return nil, fs.ErrNotExist
 	}
 	return &simulatedFile{s: s, n: n}, nil
 }
 
-func (s *simulated) Create(path string, fresh bool) (diskFile, error) {
+func (s *simulatedDisk) Create(path string, fresh bool) (diskFile, error) {
 	if err := s.op(); err != nil {
 		return nil, err
 	}
 	name := filepath.Base(path)
-	n := s.inodes[name]
+	n := s.files[name]
 	switch {
 	case n != nil && fresh:
 		return nil, fs.ErrExist
@@ -85,59 +85,59 @@
 	default:
 		s.count++
 		n = &inode{number: s.count}
-		s.inodes[name] = n
+		s.files[name] = n
 		s.changes = append(s.changes, change{name: name, to: n})
 	}
 	return &simulatedFile{s: s, n: n, write: true}, nil
 }
 
-func (s *simulated) Extend(path string) (diskFile, error) {
-	n := s.inodes[filepath.Base(path)]
+func (s *simulatedDisk) OpenAppend(path string) (diskFile, error) {
+	n := s.files[filepath.Base(path)]
 	if n == nil {
 		return nil, fs.ErrNotExist
 	}
 	return &simulatedFile{s: s, n: n, write: true}, nil
 }
 
-func (s *simulated) Rename(from, to string) error {
+func (s *simulatedDisk) Rename(from, to string) error {
 	if err := s.op(); err != nil {
 		return err
 	}
 	from, to = filepath.Base(from), filepath.Base(to)
-	s.inodes[to] = s.inodes[from]
-	delete(s.inodes, from)
-	s.changes = append(s.changes, change{name: to, to: s.inodes[to], from: from})
+	s.files[to] = s.files[from]
+	delete(s.files, from)
+	s.changes = append(s.changes, change{name: to, to: s.files[to], from: from})
 	return nil
 }
 
-func (s *simulated) Remove(path string) error {
+func (s *simulatedDisk) Remove(path string) error {
 	name := filepath.Base(path)
-	if s.inodes[name] == nil {
+	if s.files[name] == nil {
 		return fs.ErrNotExist
 	}
 	if err := s.op(); err != nil {
 		return err
 	}
-	delete(s.inodes, name)
+	delete(s.files, name)
 	s.changes = append(s.changes, change{name: name})
 	return nil
 }
 
-func (s *simulated) List(string) (names []string, err error) {
-	for name := range s.inodes {
+func (s *simulatedDisk) List(string) (names []string, err error) {
+	for name := range s.files {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names, nil
 }
 
-func (s *simulated) SyncDir(string) error {
+func (s *simulatedDisk) SyncDir(string) error {
 	if err := s.op(); err != nil {
 		return err
 	}
-	s.kept, s.changes = map[string]*inode{}, nil
-	for name, n := range s.inodes {
-		s.kept[name] = n
+	s.durable, s.changes = map[string]*inode{}, nil
+	for name, n := range s.files {
+		s.durable[name] = n
 	}
 	return nil
 }
@@ -155,7 +155,7 @@
 	if err := f.s.op(); err != nil {
 		return 0, err
 	}
-	if f.s.full > 0 && f.s.ops >= f.s.full {
+	if f.s.fullAt > 0 && f.s.ops >= f.s.fullAt {
 		f.n.data = append(f.n.data, b[:len(b)/2]...)
 		return len(b) / 2, errors.New("no space left on device")
 	}
@@ -175,12 +175,12 @@
 func (f *simulatedFile) Inode() (uint64, error) { return f.n.number, nil }
 
 // copyOf is a disk with nothing unsynced once more.
-func copyOf(s *simulated) *simulated {
+func copyOf(s *simulatedDisk) *simulatedDisk {
 	d := newSimulated()
 	d.count = s.count
-	for name, n := range s.inodes {
+	for name, n := range s.files {
 		x := *n
-		d.inodes[name], d.kept[name] = &x, &x
+		d.files[name], d.durable[name] = &x, &x
 	}
 	return d
 }
@@ -188,10 +188,10 @@
 // after calls a function with each disk that there may be after a power failure now: any of
 // the folder's changes there or not, and of each file's last writes none, all, all but zeroes,
 // or so much as the cut says. It returns how many there were.
-func (s *simulated) after(check func(what string, d *simulated)) (tried int) {
+func (s *simulatedDisk) afterPowerFailure(check func(what string, d *simulatedDisk)) (tried int) {
 	for subset := range 1 << len(s.changes) {
 		names := map[string]*inode{}
-		for name, n := range s.kept {
+		for name, n := range s.durable {
 			names[name] = n
 		}
 		for i, c := range s.changes {
@@ -225,7 +225,7 @@
 					x.data = slices.Clone(n.data[:min(len(n.data), n.synced+cut)])
 				}
 				x.synced = len(x.data)
-				d.inodes[name], d.kept[name] = x, x
+				d.files[name], d.durable[name] = x, x
 			}
 			tried++
 			check(fmt.Sprintf("changes %b of %d, cut %d", subset, len(s.changes), cut), d)
@@ -236,15 +236,15 @@
 
 // life is a process that remembers numbers, each in two records; said is what it was told is
 // on the disk, and doing what it was just writing.
-func life(f *Folder, from, to int, said *int) error {
+func writeNumbers(f *Folder, from, to int, said *int) error {
 	for n := from; n <= to; n++ {
 		var err error
 		if n%5 == 1 || n == from {
 			err = f.Snapshot(func(put func(Record) error) error {
-				return errors.Join(put(rec(1, fmt.Sprint(n))), put(rec(2, fmt.Sprint(n))), put(rec(3, strings.Repeat("x", 40))))
+				return errors.Join(put(newRecord(1, fmt.Sprint(n))), put(newRecord(2, fmt.Sprint(n))), put(newRecord(3, strings.Repeat("x", 40))))
 			})
 		} else {
-			err = f.Append([]Record{rec(1, fmt.Sprint(n)), rec(2, fmt.Sprint(n))})
+			err = f.Append([]Record{newRecord(1, fmt.Sprint(n)), newRecord(2, fmt.Sprint(n))})
 		}
 		if err != nil {
 			return err
@@ -261,18 +261,18 @@
 func TestPulledPlug(t *testing.T) {
 	const last = 17
 	now := &clock{"boot-1", time.Hour, time.Unix(1e9, 0)}
-	options := func(d *simulated) Options {
+	options := func(d *simulatedDisk) Options {
 		o := now.options("n0")
 		o.disk = d
 		return o
 	}
-	found := func(what string, d *simulated) (one, two int, r *Recovered, f *Folder) {
+	found := func(what string, d *simulatedDisk) (one, two int, r *Recovered, f *Folder) {
 		t.Helper()
 		f, r, err := Open("x", options(d))
 		if err != nil {
 			t.Fatalf("%s: %v", what, err)
 		}
-		s := state(r.Records)
+		s := latestValues(r.Records)
 		if s["1/1"] != "" {
 			fmt.Sscan(s["1/1"], &one)
 			fmt.Sscan(s["1/2"], &two)
@@ -282,18 +282,18 @@
 	tried, points := 0, 0
 	for plug := 0; ; plug++ {
 		d, said := newSimulated(), 0
-		d.plug = plug
+		d.failAt = plug
 		f, _, err := Open("x", options(d))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := life(f, 1, last, &said); err == nil {
+		if err := writeNumbers(f, 1, last, &said); err == nil {
 			break
-		} else if !errors.Is(err, errPlug) {
+		} else if !errors.Is(err, errPowerFailure) {
 			t.Fatal(err)
 		}
 		points++
-		tried += d.after(func(what string, after *simulated) {
+		tried += d.afterPowerFailure(func(what string, after *simulatedDisk) {
 			what = fmt.Sprintf("before operation %d, %s, said %d", plug, what, said)
 			one, two, r, _ := found(what, after)
 			if one < said || one > said+1 || two > one || two < one-1 || two < said || (one == 0) == r.Found && said > 0 {
@@ -304,23 +304,23 @@
 			continue
 		}
 		// The next life is cut off too, at each of its operations.
-		d.after(func(what string, first *simulated) {
+		d.afterPowerFailure(func(what string, first *simulatedDisk) {
 			if len(what)%3 > 0 { // a third of them
 				return
 			}
 			for again := range 12 {
 				d := copyOf(first)
-				d.plug = again
+				d.failAt = again
 				one, two, _, _ := found(what, copyOf(first))
 				said := min(one, two)
 				f, _, err := Open("x", options(d))
 				if err == nil {
-					err = life(f, 100, 102, &said)
+					err = writeNumbers(f, 100, 102, &said)
 				}
 				if err == nil {
 					break
 				}
-				tried += d.after(func(more string, after *simulated) {
+				tried += d.afterPowerFailure(func(more string, after *simulatedDisk) {
 					one, _, r, _ := found(more, after)
 					if one < said && one < 100 {
 						t.Fatalf("%s, then before operation %d, %s: said %d, found %d, %v", what, again, more, said, one, r.Notes)
@@ -344,48 +344,48 @@
 	o.disk = d
 	f, _ := open(t, "x", o)
 	said := 0
-	if err := life(f, 1, 3, &said); err != nil {
+	if err := writeNumbers(f, 1, 3, &said); err != nil {
 		t.Fatal(err)
 	}
-	d.full = d.ops
-	if err := f.Append([]Record{rec(1, "4")}); err == nil {
+	d.fullAt = d.ops
+	if err := f.Append([]Record{newRecord(1, "4")}); err == nil {
 		t.Fatal("a full disk takes a record")
 	}
-	d.full = 0
-	if err := f.Append([]Record{rec(1, "5")}); err == nil {
+	d.fullAt = 0
+	if err := f.Append([]Record{newRecord(1, "5")}); err == nil {
 		t.Fatal("a log that has broken off takes a record")
 	}
-	d.full = d.ops
+	d.fullAt = d.ops
 	for range 3 {
-		if err := life(f, 6, 6, &said); err == nil {
+		if err := writeNumbers(f, 6, 6, &said); err == nil {
 			t.Fatal("a full disk takes a snapshot")
 		}
 	}
 	reader, r := open(t, "x", o)
-	if got := state(r.Records)["1/1"]; got != "3" || r.Intact {
+	if got := latestValues(r.Records)["1/1"]; got != "3" || r.Intact {
 		t.Errorf("found %s on a full disk, intact %v", got, r.Intact)
 	}
 	reader.lock.Close()
-	d.full = 0
-	if err := life(f, 7, 8, &said); err != nil {
+	d.fullAt = 0
+	if err := writeNumbers(f, 7, 8, &said); err != nil {
 		t.Fatal(err)
 	}
-	if _, r = open(t, "x", o); state(r.Records)["1/1"] != "8" || !r.Intact {
-		t.Errorf("found %v, intact %v", state(r.Records), r.Intact)
+	if _, r = open(t, "x", o); latestValues(r.Records)["1/1"] != "8" || !r.Intact {
+		t.Errorf("found %v, intact %v", latestValues(r.Records), r.Intact)
 	}
-	o.Most = 200
+	o.MaxBytes = 200
 	f, _ = open(t, "x", o)
-	if err := life(f, 9, 9, &said); err != nil {
+	if err := writeNumbers(f, 9, 9, &said); err != nil {
 		t.Fatal(err)
 	}
 	var err error
 	for range 5 {
-		err = f.Append([]Record{rec(1, strings.Repeat("y", 30))})
+		err = f.Append([]Record{newRecord(1, strings.Repeat("y", 30))})
 	}
 	if !errors.Is(err, ErrTooLarge) {
 		t.Errorf("a log over its bound: %v", err)
 	}
-	if err := f.Snapshot(func(put func(Record) error) error { return put(rec(1, strings.Repeat("y", 300))) }); !errors.Is(err, ErrTooLarge) {
+	if err := f.Snapshot(func(put func(Record) error) error { return put(newRecord(1, strings.Repeat("y", 300))) }); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("a snapshot over its bound: %v", err)
 	}
 }
--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -43,40 +43,40 @@
 
 const (
 	// batch is how many accounts are told in one go: the limiter is held meanwhile.
-	batch = 500
+	accountBatch = 500
 	// A folder that fails is tried again after retryLeast, then ever more rarely.
-	retryLeast = time.Second
-	retryMost  = 30 * time.Second
+	minRetryDelay = time.Second
+	maxRetryDelay = 30 * time.Second
 )
 
 // Keeper keeps the memory of one limiter. Its methods are not safe for concurrent use.
 type Keeper struct {
-	o       Options
-	folder  *durable.Folder // nil: it can't be opened yet
-	found   *limiter.Memory
-	how     recall.Found
-	names   recall.Names // that it was learnt by
-	seed    maphash.Seed
-	written map[[2]uint64]uint64 // by kind and key, but for accounts: a hash of the value on the disk
-	plans   []limiter.Plan       // that the accounts on the disk are counted by
-	whole   bool                 // a snapshot stands, and all since
-	failing bool
-	pause   time.Duration // until it is tried again
-	retryAt time.Time
-	writes  func(err error) // a test's: told of each write
+	options       Options
+	folder        *durable.Folder // nil: it can't be opened yet
+	recovered     *limiter.Memory
+	provenance    recall.Found
+	classNames    recall.Names // that it was learnt by
+	seed          maphash.Seed
+	writtenHashes map[[2]uint64]uint64 // by kind and key, but for accounts: a hash of the value on the disk
+	writtenPlans  []limiter.Plan       // that the accounts on the disk are counted by
+	complete      bool                 // a snapshot stands, and all since
+	failing       bool
+	retryDelay    time.Duration // until it is tried again
+	retryAt       time.Time
+	onWrite       func(err error) // a test's: told of each write
 }
 
 // Open takes the limiter's folder and reads what is there. What can't be used is told in the
 // log, and so is a folder that can't be opened: it is tried again while the limiter runs. One
 // that another process has is an error, as two limiters of one name must not run.
 func Open(o Options) (*Keeper, error) {
-	k := &Keeper{o: o, seed: maphash.MakeSeed(), written: map[[2]uint64]uint64{}}
+	k := &Keeper{options: o, seed: maphash.MakeSeed(), writtenHashes: map[[2]uint64]uint64{}}
 	r, err := k.open()
 	if errors.Is(err, durable.ErrInUse) {
 		return nil, fmt.Errorf("memory: %w", err)
 	}
 	if err != nil {
-		k.fail(err)
+		k.scheduleRetry(err)
 		return k, nil
 	}
 	for _, note := range r.Notes {
@@ -91,8 +91,8 @@
 		o.Log.Warn("ignoring an unusable snapshot, starting fresh", "err", err)
 		return k, nil
 	}
-	k.found, k.names = m, names
-	k.how = foundOf(r, m)
+	k.recovered, k.classNames = m, names
+	k.provenance = provenanceOf(r, m)
 	ended, quotas := "killed", "fresh"
 	if r.Clean {
 		ended = "in good order"
@@ -107,7 +107,7 @@
 }
 
 func (k *Keeper) open() (*durable.Recovered, error) {
-	f, r, err := durable.Open(filepath.Join(k.o.Folder, k.o.Limiter), durable.Options{Owner: k.o.Limiter, Most: k.o.Most, Now: wall.Now})
+	f, r, err := durable.Open(filepath.Join(k.options.Folder, k.options.Limiter), durable.Options{Owner: k.options.Limiter, MaxBytes: k.options.Most, Now: wall.Now})
 	if err != nil {
 		return nil, err
 	}
@@ -118,10 +118,10 @@
 // Recall hands what was found to the limiter, as far as it is to be trusted, and has it keep
 // to what is written from now on; classes are the names of its configuration.
 func (k *Keeper) Recall(l Limiter, classes []string) {
-	l.Reserve(float64(2*k.o.Every+500*time.Millisecond) / float64(time.Millisecond)) // two writes and a slow disk
-	if k.found != nil {
-		l.Recall(recall.Aged(k.found, k.how, k.names, classes))
-		k.found = nil
+	l.Reserve(float64(2*k.options.Every+500*time.Millisecond) / float64(time.Millisecond)) // two writes and a slow disk
+	if k.recovered != nil {
+		l.Recall(recall.Aged(k.recovered, k.provenance, k.classNames, classes))
+		k.recovered = nil
 	}
 }
 
@@ -132,11 +132,11 @@
 		return nil
 	case <-l.Begun():
 	}
-	t := time.NewTicker(k.o.Every)
+	t := time.NewTicker(k.options.Every)
 	defer t.Stop()
 	for {
 		if time.Now().After(k.retryAt) {
-			k.step(l, classes)
+			k.writeOnce(l, classes)
 		}
 		select {
 		case <-ctx.Done():
@@ -147,36 +147,36 @@
 }
 
 // errMoving tells that a new configuration came in the midst of a write.
-var errMoving = errors.New("the configuration changes")
+var errConfigChanged = errors.New("the configuration changes")
 
 // step writes once.
-func (k *Keeper) step(l Limiter, classes func() []string) {
+func (k *Keeper) writeOnce(l Limiter, classes func() []string) {
 	err := k.reopen()
 	if err == nil {
-		err = k.keep(l, classes)
+		err = k.write(l, classes)
 	}
-	if k.writes != nil {
-		k.writes(err)
+	if k.onWrite != nil {
+		k.onWrite(err)
 	}
 	switch {
-	case errors.Is(err, errMoving): // the next one tells all
-		k.whole = false
+	case errors.Is(err, errConfigChanged): // the next one tells all
+		k.complete = false
 	case err != nil:
-		k.whole = false
-		k.fail(err)
+		k.complete = false
+		k.scheduleRetry(err)
 	case k.failing:
-		k.failing, k.pause = false, 0
-		k.o.Log.Info("memory is kept again")
+		k.failing, k.retryDelay = false, 0
+		k.options.Log.Info("memory is kept again")
 	}
 }
 
 // fail has the folder tried again later, and says so once.
-func (k *Keeper) fail(err error) {
-	k.pause = min(retryMost, max(retryLeast, 2*k.pause))
-	k.retryAt = time.Now().Add(k.pause)
+func (k *Keeper) scheduleRetry(err error) {
+	k.retryDelay = min(maxRetryDelay, max(minRetryDelay, 2*k.retryDelay))
+	k.retryAt = time.Now().Add(k.retryDelay)
 	if !k.failing {
 		k.failing = true
-		k.o.Log.Warn("memory is not kept, serving on without; trying again", "err", err)
+		k.options.Log.Warn("memory is not kept, serving on without; trying again", "err", err)
 	}
 }
 
@@ -191,32 +191,32 @@
 }
 
 // keep writes what has changed, or all.
-func (k *Keeper) keep(l Limiter, classes func() []string) error {
+func (k *Keeper) write(l Limiter, classes func() []string) error {
 	names, m := classes(), l.Remember()
 	if !slices.Equal(names, classes()) {
-		return errMoving
+		return errConfigChanged
 	}
 	learnt, err := encode(m, names)
 	if err != nil {
 		return err
 	}
-	clock := clockOf(l)
-	all := !k.whole || k.folder.Due()
+	clock := measureUptimeOffset(l)
+	all := !k.complete || k.folder.SnapshotDue()
 	h, seq := l.BeginWrite(all)
-	if !all && !slices.Equal(h.Plans, k.plans) {
+	if !all && !slices.Equal(h.Plans, k.writtenPlans) {
 		all = true
 		h, seq = l.BeginWrite(all)
 	}
 	if all {
-		clear(k.written)
-		err = k.folder.Snapshot(func(put func(durable.Record) error) error { return k.writeAll(l, learnt, h, clock, put) })
+		clear(k.writtenHashes)
+		err = k.folder.Snapshot(func(put func(durable.Record) error) error { return k.writeSnapshot(l, learnt, h, clock, put) })
 	} else {
 		var records []durable.Record
-		err = accounts(l, clock, func(r durable.Record) error {
+		err = putAccounts(l, clock, func(r durable.Record) error {
 			records = append(records, r)
 			return nil
 		})
-		if records = append(records, k.changed(learnt)...); err == nil && len(records) > 0 {
+		if records = append(records, k.changedRecords(learnt)...); err == nil && len(records) > 0 {
 			err = k.folder.Append(records)
 		}
 	}
@@ -224,38 +224,38 @@
 		return err
 	}
 	l.Kept(seq)
-	k.whole, k.plans = true, h.Plans
+	k.complete, k.writtenPlans = true, h.Plans
 	return nil
 }
 
 // writeAll hands over all that is remembered.
-func (k *Keeper) writeAll(l Limiter, learnt []durable.Record, h *limiter.Handover, c clock, put func(durable.Record) error) error {
+func (k *Keeper) writeSnapshot(l Limiter, learnt []durable.Record, h *limiter.Handover, c uptimeOffset, put func(durable.Record) error) error {
 	for _, r := range learnt {
 		if err := put(r); err != nil {
 			return err
 		}
-		k.wrote(r)
+		k.noteWritten(r)
 	}
-	r, err := record(kindReserve, 0, reserveHead{h.Position, h.Balancers, h.Plans, h.KnownMs, h.HeadMs, c.up(h.NowMs)})
+	r, err := newJSONRecord(kindRunningHandover, 0, runningHandover{h.Position, h.Balancers, h.Plans, h.KnownMs, h.HeadMs, c.toUptime(h.NowMs)})
 	if err == nil {
 		err = put(r)
 	}
 	if err != nil {
 		return err
 	}
-	return accounts(l, c, put)
+	return putAccounts(l, c, put)
 }
 
 // accounts hands over the accounts of a write that was begun, in parts.
-func accounts(l Limiter, c clock, put func(durable.Record) error) error {
+func putAccounts(l Limiter, c uptimeOffset, put func(durable.Record) error) error {
 	for more := true; more; {
 		var told []limiter.AccountMemory
 		var ok bool
-		if told, more, ok = l.Accounts(batch); !ok {
-			return errMoving
+		if told, more, ok = l.Accounts(accountBatch); !ok {
+			return errConfigChanged
 		}
 		for i := range told {
-			r, err := accountRecord(kindLine, &told[i], c.up(told[i].AtMs))
+			r, err := newAccountRecord(kindRunningAccount, &told[i], c.toUptime(told[i].AtMs))
 			if err == nil {
 				err = put(r)
 			}
@@ -268,22 +268,22 @@
 }
 
 // wrote notes what stands on the disk, and tells whether that is news.
-func (k *Keeper) wrote(r durable.Record) bool {
+func (k *Keeper) noteWritten(r durable.Record) bool {
 	id, sum := [2]uint64{uint64(r.Kind), r.Key}, maphash.Bytes(k.seed, r.Value)
-	if was, have := k.written[id]; have && was == sum {
+	if was, have := k.writtenHashes[id]; have && was == sum {
 		return false
 	}
-	k.written[id] = sum
+	k.writtenHashes[id] = sum
 	return true
 }
 
-func (k *Keeper) changed(all []durable.Record) (changed []durable.Record) {
+func (k *Keeper) changedRecords(all []durable.Record) (changedRecords []durable.Record) {
 	for _, r := range all {
-		if k.wrote(r) {
-			changed = append(changed, r)
+		if k.noteWritten(r) {
+			changedRecords = append(changedRecords, r)
 		}
 	}
-	return changed
+	return changedRecords
 }
 
 // Close writes what the limiter handed over, and lets go of the folder. The limiter must have
@@ -296,16 +296,16 @@
 	learnt, err := encode(m, classes)
 	var last []durable.Record
 	if err == nil {
-		last = k.changed(learnt)
+		last = k.changedRecords(learnt)
 	}
 	n := 0
 	for more := true; more && err == nil; {
 		var told []limiter.AccountMemory
-		told, more = l.Leave(batch)
+		told, more = l.Leave(accountBatch)
 		for i := range told {
 			a := &told[i]
 			var r durable.Record
-			if r, err = accountRecord(kindLeft, a, 0); err != nil {
+			if r, err = newAccountRecord(kindFinalAccount, a, 0); err != nil {
 				break
 			}
 			last = append(last, r)
@@ -315,10 +315,10 @@
 	if err == nil {
 		var r durable.Record
 		h := m.Handover
-		r, err = record(kindHandover, 0, handover{h.Position, h.Balancers, h.Plans, h.KnownMs, n})
+		r, err = newJSONRecord(kindHandover, 0, handover{h.Position, h.Balancers, h.Plans, h.KnownMs, n})
 		last = append(last, r)
 	}
-	if err == nil && !k.whole { // the log takes nothing, or there is none: a last try
+	if err == nil && !k.complete { // the log takes nothing, or there is none: a last try
 		err = k.folder.Snapshot(func(put func(durable.Record) error) error {
 			for _, r := range learnt {
 				if err := put(r); err != nil {
@@ -334,6 +334,6 @@
 		err = k.folder.Close(last)
 	}
 	if err != nil {
-		k.o.Log.Warn("memory is not kept, the next limiter starts without what was held", "err", err)
+		k.options.Log.Warn("memory is not kept, the next limiter starts without what was held", "err", err)
 	}
 }
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -27,7 +27,7 @@
 }
 
 // live is a limiter with a clock that a test sets.
-type live struct {
+type testLimiter struct {
 	mu    sync.Mutex
 	l     *limiter.Limiter
 	now   float64
@@ -35,26 +35,26 @@
 	begun chan struct{}
 }
 
-func begin(t *testing.T, now float64) *live {
+func begin(t *testing.T, now float64) *testLimiter {
 	t.Helper()
 	l, err := limiter.New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &live{l: l, now: now, begun: make(chan struct{})}
+	x := &testLimiter{l: l, now: now, begun: make(chan struct{})}
 	x.handle(limiter.Endpoints{Scope: limiter.Complete, Servers: []limiter.ServerInfo{{ID: 1}, {ID: 2}}})
 	close(x.begun)
 	return x
 }
 
-func (x *live) handle(ev limiter.Event) []limiter.Action {
+func (x *testLimiter) handle(ev limiter.Event) []limiter.Action {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return append([]limiter.Action(nil), x.l.Handle(x.now, ev)...)
 }
 
 // passes counts how many of 40 requests of an account pass at once.
-func (x *live) passes(account uint64) (n int) {
+func (x *testLimiter) countAdmitted(account uint64) (n int) {
 	for range 40 {
 		x.ids++
 		id := string(rune('a'+x.ids%26)) + time.Duration(x.ids).String()
@@ -68,34 +68,34 @@
 	return n
 }
 
-func (x *live) Begun() <-chan struct{} { return x.begun }
-func (x *live) Now() float64           { return x.now }
-func (x *live) Remember() *limiter.Memory {
+func (x *testLimiter) Begun() <-chan struct{} { return x.begun }
+func (x *testLimiter) Now() float64           { return x.now }
+func (x *testLimiter) Remember() *limiter.Memory {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.l.Remember(x.now)
 }
-func (x *live) Reserve(ms float64) { x.l.Reserve(ms) }
-func (x *live) BeginWrite(all bool) (*limiter.Handover, uint64) {
+func (x *testLimiter) Reserve(ms float64) { x.l.Reserve(ms) }
+func (x *testLimiter) BeginWrite(all bool) (*limiter.Handover, uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.l.BeginWrite(x.now, all)
 }
-func (x *live) Accounts(most int) ([]limiter.AccountMemory, bool, bool) {
+func (x *testLimiter) Accounts(most int) ([]limiter.AccountMemory, bool, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.l.Accounts(x.now, most)
 }
-func (x *live) Kept(seq uint64) {
+func (x *testLimiter) Kept(seq uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.l.Kept(seq)
 }
-func (x *live) HandOver() *limiter.Memory { return x.l.HandOver(x.now) }
-func (x *live) Leave(most int) ([]limiter.AccountMemory, bool) {
+func (x *testLimiter) HandOver() *limiter.Memory { return x.l.HandOver(x.now) }
+func (x *testLimiter) Leave(most int) ([]limiter.AccountMemory, bool) {
 	return x.l.Leave(x.now, most)
 }
-func (x *live) Recall(m *limiter.Memory) { x.handle(limiter.Recall{Memory: m}) }
+func (x *testLimiter) Recall(m *limiter.Memory) { x.handle(limiter.Recall{Memory: m}) }
 
 func classes() []string { return []string{"check", "bulk"} }
 
@@ -120,53 +120,53 @@
 func TestResumes(t *testing.T) {
 	dir, log := t.TempDir(), slog.New(slog.DiscardHandler)
 	// Clocks run on by themselves; a limiter's own may begin anywhere.
-	next := func(name string, now float64) (*live, *Keeper) {
+	next := func(name string, now float64) (*testLimiter, *Keeper) {
 		x, k := begin(t, now), open(t, dir, name, log)
 		k.Recall(x, classes())
 		return x, k
 	}
 	x, k := next("n0", 5e6)
 	x.now += 60_000
-	k.step(x, classes)
-	if n := x.passes(5); n != 8 { // what the file says of accounts that it does not name stays
+	k.writeOnce(x, classes)
+	if n := x.countAdmitted(5); n != 8 { // what the file says of accounts that it does not name stays
 		t.Fatalf("%d units of a full part of 16, the headroom is 8", n)
 	}
-	k.step(x, classes)
-	if n := x.passes(5); n != 8 {
+	k.writeOnce(x, classes)
+	if n := x.countAdmitted(5); n != 8 {
 		t.Fatalf("%d units behind a write, 8 are left", n)
 	}
-	k.step(x, classes)
+	k.writeOnce(x, classes)
 	must(t, k.folder.Abandon()) // killed: it stood at 0, the file says -8
 	x, k = next("n0", 100)
-	if n, m := x.passes(5), x.passes(6); n != 0 || m != 8 {
+	if n, m := x.countAdmitted(5), x.countAdmitted(6); n != 0 || m != 8 {
 		t.Errorf("after a kill %d units of the account that was spent, %d of a full one; want 0 and 8", n, m)
 	}
 	must(t, k.folder.Abandon()) // killed before it wrote anything: what it resumed from is had
 	x, k = next("n0", 9e9)
-	if n := x.passes(6); n != 0 {
+	if n := x.countAdmitted(6); n != 0 {
 		t.Errorf("%d units of what was had once", n)
 	}
 	x.now += 60_000
-	k.step(x, classes)
-	x.passes(5)
-	k.step(x, classes)
+	k.writeOnce(x, classes)
+	x.countAdmitted(5)
+	k.writeOnce(x, classes)
 	k.Close(x, classes())
 	must(t, os.CopyFS(filepath.Join(dir, "copy"), os.DirFS(filepath.Join(dir, "n0"))))
 	x, _ = next("copy", 100)
-	if n := x.passes(6); n != 0 {
+	if n := x.countAdmitted(6); n != 0 {
 		t.Errorf("%d units from a copy under another name", n)
 	}
 	must(t, os.Rename(filepath.Join(dir, "n0"), filepath.Join(dir, "was")))
 	must(t, os.CopyFS(filepath.Join(dir, "n0"), os.DirFS(filepath.Join(dir, "was"))))
 	x, k = next("n0", 100)
-	if n := x.passes(6); n != 0 {
+	if n := x.countAdmitted(6); n != 0 {
 		t.Errorf("%d units from a copy", n)
 	}
 	must(t, k.folder.Abandon())
 	must(t, os.RemoveAll(filepath.Join(dir, "n0")))
 	must(t, os.Rename(filepath.Join(dir, "was"), filepath.Join(dir, "n0")))
 	x, k = next("n0", 100)
-	if n, m := x.passes(5), x.passes(6); n < 8 || n > 9 || m != 16 {
+	if n, m := x.countAdmitted(5), x.countAdmitted(6); n < 8 || n > 9 || m != 16 {
 		t.Errorf("handed over: %d units of the account that was spent, %d of a full one; want 8 and 16", n, m)
 	}
 	must(t, k.folder.Abandon())
@@ -178,17 +178,17 @@
 	x, k := begin(t, 5e6), open(t, dir, "n0", slog.New(slog.DiscardHandler))
 	k.Recall(x, classes())
 	x.now += 60_000
-	x.passes(5)
+	x.countAdmitted(5)
 	h, _ := x.BeginWrite(true)
 	s := settings
 	s.Plans = []limiter.Plan{{Rate: 1e6, Burst: 1e6, CeilingRate: 80, CeilingBurst: 160, Price: 1}}
 	x.handle(limiter.Reconfigure{Settings: s, Classes: []int{0, 1}, Plans: []int{0}})
-	if err := accounts(x, 0, func(durable.Record) error { return nil }); !errors.Is(err, errMoving) {
+	if err := putAccounts(x, 0, func(durable.Record) error { return nil }); !errors.Is(err, errConfigChanged) {
 		t.Errorf("a write goes on: %v", err)
 	}
-	k.step(x, classes)
-	if reflect.DeepEqual(h.Plans, k.plans) || !k.whole {
-		t.Errorf("kept by %+v", k.plans)
+	k.writeOnce(x, classes)
+	if reflect.DeepEqual(h.Plans, k.writtenPlans) || !k.complete {
+		t.Errorf("kept by %+v", k.writtenPlans)
 	}
 	must(t, k.folder.Abandon())
 }
@@ -204,41 +204,41 @@
 	x, k := begin(t, 5e6), open(t, dir, "n0", log)
 	k.Recall(x, classes())
 	for range 3 {
-		k.step(x, classes)
+		k.writeOnce(x, classes)
 	}
-	if lines("memory is not kept") != 1 || k.pause != 8*time.Second || !time.Now().Before(k.retryAt) {
-		t.Errorf("a pause of %v\n%s", k.pause, out.String())
+	if lines("memory is not kept") != 1 || k.retryDelay != 8*time.Second || !time.Now().Before(k.retryAt) {
+		t.Errorf("a pause of %v\n%s", k.retryDelay, out.String())
 	}
 	for range 9 {
-		k.step(x, classes)
+		k.writeOnce(x, classes)
 	}
-	if k.pause != retryMost {
-		t.Errorf("a pause of %v", k.pause)
+	if k.retryDelay != maxRetryDelay {
+		t.Errorf("a pause of %v", k.retryDelay)
 	}
 	must(t, os.Remove(dir))
-	k.step(x, classes)
-	if lines("memory is kept again") != 1 || !k.whole {
+	k.writeOnce(x, classes)
+	if lines("memory is kept again") != 1 || !k.complete {
 		t.Errorf("%s", out.String())
 	}
 	x.now += 60_000
 	// The disk goes away, and comes back empty.
 	must(t, os.RemoveAll(dir))
-	k.whole = false
+	k.complete = false
 	for range 3 {
-		k.step(x, classes)
+		k.writeOnce(x, classes)
 	}
-	if lines("memory is not kept") != 2 || x.passes(7) == 0 {
+	if lines("memory is not kept") != 2 || x.countAdmitted(7) == 0 {
 		t.Errorf("%s", out.String())
 	}
 	gone, err := Open(Options{Folder: filepath.Join(t.TempDir(), "gone"), Limiter: "n0", Every: time.Second, Log: log})
 	must(t, err)
-	must(t, os.RemoveAll(gone.o.Folder))
+	must(t, os.RemoveAll(gone.options.Folder))
 	gone.Close(begin(t, 1), classes())
 	if lines("the next limiter starts without") != 1 {
 		t.Errorf("an end without a folder:\n%s", out.String())
 	}
 	must(t, os.MkdirAll(filepath.Join(dir, "n0"), 0o700))
-	k.step(x, classes)
+	k.writeOnce(x, classes)
 	if lines("memory is kept again") != 2 {
 		t.Errorf("%s", out.String())
 	}
@@ -249,7 +249,7 @@
 	// Over its size bound nothing is kept, and the limiter goes on.
 	k, err = Open(Options{Folder: dir, Limiter: "n1", Every: time.Second, Most: 100, Log: log})
 	must(t, err)
-	k.step(x, classes)
+	k.writeOnce(x, classes)
 	if !strings.Contains(out.String(), "over its size bound of 100 bytes") {
 		t.Errorf("%s", out.String())
 	}
@@ -259,16 +259,16 @@
 // While it runs, a keeper writes so often as it is told, and stops with its context.
 func TestRuns(t *testing.T) {
 	x, k := begin(t, 5e6), open(t, t.TempDir(), "n0", slog.New(slog.DiscardHandler))
-	k.o.Every = time.Millisecond
+	k.options.Every = time.Millisecond
 	k.Recall(x, classes())
 	wrote := make(chan error)
-	k.writes = func(err error) { wrote <- err }
+	k.onWrite = func(err error) { wrote <- err }
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- k.Run(ctx, x, classes) }()
 	for range 5 {
 		must(t, <-wrote)
-		x.passes(5)
+		x.countAdmitted(5)
 	}
 	go func() {
 		for range wrote {
@@ -291,19 +291,19 @@
 	all, err := encode(m, classes())
 	must(t, err)
 	add := func(kind byte, key uint64, v any) {
-		r, err := record(kind, key, v)
+		r, err := newJSONRecord(kind, key, v)
 		must(t, err)
 		all = append(all, r)
 	}
-	add(kindReserve, 0, reserveHead{Balancers: 3, Plans: settings.Plans, KnownMs: 4000, HeadMs: 1500, UpMs: 9000})
+	add(kindRunningHandover, 0, runningHandover{Balancers: 3, Plans: settings.Plans, KnownMs: 4000, HeadMs: 1500, UpMs: 9000})
 	told := func(kind byte, a limiter.AccountMemory, upMs float64) {
-		r, err := accountRecord(kind, &a, upMs)
+		r, err := newAccountRecord(kind, &a, upMs)
 		must(t, err)
 		all = append(all, r)
 	}
-	told(kindLine, limiter.AccountMemory{ID: 5, Spread: 3, First: 1, Balance: 3.25, Share: -2.5}, 9500)
-	told(kindLine, limiter.AccountMemory{ID: 5, Spread: 3, First: 1, Balance: 3, Share: -3, Flow: 0.5}, 9700)
-	found := &durable.Recovered{Found: true, Intact: true, Up: 10 * time.Second, Records: all}
+	told(kindRunningAccount, limiter.AccountMemory{ID: 5, Spread: 3, First: 1, Balance: 3.25, Share: -2.5}, 9500)
+	told(kindRunningAccount, limiter.AccountMemory{ID: 5, Spread: 3, First: 1, Balance: 3, Share: -3, Flow: 0.5}, 9700)
+	found := &durable.Recovered{Found: true, Intact: true, Uptime: 10 * time.Second, Records: all}
 	got, names, err := decode(found)
 	if err != nil || !reflect.DeepEqual(got.Boxes, m.Boxes) || !reflect.DeepEqual(got.Pools, m.Pools) || len(names) != 2 {
 		t.Errorf("%+v %v %v", got, names, err)
@@ -316,9 +316,9 @@
 	if got, _, _ := decode(&durable.Recovered{Found: true, Records: all}); got.Handover != nil {
 		t.Errorf("not intact: %+v", got.Handover)
 	}
-	told(kindLeft, limiter.AccountMemory{ID: 5, Spread: 3, First: 1, Balance: 3.25, Share: 0.125}, 0)
-	told(kindLeft, limiter.AccountMemory{ID: 9, Spread: 2, Share: -1}, 0)
-	if _, err := accountRecord(kindLine, &limiter.AccountMemory{Share: math.NaN()}, 0); err == nil {
+	told(kindFinalAccount, limiter.AccountMemory{ID: 5, Spread: 3, First: 1, Balance: 3.25, Share: 0.125}, 0)
+	told(kindFinalAccount, limiter.AccountMemory{ID: 9, Spread: 2, Share: -1}, 0)
+	if _, err := newAccountRecord(kindRunningAccount, &limiter.AccountMemory{Share: math.NaN()}, 0); err == nil {
 		t.Error("what is no figure is written")
 	}
 	add(kindHandover, 0, handover{1, 3, settings.Plans, 5000, 2})
@@ -380,15 +380,15 @@
 func BenchmarkDecode(b *testing.B) {
 	for _, n := range []int{1000, 100_000, 1_000_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			found := &durable.Recovered{Found: true, Intact: true, Up: time.Hour}
-			head, err := record(kindReserve, 0, reserveHead{Balancers: 3, Plans: settings.Plans, KnownMs: 4000, HeadMs: 1500, UpMs: 9000})
+			found := &durable.Recovered{Found: true, Intact: true, Uptime: time.Hour}
+			head, err := newJSONRecord(kindRunningHandover, 0, runningHandover{Balancers: 3, Plans: settings.Plans, KnownMs: 4000, HeadMs: 1500, UpMs: 9000})
 			if err != nil {
 				b.Fatal(err)
 			}
 			found.Records = append(found.Records, head)
 			bytes := 0
 			for id := range n {
-				r, err := accountRecord(kindLine, &limiter.AccountMemory{ID: uint64(id), Spread: 3, First: 1, Balance: 3.251234, Share: -2.512345}, 9500.123)
+				r, err := newAccountRecord(kindRunningAccount, &limiter.AccountMemory{ID: uint64(id), Spread: 3, First: 1, Balance: 3.251234, Share: -2.512345}, 9500.123)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/memory/records.go
+++ b/internal/memory/records.go
@@ -15,19 +15,19 @@
 
 // The kinds of records. A field's meaning never changes within a kind.
 const (
-	kindClasses  = 1 // names, by their places
-	kindUsual    = 2
-	kindPool     = 3 // by the pool's number
-	kindBox      = 4 // by the box's number
-	kindHandover = 5 // behind all accounts of a limiter that has ended
-	kindAccount  = 6 // by the account, as JSON: up to landing 9
-	kindReserve  = 7 // what the lines of accounts are counted by, while a limiter runs
-	kindLine     = 8 // by the account: see appendAccount, with when it was told
-	kindLeft     = 9 // by the account, of a limiter that has ended: the same without
+	kindClasses         = 1 // names, by their places
+	kindUsualLatency    = 2
+	kindPool            = 3 // by the pool's number
+	kindBox             = 4 // by the box's number
+	kindHandover        = 5 // behind all accounts of a limiter that has ended
+	kindLegacyAccount   = 6 // by the account, as JSON: up to landing 9
+	kindRunningHandover = 7 // what the lines of accounts are counted by, while a limiter runs
+	kindRunningAccount  = 8 // by the account: see appendAccount, with when it was told
+	kindFinalAccount    = 9 // by the account, of a limiter that has ended: the same without
 )
 
 // account is an AccountMemory as kindAccount has it.
-type account struct {
+type legacyAccount struct {
 	Plan, Spread, First int
 	Balance, Share      float64
 }
@@ -49,20 +49,20 @@
 }
 
 // errAccount tells of an account that can't be read.
-var errAccount = errors.New("not an account")
+var errBadAccount = errors.New("not an account")
 
 // readAccount reads what appendAccount wrote.
-func readAccount(id uint64, b []byte) (a limiter.AccountMemory, upMs float64, err error) {
+func parseAccount(id uint64, b []byte) (a limiter.AccountMemory, upMs float64, err error) {
 	a.ID = id
 	for _, to := range []*int{&a.Plan, &a.Spread, &a.First} {
 		v, n := binary.Uvarint(b)
 		if n <= 0 || v > math.MaxInt32 {
-			return a, 0, errAccount
+			return a, 0, errBadAccount
 		}
 		*to, b = int(v), b[n:]
 	}
 	if len(b) != 4*8 {
-		return a, 0, errAccount
+		return a, 0, errBadAccount
 	}
 	for i, to := range []*float64{&a.Balance, &a.Share, &a.Flow, &upMs} {
 		*to = math.Float64frombits(binary.LittleEndian.Uint64(b[8*i:]))
@@ -80,30 +80,30 @@
 
 // reserveHead is a Handover of a limiter that runs; UpMs is when it was taken, since the
 // machine's start.
-type reserveHead struct {
+type runningHandover struct {
 	Position, Balancers   int
 	Plans                 []limiter.Plan
 	KnownMs, HeadMs, UpMs float64
 }
 
 // clock says by how much the time since the machine's start is ahead of a limiter's clock.
-type clock float64
+type uptimeOffset float64
 
-func clockOf(l Limiter) clock {
+func measureUptimeOffset(l Limiter) uptimeOffset {
 	now := l.Now() // first: what lies between counts as later, which gives a successor less
-	return clock(float64(durable.Uptime())/float64(time.Millisecond) - now)
+	return uptimeOffset(float64(durable.Uptime())/float64(time.Millisecond) - now)
 }
 
-func (c clock) up(ms float64) float64 { return ms + float64(c) }
+func (c uptimeOffset) toUptime(ms float64) float64 { return ms + float64(c) }
 
 // accountRecord makes the record of an account.
-func accountRecord(kind byte, a *limiter.AccountMemory, upMs float64) (durable.Record, error) {
+func newAccountRecord(kind byte, a *limiter.AccountMemory, upMs float64) (durable.Record, error) {
 	value, err := appendAccount(nil, a, upMs)
 	return durable.Record{Kind: kind, Key: a.ID, Value: value}, err
 }
 
 // record makes a record. It fails on what is no figure: then nothing is kept.
-func record(kind byte, key uint64, v any) (durable.Record, error) {
+func newJSONRecord(kind byte, key uint64, v any) (durable.Record, error) {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return durable.Record{}, fmt.Errorf("memory: kind %d, key %d: %w", kind, key, err)
@@ -114,14 +114,14 @@
 // encode writes what is learnt as records.
 func encode(m *limiter.Memory, classes []string) (all []durable.Record, err error) {
 	add := func(kind byte, key uint64, v any) {
-		r, e := record(kind, key, v)
+		r, e := newJSONRecord(kind, key, v)
 		if e != nil && err == nil {
 			err = e
 		}
 		all = append(all, r)
 	}
 	add(kindClasses, 0, classes)
-	add(kindUsual, 0, m.Usual)
+	add(kindUsualLatency, 0, m.Usual)
 	for i := range m.Pools {
 		add(kindPool, m.Pools[i].ID, &m.Pools[i])
 	}
@@ -136,15 +136,15 @@
 func decode(r *durable.Recovered) (*limiter.Memory, recall.Names, error) {
 	last := map[[2]uint64][]byte{}
 	var order [][2]uint64
-	up := float64(r.Up) / float64(time.Millisecond)
+	up := float64(r.Uptime) / float64(time.Millisecond)
 	var lines, left accountSet
 	for _, x := range r.Records {
-		if x.Kind == kindLine || x.Kind == kindLeft {
+		if x.Kind == kindRunningAccount || x.Kind == kindFinalAccount {
 			set := &lines
-			if x.Kind == kindLeft {
+			if x.Kind == kindFinalAccount {
 				set = &left
 			}
-			a, upMs, err := readAccount(x.Key, x.Value)
+			a, upMs, err := parseAccount(x.Key, x.Value)
 			if err != nil {
 				return nil, nil, fmt.Errorf("memory: kind %d, key %d: %w", x.Kind, x.Key, err)
 			}
@@ -160,13 +160,13 @@
 	}
 	m, names := &limiter.Memory{}, recall.Names{}
 	var ended *handover
-	var running *reserveHead
+	var running *runningHandover
 	for _, id := range order {
 		var err error
 		switch value := last[id]; id[0] {
 		case kindClasses:
 			err = json.Unmarshal(value, &names)
-		case kindUsual:
+		case kindUsualLatency:
 			err = json.Unmarshal(value, &m.Usual)
 		case kindPool:
 			var x limiter.PoolMemory
@@ -178,10 +178,10 @@
 			m.Boxes = append(m.Boxes, x)
 		case kindHandover:
 			err = json.Unmarshal(value, &ended)
-		case kindReserve:
+		case kindRunningHandover:
 			err = json.Unmarshal(value, &running)
-		case kindAccount:
-			var x account
+		case kindLegacyAccount:
+			var x legacyAccount
 			err = json.Unmarshal(value, &x)
 			left.put(limiter.AccountMemory{ID: id[1], Plan: x.Plan, Spread: x.Spread, First: x.First, Balance: x.Balance, Share: x.Share})
 		} // others are of later versions
@@ -190,29 +190,29 @@
 		}
 	}
 	switch {
-	case ended != nil && r.Clean && len(left.all) == ended.Accounts: // one that is missing would count as full
-		m.Handover = &limiter.Handover{Position: ended.Position, Balancers: ended.Balancers, Plans: ended.Plans, KnownMs: ended.KnownMs, Accounts: left.all}
+	case ended != nil && r.Clean && len(left.accounts) == ended.Accounts: // one that is missing would count as full
+		m.Handover = &limiter.Handover{Position: ended.Position, Balancers: ended.Balancers, Plans: ended.Plans, KnownMs: ended.KnownMs, Accounts: left.accounts}
 	case ended == nil && running != nil && r.Intact && running.HeadMs > 0:
 		m.Handover = &limiter.Handover{Position: running.Position, Balancers: running.Balancers, Plans: running.Plans, KnownMs: running.KnownMs,
-			HeadMs: running.HeadMs, DownMs: up - running.UpMs, Accounts: lines.all}
+			HeadMs: running.HeadMs, DownMs: up - running.UpMs, Accounts: lines.accounts}
 	}
 	return m, names, nil
 }
 
 // accountSet is accounts in the order in which they were first written, each as it was last.
 type accountSet struct {
-	all   []limiter.AccountMemory
-	place map[uint64]int32
+	accounts []limiter.AccountMemory
+	index    map[uint64]int32
 }
 
 func (s *accountSet) put(a limiter.AccountMemory) {
-	if s.place == nil {
-		s.place = map[uint64]int32{}
+	if s.index == nil {
+		s.index = map[uint64]int32{}
 	}
-	k, have := s.place[a.ID]
+	k, have := s.index[a.ID]
 	if !have {
-		k = int32(len(s.all))
-		s.place[a.ID], s.all = k, append(s.all, limiter.AccountMemory{})
+		k = int32(len(s.accounts))
+		s.index[a.ID], s.accounts = k, append(s.accounts, limiter.AccountMemory{})
 	}
-	s.all[k] = a
+	s.accounts[k] = a
 }
--- a/internal/memory/show.go
+++ b/internal/memory/show.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("memory: %w", err)
 	}
-	own, err := look(folder)
+	own, err := inspectFolder(folder)
 	if err != nil {
 		return nil, err
 	}
@@ -43,7 +43,7 @@
 		if !e.IsDir() {
 			continue
 		}
-		v, err := look(filepath.Join(folder, e.Name()))
+		v, err := inspectFolder(filepath.Join(folder, e.Name()))
 		if err != nil {
 			return nil, err
 		}
@@ -57,7 +57,7 @@
 	return all, nil
 }
 
-func look(folder string) (v View, err error) {
+func inspectFolder(folder string) (v View, err error) {
 	v.Folder = folder
 	if v.Listing, err = durable.Inspect(folder); err != nil {
 		return v, fmt.Errorf("memory: %w", err)
@@ -73,13 +73,13 @@
 		return v, nil
 	}
 	v.Classes = names
-	v.Trusted = recall.Aged(v.Memory, foundOf(v.Found, v.Memory), names, names)
+	v.Trusted = recall.Aged(v.Memory, provenanceOf(v.Found, v.Memory), names, names)
 	return v, nil
 }
 
 // foundOf is how a memory was found.
-func foundOf(r *durable.Recovered, m *limiter.Memory) recall.Found {
-	f := recall.Found{Age: r.Age, Clean: r.Clean, Intact: r.Intact, Down: r.Down}
+func provenanceOf(r *durable.Recovered, m *limiter.Memory) recall.Found {
+	f := recall.Found{Age: r.Age, Clean: r.Clean, Intact: r.Intact, Down: r.Downtime}
 	if h := m.Handover; h != nil && h.HeadMs > 0 {
 		f.Down = time.Duration(h.DownMs * float64(time.Millisecond))
 	}
--- a/internal/ownership/broken.go
+++ b/internal/ownership/broken.go
@@ -4,4 +4,4 @@
 
 // broken is where builds for tests (-tags faults) leave a check out, so that the tests are
 // seen to find it.
-func broken(string) bool { return false }
+func checkDisabled(string) bool { return false }
--- a/internal/ownership/broken_faults.go
+++ b/internal/ownership/broken_faults.go
@@ -4,6 +4,6 @@
 
 import "os"
 
-// broken tells whether a check is left out on purpose: MADDERDRUM_BROKEN names it. Builds
+// checkDisabled tells whether a check is left out on purpose: MADDERDRUM_BROKEN names it. Builds
 // for tests alone have it.
-func broken(check string) bool { return os.Getenv("MADDERDRUM_BROKEN") == check }
+func checkDisabled(check string) bool { return os.Getenv("MADDERDRUM_BROKEN") == check }
--- a/internal/ownership/calls.go
+++ b/internal/ownership/calls.go
@@ -17,7 +17,7 @@
 // Name is the word that calls about the fleet begin with on the operators' address.
 const Name = "fleet"
 
-const mostBody = 64 << 10
+const maxRequestBytes = 64 << 10
 
 // Request is what operators want, one line of JSON behind the call's own line.
 type Request struct {
@@ -29,41 +29,41 @@
 }
 
 // verbs that take a Request.
-var asks = map[string]func(s *Service, ctx context.Context, r Request) error{
+var requestHandlers = map[string]func(s *Service, ctx context.Context, r Request) error{
 	"init": func(s *Service, ctx context.Context, r Request) error {
 		if r.Anew {
-			return s.BeginAnew(ctx)
+			return s.ForceNewFleet(ctx)
 		}
-		return s.Begin(ctx, r.Voters)
+		return s.Bootstrap(ctx, r.Voters)
 	},
-	"add":      func(s *Service, ctx context.Context, r Request) error { return s.Vote(ctx, r.Limiter, true) },
-	"remove":   func(s *Service, ctx context.Context, r Request) error { return s.Vote(ctx, r.Limiter, false) },
+	"add":      func(s *Service, ctx context.Context, r Request) error { return s.SetVoter(ctx, r.Limiter, true) },
+	"remove":   func(s *Service, ctx context.Context, r Request) error { return s.SetVoter(ctx, r.Limiter, false) },
 	"transfer": func(s *Service, ctx context.Context, r Request) error { return s.Transfer(ctx, r.Duty, r.Limiter) },
 	"resign":   func(s *Service, _ context.Context, r Request) error { return s.Resign(r.Duty) },
 	"roll": func(s *Service, ctx context.Context, r Request) error {
 		if r.Plan == nil {
 			return errors.New("it needs a plan")
 		}
-		return s.Roll(ctx, *r.Plan)
+		return s.StartRollout(ctx, *r.Plan)
 	},
-	"halt":     func(s *Service, ctx context.Context, _ Request) error { return s.Rollout(ctx, rollout.Halt) },
-	"continue": func(s *Service, ctx context.Context, _ Request) error { return s.Rollout(ctx, rollout.GoOn) },
-	"end":      func(s *Service, ctx context.Context, _ Request) error { return s.Rollout(ctx, rollout.End) },
+	"halt":     func(s *Service, ctx context.Context, _ Request) error { return s.ControlRollout(ctx, rollout.Halt) },
+	"continue": func(s *Service, ctx context.Context, _ Request) error { return s.ControlRollout(ctx, rollout.GoOn) },
+	"end":      func(s *Service, ctx context.Context, _ Request) error { return s.ControlRollout(ctx, rollout.End) },
 }
 
 // Serve answers one call; its signature is that of admin.Stream.
 func (s *Service) Serve(args []string, c net.Conn, in *bufio.Reader) {
-	c.SetDeadline(time.Now().Add(askFor + time.Second))
-	ctx, done := context.WithTimeout(context.Background(), askFor)
+	c.SetDeadline(time.Now().Add(operatorCallTimeout + time.Second))
+	ctx, done := context.WithTimeout(context.Background(), operatorCallTimeout)
 	defer done()
-	answer, err := s.answer(ctx, args, in)
+	answer, err := s.handleCall(ctx, args, in)
 	if err != nil {
 		answer = "NO " + err.Error() + "\n"
 	}
 	io.WriteString(c, answer)
 }
 
-func (s *Service) answer(ctx context.Context, args []string, in *bufio.Reader) (string, error) {
+func (s *Service) handleCall(ctx context.Context, args []string, in *bufio.Reader) (string, error) {
 	if len(args) == 0 {
 		return "", errors.New("fleet what? status, owners, history, init, add, remove, transfer, resign, roll, halt, continue or end")
 	}
@@ -73,11 +73,11 @@
 	}
 	switch args[0] {
 	case "self":
-		x := s.o.Limiter.Standing()
-		x.Fleet = s.fleet()
+		x := s.options.Limiter.Standing()
+		x.Fleet = s.fleetID()
 		return show(x)
 	case "asked":
-		return show(Asked{s.fleet(), s.me.Start, s.o.Limiter.Asked()})
+		return show(CeilingDemand{s.fleetID(), s.self.Start, s.options.Limiter.Asked()})
 	case "status":
 		return show(s.Status())
 	case "owners":
@@ -85,19 +85,19 @@
 	case "history":
 		return show(s.History())
 	case "drain", "resume", "leave":
-		t, start, err := s.token(args[1:])
+		t, start, err := s.parseCallTarget(args[1:])
 		if err != nil {
 			return "", err
 		}
-		return "YES\n", s.effect(ctx, rollout.Verb(args[0]), t, start)
+		return "YES\n", s.executeCall(ctx, rollout.Verb(args[0]), t, start)
 	}
-	ask := asks[args[0]]
+	ask := requestHandlers[args[0]]
 	if ask == nil {
 		return "", fmt.Errorf("there is no call fleet %.20q", args[0])
 	}
 	b, err := in.ReadSlice('\n')
 	var long []byte
-	for errors.Is(err, bufio.ErrBufferFull) && len(long) < mostBody { // the reader is the short one of calls
+	for errors.Is(err, bufio.ErrBufferFull) && len(long) < maxRequestBytes { // the reader is the short one of calls
 		long = append(long, b...)
 		b, err = in.ReadSlice('\n')
 	}
@@ -112,22 +112,22 @@
 }
 
 // effect carries out a conductor's call, if its token holds and it means this process.
-func (s *Service) effect(ctx context.Context, v rollout.Verb, t tenure.Token, start uint64) error {
+func (s *Service) executeCall(ctx context.Context, v rollout.Verb, t tenure.Token, start uint64) error {
 	if t.Duty != rollout.Duty {
 		return fmt.Errorf("token %v is not one of rollouts", t)
 	}
 	return s.admit(ctx, t, func() error {
-		if start != s.me.Start {
-			return fmt.Errorf("it means process %d, this is %d", start, s.me.Start)
+		if start != s.self.Start {
+			return fmt.Errorf("it means process %d, this is %d", start, s.self.Start)
 		}
 		s.log.Info("a rollout's call", "verb", string(v), "token", t.String())
 		switch v {
 		case rollout.CallDrain:
-			return s.o.Limiter.Drain()
+			return s.options.Limiter.Drain()
 		case rollout.CallResume:
-			return s.o.Limiter.Resume()
+			return s.options.Limiter.Resume()
 		}
-		s.o.Limiter.Leave()
+		s.options.Limiter.Leave()
 		return nil
 	})
 }
--- a/internal/ownership/client.go
+++ b/internal/ownership/client.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-const mostAnswer = 8 << 20 // bytes
+const maxAnswerBytes = 8 << 20 // bytes
 
 // Call makes one call on a limiter's operators' address, with a request behind it or nil, and
 // returns the answer. The whole of it takes no longer than so long.
@@ -32,7 +32,7 @@
 	if _, err := io.WriteString(c, line); err != nil {
 		return "", err
 	}
-	b, err := io.ReadAll(io.LimitReader(c, mostAnswer))
+	b, err := io.ReadAll(io.LimitReader(c, maxAnswerBytes))
 	if err == nil && len(b) == 0 {
 		err = errors.New("it closed the connection with no answer")
 	}
@@ -40,25 +40,25 @@
 }
 
 // of tells which fleet an answer comes from.
-type of interface{ fleet() string }
+type fleetAnswer interface{ fleet() string }
 
-func (x Standing) fleet() string { return x.Fleet }
-func (x Asked) fleet() string    { return x.Fleet }
+func (x Standing) fleet() string      { return x.Fleet }
+func (x CeilingDemand) fleet() string { return x.Fleet }
 
 // around asks all limiters of this fleet at once, and has each answer taken in, one after the
 // other. Who does not answer in time, or is in another fleet, is left out.
-func around[T of](ctx context.Context, s *Service, verb string, took func(position int, name string, x T)) {
+func askAll[T fleetAnswer](ctx context.Context, s *Service, verb string, took func(position int, name string, x T)) {
 	var mu sync.Mutex
 	var tasks sync.WaitGroup
-	for position, name := range s.o.Limiters {
-		addr := s.o.Admins[name]
+	for position, name := range s.options.Limiters {
+		addr := s.options.Admins[name]
 		if addr == "" {
 			continue
 		}
 		tasks.Go(func() {
 			var x T
-			answer, err := Call(ctx, addr, verb, nil, callFor)
-			if err != nil || json.Unmarshal([]byte(answer), &x) != nil || x.fleet() != s.fleet() {
+			answer, err := Call(ctx, addr, verb, nil, peerCallTimeout)
+			if err != nil || json.Unmarshal([]byte(answer), &x) != nil || x.fleet() != s.fleetID() {
 				return
 			}
 			mu.Lock()
--- a/internal/ownership/conduct.go
+++ b/internal/ownership/conduct.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	conductEvery = 200 * time.Millisecond
-	callFor      = 900 * time.Millisecond
+	conductInterval = 200 * time.Millisecond
+	peerCallTimeout = 900 * time.Millisecond
 	// Service is that of the last servedLooks looks; with fewer requests it is not known.
-	servedLooks = 5
-	servedLeast = 20
+	serviceSamples     = 5
+	minServiceRequests = 20
 )
 
 // conduct carries rollouts out while this limiter owns that duty. It begins nothing once
 // ctx is over, and ends with inner.
-func (s *Service) conduct(ctx, inner context.Context) {
-	ticker := time.NewTicker(conductEvery)
+func (s *Service) conductRollouts(ctx, inner context.Context) {
+	ticker := time.NewTicker(conductInterval)
 	defer ticker.Stop()
 	var c *rollout.Conductor
 	var epoch uint64
-	var service served
+	var service serviceRate
 	for {
 		select {
 		case <-inner.Done():
@@ -39,24 +39,24 @@
 			continue
 		}
 		if c == nil || epoch != t.Epoch {
-			c, epoch, service = rollout.NewConductor(s.me.Limiter), t.Epoch, served{}
+			c, epoch, service = rollout.NewConductor(s.self.Limiter), t.Epoch, serviceRate{}
 		}
-		p := s.machine.plan()
+		p := s.machine.currentRollout()
 		if p == nil || p.State != rollout.Running {
-			service = served{}
+			service = serviceRate{}
 			continue
 		}
-		seen, standings := s.lookAround(inner)
-		l := rollout.Look{Now: now(), Epoch: t.Epoch, Seen: seen, Served: service.look(standings)}
+		seen, standings := s.pollLimiters(inner)
+		l := rollout.Look{Now: now(), Epoch: t.Epoch, Seen: seen, Served: service.observe(standings)}
 		notes, calls, resign := c.Next(p, l)
 		for _, n := range notes {
-			ctx, done := context.WithTimeout(inner, proposeFor)
+			ctx, done := context.WithTimeout(inner, proposeTimeout)
 			err := s.propose(ctx, entry{Rollout: &n})
 			done()
 			s.log.Info("rollout", "id", p.ID, "op", string(n.Op), "of", n.Limiter, "to", string(n.To), "why", n.Why, "token", t.String(), "err", err)
 		}
 		for _, call := range calls {
-			s.carryOut(inner, call)
+			s.sendCall(inner, call)
 		}
 		if resign {
 			s.log.Info("rollout: this limiter is next, another one goes on", "id", p.ID)
@@ -66,12 +66,12 @@
 }
 
 // carryOut makes one call under the token that holds at that moment.
-func (s *Service) carryOut(ctx context.Context, c rollout.Call) {
+func (s *Service) sendCall(ctx context.Context, c rollout.Call) {
 	t, owns := s.owns(rollout.Duty) // the last look; what comes after it is the receiver's to refuse
 	if !owns {
 		return
 	}
-	answer, err := Call(ctx, s.o.Admins[c.Limiter], fmt.Sprintf("%s %v %d %s", c.Verb, t, c.Start, s.fleet()), nil, callFor)
+	answer, err := Call(ctx, s.options.Admins[c.Limiter], fmt.Sprintf("%s %v %d %s", c.Verb, t, c.Start, s.fleetID()), nil, peerCallTimeout)
 	if err == nil && !strings.HasPrefix(answer, "YES") {
 		err = fmt.Errorf("%s", strings.TrimSpace(answer))
 	}
@@ -79,12 +79,12 @@
 }
 
 // lookAround asks all limiters how they are doing.
-func (s *Service) lookAround(ctx context.Context) (map[string]rollout.Seen, map[string]Standing) {
+func (s *Service) pollLimiters(ctx context.Context) (map[string]rollout.Seen, map[string]Standing) {
 	seen, standings := map[string]rollout.Seen{}, map[string]Standing{}
-	for _, name := range s.admins() {
+	for _, name := range s.callableLimiters() {
 		seen[name] = rollout.Seen{}
 	}
-	around(ctx, s, "self", func(_ int, name string, x Standing) {
+	askAll(ctx, s, "self", func(_ int, name string, x Standing) {
 		seen[name] = rollout.Seen{Reached: true, Ready: x.Ready, Draining: x.Draining, Start: x.Start, InHand: x.InHand}
 		standings[name] = x
 	})
@@ -92,36 +92,36 @@
 }
 
 // served is the share of requests that all limiters have served of late.
-type served struct {
-	before map[string]Standing
-	looks  [][2]int64 // passed and refused between two looks
+type serviceRate struct {
+	previous map[string]Standing
+	samples  [][2]int64 // passed and refused between two looks
 }
 
 // look adds what limiters say now and returns the share; below 0: too little is known.
-func (v *served) look(standings map[string]Standing) float64 {
+func (v *serviceRate) observe(standings map[string]Standing) float64 {
 	var d [2]int64
 	for name, x := range standings {
-		if b, ok := v.before[name]; ok && b.Start == x.Start {
+		if b, ok := v.previous[name]; ok && b.Start == x.Start {
 			d[0] += x.Passed - b.Passed
 			d[1] += x.Refused - b.Refused
 		}
 	}
-	first := v.before == nil
-	if v.before = standings; first {
+	first := v.previous == nil
+	if v.previous = standings; first {
 		return -1
 	}
-	v.looks = append(v.looks, d)
-	if len(v.looks) > servedLooks {
-		v.looks = v.looks[1:]
+	v.samples = append(v.samples, d)
+	if len(v.samples) > serviceSamples {
+		v.samples = v.samples[1:]
 	}
 	var passed, refused int64
-	for _, l := range v.looks {
+	for _, l := range v.samples {
 		passed, refused = passed+l[0], refused+l[1]
 	}
 	switch {
-	case len(v.looks) < servedLooks:
+	case len(v.samples) < serviceSamples:
 		return -1
-	case passed+refused < servedLeast:
+	case passed+refused < minServiceRequests:
 		return 1 // hardly anybody asks: nothing is lost
 	}
 	return float64(passed) / float64(passed+refused)
@@ -129,7 +129,7 @@
 
 // token reads what a call names: a token, the fleet that gave it, and the process that is
 // meant. Epochs of two fleets say nothing about each other.
-func (s *Service) token(args []string) (t tenure.Token, start uint64, err error) {
+func (s *Service) parseCallTarget(args []string) (t tenure.Token, start uint64, err error) {
 	if len(args) != 3 {
 		return t, 0, fmt.Errorf("it needs a token, a process and a fleet: %s drain rollout/12 START FLEET", Name)
 	}
@@ -139,7 +139,7 @@
 	if start, err = strconv.ParseUint(args[1], 10, 64); err != nil {
 		return t, 0, fmt.Errorf("process %.30q is no number", args[1])
 	}
-	if mine := s.fleet(); args[2] != mine || mine == "" {
+	if mine := s.fleetID(); args[2] != mine || mine == "" {
 		return t, 0, fmt.Errorf("it comes from fleet %.20q, this limiter is in %q", args[2], mine)
 	}
 	return t, start, nil
--- a/internal/ownership/machine.go
+++ b/internal/ownership/machine.go
@@ -29,8 +29,8 @@
 
 	mu sync.Mutex
 	state
-	resets  uint64 // how often nothing was known any more
-	changes uint64 // of parts
+	resets       uint64 // how often nothing was known any more
+	shareChanges uint64 // of parts
 }
 
 type state struct {
@@ -53,7 +53,7 @@
 	case e.Rollout != nil:
 		return m.Rollouts.Apply(*e.Rollout, m.Terms.Current(rollout.Duty))
 	case e.Parts != nil:
-		m.changes++
+		m.shareChanges++
 		return m.Parts.Apply(*e.Parts, m.Terms.Current(parts.Duty))
 	}
 	return nil // of a later build: it means nothing here
@@ -77,7 +77,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.state = s
-	m.changes++
+	m.shareChanges++
 	if data == nil {
 		m.resets++
 	}
@@ -85,34 +85,34 @@
 }
 
 // beginAnew voids all tokens of before.
-func (m *machine) beginAnew(generation uint64) {
+func (m *machine) startGeneration(generation uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.Terms.BeginAnew(generation)
 	if m.steward || m.Parts.Limiters > 0 {
 		m.Parts.BeginAnew(m.limiters)
-		m.changes++
+		m.shareChanges++
 	}
 }
 
 // parts tells how often nothing was known any more, how often parts have changed, and whether
 // this limiter has one to confirm.
-func (m *machine) parts() (resets, changes uint64, due bool) {
+func (m *machine) shareStatus() (resets, changes uint64, due bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	_, due = m.Parts.Due(m.position)
-	return m.resets, m.changes, due
+	return m.resets, m.shareChanges, due
 }
 
 // look has the state looked at; it must not be kept.
-func (m *machine) look(f func(*state)) {
+func (m *machine) withState(f func(*state)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f(&m.state)
 }
 
 // plan is a copy of the rollout under way, or nil.
-func (m *machine) plan() *rollout.Plan {
+func (m *machine) currentRollout() *rollout.Plan {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.Rollouts.Current()
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	proposeFor = time.Second            // a proposal of this limiter's own is waited for so long
-	leaveFor   = 700 * time.Millisecond // to give up duties and the lead at an end in good order
-	askFor     = 2 * time.Second        // operators' wishes
+	proposeTimeout      = time.Second            // a proposal of this limiter's own is waited for so long
+	leaveTimeout        = 700 * time.Millisecond // to give up duties and the lead at an end in good order
+	operatorCallTimeout = 2 * time.Second        // operators' wishes
 )
 
 // Limiter is this limiter, as its duties and the effects of others' see it.
@@ -60,36 +60,36 @@
 	Admins    map[string]string // where operators call them
 	Steward   bool              // parts of ceilings move; else they go back to equal ones
 	Rooms     map[string]string // of the limiters, by name; nil: each looks for itself
-	Eyes      Eyes              // of this limiter, with Rooms
+	Eyes      Prober            // of this limiter, with Rooms
 	Limiter   Limiter
 	Log       *slog.Logger
 }
 
 // Service is a limiter's part in the duties of its fleet. It is safe for concurrent use.
 type Service struct {
-	o       Options
+	options Options
 	log     *slog.Logger
-	me      tenure.Process
+	self    tenure.Process
 	host    *agreement.Host
 	machine *machine
 
-	mu        sync.Mutex
-	candidate *tenure.Candidate
-	owned     map[string]uint64 // epochs, for the log
-	news      chan struct{}
+	mu           sync.Mutex
+	candidate    *tenure.Candidate
+	owned        map[string]uint64 // epochs, for the log
+	termsChanged chan struct{}
 
-	duties   []string      // that this limiter is a candidate for
-	lookout  *Lookout      // nil: it looks for itself
-	position int           // among all limiters
-	dealt    chan struct{} // parts may have changed
+	duties        []string      // that this limiter is a candidate for
+	watcher       *RoomWatcher  // nil: it looks for itself
+	position      int           // among all limiters
+	sharesChanged chan struct{} // parts may have changed
 
-	gate    sync.Mutex // round the effects of others
-	fence   *tenure.Fence
-	current bool // this process has caught up with what was agreed on before it started
+	effectMu sync.Mutex // round the effects of others
+	fence    *tenure.Fence
+	caughtUp bool // this process has caught up with what was agreed on before it started
 }
 
 // candidates tells whether a limiter is a candidate for a duty.
-func (o *Options) candidates(duty, limiter string) bool {
+func (o *Options) isCandidate(duty, limiter string) bool {
 	if room, ok := watch.Room(duty); ok {
 		return o.Rooms[limiter] == room
 	}
@@ -110,20 +110,20 @@
 	if err := o.Terms.Check(); err != nil {
 		return nil, err
 	}
-	s := &Service{o: o, log: o.Log, machine: &machine{limiters: len(o.Limiters), steward: o.Steward, position: slices.Index(o.Limiters, o.Agreement.Name)}, dealt: make(chan struct{}, 1), owned: map[string]uint64{}, news: make(chan struct{}, 1),
-		me: tenure.Process{Limiter: o.Agreement.Name, Start: rand.Uint64() | 1}}
+	s := &Service{options: o, log: o.Log, machine: &machine{limiters: len(o.Limiters), steward: o.Steward, position: slices.Index(o.Limiters, o.Agreement.Name)}, sharesChanged: make(chan struct{}, 1), owned: map[string]uint64{}, termsChanged: make(chan struct{}, 1),
+		self: tenure.Process{Limiter: o.Agreement.Name, Start: rand.Uint64() | 1}}
 	s.position = s.machine.position
 	for _, d := range o.Duties() {
-		if o.candidates(d, s.me.Limiter) {
+		if o.isCandidate(d, s.self.Limiter) {
 			s.duties = append(s.duties, d)
 		}
 	}
-	s.candidate = tenure.NewCandidate(s.me, o.Terms, s.duties, o.Limiters)
+	s.candidate = tenure.NewCandidate(s.self, o.Terms, s.duties, o.Limiters)
 	a := o.Agreement
-	a.Machine, a.Changed, a.Log = s.machine, s.changed, o.Log
+	a.Machine, a.Changed, a.Log = s.machine, s.handleApplied, o.Log
 	if o.Rooms != nil {
-		s.lookout = newLookout(s, o.Rooms[s.me.Limiter])
-		a.Streams = map[string]func(string, *agreement.Stream){watchStream: s.lookout.serve}
+		s.watcher = newRoomWatcher(s, o.Rooms[s.self.Limiter])
+		a.Streams = map[string]func(string, *agreement.Stream){watchStream: s.watcher.serve}
 	}
 	var err error
 	s.host, err = agreement.Open(a)
@@ -131,10 +131,10 @@
 }
 
 // Lookout is this limiter's part in the looks of its room; nil: it looks for itself.
-func (s *Service) Lookout() *Lookout { return s.lookout }
+func (s *Service) Lookout() *RoomWatcher { return s.watcher }
 
 // Start is the number of this process, which the limiter's Standing has to tell.
-func (s *Service) Start() uint64 { return s.me.Start }
+func (s *Service) Start() uint64 { return s.self.Start }
 
 // Addr is where other limiters connect.
 func (s *Service) Addr() string { return s.host.Addr().String() }
@@ -158,16 +158,16 @@
 		defer stop()
 		err = s.host.Run(inner)
 	})
-	tasks.Go(func() { s.keep(inner) })
-	tasks.Go(func() { s.conduct(ctx, inner) })
-	tasks.Go(func() { s.hold(inner) })
-	tasks.Go(func() { s.deal(inner) })
-	if s.lookout != nil {
-		tasks.Go(func() { s.lookout.run(inner) })
+	tasks.Go(func() { s.maintainTerms(inner) })
+	tasks.Go(func() { s.conductRollouts(ctx, inner) })
+	tasks.Go(func() { s.useCeilingShares(inner) })
+	tasks.Go(func() { s.dealCeilingShares(inner) })
+	if s.watcher != nil {
+		tasks.Go(func() { s.watcher.run(inner) })
 	}
 	select {
 	case <-ctx.Done():
-		s.leave(inner)
+		s.releaseDuties(inner)
 	case <-inner.Done():
 	}
 	stop()
@@ -176,10 +176,10 @@
 }
 
 // changed takes in what has been agreed on; the agreement's driver calls it.
-func (s *Service) changed() {
+func (s *Service) handleApplied() {
 	at := now()
 	s.mu.Lock()
-	s.machine.look(func(st *state) { s.candidate.Observe(at, &st.Terms) })
+	s.machine.withState(func(st *state) { s.candidate.Observe(at, &st.Terms) })
 	for _, d := range s.duties {
 		t, owns := s.candidate.Owns(at, d)
 		switch was := s.owned[d]; {
@@ -192,7 +192,7 @@
 		}
 	}
 	s.mu.Unlock()
-	for _, c := range []chan struct{}{s.news, s.dealt} {
+	for _, c := range []chan struct{}{s.termsChanged, s.sharesChanged} {
 		select {
 		case c <- struct{}{}:
 		default:
@@ -208,14 +208,14 @@
 }
 
 // keep takes, renews and gives up terms.
-func (s *Service) keep(ctx context.Context) {
+func (s *Service) maintainTerms(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.news:
+		case <-s.termsChanged:
 		case <-timer.C:
 		}
 		s.mu.Lock()
@@ -225,7 +225,7 @@
 		for _, c := range commands {
 			c.AtMs = wall.Now().UnixMilli()
 			go func() {
-				ctx, done := context.WithTimeout(ctx, proposeFor)
+				ctx, done := context.WithTimeout(ctx, proposeTimeout)
 				defer done()
 				if err := s.propose(ctx, entry{Term: &c}); err != nil {
 					s.log.Debug("a term was not agreed on", "kind", string(c.Kind), "duty", c.Duty, "err", err)
@@ -245,11 +245,11 @@
 }
 
 // leave gives up duties and the lead, so that nobody waits for their ends.
-func (s *Service) leave(ctx context.Context) {
-	ctx, done := context.WithTimeout(ctx, leaveFor)
+func (s *Service) releaseDuties(ctx context.Context) {
+	ctx, done := context.WithTimeout(ctx, leaveTimeout)
 	defer done()
 	s.resign("")
-	for s.anyOwned() && ctx.Err() == nil {
+	for s.ownsAny() && ctx.Err() == nil {
 		time.Sleep(10 * time.Millisecond)
 	}
 	s.host.HandOver(ctx)
@@ -260,7 +260,7 @@
 	s.candidate.Resign(duty)
 	s.mu.Unlock()
 	select {
-	case s.news <- struct{}{}:
+	case s.termsChanged <- struct{}{}:
 	default:
 	}
 }
@@ -272,10 +272,10 @@
 	s.candidate.Abstain(duty, now()+hold)
 }
 
-func (s *Service) anyOwned() (any bool) {
-	s.machine.look(func(st *state) {
+func (s *Service) ownsAny() (any bool) {
+	s.machine.withState(func(st *state) {
 		for _, t := range st.Terms.Terms {
-			any = any || t.Owner == s.me
+			any = any || t.Owner == s.self
 		}
 	})
 	return any
@@ -284,9 +284,9 @@
 // admit tells whether an effect under a token may be carried out here. It holds the gate
 // until the effect is over: one under a later token waits for it.
 func (s *Service) admit(ctx context.Context, t tenure.Token, effect func() error) error {
-	s.gate.Lock()
-	defer s.gate.Unlock()
-	if broken("fence") {
+	s.effectMu.Lock()
+	defer s.effectMu.Unlock()
+	if checkDisabled("fence") {
 		return effect()
 	}
 	if s.fence == nil {
@@ -296,16 +296,16 @@
 		}
 		s.fence = tenure.NewFence(kept)
 	}
-	if !s.current {
+	if !s.caughtUp {
 		// What this limiter remembers may be an old folder's. What was agreed on before it
 		// started is known once it has caught up.
 		if err := s.host.Read(ctx); err != nil {
 			return fmt.Errorf("this limiter has started and has not caught up with the fleet: %w", err)
 		}
-		s.current = true
+		s.caughtUp = true
 	}
 	var epoch uint64
-	s.machine.look(func(st *state) { epoch = st.Terms.Current(t.Duty) })
+	s.machine.withState(func(st *state) { epoch = st.Terms.Current(t.Duty) })
 	if t.Epoch < epoch {
 		return fmt.Errorf("token %v is over: epoch %d is agreed on", t, epoch)
 	}
@@ -337,7 +337,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at := now()
-	s.machine.look(func(st *state) {
+	s.machine.withState(func(st *state) {
 		for _, t := range st.Terms.Sorted() {
 			o := Owner{Duty: t.Duty, Owner: t.Owner.Limiter, Epoch: t.Epoch, Terms: t.Takes, Wanted: t.Next}
 			if until := s.candidate.Until(t.Duty); until > at {
@@ -374,14 +374,14 @@
 	SentBytes  int64
 	Received   int64
 	Rollout    *rollout.Plan `json:",omitempty"`
-	Looks      *Looks        `json:",omitempty"` // shared in this limiter's room
+	Looks      *WatchStatus  `json:",omitempty"` // shared in this limiter's room
 	Moved      int           // accounts of which parts of the ceiling are not equal
 	UnderWay   int           // of them, where a limiter has still to confirm that it uses less
 	Unsure     []string      `json:",omitempty"` // limiters of which is not known yet what they hold, after the fleet was begun anew
 }
 
 // fleet is the number of the fleet that this limiter is in, in hexadecimal; empty: none.
-func (s *Service) fleet() string {
+func (s *Service) fleetID() string {
 	if f := s.host.Status().Fleet; f != 0 {
 		return fmt.Sprintf("%016x", f)
 	}
@@ -391,18 +391,18 @@
 // Status returns it.
 func (s *Service) Status() Status {
 	a := s.host.Status()
-	st := Status{Limiter: s.me.Limiter, Fleet: s.fleet(), Generation: a.Generation, Leader: a.Roster.Members[a.Leader],
-		Term: a.Term, Applied: a.Applied, Silent: a.Silent, Failed: a.Failed, Sent: a.Sent, SentBytes: a.SentBytes, Received: a.Received, Rollout: s.machine.plan()}
-	s.machine.look(func(x *state) {
+	st := Status{Limiter: s.self.Limiter, Fleet: s.fleetID(), Generation: a.Generation, Leader: a.Roster.Members[a.Leader],
+		Term: a.Term, Applied: a.Applied, Silent: a.Silent, Failed: a.Failed, Sent: a.Sent, SentBytes: a.SentBytes, Received: a.Received, Rollout: s.machine.currentRollout()}
+	s.machine.withState(func(x *state) {
 		st.Moved, st.UnderWay = x.Parts.Moved()
 		for _, i := range x.Parts.Unsure {
-			if i < len(s.o.Limiters) {
-				st.Unsure = append(st.Unsure, s.o.Limiters[i])
+			if i < len(s.options.Limiters) {
+				st.Unsure = append(st.Unsure, s.options.Limiters[i])
 			}
 		}
 	})
-	if s.lookout != nil {
-		x := s.lookout.Looks()
+	if s.watcher != nil {
+		x := s.watcher.Status()
 		st.Looks = &x
 	}
 	for id, name := range a.Roster.Members {
@@ -436,32 +436,32 @@
 
 // History is what has become of duties, newest last.
 func (s *Service) History() (all []tenure.Change) {
-	s.machine.look(func(st *state) { all = slices.Clone(st.Terms.History) })
+	s.machine.withState(func(st *state) { all = slices.Clone(st.Terms.History) })
 	return all
 }
 
 // Begin makes this limiter the first of the fleet.
-func (s *Service) Begin(ctx context.Context, voters []string) error {
+func (s *Service) Bootstrap(ctx context.Context, voters []string) error {
 	for _, v := range voters {
-		if !slices.Contains(s.o.Limiters, v) {
+		if !slices.Contains(s.options.Limiters, v) {
 			return fmt.Errorf("there is no limiter %q", v)
 		}
 	}
-	if !slices.Contains(voters, s.me.Limiter) {
-		return fmt.Errorf("%s is none of the voters %v: call one of them", s.me.Limiter, voters)
+	if !slices.Contains(voters, s.self.Limiter) {
+		return fmt.Errorf("%s is none of the voters %v: call one of them", s.self.Limiter, voters)
 	}
 	return s.host.Begin(ctx, voters)
 }
 
 // BeginAnew makes this limiter the only voter and voids all tokens.
-func (s *Service) BeginAnew(ctx context.Context) error {
-	return s.host.BeginAnew(ctx, s.machine.beginAnew)
+func (s *Service) ForceNewFleet(ctx context.Context) error {
+	return s.host.BeginAnew(ctx, s.machine.startGeneration)
 }
 
 // Vote has a limiter vote from now on, or learn.
-func (s *Service) Vote(ctx context.Context, limiter string, votes bool) error {
-	if !slices.Contains(s.o.Limiters, limiter) {
-		return fmt.Errorf("there is no limiter %q; there are %v", limiter, s.o.Limiters)
+func (s *Service) SetVoter(ctx context.Context, limiter string, votes bool) error {
+	if !slices.Contains(s.options.Limiters, limiter) {
+		return fmt.Errorf("there is no limiter %q; there are %v", limiter, s.options.Limiters)
 	}
 	w := agreement.Wish{Remove: limiter}
 	if votes {
@@ -473,52 +473,52 @@
 // Transfer has a duty go to another limiter.
 func (s *Service) Transfer(ctx context.Context, duty, to string) error {
 	switch {
-	case !slices.Contains(s.o.Duties(), duty):
-		return fmt.Errorf("there is no duty %q; there are %v", duty, s.o.Duties())
-	case !slices.Contains(s.o.Limiters, to):
-		return fmt.Errorf("there is no limiter %q; there are %v", to, s.o.Limiters)
-	case !s.o.candidates(duty, to):
-		return fmt.Errorf("limiter %q is in room %q: %s is for its own limiters", to, s.o.Rooms[to], duty)
+	case !slices.Contains(s.options.Duties(), duty):
+		return fmt.Errorf("there is no duty %q; there are %v", duty, s.options.Duties())
+	case !slices.Contains(s.options.Limiters, to):
+		return fmt.Errorf("there is no limiter %q; there are %v", to, s.options.Limiters)
+	case !s.options.isCandidate(duty, to):
+		return fmt.Errorf("limiter %q is in room %q: %s is for its own limiters", to, s.options.Rooms[to], duty)
 	}
-	return s.propose(ctx, entry{Term: &tenure.Command{Kind: tenure.Transfer, By: s.me, Duty: duty, To: to}})
+	return s.propose(ctx, entry{Term: &tenure.Command{Kind: tenure.Transfer, By: s.self, Duty: duty, To: to}})
 }
 
 // Resign has this limiter give a duty up, if it owns it.
 func (s *Service) Resign(duty string) error {
 	if _, owns := s.owns(duty); !owns {
-		return fmt.Errorf("%s does not own %q", s.me.Limiter, duty)
+		return fmt.Errorf("%s does not own %q", s.self.Limiter, duty)
 	}
 	s.resign(duty)
 	return nil
 }
 
 // Roll begins a rollout over limiters; none: over all.
-func (s *Service) Roll(ctx context.Context, p rollout.Plan) error {
+func (s *Service) StartRollout(ctx context.Context, p rollout.Plan) error {
 	if len(p.Steps) == 0 {
-		for _, n := range s.o.Limiters {
+		for _, n := range s.options.Limiters {
 			p.Steps = append(p.Steps, rollout.Step{Limiter: n, Phase: rollout.Waiting})
 		}
 	}
 	var none []string
 	for _, st := range p.Steps {
-		if !slices.Contains(s.o.Limiters, st.Limiter) {
-			return fmt.Errorf("there is no limiter %q; there are %v", st.Limiter, s.o.Limiters)
+		if !slices.Contains(s.options.Limiters, st.Limiter) {
+			return fmt.Errorf("there is no limiter %q; there are %v", st.Limiter, s.options.Limiters)
 		}
-		if s.o.Admins[st.Limiter] == "" {
+		if s.options.Admins[st.Limiter] == "" {
 			none = append(none, st.Limiter)
 		}
 	}
 	if len(none) > 0 {
 		return fmt.Errorf("limiters %v have no admin address: add one to each in the configuration", none)
 	}
-	if p.AtOnce >= len(s.o.Limiters) {
-		return fmt.Errorf("%d limiters at once, of %d: nobody would serve", p.AtOnce, len(s.o.Limiters))
+	if p.AtOnce >= len(s.options.Limiters) {
+		return fmt.Errorf("%d limiters at once, of %d: nobody would serve", p.AtOnce, len(s.options.Limiters))
 	}
 	return s.propose(ctx, entry{Rollout: &rollout.Command{Op: rollout.Begin, ID: p.ID, Plan: &p}})
 }
 
 // Rollout has the rollout under way go on or end.
-func (s *Service) Rollout(ctx context.Context, op rollout.Op) error {
+func (s *Service) ControlRollout(ctx context.Context, op rollout.Op) error {
 	if op != rollout.GoOn && op != rollout.End && op != rollout.Halt {
 		return errors.New("a rollout can be halted, continued or ended")
 	}
@@ -526,4 +526,4 @@
 }
 
 // admins are the limiters that can be called.
-func (s *Service) admins() []string { return slices.Sorted(maps.Keys(s.o.Admins)) }
+func (s *Service) callableLimiters() []string { return slices.Sorted(maps.Keys(s.options.Admins)) }
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -37,7 +37,7 @@
 func (s *stub) Leave()                { s.note("leave") }
 func (s *stub) Standing() Standing    { return Standing{Ready: true} }
 func (s *stub) Asked() []parts.Report { return nil }
-func (s *stub) said() (calls []string) {
+func (s *stub) callsMade() (calls []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append(calls, s.calls...)
@@ -49,12 +49,12 @@
 }
 
 // alone is a fleet of one limiter, in a folder.
-func alone(t *testing.T, folder string, steward bool) (s *Service, l *stub, stop func()) {
-	return aloneWith(t, folder, func(o *Options) { o.Steward = steward }, func(*Service) {})
+func startAlone(t *testing.T, folder string, steward bool) (s *Service, l *stub, stop func()) {
+	return startAloneWith(t, folder, func(o *Options) { o.Steward = steward }, func(*Service) {})
 }
 
 // aloneWith is one with other options, changed before it runs.
-func aloneWith(t *testing.T, folder string, with func(o *Options), before func(*Service)) (s *Service, l *stub, stop func()) {
+func startAloneWith(t *testing.T, folder string, with func(o *Options), before func(*Service)) (s *Service, l *stub, stop func()) {
 	t.Helper()
 	l = &stub{rest: -1}
 	log := slog.New(slog.DiscardHandler)
@@ -78,7 +78,7 @@
 }
 
 // ask makes a call as one on the operators' address.
-func ask(s *Service, line, body string) string {
+func callService(s *Service, line, body string) string {
 	here, there := net.Pipe()
 	go func() {
 		defer there.Close()
@@ -88,7 +88,7 @@
 	return strings.TrimSpace(string(b))
 }
 
-func until(t *testing.T, what string, so func() bool) {
+func waitFor(t *testing.T, what string, so func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(20 * time.Second); !so(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(limit) {
@@ -101,71 +101,71 @@
 // that they name; what was seen of tokens is still known after a restart.
 func TestCallsOfConductors(t *testing.T) {
 	folder := t.TempDir()
-	s, l, stop := alone(t, folder, false)
-	until(t, "no fleet was begun", func() bool { return ask(s, "fleet init", `{"Voters":["n0"]}`+"\n") == "YES" })
-	until(t, "nobody owns the duty", func() bool { _, owns := s.owns(rollout.Duty); return owns })
+	s, l, stop := startAlone(t, folder, false)
+	waitFor(t, "no fleet was begun", func() bool { return callService(s, "fleet init", `{"Voters":["n0"]}`+"\n") == "YES" })
+	waitFor(t, "nobody owns the duty", func() bool { _, owns := s.owns(rollout.Duty); return owns })
 	call := func(verb string, epoch, start uint64, fleet string) string {
-		return ask(s, fmt.Sprintf("fleet %s rollout/%d %d %s", verb, epoch, start, fleet), "")
+		return callService(s, fmt.Sprintf("fleet %s rollout/%d %d %s", verb, epoch, start, fleet), "")
 	}
 	token, _ := s.owns(rollout.Duty)
 	later := token.Epoch + 5
 	for _, x := range []struct{ got, want string }{
-		{call("drain", token.Epoch, s.Start(), s.fleet()), "YES"},
-		{call("resume", later, s.Start(), s.fleet()), "YES"},
-		{call("drain", token.Epoch, s.Start(), s.fleet()), "NO"},
-		{call("leave", later, s.Start()+1, s.fleet()), "NO it means process"},
+		{call("drain", token.Epoch, s.Start(), s.fleetID()), "YES"},
+		{call("resume", later, s.Start(), s.fleetID()), "YES"},
+		{call("drain", token.Epoch, s.Start(), s.fleetID()), "NO"},
+		{call("leave", later, s.Start()+1, s.fleetID()), "NO it means process"},
 		{call("drain", later, s.Start(), "0123456789abcdef"), "NO it comes from fleet"},
-		{ask(s, "fleet drain parts/9 1 "+s.fleet(), ""), "NO token parts/9 is not one of rollouts"},
-		{ask(s, "fleet drain rollout/9 1", ""), "NO it needs a token, a process and a fleet"},
-		{ask(s, "fleet drain rollout 1 x", ""), "NO"},
-		{ask(s, "fleet drain rollout/9 many "+s.fleet(), ""), "NO process"},
-		{ask(s, "fleet", ""), "NO fleet what?"},
-		{ask(s, "fleet dance", ""), "NO there is no call fleet"},
-		{ask(s, "fleet add", ""), "NO a line of JSON was to follow"},
-		{ask(s, "fleet add", "nonsense\n"), "NO a line of JSON was to follow"},
-		{ask(s, "fleet add", `{"Limiter":"n9"}`+"\n"), `NO there is no limiter "n9"`},
-		{ask(s, "fleet add", strings.Repeat("x", 1<<20)), "NO a line of JSON was to follow"},
-		{ask(s, "fleet remove", `{"Limiter":"n0"}`+"\n"), "NO n0 is the last voter"},
-		{ask(s, "fleet transfer", `{"Limiter":"n0","Duty":"tea"}`+"\n"), `NO there is no duty "tea"`},
-		{ask(s, "fleet resign", `{"Duty":"tea"}`+"\n"), `NO n0 does not own "tea"`},
-		{ask(s, "fleet roll", "{}\n"), "NO it needs a plan"},
-		{ask(s, "fleet continue", "{}\n"), "NO no rollout is under way"},
-		{ask(s, "fleet init", `{"Voters":["n0"]}`+"\n"), "NO"},
+		{callService(s, "fleet drain parts/9 1 "+s.fleetID(), ""), "NO token parts/9 is not one of rollouts"},
+		{callService(s, "fleet drain rollout/9 1", ""), "NO it needs a token, a process and a fleet"},
+		{callService(s, "fleet drain rollout 1 x", ""), "NO"},
+		{callService(s, "fleet drain rollout/9 many "+s.fleetID(), ""), "NO process"},
+		{callService(s, "fleet", ""), "NO fleet what?"},
+		{callService(s, "fleet dance", ""), "NO there is no call fleet"},
+		{callService(s, "fleet add", ""), "NO a line of JSON was to follow"},
+		{callService(s, "fleet add", "nonsense\n"), "NO a line of JSON was to follow"},
+		{callService(s, "fleet add", `{"Limiter":"n9"}`+"\n"), `NO there is no limiter "n9"`},
+		{callService(s, "fleet add", strings.Repeat("x", 1<<20)), "NO a line of JSON was to follow"},
+		{callService(s, "fleet remove", `{"Limiter":"n0"}`+"\n"), "NO n0 is the last voter"},
+		{callService(s, "fleet transfer", `{"Limiter":"n0","Duty":"tea"}`+"\n"), `NO there is no duty "tea"`},
+		{callService(s, "fleet resign", `{"Duty":"tea"}`+"\n"), `NO n0 does not own "tea"`},
+		{callService(s, "fleet roll", "{}\n"), "NO it needs a plan"},
+		{callService(s, "fleet continue", "{}\n"), "NO no rollout is under way"},
+		{callService(s, "fleet init", `{"Voters":["n0"]}`+"\n"), "NO"},
 	} {
 		if !strings.HasPrefix(x.got, x.want) {
 			t.Errorf("answered %q, want %q", x.got, x.want)
 		}
 	}
-	if got := fmt.Sprint(l.said()); got != "[drain resume]" {
+	if got := fmt.Sprint(l.callsMade()); got != "[drain resume]" {
 		t.Errorf("carried out %s", got)
 	}
 	stop()
-	s, l, stop = alone(t, folder, false)
+	s, l, stop = startAlone(t, folder, false)
 	defer stop()
-	until(t, "it knows its fleet no more", func() bool { return s.fleet() != "" && s.Status().Leader == "n0" })
-	if a := call("drain", later-1, s.Start(), s.fleet()); !strings.HasPrefix(a, "NO") || len(l.said()) > 0 {
+	waitFor(t, "it knows its fleet no more", func() bool { return s.fleetID() != "" && s.Status().Leader == "n0" })
+	if a := call("drain", later-1, s.Start(), s.fleetID()); !strings.HasPrefix(a, "NO") || len(l.callsMade()) > 0 {
 		t.Errorf("after a restart an old token was answered %q", a)
 	}
-	if a := call("drain", later, s.Start(), s.fleet()); a != "YES" {
+	if a := call("drain", later, s.Start(), s.fleetID()); a != "YES" {
 		t.Errorf("after a restart the latest token was answered %q", a)
 	}
 }
 
 // A limiter under a steward uses its floor until it knows what is agreed on.
 func TestFloorUntilCaughtUp(t *testing.T) {
-	s, l, stop := alone(t, t.TempDir(), true)
+	s, l, stop := startAlone(t, t.TempDir(), true)
 	defer stop()
 	rest := func() float64 { l.mu.Lock(); defer l.mu.Unlock(); return l.rest }
-	until(t, "nothing was held", func() bool { return rest() >= 0 })
+	waitFor(t, "nothing was held", func() bool { return rest() >= 0 })
 	if rest() != 0.1 {
 		t.Errorf("in no fleet it holds %g", rest())
 	}
-	until(t, "no fleet was begun", func() bool { return ask(s, "fleet init", `{"Voters":["n0"]}`+"\n") == "YES" })
-	until(t, "it never held equal parts", func() bool { return rest() == 1 })
-	if s.machine.beginAnew(1); s.Status().Unsure == nil {
+	waitFor(t, "no fleet was begun", func() bool { return callService(s, "fleet init", `{"Voters":["n0"]}`+"\n") == "YES" })
+	waitFor(t, "it never held equal parts", func() bool { return rest() == 1 })
+	if s.machine.startGeneration(1); s.Status().Unsure == nil {
 		t.Error("begun anew, it is sure of what all hold")
 	}
-	until(t, "it did not tell that it uses its floor", func() bool { return s.Status().Unsure == nil })
+	waitFor(t, "it did not tell that it uses its floor", func() bool { return s.Status().Unsure == nil })
 }
 
 // What can't be read is refused, and what a later build wrote changes nothing.
@@ -207,23 +207,23 @@
 }
 
 // blind are eyes that see nothing.
-type blind struct{}
+type noProber struct{}
 
-func (blind) Look(uint64)                            {}
-func (blind) Word(uint64, bool)                      {}
-func (blind) Pools() []string                        { return nil }
-func (blind) Whole(string) (int64, []byte, bool)     { return 0, nil, false }
-func (blind) Told(string, int64, bool, []byte) error { return nil }
-func (blind) Follow(string, time.Duration)           {}
+func (noProber) Look(uint64)                            {}
+func (noProber) Word(uint64, bool)                      {}
+func (noProber) Pools() []string                        { return nil }
+func (noProber) Whole(string) (int64, []byte, bool)     { return 0, nil, false }
+func (noProber) Told(string, int64, bool, []byte) error { return nil }
+func (noProber) Follow(string, time.Duration)           {}
 
 // A limiter that has nothing to ask for stays connected to the one that looks for it: it used to
 // be taken for gone, and connected anew, with all lists.
 func TestWhoAsksForNothingIsStillLookedFor(t *testing.T) {
-	s, _, stop := aloneWith(t, t.TempDir(), func(o *Options) { o.Rooms, o.Eyes = map[string]string{"n0": "a", "n1": "a"}, blind{} },
-		func(s *Service) { s.lookout.cfg.Apart = 5 * time.Millisecond })
+	s, _, stop := startAloneWith(t, t.TempDir(), func(o *Options) { o.Rooms, o.Eyes = map[string]string{"n0": "a", "n1": "a"}, noProber{} },
+		func(s *Service) { s.watcher.settings.Apart = 5 * time.Millisecond })
 	defer stop()
-	until(t, "no fleet was begun", func() bool { return ask(s, "fleet init", `{"Voters":["n0"]}`+"\n") == "YES" })
-	until(t, "nobody looks", func() bool { return s.Lookout().Looks().By == "n0" })
+	waitFor(t, "no fleet was begun", func() bool { return callService(s, "fleet init", `{"Voters":["n0"]}`+"\n") == "YES" })
+	waitFor(t, "nobody looks", func() bool { return s.Lookout().Status().By == "n0" })
 	here, there := net.Pipe()
 	go s.Lookout().serve("n1", agreement.NewStream(there))
 	in := agreement.NewStream(here)
--- a/internal/ownership/watch.go
+++ b/internal/ownership/watch.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	watchStream = "watch" // what its connections are for
-	lookEvery   = 100 * time.Millisecond
-	mostWants   = 4096 // events that wait; past them the limiter looks itself
-	mostNotes   = 256  // for one limiter that wait; one that is further behind connects anew
+	watchStream     = "watch" // what its connections are for
+	tickInterval    = 100 * time.Millisecond
+	maxQueuedEvents = 4096 // events that wait; past them the limiter looks itself
+	maxQueuedNotes  = 256  // for one limiter that wait; one that is further behind connects anew
 )
 
 // Eyes are this limiter's own looks at boxes and at discovery, and what it believes of others'.
-type Eyes interface {
+type Prober interface {
 	Look(box uint64)
 	Word(box uint64, well bool)
 	Pools() []string
@@ -40,7 +40,7 @@
 }
 
 // Looks are how a limiter's looks are shared, for operators.
-type Looks struct {
+type WatchStatus struct {
 	Room string
 	By   string // who looks for the room, as far as this limiter hears it; empty: each for itself
 	For  int    `json:",omitempty"` // limiters that this one looks for
@@ -50,104 +50,108 @@
 
 // Lookout is a limiter's part in the looks of its room. Its methods may be called by any
 // goroutine and never block; what they bring about is done by its own.
-type Lookout struct {
-	s    *Service
-	eyes Eyes
-	room string
-	duty string
-	cfg  watch.Settings
-	log  *slog.Logger
+type RoomWatcher struct {
+	service  *Service
+	prober   Prober
+	room     string
+	duty     string
+	settings watch.Settings
+	log      *slog.Logger
 
 	mu     sync.Mutex
 	events []func(at time.Duration)
-	poke   chan struct{}
-	looks  Looks
+	wake   chan struct{}
+	status WatchStatus
 
 	// The loop's own.
-	part  *watch.Part
-	token tenure.Token // while this limiter looks
-	mates map[string]*mate
-	up    *uplink // to the one that looks
+	watcher    *watch.Part
+	token      tenure.Token // while this limiter looks
+	followers  map[string]*follower
+	leaderLink *leaderConn // to the one that looks
 }
 
 // mate is a limiter that this one looks for.
-type mate struct {
-	name string
-	out  chan note
-	end  func()
+type follower struct {
+	name       string
+	queue      chan note
+	disconnect func()
 }
 
 // uplink is the way to the one that looks.
-type uplink struct {
-	to   string
-	out  chan note
-	stop func()
+type leaderConn struct {
+	leader string
+	queue  chan note
+	stop   func()
 }
 
-func newLookout(s *Service, room string) *Lookout {
-	return &Lookout{s: s, eyes: s.o.Eyes, room: room, duty: watch.Duty(room), cfg: watch.DefaultSettings(s.o.Terms.Term), log: s.log, poke: make(chan struct{}, 1),
-		mates: map[string]*mate{}, looks: Looks{Room: room}}
+func newRoomWatcher(s *Service, room string) *RoomWatcher {
+	return &RoomWatcher{service: s, prober: s.options.Eyes, room: room, duty: watch.Duty(room), settings: watch.DefaultSettings(s.options.Terms.Term), log: s.log, wake: make(chan struct{}, 1),
+		followers: map[string]*follower{}, status: WatchStatus{Room: room}}
 }
 
 // do has the loop do something.
-func (l *Lookout) do(f func(at time.Duration)) {
+func (l *RoomWatcher) enqueue(f func(at time.Duration)) {
 	l.mu.Lock()
 	l.events = append(l.events, f)
 	l.mu.Unlock()
 	select {
-	case l.poke <- struct{}{}:
+	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
 // Want is told that a box is held as ill here; false: there is more to do than can be done.
-func (l *Lookout) Want(box uint64) bool {
+func (l *RoomWatcher) Want(box uint64) bool {
 	l.mu.Lock()
-	full := len(l.events) >= mostWants
+	full := len(l.events) >= maxQueuedEvents
 	l.mu.Unlock()
 	if !full {
-		l.do(func(at time.Duration) { l.part.Want(at, box) })
+		l.enqueue(func(at time.Duration) { l.watcher.Want(at, box) })
 	}
 	return !full
 }
 
 // Looked is told how a look of this limiter's own has ended.
-func (l *Lookout) Looked(box uint64, well, made bool) {
+func (l *RoomWatcher) Looked(box uint64, well, made bool) {
 	saw := map[bool]watch.Verdict{true: watch.Well, false: watch.Ill}[well]
 	if !made {
 		saw = ""
 	}
-	l.do(func(at time.Duration) { l.part.Looked(at, box, saw) })
+	l.enqueue(func(at time.Duration) { l.watcher.Looked(at, box, saw) })
 }
 
 // Failed is told that an attempt has failed at a box.
-func (l *Lookout) Failed(box uint64) { l.do(func(at time.Duration) { l.part.Failed(at, box) }) }
+func (l *RoomWatcher) Failed(box uint64) {
+	l.enqueue(func(at time.Duration) { l.watcher.Failed(at, box) })
+}
 
 // Listed is told what the agent of a pool has said to this limiter.
-func (l *Lookout) Listed(pool string, seq int64, whole bool, hosts []byte) {
-	l.do(func(time.Duration) { l.part.Listed(watch.List{Pool: pool, Seq: seq, Whole: whole, Hosts: hosts}) })
+func (l *RoomWatcher) Listed(pool string, seq int64, whole bool, hosts []byte) {
+	l.enqueue(func(time.Duration) { l.watcher.Listed(watch.List{Pool: pool, Seq: seq, Whole: whole, Hosts: hosts}) })
 }
 
 // Lost is told that the agent of a pool does not answer this limiter.
-func (l *Lookout) Lost(pool string) { l.do(func(at time.Duration) { l.part.Lost(at, pool) }) }
+func (l *RoomWatcher) Lost(pool string) {
+	l.enqueue(func(at time.Duration) { l.watcher.Lost(at, pool) })
+}
 
 // Looks are how looks are shared here.
-func (l *Lookout) Looks() Looks {
+func (l *RoomWatcher) Status() WatchStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.looks
+	return l.status
 }
 
 // run is the loop.
-func (l *Lookout) run(ctx context.Context) {
-	l.part = watch.NewPart(l.cfg, l.eyes.Pools())
-	ticker := time.NewTicker(lookEvery)
+func (l *RoomWatcher) run(ctx context.Context) {
+	l.watcher = watch.NewPart(l.settings, l.prober.Pools())
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.poke:
+		case <-l.wake:
 		case <-ticker.C:
 		}
 		l.mu.Lock()
@@ -156,113 +160,113 @@
 		l.mu.Unlock()
 		for _, f := range events {
 			f(now())
-			l.carryOut()
+			l.executeActions()
 		}
-		l.tend(ctx, now())
-		l.carryOut()
+		l.tick(ctx, now())
+		l.executeActions()
 	}
 }
 
 // tend looks who owns the duty, and does what the time asks for.
-func (l *Lookout) tend(ctx context.Context, at time.Duration) {
-	token, owns := l.s.owns(l.duty)
-	if was := l.part.Leads(); was && (!owns || token != l.token) || !was && owns {
-		for _, m := range l.mates {
-			m.end()
+func (l *RoomWatcher) tick(ctx context.Context, at time.Duration) {
+	token, owns := l.service.owns(l.duty)
+	if was := l.watcher.Leads(); was && (!owns || token != l.token) || !was && owns {
+		for _, m := range l.followers {
+			m.disconnect()
 		}
-		clear(l.mates)
+		clear(l.followers)
 		l.token = token
-		l.part.Lead(owns)
+		l.watcher.Lead(owns)
 	}
 	l.connect(ctx)
-	if !broken("alone") || !l.part.Alone(at) {
-		l.part.Tick(at)
+	if !checkDisabled("alone") || !l.watcher.Alone(at) {
+		l.watcher.Tick(at)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.looks = Looks{Room: l.room, For: len(l.mates), Figures: l.part.Figures(), Follows: l.part.Follows()}
+	l.status = WatchStatus{Room: l.room, For: len(l.followers), Figures: l.watcher.Figures(), Follows: l.watcher.Follows()}
 	switch {
 	case owns:
-		l.looks.By = l.s.me.Limiter
-	case l.up != nil && !l.part.Alone(at):
-		l.looks.By = l.up.to
+		l.status.By = l.service.self.Limiter
+	case l.leaderLink != nil && !l.watcher.Alone(at):
+		l.status.By = l.leaderLink.leader
 	}
 }
 
 // carryOut does what has been decided.
-func (l *Lookout) carryOut() {
-	for _, a := range l.part.Acts() {
+func (l *RoomWatcher) executeActions() {
+	for _, a := range l.watcher.Acts() {
 		switch a.Kind {
 		case watch.Look:
-			l.eyes.Look(a.Box)
+			l.prober.Look(a.Box)
 		case watch.Believe:
-			l.eyes.Word(a.Box, a.Is == watch.Well)
+			l.prober.Word(a.Box, a.Is == watch.Well)
 		case watch.Follow:
-			l.eyes.Follow(a.Pool, a.Hold)
+			l.prober.Follow(a.Pool, a.Hold)
 		case watch.Take:
-			if err := l.eyes.Told(a.List.Pool, a.List.Seq, a.List.Whole, a.List.Hosts); err != nil {
+			if err := l.prober.Told(a.List.Pool, a.List.Seq, a.List.Whole, a.List.Hosts); err != nil {
 				l.log.Warn("a list of the one that looks can't be read", "pool", a.List.Pool, "err", err)
-				l.part.Itself(a.List.Pool)
+				l.watcher.Itself(a.List.Pool)
 			}
 		case watch.Say:
-			if l.up != nil {
+			if l.leaderLink != nil {
 				select {
-				case l.up.out <- note{Note: a.Note}:
+				case l.leaderLink.queue <- note{Note: a.Note}:
 				default: // it is asked again
 				}
 			}
 		case watch.TellWhole:
-			if seq, hosts, ok := l.eyes.Whole(a.Pool); ok {
-				l.tell(a.To, watch.Note{List: &watch.List{Pool: a.Pool, Seq: seq, Whole: true, Hosts: hosts}})
+			if seq, hosts, ok := l.prober.Whole(a.Pool); ok {
+				l.sendToFollowers(a.To, watch.Note{List: &watch.List{Pool: a.Pool, Seq: seq, Whole: true, Hosts: hosts}})
 			}
 		case watch.Tell:
-			l.tell(a.To, a.Note)
+			l.sendToFollowers(a.To, a.Note)
 		case watch.Resign:
 			l.log.Warn("gives a duty up: others hear what this limiter does not", "duty", l.duty, "for", a.Hold.String())
-			l.s.abstain(l.duty, a.Hold)
-			l.s.resign(l.duty)
+			l.service.abstain(l.duty, a.Hold)
+			l.service.resign(l.duty)
 		}
 	}
 }
 
 // tell tells one that this limiter looks for, or all of them. One that does not take its notes
 // connects anew.
-func (l *Lookout) tell(to string, n watch.Note) {
-	for name, m := range l.mates {
+func (l *RoomWatcher) sendToFollowers(to string, n watch.Note) {
+	for name, m := range l.followers {
 		if to != "" && to != name {
 			continue
 		}
 		select {
-		case m.out <- note{l.token.String(), n}:
+		case m.queue <- note{l.token.String(), n}:
 		default:
-			m.end()
+			m.disconnect()
 		}
 	}
 }
 
 // serve is a connection of another limiter of the room that this one is to look for.
-func (l *Lookout) serve(name string, st *agreement.Stream) {
-	if l.s.o.Rooms[name] != l.room {
+func (l *RoomWatcher) serve(name string, st *agreement.Stream) {
+	if l.service.options.Rooms[name] != l.room {
 		l.log.Warn("turned a limiter away that is not of this room", "limiter", name, "room", l.room)
 		return
 	}
 	ended := make(chan struct{})
-	m := &mate{name: name, out: make(chan note, mostNotes), end: sync.OnceFunc(func() { close(ended); st.Close() })}
-	defer m.end()
-	l.do(func(time.Duration) { l.join(m) })
-	defer l.do(func(time.Duration) {
-		if l.mates[name] == m {
-			delete(l.mates, name)
-			l.part.Leave(name)
+	m := &follower{name: name, queue: make(chan note, maxQueuedNotes), disconnect: sync.OnceFunc(func() { close(ended); st.Close() })}
+	defer m.disconnect()
+	l.enqueue(func(time.Duration) { l.addFollower(m) })
+	defer l.enqueue(func(time.Duration) {
+		if l.followers[name] == m {
+			delete(l.followers, name)
+			l.watcher.Leave(name)
 		}
 	})
 	go func() {
-		defer m.end()
+		defer m.disconnect()
 		for {
 			select {
-			case n := <-m.out:
+			case n := <-m.queue:
 				// The last look before the effect.
-				if t, owns := l.s.owns(l.duty); !owns || t.String() != n.Token || send(st, n) != nil {
+				if t, owns := l.service.owns(l.duty); !owns || t.String() != n.Token || send(st, n) != nil {
 					return
 				}
 			case <-ended:
@@ -275,60 +279,60 @@
 		if err != nil {
 			return
 		}
-		l.do(func(at time.Duration) {
-			if l.mates[name] == m {
-				l.part.From(at, name, n.Note)
+		l.enqueue(func(at time.Duration) {
+			if l.followers[name] == m {
+				l.watcher.From(at, name, n.Note)
 			}
 		})
 	}
 }
 
 // join begins to look for a limiter.
-func (l *Lookout) join(m *mate) {
-	if before := l.mates[m.name]; before != nil {
-		before.end()
+func (l *RoomWatcher) addFollower(m *follower) {
+	if before := l.followers[m.name]; before != nil {
+		before.disconnect()
 	}
-	l.mates[m.name] = m
-	if !l.part.Join(m.name) {
-		delete(l.mates, m.name)
-		m.end()
+	l.followers[m.name] = m
+	if !l.watcher.Join(m.name) {
+		delete(l.followers, m.name)
+		m.disconnect()
 	}
 }
 
 // connect keeps a connection to the one that looks, if that is another one.
-func (l *Lookout) connect(ctx context.Context) {
+func (l *RoomWatcher) connect(ctx context.Context) {
 	to := ""
-	l.s.machine.look(func(st *state) {
-		if t := st.Terms.Terms[l.duty]; t != nil && t.Owner.Limiter != l.s.me.Limiter {
+	l.service.machine.withState(func(st *state) {
+		if t := st.Terms.Terms[l.duty]; t != nil && t.Owner.Limiter != l.service.self.Limiter {
 			to = t.Owner.Limiter
 		}
 	})
-	if l.up != nil && l.up.to != to {
-		l.up.stop()
-		l.up = nil
-		l.part.Cut()
+	if l.leaderLink != nil && l.leaderLink.leader != to {
+		l.leaderLink.stop()
+		l.leaderLink = nil
+		l.watcher.Cut()
 	}
-	if to == "" || l.up != nil {
+	if to == "" || l.leaderLink != nil {
 		return
 	}
 	ctx, stop := context.WithCancel(ctx)
-	l.up = &uplink{to, make(chan note, mostNotes), stop}
-	go l.hear(ctx, l.up)
+	l.leaderLink = &leaderConn{to, make(chan note, maxQueuedNotes), stop}
+	go l.followLeader(ctx, l.leaderLink)
 }
 
 // hear hears the one that looks until the context ends.
-func (l *Lookout) hear(ctx context.Context, up *uplink) {
+func (l *RoomWatcher) followLeader(ctx context.Context, up *leaderConn) {
 	pause := &backoff.ExponentialBackOff{InitialInterval: 50 * time.Millisecond, MaxInterval: time.Second, Multiplier: 2, RandomizationFactor: 0.5}
 	pause.Reset()
 	for ctx.Err() == nil {
-		heard, err := l.talk(ctx, up)
+		heard, err := l.receiveFromLeader(ctx, up)
 		if heard {
 			pause.Reset()
 		}
-		l.log.Debug("the one that looks for the room is not heard", "limiter", up.to, "err", err)
-		l.do(func(time.Duration) {
-			if l.up == up {
-				l.part.Cut()
+		l.log.Debug("the one that looks for the room is not heard", "limiter", up.leader, "err", err)
+		l.enqueue(func(time.Duration) {
+			if l.leaderLink == up {
+				l.watcher.Cut()
 			}
 		})
 		select {
@@ -339,21 +343,21 @@
 }
 
 // talk is one connection to the one that looks.
-func (l *Lookout) talk(ctx context.Context, up *uplink) (heard bool, err error) {
-	st, err := l.s.host.Dial(ctx, up.to, watchStream)
+func (l *RoomWatcher) receiveFromLeader(ctx context.Context, up *leaderConn) (heard bool, err error) {
+	st, err := l.service.host.Dial(ctx, up.leader, watchStream)
 	if err != nil {
 		return false, err
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	defer context.AfterFunc(ctx, st.Close)()
-	for len(up.out) > 0 { // stale by now
-		<-up.out
+	for len(up.queue) > 0 { // stale by now
+		<-up.queue
 	}
 	go func() {
 		for {
 			select {
-			case n := <-up.out:
+			case n := <-up.queue:
 				if send(st, n) != nil {
 					st.Close()
 					return
@@ -364,12 +368,12 @@
 		}
 	}()
 	for {
-		n, err := receive(st, l.cfg.Patience)
+		n, err := receive(st, l.settings.Patience)
 		if err != nil {
 			return heard, err
 		}
 		for i := range n.Words {
-			if broken("word") && n.Words[i].Is != watch.Well {
+			if checkDisabled("word") && n.Words[i].Is != watch.Well {
 				n.Words[i].Is = watch.Ill
 			}
 		}
@@ -379,8 +383,8 @@
 		}
 		if err == nil {
 			err = l.admit(ctx, t, func(at time.Duration) {
-				if l.up == up {
-					l.part.Heard(at, n.Note)
+				if l.leaderLink == up {
+					l.watcher.Heard(at, n.Note)
 				}
 			})
 		}
@@ -392,11 +396,11 @@
 }
 
 // admit has the loop do something under a token that holds here.
-func (l *Lookout) admit(ctx context.Context, t tenure.Token, f func(at time.Duration)) error {
-	ctx, done := context.WithTimeout(ctx, proposeFor)
+func (l *RoomWatcher) admit(ctx context.Context, t tenure.Token, f func(at time.Duration)) error {
+	ctx, done := context.WithTimeout(ctx, proposeTimeout)
 	defer done()
-	return l.s.admit(ctx, t, func() error {
-		l.do(f)
+	return l.service.admit(ctx, t, func() error {
+		l.enqueue(f)
 		return nil
 	})
 }
