--- a/advice/advice.go
+++ b/advice/advice.go
@@ -1,47 +1,48 @@
-// Package advice turns what plug-ins say about a request into what the decision module
-// may use. It does no input or output and reads no clock. What a plug-in says is data
-// from a stranger: it is decoded with every bound checked, brought within what the
-// operator grants that plug-in, and combined in the operator's order. Whatever comes of
-// it can refuse a request, or weigh it by a bounded factor, and nothing else: it can't
-// admit, send, resend or touch an answer.
+// Package advice turns the output of plug-ins about a request into input for the decision
+// module. It does no input or output and reads no clock. Plug-in output is untrusted: it is
+// decoded with every bound checked, limited to what the operator grants that plug-in, and
+// combined in the operator's order. The result can refuse a request, scale its priority by a
+// bounded factor, label it, and prefer or avoid tiers, and nothing else: it can't admit, send
+// or resend a request or touch an answer.
 package advice
 
 import "math"
 
-// Advice is what one plug-in says about one request. The zero value is no opinion.
+// Advice is the output of one plug-in for one request. The zero value expresses no opinion.
 type Advice struct {
 	Refuse   bool
-	WaitMs   float64 // with Refuse: when to come back; 0: not said
-	Reason   string  // for the log
-	Priority float64 // factor on what the request is worth; 0: no opinion
+	WaitMs   float64 // with Refuse: suggested delay before a retry; 0: none given
+	Reason   string  // written to the log
+	Priority float64 // factor on the request's worth; 0: no opinion
 	Label    string  // for logs and reports
-	Prefer   string  // a tier of the request's pool, by name
+	Prefer   string  // name of a tier of the request's pool
 	Avoid    string
 }
 
-// Failures are the ways in which a plug-in may give no advice.
+// Failures is a set of the ways in which a plug-in can fail to give advice.
 type Failures uint8
 
-// The ways. A request for which a plug-in fails in a way that is not in its [Grant] goes on
-// as if it had no opinion.
+// Kinds of failure. If a plug-in fails in a way that is not in its Grant's RefuseOn, the request
+// continues as if the plug-in had no opinion.
 const (
-	OnFault   Failures = 1 << iota // it trapped, ran past its budget, or said what can't be read
-	OnBenched                      // it is not asked for a while, after faults
-	OnBusy                         // it had no instance free, or no time was left for it
+	OnFault   Failures = 1 << iota // it trapped, exceeded its budget, or returned advice that can't be decoded
+	OnBenched                      // it is suspended for a while after faults
+	OnBusy                         // no instance was free, or no time was left
 )
 
-// Grant is what the operator lets a plug-in say. The zero value grants nothing.
+// Grant limits the effects of a plug-in's advice, as the operator configures it. The zero value
+// grants nothing.
 type Grant struct {
 	Refuse     bool
-	MostWaitMs float64 // a longer time to come back is cut down to this
-	Lower      float64 // the least factor; 0 or 1: it may not lower a priority
-	Raise      float64 // the greatest factor; 0 or 1: it may not raise one
+	MostWaitMs float64 // maximum of the suggested retry delay
+	Lower      float64 // smallest priority factor; 0 or 1: it may not lower a priority
+	Raise      float64 // largest priority factor; 0 or 1: it may not raise a priority
 	Label      bool
 	Tiers      bool
-	RefuseOn   Failures // what becomes a refusal, of a plug-in that guards something
+	RefuseOn   Failures // failures that refuse the request, for a plug-in that protects something
 }
 
-// within brings advice within a grant. NaN and infinities are no opinion.
+// clamp limits advice to the grant. NaN and infinite numbers count as no opinion.
 func (g *Grant) clamp(a Advice) Advice {
 	a.Refuse = a.Refuse && g.Refuse
 	if !(a.WaitMs > 0) || !a.Refuse {
@@ -68,35 +69,35 @@
 	return a
 }
 
-// Bounds of the product of all factors: what the decision module would make of a worth is
-// within these anyway.
+// Bounds of the product of all priority factors. The decision module limits the resulting worth
+// to the same range anyway.
 const (
 	LeastFactor = 0.1
 	MostFactor  = 10.0
 )
 
-// mostLabels bounds the labels of one request.
+// maxLabels limits the labels, and the avoided tiers, of one request.
 const maxLabels = 8
 
-// Combined is what several plug-ins say together. Make one with [Start].
+// Combined is the combined advice of several plug-ins. Create one with [Start].
 type Combined struct {
 	Refuse bool
-	By     int // with Refuse: the place of the plug-in that says so
+	By     int // with Refuse: index of the plug-in that refused
 	WaitMs float64
 	Reason string
-	Factor float64 // on the worth; 1 changes nothing
+	Factor float64 // on the request's worth; 1 changes nothing
 	Labels []string
 	Prefer string
 	Avoid  []string
 }
 
-// Start is what no plug-in says.
+// Start returns the combined advice of no plug-ins, which changes nothing.
 func Start() Combined { return Combined{By: -1, Factor: 1} }
 
-// Add takes in what the plug-in at a place says, in the operator's order, and tells whether
-// the next one is to be asked: the first refusal ends it. Factors multiply, labels add up,
-// the first preference for a tier holds and any tier that one avoids is avoided.
-func (c *Combined) Add(place int, g *Grant, a Advice) (more bool) {
+// Add adds the advice of the plug-in at index place in the operator's order, and reports whether
+// the next plug-in should be asked: the first refusal ends the sequence. Factors multiply, labels
+// accumulate, the first preferred tier wins, and every avoided tier is avoided.
+func (c *Combined) Add(place int, g *Grant, a Advice) (askNext bool) {
 	a = g.clamp(a)
 	c.Factor = max(LeastFactor, min(MostFactor, c.Factor*a.Priority))
 	if a.Label != "" && len(c.Labels) < maxLabels {
@@ -114,8 +115,9 @@
 	return !c.Refuse
 }
 
-// Failed takes in that the plug-in at a place failed in some way.
-func (c *Combined) Failed(place int, g *Grant, how Failures) (more bool) {
+// Failed records a failure of the plug-in at index place, which refuses the request if the grant
+// says so. It reports whether the next plug-in should be asked.
+func (c *Combined) Failed(place int, g *Grant, how Failures) (askNext bool) {
 	if g.RefuseOn&how != 0 {
 		c.Refuse, c.By, c.Reason = true, place, "a plug-in that guards this has failed"
 	}
--- a/advice/counsel/counsel.go
+++ b/advice/counsel/counsel.go
@@ -1,5 +1,5 @@
-// Package counsel turns what plug-ins say together into what the decision module takes. It
-// does no input or output and reads no clock.
+// Package counsel converts the combined advice of plug-ins to the form that the decision module
+// takes. It does no input or output and reads no clock.
 package counsel
 
 import (
@@ -9,9 +9,8 @@
 	"example.org/madderdrum/limiter"
 )
 
-// Of is advice for the module; tiers are the names of those of the request's pool, by rank.
-// Tiers that the pool does not have are passed over: a plug-in is asked about requests of
-// many pools.
+// Of converts combined advice; tiers are the names of the tiers of the request's pool, by rank.
+// Unknown tiers are ignored, because a plug-in is asked about requests of many pools.
 func Of(c *advice.Combined, tiers []string) limiter.Advice {
 	a := limiter.Advice{Refuse: c.Refuse, WaitMs: c.WaitMs, Factor: c.Factor}
 	if c.Prefer != "" {
@@ -25,6 +24,6 @@
 	return a
 }
 
-// Due tells whether a request is to be put to plug-ins: not one with a lease, as the ask that
-// it was leased by has been.
+// Due reports whether plug-ins should be asked about a request. They are not if it has a lease,
+// because they were asked when the lease was granted.
 func Due(s *limiter.Submit) bool { return s.Leased <= 0 && !s.Vouched }
--- a/advice/counters.go
+++ b/advice/counters.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// Counters are a plug-in's own store: decaying sums by key, a bounded number of them. It
+// Counters is a plug-in's private store: a bounded number of decaying sums by key. It
 // does no I/O and reads no clock, and is not safe for concurrent use.
 type Counters struct {
 	maxKeys int
 	sums    map[string]decayingSum
 }
 
+// decayingSum is a value at the time of its last update, which halves with each half-life.
 type decayingSum struct {
 	value     float64
 	halfLife  time.Duration
 	updatedAt time.Duration
 }
 
-// MostHalf is the longest half-life of a sum.
+// MostHalf is the maximum half-life of a sum. Longer ones are reduced to it.
 const MostHalf = time.Hour
 
 const (
@@ -27,12 +28,12 @@
 	maxSum      = 1e15
 )
 
-// NewCounters returns a store of so many keys at most.
+// NewCounters returns an empty store with the given maximum number of keys.
 func NewCounters(most int) *Counters { return &Counters{maxKeys: most, sums: map[string]decayingSum{}} }
 
-// Add adds to the sum of a key, which halves each half-life, and returns it. An amount of 0
-// only asks. With no room for a new key the one that was least lately added to, of some that
-// are looked at, is forgotten.
+// Add adds an amount to the sum of a key, which decays with the given half-life, and returns the
+// new sum. An amount of 0 only reads. If a new key finds the store full, the least recently
+// updated of a sample of keys is evicted.
 func (c *Counters) Add(now time.Duration, key []byte, amount float64, half time.Duration) float64 {
 	if len(key) > maxKeyBytes || math.IsNaN(amount) || math.IsInf(amount, 0) {
 		return 0
@@ -53,7 +54,7 @@
 	return s.value
 }
 
-// drop forgets the oldest of a few keys.
+// evictOldest removes the least recently updated key of a sample.
 func (c *Counters) evictOldest() {
 	const looked = 16
 	oldest, n := "", 0
@@ -68,5 +69,5 @@
 	delete(c.sums, oldest)
 }
 
-// Len is the number of keys.
+// Len returns the number of keys in the store.
 func (c *Counters) Len() int { return len(c.sums) }
--- a/advice/subject.go
+++ b/advice/subject.go
@@ -1,20 +1,21 @@
 package advice
 
-// Subject is a request that plug-ins are asked about, with what an operator may let one of
-// them see besides. Request.Headers and Request.Body are set for each plug-in by [Sight].
+// Subject is a request that plug-ins are asked about, with the data that an operator may show to
+// some of them. [Subject.For] sets Request.Headers and Request.Body for each plug-in.
 type Subject struct {
 	Request
-	Header func(name string) string // the value of a header that stands there once, or ""
-	Whole  []byte                   // the body; nil: it has none, or it is not known here
+	Header func(name string) string // value of a header that occurs exactly once, or ""
+	Whole  []byte                   // the body; nil: it has none, or it is not available here
 }
 
-// Sight is what the operator lets a plug-in see beyond the fixed fields.
+// Sight selects what a plug-in sees beyond the fixed fields, as the operator configures it.
 type Sight struct {
 	Headers []string
-	Body    bool // if its manifest asks for it, too
+	Body    bool // show the body if the plug-in's manifest also asks for it
 }
 
-// For sets what one plug-in sees. Headers that are not there are left out.
+// For returns the request as one plug-in may see it. It is reused by the next call. Missing headers
+// are left out.
 func (s *Subject) For(g *Sight, wantsBody bool) *Request {
 	r := &s.Request
 	r.Headers, r.Body = r.Headers[:0], nil
@@ -31,8 +32,8 @@
 	return r
 }
 
-// Secret tells that a header holds what no plug-in is to see, whatever the operator
-// writes. Names are compared in the canonical form of net/http.
+// Secret reports whether a header must never be shown to a plug-in, whatever the configuration
+// says. Names must be in the canonical form of net/http.
 func Secret(name string) bool {
 	switch name {
 	case "Authorization", "Proxy-Authorization", "Cookie", "Set-Cookie", "X-Grant", "X-Proxy-Secret", "X-Api-Key":
--- a/advice/wire.go
+++ b/advice/wire.go
@@ -8,20 +8,21 @@
 	"unicode/utf8"
 )
 
-// Version is that of the layouts below, which docs/plugins-abi.md gives for authors.
+// Version is the version of the layouts below, which docs/plugins-abi.md documents for plug-in
+// authors.
 const Version = 1
 
-// Layout of the request, little-endian. All texts come after the header, in this order,
-// each without an end mark: plan, class, method, path, then name and value of each header,
-// and the body where one is shown.
+// Layout of the request, little-endian. All strings follow the header, in this order and without
+// terminators: plan, class, method, path, then name and value of each header, and the body if it is
+// included.
 //
 //	 0 u16 version            24 f64 units
 //	 2 u16 size of the header 32 f64 balance, units left in the account's bucket
 //	 4 u32 flags              40 f32 pressure, 0 to 1
 //	 8 u64 account            44 u32 time left, ms
-//	16 u16 plan, by its place 48 u16 length of the plan's name
-//	18 u16 class              50 u16 ... of the class's
-//	20 u16 headers            52 u16 ... of the method
+//	16 u16 index of the plan  48 u16 length of the plan's name
+//	18 u16 index of the class 50 u16 ... of the class's
+//	20 u16 number of headers  52 u16 ... of the method
 //	22 u16 0                  54 u16 ... of the path
 //	                          56 and for each header u16 name, u16 value
 //	                             and last, if flag 2 is set, u32 length of the body
@@ -31,19 +32,19 @@
 	flagBody           = 2
 )
 
-// MostRequest is the most bytes that a request takes without its body; what is longer
-// loses headers, and then the end of its path. MostBody bounds the body in bytes, which is
-// as long as the protocol lets one be.
+// MostRequest is the maximum size in bytes of an encoded request without its body: headers that do
+// not fit are dropped, and the path is cut to half of it. MostBody is the maximum size of the body,
+// which is the longest that the protocol allows.
 const (
 	MostRequest = 16 << 10
 	MostBody    = 64 << 10
 )
 
-// WantsBody is the bit in what a module's manifest says (the export madderdrum_wants) that
-// asks for bodies.
+// WantsBody is the bit in a module's manifest (the result of its export madderdrum_wants) that asks
+// for bodies.
 const WantsBody = 1
 
-// Request is what plug-ins see of a request. There is no secret in it.
+// Request is the part of a client's request that plug-ins see. It contains no credentials.
 type Request struct {
 	Account     uint64
 	Plan, Class int
@@ -51,7 +52,7 @@
 	ClassName   string
 	Method      string
 	Path        string
-	Headers     [][2]string // those that the operator chose
+	Headers     [][2]string // names and values of those that the operator selected
 	Units       float64
 	Balance     float64
 	Pressure    float64
@@ -60,7 +61,7 @@
 	Body        []byte // nil unless the plug-in asks for it and the operator grants it
 }
 
-// Append writes the request after what a buffer holds.
+// Append appends the encoded request to b.
 func (r *Request) Append(b []byte) []byte {
 	le := binary.LittleEndian
 	headers, path := r.Headers, r.Path
@@ -112,8 +113,8 @@
 	return append(b, body...)
 }
 
-// DecodeRequest reads a request, for plug-ins of the SDK. What its header has beyond this
-// version is passed over.
+// DecodeRequest decodes a request, for plug-ins built with the SDK. It ignores header fields beyond
+// those of this version.
 func DecodeRequest(b []byte) (r Request, err error) {
 	le := binary.LittleEndian
 	if len(b) < requestHeaderBytes {
@@ -160,32 +161,33 @@
 	return r, err
 }
 
-// Layout of the advice: the header, then the texts in its order.
+// Layout of the advice: the header, then the strings in the order of their lengths there.
 //
 //	0 u16 version            16 f64 priority, a factor; 0: no opinion
 //	2 u16 size of the header 24 u16 length of the reason
-//	4 u32 kind: 0 or 1, to refuse  26 u16 ... of the label
-//	8 f64 time to come back, ms    28 u16 ... of the tier to prefer
+//	4 u32 kind: 0, or 1: refuse    26 u16 ... of the label
+//	8 f64 delay before retry, ms   28 u16 ... of the tier to prefer
 //	                               30 u16 ... of the tier to avoid
 const (
 	adviceHeaderBytes = 32
 	kindRefuse        = 1
 )
 
-// Bounds of what a plug-in may write, in bytes.
+// Size limits of a plug-in's advice and of each string in it, in bytes.
 const (
 	MostAdvice   = 1 << 10
 	maxTextBytes = 200
 )
 
-// The errors of advice that can't be used; all are the plug-in's fault.
+// Errors of advice that can't be used. All are faults of the plug-in.
 var (
 	ErrVersion = errors.New("advice of another version")
 	ErrLayout  = errors.New("advice that does not hold together")
 	ErrText    = errors.New("text that is too long or not UTF-8")
 )
 
-// Decode reads advice. Whatever the bytes are, it returns advice or one of the errors.
+// Decode decodes untrusted advice. For any input it returns advice or an error that wraps one of the
+// errors above.
 func Decode(b []byte) (a Advice, err error) {
 	le := binary.LittleEndian
 	if len(b) < adviceHeaderBytes || len(b) > MostAdvice {
@@ -215,7 +217,7 @@
 	return a, nil
 }
 
-// clean is a text that can go into a log: control characters become blanks.
+// sanitize makes a string safe for a log: it replaces control characters by blanks.
 func sanitize(b []byte) string {
 	s := []rune(string(b))
 	for i, r := range s {
@@ -226,7 +228,7 @@
 	return string(s)
 }
 
-// Append writes advice after what a buffer holds, for plug-ins of the SDK and tests.
+// Append appends the encoded advice to b, for plug-ins built with the SDK and for tests.
 func (a *Advice) Append(b []byte) []byte {
 	le := binary.LittleEndian
 	kind := uint32(0)
--- a/durable/boot.go
+++ b/durable/boot.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootOf is the machine's present life, and how long it has lasted, also while the machine
-// slept; "" where the system does not tell.
+// readBootClock returns the ID of the machine's current boot and the time since that boot,
+// including time in suspend. The ID is "" where the system does not provide it.
 func readBootClock() (id string, up time.Duration) {
 	data, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
--- a/durable/disk.go
+++ b/durable/disk.go
@@ -8,12 +8,13 @@
 	"syscall"
 )
 
-// disk is what a folder is kept on: the system's, or one that fails as a test wants it to.
+// disk is the file system a folder is stored on: the operating system's, or a simulated one that
+// fails as a test demands.
 type disk interface {
 	MkdirAll(dir string) error
-	Lock(path string) (io.Closer, error) // ErrInUse if another process has it
-	// Open opens for reading, Create for writing a file that is emptied or must not be there,
-	// Extend for writing behind what is there.
+	Lock(path string) (io.Closer, error) // ErrInUse if another process holds it
+	// Open opens a file for reading. Create opens one for writing; it truncates an existing file,
+	// or fails on one if fresh is set. OpenAppend opens an existing file for appending.
 	Open(path string) (diskFile, error)
 	Create(path string, fresh bool) (diskFile, error)
 	OpenAppend(path string) (diskFile, error)
@@ -23,14 +24,14 @@
 	SyncDir(dir string) error
 }
 
-// diskFile is an open file.
+// diskFile is an open file of a disk. A copy of the file has a different inode number.
 type diskFile interface {
 	io.ReadWriteCloser
 	Sync() error
 	Inode() (uint64, error)
 }
 
-// system is the machine's own disk.
+// systemDisk implements disk with the operating system's file calls.
 type systemDisk struct{}
 
 type systemFile struct{ *os.File }
--- a/durable/durable.go
+++ b/durable/durable.go
@@ -1,14 +1,14 @@
-// Package durable keeps what a process has learnt in a folder, so that the next one can go on
-// from it: a snapshot, and a log of what changed since. Whatever moment the power fails at, a
-// folder holds a sound state or is known to hold none; nothing is ever half written in place.
+// Package durable persists a process's state in a folder so that its successor can resume from it:
+// a snapshot, and a log of the changes since. Whenever the power fails, the folder either holds a
+// consistent state or is detected to hold none; no file is ever overwritten in place.
 //
-// A snapshot is written aside, synced, renamed and the folder synced; then a new log begins
-// and the generation before the last is taken away, so that the last sound one is kept. Each
-// record has a checksum. A log that breaks off, as a killed process leaves it, counts up to
-// its last whole record; a snapshot counts whole or not at all.
+// A snapshot is written to a temporary file and synced, and its log is created, before the file is
+// renamed and the folder synced. Then all but the latest two generations are removed, so that an
+// older consistent one remains. Each record has a checksum. A truncated log, as a killed process
+// leaves it, is valid up to its last complete record; a snapshot is valid as a whole or not at all.
 //
-// One process at a time owns a folder. The lock is the system's (flock), which ends with the
-// process that holds it, however that ends.
+// One process at a time owns a folder. The lock is the operating system's (flock), which is released
+// when the process that holds it ends for any reason.
 package durable
 
 import (
@@ -26,70 +26,70 @@
 	"time"
 )
 
-// Stamp says who wrote a file, and when by which clocks.
+// Stamp is the header of a file: its owner and the time at which it was created, by several clocks.
 type Stamp struct {
 	Generation uint64 `json:"generation"`
-	Owner      string `json:"owner"`   // of the folder: another one's is not read
+	Owner      string `json:"owner"`   // of the folder; files of another owner are not read
 	Wall       int64  `json:"wall_ms"` // Unix time
-	Boot       string `json:"boot"`    // of the machine's start; see Up
-	UptimeMs   int64  `json:"up_ms"`   // since that start, also while it slept
-	Inode      uint64 `json:"inode"`   // of the file itself: a copy has another
+	Boot       string `json:"boot"`    // boot ID of the machine; see UptimeMs
+	UptimeMs   int64  `json:"up_ms"`   // since that boot, including suspend
+	Inode      uint64 `json:"inode"`   // of the file itself; a copy has a different one
 }
 
-// Options are what a folder is opened with.
+// Options configure a folder. Only Owner is required.
 type Options struct {
-	Owner    string           // who keeps what in it, such as a limiter's name
+	Owner    string           // the process that the state belongs to, such as a limiter's name
 	Now      func() time.Time // time.Now if nil
 	Boot     func() (id string, up time.Duration)
-	MaxBytes int64 // bytes of a snapshot, and of a log; 0: no bound
-	disk     disk  // the system's if nil
+	MaxBytes int64 // limit for a snapshot and for a log, each; 0: none
+	disk     disk  // systemDisk if nil
 }
 
-// Uptime is how long the machine has run, also while it slept, by a clock that nobody sets; 0
-// where the system does not tell.
+// Uptime returns the time since the machine booted, including suspend, by a clock that cannot be
+// set; 0 where the system does not provide it.
 func Uptime() time.Duration {
 	_, up := readBootClock()
 	return up
 }
 
-// Recovered is what was found in a folder.
+// Recovered is the state found in a folder, and how far it can be relied on.
 type Recovered struct {
-	Found bool  // else it begins anew
+	Found bool  // false: there is no usable snapshot
 	Stamp Stamp // of the snapshot
-	// Clean tells that the process before ended in good order, after its last record, and
-	// that this one is the first to go on from there: it is so once for each such end, and
-	// never of copies or after the machine has started anew.
+	// Clean reports that the previous process shut down cleanly after its last record and that
+	// this process is the first to resume from there. It is true once for each clean shutdown,
+	// and never for copied files or after a reboot.
 	Clean bool
-	// Intact tells that nothing of what the process before had on the disk is missing, as far
-	// as can be told, and that this process is the first to go on from it; as with Clean, of
-	// one that was killed too.
+	// Intact reports that, as far as can be detected, nothing that the previous process had
+	// synced is missing, and that this process is the first to resume from it. Unlike Clean it
+	// also holds after the previous process was killed.
 	Intact   bool
-	Uptime   time.Duration // now, by Uptime's clock
-	Moved    bool          // the files are copies, or the machine has started anew since
+	Uptime   time.Duration // now, by the clock of the function Uptime
+	Moved    bool          // the files are copies, or the machine has rebooted since
 	Age      time.Duration // of the snapshot
-	Downtime time.Duration // with Clean: since that end, by a clock that nobody sets
-	Records  []Record      // in the order in which they were written: the last of a key holds
-	Notes    []string      // what was passed over, and why
+	Downtime time.Duration // with Clean: time since the shutdown, by a clock that cannot be set
+	Records  []Record      // in the order of writing: the last record of a key wins
+	Notes    []string      // what was skipped, and why
 }
 
-// Folder is one that this process owns. Its methods are not safe for concurrent use.
+// Folder is a state folder that this process has locked. Its methods are not safe for concurrent use.
 type Folder struct {
 	dir          string
 	options      Options
 	lock         io.Closer
 	log          diskFile
 	generation   uint64
-	logSize      int64 // bytes of the log
-	snapshotSize int64 // bytes of the snapshot
+	logSize      int64 // in bytes
+	snapshotSize int64 // in bytes
 	buf          []byte
-	err          error // of a write: the log takes nothing more, until a snapshot is written
+	err          error // of a failed write: Append fails until a snapshot has been written
 }
 
-// Errors of opening.
+// Errors of opening a folder or reading and writing its files.
 var (
 	ErrInUse = errors.New("is in use by another process")
 	ErrOwner = errors.New("belongs to another owner")
-	// ErrTooLarge is of a snapshot or log past Options.Most.
+	// ErrTooLarge reports a snapshot or log that would exceed Options.MaxBytes.
 	ErrTooLarge = errors.New("over its size bound")
 )
 
@@ -100,8 +100,8 @@
 	tempSuffix = ".part"
 )
 
-// Open takes a folder, which is made if it is not there, and reads what is in it. What can't
-// be used is passed over with a note, and never an error; errors are of the folder itself.
+// Open locks a folder, creating it if necessary, and reads its contents. Unusable files are skipped
+// and listed in Recovered.Notes; an error means that the folder itself cannot be used.
 func Open(dir string, o Options) (*Folder, *Recovered, error) {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -138,21 +138,22 @@
 	return filepath.Join(f.dir, fmt.Sprintf("%016x%s", gen, suffix))
 }
 
-// generations are those of which a file is there, the latest first.
+// generations lists the generations with a file in the folder, the latest first. It removes leftover
+// temporary files.
 func (f *Folder) generations() ([]uint64, error) {
 	names, err := f.options.disk.List(f.dir)
 	if err != nil {
 		return nil, fmt.Errorf("durable: %w", err)
 	}
 	for _, name := range names {
-		if strings.HasSuffix(name, tempSuffix) { // of a process that was killed
+		if strings.HasSuffix(name, tempSuffix) { // left by a killed process
 			f.options.disk.Remove(filepath.Join(f.dir, name))
 		}
 	}
 	return parseGenerations(names), nil
 }
 
-// generations are those that files are named after, the latest first.
+// parseGenerations returns the generations in the names of snapshots and logs, the latest first.
 func parseGenerations(names []string) (all []uint64) {
 	for _, full := range names {
 		name, ok := strings.CutSuffix(full, snapSuffix)
@@ -168,7 +169,7 @@
 	return all
 }
 
-// recover reads the latest sound generation.
+// recover reads the latest usable generation.
 func (f *Folder) recover() (*Recovered, error) {
 	all, err := f.generations()
 	if err != nil {
@@ -176,20 +177,21 @@
 	}
 	r := &Recovered{}
 	if len(all) > 0 {
-		f.generation = all[0] // a new one is written above all that there are
+		f.generation = all[0] // new generations are numbered above all existing ones
 	}
 	for _, gen := range all {
 		if f.readGeneration(gen, r) {
 			break
 		}
 	}
-	// One that was passed over may have said later things.
+	// A skipped later generation may have held newer records.
 	r.Intact = r.Intact && len(all) > 0 && r.Stamp.Generation == all[0]
 	r.Clean = r.Clean && r.Intact
 	return r, nil
 }
 
-// take marks the end of a log as gone on from, on the disk, before anybody does.
+// markTaken appends a record to a log, and syncs it, that marks the state as taken over. It must
+// succeed before anyone uses that state, so that it is used only once.
 func (f *Folder) markTaken(gen uint64) error {
 	log, err := f.options.disk.OpenAppend(f.path(gen, logSuffix))
 	if err == nil {
@@ -197,12 +199,12 @@
 		err = errors.Join(err, log.Sync(), log.Close())
 	}
 	if err != nil {
-		return fmt.Errorf("durable: taking over: %w", err)
+		return fmt.Errorf("durable: marking the log as taken over: %w", err)
 	}
 	return nil
 }
 
-// read reads one generation and tells whether it is sound.
+// readGeneration reads one generation and reports whether its snapshot is usable.
 func (f *Folder) readGeneration(gen uint64, r *Recovered) bool {
 	note := func(name string, err error) {
 		r.Notes = append(r.Notes, fmt.Sprintf("%s: %v", filepath.Base(name), err))
@@ -222,29 +224,29 @@
 	r.Found, r.Stamp, r.Records = true, stamp, records
 	r.Moved = inode != stamp.Inode || boot == "" || boot != stamp.Boot
 	r.Age = f.options.Now().Sub(time.UnixMilli(stamp.Wall))
-	if boot != "" && boot == stamp.Boot { // a clock that nobody sets
+	if boot != "" && boot == stamp.Boot { // prefer the clock that cannot be set
 		r.Age = up - time.Duration(stamp.UptimeMs)*time.Millisecond
 	}
 	name = f.path(gen, logSuffix)
-	logged, more, inode, err := readFile(f.options.disk, name, false)
+	logStamp, logRecords, inode, err := readFile(f.options.disk, name, false)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-	case err != nil && more == nil:
+	case err != nil && logRecords == nil:
 		note(name, err)
-	case logged.Owner != f.options.Owner || logged.Generation != gen:
-		note(name, fmt.Errorf("%w: it belongs to another snapshot", ErrDamaged))
+	case logStamp.Owner != f.options.Owner || logStamp.Generation != gen:
+		note(name, fmt.Errorf("%w: the log belongs to another snapshot", ErrDamaged))
 	default:
 		if err != nil {
-			note(name, fmt.Errorf("%w, after %d whole records", err, len(more)))
+			note(name, fmt.Errorf("%w, after %d whole records", err, len(logRecords)))
 		}
-		r.Moved = r.Moved || inode != logged.Inode
-		last := len(more) - 1
-		r.Intact, r.Uptime = err == nil && !r.Moved && (last < 0 || more[last].Kind != kindTaken), up
-		if r.Intact && last >= 0 && more[last].Kind == kindClean && len(more[last].Value) == 8 {
-			r.Downtime = up - time.Duration(binary.LittleEndian.Uint64(more[last].Value))*time.Millisecond
+		r.Moved = r.Moved || inode != logStamp.Inode
+		last := len(logRecords) - 1
+		r.Intact, r.Uptime = err == nil && !r.Moved && (last < 0 || logRecords[last].Kind != kindTaken), up
+		if r.Intact && last >= 0 && logRecords[last].Kind == kindClean && len(logRecords[last].Value) == 8 {
+			r.Downtime = up - time.Duration(binary.LittleEndian.Uint64(logRecords[last].Value))*time.Millisecond
 			r.Clean = r.Downtime >= 0
 		}
-		for _, x := range more {
+		for _, x := range logRecords {
 			if x.Kind < firstReservedKind {
 				r.Records = append(r.Records, x)
 			}
@@ -253,9 +255,9 @@
 	return true
 }
 
-// readFile reads a snapshot, whole, or a log up to its last whole record: then records are
-// returned with an error.
-func readFile(d disk, name string, whole bool) (stamp Stamp, records []Record, inode uint64, err error) {
+// readFile reads a snapshot (isSnapshot is set) or a log. A damaged log yields the records before the
+// damage together with an error.
+func readFile(d disk, name string, isSnapshot bool) (stamp Stamp, records []Record, inode uint64, err error) {
 	file, err := d.Open(name)
 	if err != nil {
 		return stamp, nil, 0, err
@@ -279,16 +281,16 @@
 	var buffer []byte
 	for {
 		if r, buffer, err = readRecord(in, buffer); err != nil {
-			if err == io.EOF && !whole {
+			if err == io.EOF && !isSnapshot {
 				err = nil
 			} else if err == io.EOF {
-				err = fmt.Errorf("%w: it has no end", ErrDamaged)
+				err = fmt.Errorf("%w: the end record is missing", ErrDamaged)
 			}
 			return stamp, records, inode, err
 		}
 		if r.Kind == kindEnd {
-			if _, e := in.ReadByte(); r.Key != uint64(len(records)) || e != io.EOF || !whole {
-				return stamp, records, inode, fmt.Errorf("%w: its end says %d records, there are %d", ErrDamaged, r.Key, len(records))
+			if _, e := in.ReadByte(); r.Key != uint64(len(records)) || e != io.EOF || !isSnapshot {
+				return stamp, records, inode, fmt.Errorf("%w: the end record counts %d records, the file has %d", ErrDamaged, r.Key, len(records))
 			}
 			return stamp, records, inode, nil
 		}
@@ -300,7 +302,7 @@
 	}
 }
 
-// stamp is that of a file that is begun now.
+// newStamp encodes the stamp of a file that is being created.
 func (f *Folder) newStamp(gen uint64, file diskFile) ([]byte, error) {
 	inode, err := file.Inode()
 	if err != nil {
@@ -310,34 +312,34 @@
 	return json.Marshal(Stamp{Generation: gen, Owner: f.options.Owner, Wall: f.options.Now().UnixMilli(), Boot: boot, UptimeMs: up.Milliseconds(), Inode: inode})
 }
 
-// Snapshot writes all that is remembered, and begins a new log. all hands over each record;
-// what it was told before counts until the snapshot is whole on the disk. After an error it
-// may be called again, also where the log has failed.
-func (f *Folder) Snapshot(all func(put func(Record) error) error) error {
-	if f.err = f.snapshot(all); f.err != nil {
+// Snapshot writes the complete state and starts a new log. The function forEach passes each record to
+// put. The previous state stays valid until the snapshot is completely on the disk. After an error
+// Snapshot may be called again, even if the log has failed.
+func (f *Folder) Snapshot(forEach func(put func(Record) error) error) error {
+	if f.err = f.snapshot(forEach); f.err != nil {
 		f.err = fmt.Errorf("durable: snapshot: %w", f.err)
 	}
 	return f.err
 }
 
-func (f *Folder) snapshot(all func(put func(Record) error) error) error {
+func (f *Folder) snapshot(forEach func(put func(Record) error) error) error {
 	gen := f.generation + 1
 	name := f.path(gen, snapSuffix)
 	part, err := f.options.disk.Create(name+tempSuffix, true)
 	if err != nil {
 		return err
 	}
-	defer f.options.disk.Remove(name + tempSuffix) // of no effect once it was renamed
+	defer f.options.disk.Remove(name + tempSuffix) // no effect after the rename
 	defer part.Close()
 	stamp, err := f.newStamp(gen, part)
 	if err != nil {
 		return err
 	}
 	out := bufio.NewWriterSize(part, 256<<10)
-	n, whole := uint64(0), int64(0)
+	recordCount, written := uint64(0), int64(0)
 	put := func(r Record) error {
 		f.buf = appendRecord(f.buf[:0], r)
-		if whole += int64(len(f.buf)); f.options.MaxBytes > 0 && whole > f.options.MaxBytes {
+		if written += int64(len(f.buf)); f.options.MaxBytes > 0 && written > f.options.MaxBytes {
 			return fmt.Errorf("%w of %d bytes", ErrTooLarge, f.options.MaxBytes)
 		}
 		_, err := out.Write(f.buf)
@@ -346,15 +348,15 @@
 	if _, err := out.Write(appendHeader(nil, stamp)); err != nil {
 		return err
 	}
-	err = all(func(r Record) error {
+	err = forEach(func(r Record) error {
 		if r.Kind >= firstReservedKind || len(r.Value) > MaxValueBytes {
 			return fmt.Errorf("a record of kind %d with %d bytes", r.Kind, len(r.Value))
 		}
-		n++
+		recordCount++
 		return put(r)
 	})
 	if err == nil {
-		err = put(Record{Kind: kindEnd, Key: n})
+		err = put(Record{Kind: kindEnd, Key: recordCount})
 	}
 	if err = errors.Join(err, out.Flush()); err != nil {
 		return err
@@ -362,18 +364,18 @@
 	if err := errors.Join(part.Sync(), part.Close()); err != nil {
 		return err
 	}
-	// The log is there before the snapshot counts, so that a snapshot without one means
-	// that nothing has changed since.
+	// The log exists before the snapshot becomes valid, so a snapshot whose log is missing is
+	// known to have lost it and does not count as intact.
 	log, size, err := f.createLog(gen)
 	if err != nil {
 		return err
 	}
 	if err := f.options.disk.Rename(name+tempSuffix, name); err != nil {
 		log.Close()
-		f.options.disk.Remove(f.path(gen, logSuffix)) // else the snapshot would count as lost
+		f.options.disk.Remove(f.path(gen, logSuffix)) // a log without its snapshot would count as a lost snapshot
 		return err
 	}
-	// From here on the new generation may count. One that fails now is not gone back to.
+	// From here on a reader may see the new generation, so its number is not reused if a later step fails.
 	f.generation = gen
 	if err := f.options.disk.SyncDir(f.dir); err != nil {
 		log.Close()
@@ -382,12 +384,12 @@
 	if f.log != nil {
 		f.log.Close()
 	}
-	f.log, f.logSize, f.snapshotSize = log, size, whole
+	f.log, f.logSize, f.snapshotSize = log, size, written
 	gens, err := f.generations()
 	if err != nil {
 		return err
 	}
-	for i, g := range gens { // the one before is kept
+	for i, g := range gens { // keep the latest two
 		if i > 1 {
 			f.options.disk.Remove(f.path(g, snapSuffix))
 			f.options.disk.Remove(f.path(g, logSuffix))
@@ -396,7 +398,7 @@
 	return nil
 }
 
-// begin begins a log.
+// createLog creates and syncs the log of a generation and returns it with its size in bytes.
 func (f *Folder) createLog(gen uint64) (diskFile, int64, error) {
 	log, err := f.options.disk.Create(f.path(gen, logSuffix), false)
 	if err != nil {
@@ -416,15 +418,14 @@
 	return nil, 0, err
 }
 
-// Append writes what has changed to the log and waits until it is on the disk. After an
-// error the log takes nothing more: what stands there is sound up to then, and a snapshot
-// begins a new one.
+// Append writes changed records to the log and syncs it. After a write error the log is valid up to
+// that point, and Append fails until a new snapshot has started a new log.
 func (f *Folder) Append(records []Record) error {
 	switch {
 	case f.err != nil:
 		return f.err
 	case f.log == nil:
-		return errors.New("durable: no snapshot was written yet")
+		return errors.New("durable: no snapshot has been written yet")
 	}
 	f.buf = f.buf[:0]
 	for _, r := range records {
@@ -448,16 +449,16 @@
 	return nil
 }
 
-// Due tells that the log has grown past the snapshot, so that a new one is worth its cost.
+// SnapshotDue reports that the log has outgrown the snapshot, so that a new one is worth its cost.
 func (f *Folder) SnapshotDue() bool { return f.logSize > max(f.snapshotSize, 64<<10) }
 
-// clean is the record of an end in good order.
+// cleanEndRecord returns the record that marks a clean shutdown, with the current uptime in ms.
 func (f *Folder) cleanEndRecord() Record {
 	_, up := f.options.Boot()
 	return Record{Kind: kindClean, Value: binary.LittleEndian.AppendUint64(nil, uint64(up.Milliseconds()))}
 }
 
-// Close ends the log in good order, with what has changed last, and lets go of the folder.
+// Close appends the last changes and the mark of a clean shutdown to the log, and unlocks the folder.
 func (f *Folder) Close(last []Record) error {
 	var err error
 	if f.log != nil && f.err == nil {
@@ -469,8 +470,8 @@
 	return errors.Join(err, f.lock.Close())
 }
 
-// Abandon lets go of the folder as a killed process would: what was written stands, and it
-// does not count as ended in good order.
+// Abandon unlocks the folder without marking a clean shutdown, as if the process had been killed.
+// What was written stays valid.
 func (f *Folder) Abandon() error {
 	var err error
 	if f.log != nil {
--- a/durable/format.go
+++ b/durable/format.go
@@ -10,10 +10,10 @@
 	"math"
 )
 
-// Record is one thing that is remembered: what was written of a key last holds. An empty
-// value forgets the key.
+// Record is one stored value. The last record written for a kind and key replaces earlier ones; an
+// empty value deletes the key.
 type Record struct {
-	Kind  byte // the caller's own, below 0xf0
+	Kind  byte // chosen by the caller, below 0xf0
 	Key   uint64
 	Value []byte
 }
@@ -24,39 +24,39 @@
 //	records  u32 length of the payload, u32 checksum of length and payload, payload
 //	payload  u8 kind, u64 key, value
 //
-// A snapshot ends with a record of kindEnd whose key is the number of records before it; a
-// log ends anywhere. Checksums are CRC-32C (Castagnoli), as iSCSI and ext4 have them.
+// A snapshot ends with a record of kindEnd whose key is the number of records before it; a log may
+// end after any record. Checksums are CRC-32C (Castagnoli), as in iSCSI and ext4.
 const (
 	magic             = "MDRMEM"
 	headerSize        = len(magic) + 2 + 4 + 4
 	frameSize         = 8
 	keySize           = 9
 	kindEnd           = 0xff
-	kindClean         = 0xfe // the log of a process that ended in good order; its value is Stamp.Up of then
-	kindTaken         = 0xfd // behind that: another process goes on from it, and none other may
+	kindClean         = 0xfe // ends the log of a cleanly shut down process; its value is the uptime in ms at that time
+	kindTaken         = 0xfd // last in a log: a successor has resumed from it, and no other process may
 	firstReservedKind = 0xf0
 )
 
-// Version is that of the layout. Files of a later one are not read.
+// Version is the version of the file layout. Files with a later version are not read.
 const Version = 1
 
-// Bounds of what is read: a damaged length must not take the memory.
+// Size limits in bytes: a damaged length must not cause a huge allocation.
 const (
 	maxStampBytes = 4 << 10
 	MaxValueBytes = 64 << 10
 )
 
-// Errors of a file that can't be used.
+// Errors of files that cannot be read.
 var (
 	ErrVersion = errors.New("written by a later version")
 	ErrDamaged = errors.New("damaged")
-	// ErrCut is of a file that ends in the midst of a record; it is damaged too.
+	// ErrTruncated reports a file that ends in the middle of a record. It wraps ErrDamaged.
 	ErrTruncated = fmt.Errorf("%w: a record is cut off", ErrDamaged)
 )
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// appendHeader writes a header.
+// appendHeader appends a file header with an encoded stamp to b.
 func appendHeader(b []byte, stamp []byte) []byte {
 	b = append(b, magic...)
 	b = binary.LittleEndian.AppendUint16(b, Version)
@@ -65,7 +65,7 @@
 	return append(b, stamp...)
 }
 
-// appendRecord writes a record.
+// appendRecord appends a record with its length and checksum to b.
 func appendRecord(b []byte, r Record) []byte {
 	from := len(b)
 	b = binary.LittleEndian.AppendUint32(b, uint32(keySize+len(r.Value)))
@@ -81,11 +81,11 @@
 	return crc32.Update(crc32.Checksum(length, crcTable), crcTable, payload)
 }
 
-// readHeader reads a header and returns the stamp.
+// readHeader reads and checks a file header and returns the encoded stamp.
 func readHeader(r io.Reader) ([]byte, error) {
 	var h [headerSize]byte
 	if _, err := io.ReadFull(r, h[:]); err != nil {
-		return nil, fmt.Errorf("%w: its head is cut off", ErrDamaged)
+		return nil, fmt.Errorf("%w: the header is truncated", ErrDamaged)
 	}
 	if !bytes.Equal(h[:len(magic)], []byte(magic)) {
 		return nil, fmt.Errorf("%w: not a file of ours", ErrDamaged)
@@ -102,16 +102,16 @@
 	}
 	stamp := make([]byte, n)
 	if _, err := io.ReadFull(r, stamp); err != nil {
-		return nil, fmt.Errorf("%w: its stamp is cut off", ErrDamaged)
+		return nil, fmt.Errorf("%w: the stamp is truncated", ErrDamaged)
 	}
 	if crc32.Checksum(stamp, crcTable) != binary.LittleEndian.Uint32(rest[6:]) {
-		return nil, fmt.Errorf("%w: the checksum of its stamp", ErrDamaged)
+		return nil, fmt.Errorf("%w: stamp checksum mismatch", ErrDamaged)
 	}
 	return stamp, nil
 }
 
-// readRecord reads a record into a buffer, which the record's value is part of. io.EOF is
-// the end between two records.
+// readRecord reads a record into a buffer, which it returns for reuse; the record's value points
+// into it. The error is io.EOF only if the file ends between two records.
 func readRecord(r io.Reader, buffer []byte) (Record, []byte, error) {
 	var frame [frameSize]byte
 	if _, err := io.ReadFull(r, frame[:]); err == io.EOF {
@@ -131,10 +131,10 @@
 		return Record{}, buffer, ErrTruncated
 	}
 	if checksum(frame[:4], buffer) != binary.LittleEndian.Uint32(frame[4:]) {
-		return Record{}, buffer, fmt.Errorf("%w: the checksum of a record", ErrDamaged)
+		return Record{}, buffer, fmt.Errorf("%w: record checksum mismatch", ErrDamaged)
 	}
 	return Record{Kind: buffer[0], Key: binary.LittleEndian.Uint64(buffer[1:]), Value: buffer[keySize:]}, buffer, nil
 }
 
-// mostRecords bounds the records of a file, so that a count fits anywhere.
+// maxRecords limits the records of a file so that their count fits an int on every platform.
 const maxRecords = math.MaxInt32
--- a/durable/inspect.go
+++ b/durable/inspect.go
@@ -10,32 +10,33 @@
 	"time"
 )
 
-// How a log ends.
+// States of the end of a log, as File.End reports them.
 const (
-	EndOpen    = "open"    // its process runs, or was killed
-	EndClean   = "clean"   // its process ended in good order
-	EndTaken   = "taken"   // another process has gone on from it
-	EndCut     = "cut off" // in the midst of a record: by a kill, or while it is being written
+	EndOpen    = "open"    // its process is running, or was killed
+	EndClean   = "clean"   // its process shut down cleanly
+	EndTaken   = "taken"   // another process has resumed from it
+	EndCut     = "cut off" // in the middle of a record: by a kill, or because it is being written
 	EndDamaged = "damaged"
 )
 
-// File is what a look at one file of a folder tells.
+// File describes one snapshot or log of a folder.
 type File struct {
 	Name     string
-	Snapshot bool   // else a log
+	Snapshot bool   // false: a log
 	Stamp    Stamp  // zero if it could not be read
-	Records  int    // whole ones
-	End      string // of a log
-	Err      error  // nil: sound
+	Records  int    // complete ones
+	End      string // of a log: EndOpen or another state
+	Err      error  // nil: valid
 }
 
-// Listing is what a look at a folder tells.
+// Listing describes the files of a folder.
 type Listing struct {
-	Files   []File // the latest generation first
-	Foreign []string
+	Files   []File   // the latest generation first
+	Foreign []string // names of files that this package did not write
 }
 
-// Inspect looks at a folder without taking it: it may be in use. Nothing is changed.
+// Inspect lists the files of a folder without locking it, so the folder may be in use. It changes
+// nothing.
 func Inspect(dir string) (*Listing, error) {
 	d := systemDisk{}
 	names, err := d.List(dir)
@@ -89,8 +90,8 @@
 	return f
 }
 
-// Read is what Open would find in a folder that nobody takes: nothing is changed, and nothing
-// that may be had once counts as had. The owner is the one that the latest sound file names.
+// Read returns what Open would recover from a folder, without locking or changing it: the state is
+// not marked as taken over. The owner is taken from the latest valid snapshot.
 func Read(dir string) (*Recovered, error) {
 	l, err := Inspect(dir)
 	if err != nil {
@@ -104,7 +105,7 @@
 	return &Recovered{}, nil
 }
 
-// readOnly is the system's disk, which nothing is removed from.
+// readOnlyDisk is a systemDisk that refuses to remove files.
 type readOnlyDisk struct{ systemDisk }
 
 func (readOnlyDisk) Remove(string) error { return fs.ErrPermission }
--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -1,5 +1,5 @@
-// Package memory keeps what a running limiter has learnt in a folder, and hands it to the
-// next one: the host of packages durable and recall.
+// Package memory persists the learned state of a running limiter and restores it in its successor.
+// It connects a limiter to packages durable (storage) and recall (what to trust after a restart).
 package memory
 
 import (
@@ -18,57 +18,57 @@
 	"example.org/madderdrum/recall"
 )
 
-// Limiter is the one whose memory it is.
+// Limiter is the running limiter whose state a Keeper persists.
 type Limiter interface {
-	Begun() <-chan struct{}    // closed once it has its list of servers and what was recalled
-	Now() float64              // its clock, in ms
-	Remember() *limiter.Memory // what is learnt by now; the limiter goes on
+	Begun() <-chan struct{}    // closed once it has its server list and the restored state
+	Now() float64              // the limiter's clock, in ms
+	Remember() *limiter.Memory // the learned state; the limiter keeps running
 	Reserve(headMs float64)
 	BeginWrite(all bool) (*limiter.Handover, uint64)
-	Accounts(most int) (told []limiter.AccountMemory, more, ok bool)
+	Accounts(limit int) (accounts []limiter.AccountMemory, more, ok bool)
 	Kept(seq uint64)
-	HandOver() *limiter.Memory // what it held, but for the accounts; it has ended
-	Leave(most int) (told []limiter.AccountMemory, more bool)
+	HandOver() *limiter.Memory // the final state without the accounts, after the limiter has stopped
+	Leave(limit int) (accounts []limiter.AccountMemory, more bool)
 	Recall(*limiter.Memory)
 }
 
-// Options are what a keeper is made with.
+// Options configure a Keeper.
 type Options struct {
-	Folder  string // of the tier; each limiter has one of its name in it
+	Folder  string // of the tier; each limiter has a subfolder with its name
 	Limiter string
 	Every   time.Duration
-	Most    int64 // bytes of a snapshot, and of a log; 0: no bound
+	Most    int64 // bytes of a snapshot and of a log, each; 0: no limit
 	Log     *slog.Logger
 }
 
 const (
-	// batch is how many accounts are told in one go: the limiter is held meanwhile.
+	// accountBatch is the number of accounts copied at a time, which blocks the limiter.
 	accountBatch = 500
-	// A folder that fails is tried again after retryLeast, then ever more rarely.
+	// Bounds of the exponential backoff after a failure of the folder.
 	minRetryDelay = time.Second
 	maxRetryDelay = 30 * time.Second
 )
 
-// Keeper keeps the memory of one limiter. Its methods are not safe for concurrent use.
+// Keeper persists the state of one limiter. Its methods are not safe for concurrent use.
 type Keeper struct {
 	options       Options
-	folder        *durable.Folder // nil: it can't be opened yet
+	folder        *durable.Folder // nil: it could not be opened yet
 	recovered     *limiter.Memory
 	provenance    recall.Found
-	classNames    recall.Names // that it was learnt by
+	classNames    recall.Names // class names in the recovered state
 	seed          maphash.Seed
-	writtenHashes map[[2]uint64]uint64 // by kind and key, but for accounts: a hash of the value on the disk
-	writtenPlans  []limiter.Plan       // that the accounts on the disk are counted by
-	complete      bool                 // a snapshot stands, and all since
+	writtenHashes map[[2]uint64]uint64 // by kind and key, except accounts: hash of the value on the disk
+	writtenPlans  []limiter.Plan       // plans that the accounts on the disk refer to
+	complete      bool                 // the snapshot and the log hold the full state
 	failing       bool
-	retryDelay    time.Duration // until it is tried again
+	retryDelay    time.Duration // before the next attempt
 	retryAt       time.Time
-	onWrite       func(err error) // a test's: told of each write
+	onWrite       func(err error) // set by tests; called after each write
 }
 
-// Open takes the limiter's folder and reads what is there. What can't be used is told in the
-// log, and so is a folder that can't be opened: it is tried again while the limiter runs. One
-// that another process has is an error, as two limiters of one name must not run.
+// Open locks and reads the limiter's folder. Unusable contents are logged and ignored; a folder that
+// cannot be opened is logged and retried while the limiter runs. A folder in use by another process
+// is an error, because two limiters with the same name must not run.
 func Open(o Options) (*Keeper, error) {
 	k := &Keeper{options: o, seed: maphash.MakeSeed(), writtenHashes: map[[2]uint64]uint64{}}
 	r, err := k.open()
@@ -115,17 +115,18 @@
 	return r, nil
 }
 
-// Recall hands what was found to the limiter, as far as it is to be trusted, and has it keep
-// to what is written from now on; classes are the names of its configuration.
+// Recall restores the recovered state in the limiter as far as it can be trusted, and sets the
+// headroom that the limiter reserves for spending between two writes. classes are the class names of
+// the limiter's configuration.
 func (k *Keeper) Recall(l Limiter, classes []string) {
-	l.Reserve(float64(2*k.options.Every+500*time.Millisecond) / float64(time.Millisecond)) // two writes and a slow disk
+	l.Reserve(float64(2*k.options.Every+500*time.Millisecond) / float64(time.Millisecond)) // covers two write intervals and a slow disk
 	if k.recovered != nil {
 		l.Recall(recall.Aged(k.recovered, k.provenance, k.classNames, classes))
 		k.recovered = nil
 	}
 }
 
-// Run keeps what the limiter learns until the context ends.
+// Run persists the limiter's state at each interval until the context ends.
 func (k *Keeper) Run(ctx context.Context, l Limiter, classes func() []string) error {
 	select {
 	case <-ctx.Done():
@@ -146,10 +147,10 @@
 	}
 }
 
-// errMoving tells that a new configuration came in the midst of a write.
+// errConfigChanged reports that a new configuration was applied during a write.
 var errConfigChanged = errors.New("the configuration changes")
 
-// step writes once.
+// writeOnce makes one attempt to open the folder if needed and to write the changes.
 func (k *Keeper) writeOnce(l Limiter, classes func() []string) {
 	err := k.reopen()
 	if err == nil {
@@ -159,7 +160,7 @@
 		k.onWrite(err)
 	}
 	switch {
-	case errors.Is(err, errConfigChanged): // the next one tells all
+	case errors.Is(err, errConfigChanged): // the next write is a full snapshot
 		k.complete = false
 	case err != nil:
 		k.complete = false
@@ -170,7 +171,7 @@
 	}
 }
 
-// fail has the folder tried again later, and says so once.
+// scheduleRetry doubles the delay before the next attempt and logs the first of a run of failures.
 func (k *Keeper) scheduleRetry(err error) {
 	k.retryDelay = min(maxRetryDelay, max(minRetryDelay, 2*k.retryDelay))
 	k.retryAt = time.Now().Add(k.retryDelay)
@@ -180,8 +181,8 @@
 	}
 }
 
-// reopen opens a folder that could not be opened. What is in it is of no use any more: this
-// limiter has begun.
+// reopen opens a folder that could not be opened before. Its contents are ignored because the
+// limiter is already running without them.
 func (k *Keeper) reopen() error {
 	if k.folder != nil {
 		return nil
@@ -190,7 +191,7 @@
 	return err
 }
 
-// keep writes what has changed, or all.
+// write appends the changes to the log, or writes a snapshot if one is due or changes are not enough.
 func (k *Keeper) write(l Limiter, classes func() []string) error {
 	names, m := classes(), l.Remember()
 	if !slices.Equal(names, classes()) {
@@ -228,7 +229,7 @@
 	return nil
 }
 
-// writeAll hands over all that is remembered.
+// writeSnapshot passes the records of the full state to put.
 func (k *Keeper) writeSnapshot(l Limiter, learnt []durable.Record, h *limiter.Handover, c uptimeOffset, put func(durable.Record) error) error {
 	for _, r := range learnt {
 		if err := put(r); err != nil {
@@ -246,16 +247,16 @@
 	return putAccounts(l, c, put)
 }
 
-// accounts hands over the accounts of a write that was begun, in parts.
+// putAccounts passes the accounts of the current write to put, in batches.
 func putAccounts(l Limiter, c uptimeOffset, put func(durable.Record) error) error {
-	for more := true; more; {
-		var told []limiter.AccountMemory
+	for hasMore := true; hasMore; {
+		var batch []limiter.AccountMemory
 		var ok bool
-		if told, more, ok = l.Accounts(accountBatch); !ok {
+		if batch, hasMore, ok = l.Accounts(accountBatch); !ok {
 			return errConfigChanged
 		}
-		for i := range told {
-			r, err := newAccountRecord(kindRunningAccount, &told[i], c.toUptime(told[i].AtMs))
+		for i := range batch {
+			r, err := newAccountRecord(kindRunningAccount, &batch[i], c.toUptime(batch[i].AtMs))
 			if err == nil {
 				err = put(r)
 			}
@@ -267,7 +268,7 @@
 	return nil
 }
 
-// wrote notes what stands on the disk, and tells whether that is news.
+// noteWritten stores the hash of a record and reports whether the record differs from the one before.
 func (k *Keeper) noteWritten(r durable.Record) bool {
 	id, sum := [2]uint64{uint64(r.Kind), r.Key}, maphash.Bytes(k.seed, r.Value)
 	if was, have := k.writtenHashes[id]; have && was == sum {
@@ -277,6 +278,7 @@
 	return true
 }
 
+// changedRecords returns the records that differ from those on the disk.
 func (k *Keeper) changedRecords(all []durable.Record) (changedRecords []durable.Record) {
 	for _, r := range all {
 		if k.noteWritten(r) {
@@ -286,8 +288,8 @@
 	return changedRecords
 }
 
-// Close writes what the limiter handed over, and lets go of the folder. The limiter must have
-// ended. A folder that fails is told in the log: the limiter has ended in good order all the same.
+// Close writes the limiter's final state and unlocks the folder. The limiter must have stopped. A
+// failure of the folder is only logged, since the limiter itself has shut down cleanly.
 func (k *Keeper) Close(l Limiter, classes []string) {
 	if k.folder == nil {
 		return
@@ -298,27 +300,27 @@
 	if err == nil {
 		last = k.changedRecords(learnt)
 	}
-	n := 0
-	for more := true; more && err == nil; {
-		var told []limiter.AccountMemory
-		told, more = l.Leave(accountBatch)
-		for i := range told {
-			a := &told[i]
+	count := 0
+	for hasMore := true; hasMore && err == nil; {
+		var batch []limiter.AccountMemory
+		batch, hasMore = l.Leave(accountBatch)
+		for i := range batch {
+			a := &batch[i]
 			var r durable.Record
 			if r, err = newAccountRecord(kindFinalAccount, a, 0); err != nil {
 				break
 			}
 			last = append(last, r)
-			n++
+			count++
 		}
 	}
 	if err == nil {
 		var r durable.Record
 		h := m.Handover
-		r, err = newJSONRecord(kindHandover, 0, handover{h.Position, h.Balancers, h.Plans, h.KnownMs, n})
+		r, err = newJSONRecord(kindHandover, 0, handover{h.Position, h.Balancers, h.Plans, h.KnownMs, count})
 		last = append(last, r)
 	}
-	if err == nil && !k.complete { // the log takes nothing, or there is none: a last try
+	if err == nil && !k.complete { // the log is missing or unusable: try once more with a snapshot
 		err = k.folder.Snapshot(func(put func(durable.Record) error) error {
 			for _, r := range learnt {
 				if err := put(r); err != nil {
--- a/internal/memory/records.go
+++ b/internal/memory/records.go
@@ -13,28 +13,28 @@
 	"example.org/madderdrum/recall"
 )
 
-// The kinds of records. A field's meaning never changes within a kind.
+// Kinds of records. The meaning of a field never changes within a kind.
 const (
-	kindClasses         = 1 // names, by their places
+	kindClasses         = 1 // class names, in the order of their numbers
 	kindUsualLatency    = 2
-	kindPool            = 3 // by the pool's number
-	kindBox             = 4 // by the box's number
-	kindHandover        = 5 // behind all accounts of a limiter that has ended
-	kindLegacyAccount   = 6 // by the account, as JSON: up to landing 9
-	kindRunningHandover = 7 // what the lines of accounts are counted by, while a limiter runs
-	kindRunningAccount  = 8 // by the account: see appendAccount, with when it was told
-	kindFinalAccount    = 9 // by the account, of a limiter that has ended: the same without
+	kindPool            = 3 // keyed by pool ID
+	kindBox             = 4 // keyed by server ID
+	kindHandover        = 5 // written after all accounts of a stopped limiter
+	kindLegacyAccount   = 6 // keyed by account, as JSON; written by old versions (up to landing 9)
+	kindRunningHandover = 7 // state that the accounts of a running limiter refer to
+	kindRunningAccount  = 8 // keyed by account, of a running limiter: see appendAccount, with the time
+	kindFinalAccount    = 9 // keyed by account, of a stopped limiter: the same with time 0
 )
 
-// account is an AccountMemory as kindAccount has it.
+// legacyAccount is the JSON form of an AccountMemory in records of kindLegacyAccount.
 type legacyAccount struct {
 	Plan, Spread, First int
 	Balance, Share      float64
 }
 
-// appendAccount writes an account: plan, spread and first as varints, then balance, share, flow
-// and the time at which it was told as little-endian floats. There may be a million of them, and
-// a start waits until all are read.
+// appendAccount encodes an account: plan, spread and first as varints, then balance, share, flow and
+// the uptime in ms at which it was copied as little-endian floats. The format is compact because
+// there may be a million accounts and a start waits until all are read.
 func appendAccount(b []byte, a *limiter.AccountMemory, upMs float64) ([]byte, error) {
 	for _, n := range []int{a.Plan, a.Spread, a.First} {
 		b = binary.AppendUvarint(b, uint64(n))
@@ -48,10 +48,10 @@
 	return b, nil
 }
 
-// errAccount tells of an account that can't be read.
+// errBadAccount reports an account record that cannot be decoded.
 var errBadAccount = errors.New("not an account")
 
-// readAccount reads what appendAccount wrote.
+// parseAccount decodes the result of appendAccount.
 func parseAccount(id uint64, b []byte) (a limiter.AccountMemory, upMs float64, err error) {
 	a.ID = id
 	for _, to := range []*int{&a.Plan, &a.Spread, &a.First} {
@@ -70,7 +70,7 @@
 	return a, upMs, nil
 }
 
-// handover is a Handover without its accounts.
+// handover is a limiter.Handover of a stopped limiter with the number of its accounts in their place.
 type handover struct {
 	Position, Balancers int
 	Plans               []limiter.Plan
@@ -78,31 +78,32 @@
 	Accounts            int
 }
 
-// reserveHead is a Handover of a limiter that runs; UpMs is when it was taken, since the
-// machine's start.
+// runningHandover is a limiter.Handover of a running limiter without its accounts. UpMs is the
+// machine's uptime at which it was taken.
 type runningHandover struct {
 	Position, Balancers   int
 	Plans                 []limiter.Plan
 	KnownMs, HeadMs, UpMs float64
 }
 
-// clock says by how much the time since the machine's start is ahead of a limiter's clock.
+// uptimeOffset is the difference in ms between the machine's uptime and a limiter's clock.
 type uptimeOffset float64
 
 func measureUptimeOffset(l Limiter) uptimeOffset {
-	now := l.Now() // first: what lies between counts as later, which gives a successor less
+	now := l.Now() // read first: the delay in between makes times look later, which grants a successor less
 	return uptimeOffset(float64(durable.Uptime())/float64(time.Millisecond) - now)
 }
 
 func (c uptimeOffset) toUptime(ms float64) float64 { return ms + float64(c) }
 
-// accountRecord makes the record of an account.
+// newAccountRecord returns the record of an account; it fails on NaN and infinities.
 func newAccountRecord(kind byte, a *limiter.AccountMemory, upMs float64) (durable.Record, error) {
 	value, err := appendAccount(nil, a, upMs)
 	return durable.Record{Kind: kind, Key: a.ID, Value: value}, err
 }
 
-// record makes a record. It fails on what is no figure: then nothing is kept.
+// newJSONRecord returns a record with a JSON value. It fails on NaN and infinities, and then nothing
+// of that write is stored.
 func newJSONRecord(kind byte, key uint64, v any) (durable.Record, error) {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -111,7 +112,7 @@
 	return durable.Record{Kind: kind, Key: key, Value: data}, nil
 }
 
-// encode writes what is learnt as records.
+// encode returns the records of the learned state, without handover and accounts.
 func encode(m *limiter.Memory, classes []string) (all []durable.Record, err error) {
 	add := func(kind byte, key uint64, v any) {
 		r, e := newJSONRecord(kind, key, v)
@@ -131,18 +132,18 @@
 	return all, err
 }
 
-// decode reads what the last record of each kind and key says. What was held of quotas is left
-// out where it can't count: see durable.Recovered.
+// decode rebuilds the state from the last record of each kind and key. The quota state is left out
+// where it cannot be relied on: see durable.Recovered.
 func decode(r *durable.Recovered) (*limiter.Memory, recall.Names, error) {
 	last := map[[2]uint64][]byte{}
 	var order [][2]uint64
 	up := float64(r.Uptime) / float64(time.Millisecond)
-	var lines, left accountSet
+	var runningAccounts, finalAccounts accountSet
 	for _, x := range r.Records {
 		if x.Kind == kindRunningAccount || x.Kind == kindFinalAccount {
-			set := &lines
+			set := &runningAccounts
 			if x.Kind == kindFinalAccount {
-				set = &left
+				set = &finalAccounts
 			}
 			a, upMs, err := parseAccount(x.Key, x.Value)
 			if err != nil {
@@ -183,23 +184,23 @@
 		case kindLegacyAccount:
 			var x legacyAccount
 			err = json.Unmarshal(value, &x)
-			left.put(limiter.AccountMemory{ID: id[1], Plan: x.Plan, Spread: x.Spread, First: x.First, Balance: x.Balance, Share: x.Share})
-		} // others are of later versions
+			finalAccounts.put(limiter.AccountMemory{ID: id[1], Plan: x.Plan, Spread: x.Spread, First: x.First, Balance: x.Balance, Share: x.Share})
+		} // ignore kinds of later versions
 		if err != nil {
 			return nil, nil, fmt.Errorf("memory: kind %d, key %d: %w", id[0], id[1], err)
 		}
 	}
 	switch {
-	case ended != nil && r.Clean && len(left.accounts) == ended.Accounts: // one that is missing would count as full
-		m.Handover = &limiter.Handover{Position: ended.Position, Balancers: ended.Balancers, Plans: ended.Plans, KnownMs: ended.KnownMs, Accounts: left.accounts}
+	case ended != nil && r.Clean && len(finalAccounts.accounts) == ended.Accounts: // a missing account would count as having its full quota
+		m.Handover = &limiter.Handover{Position: ended.Position, Balancers: ended.Balancers, Plans: ended.Plans, KnownMs: ended.KnownMs, Accounts: finalAccounts.accounts}
 	case ended == nil && running != nil && r.Intact && running.HeadMs > 0:
 		m.Handover = &limiter.Handover{Position: running.Position, Balancers: running.Balancers, Plans: running.Plans, KnownMs: running.KnownMs,
-			HeadMs: running.HeadMs, DownMs: up - running.UpMs, Accounts: lines.accounts}
+			HeadMs: running.HeadMs, DownMs: up - running.UpMs, Accounts: runningAccounts.accounts}
 	}
 	return m, names, nil
 }
 
-// accountSet is accounts in the order in which they were first written, each as it was last.
+// accountSet holds the latest value of each account, in the order in which accounts first appeared.
 type accountSet struct {
 	accounts []limiter.AccountMemory
 	index    map[uint64]int32
--- a/internal/memory/show.go
+++ b/internal/memory/show.go
@@ -13,19 +13,20 @@
 	"example.org/madderdrum/recall"
 )
 
-// View is what a look at one limiter's folder tells. The limiter may be running: nothing is
+// View describes the contents of one limiter's folder. The limiter may be running, as nothing is
 // changed.
 type View struct {
 	Folder  string
 	Listing *durable.Listing
 	Found   *durable.Recovered
 	Memory  *limiter.Memory // nil: a limiter would start fresh
-	Trusted *limiter.Memory // what of it a limiter that started now would go by
+	Trusted *limiter.Memory // the part of it that a limiter starting now would use
 	Classes []string
-	Err     error // why there is no memory though there is a snapshot
+	Err     error // why Memory is nil although there is a snapshot
 }
 
-// Look looks at a folder: that of one limiter, or of a tier with one folder for each.
+// Look reads a folder without changing it: that of one limiter, or that of a tier with a subfolder
+// for each limiter.
 func Look(folder string) ([]View, error) {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
@@ -77,7 +78,7 @@
 	return v, nil
 }
 
-// foundOf is how a memory was found.
+// provenanceOf returns how old and how reliable a recovered state is, as package recall needs it.
 func provenanceOf(r *durable.Recovered, m *limiter.Memory) recall.Found {
 	f := recall.Found{Age: r.Age, Clean: r.Clean, Intact: r.Intact, Down: r.Downtime}
 	if h := m.Handover; h != nil && h.HeadMs > 0 {
@@ -86,7 +87,8 @@
 	return f
 }
 
-// Sound tells whether each file is sound, or one that a killed or running process leaves.
+// Sound returns the errors of damaged files. A truncated log, as a killed or running process leaves
+// it, is no error.
 func (v *View) Sound() error {
 	var errs []error
 	for _, f := range v.Listing.Files {
@@ -97,8 +99,8 @@
 	return errors.Join(append(errs, v.Err)...)
 }
 
-// Ills are the boxes of which something is amiss: down, kept off for a class, or at least half
-// as slow again as is usual.
+// Ills returns the servers with a problem: down, ejected or failing for a class, warming up after an
+// outage, or at least 1.5 times as slow as usual.
 func (v *View) Ills() (all []limiter.BoxMemory) {
 	for _, b := range v.Trusted.Boxes {
 		ill := slices.ContainsFunc(b.Ills, func(e limiter.IllMemory) bool { return e.Failures > 0 || e.LeftMs > 0 })
--- a/internal/ownership/broken.go
+++ b/internal/ownership/broken.go
@@ -2,6 +2,6 @@
 
 package ownership
 
-// broken is where builds for tests (-tags faults) leave a check out, so that the tests are
-// seen to find it.
+// checkDisabled reports whether a safety check is disabled on purpose. Only test builds (-tags faults)
+// can disable one, to prove that the tests notice.
 func checkDisabled(string) bool { return false }
--- a/internal/ownership/broken_faults.go
+++ b/internal/ownership/broken_faults.go
@@ -4,6 +4,6 @@
 
 import "os"
 
-// checkDisabled tells whether a check is left out on purpose: MADDERDRUM_BROKEN names it. Builds
-// for tests alone have it.
+// checkDisabled reports whether the environment variable MADDERDRUM_BROKEN names this check, which is
+// then disabled to prove that the tests notice. Only test builds contain this version.
 func checkDisabled(check string) bool { return os.Getenv("MADDERDRUM_BROKEN") == check }
--- a/internal/ownership/calls.go
+++ b/internal/ownership/calls.go
@@ -14,12 +14,12 @@
 	"example.org/madderdrum/tenure"
 )
 
-// Name is the word that calls about the fleet begin with on the operators' address.
+// Name is the first word of fleet calls on the admin address.
 const Name = "fleet"
 
 const maxRequestBytes = 64 << 10
 
-// Request is what operators want, one line of JSON behind the call's own line.
+// Request holds the arguments of an operator's call: one line of JSON after the line of the call.
 type Request struct {
 	Voters  []string      `json:",omitempty"` // init
 	Anew    bool          `json:",omitempty"`
@@ -28,7 +28,7 @@
 	Plan    *rollout.Plan `json:",omitempty"` // roll
 }
 
-// verbs that take a Request.
+// requestHandlers has the verbs that take a Request.
 var requestHandlers = map[string]func(s *Service, ctx context.Context, r Request) error{
 	"init": func(s *Service, ctx context.Context, r Request) error {
 		if r.Anew {
@@ -51,7 +51,7 @@
 	"end":      func(s *Service, ctx context.Context, _ Request) error { return s.ControlRollout(ctx, rollout.End) },
 }
 
-// Serve answers one call; its signature is that of admin.Stream.
+// Serve answers one call on the admin address. It has the signature of admin.Stream.
 func (s *Service) Serve(args []string, c net.Conn, in *bufio.Reader) {
 	c.SetDeadline(time.Now().Add(operatorCallTimeout + time.Second))
 	ctx, done := context.WithTimeout(context.Background(), operatorCallTimeout)
@@ -63,6 +63,7 @@
 	io.WriteString(c, answer)
 }
 
+// handleCall executes a call and returns the text of the answer.
 func (s *Service) handleCall(ctx context.Context, args []string, in *bufio.Reader) (string, error) {
 	if len(args) == 0 {
 		return "", errors.New("fleet what? status, owners, history, init, add, remove, transfer, resign, roll, halt, continue or end")
@@ -96,22 +97,23 @@
 		return "", fmt.Errorf("there is no call fleet %.20q", args[0])
 	}
 	b, err := in.ReadSlice('\n')
-	var long []byte
-	for errors.Is(err, bufio.ErrBufferFull) && len(long) < maxRequestBytes { // the reader is the short one of calls
-		long = append(long, b...)
+	var prefix []byte
+	for errors.Is(err, bufio.ErrBufferFull) && len(prefix) < maxRequestBytes { // the reader's buffer has the size of a call's line
+		prefix = append(prefix, b...)
 		b, err = in.ReadSlice('\n')
 	}
 	if err != nil {
 		return "", fmt.Errorf("a line of JSON was to follow: %w", err)
 	}
 	var r Request
-	if err := json.Unmarshal(append(long, b...), &r); err != nil {
+	if err := json.Unmarshal(append(prefix, b...), &r); err != nil {
 		return "", fmt.Errorf("a line of JSON was to follow: %w", err)
 	}
 	return "YES\n", ask(s, ctx, r)
 }
 
-// effect carries out a conductor's call, if its token holds and it means this process.
+// executeCall carries out a call of the rollout's owner, if its fencing token is valid and it names this
+// process.
 func (s *Service) executeCall(ctx context.Context, v rollout.Verb, t tenure.Token, start uint64) error {
 	if t.Duty != rollout.Duty {
 		return fmt.Errorf("token %v is not one of rollouts", t)
@@ -120,7 +122,7 @@
 		if start != s.self.Start {
 			return fmt.Errorf("it means process %d, this is %d", start, s.self.Start)
 		}
-		s.log.Info("a rollout's call", "verb", string(v), "token", t.String())
+		s.log.Info("executing a rollout call", "verb", string(v), "token", t.String())
 		switch v {
 		case rollout.CallDrain:
 			return s.options.Limiter.Drain()
--- a/internal/ownership/ceilings.go
+++ b/internal/ownership/ceilings.go
@@ -12,24 +12,24 @@
 	catchUpTimeout = 2 * time.Second
 )
 
-// Asked is what a limiter tells a steward of its accounts with ceilings.
+// Asked is a limiter's answer to the steward: the demand of its accounts with ceilings.
 type CeilingDemand struct {
 	Fleet string
 	Start uint64
 	Of    []parts.Report
 }
 
-// hold has the limiter use the parts of ceilings that are agreed on, and confirms those that
-// it uses less of. Until this process knows what was agreed on before, it uses its floors.
+// useCeilingShares makes the limiter use the agreed shares of ceilings, and confirms those that it has
+// reduced. Until this process has read the agreed state, it uses its guaranteed minimum shares.
 func (s *Service) useCeilingShares(ctx context.Context) {
-	var used map[uint64]float64 // for builds that are broken on purpose
-	var known, seen uint64      // resets of the machine until which this process knows all; changes that it has acted on
+	var lastUsed map[uint64]float64       // only for test builds that disable a check
+	var readResets, appliedChanges uint64 // the machine's reset count at the last read; share changes already applied
 	holder := parts.NewHolder(s.position)
 	use := func(u parts.Use) { s.options.Limiter.Hold(u.Of, u.Rest) }
 	if s.options.Steward {
 		use(holder.Forget())
 	}
-	ticker := time.NewTicker(catchUpTimeout / 4) // a confirm may have been lost
+	ticker := time.NewTicker(catchUpTimeout / 4) // a confirmation may have been lost
 	defer ticker.Stop()
 	for {
 		select {
@@ -39,8 +39,8 @@
 		case <-ticker.C:
 		}
 		resets, changes, due := s.machine.shareStatus()
-		if resets != known {
-			if known != 0 || s.options.Steward {
+		if resets != readResets {
+			if readResets != 0 || s.options.Steward {
 				use(holder.Forget())
 			}
 			ctx, done := context.WithTimeout(ctx, catchUpTimeout)
@@ -49,11 +49,11 @@
 			if err != nil {
 				continue
 			}
-			known, seen = resets, 0
+			readResets, appliedChanges = resets, 0
 			holder.CaughtUp()
-			continue // with what is known now
+			continue // apply the state that was just read
 		}
-		if !due && changes == seen {
+		if !due && changes == appliedChanges {
 			continue
 		}
 		var u parts.Use
@@ -63,28 +63,28 @@
 			u, confirm, ok = holder.Look(&st.Parts)
 			resets, changes = s.machine.resets, s.machine.shareChanges
 		})
-		if resets != known || !ok {
+		if resets != readResets || !ok {
 			continue
 		}
 		if checkDisabled("hold") {
 			for id, x := range u.Of {
-				u.Of[id] = max(x, used[id])
+				u.Of[id] = max(x, lastUsed[id])
 			}
-			used = u.Of
+			lastUsed = u.Of
 		}
 		use(u)
-		seen = changes
+		appliedChanges = changes
 		if confirm != nil {
 			ctx, done := context.WithTimeout(ctx, proposeTimeout)
 			if err := s.propose(ctx, entry{Parts: &parts.Command{Confirm: confirm}}); err != nil {
-				s.log.Debug("a part was not confirmed", "err", err)
+				s.log.Debug("could not confirm a reduced ceiling share", "err", err)
 			}
 			done()
 		}
 	}
 }
 
-// deal moves parts of ceilings while this limiter is their steward.
+// dealCeilingShares redistributes the shares of ceilings while this limiter is their steward.
 func (s *Service) dealCeilingShares(ctx context.Context) {
 	ticker := time.NewTicker(dealInterval)
 	defer ticker.Stop()
@@ -119,6 +119,6 @@
 		ctx, done := context.WithTimeout(ctx, proposeTimeout)
 		err := s.propose(ctx, entry{Parts: &parts.Command{Epoch: t.Epoch, Limiters: len(s.options.Limiters), Deals: deals}})
 		done()
-		s.log.Debug("parts were dealt", "accounts", len(deals), "token", t.String(), "err", err)
+		s.log.Debug("proposed ceiling shares", "accounts", len(deals), "token", t.String(), "err", err)
 	}
 }
--- a/internal/ownership/client.go
+++ b/internal/ownership/client.go
@@ -12,8 +12,8 @@
 
 const maxAnswerBytes = 8 << 20 // bytes
 
-// Call makes one call on a limiter's operators' address, with a request behind it or nil, and
-// returns the answer. The whole of it takes no longer than so long.
+// Call makes one call on a limiter's admin address, followed by a request unless that is nil, and
+// returns the answer. The timeout within covers the whole call.
 func Call(ctx context.Context, addr, verb string, r *Request, within time.Duration) (string, error) {
 	c, err := (&net.Dialer{Timeout: min(within, time.Second)}).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -39,15 +39,15 @@
 	return string(b), err
 }
 
-// of tells which fleet an answer comes from.
+// fleetAnswer is an answer that names the fleet of its sender.
 type fleetAnswer interface{ fleet() string }
 
 func (x Standing) fleet() string      { return x.Fleet }
 func (x CeilingDemand) fleet() string { return x.Fleet }
 
-// around asks all limiters of this fleet at once, and has each answer taken in, one after the
-// other. Who does not answer in time, or is in another fleet, is left out.
-func askAll[T fleetAnswer](ctx context.Context, s *Service, verb string, took func(position int, name string, x T)) {
+// askAll calls all limiters of this fleet concurrently and passes each answer to handle, one at a time.
+// A limiter that does not answer in time, or is in another fleet, is skipped.
+func askAll[T fleetAnswer](ctx context.Context, s *Service, verb string, handle func(position int, name string, x T)) {
 	var mu sync.Mutex
 	var tasks sync.WaitGroup
 	for position, name := range s.options.Limiters {
@@ -63,7 +63,7 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			took(position, name, x)
+			handle(position, name, x)
 		})
 	}
 	tasks.Wait()
--- a/internal/ownership/conduct.go
+++ b/internal/ownership/conduct.go
@@ -14,13 +14,14 @@
 const (
 	conductInterval = 200 * time.Millisecond
 	peerCallTimeout = 900 * time.Millisecond
-	// Service is that of the last servedLooks looks; with fewer requests it is not known.
+	// The share of served requests is taken over serviceSamples samples; with fewer than
+	// minServiceRequests requests in them it counts as 1.
 	serviceSamples     = 5
 	minServiceRequests = 20
 )
 
-// conduct carries rollouts out while this limiter owns that duty. It begins nothing once
-// ctx is over, and ends with inner.
+// conductRollouts carries out rollouts while this limiter owns that duty. It starts nothing after ctx
+// has ended, and returns when inner ends.
 func (s *Service) conductRollouts(ctx, inner context.Context) {
 	ticker := time.NewTicker(conductInterval)
 	defer ticker.Stop()
@@ -59,15 +60,15 @@
 			s.sendCall(inner, call)
 		}
 		if resign {
-			s.log.Info("rollout: this limiter is next, another one goes on", "id", p.ID)
+			s.log.Info("rollout: this limiter is next, handing the rollout to another one", "id", p.ID)
 			s.resign(rollout.Duty)
 		}
 	}
 }
 
-// carryOut makes one call under the token that holds at that moment.
+// sendCall makes one call under the token that is valid at that moment.
 func (s *Service) sendCall(ctx context.Context, c rollout.Call) {
-	t, owns := s.owns(rollout.Duty) // the last look; what comes after it is the receiver's to refuse
+	t, owns := s.owns(rollout.Duty) // last check; the receiver rejects a token that expires after it
 	if !owns {
 		return
 	}
@@ -78,7 +79,8 @@
 	s.log.Info("rollout call", "verb", string(c.Verb), "of", c.Limiter, "token", t.String(), "err", err)
 }
 
-// lookAround asks all limiters how they are doing.
+// pollLimiters asks all limiters for their status. One that does not answer is in the first map only,
+// with a zero value.
 func (s *Service) pollLimiters(ctx context.Context) (map[string]rollout.Seen, map[string]Standing) {
 	seen, standings := map[string]rollout.Seen{}, map[string]Standing{}
 	for _, name := range s.callableLimiters() {
@@ -91,26 +93,27 @@
 	return seen, standings
 }
 
-// served is the share of requests that all limiters have served of late.
+// serviceRate measures the share of requests that the limiters have served recently.
 type serviceRate struct {
 	previous map[string]Standing
-	samples  [][2]int64 // passed and refused between two looks
+	samples  [][2]int64 // passed and refused requests between two calls of observe
 }
 
-// look adds what limiters say now and returns the share; below 0: too little is known.
+// observe adds the limiters' current counts and returns the share of served requests, or -1 while there
+// are too few samples.
 func (v *serviceRate) observe(standings map[string]Standing) float64 {
-	var d [2]int64
+	var delta [2]int64
 	for name, x := range standings {
 		if b, ok := v.previous[name]; ok && b.Start == x.Start {
-			d[0] += x.Passed - b.Passed
-			d[1] += x.Refused - b.Refused
+			delta[0] += x.Passed - b.Passed
+			delta[1] += x.Refused - b.Refused
 		}
 	}
 	first := v.previous == nil
 	if v.previous = standings; first {
 		return -1
 	}
-	v.samples = append(v.samples, d)
+	v.samples = append(v.samples, delta)
 	if len(v.samples) > serviceSamples {
 		v.samples = v.samples[1:]
 	}
@@ -122,13 +125,13 @@
 	case len(v.samples) < serviceSamples:
 		return -1
 	case passed+refused < minServiceRequests:
-		return 1 // hardly anybody asks: nothing is lost
+		return 1 // hardly any traffic: no loss to report
 	}
 	return float64(passed) / float64(passed+refused)
 }
 
-// token reads what a call names: a token, the fleet that gave it, and the process that is
-// meant. Epochs of two fleets say nothing about each other.
+// parseCallTarget parses the arguments of a call: a token, the target process, and the fleet that
+// issued the token. The fleet is checked because epochs of different fleets are not comparable.
 func (s *Service) parseCallTarget(args []string) (t tenure.Token, start uint64, err error) {
 	if len(args) != 3 {
 		return t, 0, fmt.Errorf("it needs a token, a process and a fleet: %s drain rollout/12 START FLEET", Name)
--- a/internal/ownership/machine.go
+++ b/internal/ownership/machine.go
@@ -1,6 +1,6 @@
-// Package ownership carries out the duties of a fleet on one limiter: it has the fleet agree
-// on who owns them, keeps this limiter's terms, refuses effects of former owners, and does
-// what this limiter owns. What is decided stands in tenure and rollout.
+// Package ownership runs the duties of a fleet on one limiter: it lets the fleet agree on their owners,
+// maintains this limiter's terms of ownership, rejects actions of former owners, and performs the
+// duties that this limiter owns. The decisions are made in packages tenure, rollout, parts and watch.
 package ownership
 
 import (
@@ -14,25 +14,26 @@
 	"example.org/madderdrum/tenure"
 )
 
-// entry is one entry of the log; one field is set.
+// entry is one command in the replicated log. Exactly one field is set.
 type entry struct {
 	Term    *tenure.Command  `json:",omitempty"`
 	Rollout *rollout.Command `json:",omitempty"`
 	Parts   *parts.Command   `json:",omitempty"`
 }
 
-// machine is what the log's entries change.
+// machine is the replicated state machine that log entries are applied to.
 type machine struct {
-	limiters int  // of the fleet
-	steward  bool // parts of ceilings may move: what the lost majority dealt is not known
+	limiters int  // number in the fleet
+	steward  bool // shares of ceilings may differ, so after the loss of a majority they are unknown
 	position int
 
-	mu sync.Mutex
+	mu sync.Mutex // guards the fields below
 	state
-	resets       uint64 // how often nothing was known any more
-	shareChanges uint64 // of parts
+	resets       uint64 // how often the state was cleared
+	shareChanges uint64 // how often shares of ceilings may have changed
 }
 
+// state is the replicated state, as snapshots hold it.
 type state struct {
 	Terms    tenure.Registry
 	Rollouts rollout.Book
@@ -56,7 +57,7 @@
 		m.shareChanges++
 		return m.Parts.Apply(*e.Parts, m.Terms.Current(parts.Duty))
 	}
-	return nil // of a later build: it means nothing here
+	return nil // ignore entries of later versions
 }
 
 // Snapshot implements agreement.Machine.
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// beginAnew voids all tokens of before.
+// startGeneration invalidates all earlier tokens, and the agreed shares of ceilings.
 func (m *machine) startGeneration(generation uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -95,8 +96,8 @@
 	}
 }
 
-// parts tells how often nothing was known any more, how often parts have changed, and whether
-// this limiter has one to confirm.
+// shareStatus returns how often the state was cleared, how often shares of ceilings may have changed, and
+// whether this limiter has a reduced share to confirm.
 func (m *machine) shareStatus() (resets, changes uint64, due bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -104,14 +105,14 @@
 	return m.resets, m.shareChanges, due
 }
 
-// look has the state looked at; it must not be kept.
+// withState calls f with the state under the lock. f must not keep a reference to it.
 func (m *machine) withState(f func(*state)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f(&m.state)
 }
 
-// plan is a copy of the rollout under way, or nil.
+// currentRollout returns a copy of the current rollout's plan, or nil.
 func (m *machine) currentRollout() *rollout.Plan {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -23,49 +23,50 @@
 )
 
 const (
-	proposeTimeout      = time.Second            // a proposal of this limiter's own is waited for so long
-	leaveTimeout        = 700 * time.Millisecond // to give up duties and the lead at an end in good order
-	operatorCallTimeout = 2 * time.Second        // operators' wishes
+	proposeTimeout      = time.Second            // for a proposal of this limiter's own
+	leaveTimeout        = 700 * time.Millisecond // to give up duties and leadership at a clean shutdown
+	operatorCallTimeout = 2 * time.Second        // for a call of an operator
 )
 
-// Limiter is this limiter, as its duties and the effects of others' see it.
+// Limiter is the local limiter that duties, and calls of other limiters, act on.
 type Limiter interface {
 	Drain() error
 	Resume() error
-	// Leave ends the process in good order.
+	// Leave starts a clean shutdown of the process.
 	Leave()
-	// Standing is how it is doing.
+	// Standing returns the current status.
 	Standing() Standing
-	// Asked is what was asked for of accounts with ceilings, Hold how much of those it may use.
+	// Asked returns the demand of accounts with ceilings. Hold sets the shares of their ceilings
+	// that this limiter may use: by account, and the share of all others.
 	Asked() []parts.Report
 	Hold(of map[uint64]float64, rest float64)
 }
 
-// Standing is how a limiter is doing, as it says itself.
+// Standing is a limiter's status as it reports it to the rest of the fleet.
 type Standing struct {
-	Fleet    string // that it is in; empty: none
-	Start    uint64 // of its process
-	Ready    bool   // it takes clients
+	Fleet    string // its fleet's ID; empty: none
+	Start    uint64 // number of its process
+	Ready    bool   // accepts clients
 	Draining bool
 	InHand   int
 	Passed   int64 // requests served since the process began
 	Refused  int64 // refused or failed
 }
 
-// Options say what a limiter needs to know of its fleet.
+// Options configure a Service.
 type Options struct {
-	Agreement agreement.Options // but for the machine and what is called
+	Agreement agreement.Options // without the state machine and the callbacks, which Open sets
 	Terms     tenure.Settings
-	Limiters  []string          // all of the fleet
-	Admins    map[string]string // where operators call them
-	Steward   bool              // parts of ceilings move; else they go back to equal ones
-	Rooms     map[string]string // of the limiters, by name; nil: each looks for itself
-	Eyes      Prober            // of this limiter, with Rooms
+	Limiters  []string          // names of all limiters of the fleet
+	Admins    map[string]string // admin addresses by limiter
+	Steward   bool              // redistribute shares of ceilings; false: return to equal shares
+	Rooms     map[string]string // room of each limiter, by name; nil: each limiter probes on its own
+	Eyes      Prober            // this limiter's probes; required with Rooms
 	Limiter   Limiter
 	Log       *slog.Logger
 }
 
-// Service is a limiter's part in the duties of its fleet. It is safe for concurrent use.
+// Service runs a limiter's share of its fleet's duties. It is safe for concurrent use.
 type Service struct {
 	options Options
 	log     *slog.Logger
@@ -75,20 +76,20 @@
 
 	mu           sync.Mutex
 	candidate    *tenure.Candidate
-	owned        map[string]uint64 // epochs, for the log
+	owned        map[string]uint64 // epoch by owned duty, for log messages
 	termsChanged chan struct{}
 
-	duties        []string      // that this limiter is a candidate for
-	watcher       *RoomWatcher  // nil: it looks for itself
-	position      int           // among all limiters
-	sharesChanged chan struct{} // parts may have changed
+	duties        []string      // duties that this limiter is a candidate for
+	watcher       *RoomWatcher  // nil: this limiter probes on its own
+	position      int           // index among all limiters
+	sharesChanged chan struct{} // signals a possible change of ceiling shares
 
-	effectMu sync.Mutex // round the effects of others
+	effectMu sync.Mutex // held during actions requested by other limiters
 	fence    *tenure.Fence
-	caughtUp bool // this process has caught up with what was agreed on before it started
+	caughtUp bool // this process has caught up with everything agreed before it started
 }
 
-// candidates tells whether a limiter is a candidate for a duty.
+// isCandidate reports whether a limiter may own a duty.
 func (o *Options) isCandidate(duty, limiter string) bool {
 	if room, ok := watch.Room(duty); ok {
 		return o.Rooms[limiter] == room
@@ -96,7 +97,7 @@
 	return slices.Contains(o.Limiters, limiter)
 }
 
-// Duties are all that there are.
+// Duties returns the names of all duties of the fleet.
 func (o *Options) Duties() []string {
 	all := []string{parts.Duty, rollout.Duty}
 	for _, room := range slices.Compact(slices.Sorted(maps.Values(o.Rooms))) {
@@ -105,7 +106,7 @@
 	return all
 }
 
-// Open opens the folder and listens; Run takes part.
+// Open opens the agreement's folder and starts to listen. Run does the rest.
 func Open(o Options) (*Service, error) {
 	if err := o.Terms.Check(); err != nil {
 		return nil, err
@@ -130,16 +131,16 @@
 	return s, err
 }
 
-// Lookout is this limiter's part in the looks of its room; nil: it looks for itself.
+// Lookout returns this limiter's part in the shared probing of its room; nil: it probes on its own.
 func (s *Service) Lookout() *RoomWatcher { return s.watcher }
 
-// Start is the number of this process, which the limiter's Standing has to tell.
+// Start returns the random number of this process, which the limiter's Standing must report.
 func (s *Service) Start() uint64 { return s.self.Start }
 
-// Addr is where other limiters connect.
+// Addr returns the address that other limiters connect to.
 func (s *Service) Addr() string { return s.host.Addr().String() }
 
-// now is the time by a clock that goes on while the machine is suspended and knows no jumps.
+// now returns the time by a monotonic clock that includes suspend, where the system has one.
 func now() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -148,7 +149,8 @@
 	return time.Duration(t.Nano())
 }
 
-// Run takes part until the context ends; then it gives up what it owns.
+// Run takes part in the agreement and performs owned duties until the context ends. Then it gives up the
+// duties it owns.
 func (s *Service) Run(ctx context.Context) error {
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -175,7 +177,7 @@
 	return err
 }
 
-// changed takes in what has been agreed on; the agreement's driver calls it.
+// handleApplied reacts to newly applied log entries. The agreement host calls it.
 func (s *Service) handleApplied() {
 	at := now()
 	s.mu.Lock()
@@ -184,10 +186,10 @@
 		t, owns := s.candidate.Owns(at, d)
 		switch was := s.owned[d]; {
 		case owns && was != t.Epoch:
-			s.log.Info("owns a duty", "duty", d, "epoch", t.Epoch)
+			s.log.Info("became owner of a duty", "duty", d, "epoch", t.Epoch)
 			s.owned[d] = t.Epoch
 		case !owns && was != 0:
-			s.log.Info("owns a duty no more", "duty", d, "epoch", was)
+			s.log.Info("no longer owner of a duty", "duty", d, "epoch", was)
 			delete(s.owned, d)
 		}
 	}
@@ -200,14 +202,14 @@
 	}
 }
 
-// owns is the last look before an effect.
+// owns returns the valid token of a duty that this limiter owns. It is the last check before an action.
 func (s *Service) owns(duty string) (tenure.Token, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.candidate.Owns(now(), duty)
 }
 
-// keep takes, renews and gives up terms.
+// maintainTerms proposes the commands that take, renew and give up terms.
 func (s *Service) maintainTerms(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -228,7 +230,7 @@
 				ctx, done := context.WithTimeout(ctx, proposeTimeout)
 				defer done()
 				if err := s.propose(ctx, entry{Term: &c}); err != nil {
-					s.log.Debug("a term was not agreed on", "kind", string(c.Kind), "duty", c.Duty, "err", err)
+					s.log.Debug("term command was not agreed", "kind", string(c.Kind), "duty", c.Duty, "err", err)
 				}
 			}()
 		}
@@ -236,6 +238,7 @@
 	}
 }
 
+// propose adds an entry to the replicated log.
 func (s *Service) propose(ctx context.Context, e entry) error {
 	data, err := json.Marshal(e)
 	if err != nil {
@@ -244,7 +247,7 @@
 	return s.host.Propose(ctx, data)
 }
 
-// leave gives up duties and the lead, so that nobody waits for their ends.
+// releaseDuties gives up all duties and leadership, so that successors need not wait for terms to expire.
 func (s *Service) releaseDuties(ctx context.Context) {
 	ctx, done := context.WithTimeout(ctx, leaveTimeout)
 	defer done()
@@ -255,6 +258,7 @@
 	s.host.HandOver(ctx)
 }
 
+// resign requests to give up a duty; "" means all.
 func (s *Service) resign(duty string) {
 	s.mu.Lock()
 	s.candidate.Resign(duty)
@@ -265,13 +269,14 @@
 	}
 }
 
-// abstain has this limiter not ask for a duty for so long.
+// abstain keeps this limiter from taking a duty for the given time.
 func (s *Service) abstain(duty string, hold time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.candidate.Abstain(duty, now()+hold)
 }
 
+// ownsAny reports whether the agreed state names this process as the owner of any duty.
 func (s *Service) ownsAny() (any bool) {
 	s.machine.withState(func(st *state) {
 		for _, t := range st.Terms.Terms {
@@ -281,8 +286,8 @@
 	return any
 }
 
-// admit tells whether an effect under a token may be carried out here. It holds the gate
-// until the effect is over: one under a later token waits for it.
+// admit runs an action requested under a fencing token, unless the token is outdated. It holds the lock
+// until the action has finished, so an action under a later token waits for it.
 func (s *Service) admit(ctx context.Context, t tenure.Token, effect func() error) error {
 	s.effectMu.Lock()
 	defer s.effectMu.Unlock()
@@ -297,8 +302,8 @@
 		s.fence = tenure.NewFence(kept)
 	}
 	if !s.caughtUp {
-		// What this limiter remembers may be an old folder's. What was agreed on before it
-		// started is known once it has caught up.
+		// The stored fence may come from an outdated folder. Everything agreed before this
+		// process started is known only after it has caught up.
 		if err := s.host.Read(ctx); err != nil {
 			return fmt.Errorf("this limiter has started and has not caught up with the fleet: %w", err)
 		}
@@ -315,24 +320,24 @@
 	}
 	if raised {
 		if err := s.host.Raise(ctx, t.Duty, t.Epoch); err != nil {
-			s.fence = nil // what stands on the disk holds
+			s.fence = nil // read the stored value again next time
 			return fmt.Errorf("token %v can't be written down: %w", t, err)
 		}
 	}
 	return effect()
 }
 
-// Owner is who owns a duty, as this limiter knows it.
+// Owner describes the ownership of a duty, as this limiter knows it.
 type Owner struct {
 	Duty    string
 	Owner   string `json:",omitempty"`
 	Epoch   uint64
-	Terms   int    // begun so far
-	Wanted  string `json:",omitempty"` // whom an operator wants
-	HereFor string `json:",omitempty"` // on the owner alone: what is left of its term
+	Terms   int    // how many have begun so far
+	Wanted  string `json:",omitempty"` // the next owner that an operator asked for
+	HereFor string `json:",omitempty"` // set only on the owner: the rest of its term
 }
 
-// Owners are the duties' owners.
+// Owners returns the ownership of all duties that have been taken.
 func (s *Service) Owners() (all []Owner) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -349,22 +354,22 @@
 	return all
 }
 
-// Member is one member of the agreement.
+// Member describes one replica of the agreement: a voter or a learner.
 type Member struct {
 	Limiter string
 	Member  string
 	Votes   bool
 	Leads   bool
-	Wanted  bool   // to vote
-	Behind  uint64 `json:",omitempty"` // entries, as its leader sees it
+	Wanted  bool   // an operator wants it to vote
+	Behind  uint64 `json:",omitempty"` // log entries that it lacks, known on the leader only
 }
 
-// Status is how the fleet stands, as this limiter knows it.
+// Status describes the fleet, as this limiter knows it.
 type Status struct {
 	Limiter    string
 	Fleet      string
 	Generation uint64
-	Leader     string // empty: none is known, and nothing can be agreed on
+	Leader     string // empty: none is known, so nothing can be agreed
 	Term       uint64
 	Applied    uint64
 	Silent     bool   `json:",omitempty"`
@@ -374,13 +379,13 @@
 	SentBytes  int64
 	Received   int64
 	Rollout    *rollout.Plan `json:",omitempty"`
-	Looks      *WatchStatus  `json:",omitempty"` // shared in this limiter's room
-	Moved      int           // accounts of which parts of the ceiling are not equal
-	UnderWay   int           // of them, where a limiter has still to confirm that it uses less
-	Unsure     []string      `json:",omitempty"` // limiters of which is not known yet what they hold, after the fleet was begun anew
+	Looks      *WatchStatus  `json:",omitempty"` // shared probing in this limiter's room
+	Moved      int           // accounts whose ceiling is not shared equally
+	UnderWay   int           // those of them that wait for a limiter to confirm its reduced share
+	Unsure     []string      `json:",omitempty"` // limiters whose shares are unknown since a new generation was forced
 }
 
-// fleet is the number of the fleet that this limiter is in, in hexadecimal; empty: none.
+// fleetID returns the ID of this limiter's fleet in hexadecimal; empty: none.
 func (s *Service) fleetID() string {
 	if f := s.host.Status().Fleet; f != 0 {
 		return fmt.Sprintf("%016x", f)
@@ -388,7 +393,7 @@
 	return ""
 }
 
-// Status returns it.
+// Status returns the state of the fleet and of this limiter's replica.
 func (s *Service) Status() Status {
 	a := s.host.Status()
 	st := Status{Limiter: s.self.Limiter, Fleet: s.fleetID(), Generation: a.Generation, Leader: a.Roster.Members[a.Leader],
@@ -426,7 +431,7 @@
 	return st
 }
 
-// compareNames orders n2 before n10.
+// compareNames compares names by length first, which orders n2 before n10.
 func compareNames(a, b string) int {
 	if len(a) != len(b) {
 		return len(a) - len(b)
@@ -434,13 +439,13 @@
 	return map[bool]int{true: -1, false: 1}[a < b]
 }
 
-// History is what has become of duties, newest last.
+// History returns the changes of ownership, the newest last.
 func (s *Service) History() (all []tenure.Change) {
 	s.machine.withState(func(st *state) { all = slices.Clone(st.Terms.History) })
 	return all
 }
 
-// Begin makes this limiter the first of the fleet.
+// Bootstrap creates the fleet with the given voters, of which this limiter must be one.
 func (s *Service) Bootstrap(ctx context.Context, voters []string) error {
 	for _, v := range voters {
 		if !slices.Contains(s.options.Limiters, v) {
@@ -453,12 +458,13 @@
 	return s.host.Begin(ctx, voters)
 }
 
-// BeginAnew makes this limiter the only voter and voids all tokens.
+// ForceNewFleet makes this limiter the only voter and invalidates all tokens. It recovers a fleet that
+// has lost its majority.
 func (s *Service) ForceNewFleet(ctx context.Context) error {
 	return s.host.BeginAnew(ctx, s.machine.startGeneration)
 }
 
-// Vote has a limiter vote from now on, or learn.
+// SetVoter makes a limiter a voter, or a learner.
 func (s *Service) SetVoter(ctx context.Context, limiter string, votes bool) error {
 	if !slices.Contains(s.options.Limiters, limiter) {
 		return fmt.Errorf("there is no limiter %q; there are %v", limiter, s.options.Limiters)
@@ -470,7 +476,7 @@
 	return s.host.Want(ctx, w)
 }
 
-// Transfer has a duty go to another limiter.
+// Transfer proposes that a duty moves to another limiter.
 func (s *Service) Transfer(ctx context.Context, duty, to string) error {
 	switch {
 	case !slices.Contains(s.options.Duties(), duty):
@@ -483,7 +489,7 @@
 	return s.propose(ctx, entry{Term: &tenure.Command{Kind: tenure.Transfer, By: s.self, Duty: duty, To: to}})
 }
 
-// Resign has this limiter give a duty up, if it owns it.
+// Resign gives up a duty; it is an error if this limiter does not own it.
 func (s *Service) Resign(duty string) error {
 	if _, owns := s.owns(duty); !owns {
 		return fmt.Errorf("%s does not own %q", s.self.Limiter, duty)
@@ -492,24 +498,24 @@
 	return nil
 }
 
-// Roll begins a rollout over limiters; none: over all.
+// StartRollout starts a rollout over the limiters in the plan's steps; without steps, over all.
 func (s *Service) StartRollout(ctx context.Context, p rollout.Plan) error {
 	if len(p.Steps) == 0 {
 		for _, n := range s.options.Limiters {
 			p.Steps = append(p.Steps, rollout.Step{Limiter: n, Phase: rollout.Waiting})
 		}
 	}
-	var none []string
+	var uncallable []string
 	for _, st := range p.Steps {
 		if !slices.Contains(s.options.Limiters, st.Limiter) {
 			return fmt.Errorf("there is no limiter %q; there are %v", st.Limiter, s.options.Limiters)
 		}
 		if s.options.Admins[st.Limiter] == "" {
-			none = append(none, st.Limiter)
+			uncallable = append(uncallable, st.Limiter)
 		}
 	}
-	if len(none) > 0 {
-		return fmt.Errorf("limiters %v have no admin address: add one to each in the configuration", none)
+	if len(uncallable) > 0 {
+		return fmt.Errorf("limiters %v have no admin address: add one to each in the configuration", uncallable)
 	}
 	if p.AtOnce >= len(s.options.Limiters) {
 		return fmt.Errorf("%d limiters at once, of %d: nobody would serve", p.AtOnce, len(s.options.Limiters))
@@ -517,7 +523,7 @@
 	return s.propose(ctx, entry{Rollout: &rollout.Command{Op: rollout.Begin, ID: p.ID, Plan: &p}})
 }
 
-// Rollout has the rollout under way go on or end.
+// ControlRollout halts, continues or ends the current rollout.
 func (s *Service) ControlRollout(ctx context.Context, op rollout.Op) error {
 	if op != rollout.GoOn && op != rollout.End && op != rollout.Halt {
 		return errors.New("a rollout can be halted, continued or ended")
@@ -525,5 +531,5 @@
 	return s.propose(ctx, entry{Rollout: &rollout.Command{Op: op, Why: "an operator said so"}})
 }
 
-// admins are the limiters that can be called.
+// callableLimiters returns the sorted names of limiters with an admin address.
 func (s *Service) callableLimiters() []string { return slices.Sorted(maps.Keys(s.options.Admins)) }
--- a/internal/ownership/watch.go
+++ b/internal/ownership/watch.go
@@ -16,40 +16,47 @@
 )
 
 const (
-	watchStream     = "watch" // what its connections are for
+	watchStream     = "watch" // stream name of its connections
 	tickInterval    = 100 * time.Millisecond
-	maxQueuedEvents = 4096 // events that wait; past them the limiter looks itself
-	maxQueuedNotes  = 256  // for one limiter that wait; one that is further behind connects anew
+	maxQueuedEvents = 4096 // beyond it this limiter probes on its own
+	maxQueuedNotes  = 256  // for one follower; one that falls further behind has to reconnect
 )
 
-// Eyes are this limiter's own looks at boxes and at discovery, and what it believes of others'.
+// Eyes makes this limiter's own probes of servers and of service discovery, and applies what the leader of
+// the room reports. A box is a server.
 type Prober interface {
+	// Look starts a probe of a server; its end is reported to Lookout.Looked.
 	Look(box uint64)
+	// Word applies the leader's verdict on a server.
 	Word(box uint64, well bool)
 	Pools() []string
+	// Whole returns this limiter's full server list of a pool.
 	Whole(pool string) (seq int64, hosts []byte, ok bool)
+	// Told applies a server list of the leader: the full list, or the changes to it.
 	Told(pool string, seq int64, whole bool, hosts []byte) error
-	// Follow has it follow the agent of a pool itself, by calls held so long; 0: it is told.
+	// Follow makes this limiter poll the discovery agent of a pool itself, with long polls of the
+	// given length; 0: the leader sends the lists.
 	Follow(pool string, hold time.Duration)
 }
 
-// note is a message between the one that looks for a room and another one.
+// note is a message between the leader of a room, which probes for it, and a follower.
 type note struct {
-	Token string `json:",omitempty"` // of the one that looks: in all that it says
+	Token string `json:",omitempty"` // the leader's token, in all of its messages
 	watch.Note
 }
 
-// Looks are how a limiter's looks are shared, for operators.
+// WatchStatus describes the shared probing of a limiter's room, for operators.
 type WatchStatus struct {
 	Room string
-	By   string // who looks for the room, as far as this limiter hears it; empty: each for itself
-	For  int    `json:",omitempty"` // limiters that this one looks for
+	By   string // the leader that this limiter receives from; empty: it probes on its own
+	For  int    `json:",omitempty"` // number of followers, on the leader
 	watch.Figures
-	Follows []string `json:",omitempty"` // pools whose agents it follows itself
+	Follows []string `json:",omitempty"` // pools whose discovery agents this limiter polls itself
 }
 
-// Lookout is a limiter's part in the looks of its room. Its methods may be called by any
-// goroutine and never block; what they bring about is done by its own.
+// RoomWatcher is a limiter's part in the shared probing of its room, where the owner of the room's duty
+// (the leader) probes servers for the others. Its exported methods may be called by any goroutine and
+// never block; they queue events for the goroutine of run.
 type RoomWatcher struct {
 	service  *Service
 	prober   Prober
@@ -63,21 +70,21 @@
 	wake   chan struct{}
 	status WatchStatus
 
-	// The loop's own.
+	// Used only by the goroutine of run.
 	watcher    *watch.Part
-	token      tenure.Token // while this limiter looks
+	token      tenure.Token // while this limiter leads
 	followers  map[string]*follower
-	leaderLink *leaderConn // to the one that looks
+	leaderLink *leaderConn // connection to the leader, nil if there is none
 }
 
-// mate is a limiter that this one looks for.
+// follower is the connection of a limiter that this one probes for.
 type follower struct {
 	name       string
 	queue      chan note
 	disconnect func()
 }
 
-// uplink is the way to the one that looks.
+// leaderConn is the connection to the leader of the room. It reconnects until stop is called.
 type leaderConn struct {
 	leader string
 	queue  chan note
@@ -89,7 +96,7 @@
 		followers: map[string]*follower{}, status: WatchStatus{Room: room}}
 }
 
-// do has the loop do something.
+// enqueue queues an event for the goroutine of run.
 func (l *RoomWatcher) enqueue(f func(at time.Duration)) {
 	l.mu.Lock()
 	l.events = append(l.events, f)
@@ -100,7 +107,7 @@
 	}
 }
 
-// Want is told that a box is held as ill here; false: there is more to do than can be done.
+// Want reports that this limiter considers a server unhealthy; false: the queue is full.
 func (l *RoomWatcher) Want(box uint64) bool {
 	l.mu.Lock()
 	full := len(l.events) >= maxQueuedEvents
@@ -111,38 +118,38 @@
 	return !full
 }
 
-// Looked is told how a look of this limiter's own has ended.
+// Looked reports the result of this limiter's own probe; made is false if there was none.
 func (l *RoomWatcher) Looked(box uint64, well, made bool) {
-	saw := map[bool]watch.Verdict{true: watch.Well, false: watch.Ill}[well]
+	verdict := map[bool]watch.Verdict{true: watch.Well, false: watch.Ill}[well]
 	if !made {
-		saw = ""
+		verdict = ""
 	}
-	l.enqueue(func(at time.Duration) { l.watcher.Looked(at, box, saw) })
+	l.enqueue(func(at time.Duration) { l.watcher.Looked(at, box, verdict) })
 }
 
-// Failed is told that an attempt has failed at a box.
+// Failed reports a failed attempt at a server.
 func (l *RoomWatcher) Failed(box uint64) {
 	l.enqueue(func(at time.Duration) { l.watcher.Failed(at, box) })
 }
 
-// Listed is told what the agent of a pool has said to this limiter.
+// Listed reports a server list that the discovery agent of a pool has sent to this limiter.
 func (l *RoomWatcher) Listed(pool string, seq int64, whole bool, hosts []byte) {
 	l.enqueue(func(time.Duration) { l.watcher.Listed(watch.List{Pool: pool, Seq: seq, Whole: whole, Hosts: hosts}) })
 }
 
-// Lost is told that the agent of a pool does not answer this limiter.
+// Lost reports that the discovery agent of a pool does not answer this limiter.
 func (l *RoomWatcher) Lost(pool string) {
 	l.enqueue(func(at time.Duration) { l.watcher.Lost(at, pool) })
 }
 
-// Looks are how looks are shared here.
+// Status returns the state of the shared probing at the last tick.
 func (l *RoomWatcher) Status() WatchStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.status
 }
 
-// run is the loop.
+// run processes queued events and ticks until the context ends.
 func (l *RoomWatcher) run(ctx context.Context) {
 	l.watcher = watch.NewPart(l.settings, l.prober.Pools())
 	ticker := time.NewTicker(tickInterval)
@@ -167,7 +174,7 @@
 	}
 }
 
-// tend looks who owns the duty, and does what the time asks for.
+// tick checks who owns the duty, keeps the connection to the leader, runs timers and updates the status.
 func (l *RoomWatcher) tick(ctx context.Context, at time.Duration) {
 	token, owns := l.service.owns(l.duty)
 	if was := l.watcher.Leads(); was && (!owns || token != l.token) || !was && owns {
@@ -193,7 +200,7 @@
 	}
 }
 
-// carryOut does what has been decided.
+// executeActions performs the actions that the watcher has decided on.
 func (l *RoomWatcher) executeActions() {
 	for _, a := range l.watcher.Acts() {
 		switch a.Kind {
@@ -205,14 +212,14 @@
 			l.prober.Follow(a.Pool, a.Hold)
 		case watch.Take:
 			if err := l.prober.Told(a.List.Pool, a.List.Seq, a.List.Whole, a.List.Hosts); err != nil {
-				l.log.Warn("a list of the one that looks can't be read", "pool", a.List.Pool, "err", err)
+				l.log.Warn("could not read a server list of the room's leader", "pool", a.List.Pool, "err", err)
 				l.watcher.Itself(a.List.Pool)
 			}
 		case watch.Say:
 			if l.leaderLink != nil {
 				select {
 				case l.leaderLink.queue <- note{Note: a.Note}:
-				default: // it is asked again
+				default: // the watcher asks again later
 				}
 			}
 		case watch.TellWhole:
@@ -229,8 +236,8 @@
 	}
 }
 
-// tell tells one that this limiter looks for, or all of them. One that does not take its notes
-// connects anew.
+// sendToFollowers queues a note for one follower, or for all if to is empty. A follower whose queue is
+// full is disconnected and has to reconnect.
 func (l *RoomWatcher) sendToFollowers(to string, n watch.Note) {
 	for name, m := range l.followers {
 		if to != "" && to != name {
@@ -244,7 +251,7 @@
 	}
 }
 
-// serve is a connection of another limiter of the room that this one is to look for.
+// serve handles the connection of a follower.
 func (l *RoomWatcher) serve(name string, st *agreement.Stream) {
 	if l.service.options.Rooms[name] != l.room {
 		l.log.Warn("turned a limiter away that is not of this room", "limiter", name, "room", l.room)
@@ -265,7 +272,7 @@
 		for {
 			select {
 			case n := <-m.queue:
-				// The last look before the effect.
+				// Last check of ownership before sending.
 				if t, owns := l.service.owns(l.duty); !owns || t.String() != n.Token || send(st, n) != nil {
 					return
 				}
@@ -275,7 +282,7 @@
 		}
 	}()
 	for {
-		n, err := receive(st, 0) // who has nothing to ask for says nothing; one that is gone takes no notes
+		n, err := receive(st, 0) // no timeout: an idle follower is silent, and a lost one is noticed when sending fails
 		if err != nil {
 			return
 		}
@@ -287,7 +294,7 @@
 	}
 }
 
-// join begins to look for a limiter.
+// addFollower registers a follower, and replaces its earlier connection.
 func (l *RoomWatcher) addFollower(m *follower) {
 	if before := l.followers[m.name]; before != nil {
 		before.disconnect()
@@ -299,7 +306,7 @@
 	}
 }
 
-// connect keeps a connection to the one that looks, if that is another one.
+// connect keeps a connection to the owner of the duty, if that is another limiter.
 func (l *RoomWatcher) connect(ctx context.Context) {
 	to := ""
 	l.service.machine.withState(func(st *state) {
@@ -320,7 +327,7 @@
 	go l.followLeader(ctx, l.leaderLink)
 }
 
-// hear hears the one that looks until the context ends.
+// followLeader receives notes of the leader, and reconnects with backoff, until the context ends.
 func (l *RoomWatcher) followLeader(ctx context.Context, up *leaderConn) {
 	pause := &backoff.ExponentialBackOff{InitialInterval: 50 * time.Millisecond, MaxInterval: time.Second, Multiplier: 2, RandomizationFactor: 0.5}
 	pause.Reset()
@@ -329,7 +336,7 @@
 		if heard {
 			pause.Reset()
 		}
-		l.log.Debug("the one that looks for the room is not heard", "limiter", up.leader, "err", err)
+		l.log.Debug("no connection to the room's leader", "limiter", up.leader, "err", err)
 		l.enqueue(func(time.Duration) {
 			if l.leaderLink == up {
 				l.watcher.Cut()
@@ -342,7 +349,7 @@
 	}
 }
 
-// talk is one connection to the one that looks.
+// receiveFromLeader runs one connection to the leader. heard is true if any note was accepted.
 func (l *RoomWatcher) receiveFromLeader(ctx context.Context, up *leaderConn) (heard bool, err error) {
 	st, err := l.service.host.Dial(ctx, up.leader, watchStream)
 	if err != nil {
@@ -351,7 +358,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	defer context.AfterFunc(ctx, st.Close)()
-	for len(up.queue) > 0 { // stale by now
+	for len(up.queue) > 0 { // drop outdated notes
 		<-up.queue
 	}
 	go func() {
@@ -379,7 +386,7 @@
 		}
 		t, err := tenure.ParseToken(n.Token)
 		if err == nil && t.Duty != l.duty {
-			err = fmt.Errorf("token %v is not one of %s", t, l.duty)
+			err = fmt.Errorf("token %v is not for duty %s", t, l.duty)
 		}
 		if err == nil {
 			err = l.admit(ctx, t, func(at time.Duration) {
@@ -395,7 +402,7 @@
 	}
 }
 
-// admit has the loop do something under a token that holds here.
+// admit queues an event if the token is valid here.
 func (l *RoomWatcher) admit(ctx context.Context, t tenure.Token, f func(at time.Duration)) error {
 	ctx, done := context.WithTimeout(ctx, proposeTimeout)
 	defer done()
@@ -419,7 +426,7 @@
 		return n, err
 	}
 	if err := json.Unmarshal(data, &n); err != nil {
-		return n, fmt.Errorf("a note that can't be read: %w", err)
+		return n, fmt.Errorf("cannot decode a note: %w", err)
 	}
 	return n, nil
 }
