--- a/advice/advice_test.go
+++ b/advice/advice_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// A request comes through its layout as it was, whatever is in it.
+// Any request is unchanged by encoding and decoding.
 func TestRequest(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	text := func(most int) string {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Advice comes through its layout, and each mistake is told.
+// Advice is unchanged by encoding and decoding, and each kind of malformed advice is an error.
 func TestAdvice(t *testing.T) {
 	want := Advice{Refuse: true, WaitMs: 300, Reason: "bulk waits", Priority: 0.5, Label: "friday", Prefer: "near", Avoid: "far"}
 	sound := want.Append(nil)
@@ -79,7 +79,7 @@
 	}
 }
 
-// Whatever bytes a plug-in writes, what comes of them is within what it was granted.
+// For any bytes that a plug-in writes, the combined advice stays within its grant.
 func TestAnyAdviceIsBounded(t *testing.T) {
 	r := rand.New(rand.NewPCG(2, 2))
 	odd := []float64{0, -1, 1, 1e300, -1e300, math.NaN(), math.Inf(1), math.Inf(-1), 0.3, 5, math.SmallestNonzeroFloat64}
@@ -105,18 +105,18 @@
 		case c.Refuse && !g.Refuse, !(c.WaitMs >= 0 && c.WaitMs <= 500), !c.Refuse && c.WaitMs > 0,
 			!(c.Factor >= LeastFactor && c.Factor <= MostFactor), g.Lower == 0 && c.Factor < 1, g.Raise == 0 && c.Factor > 1,
 			!g.Label && len(c.Labels) > 0, !g.Tiers && (c.Prefer != "" || len(c.Avoid) > 0), c.Refuse == more:
-			t.Fatalf("granted %+v, it came to %+v", g, c)
+			t.Fatalf("granted %+v, combined to %+v", g, c)
 		}
 	}
 }
 
-// Several plug-ins: factors multiply, labels add up, the first preference holds, and the
-// first refusal ends it.
+// Combining plug-ins: factors multiply, labels accumulate, the first preferred tier wins, and the first
+// refusal ends the sequence.
 func TestCombine(t *testing.T) {
 	g := &Grant{Refuse: true, MostWaitMs: 1000, Lower: 0.1, Raise: 4, Label: true, Tiers: true}
 	c := Start()
 	if !c.Add(0, g, Advice{Priority: 2, Label: "a", Prefer: "x"}) || !c.Add(1, g, Advice{Priority: 0.5, Label: "b", Prefer: "y", Avoid: "z"}) || !c.Add(2, g, Advice{}) {
-		t.Fatal("ended early")
+		t.Fatal("the sequence ended without a refusal")
 	}
 	if c.Factor != 1 || c.Prefer != "x" || len(c.Labels) != 2 || len(c.Avoid) != 1 || c.Refuse {
 		t.Errorf("%+v", c)
--- a/advice/counsel/counsel_test.go
+++ b/advice/counsel/counsel_test.go
@@ -7,7 +7,7 @@
 	"example.org/madderdrum/limiter"
 )
 
-// Names become places, and what the pool does not have is passed over.
+// Tier names become indexes, and tiers that the pool does not have are ignored.
 func TestOf(t *testing.T) {
 	tiers := []string{"near", "far", ""}
 	for _, c := range []struct {
@@ -25,9 +25,9 @@
 	}
 }
 
-// What was leased is not put to plug-ins a second time.
+// Plug-ins are not asked again about a request with a lease.
 func TestDue(t *testing.T) {
 	if !Due(&limiter.Submit{}) || Due(&limiter.Submit{Leased: 1}) || Due(&limiter.Submit{Vouched: true}) {
-		t.Error("due")
+		t.Error("wrong requests are put to plug-ins")
 	}
 }
--- a/advice/counters_test.go
+++ b/advice/counters_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Sums halve, and there are no more of them than are allowed.
+// Sums decay with their half-life, and their number stays within the limit.
 func TestCounters(t *testing.T) {
 	c := NewCounters(100)
 	c.Add(0, []byte("a"), 8, time.Second)
 	if v := c.Add(2*time.Second, []byte("a"), 0, 0); v != 2 {
-		t.Errorf("after two half-lives %v of 8", v)
+		t.Errorf("after two half-lives 8 has decayed to %v", v)
 	}
 	for i := range 10_000 {
 		c.Add(time.Duration(i), []byte{byte(i), byte(i >> 8)}, 1, time.Second)
@@ -19,6 +19,6 @@
 		t.Errorf("%d keys", c.Len())
 	}
 	if c.Add(0, make([]byte, 65), 1, time.Second) != 0 || c.Len() > 100 {
-		t.Error("a key that is too long")
+		t.Error("a key that is too long was stored")
 	}
 }
--- a/durable/bench_test.go
+++ b/durable/bench_test.go
@@ -9,17 +9,17 @@
 	"go.etcd.io/bbolt"
 )
 
-// value is a record's, of so many bytes.
+// value returns a record value of the given size that starts with the key.
 func value(key uint64, bytes int) []byte {
 	b := make([]byte, bytes)
 	binary.LittleEndian.PutUint64(b, key)
 	return b
 }
 
-const valueBytes = 80 // of an account, as JSON
+const valueBytes = 80 // size of an account as JSON
 
-// BenchmarkFolder is what keeping costs by number of records: all of them, a hundredth of
-// them, and finding them again; and the same with an embedded store (bbolt).
+// BenchmarkFolder measures, by number of records, writing all of them, appending a hundredth of them,
+// and recovering them; the two writes are also measured with an embedded store (bbolt).
 func BenchmarkFolder(b *testing.B) {
 	for _, n := range []uint64{1000, 10_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint("folder/all/", n), func(b *testing.B) {
--- a/durable/durable_test.go
+++ b/durable/durable_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// clock is a machine's, as a test sets it.
+// clock is the machine's clocks and boot ID, as a test sets them.
 type clock struct {
 	boot string
 	up   time.Duration
@@ -36,7 +36,7 @@
 	return f, r
 }
 
-// state is what records come to: the last of each key.
+// latestValues returns the last value of each key, without deleted keys.
 func latestValues(all []Record) map[string]string {
 	m := map[string]string{}
 	for _, r := range all {
@@ -54,7 +54,7 @@
 	return Record{Kind: 1, Key: key, Value: []byte(value)}
 }
 
-// snapshot writes records as a snapshot.
+// snapshot writes a snapshot of the given records.
 func snapshot(t testing.TB, f *Folder, all ...Record) {
 	t.Helper()
 	err := f.Snapshot(func(put func(Record) error) error {
@@ -77,39 +77,39 @@
 	}
 }
 
-// What was written is found again, with how the process before ended and how old it is.
+// Written records are recovered, together with their age and how the previous process ended.
 func TestRemembers(t *testing.T) {
 	dir, c := filepath.Join(t.TempDir(), "a", "b"), &clock{"boot-1", time.Hour, time.Unix(1e9, 0)}
 	f, r := open(t, dir, c.options("n0"))
 	if r.Found || len(r.Notes) > 0 {
-		t.Errorf("of nothing: %+v", r)
+		t.Errorf("new folder: %+v", r)
 	}
 	if err := f.Append(nil); err == nil {
-		t.Error("a log without a snapshot")
+		t.Error("Append succeeded before the first snapshot")
 	}
 	snapshot(t, f, newRecord(1, "one"), newRecord(2, "two"))
 	mustAppend(t, f, newRecord(2, "deux"), newRecord(3, "trois"))
 	mustAppend(t, f, newRecord(1, ""))
 	if _, _, err := Open(dir, c.options("n0")); !errors.Is(err, ErrInUse) {
-		t.Errorf("two at once: %v", err)
+		t.Errorf("second Open of a locked folder: %v", err)
 	}
 	if err := f.Close([]Record{newRecord(4, "last")}); err != nil {
 		t.Fatal(err)
 	}
-	c.up, c.wall = c.up+10*time.Second, c.wall.Add(-time.Hour) // a clock that went back
+	c.up, c.wall = c.up+10*time.Second, c.wall.Add(-time.Hour) // the wall clock is set back
 	f, r = open(t, dir, c.options("n0"))
 	if got := fmt.Sprint(latestValues(r.Records)); !r.Found || !r.Clean || r.Moved || r.Age != 10*time.Second || got != "map[1/2:deux 1/3:trois 1/4:last]" || len(r.Notes) > 0 {
 		t.Errorf("%+v, %s", r, got)
 	}
 	if r.Downtime != 10*time.Second {
-		t.Errorf("down for %v", r.Downtime)
+		t.Errorf("downtime %v", r.Downtime)
 	}
-	// What was handed over is had once: the one that took it may have been killed.
+	// A clean end is taken over once only, even if the process that took over was killed.
 	f.lock.Close()
 	if f, r = open(t, dir, c.options("n0")); r.Clean || r.Intact || fmt.Sprint(latestValues(r.Records)) != "map[1/2:deux 1/3:trois 1/4:last]" {
-		t.Errorf("taken over again: %+v", r)
+		t.Errorf("taken over a second time: %+v", r)
 	}
-	// A process that is killed leaves no clean end, and two generations.
+	// A killed process leaves no clean end, but its state is intact.
 	snapshot(t, f, newRecord(7, "seven"))
 	mustAppend(t, f, newRecord(8, "eight"))
 	f.lock.Close()
@@ -119,7 +119,7 @@
 	}
 	f.lock.Close() // killed again, before it wrote anything
 	if f, r = open(t, dir, c.options("n0")); r.Intact || !r.Found {
-		t.Errorf("gone on from twice: %+v", r)
+		t.Errorf("resumed from a second time: %+v", r)
 	}
 	for range 5 {
 		snapshot(t, f, newRecord(9, "nine"))
@@ -128,23 +128,22 @@
 		t.Errorf("%d generations", len(all))
 	}
 	if f.SnapshotDue() {
-		t.Error("a new snapshot is due at once")
+		t.Error("a new snapshot is due right after one")
 	}
 	for range 70 {
 		mustAppend(t, f, Record{Kind: 1, Key: 5, Value: make([]byte, 1000)})
 	}
 	if !f.SnapshotDue() {
-		t.Error("70 KB of log, and no snapshot is due")
+		t.Error("no snapshot is due after 70 KB of log")
 	}
 	for _, bad := range []Record{{Kind: kindEnd}, {Kind: firstReservedKind}, {Value: make([]byte, MaxValueBytes+1)}} {
 		if err := f.Append([]Record{bad}); err == nil {
-			t.Errorf("kind %d with %d bytes is taken", bad.Kind, len(bad.Value))
+			t.Errorf("Append accepted kind %d with %d bytes", bad.Kind, len(bad.Value))
 		}
 	}
 }
 
-// Another owner's folder, a copy and a machine that has started anew are known for what
-// they are.
+// Another owner's folder, a copied folder and a rebooted machine are detected.
 func TestMoved(t *testing.T) {
 	dir, c := t.TempDir(), &clock{"boot-1", time.Hour, time.Unix(1e9, 0)}
 	f, _ := open(t, dir, c.options("n0"))
@@ -158,28 +157,28 @@
 	}
 	f, r := open(t, copied, c.options("n0"))
 	if !r.Found || !r.Moved || r.Clean {
-		t.Errorf("a copy: %+v", r)
+		t.Errorf("copied folder: %+v", r)
 	}
 	f.lock.Close()
 	later := *c
 	later.boot, later.up, later.wall = "boot-2", time.Minute, c.wall.Add(48*time.Hour)
 	f, r = open(t, dir, later.options("n0"))
 	if !r.Found || !r.Moved || r.Age != 48*time.Hour || r.Clean {
-		t.Errorf("after the machine's start: %+v", r)
+		t.Errorf("after a reboot: %+v", r)
 	}
 	f.lock.Close()
 	f, r = open(t, dir, c.options("n1"))
 	if r.Found || len(r.Notes) != 1 || !strings.Contains(r.Notes[0], `belongs to another owner: "n0", this is "n1"`) {
-		t.Errorf("another's: %+v", r)
+		t.Errorf("another owner's folder: %+v", r)
 	}
 	f.lock.Close()
 	if _, _, err := Open(filepath.Join(dir, lockName, "x"), c.options("n0")); err == nil {
-		t.Error("a folder in a file")
+		t.Error("Open succeeded below a regular file")
 	}
 }
 
-// written is a folder with two generations, and the states that may come of it: that of the
-// last one after each of its records, and that of the one before.
+// writeGenerations writes a folder with two generations. It returns their files and every state that may
+// be recovered from them: empty, and after each snapshot and each appended record.
 func writeGenerations(t testing.TB, dir string) (files []string, states []string) {
 	c := &clock{"boot-1", time.Hour, time.Unix(1e9, 0)}
 	f, _ := open(t, dir, c.options("n0"))
@@ -214,9 +213,8 @@
 	return files, states
 }
 
-// Whatever a power failure or a bad disk does to one file - cut at any byte, any bit changed,
-// gone, zeroes at its end - what is found is a state that was, or nothing, and a new process
-// goes on from there.
+// Damage to one file by a power failure or a bad disk (truncated at any byte, any bit flipped, missing,
+// zeroes at its end) yields an earlier state or none, and a new process can continue from there.
 func TestDamage(t *testing.T) {
 	from := t.TempDir()
 	files, states := writeGenerations(t, from)
@@ -253,12 +251,12 @@
 		if got := fmt.Sprint(latestValues(r.Records)); !slices.Contains(states, got) || r.Clean && got != states[len(states)-1] {
 			t.Fatalf("%s of %s: %s, clean %v", what, name, got, r.Clean)
 		}
-		if tried%97 == 0 { // and it goes on
+		if tried%97 == 0 { // check that writing can continue
 			snapshot(t, f, newRecord(1, "again"))
 			f.lock.Close()
 			f, r := open(t, dir, c.options("n0"))
 			if got := fmt.Sprint(latestValues(r.Records)); got != "map[1/1:again]" {
-				t.Fatalf("%s of %s: after it %s, %v", what, name, got, r.Notes)
+				t.Fatalf("%s of %s: after a new snapshot %s, %v", what, name, got, r.Notes)
 			}
 			f.lock.Close()
 			os.RemoveAll(dir)
@@ -266,23 +264,22 @@
 		}
 	}
 	for name, b := range data {
-		try("the loss", name, nil)
+		try("loss", name, nil)
 		for n := range len(b) {
-			try(fmt.Sprintf("the first %d bytes", n), name, b[:n])
-			try(fmt.Sprintf("zeroes from %d on", n), name, append(slices.Clone(b[:n]), make([]byte, len(b)-n)...))
+			try(fmt.Sprintf("truncation to %d bytes", n), name, b[:n])
+			try(fmt.Sprintf("zeroes from byte %d on", n), name, append(slices.Clone(b[:n]), make([]byte, len(b)-n)...))
 			for bit := range 8 {
 				x := slices.Clone(b)
 				x[n] ^= 1 << bit
 				try(fmt.Sprintf("bit %d of byte %d", bit, n), name, x)
 			}
 		}
-		try("zeroes behind", name, append(slices.Clone(b), make([]byte, 4096)...))
+		try("zeroes after the end", name, append(slices.Clone(b), make([]byte, 4096)...))
 	}
 	t.Logf("%d damaged folders", tried)
 }
 
-// A file of a later version is not read, and the generation before it is; a value from the
-// future stays where it is.
+// A file of a later version is skipped in favor of the previous generation, and is not deleted.
 func TestLaterVersion(t *testing.T) {
 	dir := t.TempDir()
 	files, states := writeGenerations(t, dir)
@@ -303,12 +300,12 @@
 		t.Errorf("%s, %v", got, r.Notes)
 	}
 	if _, err := os.Stat(last); err != nil {
-		t.Errorf("the file of the later version: %v", err)
+		t.Errorf("file of the later version: %v", err)
 	}
 }
 
-// child is the process that TestKilled kills: it remembers a number in two records that
-// belong together, and says each number once it is on the disk.
+// child runs in the process that TestKilled kills: it counts up, stores each number in two records, and
+// prints it once it is on the disk.
 func child(dir string) {
 	f, r, err := Open(dir, Options{Owner: "n0"})
 	if err != nil {
@@ -348,15 +345,15 @@
 	os.Exit(m.Run())
 }
 
-// A process that is killed at random points (DURABLE_KILLS=1000 for more of them): each next one finds what the last one
-// said was on the disk, or what it was just writing, and never anything else.
+// A process is killed at random points (DURABLE_KILLS=1000 for more of them). The next one recovers what
+// the killed one reported to be on the disk, or what it was just writing, and never anything else.
 func TestKilled(t *testing.T) {
 	kills := 200
 	if n, err := strconv.Atoi(os.Getenv("DURABLE_KILLS")); err == nil {
 		kills = n
 	}
 	dir, r := t.TempDir(), rand.New(rand.NewPCG(1, 1))
-	said, mid := uint64(0), 0
+	reported, duringWrite := uint64(0), 0
 	for k := range kills {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "DURABLE_CHILD="+dir)
@@ -367,22 +364,22 @@
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		lines := bufio.NewScanner(out)
-		for range 1 + r.IntN(20) { // it is killed some way into what comes behind one of these
-			if !lines.Scan() {
+		output := bufio.NewScanner(out)
+		for range 1 + r.IntN(20) { // kill it some time after one of these lines
+			if !output.Scan() {
 				t.Fatalf("%d: the child ended", k)
 			}
-			n, err := strconv.ParseUint(lines.Text(), 10, 64)
+			n, err := strconv.ParseUint(output.Text(), 10, 64)
 			if err != nil {
-				t.Fatalf("%d: %s", k, lines.Text())
+				t.Fatalf("%d: %s", k, output.Text())
 			}
-			said = n
+			reported = n
 		}
 		time.Sleep(time.Duration(r.IntN(300)) * time.Microsecond)
 		cmd.Process.Kill()
-		for lines.Scan() { // what it still said
-			if n, err := strconv.ParseUint(lines.Text(), 10, 64); err == nil {
-				said = n
+		for output.Scan() { // what it printed before it ended
+			if n, err := strconv.ParseUint(output.Text(), 10, 64); err == nil {
+				reported = n
 			}
 		}
 		cmd.Wait()
@@ -393,18 +390,18 @@
 		s := latestValues(found.Records)
 		one, _ := strconv.ParseUint(s["1/1"], 10, 64)
 		two, _ := strconv.ParseUint(s["1/2"], 10, 64)
-		if !found.Found || found.Clean || one < said || one > said+1 || two < one || two > one+1 {
-			t.Fatalf("%d: said %d, found %d and %d: %+v", k, said, one, two, found.Notes)
+		if !found.Found || found.Clean || one < reported || one > reported+1 || two < one || two > one+1 {
+			t.Fatalf("kill %d: reported %d, recovered %d and %d: %+v", k, reported, one, two, found.Notes)
 		}
-		if one != said || two != one || len(found.Notes) > 0 {
-			mid++
+		if one != reported || two != one || len(found.Notes) > 0 {
+			duringWrite++
 		}
 		f.lock.Close()
 	}
-	t.Logf("%d kills, %d of them in the midst of a write", kills, mid)
+	t.Logf("%d kills, %d of them during a write", kills, duringWrite)
 }
 
-// FuzzRead: whatever is in a file, reading it ends, and what it gives passes the checksums.
+// FuzzRead checks that reading arbitrary file contents terminates and returns no more records than fit.
 func FuzzRead(f *testing.F) {
 	b := appendHeader(nil, []byte(`{"generation":1,"owner":"n0"}`))
 	b = appendRecord(b, newRecord(1, "one"))
--- a/durable/plug_test.go
+++ b/durable/plug_test.go
@@ -12,31 +12,31 @@
 	"time"
 )
 
-// simulated is a disk that loses what was not synced. Each file has what is on the disk for
-// certain and the writes that may be there or not; the folder likewise has its changes.
+// simulatedDisk is a disk that may lose what was not synced: the unsynced writes of each file and the
+// unsynced changes of the folder. It can also be full, or fail at a given operation.
 type simulatedDisk struct {
-	files   map[string]*inode // as the running system sees the folder
-	durable map[string]*inode // as it is on the disk for certain
-	changes []change          // since then, each of which may be there or not
+	files   map[string]*inode // the folder as the running system sees it
+	durable map[string]*inode // the folder as it was last synced
+	changes []change          // unsynced changes, each of which may survive or not
 	count   uint64
-	ops     int // done so far
-	fullAt  int // from this operation on writes fail, having written a part; 0: never
-	failAt  int // the operation before which the power fails; -1: never
+	ops     int // operations done so far
+	fullAt  int // writes from this operation on are partial and fail; 0: never
+	failAt  int // operation before which the power fails; -1: never
 }
 
 type inode struct {
 	number  uint64
 	data    []byte
-	synced  int  // of data
-	emptied bool // it was truncated since it was synced
-	before  []byte
+	synced  int    // synced bytes of data
+	emptied bool   // truncated since the last sync
+	before  []byte // synced data before the truncation
 }
 
-// change is one of the folder: a name that is another file now, or nil and gone.
+// change is one change of the folder: the name now refers to another file, or with nil to none.
 type change struct {
 	name string
 	to   *inode
-	from string // of a rename
+	from string // old name, for a rename
 }
 
 var errPowerFailure = errors.New("the power has failed")
@@ -174,7 +174,7 @@
 func (f *simulatedFile) Close() error           { return nil }
 func (f *simulatedFile) Inode() (uint64, error) { return f.n.number, nil }
 
-// copyOf is a disk with nothing unsynced once more.
+// copyOf returns a copy of a disk that has no unsynced changes.
 func copyOf(s *simulatedDisk) *simulatedDisk {
 	d := newSimulated()
 	d.count = s.count
@@ -185,9 +185,9 @@
 	return d
 }
 
-// after calls a function with each disk that there may be after a power failure now: any of
-// the folder's changes there or not, and of each file's last writes none, all, all but zeroes,
-// or so much as the cut says. It returns how many there were.
+// afterPowerFailure calls check with each disk that a power failure at this moment may leave: with any
+// subset of the folder's unsynced changes, and with the unsynced data of each file lost, replaced by
+// zeroes, or cut after any number of bytes. It returns the number of disks.
 func (s *simulatedDisk) afterPowerFailure(check func(what string, d *simulatedDisk)) (tried int) {
 	for subset := range 1 << len(s.changes) {
 		names := map[string]*inode{}
@@ -209,7 +209,7 @@
 		for _, n := range names {
 			most = max(most, len(n.data)-n.synced)
 		}
-		for cut := -2; cut <= most; cut++ { // -2: the writes of before a truncation, -1: zeroes
+		for cut := -2; cut <= most; cut++ { // -2: the data before a truncation, -1: zeroes
 			d := newSimulated()
 			d.count = s.count + 100
 			for name, n := range names {
@@ -219,7 +219,7 @@
 					x.data = slices.Clone(n.before)
 				case cut == -2:
 					x.data = slices.Clone(n.data[:n.synced])
-				case cut == -1: // the length is there, the data is not
+				case cut == -1: // the new length survives, the data does not
 					x.data = append(slices.Clone(n.data[:n.synced]), make([]byte, len(n.data)-n.synced)...)
 				default:
 					x.data = slices.Clone(n.data[:min(len(n.data), n.synced+cut)])
@@ -234,9 +234,9 @@
 	return tried
 }
 
-// life is a process that remembers numbers, each in two records; said is what it was told is
-// on the disk, and doing what it was just writing.
-func writeNumbers(f *Folder, from, to int, said *int) error {
+// writeNumbers acts as a process that stores each number in two records. It sets reported to the last number
+// that was reported to be on the disk.
+func writeNumbers(f *Folder, from, to int, reported *int) error {
 	for n := from; n <= to; n++ {
 		var err error
 		if n%5 == 1 || n == from {
@@ -249,15 +249,14 @@
 		if err != nil {
 			return err
 		}
-		*said = n
+		*reported = n
 	}
 	return nil
 }
 
-// The power fails before each operation of a long run, with every part of what was not synced
-// there or not, cut at each byte: what is found is what was said to be on the disk, or a part
-// of what was being written in its order, and never anything older. A second failure while the
-// first is recovered from is no different.
+// The power fails before each operation of a long run, and any part of the unsynced data survives, cut at each
+// byte. What is recovered is the state reported to be on the disk, or that plus a prefix of the write in
+// progress, and never anything older. The same holds for a second failure during recovery.
 func TestPulledPlug(t *testing.T) {
 	const last = 17
 	now := &clock{"boot-1", time.Hour, time.Unix(1e9, 0)}
@@ -266,7 +265,7 @@
 		o.disk = d
 		return o
 	}
-	found := func(what string, d *simulatedDisk) (one, two int, r *Recovered, f *Folder) {
+	recoverFrom := func(what string, d *simulatedDisk) (one, two int, r *Recovered, f *Folder) {
 		t.Helper()
 		f, r, err := Open("x", options(d))
 		if err != nil {
@@ -281,49 +280,49 @@
 	}
 	tried, points := 0, 0
 	for plug := 0; ; plug++ {
-		d, said := newSimulated(), 0
+		d, reported := newSimulated(), 0
 		d.failAt = plug
 		f, _, err := Open("x", options(d))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := writeNumbers(f, 1, last, &said); err == nil {
+		if err := writeNumbers(f, 1, last, &reported); err == nil {
 			break
 		} else if !errors.Is(err, errPowerFailure) {
 			t.Fatal(err)
 		}
 		points++
 		tried += d.afterPowerFailure(func(what string, after *simulatedDisk) {
-			what = fmt.Sprintf("before operation %d, %s, said %d", plug, what, said)
-			one, two, r, _ := found(what, after)
-			if one < said || one > said+1 || two > one || two < one-1 || two < said || (one == 0) == r.Found && said > 0 {
-				t.Fatalf("%s: found %d and %d, %v", what, one, two, r.Notes)
+			what = fmt.Sprintf("failure before operation %d, %s, reported %d", plug, what, reported)
+			one, two, r, _ := recoverFrom(what, after)
+			if one < reported || one > reported+1 || two > one || two < one-1 || two < reported || (one == 0) == r.Found && reported > 0 {
+				t.Fatalf("%s: recovered %d and %d, %v", what, one, two, r.Notes)
 			}
 		})
 		if plug%7 > 0 {
 			continue
 		}
-		// The next life is cut off too, at each of its operations.
+		// The next process also loses power, before each of its first operations.
 		d.afterPowerFailure(func(what string, first *simulatedDisk) {
-			if len(what)%3 > 0 { // a third of them
+			if len(what)%3 > 0 { // test a third of them
 				return
 			}
 			for again := range 12 {
 				d := copyOf(first)
 				d.failAt = again
-				one, two, _, _ := found(what, copyOf(first))
-				said := min(one, two)
+				one, two, _, _ := recoverFrom(what, copyOf(first))
+				reported := min(one, two)
 				f, _, err := Open("x", options(d))
 				if err == nil {
-					err = writeNumbers(f, 100, 102, &said)
+					err = writeNumbers(f, 100, 102, &reported)
 				}
 				if err == nil {
 					break
 				}
 				tried += d.afterPowerFailure(func(more string, after *simulatedDisk) {
-					one, _, r, _ := found(more, after)
-					if one < said && one < 100 {
-						t.Fatalf("%s, then before operation %d, %s: said %d, found %d, %v", what, again, more, said, one, r.Notes)
+					one, _, r, _ := recoverFrom(more, after)
+					if one < reported && one < 100 {
+						t.Fatalf("%s, then failure before operation %d, %s: reported %d, recovered %d, %v", what, again, more, reported, one, r.Notes)
 					}
 				})
 			}
@@ -331,51 +330,51 @@
 	}
 	t.Logf("%d disks after failures at %d operations", tried, points)
 	if points < 60 || tried < 5000 {
-		t.Errorf("%d failures at %d operations try too little", tried, points)
+		t.Errorf("only %d disks after failures at %d operations", tried, points)
 	}
 }
 
-// A disk that is full: what stands there stays sound, a snapshot is tried again, and holds once
-// there is room; a log that has broken off takes nothing behind it.
+// On a full disk the written state stays valid, and a snapshot succeeds on a retry once there is room. A
+// log with a partial write accepts no more records.
 func TestDiskFull(t *testing.T) {
 	now := &clock{"boot-1", time.Hour, time.Unix(1e9, 0)}
 	d := newSimulated()
 	o := now.options("n0")
 	o.disk = d
 	f, _ := open(t, "x", o)
-	said := 0
-	if err := writeNumbers(f, 1, 3, &said); err != nil {
+	reported := 0
+	if err := writeNumbers(f, 1, 3, &reported); err != nil {
 		t.Fatal(err)
 	}
 	d.fullAt = d.ops
 	if err := f.Append([]Record{newRecord(1, "4")}); err == nil {
-		t.Fatal("a full disk takes a record")
+		t.Fatal("Append succeeded on a full disk")
 	}
 	d.fullAt = 0
 	if err := f.Append([]Record{newRecord(1, "5")}); err == nil {
-		t.Fatal("a log that has broken off takes a record")
+		t.Fatal("Append succeeded after a partial write")
 	}
 	d.fullAt = d.ops
 	for range 3 {
-		if err := writeNumbers(f, 6, 6, &said); err == nil {
-			t.Fatal("a full disk takes a snapshot")
+		if err := writeNumbers(f, 6, 6, &reported); err == nil {
+			t.Fatal("Snapshot succeeded on a full disk")
 		}
 	}
 	reader, r := open(t, "x", o)
 	if got := latestValues(r.Records)["1/1"]; got != "3" || r.Intact {
-		t.Errorf("found %s on a full disk, intact %v", got, r.Intact)
+		t.Errorf("recovered %s from a full disk, intact %v", got, r.Intact)
 	}
 	reader.lock.Close()
 	d.fullAt = 0
-	if err := writeNumbers(f, 7, 8, &said); err != nil {
+	if err := writeNumbers(f, 7, 8, &reported); err != nil {
 		t.Fatal(err)
 	}
 	if _, r = open(t, "x", o); latestValues(r.Records)["1/1"] != "8" || !r.Intact {
-		t.Errorf("found %v, intact %v", latestValues(r.Records), r.Intact)
+		t.Errorf("recovered %v, intact %v", latestValues(r.Records), r.Intact)
 	}
 	o.MaxBytes = 200
 	f, _ = open(t, "x", o)
-	if err := writeNumbers(f, 9, 9, &said); err != nil {
+	if err := writeNumbers(f, 9, 9, &reported); err != nil {
 		t.Fatal(err)
 	}
 	var err error
@@ -383,9 +382,9 @@
 		err = f.Append([]Record{newRecord(1, strings.Repeat("y", 30))})
 	}
 	if !errors.Is(err, ErrTooLarge) {
-		t.Errorf("a log over its bound: %v", err)
+		t.Errorf("log over its size limit: %v", err)
 	}
 	if err := f.Snapshot(func(put func(Record) error) error { return put(newRecord(1, strings.Repeat("y", 300))) }); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("a snapshot over its bound: %v", err)
+		t.Errorf("snapshot over its size limit: %v", err)
 	}
 }
--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -119,7 +119,8 @@
 // headroom that the limiter reserves for spending between two writes. classes are the class names of
 // the limiter's configuration.
 func (k *Keeper) Recall(l Limiter, classes []string) {
-	l.Reserve(float64(2*k.options.Every+500*time.Millisecond) / float64(time.Millisecond)) // covers two write intervals and a slow disk
+	// The headroom covers two write intervals and a slow disk.
+	l.Reserve(float64(2*k.options.Every+500*time.Millisecond) / float64(time.Millisecond))
 	if k.recovered != nil {
 		l.Recall(recall.Aged(k.recovered, k.provenance, k.classNames, classes))
 		k.recovered = nil
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -26,7 +26,7 @@
 	Caps:      limiter.Caps{Attempts: 2},
 }
 
-// live is a limiter with a clock that a test sets.
+// testLimiter implements Limiter with a clock that a test sets.
 type testLimiter struct {
 	mu    sync.Mutex
 	l     *limiter.Limiter
@@ -53,7 +53,7 @@
 	return append([]limiter.Action(nil), x.l.Handle(x.now, ev)...)
 }
 
-// passes counts how many of 40 requests of an account pass at once.
+// countAdmitted returns how many of 40 concurrent requests of an account are admitted.
 func (x *testLimiter) countAdmitted(account uint64) (n int) {
 	for range 40 {
 		x.ids++
@@ -115,11 +115,11 @@
 	}
 }
 
-// A limiter's part of a ceiling goes on over an end in good order, whole, and over a kill, but
-// for the headroom; once, and not from a copy.
+// A limiter's share of a ceiling survives a clean shutdown in full, and a kill except for the headroom.
+// It is restored once only, and never from a copy.
 func TestResumes(t *testing.T) {
 	dir, log := t.TempDir(), slog.New(slog.DiscardHandler)
-	// Clocks run on by themselves; a limiter's own may begin anywhere.
+	// Each limiter's own clock may start anywhere.
 	next := func(name string, now float64) (*testLimiter, *Keeper) {
 		x, k := begin(t, now), open(t, dir, name, log)
 		k.Recall(x, classes())
@@ -128,23 +128,23 @@
 	x, k := next("n0", 5e6)
 	x.now += 60_000
 	k.writeOnce(x, classes)
-	if n := x.countAdmitted(5); n != 8 { // what the file says of accounts that it does not name stays
-		t.Fatalf("%d units of a full part of 16, the headroom is 8", n)
+	if n := x.countAdmitted(5); n != 8 { // accounts that are not in the file keep their headroom reserved
+		t.Fatalf("%d units of a full share of 16 with a headroom of 8", n)
 	}
 	k.writeOnce(x, classes)
 	if n := x.countAdmitted(5); n != 8 {
-		t.Fatalf("%d units behind a write, 8 are left", n)
+		t.Fatalf("%d units after a write, 8 are left", n)
 	}
 	k.writeOnce(x, classes)
-	must(t, k.folder.Abandon()) // killed: it stood at 0, the file says -8
+	must(t, k.folder.Abandon()) // killed: the balance was 0, the file says -8
 	x, k = next("n0", 100)
 	if n, m := x.countAdmitted(5), x.countAdmitted(6); n != 0 || m != 8 {
-		t.Errorf("after a kill %d units of the account that was spent, %d of a full one; want 0 and 8", n, m)
+		t.Errorf("after a kill %d units of the spent account, %d of a full one; want 0 and 8", n, m)
 	}
-	must(t, k.folder.Abandon()) // killed before it wrote anything: what it resumed from is had
+	must(t, k.folder.Abandon()) // killed before it wrote anything: the state it resumed from is used up
 	x, k = next("n0", 9e9)
 	if n := x.countAdmitted(6); n != 0 {
-		t.Errorf("%d units of what was had once", n)
+		t.Errorf("%d units from a state that was used before", n)
 	}
 	x.now += 60_000
 	k.writeOnce(x, classes)
@@ -167,12 +167,12 @@
 	must(t, os.Rename(filepath.Join(dir, "was"), filepath.Join(dir, "n0")))
 	x, k = next("n0", 100)
 	if n, m := x.countAdmitted(5), x.countAdmitted(6); n < 8 || n > 9 || m != 16 {
-		t.Errorf("handed over: %d units of the account that was spent, %d of a full one; want 8 and 16", n, m)
+		t.Errorf("after a clean shutdown: %d units of the spent account, %d of a full one; want 8 and 16", n, m)
 	}
 	must(t, k.folder.Abandon())
 }
 
-// A reload in the midst of a write voids it, and the next one tells all by the new plans.
+// A configuration reload during a write aborts it, and the next write is a snapshot with the new plans.
 func TestReloadInAWrite(t *testing.T) {
 	dir := t.TempDir()
 	x, k := begin(t, 5e6), open(t, dir, "n0", slog.New(slog.DiscardHandler))
@@ -184,36 +184,36 @@
 	s.Plans = []limiter.Plan{{Rate: 1e6, Burst: 1e6, CeilingRate: 80, CeilingBurst: 160, Price: 1}}
 	x.handle(limiter.Reconfigure{Settings: s, Classes: []int{0, 1}, Plans: []int{0}})
 	if err := putAccounts(x, 0, func(durable.Record) error { return nil }); !errors.Is(err, errConfigChanged) {
-		t.Errorf("a write goes on: %v", err)
+		t.Errorf("the write continued after a reload: %v", err)
 	}
 	k.writeOnce(x, classes)
 	if reflect.DeepEqual(h.Plans, k.writtenPlans) || !k.complete {
-		t.Errorf("kept by %+v", k.writtenPlans)
+		t.Errorf("written with plans %+v", k.writtenPlans)
 	}
 	must(t, k.folder.Abandon())
 }
 
-// A folder that can't be opened or written does not end the limiter: the log says so once, it
-// is tried again, and kept once it can be.
+// A folder that can't be opened or written does not stop the limiter: the failure is logged once, and
+// the folder is retried until it can be written.
 func TestTriesAgain(t *testing.T) {
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, nil))
 	lines := func(part string) int { return strings.Count(out.String(), part) }
 	dir := filepath.Join(t.TempDir(), "kept")
-	must(t, os.WriteFile(dir, nil, 0o600)) // a file is where the folder should be
+	must(t, os.WriteFile(dir, nil, 0o600)) // a regular file where the folder should be
 	x, k := begin(t, 5e6), open(t, dir, "n0", log)
 	k.Recall(x, classes())
 	for range 3 {
 		k.writeOnce(x, classes)
 	}
 	if lines("memory is not kept") != 1 || k.retryDelay != 8*time.Second || !time.Now().Before(k.retryAt) {
-		t.Errorf("a pause of %v\n%s", k.retryDelay, out.String())
+		t.Errorf("retry delay %v\n%s", k.retryDelay, out.String())
 	}
 	for range 9 {
 		k.writeOnce(x, classes)
 	}
 	if k.retryDelay != maxRetryDelay {
-		t.Errorf("a pause of %v", k.retryDelay)
+		t.Errorf("retry delay %v", k.retryDelay)
 	}
 	must(t, os.Remove(dir))
 	k.writeOnce(x, classes)
@@ -221,7 +221,7 @@
 		t.Errorf("%s", out.String())
 	}
 	x.now += 60_000
-	// The disk goes away, and comes back empty.
+	// The disk disappears and comes back empty.
 	must(t, os.RemoveAll(dir))
 	k.complete = false
 	for range 3 {
@@ -235,7 +235,7 @@
 	must(t, os.RemoveAll(gone.options.Folder))
 	gone.Close(begin(t, 1), classes())
 	if lines("the next limiter starts without") != 1 {
-		t.Errorf("an end without a folder:\n%s", out.String())
+		t.Errorf("shutdown without a folder:\n%s", out.String())
 	}
 	must(t, os.MkdirAll(filepath.Join(dir, "n0"), 0o700))
 	k.writeOnce(x, classes)
@@ -246,7 +246,7 @@
 	if v, err := Look(dir); err != nil || v[0].Memory == nil || v[0].Trusted.Handover == nil || v[0].Sound() != nil {
 		t.Errorf("%+v %v", v, err)
 	}
-	// Over its size bound nothing is kept, and the limiter goes on.
+	// A state over the size limit is not stored, and the limiter continues.
 	k, err = Open(Options{Folder: dir, Limiter: "n1", Every: time.Second, Most: 100, Log: log})
 	must(t, err)
 	k.writeOnce(x, classes)
@@ -256,7 +256,7 @@
 	must(t, k.folder.Abandon())
 }
 
-// While it runs, a keeper writes so often as it is told, and stops with its context.
+// A running keeper writes at each interval and stops with its context.
 func TestRuns(t *testing.T) {
 	x, k := begin(t, 5e6), open(t, t.TempDir(), "n0", slog.New(slog.DiscardHandler))
 	k.options.Every = time.Millisecond
@@ -280,8 +280,8 @@
 	k.Close(x, classes())
 }
 
-// Records that do not make a memory are passed over, and a handover with an account missing
-// is none: that one would count as full.
+// Undecodable records are errors, and a handover with a missing account is ignored, because that account
+// would count as having its full quota.
 func TestDecode(t *testing.T) {
 	m := &limiter.Memory{
 		Usual: []limiter.UsualMemory{{Ms: 700, Votes: 100}, {Ms: 900, Votes: 50}},
@@ -296,13 +296,13 @@
 		all = append(all, r)
 	}
 	add(kindRunningHandover, 0, runningHandover{Balancers: 3, Plans: settings.Plans, KnownMs: 4000, HeadMs: 1500, UpMs: 9000})
-	told := func(kind byte, a limiter.AccountMemory, upMs float64) {
+	addAccount := func(kind byte, a limiter.AccountMemory, upMs float64) {
 		r, err := newAccountRecord(kind, &a, upMs)
 		must(t, err)
 		all = append(all, r)
 	}
-	told(kindRunningAccount, limiter.AccountMemory{ID: 5, Spread: 3, First: 1, Balance: 3.25, Share: -2.5}, 9500)
-	told(kindRunningAccount, limiter.AccountMemory{ID: 5, Spread: 3, First: 1, Balance: 3, Share: -3, Flow: 0.5}, 9700)
+	addAccount(kindRunningAccount, limiter.AccountMemory{ID: 5, Spread: 3, First: 1, Balance: 3.25, Share: -2.5}, 9500)
+	addAccount(kindRunningAccount, limiter.AccountMemory{ID: 5, Spread: 3, First: 1, Balance: 3, Share: -3, Flow: 0.5}, 9700)
 	found := &durable.Recovered{Found: true, Intact: true, Uptime: 10 * time.Second, Records: all}
 	got, names, err := decode(found)
 	if err != nil || !reflect.DeepEqual(got.Boxes, m.Boxes) || !reflect.DeepEqual(got.Pools, m.Pools) || len(names) != 2 {
@@ -316,10 +316,10 @@
 	if got, _, _ := decode(&durable.Recovered{Found: true, Records: all}); got.Handover != nil {
 		t.Errorf("not intact: %+v", got.Handover)
 	}
-	told(kindFinalAccount, limiter.AccountMemory{ID: 5, Spread: 3, First: 1, Balance: 3.25, Share: 0.125}, 0)
-	told(kindFinalAccount, limiter.AccountMemory{ID: 9, Spread: 2, Share: -1}, 0)
+	addAccount(kindFinalAccount, limiter.AccountMemory{ID: 5, Spread: 3, First: 1, Balance: 3.25, Share: 0.125}, 0)
+	addAccount(kindFinalAccount, limiter.AccountMemory{ID: 9, Spread: 2, Share: -1}, 0)
 	if _, err := newAccountRecord(kindRunningAccount, &limiter.AccountMemory{Share: math.NaN()}, 0); err == nil {
-		t.Error("what is no figure is written")
+		t.Error("NaN was encoded")
 	}
 	add(kindHandover, 0, handover{1, 3, settings.Plans, 5000, 2})
 	found.Records, found.Clean = all, true
@@ -328,11 +328,11 @@
 	}
 	found.Records = append(append([]durable.Record(nil), all[:len(all)-2]...), all[len(all)-1])
 	if got, _, err := decode(found); err != nil || got.Handover != nil || len(got.Boxes) != 1 {
-		t.Errorf("an account less: %+v %v", got, err)
+		t.Errorf("one account missing: %+v %v", got, err)
 	}
 	for i := range all {
 		if i+1 < len(all) && all[i+1].Key == all[i].Key && all[i+1].Kind == all[i].Kind {
-			continue // replaced by the next one
+			continue // superseded by the next record
 		}
 		bad := append([]durable.Record(nil), all...)
 		bad[i].Value = []byte("{")
@@ -341,11 +341,11 @@
 		}
 	}
 	if got, _, err := decode(&durable.Recovered{Found: true, Clean: true, Records: append(all, durable.Record{Kind: 99, Value: []byte("{")})}); err != nil || got.Handover == nil {
-		t.Errorf("a kind of a later version: %+v %v", got, err)
+		t.Errorf("record kind of a later version: %+v %v", got, err)
 	}
 }
 
-// A folder that an older version of the program has left stays readable for ever.
+// Folders written by older versions of the program stay readable.
 func TestReadsOlderVersions(t *testing.T) {
 	for _, c := range []struct {
 		folder          string
@@ -362,11 +362,11 @@
 				down++
 			}
 			if b.BackMs != 0 {
-				t.Errorf("%s: a box that no file calls warming up: %+v", c.folder, b)
+				t.Errorf("%s: a server is warming up although no file says so: %+v", c.folder, b)
 			}
 		}
 		if v[0].Memory.Handover != nil || down != 11 {
-			t.Errorf("%s: %d boxes down, quotas %+v; here the files are copies", c.folder, down, v[0].Memory.Handover)
+			t.Errorf("%s: %d servers down, quotas %+v, which copied files must not restore", c.folder, down, v[0].Memory.Handover)
 		}
 		found := *v[0].Found
 		found.Clean = true
@@ -376,7 +376,7 @@
 	}
 }
 
-// BenchmarkDecode is what a start pays for accounts that were written, once the folder is read.
+// BenchmarkDecode measures decoding the accounts at a start, after the folder has been read.
 func BenchmarkDecode(b *testing.B) {
 	for _, n := range []int{1000, 100_000, 1_000_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
--- a/internal/memory/records.go
+++ b/internal/memory/records.go
@@ -191,7 +191,8 @@
 		}
 	}
 	switch {
-	case ended != nil && r.Clean && len(finalAccounts.accounts) == ended.Accounts: // a missing account would count as having its full quota
+	case ended != nil && r.Clean && len(finalAccounts.accounts) == ended.Accounts:
+		// A handover with a missing account is not used: that account would count as having its full quota.
 		m.Handover = &limiter.Handover{Position: ended.Position, Balancers: ended.Balancers, Plans: ended.Plans, KnownMs: ended.KnownMs, Accounts: finalAccounts.accounts}
 	case ended == nil && running != nil && r.Intact && running.HeadMs > 0:
 		m.Handover = &limiter.Handover{Position: running.Position, Balancers: running.Balancers, Plans: running.Plans, KnownMs: running.KnownMs,
--- a/internal/ownership/calls.go
+++ b/internal/ownership/calls.go
@@ -98,7 +98,8 @@
 	}
 	b, err := in.ReadSlice('\n')
 	var prefix []byte
-	for errors.Is(err, bufio.ErrBufferFull) && len(prefix) < maxRequestBytes { // the reader's buffer has the size of a call's line
+	// The reader's buffer is sized for the line of a call, so a request may need several reads.
+	for errors.Is(err, bufio.ErrBufferFull) && len(prefix) < maxRequestBytes {
 		prefix = append(prefix, b...)
 		b, err = in.ReadSlice('\n')
 	}
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -48,7 +48,7 @@
 	Start    uint64 // number of its process
 	Ready    bool   // accepts clients
 	Draining bool
-	InHand   int
+	InHand   int   // requests in progress
 	Passed   int64 // requests served since the process began
 	Refused  int64 // refused or failed
 }
@@ -77,7 +77,7 @@
 	mu           sync.Mutex
 	candidate    *tenure.Candidate
 	owned        map[string]uint64 // epoch by owned duty, for log messages
-	termsChanged chan struct{}
+	termsChanged chan struct{}     // wakes maintainTerms
 
 	duties        []string      // duties that this limiter is a candidate for
 	watcher       *RoomWatcher  // nil: this limiter probes on its own
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -18,7 +18,7 @@
 	"example.org/madderdrum/tenure"
 )
 
-// stub is a limiter that notes what it is called for.
+// stub is a Limiter that records its calls.
 type stub struct {
 	mu    sync.Mutex
 	calls []string
@@ -48,12 +48,12 @@
 	s.of, s.rest = of, rest
 }
 
-// alone is a fleet of one limiter, in a folder.
+// startAlone runs a fleet of one limiter on a folder.
 func startAlone(t *testing.T, folder string, steward bool) (s *Service, l *stub, stop func()) {
 	return startAloneWith(t, folder, func(o *Options) { o.Steward = steward }, func(*Service) {})
 }
 
-// aloneWith is one with other options, changed before it runs.
+// startAloneWith is startAlone with functions that change the options and the service before it runs.
 func startAloneWith(t *testing.T, folder string, with func(o *Options), before func(*Service)) (s *Service, l *stub, stop func()) {
 	t.Helper()
 	l = &stub{rest: -1}
@@ -77,7 +77,7 @@
 	}
 }
 
-// ask makes a call as one on the operators' address.
+// callService makes a call as on the admin address and returns the answer.
 func callService(s *Service, line, body string) string {
 	here, there := net.Pipe()
 	go func() {
@@ -88,6 +88,7 @@
 	return strings.TrimSpace(string(b))
 }
 
+// waitFor polls a condition and fails the test with the given message after 20 s.
 func waitFor(t *testing.T, what string, so func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(20 * time.Second); !so(); time.Sleep(5 * time.Millisecond) {
@@ -97,12 +98,12 @@
 	}
 }
 
-// Calls of conductors are carried out under tokens that hold, for the process and the fleet
-// that they name; what was seen of tokens is still known after a restart.
+// Rollout calls are carried out only under valid tokens and for the process and the fleet that they
+// name. The highest token seen is still known after a restart.
 func TestCallsOfConductors(t *testing.T) {
 	folder := t.TempDir()
 	s, l, stop := startAlone(t, folder, false)
-	waitFor(t, "no fleet was begun", func() bool { return callService(s, "fleet init", `{"Voters":["n0"]}`+"\n") == "YES" })
+	waitFor(t, "the fleet was not initialized", func() bool { return callService(s, "fleet init", `{"Voters":["n0"]}`+"\n") == "YES" })
 	waitFor(t, "nobody owns the duty", func() bool { _, owns := s.owns(rollout.Duty); return owns })
 	call := func(verb string, epoch, start uint64, fleet string) string {
 		return callService(s, fmt.Sprintf("fleet %s rollout/%d %d %s", verb, epoch, start, fleet), "")
@@ -137,12 +138,12 @@
 		}
 	}
 	if got := fmt.Sprint(l.callsMade()); got != "[drain resume]" {
-		t.Errorf("carried out %s", got)
+		t.Errorf("executed %s", got)
 	}
 	stop()
 	s, l, stop = startAlone(t, folder, false)
 	defer stop()
-	waitFor(t, "it knows its fleet no more", func() bool { return s.fleetID() != "" && s.Status().Leader == "n0" })
+	waitFor(t, "the restarted limiter does not know its fleet", func() bool { return s.fleetID() != "" && s.Status().Leader == "n0" })
 	if a := call("drain", later-1, s.Start(), s.fleetID()); !strings.HasPrefix(a, "NO") || len(l.callsMade()) > 0 {
 		t.Errorf("after a restart an old token was answered %q", a)
 	}
@@ -151,34 +152,34 @@
 	}
 }
 
-// A limiter under a steward uses its floor until it knows what is agreed on.
+// A limiter under a steward uses its guaranteed minimum share until it knows the agreed shares.
 func TestFloorUntilCaughtUp(t *testing.T) {
 	s, l, stop := startAlone(t, t.TempDir(), true)
 	defer stop()
 	rest := func() float64 { l.mu.Lock(); defer l.mu.Unlock(); return l.rest }
-	waitFor(t, "nothing was held", func() bool { return rest() >= 0 })
+	waitFor(t, "no share was set", func() bool { return rest() >= 0 })
 	if rest() != 0.1 {
-		t.Errorf("in no fleet it holds %g", rest())
+		t.Errorf("outside a fleet its share is %g", rest())
 	}
-	waitFor(t, "no fleet was begun", func() bool { return callService(s, "fleet init", `{"Voters":["n0"]}`+"\n") == "YES" })
-	waitFor(t, "it never held equal parts", func() bool { return rest() == 1 })
+	waitFor(t, "the fleet was not initialized", func() bool { return callService(s, "fleet init", `{"Voters":["n0"]}`+"\n") == "YES" })
+	waitFor(t, "it never got an equal share", func() bool { return rest() == 1 })
 	if s.machine.startGeneration(1); s.Status().Unsure == nil {
-		t.Error("begun anew, it is sure of what all hold")
+		t.Error("after a forced new fleet the shares of all limiters count as known")
 	}
-	waitFor(t, "it did not tell that it uses its floor", func() bool { return s.Status().Unsure == nil })
+	waitFor(t, "it did not confirm its minimum share", func() bool { return s.Status().Unsure == nil })
 }
 
-// What can't be read is refused, and what a later build wrote changes nothing.
+// Undecodable entries and snapshots are rejected, and entries of a later version change nothing.
 func TestMachine(t *testing.T) {
 	var m machine
 	if m.Apply([]byte("{")) == nil {
-		t.Error("half an entry was taken")
+		t.Error("a truncated entry was accepted")
 	}
 	if err := m.Apply([]byte(`{"Tea":1}`)); err != nil {
 		t.Error(err)
 	}
 	if m.Restore([]byte("{")) == nil {
-		t.Error("half a snapshot was taken")
+		t.Error("a truncated snapshot was accepted")
 	}
 	take := `{"Term":{"Kind":"take","By":{"Limiter":"a","Start":1},"Duty":"parts","Mine":1}}`
 	if err := m.Apply([]byte(take)); err != nil {
@@ -188,7 +189,7 @@
 		return m.Apply(fmt.Appendf(nil, `{"Parts":{"Epoch":%d,"Limiters":2,"Deals":[{"Account":5,"First":0,"Spread":2,"To":[2,0,1900]}]}}`, epoch))
 	}
 	if deal(9) == nil {
-		t.Error("a deal under an epoch that is none was taken")
+		t.Error("a deal under an unknown epoch was accepted")
 	}
 	if err := deal(int(m.Terms.Current(parts.Duty))); err != nil {
 		t.Error(err)
@@ -202,11 +203,11 @@
 		t.Fatal(err)
 	}
 	if moved, way := o.Parts.Moved(); moved != 1 || way != 1 || o.Terms.Current(parts.Duty) != m.Terms.Current(parts.Duty) {
-		t.Errorf("%d moved, %d on their way; %+v", moved, way, o.Terms)
+		t.Errorf("%d moved, %d unconfirmed; %+v", moved, way, o.Terms)
 	}
 }
 
-// blind are eyes that see nothing.
+// noProber implements the probing interface with no pools and without effect.
 type noProber struct{}
 
 func (noProber) Look(uint64)                            {}
@@ -216,14 +217,14 @@
 func (noProber) Told(string, int64, bool, []byte) error { return nil }
 func (noProber) Follow(string, time.Duration)           {}
 
-// A limiter that has nothing to ask for stays connected to the one that looks for it: it used to
-// be taken for gone, and connected anew, with all lists.
+// An idle follower stays connected to the leader of its room. It used to be disconnected as lost, and
+// after reconnecting all lists were sent again.
 func TestWhoAsksForNothingIsStillLookedFor(t *testing.T) {
 	s, _, stop := startAloneWith(t, t.TempDir(), func(o *Options) { o.Rooms, o.Eyes = map[string]string{"n0": "a", "n1": "a"}, noProber{} },
 		func(s *Service) { s.watcher.settings.Apart = 5 * time.Millisecond })
 	defer stop()
-	waitFor(t, "no fleet was begun", func() bool { return callService(s, "fleet init", `{"Voters":["n0"]}`+"\n") == "YES" })
-	waitFor(t, "nobody looks", func() bool { return s.Lookout().Status().By == "n0" })
+	waitFor(t, "the fleet was not initialized", func() bool { return callService(s, "fleet init", `{"Voters":["n0"]}`+"\n") == "YES" })
+	waitFor(t, "nobody leads the room", func() bool { return s.Lookout().Status().By == "n0" })
 	here, there := net.Pipe()
 	go s.Lookout().serve("n1", agreement.NewStream(there))
 	in := agreement.NewStream(here)
--- a/internal/ownership/watch.go
+++ b/internal/ownership/watch.go
@@ -22,10 +22,10 @@
 	maxQueuedNotes  = 256  // for one follower; one that falls further behind has to reconnect
 )
 
-// Eyes makes this limiter's own probes of servers and of service discovery, and applies what the leader of
+// Prober makes this limiter's own probes of servers and of service discovery, and applies what the leader of
 // the room reports. A box is a server.
 type Prober interface {
-	// Look starts a probe of a server; its end is reported to Lookout.Looked.
+	// Look starts a probe of a server; its end is reported to RoomWatcher.Looked.
 	Look(box uint64)
 	// Word applies the leader's verdict on a server.
 	Word(box uint64, well bool)
