--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -23,11 +23,15 @@
 	Begun() <-chan struct{}    // closed once it has its server list and the restored state
 	Now() float64              // the limiter's clock, in ms
 	Remember() *limiter.Memory // the learned state; the limiter keeps running
-	Reserve(headMs float64)
+	Reserve(headMs float64)    // headroom in ms of spending between writes; must be called before any request
+	// BeginWrite starts a write of all accounts, or of those that have spent since the last one, and
+	// returns the state that they refer to and the number of the write.
 	BeginWrite(all bool) (*limiter.Handover, uint64)
+	// Accounts returns the next accounts of the write; ok is false if a new configuration aborted it.
 	Accounts(limit int) (accounts []limiter.AccountMemory, more, ok bool)
-	Kept(seq uint64)
+	Kept(seq uint64)           // reports that a write is on the disk
 	HandOver() *limiter.Memory // the final state without the accounts, after the limiter has stopped
+	// Leave returns the next accounts of a limiter that has handed over.
 	Leave(limit int) (accounts []limiter.AccountMemory, more bool)
 	Recall(*limiter.Memory)
 }
@@ -36,8 +40,8 @@
 type Options struct {
 	Folder  string // of the tier; each limiter has a subfolder with its name
 	Limiter string
-	Every   time.Duration
-	Most    int64 // bytes of a snapshot and of a log, each; 0: no limit
+	Every   time.Duration // interval between writes
+	Most    int64         // bytes of a snapshot and of a log, each; 0: no limit
 	Log     *slog.Logger
 }
 
@@ -127,7 +131,7 @@
 	}
 }
 
-// Run persists the limiter's state at each interval until the context ends.
+// Run persists the limiter's state at each interval, once the limiter has started, until the context ends.
 func (k *Keeper) Run(ctx context.Context, l Limiter, classes func() []string) error {
 	select {
 	case <-ctx.Done():
@@ -198,7 +202,7 @@
 	if !slices.Equal(names, classes()) {
 		return errConfigChanged
 	}
-	learnt, err := encode(m, names)
+	learned, err := encode(m, names)
 	if err != nil {
 		return err
 	}
@@ -211,14 +215,14 @@
 	}
 	if all {
 		clear(k.writtenHashes)
-		err = k.folder.Snapshot(func(put func(durable.Record) error) error { return k.writeSnapshot(l, learnt, h, clock, put) })
+		err = k.folder.Snapshot(func(put func(durable.Record) error) error { return k.writeSnapshot(l, learned, h, clock, put) })
 	} else {
 		var records []durable.Record
 		err = putAccounts(l, clock, func(r durable.Record) error {
 			records = append(records, r)
 			return nil
 		})
-		if records = append(records, k.changedRecords(learnt)...); err == nil && len(records) > 0 {
+		if records = append(records, k.changedRecords(learned)...); err == nil && len(records) > 0 {
 			err = k.folder.Append(records)
 		}
 	}
@@ -231,25 +235,25 @@
 }
 
 // writeSnapshot passes the records of the full state to put.
-func (k *Keeper) writeSnapshot(l Limiter, learnt []durable.Record, h *limiter.Handover, c uptimeOffset, put func(durable.Record) error) error {
-	for _, r := range learnt {
+func (k *Keeper) writeSnapshot(l Limiter, learned []durable.Record, h *limiter.Handover, offset uptimeOffset, put func(durable.Record) error) error {
+	for _, r := range learned {
 		if err := put(r); err != nil {
 			return err
 		}
 		k.noteWritten(r)
 	}
-	r, err := newJSONRecord(kindRunningHandover, 0, runningHandover{h.Position, h.Balancers, h.Plans, h.KnownMs, h.HeadMs, c.toUptime(h.NowMs)})
+	r, err := newJSONRecord(kindRunningHandover, 0, runningHandover{h.Position, h.Balancers, h.Plans, h.KnownMs, h.HeadMs, offset.toUptime(h.NowMs)})
 	if err == nil {
 		err = put(r)
 	}
 	if err != nil {
 		return err
 	}
-	return putAccounts(l, c, put)
+	return putAccounts(l, offset, put)
 }
 
 // putAccounts passes the accounts of the current write to put, in batches.
-func putAccounts(l Limiter, c uptimeOffset, put func(durable.Record) error) error {
+func putAccounts(l Limiter, offset uptimeOffset, put func(durable.Record) error) error {
 	for hasMore := true; hasMore; {
 		var batch []limiter.AccountMemory
 		var ok bool
@@ -257,7 +261,7 @@
 			return errConfigChanged
 		}
 		for i := range batch {
-			r, err := newAccountRecord(kindRunningAccount, &batch[i], c.toUptime(batch[i].AtMs))
+			r, err := newAccountRecord(kindRunningAccount, &batch[i], offset.toUptime(batch[i].AtMs))
 			if err == nil {
 				err = put(r)
 			}
@@ -272,7 +276,7 @@
 // noteWritten stores the hash of a record and reports whether the record differs from the one before.
 func (k *Keeper) noteWritten(r durable.Record) bool {
 	id, sum := [2]uint64{uint64(r.Kind), r.Key}, maphash.Bytes(k.seed, r.Value)
-	if was, have := k.writtenHashes[id]; have && was == sum {
+	if previous, exists := k.writtenHashes[id]; exists && previous == sum {
 		return false
 	}
 	k.writtenHashes[id] = sum
@@ -280,13 +284,13 @@
 }
 
 // changedRecords returns the records that differ from those on the disk.
-func (k *Keeper) changedRecords(all []durable.Record) (changedRecords []durable.Record) {
+func (k *Keeper) changedRecords(all []durable.Record) (changed []durable.Record) {
 	for _, r := range all {
 		if k.noteWritten(r) {
-			changedRecords = append(changedRecords, r)
+			changed = append(changed, r)
 		}
 	}
-	return changedRecords
+	return changed
 }
 
 // Close writes the limiter's final state and unlocks the folder. The limiter must have stopped. A
@@ -296,10 +300,10 @@
 		return
 	}
 	m := l.HandOver()
-	learnt, err := encode(m, classes)
+	learned, err := encode(m, classes)
 	var last []durable.Record
 	if err == nil {
-		last = k.changedRecords(learnt)
+		last = k.changedRecords(learned)
 	}
 	count := 0
 	for hasMore := true; hasMore && err == nil; {
@@ -323,7 +327,7 @@
 	}
 	if err == nil && !k.complete { // the log is missing or unusable: try once more with a snapshot
 		err = k.folder.Snapshot(func(put func(durable.Record) error) error {
-			for _, r := range learnt {
+			for _, r := range learned {
 				if err := put(r); err != nil {
 					return err
 				}
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -128,7 +128,7 @@
 	x, k := next("n0", 5e6)
 	x.now += 60_000
 	k.writeOnce(x, classes)
-	if n := x.countAdmitted(5); n != 8 { // accounts that are not in the file keep their headroom reserved
+	if n := x.countAdmitted(5); n != 8 { // an account that is not in the file may spend the headroom before the next write
 		t.Fatalf("%d units of a full share of 16 with a headroom of 8", n)
 	}
 	k.writeOnce(x, classes)
--- a/internal/ownership/ceilings.go
+++ b/internal/ownership/ceilings.go
@@ -12,7 +12,7 @@
 	catchUpTimeout = 2 * time.Second
 )
 
-// Asked is a limiter's answer to the steward: the demand of its accounts with ceilings.
+// CeilingDemand is a limiter's answer to the steward: the demand of its accounts with ceilings.
 type CeilingDemand struct {
 	Fleet string
 	Start uint64
@@ -25,7 +25,7 @@
 	var lastUsed map[uint64]float64       // only for test builds that disable a check
 	var readResets, appliedChanges uint64 // the machine's reset count at the last read; share changes already applied
 	holder := parts.NewHolder(s.position)
-	use := func(u parts.Use) { s.options.Limiter.Hold(u.Of, u.Rest) }
+	use := func(shares parts.Use) { s.options.Limiter.Hold(shares.Of, shares.Rest) }
 	if s.options.Steward {
 		use(holder.Forget())
 	}
@@ -56,23 +56,23 @@
 		if !due && changes == appliedChanges {
 			continue
 		}
-		var u parts.Use
+		var shares parts.Use
 		var confirm *parts.Confirm
 		var ok bool
 		s.machine.withState(func(st *state) {
-			u, confirm, ok = holder.Look(&st.Parts)
+			shares, confirm, ok = holder.Look(&st.Parts)
 			resets, changes = s.machine.resets, s.machine.shareChanges
 		})
 		if resets != readResets || !ok {
 			continue
 		}
 		if checkDisabled("hold") {
-			for id, x := range u.Of {
-				u.Of[id] = max(x, lastUsed[id])
+			for id, x := range shares.Of {
+				shares.Of[id] = max(x, lastUsed[id])
 			}
-			lastUsed = u.Of
+			lastUsed = shares.Of
 		}
-		use(u)
+		use(shares)
 		appliedChanges = changes
 		if confirm != nil {
 			ctx, done := context.WithTimeout(ctx, proposeTimeout)
--- a/internal/ownership/conduct.go
+++ b/internal/ownership/conduct.go
@@ -25,7 +25,7 @@
 func (s *Service) conductRollouts(ctx, inner context.Context) {
 	ticker := time.NewTicker(conductInterval)
 	defer ticker.Stop()
-	var c *rollout.Conductor
+	var conductor *rollout.Conductor
 	var epoch uint64
 	var service serviceRate
 	for {
@@ -36,31 +36,31 @@
 		}
 		t, owns := s.owns(rollout.Duty)
 		if !owns || ctx.Err() != nil {
-			c = nil
+			conductor = nil
 			continue
 		}
-		if c == nil || epoch != t.Epoch {
-			c, epoch, service = rollout.NewConductor(s.self.Limiter), t.Epoch, serviceRate{}
+		if conductor == nil || epoch != t.Epoch {
+			conductor, epoch, service = rollout.NewConductor(s.self.Limiter), t.Epoch, serviceRate{}
 		}
-		p := s.machine.currentRollout()
-		if p == nil || p.State != rollout.Running {
+		plan := s.machine.currentRollout()
+		if plan == nil || plan.State != rollout.Running {
 			service = serviceRate{}
 			continue
 		}
-		seen, standings := s.pollLimiters(inner)
-		l := rollout.Look{Now: now(), Epoch: t.Epoch, Seen: seen, Served: service.observe(standings)}
-		notes, calls, resign := c.Next(p, l)
+		seen, statuses := s.pollLimiters(inner)
+		view := rollout.Look{Now: now(), Epoch: t.Epoch, Seen: seen, Served: service.observe(statuses)}
+		notes, calls, resign := conductor.Next(plan, view)
 		for _, n := range notes {
 			ctx, done := context.WithTimeout(inner, proposeTimeout)
 			err := s.propose(ctx, entry{Rollout: &n})
 			done()
-			s.log.Info("rollout", "id", p.ID, "op", string(n.Op), "of", n.Limiter, "to", string(n.To), "why", n.Why, "token", t.String(), "err", err)
+			s.log.Info("rollout", "id", plan.ID, "op", string(n.Op), "of", n.Limiter, "to", string(n.To), "why", n.Why, "token", t.String(), "err", err)
 		}
 		for _, call := range calls {
 			s.sendCall(inner, call)
 		}
 		if resign {
-			s.log.Info("rollout: this limiter is next, handing the rollout to another one", "id", p.ID)
+			s.log.Info("rollout: this limiter is next, handing the rollout to another one", "id", plan.ID)
 			s.resign(rollout.Duty)
 		}
 	}
@@ -82,15 +82,15 @@
 // pollLimiters asks all limiters for their status. One that does not answer is in the first map only,
 // with a zero value.
 func (s *Service) pollLimiters(ctx context.Context) (map[string]rollout.Seen, map[string]Standing) {
-	seen, standings := map[string]rollout.Seen{}, map[string]Standing{}
+	seen, statuses := map[string]rollout.Seen{}, map[string]Standing{}
 	for _, name := range s.callableLimiters() {
 		seen[name] = rollout.Seen{}
 	}
 	askAll(ctx, s, "self", func(_ int, name string, x Standing) {
 		seen[name] = rollout.Seen{Reached: true, Ready: x.Ready, Draining: x.Draining, Start: x.Start, InHand: x.InHand}
-		standings[name] = x
+		statuses[name] = x
 	})
-	return seen, standings
+	return seen, statuses
 }
 
 // serviceRate measures the share of requests that the limiters have served recently.
@@ -101,16 +101,16 @@
 
 // observe adds the limiters' current counts and returns the share of served requests, or -1 while there
 // are too few samples.
-func (v *serviceRate) observe(standings map[string]Standing) float64 {
+func (v *serviceRate) observe(statuses map[string]Standing) float64 {
 	var delta [2]int64
-	for name, x := range standings {
+	for name, x := range statuses {
 		if b, ok := v.previous[name]; ok && b.Start == x.Start {
 			delta[0] += x.Passed - b.Passed
 			delta[1] += x.Refused - b.Refused
 		}
 	}
 	first := v.previous == nil
-	if v.previous = standings; first {
+	if v.previous = statuses; first {
 		return -1
 	}
 	v.samples = append(v.samples, delta)
--- a/internal/ownership/watch.go
+++ b/internal/ownership/watch.go
@@ -328,17 +328,17 @@
 }
 
 // followLeader receives notes of the leader, and reconnects with backoff, until the context ends.
-func (l *RoomWatcher) followLeader(ctx context.Context, up *leaderConn) {
+func (l *RoomWatcher) followLeader(ctx context.Context, conn *leaderConn) {
 	pause := &backoff.ExponentialBackOff{InitialInterval: 50 * time.Millisecond, MaxInterval: time.Second, Multiplier: 2, RandomizationFactor: 0.5}
 	pause.Reset()
 	for ctx.Err() == nil {
-		heard, err := l.receiveFromLeader(ctx, up)
-		if heard {
+		received, err := l.receiveFromLeader(ctx, conn)
+		if received {
 			pause.Reset()
 		}
-		l.log.Debug("no connection to the room's leader", "limiter", up.leader, "err", err)
+		l.log.Debug("no connection to the room's leader", "limiter", conn.leader, "err", err)
 		l.enqueue(func(time.Duration) {
-			if l.leaderLink == up {
+			if l.leaderLink == conn {
 				l.watcher.Cut()
 			}
 		})
@@ -349,22 +349,22 @@
 	}
 }
 
-// receiveFromLeader runs one connection to the leader. heard is true if any note was accepted.
-func (l *RoomWatcher) receiveFromLeader(ctx context.Context, up *leaderConn) (heard bool, err error) {
-	st, err := l.service.host.Dial(ctx, up.leader, watchStream)
+// receiveFromLeader runs one connection to the leader. received is true if any note was accepted.
+func (l *RoomWatcher) receiveFromLeader(ctx context.Context, conn *leaderConn) (received bool, err error) {
+	st, err := l.service.host.Dial(ctx, conn.leader, watchStream)
 	if err != nil {
 		return false, err
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	defer context.AfterFunc(ctx, st.Close)()
-	for len(up.queue) > 0 { // drop outdated notes
-		<-up.queue
+	for len(conn.queue) > 0 { // drop outdated notes
+		<-conn.queue
 	}
 	go func() {
 		for {
 			select {
-			case n := <-up.queue:
+			case n := <-conn.queue:
 				if send(st, n) != nil {
 					st.Close()
 					return
@@ -377,7 +377,7 @@
 	for {
 		n, err := receive(st, l.settings.Patience)
 		if err != nil {
-			return heard, err
+			return received, err
 		}
 		for i := range n.Words {
 			if checkDisabled("word") && n.Words[i].Is != watch.Well {
@@ -390,15 +390,15 @@
 		}
 		if err == nil {
 			err = l.admit(ctx, t, func(at time.Duration) {
-				if l.leaderLink == up {
+				if l.leaderLink == conn {
 					l.watcher.Heard(at, n.Note)
 				}
 			})
 		}
 		if err != nil {
-			return heard, err
+			return received, err
 		}
-		heard = true
+		received = true
 	}
 }
 
