--- a/durable/durable.go
+++ b/durable/durable.go
@@ -38,11 +38,11 @@
 
 // Options configure a folder. Only Owner is required.
 type Options struct {
-	Owner    string           // the process that the state belongs to, such as a limiter's name
-	Now      func() time.Time // time.Now if nil
-	Boot     func() (id string, up time.Duration)
-	MaxBytes int64 // limit for a snapshot and for a log, each; 0: none
-	disk     disk  // systemDisk if nil
+	Owner    string                               // the process that the state belongs to, such as a limiter's name
+	Now      func() time.Time                     // time.Now if nil
+	Boot     func() (id string, up time.Duration) // boot ID and uptime; the system's if nil
+	MaxBytes int64                                // limit for a snapshot and for a log, each; 0: none
+	disk     disk                                 // systemDisk if nil
 }
 
 // Uptime returns the time since the machine booted, including suspend, by a clock that cannot be
