--- a/internal/ownership/watch.go
+++ b/internal/ownership/watch.go
@@ -386,7 +386,7 @@
 		}
 		t, err := tenure.ParseToken(n.Token)
 		if err == nil && t.Duty != l.duty {
-			err = fmt.Errorf("token %v is not for duty %s", t, l.duty)
+			err = fmt.Errorf("token %v is not one of %s", t, l.duty)
 		}
 		if err == nil {
 			err = l.admit(ctx, t, func(at time.Duration) {
