--- a/durable/disk.go
+++ b/durable/disk.go
@@ -8,30 +8,31 @@
 	"syscall"
 )
 
-// disk is what a folder is kept on: the system's, or one that fails as a test wants it to.
+// disk is the file system a folder is stored on: the operating system's, or a simulated one that
+// fails as a test demands.
 type disk interface {
 	MkdirAll(dir string) error
-	Lock(path string) (io.Closer, error) // ErrInUse if another process has it
-	// Open opens for reading, Create for writing a file that is emptied or must not be there,
-	// Extend for writing behind what is there.
+	Lock(path string) (io.Closer, error) // ErrInUse if another process holds it
+	// Open opens a file for reading. Create opens one for writing; it truncates an existing file,
+	// or fails on one if fresh is set. OpenAppend opens an existing file for appending.
 	Open(path string) (diskFile, error)
 	Create(path string, fresh bool) (diskFile, error)
-	Extend(path string) (diskFile, error)
+	OpenAppend(path string) (diskFile, error)
 	Rename(from, to string) error
 	Remove(path string) error
 	List(dir string) ([]string, error)
 	SyncDir(dir string) error
 }
 
-// diskFile is an open file.
+// diskFile is an open file of a disk. A copy of the file has a different inode number.
 type diskFile interface {
 	io.ReadWriteCloser
 	Sync() error
 	Inode() (uint64, error)
 }
 
-// system is the machine's own disk.
-type system struct{}
+// systemDisk implements disk with the operating system's file calls.
+type systemDisk struct{}
 
 type systemFile struct{ *os.File }
 
@@ -46,16 +47,16 @@
 	return 0, nil
 }
 
-func opened(f *os.File, err error) (diskFile, error) {
+func wrapFile(f *os.File, err error) (diskFile, error) {
 	if err != nil {
 		return nil, err
 	}
 	return systemFile{f}, nil
 }
 
-func (system) MkdirAll(dir string) error { return os.MkdirAll(dir, 0o700) }
+func (systemDisk) MkdirAll(dir string) error { return os.MkdirAll(dir, 0o700) }
 
-func (system) Lock(path string) (io.Closer, error) {
+func (systemDisk) Lock(path string) (io.Closer, error) {
 	lock, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
@@ -70,24 +71,24 @@
 	return lock, nil
 }
 
-func (system) Open(path string) (diskFile, error) { return opened(os.Open(path)) }
+func (systemDisk) Open(path string) (diskFile, error) { return wrapFile(os.Open(path)) }
 
-func (system) Create(path string, fresh bool) (diskFile, error) {
+func (systemDisk) Create(path string, fresh bool) (diskFile, error) {
 	flag := os.O_TRUNC
 	if fresh {
 		flag = os.O_EXCL
 	}
-	return opened(os.OpenFile(path, os.O_WRONLY|os.O_CREATE|flag, 0o600))
+	return wrapFile(os.OpenFile(path, os.O_WRONLY|os.O_CREATE|flag, 0o600))
 }
 
-func (system) Extend(path string) (diskFile, error) {
-	return opened(os.OpenFile(path, os.O_WRONLY|os.O_APPEND, 0))
+func (systemDisk) OpenAppend(path string) (diskFile, error) {
+	return wrapFile(os.OpenFile(path, os.O_WRONLY|os.O_APPEND, 0))
 }
 
-func (system) Rename(from, to string) error { return os.Rename(from, to) }
-func (system) Remove(path string) error     { return os.Remove(path) }
+func (systemDisk) Rename(from, to string) error { return os.Rename(from, to) }
+func (systemDisk) Remove(path string) error     { return os.Remove(path) }
 
-func (system) List(dir string) (names []string, err error) {
+func (systemDisk) List(dir string) (names []string, err error) {
 	entries, err := os.ReadDir(dir)
 	for _, e := range entries {
 		names = append(names, e.Name())
@@ -95,7 +96,7 @@
 	return names, err
 }
 
-func (system) SyncDir(dir string) error {
+func (systemDisk) SyncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
 		return err
--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -1,5 +1,5 @@
-// Package memory keeps what a running limiter has learnt in a folder, and hands it to the
-// next one: the host of packages durable and recall.
+// Package memory persists the learned state of a running limiter and restores it in its successor.
+// It connects a limiter to packages durable (storage) and recall (what to trust after a restart).
 package memory
 
 import (
@@ -18,65 +18,69 @@
 	"example.org/madderdrum/recall"
 )
 
-// Limiter is the one whose memory it is.
+// Limiter is the running limiter whose state a Keeper persists.
 type Limiter interface {
-	Begun() <-chan struct{}    // closed once it has its list of servers and what was recalled
-	Now() float64              // its clock, in ms
-	Remember() *limiter.Memory // what is learnt by now; the limiter goes on
-	Reserve(headMs float64)
+	Begun() <-chan struct{}    // closed once it has its server list and the restored state
+	Now() float64              // the limiter's clock, in ms
+	Remember() *limiter.Memory // the learned state; the limiter keeps running
+	Reserve(headMs float64)    // headroom in ms of spending between writes; must be called before any request
+	// BeginWrite starts a write of all accounts, or of those that have spent since the last one, and
+	// returns the state that they refer to and the number of the write.
 	BeginWrite(all bool) (*limiter.Handover, uint64)
-	Accounts(most int) (told []limiter.AccountMemory, more, ok bool)
-	Kept(seq uint64)
-	HandOver() *limiter.Memory // what it held, but for the accounts; it has ended
-	Leave(most int) (told []limiter.AccountMemory, more bool)
+	// Accounts returns the next accounts of the write; ok is false if a new configuration aborted it.
+	Accounts(limit int) (accounts []limiter.AccountMemory, more, ok bool)
+	Kept(seq uint64)           // reports that a write is on the disk
+	HandOver() *limiter.Memory // the final state without the accounts, after the limiter has stopped
+	// Leave returns the next accounts of a limiter that has handed over.
+	Leave(limit int) (accounts []limiter.AccountMemory, more bool)
 	Recall(*limiter.Memory)
 }
 
-// Options are what a keeper is made with.
+// Options configure a Keeper.
 type Options struct {
-	Folder  string // of the tier; each limiter has one of its name in it
+	Folder  string // of the tier; each limiter has a subfolder with its name
 	Limiter string
-	Every   time.Duration
-	Most    int64 // bytes of a snapshot, and of a log; 0: no bound
+	Every   time.Duration // interval between writes
+	Most    int64         // bytes of a snapshot and of a log, each; 0: no limit
 	Log     *slog.Logger
 }
 
 const (
-	// batch is how many accounts are told in one go: the limiter is held meanwhile.
-	batch = 500
-	// A folder that fails is tried again after retryLeast, then ever more rarely.
-	retryLeast = time.Second
-	retryMost  = 30 * time.Second
+	// accountBatch is the number of accounts copied at a time, which blocks the limiter.
+	accountBatch = 500
+	// Bounds of the exponential backoff after a failure of the folder.
+	minRetryDelay = time.Second
+	maxRetryDelay = 30 * time.Second
 )
 
-// Keeper keeps the memory of one limiter. Its methods are not safe for concurrent use.
+// Keeper persists the state of one limiter. Its methods are not safe for concurrent use.
 type Keeper struct {
-	o       Options
-	folder  *durable.Folder // nil: it can't be opened yet
-	found   *limiter.Memory
-	how     recall.Found
-	names   recall.Names // that it was learnt by
-	seed    maphash.Seed
-	written map[[2]uint64]uint64 // by kind and key, but for accounts: a hash of the value on the disk
-	plans   []limiter.Plan       // that the accounts on the disk are counted by
-	whole   bool                 // a snapshot stands, and all since
-	failing bool
-	pause   time.Duration // until it is tried again
-	retryAt time.Time
-	writes  func(err error) // a test's: told of each write
+	options       Options
+	folder        *durable.Folder // nil: it could not be opened yet
+	recovered     *limiter.Memory
+	provenance    recall.Found
+	classNames    recall.Names // class names in the recovered state
+	seed          maphash.Seed
+	writtenHashes map[[2]uint64]uint64 // by kind and key, except accounts: hash of the value on the disk
+	writtenPlans  []limiter.Plan       // plans that the accounts on the disk refer to
+	complete      bool                 // the snapshot and the log hold the full state
+	failing       bool
+	retryDelay    time.Duration // before the next attempt
+	retryAt       time.Time
+	onWrite       func(err error) // set by tests; called after each write
 }
 
-// Open takes the limiter's folder and reads what is there. What can't be used is told in the
-// log, and so is a folder that can't be opened: it is tried again while the limiter runs. One
-// that another process has is an error, as two limiters of one name must not run.
+// Open locks and reads the limiter's folder. Unusable contents are logged and ignored; a folder that
+// cannot be opened is logged and retried while the limiter runs. A folder in use by another process
+// is an error, because two limiters with the same name must not run.
 func Open(o Options) (*Keeper, error) {
-	k := &Keeper{o: o, seed: maphash.MakeSeed(), written: map[[2]uint64]uint64{}}
+	k := &Keeper{options: o, seed: maphash.MakeSeed(), writtenHashes: map[[2]uint64]uint64{}}
 	r, err := k.open()
 	if errors.Is(err, durable.ErrInUse) {
 		return nil, fmt.Errorf("memory: %w", err)
 	}
 	if err != nil {
-		k.fail(err)
+		k.scheduleRetry(err)
 		return k, nil
 	}
 	for _, note := range r.Notes {
@@ -91,8 +95,8 @@
 		o.Log.Warn("ignoring an unusable snapshot, starting fresh", "err", err)
 		return k, nil
 	}
-	k.found, k.names = m, names
-	k.how = foundOf(r, m)
+	k.recovered, k.classNames = m, names
+	k.provenance = provenanceOf(r, m)
 	ended, quotas := "killed", "fresh"
 	if r.Clean {
 		ended = "in good order"
@@ -107,7 +111,7 @@
 }
 
 func (k *Keeper) open() (*durable.Recovered, error) {
-	f, r, err := durable.Open(filepath.Join(k.o.Folder, k.o.Limiter), durable.Options{Owner: k.o.Limiter, Most: k.o.Most, Now: wall.Now})
+	f, r, err := durable.Open(filepath.Join(k.options.Folder, k.options.Limiter), durable.Options{Owner: k.options.Limiter, MaxBytes: k.options.Most, Now: wall.Now})
 	if err != nil {
 		return nil, err
 	}
@@ -115,28 +119,30 @@
 	return r, nil
 }
 
-// Recall hands what was found to the limiter, as far as it is to be trusted, and has it keep
-// to what is written from now on; classes are the names of its configuration.
+// Recall restores the recovered state in the limiter as far as it can be trusted, and sets the
+// headroom that the limiter reserves for spending between two writes. classes are the class names of
+// the limiter's configuration.
 func (k *Keeper) Recall(l Limiter, classes []string) {
-	l.Reserve(float64(2*k.o.Every+500*time.Millisecond) / float64(time.Millisecond)) // two writes and a slow disk
-	if k.found != nil {
-		l.Recall(recall.Aged(k.found, k.how, k.names, classes))
-		k.found = nil
+	// The headroom covers two write intervals and a slow disk.
+	l.Reserve(float64(2*k.options.Every+500*time.Millisecond) / float64(time.Millisecond))
+	if k.recovered != nil {
+		l.Recall(recall.Aged(k.recovered, k.provenance, k.classNames, classes))
+		k.recovered = nil
 	}
 }
 
-// Run keeps what the limiter learns until the context ends.
+// Run persists the limiter's state at each interval, once the limiter has started, until the context ends.
 func (k *Keeper) Run(ctx context.Context, l Limiter, classes func() []string) error {
 	select {
 	case <-ctx.Done():
 		return nil
 	case <-l.Begun():
 	}
-	t := time.NewTicker(k.o.Every)
+	t := time.NewTicker(k.options.Every)
 	defer t.Stop()
 	for {
 		if time.Now().After(k.retryAt) {
-			k.step(l, classes)
+			k.writeOnce(l, classes)
 		}
 		select {
 		case <-ctx.Done():
@@ -146,42 +152,42 @@
 	}
 }
 
-// errMoving tells that a new configuration came in the midst of a write.
-var errMoving = errors.New("the configuration changes")
+// errConfigChanged reports that a new configuration was applied during a write.
+var errConfigChanged = errors.New("the configuration changes")
 
-// step writes once.
-func (k *Keeper) step(l Limiter, classes func() []string) {
+// writeOnce makes one attempt to open the folder if needed and to write the changes.
+func (k *Keeper) writeOnce(l Limiter, classes func() []string) {
 	err := k.reopen()
 	if err == nil {
-		err = k.keep(l, classes)
+		err = k.write(l, classes)
 	}
-	if k.writes != nil {
-		k.writes(err)
+	if k.onWrite != nil {
+		k.onWrite(err)
 	}
 	switch {
-	case errors.Is(err, errMoving): // the next one tells all
-		k.whole = false
+	case errors.Is(err, errConfigChanged): // the next write is a full snapshot
+		k.complete = false
 	case err != nil:
-		k.whole = false
-		k.fail(err)
+		k.complete = false
+		k.scheduleRetry(err)
 	case k.failing:
-		k.failing, k.pause = false, 0
-		k.o.Log.Info("memory is kept again")
+		k.failing, k.retryDelay = false, 0
+		k.options.Log.Info("memory is kept again")
 	}
 }
 
-// fail has the folder tried again later, and says so once.
-func (k *Keeper) fail(err error) {
-	k.pause = min(retryMost, max(retryLeast, 2*k.pause))
-	k.retryAt = time.Now().Add(k.pause)
+// scheduleRetry doubles the delay before the next attempt and logs the first of a run of failures.
+func (k *Keeper) scheduleRetry(err error) {
+	k.retryDelay = min(maxRetryDelay, max(minRetryDelay, 2*k.retryDelay))
+	k.retryAt = time.Now().Add(k.retryDelay)
 	if !k.failing {
 		k.failing = true
-		k.o.Log.Warn("memory is not kept, serving on without; trying again", "err", err)
+		k.options.Log.Warn("memory is not kept, serving on without; trying again", "err", err)
 	}
 }
 
-// reopen opens a folder that could not be opened. What is in it is of no use any more: this
-// limiter has begun.
+// reopen opens a folder that could not be opened before. Its contents are ignored because the
+// limiter is already running without them.
 func (k *Keeper) reopen() error {
 	if k.folder != nil {
 		return nil
@@ -190,33 +196,33 @@
 	return err
 }
 
-// keep writes what has changed, or all.
-func (k *Keeper) keep(l Limiter, classes func() []string) error {
+// write appends the changes to the log, or writes a snapshot if one is due or changes are not enough.
+func (k *Keeper) write(l Limiter, classes func() []string) error {
 	names, m := classes(), l.Remember()
 	if !slices.Equal(names, classes()) {
-		return errMoving
+		return errConfigChanged
 	}
-	learnt, err := encode(m, names)
+	learned, err := encode(m, names)
 	if err != nil {
 		return err
 	}
-	clock := clockOf(l)
-	all := !k.whole || k.folder.Due()
+	clock := measureUptimeOffset(l)
+	all := !k.complete || k.folder.SnapshotDue()
 	h, seq := l.BeginWrite(all)
-	if !all && !slices.Equal(h.Plans, k.plans) {
+	if !all && !slices.Equal(h.Plans, k.writtenPlans) {
 		all = true
 		h, seq = l.BeginWrite(all)
 	}
 	if all {
-		clear(k.written)
-		err = k.folder.Snapshot(func(put func(durable.Record) error) error { return k.writeAll(l, learnt, h, clock, put) })
+		clear(k.writtenHashes)
+		err = k.folder.Snapshot(func(put func(durable.Record) error) error { return k.writeSnapshot(l, learned, h, clock, put) })
 	} else {
 		var records []durable.Record
-		err = accounts(l, clock, func(r durable.Record) error {
+		err = putAccounts(l, clock, func(r durable.Record) error {
 			records = append(records, r)
 			return nil
 		})
-		if records = append(records, k.changed(learnt)...); err == nil && len(records) > 0 {
+		if records = append(records, k.changedRecords(learned)...); err == nil && len(records) > 0 {
 			err = k.folder.Append(records)
 		}
 	}
@@ -224,38 +230,38 @@
 		return err
 	}
 	l.Kept(seq)
-	k.whole, k.plans = true, h.Plans
+	k.complete, k.writtenPlans = true, h.Plans
 	return nil
 }
 
-// writeAll hands over all that is remembered.
-func (k *Keeper) writeAll(l Limiter, learnt []durable.Record, h *limiter.Handover, c clock, put func(durable.Record) error) error {
-	for _, r := range learnt {
+// writeSnapshot passes the records of the full state to put.
+func (k *Keeper) writeSnapshot(l Limiter, learned []durable.Record, h *limiter.Handover, offset uptimeOffset, put func(durable.Record) error) error {
+	for _, r := range learned {
 		if err := put(r); err != nil {
 			return err
 		}
-		k.wrote(r)
+		k.noteWritten(r)
 	}
-	r, err := record(kindReserve, 0, reserveHead{h.Position, h.Balancers, h.Plans, h.KnownMs, h.HeadMs, c.up(h.NowMs)})
+	r, err := newJSONRecord(kindRunningHandover, 0, runningHandover{h.Position, h.Balancers, h.Plans, h.KnownMs, h.HeadMs, offset.toUptime(h.NowMs)})
 	if err == nil {
 		err = put(r)
 	}
 	if err != nil {
 		return err
 	}
-	return accounts(l, c, put)
+	return putAccounts(l, offset, put)
 }
 
-// accounts hands over the accounts of a write that was begun, in parts.
-func accounts(l Limiter, c clock, put func(durable.Record) error) error {
-	for more := true; more; {
-		var told []limiter.AccountMemory
+// putAccounts passes the accounts of the current write to put, in batches.
+func putAccounts(l Limiter, offset uptimeOffset, put func(durable.Record) error) error {
+	for hasMore := true; hasMore; {
+		var batch []limiter.AccountMemory
 		var ok bool
-		if told, more, ok = l.Accounts(batch); !ok {
-			return errMoving
+		if batch, hasMore, ok = l.Accounts(accountBatch); !ok {
+			return errConfigChanged
 		}
-		for i := range told {
-			r, err := accountRecord(kindLine, &told[i], c.up(told[i].AtMs))
+		for i := range batch {
+			r, err := newAccountRecord(kindRunningAccount, &batch[i], offset.toUptime(batch[i].AtMs))
 			if err == nil {
 				err = put(r)
 			}
@@ -267,60 +273,61 @@
 	return nil
 }
 
-// wrote notes what stands on the disk, and tells whether that is news.
-func (k *Keeper) wrote(r durable.Record) bool {
+// noteWritten stores the hash of a record and reports whether the record differs from the one before.
+func (k *Keeper) noteWritten(r durable.Record) bool {
 	id, sum := [2]uint64{uint64(r.Kind), r.Key}, maphash.Bytes(k.seed, r.Value)
-	if was, have := k.written[id]; have && was == sum {
+	if previous, exists := k.writtenHashes[id]; exists && previous == sum {
 		return false
 	}
-	k.written[id] = sum
+	k.writtenHashes[id] = sum
 	return true
 }
 
-func (k *Keeper) changed(all []durable.Record) (changed []durable.Record) {
+// changedRecords returns the records that differ from those on the disk.
+func (k *Keeper) changedRecords(all []durable.Record) (changed []durable.Record) {
 	for _, r := range all {
-		if k.wrote(r) {
+		if k.noteWritten(r) {
 			changed = append(changed, r)
 		}
 	}
 	return changed
 }
 
-// Close writes what the limiter handed over, and lets go of the folder. The limiter must have
-// ended. A folder that fails is told in the log: the limiter has ended in good order all the same.
+// Close writes the limiter's final state and unlocks the folder. The limiter must have stopped. A
+// failure of the folder is only logged, since the limiter itself has shut down cleanly.
 func (k *Keeper) Close(l Limiter, classes []string) {
 	if k.folder == nil {
 		return
 	}
 	m := l.HandOver()
-	learnt, err := encode(m, classes)
+	learned, err := encode(m, classes)
 	var last []durable.Record
 	if err == nil {
-		last = k.changed(learnt)
-	}
-	n := 0
-	for more := true; more && err == nil; {
-		var told []limiter.AccountMemory
-		told, more = l.Leave(batch)
-		for i := range told {
-			a := &told[i]
+		last = k.changedRecords(learned)
+	}
+	count := 0
+	for hasMore := true; hasMore && err == nil; {
+		var batch []limiter.AccountMemory
+		batch, hasMore = l.Leave(accountBatch)
+		for i := range batch {
+			a := &batch[i]
 			var r durable.Record
-			if r, err = accountRecord(kindLeft, a, 0); err != nil {
+			if r, err = newAccountRecord(kindFinalAccount, a, 0); err != nil {
 				break
 			}
 			last = append(last, r)
-			n++
+			count++
 		}
 	}
 	if err == nil {
 		var r durable.Record
 		h := m.Handover
-		r, err = record(kindHandover, 0, handover{h.Position, h.Balancers, h.Plans, h.KnownMs, n})
+		r, err = newJSONRecord(kindHandover, 0, handover{h.Position, h.Balancers, h.Plans, h.KnownMs, count})
 		last = append(last, r)
 	}
-	if err == nil && !k.whole { // the log takes nothing, or there is none: a last try
+	if err == nil && !k.complete { // the log is missing or unusable: try once more with a snapshot
 		err = k.folder.Snapshot(func(put func(durable.Record) error) error {
-			for _, r := range learnt {
+			for _, r := range learned {
 				if err := put(r); err != nil {
 					return err
 				}
@@ -334,6 +341,6 @@
 		err = k.folder.Close(last)
 	}
 	if err != nil {
-		k.o.Log.Warn("memory is not kept, the next limiter starts without what was held", "err", err)
+		k.options.Log.Warn("memory is not kept, the next limiter starts without what was held", "err", err)
 	}
 }
--- a/internal/ownership/calls.go
+++ b/internal/ownership/calls.go
@@ -14,12 +14,12 @@
 	"example.org/madderdrum/tenure"
 )
 
-// Name is the word that calls about the fleet begin with on the operators' address.
+// Name is the first word of fleet calls on the admin address.
 const Name = "fleet"
 
-const mostBody = 64 << 10
+const maxRequestBytes = 64 << 10
 
-// Request is what operators want, one line of JSON behind the call's own line.
+// Request holds the arguments of an operator's call: one line of JSON after the line of the call.
 type Request struct {
 	Voters  []string      `json:",omitempty"` // init
 	Anew    bool          `json:",omitempty"`
@@ -28,42 +28,43 @@
 	Plan    *rollout.Plan `json:",omitempty"` // roll
 }
 
-// verbs that take a Request.
-var asks = map[string]func(s *Service, ctx context.Context, r Request) error{
+// requestHandlers has the verbs that take a Request.
+var requestHandlers = map[string]func(s *Service, ctx context.Context, r Request) error{
 	"init": func(s *Service, ctx context.Context, r Request) error {
 		if r.Anew {
-			return s.BeginAnew(ctx)
+			return s.ForceNewFleet(ctx)
 		}
-		return s.Begin(ctx, r.Voters)
+		return s.Bootstrap(ctx, r.Voters)
 	},
-	"add":      func(s *Service, ctx context.Context, r Request) error { return s.Vote(ctx, r.Limiter, true) },
-	"remove":   func(s *Service, ctx context.Context, r Request) error { return s.Vote(ctx, r.Limiter, false) },
+	"add":      func(s *Service, ctx context.Context, r Request) error { return s.SetVoter(ctx, r.Limiter, true) },
+	"remove":   func(s *Service, ctx context.Context, r Request) error { return s.SetVoter(ctx, r.Limiter, false) },
 	"transfer": func(s *Service, ctx context.Context, r Request) error { return s.Transfer(ctx, r.Duty, r.Limiter) },
 	"resign":   func(s *Service, _ context.Context, r Request) error { return s.Resign(r.Duty) },
 	"roll": func(s *Service, ctx context.Context, r Request) error {
 		if r.Plan == nil {
 			return errors.New("it needs a plan")
 		}
-		return s.Roll(ctx, *r.Plan)
+		return s.StartRollout(ctx, *r.Plan)
 	},
-	"halt":     func(s *Service, ctx context.Context, _ Request) error { return s.Rollout(ctx, rollout.Halt) },
-	"continue": func(s *Service, ctx context.Context, _ Request) error { return s.Rollout(ctx, rollout.GoOn) },
-	"end":      func(s *Service, ctx context.Context, _ Request) error { return s.Rollout(ctx, rollout.End) },
+	"halt":     func(s *Service, ctx context.Context, _ Request) error { return s.ControlRollout(ctx, rollout.Halt) },
+	"continue": func(s *Service, ctx context.Context, _ Request) error { return s.ControlRollout(ctx, rollout.GoOn) },
+	"end":      func(s *Service, ctx context.Context, _ Request) error { return s.ControlRollout(ctx, rollout.End) },
 }
 
-// Serve answers one call; its signature is that of admin.Stream.
+// Serve answers one call on the admin address. It has the signature of admin.Stream.
 func (s *Service) Serve(args []string, c net.Conn, in *bufio.Reader) {
-	c.SetDeadline(time.Now().Add(askFor + time.Second))
-	ctx, done := context.WithTimeout(context.Background(), askFor)
+	c.SetDeadline(time.Now().Add(operatorCallTimeout + time.Second))
+	ctx, done := context.WithTimeout(context.Background(), operatorCallTimeout)
 	defer done()
-	answer, err := s.answer(ctx, args, in)
+	answer, err := s.handleCall(ctx, args, in)
 	if err != nil {
 		answer = "NO " + err.Error() + "\n"
 	}
 	io.WriteString(c, answer)
 }
 
-func (s *Service) answer(ctx context.Context, args []string, in *bufio.Reader) (string, error) {
+// handleCall executes a call and returns the text of the answer.
+func (s *Service) handleCall(ctx context.Context, args []string, in *bufio.Reader) (string, error) {
 	if len(args) == 0 {
 		return "", errors.New("fleet what? status, owners, history, init, add, remove, transfer, resign, roll, halt, continue or end")
 	}
@@ -73,11 +74,11 @@
 	}
 	switch args[0] {
 	case "self":
-		x := s.o.Limiter.Standing()
-		x.Fleet = s.fleet()
+		x := s.options.Limiter.Standing()
+		x.Fleet = s.fleetID()
 		return show(x)
 	case "asked":
-		return show(Asked{s.fleet(), s.me.Start, s.o.Limiter.Asked()})
+		return show(CeilingDemand{s.fleetID(), s.self.Start, s.options.Limiter.Asked()})
 	case "status":
 		return show(s.Status())
 	case "owners":
@@ -85,49 +86,51 @@
 	case "history":
 		return show(s.History())
 	case "drain", "resume", "leave":
-		t, start, err := s.token(args[1:])
+		t, start, err := s.parseCallTarget(args[1:])
 		if err != nil {
 			return "", err
 		}
-		return "YES\n", s.effect(ctx, rollout.Verb(args[0]), t, start)
+		return "YES\n", s.executeCall(ctx, rollout.Verb(args[0]), t, start)
 	}
-	ask := asks[args[0]]
+	ask := requestHandlers[args[0]]
 	if ask == nil {
 		return "", fmt.Errorf("there is no call fleet %.20q", args[0])
 	}
 	b, err := in.ReadSlice('\n')
-	var long []byte
-	for errors.Is(err, bufio.ErrBufferFull) && len(long) < mostBody { // the reader is the short one of calls
-		long = append(long, b...)
+	var prefix []byte
+	// The reader's buffer is sized for the line of a call, so a request may need several reads.
+	for errors.Is(err, bufio.ErrBufferFull) && len(prefix) < maxRequestBytes {
+		prefix = append(prefix, b...)
 		b, err = in.ReadSlice('\n')
 	}
 	if err != nil {
 		return "", fmt.Errorf("a line of JSON was to follow: %w", err)
 	}
 	var r Request
-	if err := json.Unmarshal(append(long, b...), &r); err != nil {
+	if err := json.Unmarshal(append(prefix, b...), &r); err != nil {
 		return "", fmt.Errorf("a line of JSON was to follow: %w", err)
 	}
 	return "YES\n", ask(s, ctx, r)
 }
 
-// effect carries out a conductor's call, if its token holds and it means this process.
-func (s *Service) effect(ctx context.Context, v rollout.Verb, t tenure.Token, start uint64) error {
+// executeCall carries out a call of the rollout's owner, if its fencing token is valid and it names this
+// process.
+func (s *Service) executeCall(ctx context.Context, v rollout.Verb, t tenure.Token, start uint64) error {
 	if t.Duty != rollout.Duty {
 		return fmt.Errorf("token %v is not one of rollouts", t)
 	}
 	return s.admit(ctx, t, func() error {
-		if start != s.me.Start {
-			return fmt.Errorf("it means process %d, this is %d", start, s.me.Start)
+		if start != s.self.Start {
+			return fmt.Errorf("it means process %d, this is %d", start, s.self.Start)
 		}
-		s.log.Info("a rollout's call", "verb", string(v), "token", t.String())
+		s.log.Info("executing a rollout call", "verb", string(v), "token", t.String())
 		switch v {
 		case rollout.CallDrain:
-			return s.o.Limiter.Drain()
+			return s.options.Limiter.Drain()
 		case rollout.CallResume:
-			return s.o.Limiter.Resume()
+			return s.options.Limiter.Resume()
 		}
-		s.o.Limiter.Leave()
+		s.options.Limiter.Leave()
 		return nil
 	})
 }
--- a/internal/ownership/conduct.go
+++ b/internal/ownership/conduct.go
@@ -12,21 +12,22 @@
 )
 
 const (
-	conductEvery = 200 * time.Millisecond
-	callFor      = 900 * time.Millisecond
-	// Service is that of the last servedLooks looks; with fewer requests it is not known.
-	servedLooks = 5
-	servedLeast = 20
+	conductInterval = 200 * time.Millisecond
+	peerCallTimeout = 900 * time.Millisecond
+	// The share of served requests is taken over serviceSamples samples; with fewer than
+	// minServiceRequests requests in them it counts as 1.
+	serviceSamples     = 5
+	minServiceRequests = 20
 )
 
-// conduct carries rollouts out while this limiter owns that duty. It begins nothing once
-// ctx is over, and ends with inner.
-func (s *Service) conduct(ctx, inner context.Context) {
-	ticker := time.NewTicker(conductEvery)
+// conductRollouts carries out rollouts while this limiter owns that duty. It starts nothing after ctx
+// has ended, and returns when inner ends.
+func (s *Service) conductRollouts(ctx, inner context.Context) {
+	ticker := time.NewTicker(conductInterval)
 	defer ticker.Stop()
-	var c *rollout.Conductor
+	var conductor *rollout.Conductor
 	var epoch uint64
-	var service served
+	var service serviceRate
 	for {
 		select {
 		case <-inner.Done():
@@ -35,101 +36,103 @@
 		}
 		t, owns := s.owns(rollout.Duty)
 		if !owns || ctx.Err() != nil {
-			c = nil
+			conductor = nil
 			continue
 		}
-		if c == nil || epoch != t.Epoch {
-			c, epoch, service = rollout.NewConductor(s.me.Limiter), t.Epoch, served{}
+		if conductor == nil || epoch != t.Epoch {
+			conductor, epoch, service = rollout.NewConductor(s.self.Limiter), t.Epoch, serviceRate{}
 		}
-		p := s.machine.plan()
-		if p == nil || p.State != rollout.Running {
-			service = served{}
+		plan := s.machine.currentRollout()
+		if plan == nil || plan.State != rollout.Running {
+			service = serviceRate{}
 			continue
 		}
-		seen, standings := s.lookAround(inner)
-		l := rollout.Look{Now: now(), Epoch: t.Epoch, Seen: seen, Served: service.look(standings)}
-		notes, calls, resign := c.Next(p, l)
+		seen, statuses := s.pollLimiters(inner)
+		view := rollout.Look{Now: now(), Epoch: t.Epoch, Seen: seen, Served: service.observe(statuses)}
+		notes, calls, resign := conductor.Next(plan, view)
 		for _, n := range notes {
-			ctx, done := context.WithTimeout(inner, proposeFor)
+			ctx, done := context.WithTimeout(inner, proposeTimeout)
 			err := s.propose(ctx, entry{Rollout: &n})
 			done()
-			s.log.Info("rollout", "id", p.ID, "op", string(n.Op), "of", n.Limiter, "to", string(n.To), "why", n.Why, "token", t.String(), "err", err)
+			s.log.Info("rollout", "id", plan.ID, "op", string(n.Op), "of", n.Limiter, "to", string(n.To), "why", n.Why, "token", t.String(), "err", err)
 		}
 		for _, call := range calls {
-			s.carryOut(inner, call)
+			s.sendCall(inner, call)
 		}
 		if resign {
-			s.log.Info("rollout: this limiter is next, another one goes on", "id", p.ID)
+			s.log.Info("rollout: this limiter is next, handing the rollout to another one", "id", plan.ID)
 			s.resign(rollout.Duty)
 		}
 	}
 }
 
-// carryOut makes one call under the token that holds at that moment.
-func (s *Service) carryOut(ctx context.Context, c rollout.Call) {
-	t, owns := s.owns(rollout.Duty) // the last look; what comes after it is the receiver's to refuse
+// sendCall makes one call under the token that is valid at that moment.
+func (s *Service) sendCall(ctx context.Context, c rollout.Call) {
+	t, owns := s.owns(rollout.Duty) // last check; the receiver rejects a token that expires after it
 	if !owns {
 		return
 	}
-	answer, err := Call(ctx, s.o.Admins[c.Limiter], fmt.Sprintf("%s %v %d %s", c.Verb, t, c.Start, s.fleet()), nil, callFor)
+	answer, err := Call(ctx, s.options.Admins[c.Limiter], fmt.Sprintf("%s %v %d %s", c.Verb, t, c.Start, s.fleetID()), nil, peerCallTimeout)
 	if err == nil && !strings.HasPrefix(answer, "YES") {
 		err = fmt.Errorf("%s", strings.TrimSpace(answer))
 	}
 	s.log.Info("rollout call", "verb", string(c.Verb), "of", c.Limiter, "token", t.String(), "err", err)
 }
 
-// lookAround asks all limiters how they are doing.
-func (s *Service) lookAround(ctx context.Context) (map[string]rollout.Seen, map[string]Standing) {
-	seen, standings := map[string]rollout.Seen{}, map[string]Standing{}
-	for _, name := range s.admins() {
+// pollLimiters asks all limiters for their status. One that does not answer is in the first map only,
+// with a zero value.
+func (s *Service) pollLimiters(ctx context.Context) (map[string]rollout.Seen, map[string]Standing) {
+	seen, statuses := map[string]rollout.Seen{}, map[string]Standing{}
+	for _, name := range s.callableLimiters() {
 		seen[name] = rollout.Seen{}
 	}
-	around(ctx, s, "self", func(_ int, name string, x Standing) {
+	askAll(ctx, s, "self", func(_ int, name string, x Standing) {
 		seen[name] = rollout.Seen{Reached: true, Ready: x.Ready, Draining: x.Draining, Start: x.Start, InHand: x.InHand}
-		standings[name] = x
+		statuses[name] = x
 	})
-	return seen, standings
+	return seen, statuses
 }
 
-// served is the share of requests that all limiters have served of late.
-type served struct {
-	before map[string]Standing
-	looks  [][2]int64 // passed and refused between two looks
+// serviceRate measures the share of requests that the limiters have served recently.
+type serviceRate struct {
+	previous map[string]Standing
+	samples  [][2]int64 // passed and refused requests between two calls of observe
 }
 
-// look adds what limiters say now and returns the share; below 0: too little is known.
-func (v *served) look(standings map[string]Standing) float64 {
-	var d [2]int64
-	for name, x := range standings {
-		if b, ok := v.before[name]; ok && b.Start == x.Start {
-			d[0] += x.Passed - b.Passed
-			d[1] += x.Refused - b.Refused
+// observe adds the limiters' current counts and returns the share of served requests, or -1 while there
+// are too few samples.
+func (v *serviceRate) observe(statuses map[string]Standing) float64 {
+	var delta [2]int64
+	for name, x := range statuses {
+		if b, ok := v.previous[name]; ok && b.Start == x.Start {
+			delta[0] += x.Passed - b.Passed
+			delta[1] += x.Refused - b.Refused
 		}
 	}
-	first := v.before == nil
-	if v.before = standings; first {
+	first := v.previous == nil
+	if v.previous = statuses; first {
 		return -1
 	}
-	v.looks = append(v.looks, d)
-	if len(v.looks) > servedLooks {
-		v.looks = v.looks[1:]
+	v.samples = append(v.samples, delta)
+	if len(v.samples) > serviceSamples {
+		v.samples = v.samples[1:]
 	}
 	var passed, refused int64
-	for _, l := range v.looks {
+	for _, l := range v.samples {
 		passed, refused = passed+l[0], refused+l[1]
 	}
 	switch {
-	case len(v.looks) < servedLooks:
+	case len(v.samples) < serviceSamples:
 		return -1
-	case passed+refused < servedLeast:
-		return 1 // hardly anybody asks: nothing is lost
+	case passed+refused < minServiceRequests:
+		return 1 // hardly any traffic: no loss to report
 	}
 	return float64(passed) / float64(passed+refused)
 }
 
-// token reads what a call names: a token, the fleet that gave it, and the process that is
-// meant. Epochs of two fleets say nothing about each other.
-func (s *Service) token(args []string) (t tenure.Token, start uint64, err error) {
+// parseCallTarget parses the arguments of a call: a token, the target process, and the fleet that
+// issued the token. The fleet is checked because epochs of different fleets are not comparable.
+func (s *Service) parseCallTarget(args []string) (t tenure.Token, start uint64, err error) {
 	if len(args) != 3 {
 		return t, 0, fmt.Errorf("it needs a token, a process and a fleet: %s drain rollout/12 START FLEET", Name)
 	}
@@ -139,7 +142,7 @@
 	if start, err = strconv.ParseUint(args[1], 10, 64); err != nil {
 		return t, 0, fmt.Errorf("process %.30q is no number", args[1])
 	}
-	if mine := s.fleet(); args[2] != mine || mine == "" {
+	if mine := s.fleetID(); args[2] != mine || mine == "" {
 		return t, 0, fmt.Errorf("it comes from fleet %.20q, this limiter is in %q", args[2], mine)
 	}
 	return t, start, nil
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -23,80 +23,81 @@
 )
 
 const (
-	proposeFor = time.Second            // a proposal of this limiter's own is waited for so long
-	leaveFor   = 700 * time.Millisecond // to give up duties and the lead at an end in good order
-	askFor     = 2 * time.Second        // operators' wishes
+	proposeTimeout      = time.Second            // for a proposal of this limiter's own
+	leaveTimeout        = 700 * time.Millisecond // to give up duties and leadership at a clean shutdown
+	operatorCallTimeout = 2 * time.Second        // for a call of an operator
 )
 
-// Limiter is this limiter, as its duties and the effects of others' see it.
+// Limiter is the local limiter that duties, and calls of other limiters, act on.
 type Limiter interface {
 	Drain() error
 	Resume() error
-	// Leave ends the process in good order.
+	// Leave starts a clean shutdown of the process.
 	Leave()
-	// Standing is how it is doing.
+	// Standing returns the current status.
 	Standing() Standing
-	// Asked is what was asked for of accounts with ceilings, Hold how much of those it may use.
+	// Asked returns the demand of accounts with ceilings. Hold sets the shares of their ceilings
+	// that this limiter may use: by account, and the share of all others.
 	Asked() []parts.Report
 	Hold(of map[uint64]float64, rest float64)
 }
 
-// Standing is how a limiter is doing, as it says itself.
+// Standing is a limiter's status as it reports it to the rest of the fleet.
 type Standing struct {
-	Fleet    string // that it is in; empty: none
-	Start    uint64 // of its process
-	Ready    bool   // it takes clients
+	Fleet    string // its fleet's ID; empty: none
+	Start    uint64 // number of its process
+	Ready    bool   // accepts clients
 	Draining bool
-	InHand   int
+	InHand   int   // requests in progress
 	Passed   int64 // requests served since the process began
 	Refused  int64 // refused or failed
 }
 
-// Options say what a limiter needs to know of its fleet.
+// Options configure a Service.
 type Options struct {
-	Agreement agreement.Options // but for the machine and what is called
+	Agreement agreement.Options // without the state machine and the callbacks, which Open sets
 	Terms     tenure.Settings
-	Limiters  []string          // all of the fleet
-	Admins    map[string]string // where operators call them
-	Steward   bool              // parts of ceilings move; else they go back to equal ones
-	Rooms     map[string]string // of the limiters, by name; nil: each looks for itself
-	Eyes      Eyes              // of this limiter, with Rooms
+	Limiters  []string          // names of all limiters of the fleet
+	Admins    map[string]string // admin addresses by limiter
+	Steward   bool              // redistribute shares of ceilings; false: return to equal shares
+	Rooms     map[string]string // room of each limiter, by name; nil: each limiter probes on its own
+	Eyes      Prober            // this limiter's probes; required with Rooms
 	Limiter   Limiter
 	Log       *slog.Logger
 }
 
-// Service is a limiter's part in the duties of its fleet. It is safe for concurrent use.
+// Service runs a limiter's share of its fleet's duties. It is safe for concurrent use.
 type Service struct {
-	o       Options
+	options Options
 	log     *slog.Logger
-	me      tenure.Process
+	self    tenure.Process
 	host    *agreement.Host
 	machine *machine
 
-	mu        sync.Mutex
-	candidate *tenure.Candidate
-	owned     map[string]uint64 // epochs, for the log
-	news      chan struct{}
+	mu           sync.Mutex
+	candidate    *tenure.Candidate
+	owned        map[string]uint64 // epoch by owned duty, for log messages
+	termsChanged chan struct{}     // wakes maintainTerms
 
-	duties   []string      // that this limiter is a candidate for
-	lookout  *Lookout      // nil: it looks for itself
-	position int           // among all limiters
-	dealt    chan struct{} // parts may have changed
+	duties        []string      // duties that this limiter is a candidate for
+	watcher       *RoomWatcher  // nil: this limiter probes on its own
+	position      int           // index among all limiters
+	sharesChanged chan struct{} // signals a possible change of ceiling shares
 
-	gate    sync.Mutex // round the effects of others
-	fence   *tenure.Fence
-	current bool // this process has caught up with what was agreed on before it started
+	effectMu sync.Mutex // held during actions requested by other limiters
+	fence    *tenure.Fence
+	caughtUp bool // this process has caught up with everything agreed before it started
 }
 
-// candidates tells whether a limiter is a candidate for a duty.
-func (o *Options) candidates(duty, limiter string) bool {
+// isCandidate reports whether a limiter may own a duty.
+func (o *Options) isCandidate(duty, limiter string) bool {
 	if room, ok := watch.Room(duty); ok {
 		return o.Rooms[limiter] == room
 	}
 	return slices.Contains(o.Limiters, limiter)
 }
 
-// Duties are all that there are.
+// Duties returns the names of all duties of the fleet.
 func (o *Options) Duties() []string {
 	all := []string{parts.Duty, rollout.Duty}
 	for _, room := range slices.Compact(slices.Sorted(maps.Values(o.Rooms))) {
@@ -105,41 +106,41 @@
 	return all
 }
 
-// Open opens the folder and listens; Run takes part.
+// Open opens the agreement's folder and starts to listen. Run does the rest.
 func Open(o Options) (*Service, error) {
 	if err := o.Terms.Check(); err != nil {
 		return nil, err
 	}
-	s := &Service{o: o, log: o.Log, machine: &machine{limiters: len(o.Limiters), steward: o.Steward, position: slices.Index(o.Limiters, o.Agreement.Name)}, dealt: make(chan struct{}, 1), owned: map[string]uint64{}, news: make(chan struct{}, 1),
-		me: tenure.Process{Limiter: o.Agreement.Name, Start: rand.Uint64() | 1}}
+	s := &Service{options: o, log: o.Log, machine: &machine{limiters: len(o.Limiters), steward: o.Steward, position: slices.Index(o.Limiters, o.Agreement.Name)}, sharesChanged: make(chan struct{}, 1), owned: map[string]uint64{}, termsChanged: make(chan struct{}, 1),
+		self: tenure.Process{Limiter: o.Agreement.Name, Start: rand.Uint64() | 1}}
 	s.position = s.machine.position
 	for _, d := range o.Duties() {
-		if o.candidates(d, s.me.Limiter) {
+		if o.isCandidate(d, s.self.Limiter) {
 			s.duties = append(s.duties, d)
 		}
 	}
-	s.candidate = tenure.NewCandidate(s.me, o.Terms, s.duties, o.Limiters)
+	s.candidate = tenure.NewCandidate(s.self, o.Terms, s.duties, o.Limiters)
 	a := o.Agreement
-	a.Machine, a.Changed, a.Log = s.machine, s.changed, o.Log
+	a.Machine, a.Changed, a.Log = s.machine, s.handleApplied, o.Log
 	if o.Rooms != nil {
-		s.lookout = newLookout(s, o.Rooms[s.me.Limiter])
-		a.Streams = map[string]func(string, *agreement.Stream){watchStream: s.lookout.serve}
+		s.watcher = newRoomWatcher(s, o.Rooms[s.self.Limiter])
+		a.Streams = map[string]func(string, *agreement.Stream){watchStream: s.watcher.serve}
 	}
 	var err error
 	s.host, err = agreement.Open(a)
 	return s, err
 }
 
-// Lookout is this limiter's part in the looks of its room; nil: it looks for itself.
-func (s *Service) Lookout() *Lookout { return s.lookout }
+// Lookout returns this limiter's part in the shared probing of its room; nil: it probes on its own.
+func (s *Service) Lookout() *RoomWatcher { return s.watcher }
 
-// Start is the number of this process, which the limiter's Standing has to tell.
-func (s *Service) Start() uint64 { return s.me.Start }
+// Start returns the random number of this process, which the limiter's Standing must report.
+func (s *Service) Start() uint64 { return s.self.Start }
 
-// Addr is where other limiters connect.
+// Addr returns the address that other limiters connect to.
 func (s *Service) Addr() string { return s.host.Addr().String() }
 
-// now is the time by a clock that goes on while the machine is suspended and knows no jumps.
+// now returns the time by a monotonic clock that includes suspend, where the system has one.
 func now() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -148,7 +149,8 @@
 	return time.Duration(t.Nano())
 }
 
-// Run takes part until the context ends; then it gives up what it owns.
+// Run takes part in the agreement and performs owned duties until the context ends. Then it gives up the
+// duties it owns.
 func (s *Service) Run(ctx context.Context) error {
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -158,16 +160,16 @@
 		defer stop()
 		err = s.host.Run(inner)
 	})
-	tasks.Go(func() { s.keep(inner) })
-	tasks.Go(func() { s.conduct(ctx, inner) })
-	tasks.Go(func() { s.hold(inner) })
-	tasks.Go(func() { s.deal(inner) })
-	if s.lookout != nil {
-		tasks.Go(func() { s.lookout.run(inner) })
+	tasks.Go(func() { s.maintainTerms(inner) })
+	tasks.Go(func() { s.conductRollouts(ctx, inner) })
+	tasks.Go(func() { s.useCeilingShares(inner) })
+	tasks.Go(func() { s.dealCeilingShares(inner) })
+	if s.watcher != nil {
+		tasks.Go(func() { s.watcher.run(inner) })
 	}
 	select {
 	case <-ctx.Done():
-		s.leave(inner)
+		s.releaseDuties(inner)
 	case <-inner.Done():
 	}
 	stop()
@@ -175,24 +177,24 @@
 	return err
 }
 
-// changed takes in what has been agreed on; the agreement's driver calls it.
-func (s *Service) changed() {
+// handleApplied reacts to newly applied log entries. The agreement host calls it.
+func (s *Service) handleApplied() {
 	at := now()
 	s.mu.Lock()
-	s.machine.look(func(st *state) { s.candidate.Observe(at, &st.Terms) })
+	s.machine.withState(func(st *state) { s.candidate.Observe(at, &st.Terms) })
 	for _, d := range s.duties {
 		t, owns := s.candidate.Owns(at, d)
 		switch was := s.owned[d]; {
 		case owns && was != t.Epoch:
-			s.log.Info("owns a duty", "duty", d, "epoch", t.Epoch)
+			s.log.Info("became owner of a duty", "duty", d, "epoch", t.Epoch)
 			s.owned[d] = t.Epoch
 		case !owns && was != 0:
-			s.log.Info("owns a duty no more", "duty", d, "epoch", was)
+			s.log.Info("no longer owner of a duty", "duty", d, "epoch", was)
 			delete(s.owned, d)
 		}
 	}
 	s.mu.Unlock()
-	for _, c := range []chan struct{}{s.news, s.dealt} {
+	for _, c := range []chan struct{}{s.termsChanged, s.sharesChanged} {
 		select {
 		case c <- struct{}{}:
 		default:
@@ -200,22 +202,22 @@
 	}
 }
 
-// owns is the last look before an effect.
+// owns returns the valid token of a duty that this limiter owns. It is the last check before an action.
 func (s *Service) owns(duty string) (tenure.Token, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.candidate.Owns(now(), duty)
 }
 
-// keep takes, renews and gives up terms.
-func (s *Service) keep(ctx context.Context) {
+// maintainTerms proposes the commands that take, renew and give up terms.
+func (s *Service) maintainTerms(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.news:
+		case <-s.termsChanged:
 		case <-timer.C:
 		}
 		s.mu.Lock()
@@ -225,10 +227,10 @@
 		for _, c := range commands {
 			c.AtMs = wall.Now().UnixMilli()
 			go func() {
-				ctx, done := context.WithTimeout(ctx, proposeFor)
+				ctx, done := context.WithTimeout(ctx, proposeTimeout)
 				defer done()
 				if err := s.propose(ctx, entry{Term: &c}); err != nil {
-					s.log.Debug("a term was not agreed on", "kind", string(c.Kind), "duty", c.Duty, "err", err)
+					s.log.Debug("term command was not agreed", "kind", string(c.Kind), "duty", c.Duty, "err", err)
 				}
 			}()
 		}
@@ -236,6 +238,7 @@
 	}
 }
 
+// propose adds an entry to the replicated log.
 func (s *Service) propose(ctx context.Context, e entry) error {
 	data, err := json.Marshal(e)
 	if err != nil {
@@ -244,49 +247,51 @@
 	return s.host.Propose(ctx, data)
 }
 
-// leave gives up duties and the lead, so that nobody waits for their ends.
-func (s *Service) leave(ctx context.Context) {
-	ctx, done := context.WithTimeout(ctx, leaveFor)
+// releaseDuties gives up all duties and leadership, so that successors need not wait for terms to expire.
+func (s *Service) releaseDuties(ctx context.Context) {
+	ctx, done := context.WithTimeout(ctx, leaveTimeout)
 	defer done()
 	s.resign("")
-	for s.anyOwned() && ctx.Err() == nil {
+	for s.ownsAny() && ctx.Err() == nil {
 		time.Sleep(10 * time.Millisecond)
 	}
 	s.host.HandOver(ctx)
 }
 
+// resign requests to give up a duty; "" means all.
 func (s *Service) resign(duty string) {
 	s.mu.Lock()
 	s.candidate.Resign(duty)
 	s.mu.Unlock()
 	select {
-	case s.news <- struct{}{}:
+	case s.termsChanged <- struct{}{}:
 	default:
 	}
 }
 
-// abstain has this limiter not ask for a duty for so long.
+// abstain keeps this limiter from taking a duty for the given time.
 func (s *Service) abstain(duty string, hold time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.candidate.Abstain(duty, now()+hold)
 }
 
-func (s *Service) anyOwned() (any bool) {
-	s.machine.look(func(st *state) {
+// ownsAny reports whether the agreed state names this process as the owner of any duty.
+func (s *Service) ownsAny() (any bool) {
+	s.machine.withState(func(st *state) {
 		for _, t := range st.Terms.Terms {
-			any = any || t.Owner == s.me
+			any = any || t.Owner == s.self
 		}
 	})
 	return any
 }
 
-// admit tells whether an effect under a token may be carried out here. It holds the gate
-// until the effect is over: one under a later token waits for it.
+// admit runs an action requested under a fencing token, unless the token is outdated. It holds the lock
+// until the action has finished, so an action under a later token waits for it.
 func (s *Service) admit(ctx context.Context, t tenure.Token, effect func() error) error {
-	s.gate.Lock()
-	defer s.gate.Unlock()
-	if broken("fence") {
+	s.effectMu.Lock()
+	defer s.effectMu.Unlock()
+	if checkDisabled("fence") {
 		return effect()
 	}
 	if s.fence == nil {
@@ -296,16 +301,16 @@
 		}
 		s.fence = tenure.NewFence(kept)
 	}
-	if !s.current {
-		// What this limiter remembers may be an old folder's. What was agreed on before it
-		// started is known once it has caught up.
+	if !s.caughtUp {
+		// The stored fence may come from an outdated folder. Everything agreed before this
+		// process started is known only after it has caught up.
 		if err := s.host.Read(ctx); err != nil {
 			return fmt.Errorf("this limiter has started and has not caught up with the fleet: %w", err)
 		}
-		s.current = true
+		s.caughtUp = true
 	}
 	var epoch uint64
-	s.machine.look(func(st *state) { epoch = st.Terms.Current(t.Duty) })
+	s.machine.withState(func(st *state) { epoch = st.Terms.Current(t.Duty) })
 	if t.Epoch < epoch {
 		return fmt.Errorf("token %v is over: epoch %d is agreed on", t, epoch)
 	}
@@ -315,29 +320,29 @@
 	}
 	if raised {
 		if err := s.host.Raise(ctx, t.Duty, t.Epoch); err != nil {
-			s.fence = nil // what stands on the disk holds
+			s.fence = nil // read the stored value again next time
 			return fmt.Errorf("token %v can't be written down: %w", t, err)
 		}
 	}
 	return effect()
 }
 
-// Owner is who owns a duty, as this limiter knows it.
+// Owner describes the ownership of a duty, as this limiter knows it.
 type Owner struct {
 	Duty    string
 	Owner   string `json:",omitempty"`
 	Epoch   uint64
-	Terms   int    // begun so far
-	Wanted  string `json:",omitempty"` // whom an operator wants
-	HereFor string `json:",omitempty"` // on the owner alone: what is left of its term
+	Terms   int    // how many have begun so far
+	Wanted  string `json:",omitempty"` // the next owner that an operator asked for
+	HereFor string `json:",omitempty"` // set only on the owner: the rest of its term
 }
 
-// Owners are the duties' owners.
+// Owners returns the ownership of all duties that have been taken.
 func (s *Service) Owners() (all []Owner) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at := now()
-	s.machine.look(func(st *state) {
+	s.machine.withState(func(st *state) {
 		for _, t := range st.Terms.Sorted() {
 			o := Owner{Duty: t.Duty, Owner: t.Owner.Limiter, Epoch: t.Epoch, Terms: t.Takes, Wanted: t.Next}
 			if until := s.candidate.Until(t.Duty); until > at {
@@ -349,22 +354,22 @@
 	return all
 }
 
-// Member is one member of the agreement.
+// Member describes one replica of the agreement: a voter or a learner.
 type Member struct {
 	Limiter string
 	Member  string
 	Votes   bool
 	Leads   bool
-	Wanted  bool   // to vote
-	Behind  uint64 `json:",omitempty"` // entries, as its leader sees it
+	Wanted  bool   // an operator wants it to vote
+	Behind  uint64 `json:",omitempty"` // log entries that it lacks, known on the leader only
 }
 
-// Status is how the fleet stands, as this limiter knows it.
+// Status describes the fleet, as this limiter knows it.
 type Status struct {
 	Limiter    string
 	Fleet      string
 	Generation uint64
-	Leader     string // empty: none is known, and nothing can be agreed on
+	Leader     string // empty: none is known, so nothing can be agreed
 	Term       uint64
 	Applied    uint64
 	Silent     bool   `json:",omitempty"`
@@ -374,35 +379,35 @@
 	SentBytes  int64
 	Received   int64
 	Rollout    *rollout.Plan `json:",omitempty"`
-	Looks      *Looks        `json:",omitempty"` // shared in this limiter's room
-	Moved      int           // accounts of which parts of the ceiling are not equal
-	UnderWay   int           // of them, where a limiter has still to confirm that it uses less
-	Unsure     []string      `json:",omitempty"` // limiters of which is not known yet what they hold, after the fleet was begun anew
+	Looks      *WatchStatus  `json:",omitempty"` // shared probing in this limiter's room
+	Moved      int           // accounts whose ceiling is not shared equally
+	UnderWay   int           // those of them that wait for a limiter to confirm its reduced share
+	Unsure     []string      `json:",omitempty"` // limiters whose shares are unknown since a new generation was forced
 }
 
-// fleet is the number of the fleet that this limiter is in, in hexadecimal; empty: none.
-func (s *Service) fleet() string {
+// fleetID returns the ID of this limiter's fleet in hexadecimal; empty: none.
+func (s *Service) fleetID() string {
 	if f := s.host.Status().Fleet; f != 0 {
 		return fmt.Sprintf("%016x", f)
 	}
 	return ""
 }
 
-// Status returns it.
+// Status returns the state of the fleet and of this limiter's replica.
 func (s *Service) Status() Status {
 	a := s.host.Status()
-	st := Status{Limiter: s.me.Limiter, Fleet: s.fleet(), Generation: a.Generation, Leader: a.Roster.Members[a.Leader],
-		Term: a.Term, Applied: a.Applied, Silent: a.Silent, Failed: a.Failed, Sent: a.Sent, SentBytes: a.SentBytes, Received: a.Received, Rollout: s.machine.plan()}
-	s.machine.look(func(x *state) {
+	st := Status{Limiter: s.self.Limiter, Fleet: s.fleetID(), Generation: a.Generation, Leader: a.Roster.Members[a.Leader],
+		Term: a.Term, Applied: a.Applied, Silent: a.Silent, Failed: a.Failed, Sent: a.Sent, SentBytes: a.SentBytes, Received: a.Received, Rollout: s.machine.currentRollout()}
+	s.machine.withState(func(x *state) {
 		st.Moved, st.UnderWay = x.Parts.Moved()
 		for _, i := range x.Parts.Unsure {
-			if i < len(s.o.Limiters) {
-				st.Unsure = append(st.Unsure, s.o.Limiters[i])
+			if i < len(s.options.Limiters) {
+				st.Unsure = append(st.Unsure, s.options.Limiters[i])
 			}
 		}
 	})
-	if s.lookout != nil {
-		x := s.lookout.Looks()
+	if s.watcher != nil {
+		x := s.watcher.Status()
 		st.Looks = &x
 	}
 	for id, name := range a.Roster.Members {
@@ -426,7 +431,7 @@
 	return st
 }
 
-// compareNames orders n2 before n10.
+// compareNames compares names by length first, which orders n2 before n10.
 func compareNames(a, b string) int {
 	if len(a) != len(b) {
 		return len(a) - len(b)
@@ -434,34 +439,35 @@
 	return map[bool]int{true: -1, false: 1}[a < b]
 }
 
-// History is what has become of duties, newest last.
+// History returns the changes of ownership, the newest last.
 func (s *Service) History() (all []tenure.Change) {
-	s.machine.look(func(st *state) { all = slices.Clone(st.Terms.History) })
+	s.machine.withState(func(st *state) { all = slices.Clone(st.Terms.History) })
 	return all
 }
 
-// Begin makes this limiter the first of the fleet.
-func (s *Service) Begin(ctx context.Context, voters []string) error {
+// Bootstrap creates the fleet with the given voters, of which this limiter must be one.
+func (s *Service) Bootstrap(ctx context.Context, voters []string) error {
 	for _, v := range voters {
-		if !slices.Contains(s.o.Limiters, v) {
+		if !slices.Contains(s.options.Limiters, v) {
 			return fmt.Errorf("there is no limiter %q", v)
 		}
 	}
-	if !slices.Contains(voters, s.me.Limiter) {
-		return fmt.Errorf("%s is none of the voters %v: call one of them", s.me.Limiter, voters)
+	if !slices.Contains(voters, s.self.Limiter) {
+		return fmt.Errorf("%s is none of the voters %v: call one of them", s.self.Limiter, voters)
 	}
 	return s.host.Begin(ctx, voters)
 }
 
-// BeginAnew makes this limiter the only voter and voids all tokens.
-func (s *Service) BeginAnew(ctx context.Context) error {
-	return s.host.BeginAnew(ctx, s.machine.beginAnew)
+// ForceNewFleet makes this limiter the only voter and invalidates all tokens. It recovers a fleet that
+// has lost its majority.
+func (s *Service) ForceNewFleet(ctx context.Context) error {
+	return s.host.BeginAnew(ctx, s.machine.startGeneration)
 }
 
-// Vote has a limiter vote from now on, or learn.
-func (s *Service) Vote(ctx context.Context, limiter string, votes bool) error {
-	if !slices.Contains(s.o.Limiters, limiter) {
-		return fmt.Errorf("there is no limiter %q; there are %v", limiter, s.o.Limiters)
+// SetVoter makes a limiter a voter, or a learner.
+func (s *Service) SetVoter(ctx context.Context, limiter string, votes bool) error {
+	if !slices.Contains(s.options.Limiters, limiter) {
+		return fmt.Errorf("there is no limiter %q; there are %v", limiter, s.options.Limiters)
 	}
 	w := agreement.Wish{Remove: limiter}
 	if votes {
@@ -470,60 +476,60 @@
 	return s.host.Want(ctx, w)
 }
 
-// Transfer has a duty go to another limiter.
+// Transfer proposes that a duty moves to another limiter.
 func (s *Service) Transfer(ctx context.Context, duty, to string) error {
 	switch {
-	case !slices.Contains(s.o.Duties(), duty):
-		return fmt.Errorf("there is no duty %q; there are %v", duty, s.o.Duties())
-	case !slices.Contains(s.o.Limiters, to):
-		return fmt.Errorf("there is no limiter %q; there are %v", to, s.o.Limiters)
-	case !s.o.candidates(duty, to):
-		return fmt.Errorf("limiter %q is in room %q: %s is for its own limiters", to, s.o.Rooms[to], duty)
+	case !slices.Contains(s.options.Duties(), duty):
+		return fmt.Errorf("there is no duty %q; there are %v", duty, s.options.Duties())
+	case !slices.Contains(s.options.Limiters, to):
+		return fmt.Errorf("there is no limiter %q; there are %v", to, s.options.Limiters)
+	case !s.options.isCandidate(duty, to):
+		return fmt.Errorf("limiter %q is in room %q: %s is for its own limiters", to, s.options.Rooms[to], duty)
 	}
-	return s.propose(ctx, entry{Term: &tenure.Command{Kind: tenure.Transfer, By: s.me, Duty: duty, To: to}})
+	return s.propose(ctx, entry{Term: &tenure.Command{Kind: tenure.Transfer, By: s.self, Duty: duty, To: to}})
 }
 
-// Resign has this limiter give a duty up, if it owns it.
+// Resign gives up a duty; it is an error if this limiter does not own it.
 func (s *Service) Resign(duty string) error {
 	if _, owns := s.owns(duty); !owns {
-		return fmt.Errorf("%s does not own %q", s.me.Limiter, duty)
+		return fmt.Errorf("%s does not own %q", s.self.Limiter, duty)
 	}
 	s.resign(duty)
 	return nil
 }
 
-// Roll begins a rollout over limiters; none: over all.
-func (s *Service) Roll(ctx context.Context, p rollout.Plan) error {
+// StartRollout starts a rollout over the limiters in the plan's steps; without steps, over all.
+func (s *Service) StartRollout(ctx context.Context, p rollout.Plan) error {
 	if len(p.Steps) == 0 {
-		for _, n := range s.o.Limiters {
+		for _, n := range s.options.Limiters {
 			p.Steps = append(p.Steps, rollout.Step{Limiter: n, Phase: rollout.Waiting})
 		}
 	}
-	var none []string
+	var uncallable []string
 	for _, st := range p.Steps {
-		if !slices.Contains(s.o.Limiters, st.Limiter) {
-			return fmt.Errorf("there is no limiter %q; there are %v", st.Limiter, s.o.Limiters)
+		if !slices.Contains(s.options.Limiters, st.Limiter) {
+			return fmt.Errorf("there is no limiter %q; there are %v", st.Limiter, s.options.Limiters)
 		}
-		if s.o.Admins[st.Limiter] == "" {
-			none = append(none, st.Limiter)
+		if s.options.Admins[st.Limiter] == "" {
+			uncallable = append(uncallable, st.Limiter)
 		}
 	}
-	if len(none) > 0 {
-		return fmt.Errorf("limiters %v have no admin address: add one to each in the configuration", none)
+	if len(uncallable) > 0 {
+		return fmt.Errorf("limiters %v have no admin address: add one to each in the configuration", uncallable)
 	}
-	if p.AtOnce >= len(s.o.Limiters) {
-		return fmt.Errorf("%d limiters at once, of %d: nobody would serve", p.AtOnce, len(s.o.Limiters))
+	if p.AtOnce >= len(s.options.Limiters) {
+		return fmt.Errorf("%d limiters at once, of %d: nobody would serve", p.AtOnce, len(s.options.Limiters))
 	}
 	return s.propose(ctx, entry{Rollout: &rollout.Command{Op: rollout.Begin, ID: p.ID, Plan: &p}})
 }
 
-// Rollout has the rollout under way go on or end.
-func (s *Service) Rollout(ctx context.Context, op rollout.Op) error {
+// ControlRollout halts, continues or ends the current rollout.
+func (s *Service) ControlRollout(ctx context.Context, op rollout.Op) error {
 	if op != rollout.GoOn && op != rollout.End && op != rollout.Halt {
 		return errors.New("a rollout can be halted, continued or ended")
 	}
 	return s.propose(ctx, entry{Rollout: &rollout.Command{Op: op, Why: "an operator said so"}})
 }
 
-// admins are the limiters that can be called.
-func (s *Service) admins() []string { return slices.Sorted(maps.Keys(s.o.Admins)) }
+// callableLimiters returns the sorted names of limiters with an admin address.
+func (s *Service) callableLimiters() []string { return slices.Sorted(maps.Keys(s.options.Admins)) }
