--- a/cmd/madderdrum/duties.go
+++ b/cmd/madderdrum/duties.go
@@ -35,18 +35,18 @@
 	terms.Guard = terms.Guard * c.Duties.Term / terms.Term
 	terms.Term, terms.Drift = c.Duties.Term, c.Duties.Drift
 	me := c.Fleet.Limiters[position]
-	o := ownership.Options{Terms: terms, Admins: map[string]string{}, Limiter: d, Log: log, Steward: c.Duties.Ceilings == "steward",
+	o := ownership.Options{Terms: terms, AdminAddrs: map[string]string{}, Limiter: d, Log: log, Steward: c.Duties.Ceilings == "steward",
 		Agreement: agreement.Options{Label: c.Duties.Label, Name: me.Name, Folder: filepath.Join(c.Duties.Folder, me.Name), Listen: me.Fleet,
 			Voters: c.Duties.Voters, Peers: map[string]string{}}}
 	for _, l := range c.Fleet.Limiters {
 		o.Limiters = append(o.Limiters, l.Name)
 		o.Agreement.Peers[l.Name] = l.Fleet
 		if l.Admin != "" {
-			o.Admins[l.Name] = l.Admin
+			o.AdminAddrs[l.Name] = l.Admin
 		}
 	}
 	if c.Duties.Watch == "room" {
-		o.Rooms, o.Eyes = map[string]string{}, d
+		o.Rooms, o.Prober = map[string]string{}, d
 		for _, l := range c.Fleet.Limiters {
 			o.Rooms[l.Name] = c.Fleet.Rooms[l.Room]
 		}
@@ -81,7 +81,7 @@
 func (d *duties) Leave() { d.stop() }
 
 // Asked implements ownership.Limiter.
-func (d *duties) Asked() (all []parts.Report) {
+func (d *duties) DemandReports() (all []parts.Report) {
 	if n := d.node.Load(); n != nil {
 		for _, x := range n.Demands() {
 			all = append(all, parts.Report(x))
@@ -91,31 +91,31 @@
 }
 
 // Hold implements ownership.Limiter.
-func (d *duties) Hold(of map[uint64]float64, rest float64) {
+func (d *duties) UseShares(of map[uint64]float64, rest float64) {
 	if n := d.node.Load(); n != nil {
-		n.Hold(of, rest)
+		n.UseShares(of, rest)
 	}
 }
 
 // looks are those of other limiters for this one; nil: it looks for itself.
 func (d *duties) looks() node.ProbeSharing {
-	if l := d.service.Lookout(); l != nil {
+	if l := d.service.Watcher(); l != nil {
 		return l
 	}
 	return nil
 }
 
 // Look implements ownership.Eyes, as what follows does.
-func (d *duties) Look(box uint64) {
+func (d *duties) Probe(box uint64) {
 	if n := d.node.Load(); n != nil {
-		n.Look(box)
+		n.Probe(box)
 	}
 }
 
 // Word implements ownership.Eyes.
-func (d *duties) Word(box uint64, well bool) {
+func (d *duties) ApplyVerdict(box uint64, well bool) {
 	if n := d.node.Load(); n != nil {
-		n.Word(box, well)
+		n.ApplyVerdict(box, well)
 	}
 }
 
@@ -128,31 +128,31 @@
 }
 
 // Whole implements ownership.Eyes.
-func (d *duties) Whole(pool string) (seq int64, hosts []byte, ok bool) {
+func (d *duties) FullList(pool string) (seq int64, hosts []byte, ok bool) {
 	if n := d.node.Load(); n != nil {
-		return n.Whole(pool)
+		return n.FullList(pool)
 	}
 	return 0, nil, false
 }
 
 // Told implements ownership.Eyes.
-func (d *duties) Told(pool string, seq int64, whole bool, hosts []byte) error {
+func (d *duties) ApplyList(pool string, seq int64, whole bool, hosts []byte) error {
 	if n := d.node.Load(); n != nil {
-		return n.Told(pool, seq, whole, hosts)
+		return n.ApplyList(pool, seq, whole, hosts)
 	}
 	return lifecycle.ErrStarting
 }
 
 // Follow implements ownership.Eyes.
-func (d *duties) Follow(pool string, hold time.Duration) {
+func (d *duties) PollAgent(pool string, hold time.Duration) {
 	if n := d.node.Load(); n != nil {
-		n.Follow(pool, hold)
+		n.PollAgent(pool, hold)
 	}
 }
 
 // Standing implements ownership.Limiter.
-func (d *duties) Standing() ownership.Standing {
-	s := ownership.Standing{Start: d.service.Start()}
+func (d *duties) LimiterStatus() ownership.LimiterStatus {
+	s := ownership.LimiterStatus{Start: d.service.Start()}
 	n := d.node.Load()
 	if n == nil {
 		return s
--- a/cmd/madderdrum/fleet.go
+++ b/cmd/madderdrum/fleet.go
@@ -319,7 +319,7 @@
 	}
 	p := &rollout.Plan{ID: fmt.Sprintf("r%08x", rand.Uint32()), Kind: kind, AtOnce: c.AtOnce, Fall: c.Fall}
 	for _, n := range c.Only {
-		p.Steps = append(p.Steps, rollout.Step{Limiter: n, Phase: rollout.Waiting})
+		p.Steps = append(p.Steps, rollout.Step{Limiter: n, Phase: rollout.PhaseWaiting})
 	}
 	if _, err := c.call(addrs, "roll", &ownership.Request{Plan: p}); err != nil {
 		return err
@@ -352,12 +352,12 @@
 			return nil
 		}
 		for _, x := range p.Steps {
-			if x.Phase != told[x.Limiter] && x.Phase != rollout.Waiting {
+			if x.Phase != told[x.Limiter] && x.Phase != rollout.PhaseWaiting {
 				fmt.Printf("%s %s\n", x.Limiter, x.Phase)
 			}
 			told[x.Limiter] = x.Phase
 		}
-		if p.State == rollout.Halted {
+		if p.State == rollout.StateHalted {
 			fmt.Fprintf(os.Stderr, "madderdrum: rollout %s is halted: %s; see fleet continue and fleet end\n", id, p.Why)
 			return exitStatus(1)
 		}
@@ -367,12 +367,12 @@
 type fleetDrain struct{ roll }
 
 // Run is the command.
-func (c *fleetDrain) Run() error { return c.begin(rollout.Drain) }
+func (c *fleetDrain) Run() error { return c.begin(rollout.KindDrain) }
 
 type fleetRestart struct{ roll }
 
 // Run is the command.
-func (c *fleetRestart) Run() error { return c.begin(rollout.Restart) }
+func (c *fleetRestart) Run() error { return c.begin(rollout.KindRestart) }
 
 type fleetHalt struct{ fleetAt }
 
--- a/cmd/madderdrum/serve.go
+++ b/cmd/madderdrum/serve.go
@@ -125,7 +125,7 @@
 	defer stop()
 	var k *memory.Keeper
 	if cfg.Memory.Folder != "" {
-		if k, err = memory.Open(memory.Options{Folder: cfg.Memory.Folder, Limiter: nc.Name, Every: cfg.Memory.Every, Most: cfg.Memory.MaxSize, Log: logger}); err != nil {
+		if k, err = memory.Open(memory.Options{Folder: cfg.Memory.Folder, Limiter: nc.Name, Interval: cfg.Memory.Every, MaxBytes: cfg.Memory.MaxSize, Log: logger}); err != nil {
 			return err
 		}
 	}
--- a/cmd/madderdrum/state.go
+++ b/cmd/madderdrum/state.go
@@ -38,7 +38,7 @@
 
 // Run is the command.
 func (c *stateShow) Run() error {
-	views, err := memory.Look(c.Folder)
+	views, err := memory.Inspect(c.Folder)
 	if err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 	}
 	s, m := v.Found.Stamp, v.Trusted
 	fmt.Fprintf(t, "limiter\t%s\n", s.Owner)
-	fmt.Fprintf(t, "snapshot\tgeneration %d, written %s, %s old\n", s.Generation, time.UnixMilli(s.Wall).Format(time.RFC3339), v.Found.Age.Round(time.Second))
+	fmt.Fprintf(t, "snapshot\tgeneration %d, written %s, %s old\n", s.Generation, time.UnixMilli(s.WallMs).Format(time.RFC3339), v.Found.Age.Round(time.Second))
 	for _, f := range v.Listing.Files {
 		if !f.Snapshot && f.Stamp.Generation == s.Generation {
 			fmt.Fprintf(t, "log\t%d records, %s\n", f.Records, f.End)
@@ -103,7 +103,7 @@
 		}
 		fmt.Fprintf(t, "pool %s\twork: %s; refused of late %.0f%%\n", name(p.ID), strings.Join(work, ", "), 100*p.Pressure)
 	}
-	ills := v.Ills()
+	ills := v.UnhealthyBoxes()
 	fmt.Fprintf(t, "boxes\t%d, %d of them with something amiss\n", len(m.Boxes), len(ills))
 	for i := range ills {
 		fmt.Fprintf(t, "box %s\t%s\n", name(ills[i].ID), amiss(&ills[i], v.Classes))
@@ -115,7 +115,7 @@
 func quotasOf(v *memory.View) string {
 	h := v.Trusted.Handover
 	switch {
-	case h == nil && v.Found.Moved:
+	case h == nil && v.Found.CopiedOrRebooted:
 		return "fresh: the files are copies, or the machine has started anew"
 	case h == nil:
 		return "fresh: another limiter resumed from them, or a file is missing"
@@ -155,7 +155,7 @@
 
 // Run is the command.
 func (c *stateVerify) Run() error {
-	views, err := memory.Look(c.Folder)
+	views, err := memory.Inspect(c.Folder)
 	if err != nil {
 		return err
 	}
@@ -170,18 +170,18 @@
 				verdict = "not read: " + f.Err.Error()
 			case f.Err != nil:
 				verdict = f.Err.Error()
-			case f.End == durable.EndCut:
+			case f.End == durable.EndTruncated:
 				verdict = "sound up to its last whole record; cut off there, or being written"
 			}
 			fmt.Fprintf(t, "%s/%s\t%d records\t%s\n", v.Folder, f.Name, f.Records, verdict)
 		}
-		for _, name := range v.Listing.Foreign {
+		for _, name := range v.Listing.UnknownFiles {
 			fmt.Fprintf(t, "%s/%s\t\tnot a file of ours; limiters leave it alone\n", v.Folder, name)
 		}
 		if v.Err != nil {
 			fmt.Fprintf(t, "%s\t\t%v\n", v.Folder, v.Err)
 		}
-		bad = bad || v.Sound() != nil
+		bad = bad || v.Check() != nil
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -207,7 +207,7 @@
 
 // Run is the command.
 func (c *stateExport) Run() error {
-	views, err := memory.Look(c.Folder)
+	views, err := memory.Inspect(c.Folder)
 	if err != nil {
 		return err
 	}
@@ -218,7 +218,7 @@
 			return fmt.Errorf("%s: no usable snapshot; see madderdrum state verify", v.Folder)
 		}
 		s := v.Found.Stamp
-		all = append(all, exported{s.Owner, s.Generation, time.UnixMilli(s.Wall), v.Found.Age.Milliseconds(), v.Classes, v.Memory, v.Found.Notes})
+		all = append(all, exported{s.Owner, s.Generation, time.UnixMilli(s.WallMs), v.Found.Age.Milliseconds(), v.Classes, v.Memory, v.Found.Notes})
 	}
 	out := json.NewEncoder(os.Stdout)
 	out.SetIndent("", "  ")
--- a/config/buildroutes.go
+++ b/config/buildroutes.go
@@ -89,7 +89,7 @@
 				"no request reaches route %q: route %q goes before by its priority and takes all of them", o.label, other.label).also(other.at)
 			continue
 		}
-		both, _ := matches[x.Route].Both(&matches[x.Other])
+		both, _ := matches[x.Route].Intersect(&matches[x.Other])
 		b.add("route-ambiguous", o.at, "give one of them a higher priority, or conditions that tell them apart",
 			"routes %q and %q are equally exact, and both take %s", o.label, other.label, both.String()).also(other.at)
 	}
--- a/config/diff.go
+++ b/config/diff.go
@@ -353,7 +353,7 @@
 			if pairs++; pairs > mostPairs {
 				break
 			}
-			if both, ok := changed[i].Both(&all[k]); ok {
+			if both, ok := changed[i].Intersect(&all[k]); ok {
 				try(&both)
 			}
 		}
--- a/durable/durable.go
+++ b/durable/durable.go
@@ -30,7 +30,7 @@
 type Stamp struct {
 	Generation uint64 `json:"generation"`
 	Owner      string `json:"owner"`   // of the folder; files of another owner are not read
-	Wall       int64  `json:"wall_ms"` // Unix time
+	WallMs     int64  `json:"wall_ms"` // Unix time
 	Boot       string `json:"boot"`    // boot ID of the machine; see UptimeMs
 	UptimeMs   int64  `json:"up_ms"`   // since that boot, including suspend
 	Inode      uint64 `json:"inode"`   // of the file itself; a copy has a different one
@@ -63,13 +63,13 @@
 	// Intact reports that, as far as can be detected, nothing that the previous process had
 	// synced is missing, and that this process is the first to resume from it. Unlike Clean it
 	// also holds after the previous process was killed.
-	Intact   bool
-	Uptime   time.Duration // now, by the clock of the function Uptime
-	Moved    bool          // the files are copies, or the machine has rebooted since
-	Age      time.Duration // of the snapshot
-	Downtime time.Duration // with Clean: time since the shutdown, by a clock that cannot be set
-	Records  []Record      // in the order of writing: the last record of a key wins
-	Notes    []string      // what was skipped, and why
+	Intact           bool
+	Uptime           time.Duration // now, by the clock of the function Uptime
+	CopiedOrRebooted bool          // the files are copies, or the machine has rebooted since
+	Age              time.Duration // of the snapshot
+	Downtime         time.Duration // with Clean: time since the shutdown, by a clock that cannot be set
+	Records          []Record      // in the order of writing: the last record of a key wins
+	Notes            []string      // what was skipped, and why
 }
 
 // Folder is a state folder that this process has locked. Its methods are not safe for concurrent use.
@@ -222,8 +222,8 @@
 	}
 	boot, up := f.options.Boot()
 	r.Found, r.Stamp, r.Records = true, stamp, records
-	r.Moved = inode != stamp.Inode || boot == "" || boot != stamp.Boot
-	r.Age = f.options.Now().Sub(time.UnixMilli(stamp.Wall))
+	r.CopiedOrRebooted = inode != stamp.Inode || boot == "" || boot != stamp.Boot
+	r.Age = f.options.Now().Sub(time.UnixMilli(stamp.WallMs))
 	if boot != "" && boot == stamp.Boot { // prefer the clock that cannot be set
 		r.Age = up - time.Duration(stamp.UptimeMs)*time.Millisecond
 	}
@@ -239,9 +239,9 @@
 		if err != nil {
 			note(name, fmt.Errorf("%w, after %d whole records", err, len(logRecords)))
 		}
-		r.Moved = r.Moved || inode != logStamp.Inode
+		r.CopiedOrRebooted = r.CopiedOrRebooted || inode != logStamp.Inode
 		last := len(logRecords) - 1
-		r.Intact, r.Uptime = err == nil && !r.Moved && (last < 0 || logRecords[last].Kind != kindTaken), up
+		r.Intact, r.Uptime = err == nil && !r.CopiedOrRebooted && (last < 0 || logRecords[last].Kind != kindTaken), up
 		if r.Intact && last >= 0 && logRecords[last].Kind == kindClean && len(logRecords[last].Value) == 8 {
 			r.Downtime = up - time.Duration(binary.LittleEndian.Uint64(logRecords[last].Value))*time.Millisecond
 			r.Clean = r.Downtime >= 0
@@ -309,7 +309,7 @@
 		return nil, err
 	}
 	boot, up := f.options.Boot()
-	return json.Marshal(Stamp{Generation: gen, Owner: f.options.Owner, Wall: f.options.Now().UnixMilli(), Boot: boot, UptimeMs: up.Milliseconds(), Inode: inode})
+	return json.Marshal(Stamp{Generation: gen, Owner: f.options.Owner, WallMs: f.options.Now().UnixMilli(), Boot: boot, UptimeMs: up.Milliseconds(), Inode: inode})
 }
 
 // Snapshot writes the complete state and starts a new log. The function forEach passes each record to
--- a/durable/durable_test.go
+++ b/durable/durable_test.go
@@ -98,7 +98,7 @@
 	}
 	c.up, c.wall = c.up+10*time.Second, c.wall.Add(-time.Hour) // the wall clock is set back
 	f, r = open(t, dir, c.options("n0"))
-	if got := fmt.Sprint(latestValues(r.Records)); !r.Found || !r.Clean || r.Moved || r.Age != 10*time.Second || got != "map[1/2:deux 1/3:trois 1/4:last]" || len(r.Notes) > 0 {
+	if got := fmt.Sprint(latestValues(r.Records)); !r.Found || !r.Clean || r.CopiedOrRebooted || r.Age != 10*time.Second || got != "map[1/2:deux 1/3:trois 1/4:last]" || len(r.Notes) > 0 {
 		t.Errorf("%+v, %s", r, got)
 	}
 	if r.Downtime != 10*time.Second {
@@ -156,14 +156,14 @@
 		t.Fatal(err)
 	}
 	f, r := open(t, copied, c.options("n0"))
-	if !r.Found || !r.Moved || r.Clean {
+	if !r.Found || !r.CopiedOrRebooted || r.Clean {
 		t.Errorf("copied folder: %+v", r)
 	}
 	f.lock.Close()
 	later := *c
 	later.boot, later.up, later.wall = "boot-2", time.Minute, c.wall.Add(48*time.Hour)
 	f, r = open(t, dir, later.options("n0"))
-	if !r.Found || !r.Moved || r.Age != 48*time.Hour || r.Clean {
+	if !r.Found || !r.CopiedOrRebooted || r.Age != 48*time.Hour || r.Clean {
 		t.Errorf("after a reboot: %+v", r)
 	}
 	f.lock.Close()
--- a/durable/inspect.go
+++ b/durable/inspect.go
@@ -12,11 +12,11 @@
 
 // States of the end of a log, as File.End reports them.
 const (
-	EndOpen    = "open"    // its process is running, or was killed
-	EndClean   = "clean"   // its process shut down cleanly
-	EndTaken   = "taken"   // another process has resumed from it
-	EndCut     = "cut off" // in the middle of a record: by a kill, or because it is being written
-	EndDamaged = "damaged"
+	EndOpen      = "open"    // its process is running, or was killed
+	EndClean     = "clean"   // its process shut down cleanly
+	EndTaken     = "taken"   // another process has resumed from it
+	EndTruncated = "cut off" // in the middle of a record: by a kill, or because it is being written
+	EndDamaged   = "damaged"
 )
 
 // File describes one snapshot or log of a folder.
@@ -31,8 +31,8 @@
 
 // Listing describes the files of a folder.
 type Listing struct {
-	Files   []File   // the latest generation first
-	Foreign []string // names of files that this package did not write
+	Files        []File   // the latest generation first
+	UnknownFiles []string // names of files that this package did not write
 }
 
 // Inspect lists the files of a folder without locking it, so the folder may be in use. It changes
@@ -55,7 +55,7 @@
 	}
 	for _, name := range names {
 		if name != lockName && !strings.HasSuffix(name, tempSuffix) && len(parseGenerations([]string{name})) == 0 {
-			l.Foreign = append(l.Foreign, name)
+			l.UnknownFiles = append(l.UnknownFiles, name)
 		}
 	}
 	return l, nil
@@ -81,7 +81,7 @@
 	}
 	switch {
 	case errors.Is(err, ErrTruncated):
-		f.End, f.Err = EndCut, nil
+		f.End, f.Err = EndTruncated, nil
 	case err != nil:
 		f.End = EndDamaged
 	default:
--- a/grant/desk.go
+++ b/grant/desk.go
@@ -10,19 +10,19 @@
 const (
 	// SeenFor is how long a repetition of an attempt that was granted without a lease is
 	// recognized; maxRemembered bounds the number of remembered attempts and tokens.
-	SeenFor       = 5 * time.Second
+	RepeatWindow  = 5 * time.Second
 	maxRemembered = 100_000
 	// maxQueuedLeases bounds the leases waiting to be reported to one limiter. Leases beyond
 	// it are not reported and expire at their limiter.
 	maxQueuedLeases = 4 * MaxNoticeLeases
 	// LongestLease is the longest allowed lease. MaxClockSkew is the largest clock difference
 	// between limiters at which a token of another limiter is still accepted.
-	LongestLease = 30 * time.Second
+	MaxLease     = 30 * time.Second
 	MaxClockSkew = 30 * time.Second
 )
 
 // Try identifies one attempt of a proxy to obtain a grant; repetitions of it are equal.
-type Try struct {
+type Attempt struct {
 	Proxy, ID string
 	Terms     Terms
 }
@@ -31,7 +31,7 @@
 // exchanges notices of redeemed leases with other limiters. Like [Leases], it does no I/O and
 // reads no clock: times are durations since a common start, and the validity of a token is
 // passed as its remaining time.
-type Desk struct {
+type LeaseManager struct {
 	position, limiters int
 	table              *Leases
 	remembered         map[any]*list.Element
@@ -47,15 +47,15 @@
 }
 
 // NewDesk returns the manager of the limiter at the given position, for at most the given number of open leases.
-func NewDesk(position, limiters, leases int) *Desk {
-	return &Desk{position: position, limiters: limiters, table: New(leases), remembered: map[any]*list.Element{}, pendingNotices: map[int][]ID{}}
+func NewLeaseManager(position, limiters, leases int) *LeaseManager {
+	return &LeaseManager{position: position, limiters: limiters, table: New(leases), remembered: map[any]*list.Element{}, pendingNotices: map[int][]ID{}}
 }
 
 // Book returns the leases that this limiter has granted.
-func (d *Desk) Book() *Leases { return d.table }
+func (d *LeaseManager) Leases() *Leases { return d.table }
 
 // Again reports whether an attempt was granted recently, and returns its token.
-func (d *Desk) Again(now time.Duration, t Try) (token string, repeated bool) {
+func (d *LeaseManager) FindRepeat(now time.Duration, t Attempt) (token string, repeated bool) {
 	if entry := d.lookup(now, t); entry != nil {
 		return entry.token, true
 	}
@@ -63,12 +63,12 @@
 }
 
 // Granted records a granted attempt, so that repetitions before until get the same answer.
-func (d *Desk) Granted(now time.Duration, t Try, token string, until time.Duration) {
+func (d *LeaseManager) RecordGrant(now time.Duration, t Attempt, token string, until time.Duration) {
 	d.remember(now, rememberedEntry{t, token, until})
 }
 
 // lookup returns the entry of a key, or nil if there is none or it has expired.
-func (d *Desk) lookup(now time.Duration, key any) *rememberedEntry {
+func (d *LeaseManager) lookup(now time.Duration, key any) *rememberedEntry {
 	e := d.remembered[key]
 	if e == nil {
 		return nil
@@ -82,7 +82,7 @@
 }
 
 // remember adds an entry. It drops expired entries, and the oldest one if there are too many.
-func (d *Desk) remember(now time.Duration, entry rememberedEntry) {
+func (d *LeaseManager) remember(now time.Duration, entry rememberedEntry) {
 	for e := d.ageOrder.Front(); e != nil; e = d.ageOrder.Front() {
 		oldest := e.Value.(*rememberedEntry)
 		if now < oldest.expiresAt && d.ageOrder.Len() < maxRemembered {
@@ -99,7 +99,7 @@
 // another limiter is vouched for once: the message pays here, only the account's ceiling can
 // reject it, and the other limiter is sent a notice. If it returns neither, the message is
 // treated as one without a token.
-func (d *Desk) Redeem(now time.Duration, t Token, left time.Duration, terms Terms) (leased float64, vouched bool) {
+func (d *LeaseManager) Redeem(now time.Duration, t Token, left time.Duration, terms Terms) (leased float64, vouched bool) {
 	if !t.Terms.covers(terms) {
 		return 0, false
 	}
@@ -110,7 +110,7 @@
 		}
 		return l.Units, false
 	}
-	if t.Limiter >= d.limiters || left <= 0 || left > LongestLease+MaxClockSkew || d.lookup(now, t.Lease) != nil {
+	if t.Limiter >= d.limiters || left <= 0 || left > MaxLease+MaxClockSkew || d.lookup(now, t.Lease) != nil {
 		return 0, false
 	}
 	d.remember(now, rememberedEntry{key: t.Lease, expiresAt: now + left})
@@ -122,14 +122,14 @@
 
 // Words passes the pending notices to send, one datagram for each other limiter, in the order
 // of their positions.
-func (d *Desk) Words(send func(limiter int, data []byte)) {
+func (d *LeaseManager) SendNotices(send func(limiter int, data []byte)) {
 	for to := range d.limiters {
 		leases := d.pendingNotices[to]
 		if len(leases) == 0 {
 			continue
 		}
 		n := min(len(leases), MaxNoticeLeases)
-		send(to, Word{Leases: leases[:n]}.Encode())
+		send(to, RedeemNotice{Leases: leases[:n]}.Encode())
 		if d.pendingNotices[to] = slices.Clone(leases[n:]); len(leases) == n {
 			delete(d.pendingNotices, to)
 		}
@@ -138,7 +138,7 @@
 
 // Heard handles a notice from another limiter that messages of leases were redeemed there. It
 // calls f for each lease that ends by it. Invalid data is ignored.
-func (d *Desk) Heard(now time.Duration, data []byte, f func(Terms)) {
+func (d *LeaseManager) Heard(now time.Duration, data []byte, f func(Terms)) {
 	notice, _ := DecodeNotice(data)
 	for _, id := range notice.Leases {
 		if terms, err := d.table.End(now, id, Moved); err == nil {
--- a/grant/grant.go
+++ b/grant/grant.go
@@ -28,19 +28,19 @@
 }
 
 // Ending is the reason why a lease ended.
-type Ending int
+type EndReason int
 
 // The reasons why a lease ends.
 const (
-	Redeemed  Ending = iota // its message arrived here: the units are spent
-	Confirmed               // the proxy reports that it was used elsewhere: the units are spent
-	Cancelled               // the units return
-	Expired                 // the units return
-	Moved                   // its message arrived at another limiter, which has paid: the units return
+	Redeemed  EndReason = iota // its message arrived here: the units are spent
+	Confirmed                  // the proxy reports that it was used elsewhere: the units are spent
+	Cancelled                  // the units return
+	Expired                    // the units return
+	Moved                      // its message arrived at another limiter, which has paid: the units return
 )
 
 // Returns reports whether the units of the lease go back to the account.
-func (e Ending) Returns() bool { return e == Cancelled || e == Expired || e == Moved }
+func (e EndReason) ReturnsUnits() bool { return e == Cancelled || e == Expired || e == Moved }
 
 // Errors of lease operations.
 var (
@@ -69,17 +69,17 @@
 func New(limit int) *Leases { return &Leases{limit: limit, leases: map[ID]*lease{}} }
 
 // Open returns the number of open leases.
-func (b *Leases) Open() int { return len(b.leases) }
+func (b *Leases) OpenCount() int { return len(b.leases) }
 
 // Count returns the number of leases that ended for the given reason.
-func (b *Leases) Count(e Ending) int { return b.counts[e] }
+func (b *Leases) Count(e EndReason) int { return b.counts[e] }
 
 // Room reports whether another lease may be opened.
-func (b *Leases) Room() bool { return len(b.leases) < b.limit }
+func (b *Leases) HasRoom() bool { return len(b.leases) < b.limit }
 
 // Grant opens a lease that expires at expiresAt.
 func (b *Leases) Grant(id ID, t Terms, expiresAt time.Duration) error {
-	if !b.Room() {
+	if !b.HasRoom() {
 		return ErrFull
 	}
 	if b.leases[id] != nil {
@@ -108,7 +108,7 @@
 }
 
 // End ends a lease for a reason reported by the proxy or another limiter.
-func (b *Leases) End(now time.Duration, id ID, e Ending) (Terms, error) {
+func (b *Leases) End(now time.Duration, id ID, e EndReason) (Terms, error) {
 	l := b.leases[id]
 	if l == nil || now >= l.expiresAt {
 		return Terms{}, ErrUnknown
@@ -127,14 +127,14 @@
 }
 
 // Next returns when the next lease expires; ok is false if none is open.
-func (b *Leases) Next() (at time.Duration, ok bool) {
+func (b *Leases) NextExpiry() (at time.Duration, ok bool) {
 	if len(b.expiryQueue) == 0 {
 		return 0, false
 	}
 	return b.expiryQueue[0].expiresAt, true
 }
 
-func (b *Leases) end(l *lease, e Ending) {
+func (b *Leases) end(l *lease, e EndReason) {
 	delete(b.leases, l.id)
 	heap.Remove(&b.expiryQueue, l.heapIndex)
 	b.counts[e]++
--- a/grant/grant_test.go
+++ b/grant/grant_test.go
@@ -39,7 +39,7 @@
 		default:
 			_, err = b.End(0, id(1), e)
 		}
-		if err != nil || b.Count(e) != 1 || b.Open() != 0 {
+		if err != nil || b.Count(e) != 1 || b.OpenCount() != 0 {
 			t.Errorf("ended by reason %d: %v, counts %v", e, err, b.counts)
 		}
 		if _, err := b.Redeem(0, id(1), terms); !errors.Is(err, ErrUnknown) {
@@ -75,7 +75,7 @@
 		t.Errorf("duplicate id: %v", err)
 	}
 	b.Grant(id(2), terms, time.Second)
-	if err := b.Grant(id(3), terms, time.Second); !errors.Is(err, ErrFull) || b.Room() {
+	if err := b.Grant(id(3), terms, time.Second); !errors.Is(err, ErrFull) || b.HasRoom() {
 		t.Errorf("more leases than the limit: %v", err)
 	}
 	for _, other := range []Terms{{8, 1, 2, 4}, {7, 0, 2, 4}, {7, 1, 0, 4}, {7, 1, 2, 4.5}} {
@@ -83,7 +83,7 @@
 			t.Errorf("redeemed with terms %v: %v", other, err)
 		}
 	}
-	if b.Open() != 2 {
+	if b.OpenCount() != 2 {
 		t.Error("a failed call ended a lease")
 	}
 }
@@ -110,8 +110,8 @@
 					spent += l.Units
 				}
 			case 3:
-				e := []Ending{Confirmed, Cancelled, Moved}[rng.IntN(3)]
-				if l, err := b.End(now, x, e); err == nil && e.Returns() {
+				e := []EndReason{Confirmed, Cancelled, Moved}[rng.IntN(3)]
+				if l, err := b.End(now, x, e); err == nil && e.ReturnsUnits() {
 					returned += l.Units
 				} else if err == nil {
 					spent += l.Units
@@ -140,8 +140,8 @@
 			t.Fatal(err)
 		}
 	}
-	if b.Open() > 501 || cap(b.expiryQueue) > 4096 {
-		t.Errorf("%d leases are open, the queue has capacity %d", b.Open(), cap(b.expiryQueue))
+	if b.OpenCount() > 501 || cap(b.expiryQueue) > 4096 {
+		t.Errorf("%d leases are open, the queue has capacity %d", b.OpenCount(), cap(b.expiryQueue))
 	}
 }
 
@@ -192,7 +192,7 @@
 }
 
 func TestWord(t *testing.T) {
-	notice := Word{}
+	notice := RedeemNotice{}
 	for i := range uint64(40) {
 		notice.Leases = append(notice.Leases, id(i))
 	}
@@ -201,7 +201,7 @@
 	if !ok || len(b) > 256 || len(got.Leases) != MaxNoticeLeases || got.Leases[14] != id(14) {
 		t.Errorf("%d bytes, %v %v", len(b), got, ok)
 	}
-	for _, bad := range [][]byte{nil, {WordMagic}, {WordMagic, 9}, {0x5c, 1}, b[:len(b)-1], append(b, 1, 2, 3)} {
+	for _, bad := range [][]byte{nil, {NoticeMagic}, {NoticeMagic, 9}, {0x5c, 1}, b[:len(b)-1], append(b, 1, 2, 3)} {
 		if _, ok := DecodeNotice(bad); ok {
 			t.Errorf("datagram %v was accepted", bad)
 		}
@@ -243,22 +243,22 @@
 // sends one notice for it; each notice ends a lease only once.
 func TestDesk(t *testing.T) {
 	terms := Terms{Account: 7, Plan: 1, Class: 2, Units: 2}
-	n0, n1 := NewDesk(0, 3, 10), NewDesk(1, 3, 10)
-	try := Try{"p", "x", terms}
-	n0.Granted(0, try, "token", time.Second)
-	if text, again := n0.Again(999*time.Millisecond, try); !again || text != "token" {
+	n0, n1 := NewLeaseManager(0, 3, 10), NewLeaseManager(1, 3, 10)
+	try := Attempt{"p", "x", terms}
+	n0.RecordGrant(0, try, "token", time.Second)
+	if text, again := n0.FindRepeat(999*time.Millisecond, try); !again || text != "token" {
 		t.Errorf("repeated attempt: %q %v", text, again)
 	}
-	for _, other := range []Try{{"q", "x", terms}, {"p", "y", terms}, {"p", "x", Terms{Account: 7, Plan: 1, Class: 2, Units: 3}}} {
-		if _, again := n0.Again(0, other); again {
+	for _, other := range []Attempt{{"q", "x", terms}, {"p", "y", terms}, {"p", "x", Terms{Account: 7, Plan: 1, Class: 2, Units: 3}}} {
+		if _, again := n0.FindRepeat(0, other); again {
 			t.Errorf("attempt %v was treated as a repetition of another", other)
 		}
 	}
-	if _, again := n0.Again(time.Second, try); again {
+	if _, again := n0.FindRepeat(time.Second, try); again {
 		t.Error("the attempt is remembered after its expiry")
 	}
 	token := Token{Limiter: 0, Lease: id(1), Terms: terms}
-	if err := n0.Book().Grant(id(1), terms, 2*time.Second); err != nil {
+	if err := n0.Leases().Grant(id(1), terms, 2*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
@@ -266,7 +266,7 @@
 		left  time.Duration
 		terms Terms
 	}{
-		{token, 0, terms}, {token, -time.Second, terms}, {token, LongestLease + MaxClockSkew + 1, terms},
+		{token, 0, terms}, {token, -time.Second, terms}, {token, MaxLease + MaxClockSkew + 1, terms},
 		{token, time.Second, Terms{Account: 8, Plan: 1, Class: 2, Units: 2}}, {token, time.Second, Terms{Account: 7, Plan: 1, Class: 2, Units: 2.5}},
 		{Token{Limiter: 3, Lease: id(1), Terms: terms}, time.Second, terms},
 	} {
@@ -281,13 +281,13 @@
 		}
 	}
 	var notices [][]byte
-	n1.Words(func(to int, data []byte) {
+	n1.SendNotices(func(to int, data []byte) {
 		if to != 0 {
 			t.Errorf("notice sent to limiter %d", to)
 		}
 		notices = append(notices, data)
 	})
-	n1.Words(func(int, []byte) { t.Error("a notice was sent twice") })
+	n1.SendNotices(func(int, []byte) { t.Error("a notice was sent twice") })
 	if vouched != 1 || len(notices) != 1 {
 		t.Fatalf("vouched %d times, sent %d notices", vouched, len(notices))
 	}
@@ -303,9 +303,9 @@
 
 // The number of remembered attempts and of pending notices is bounded.
 func TestDeskIsBounded(t *testing.T) {
-	d := NewDesk(0, 2, 10)
+	d := NewLeaseManager(0, 2, 10)
 	for i := range uint64(2 * maxRemembered) {
-		d.Granted(time.Duration(i), Try{"p", strconv.FormatUint(i, 16), Terms{}}, "", time.Hour)
+		d.RecordGrant(time.Duration(i), Attempt{"p", strconv.FormatUint(i, 16), Terms{}}, "", time.Hour)
 		d.Redeem(time.Duration(i), Token{Limiter: 1, Lease: id(i)}, time.Minute, Terms{})
 	}
 	if len(d.remembered) > maxRemembered || d.ageOrder.Len() > maxRemembered || len(d.pendingNotices[1]) > maxQueuedLeases {
--- a/grant/token.go
+++ b/grant/token.go
@@ -133,11 +133,11 @@
 // Word is a notice from one limiter to another about leases of the receiver: their messages
 // arrived at the sender, which has paid for them. If a notice is lost, the units return
 // only when the lease expires.
-type Word struct{ Leases []ID }
+type RedeemNotice struct{ Leases []ID }
 
 // WordMagic is the first byte of a notice. It differs from the first byte of all messages
 // between decision modules.
-const WordMagic = 0x6d
+const NoticeMagic = 0x6d
 
 const (
 	noticeVersion = 1
@@ -146,8 +146,8 @@
 )
 
 // Encode returns the notice as a datagram with the first MaxNoticeLeases leases.
-func (w Word) Encode() []byte {
-	b := []byte{WordMagic, noticeVersion}
+func (w RedeemNotice) Encode() []byte {
+	b := []byte{NoticeMagic, noticeVersion}
 	for _, id := range w.Leases[:min(len(w.Leases), MaxNoticeLeases)] {
 		b = append(b, id[:]...)
 	}
@@ -155,9 +155,9 @@
 }
 
 // DecodeNotice parses a notice; ok is false if any part of it is invalid.
-func DecodeNotice(b []byte) (w Word, ok bool) {
-	if len(b) < 2 || len(b) > 256 || b[0] != WordMagic || b[1] != noticeVersion || (len(b)-2)%len(ID{}) != 0 {
-		return Word{}, false
+func DecodeNotice(b []byte) (w RedeemNotice, ok bool) {
+	if len(b) < 2 || len(b) > 256 || b[0] != NoticeMagic || b[1] != noticeVersion || (len(b)-2)%len(ID{}) != 0 {
+		return RedeemNotice{}, false
 	}
 	for b = b[2:]; len(b) > 0; b = b[len(ID{}):] {
 		w.Leases = append(w.Leases, ID(b[:len(ID{})]))
--- a/handover/handover.go
+++ b/handover/handover.go
@@ -41,7 +41,7 @@
 }
 
 // FileName returns the name of a limiter's note, unique in a directory with notes of other limiters.
-func (w Who) File() string {
+func (w Who) FileName() string {
 	h := fnv.New64a()
 	io.WriteString(h, w.Limiter+"\x00"+w.Listen)
 	return fmt.Sprintf("madderdrum-%016x.upgrade", h.Sum64())
@@ -55,24 +55,24 @@
 }
 
 // ErrUnusableNote says that a file is not a complete note of this limiter and version.
-var ErrNote = errors.New("no usable note")
+var ErrUnusableNote = errors.New("no usable note")
 
 // ParseNote parses a note and checks that it is for the expected limiter.
 func ParseNote(data []byte, expected Who) (n Note, err error) {
 	line, sum, found := bytes.Cut(data, []byte("\n"))
 	if !found || string(sum) != fmt.Sprintf("%08x\n", crc32.ChecksumIEEE(line)) {
-		return n, fmt.Errorf("%w: truncated or corrupt", ErrNote)
+		return n, fmt.Errorf("%w: truncated or corrupt", ErrUnusableNote)
 	}
 	if err := json.Unmarshal(line, &n); err != nil {
-		return n, fmt.Errorf("%w: %v", ErrNote, err)
+		return n, fmt.Errorf("%w: %v", ErrUnusableNote, err)
 	}
 	switch {
 	case n.Version != Version:
-		return n, fmt.Errorf("%w: version %d, this one is %d", ErrNote, n.Version, Version)
+		return n, fmt.Errorf("%w: version %d, this one is %d", ErrUnusableNote, n.Version, Version)
 	case n.Who != expected:
-		return n, fmt.Errorf("%w: of limiter %q at %s", ErrNote, n.Limiter, n.Listen)
+		return n, fmt.Errorf("%w: of limiter %q at %s", ErrUnusableNote, n.Limiter, n.Listen)
 	case n.Token == "" || n.Admin == "":
-		return n, fmt.Errorf("%w: incomplete", ErrNote)
+		return n, fmt.Errorf("%w: incomplete", ErrUnusableNote)
 	}
 	return n, nil
 }
@@ -88,10 +88,10 @@
 }
 
 // Header precedes a state on the connection: the number of bytes that follow, and their checksum.
-type Head [8]byte
+type Header [8]byte
 
 // Size returns the number of bytes that follow; an error if there are too many.
-func (h Head) Size() (int, error) {
+func (h Header) Size() (int, error) {
 	size := binary.BigEndian.Uint32(h[:])
 	if size > MaxStateBytes {
 		return 0, fmt.Errorf("a state of %d bytes, at most %d go over", size, MaxStateBytes)
@@ -101,7 +101,7 @@
 
 // Encode returns the state as it is sent over the connection, with its header.
 func (s *State) Encode() ([]byte, error) {
-	var header Head
+	var header Header
 	buffer := bytes.NewBuffer(header[:])
 	fmt.Fprintf(buffer, "%d\n", Version)
 	if err := gob.NewEncoder(buffer).Encode(s); err != nil {
@@ -110,7 +110,7 @@
 	frame := buffer.Bytes()
 	binary.BigEndian.PutUint32(frame, uint32(len(frame)-len(header)))
 	binary.BigEndian.PutUint32(frame[4:], crc32.ChecksumIEEE(frame[len(header):]))
-	if _, err := Head(frame[:len(header)]).Size(); err != nil {
+	if _, err := Header(frame[:len(header)]).Size(); err != nil {
 		return nil, err
 	}
 	return frame, nil
@@ -118,7 +118,7 @@
 
 // Decode decodes and validates what follows a header. elapsed is the time since the new process asked for the
 // state: at most that long the old process's figures went on changing after they were copied.
-func Decode(header Head, data []byte, expected Who, elapsed time.Duration) (*State, error) {
+func Decode(header Header, data []byte, expected Who, elapsed time.Duration) (*State, error) {
 	if size, err := header.Size(); err != nil || size != len(data) || crc32.ChecksumIEEE(data) != binary.BigEndian.Uint32(header[4:]) {
 		return nil, errors.New("the state is truncated or corrupt")
 	}
@@ -142,7 +142,7 @@
 
 // ListFrom returns the list if it came from the given agent, otherwise nil: another agent has its own
 // sequence numbers.
-func (s *State) ListOf(discovery string) []byte {
+func (s *State) ListFrom(discovery string) []byte {
 	if s.Discovery != discovery {
 		return nil
 	}
@@ -151,7 +151,7 @@
 
 // SocketLimit returns how many descriptors the new process may use while the old one holds some, given a
 // limit for both; 0 means no limit. It is at least minimum, as the new process could not start with less.
-func Sockets(limit, heldByOld, minimum int) int {
+func SocketLimit(limit, heldByOld, minimum int) int {
 	if limit == 0 {
 		return 0
 	}
--- a/handover/handover_test.go
+++ b/handover/handover_test.go
@@ -24,24 +24,24 @@
 		t.Fatalf("%+v (%v)", got, err)
 	}
 	for k := range encoded {
-		if _, err := ParseNote(encoded[:k], self); !errors.Is(err, ErrNote) {
+		if _, err := ParseNote(encoded[:k], self); !errors.Is(err, ErrUnusableNote) {
 			t.Fatalf("the first %d bytes of a note are accepted: %v", k, err)
 		}
 		broken := []byte(string(encoded))
 		broken[k] ^= 4
-		if _, err := ParseNote(broken, self); !errors.Is(err, ErrNote) {
+		if _, err := ParseNote(broken, self); !errors.Is(err, ErrUnusableNote) {
 			t.Fatalf("a note with byte %d changed is accepted: %v", k, err)
 		}
 	}
 	for _, who := range []Who{{"n4", self.Listen}, {self.Limiter, "127.0.0.1:3001"}} {
-		if _, err := ParseNote(encoded, who); !errors.Is(err, ErrNote) {
+		if _, err := ParseNote(encoded, who); !errors.Is(err, ErrUnusableNote) {
 			t.Errorf("a note of another limiter is accepted: %v", err)
 		}
-		if who.File() == self.File() {
+		if who.FileName() == self.FileName() {
 			t.Errorf("%v has the file of another limiter", who)
 		}
 	}
-	if _, err := ParseNote(Note{Who: self, Admin: "127.0.0.1:9000"}.Encode(), self); !errors.Is(err, ErrNote) {
+	if _, err := ParseNote(Note{Who: self, Admin: "127.0.0.1:9000"}.Encode(), self); !errors.Is(err, ErrUnusableNote) {
 		t.Errorf("a note without a token is accepted: %v", err)
 	}
 }
@@ -55,7 +55,7 @@
 
 // decode decodes a state with its header.
 func decode(frame []byte, expected Who, elapsed time.Duration) (*State, error) {
-	var h Head
+	var h Header
 	headerSize := copy(h[:], frame)
 	return Decode(h, frame[headerSize:], expected, elapsed)
 }
@@ -85,7 +85,7 @@
 	}
 	other := slices.Clone(data[8:])
 	other[0]++ // the version
-	var h Head
+	var h Header
 	binary.BigEndian.PutUint32(h[:], uint32(len(other)))
 	binary.BigEndian.PutUint32(h[4:], crc32.ChecksumIEEE(other))
 	if _, err := Decode(h, other, self, 0); err == nil || !strings.Contains(err.Error(), "version") {
@@ -102,7 +102,7 @@
 	if _, err := h.Size(); err == nil {
 		t.Error("a state above the size limit is accepted")
 	}
-	if got.ListOf("127.0.0.1:8500") == nil || got.ListOf("127.0.0.1:8501") != nil {
+	if got.ListFrom("127.0.0.1:8500") == nil || got.ListFrom("127.0.0.1:8501") != nil {
 		t.Error("the list is accepted for an agent that did not send it")
 	}
 	for name, change := range map[string]func(*State){
@@ -122,7 +122,7 @@
 // Both processes together stay within the limit, unless the new one could not start with what is left.
 func TestSockets(t *testing.T) {
 	for _, x := range []struct{ limit, old, want int }{{0, 500, 0}, {1024, 100, 924}, {512, 100, 412}, {384, 0, 384}, {384, 380, 64}, {384, -5, 384}} {
-		if got := Sockets(x.limit, x.old, 64); got != x.want {
+		if got := SocketLimit(x.limit, x.old, 64); got != x.want {
 			t.Errorf("limit %d with %d in use: %d, want %d", x.limit, x.old, got, x.want)
 		}
 	}
--- a/internal/faults/rig.go
+++ b/internal/faults/rig.go
@@ -548,7 +548,7 @@
 // allReady tells whether each limiter that runs takes clients: no late call took it out.
 func (r *rig) allReady() bool {
 	for _, p := range r.all {
-		var x ownership.Standing
+		var x ownership.LimiterStatus
 		if r.runs(p) && (r.ask(p, "self", nil, &x) != nil || !x.Ready || x.Draining) {
 			return false
 		}
--- a/internal/faults/schedule.go
+++ b/internal/faults/schedule.go
@@ -156,7 +156,7 @@
 		return fmt.Errorf("write %s", v.what)
 	case s.Verb == "wait":
 		return s.checkEvent()
-	case s.Verb == "roll" && s.Args[0] != string(rollout.Restart) && s.Args[0] != string(rollout.Drain):
+	case s.Verb == "roll" && s.Args[0] != string(rollout.KindRestart) && s.Args[0] != string(rollout.KindDrain):
 		return fmt.Errorf("write %s", v.what)
 	case s.Verb == "pass" || s.Verb == "delay" || s.Verb == "wall" || s.Verb == "disk" && s.Args[1] != "full" && s.Args[1] != "torn" && s.Args[1] != "well":
 		if _, err := time.ParseDuration(s.Args[len(s.Args)-1]); err != nil {
@@ -193,7 +193,7 @@
 var events = map[string]string{"owner": "", "new-owner": "", "owned-by": "a limiter", "held": "", "step": "a phase",
 	"back": "a number", "done": "", "votes": "a number", "no-leader": "", "leader": "", "watched": "", "asked": "", "used": "a box", "gone": "a limiter"}
 
-var phases = []rollout.Phase{rollout.Leaving, rollout.Ending, rollout.Returning, rollout.Back}
+var phases = []rollout.Phase{rollout.PhaseLeaving, rollout.PhaseEnding, rollout.PhaseReturning, rollout.PhaseBack}
 
 // checkEvent tells what is wrong with the event of a wait.
 func (s Step) checkEvent() error {
--- a/internal/faults/steps.go
+++ b/internal/faults/steps.go
@@ -96,7 +96,7 @@
 // over tells whether no rollout is running: there is nothing of it to wait for.
 func (r *rig) over() bool {
 	p, known := r.planNow()
-	return known && (p == nil || p.State != rollout.Running)
+	return known && (p == nil || p.State != rollout.StateRunning)
 }
 
 // which are the limiters that a word means.
@@ -297,7 +297,7 @@
 	if err := r.any(ctx, "init", &ownership.Request{Voters: []string{p.name}}, []*process{p}); err != nil {
 		return err
 	}
-	plan := &rollout.Plan{ID: "stranger", Kind: rollout.Restart, AtOnce: 1, Fall: 1}
+	plan := &rollout.Plan{ID: "stranger", Kind: rollout.KindRestart, AtOnce: 1, Fall: 1}
 	return r.any(ctx, "roll", &ownership.Request{Plan: plan}, []*process{p})
 }
 
--- a/internal/faults/waits.go
+++ b/internal/faults/waits.go
@@ -103,7 +103,7 @@
 		}
 		back := 0
 		for _, s := range p.Steps {
-			if s.Phase == rollout.Back {
+			if s.Phase == rollout.PhaseBack {
 				back++
 			}
 		}
@@ -169,7 +169,7 @@
 // is continued.
 func (r *rig) rolledOut(ctx context.Context) bool {
 	p, known := r.planNow()
-	if p != nil && p.State == rollout.Halted && strings.Contains(p.Why, "has been") {
+	if p != nil && p.State == rollout.StateHalted && strings.Contains(p.Why, "has been") {
 		r.any(ctx, "continue", &ownership.Request{}, r.all)
 	}
 	return known && p == nil
--- a/internal/forwardauth/forwardauth_test.go
+++ b/internal/forwardauth/forwardauth_test.go
@@ -430,7 +430,7 @@
 	b := &bank{level: 100}
 	s := serve(t, b, proxyBlock("traefik", "ask-then-carry", `lease = "20ms"`))
 	terms := grant.Terms{Account: 1, Units: 1}
-	token := s.keys.get(time.Now()).Sign(grant.Token{Limiter: 1, Lease: grant.ID{5}, Terms: terms, Until: time.Now().Add(grant.LongestLease)})
+	token := s.keys.get(time.Now()).Sign(grant.Token{Limiter: 1, Lease: grant.ID{5}, Terms: terms, Until: time.Now().Add(grant.MaxLease)})
 	if _, vouched := s.Redeem(token, terms); !vouched {
 		t.Fatal("not vouched for")
 	}
@@ -559,7 +559,7 @@
 	if !ok {
 		t.Fatal("no token")
 	}
-	word := grant.Word{Leases: []grant.ID{moved.Lease, moved.Lease}}.Encode()
+	word := grant.RedeemNotice{Leases: []grant.ID{moved.Lease, moved.Lease}}.Encode()
 	s.Heard(word)
 	s.Heard(word)
 	s.Heard([]byte("noise"))
--- a/internal/forwardauth/service.go
+++ b/internal/forwardauth/service.go
@@ -80,7 +80,7 @@
 	wake    chan struct{}
 
 	mu   sync.Mutex
-	desk *grant.Desk
+	desk *grant.LeaseManager
 
 	// Not under the lock: a quick no must not wait for those that wait.
 	count struct{ yes, no, again, busy, malformed, untrusted atomic.Int64 }
@@ -114,7 +114,7 @@
 // New returns a Service that listens but does not answer yet.
 func New(cfg Listener, tier Tier, d Decider, logger *slog.Logger) (*Service, error) {
 	s := &Service{cfg: cfg, d: d, log: logger, start: time.Now(),
-		wake: make(chan struct{}, 1), desk: grant.NewDesk(tier.Position, tier.Limiters, cfg.Leases)}
+		wake: make(chan struct{}, 1), desk: grant.NewLeaseManager(tier.Position, tier.Limiters, cfg.Leases)}
 	s.tier.Store(newTier(tier))
 	var err error
 	for _, p := range cfg.Proxies {
@@ -180,9 +180,9 @@
 	for {
 		s.mu.Lock()
 		now := time.Since(s.start)
-		s.desk.Book().Expire(now, func(t grant.Terms) { s.settle(t, grant.Expired) })
+		s.desk.Leases().Expire(now, func(t grant.Terms) { s.settle(t, grant.Expired) })
 		wait := time.Hour
-		if at, ok := s.desk.Book().Next(); ok {
+		if at, ok := s.desk.Leases().NextExpiry(); ok {
 			wait = at - now
 		}
 		s.mu.Unlock()
@@ -215,7 +215,7 @@
 	now := Counts{n.yes.Load(), n.no.Load(), n.again.Load(), n.busy.Load(), n.malformed.Load(), n.untrusted.Load()}
 	if now != before {
 		s.mu.Lock()
-		open := s.desk.Book().Open()
+		open := s.desk.Leases().OpenCount()
 		s.mu.Unlock()
 		s.log.Info("asks so far", "yes", now.Yes, "no", now.No, "again", now.Again, "busy", now.Busy, "malformed", now.Malformed,
 			"untrusted", now.Untrusted, "leases_out", open)
@@ -224,8 +224,8 @@
 }
 
 // settle tells the module that a lease has ended. The lock is held.
-func (s *Service) settle(t grant.Terms, e grant.Ending) {
-	s.d.Settle(limiter.Settle{Customer: t.Account, Units: t.Units, Back: e.Returns()})
+func (s *Service) settle(t grant.Terms, e grant.EndReason) {
+	s.d.Settle(limiter.Settle{Customer: t.Account, Units: t.Units, Back: e.ReturnsUnits()})
 }
 
 // Paths of the front besides asks.
@@ -316,12 +316,12 @@
 	}
 	now := time.Since(s.start)
 	terms := grant.Terms{Account: a.Customer, Plan: a.Plan, Class: a.Class, Units: a.Units}
-	try := grant.Try{Proxy: p.Name, ID: x.id, Terms: terms}
-	if token, again := s.desk.Again(now, try); again {
+	try := grant.Attempt{Proxy: p.Name, ID: x.id, Terms: terms}
+	if token, again := s.desk.FindRepeat(now, try); again {
 		s.count.again.Add(1)
 		return token, true, 0, true
 	}
-	if a.Lease && !s.desk.Book().Room() {
+	if a.Lease && !s.desk.Leases().HasRoom() {
 		s.count.no.Add(1)
 		return "", false, p.Lease, true
 	}
@@ -330,12 +330,12 @@
 		return "", false, wait, true
 	}
 	s.count.yes.Add(1)
-	until := now + grant.SeenFor
+	until := now + grant.RepeatWindow
 	if a.Lease {
 		until = now + p.Lease
 		t := grant.Token{Limiter: by.Position, Terms: terms, Until: s.start.Add(until)}
 		rand.Read(t.Lease[:])
-		if err := s.desk.Book().Grant(t.Lease, terms, until); err != nil { // two equal random ids: never
+		if err := s.desk.Leases().Grant(t.Lease, terms, until); err != nil { // two equal random ids: never
 			s.settle(terms, grant.Cancelled)
 			return "", false, p.Lease, true
 		}
@@ -345,7 +345,7 @@
 		default:
 		}
 	}
-	s.desk.Granted(now, try, token, until)
+	s.desk.RecordGrant(now, try, token, until)
 	return token, true, 0, true
 }
 
@@ -364,7 +364,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	terms, err := s.desk.Book().End(time.Since(s.start), t.Lease, e)
+	terms, err := s.desk.Leases().End(time.Since(s.start), t.Lease, e)
 	if err != nil {
 		http.Error(w, "the lease has ended", http.StatusGone)
 		return
@@ -397,7 +397,7 @@
 func (s *Service) tell() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.desk.Words(s.d.Tell)
+	s.desk.SendNotices(s.d.Tell)
 }
 
 // Heard takes in another limiter's word on leases.
--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -20,7 +20,7 @@
 
 // Limiter is the running limiter whose state a Keeper persists.
 type Limiter interface {
-	Begun() <-chan struct{}    // closed once it has its server list and the restored state
+	Started() <-chan struct{}  // closed once it has its server list and the restored state
 	Now() float64              // the limiter's clock, in ms
 	Remember() *limiter.Memory // the learned state; the limiter keeps running
 	Reserve(headMs float64)    // headroom in ms of spending between writes; must be called before any request
@@ -38,11 +38,11 @@
 
 // Options configure a Keeper.
 type Options struct {
-	Folder  string // of the tier; each limiter has a subfolder with its name
-	Limiter string
-	Every   time.Duration // interval between writes
-	Most    int64         // bytes of a snapshot and of a log, each; 0: no limit
-	Log     *slog.Logger
+	Folder   string // of the tier; each limiter has a subfolder with its name
+	Limiter  string
+	Interval time.Duration // interval between writes
+	MaxBytes int64         // bytes of a snapshot and of a log, each; 0: no limit
+	Log      *slog.Logger
 }
 
 const (
@@ -58,8 +58,8 @@
 	options       Options
 	folder        *durable.Folder // nil: it could not be opened yet
 	recovered     *limiter.Memory
-	provenance    recall.Found
-	classNames    recall.Names // class names in the recovered state
+	provenance    recall.SnapshotInfo
+	classNames    recall.ClassNames // class names in the recovered state
 	seed          maphash.Seed
 	writtenHashes map[[2]uint64]uint64 // by kind and key, except accounts: hash of the value on the disk
 	writtenPlans  []limiter.Plan       // plans that the accounts on the disk refer to
@@ -106,12 +106,12 @@
 		quotas, accounts = "resumed", len(m.Handover.Accounts)
 	}
 	o.Log.Info("resuming from a snapshot", "age", r.Age.Round(time.Millisecond).String(), "boxes", len(m.Boxes), "accounts", accounts,
-		"ended", ended, "quotas", quotas, "copied_or_rebooted", r.Moved)
+		"ended", ended, "quotas", quotas, "copied_or_rebooted", r.CopiedOrRebooted)
 	return k, nil
 }
 
 func (k *Keeper) open() (*durable.Recovered, error) {
-	f, r, err := durable.Open(filepath.Join(k.options.Folder, k.options.Limiter), durable.Options{Owner: k.options.Limiter, MaxBytes: k.options.Most, Now: wall.Now})
+	f, r, err := durable.Open(filepath.Join(k.options.Folder, k.options.Limiter), durable.Options{Owner: k.options.Limiter, MaxBytes: k.options.MaxBytes, Now: wall.Now})
 	if err != nil {
 		return nil, err
 	}
@@ -124,9 +124,9 @@
 // the limiter's configuration.
 func (k *Keeper) Recall(l Limiter, classes []string) {
 	// The headroom covers two write intervals and a slow disk.
-	l.Reserve(float64(2*k.options.Every+500*time.Millisecond) / float64(time.Millisecond))
+	l.Reserve(float64(2*k.options.Interval+500*time.Millisecond) / float64(time.Millisecond))
 	if k.recovered != nil {
-		l.Recall(recall.Aged(k.recovered, k.provenance, k.classNames, classes))
+		l.Recall(recall.Decay(k.recovered, k.provenance, k.classNames, classes))
 		k.recovered = nil
 	}
 }
@@ -136,9 +136,9 @@
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-l.Begun():
+	case <-l.Started():
 	}
-	t := time.NewTicker(k.options.Every)
+	t := time.NewTicker(k.options.Interval)
 	defer t.Stop()
 	for {
 		if time.Now().After(k.retryAt) {
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -68,8 +68,8 @@
 	return n
 }
 
-func (x *testLimiter) Begun() <-chan struct{} { return x.begun }
-func (x *testLimiter) Now() float64           { return x.now }
+func (x *testLimiter) Started() <-chan struct{} { return x.begun }
+func (x *testLimiter) Now() float64             { return x.now }
 func (x *testLimiter) Remember() *limiter.Memory {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -101,7 +101,7 @@
 
 func open(t *testing.T, dir, name string, log *slog.Logger) *Keeper {
 	t.Helper()
-	k, err := Open(Options{Folder: dir, Limiter: name, Every: 50 * time.Millisecond, Log: log})
+	k, err := Open(Options{Folder: dir, Limiter: name, Interval: 50 * time.Millisecond, Log: log})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -230,7 +230,7 @@
 	if lines("memory is not kept") != 2 || x.countAdmitted(7) == 0 {
 		t.Errorf("%s", out.String())
 	}
-	gone, err := Open(Options{Folder: filepath.Join(t.TempDir(), "gone"), Limiter: "n0", Every: time.Second, Log: log})
+	gone, err := Open(Options{Folder: filepath.Join(t.TempDir(), "gone"), Limiter: "n0", Interval: time.Second, Log: log})
 	must(t, err)
 	must(t, os.RemoveAll(gone.options.Folder))
 	gone.Close(begin(t, 1), classes())
@@ -243,11 +243,11 @@
 		t.Errorf("%s", out.String())
 	}
 	k.Close(x, classes())
-	if v, err := Look(dir); err != nil || v[0].Memory == nil || v[0].Trusted.Handover == nil || v[0].Sound() != nil {
+	if v, err := Inspect(dir); err != nil || v[0].Memory == nil || v[0].Trusted.Handover == nil || v[0].Check() != nil {
 		t.Errorf("%+v %v", v, err)
 	}
 	// A state over the size limit is not stored, and the limiter continues.
-	k, err = Open(Options{Folder: dir, Limiter: "n1", Every: time.Second, Most: 100, Log: log})
+	k, err = Open(Options{Folder: dir, Limiter: "n1", Interval: time.Second, MaxBytes: 100, Log: log})
 	must(t, err)
 	k.writeOnce(x, classes)
 	if !strings.Contains(out.String(), "over its size bound of 100 bytes") {
@@ -259,7 +259,7 @@
 // A running keeper writes at each interval and stops with its context.
 func TestRuns(t *testing.T) {
 	x, k := begin(t, 5e6), open(t, t.TempDir(), "n0", slog.New(slog.DiscardHandler))
-	k.options.Every = time.Millisecond
+	k.options.Interval = time.Millisecond
 	k.Recall(x, classes())
 	wrote := make(chan error)
 	k.onWrite = func(err error) { wrote <- err }
@@ -351,9 +351,9 @@
 		folder          string
 		boxes, accounts int
 	}{{"testdata/landing9/n0", 12, 20}} {
-		v, err := Look(c.folder)
+		v, err := Inspect(c.folder)
 		must(t, err)
-		if len(v) != 1 || v[0].Memory == nil || len(v[0].Memory.Boxes) != c.boxes || len(v[0].Classes) != 3 || v[0].Sound() != nil {
+		if len(v) != 1 || v[0].Memory == nil || len(v[0].Memory.Boxes) != c.boxes || len(v[0].Classes) != 3 || v[0].Check() != nil {
 			t.Fatalf("%s: %+v", c.folder, v)
 		}
 		down := 0
--- a/internal/memory/records.go
+++ b/internal/memory/records.go
@@ -134,7 +134,7 @@
 
 // decode rebuilds the state from the last record of each kind and key. The quota state is left out
 // where it cannot be relied on: see durable.Recovered.
-func decode(r *durable.Recovered) (*limiter.Memory, recall.Names, error) {
+func decode(r *durable.Recovered) (*limiter.Memory, recall.ClassNames, error) {
 	last := map[[2]uint64][]byte{}
 	var order [][2]uint64
 	up := float64(r.Uptime) / float64(time.Millisecond)
@@ -159,7 +159,7 @@
 		}
 		last[id] = x.Value
 	}
-	m, names := &limiter.Memory{}, recall.Names{}
+	m, names := &limiter.Memory{}, recall.ClassNames{}
 	var ended *handover
 	var running *runningHandover
 	for _, id := range order {
--- a/internal/memory/show.go
+++ b/internal/memory/show.go
@@ -27,7 +27,7 @@
 
 // Look reads a folder without changing it: that of one limiter, or that of a tier with a subfolder
 // for each limiter.
-func Look(folder string) ([]View, error) {
+func Inspect(folder string) ([]View, error) {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
 		return nil, fmt.Errorf("memory: %w", err)
@@ -69,18 +69,18 @@
 	if !v.Found.Found {
 		return v, nil
 	}
-	var names recall.Names
+	var names recall.ClassNames
 	if v.Memory, names, v.Err = decode(v.Found); v.Err != nil {
 		return v, nil
 	}
 	v.Classes = names
-	v.Trusted = recall.Aged(v.Memory, provenanceOf(v.Found, v.Memory), names, names)
+	v.Trusted = recall.Decay(v.Memory, provenanceOf(v.Found, v.Memory), names, names)
 	return v, nil
 }
 
 // provenanceOf returns how old and how reliable a recovered state is, as package recall needs it.
-func provenanceOf(r *durable.Recovered, m *limiter.Memory) recall.Found {
-	f := recall.Found{Age: r.Age, Clean: r.Clean, Intact: r.Intact, Down: r.Downtime}
+func provenanceOf(r *durable.Recovered, m *limiter.Memory) recall.SnapshotInfo {
+	f := recall.SnapshotInfo{Age: r.Age, Clean: r.Clean, Intact: r.Intact, Down: r.Downtime}
 	if h := m.Handover; h != nil && h.HeadMs > 0 {
 		f.Down = time.Duration(h.DownMs * float64(time.Millisecond))
 	}
@@ -89,7 +89,7 @@
 
 // Sound returns the errors of damaged files. A truncated log, as a killed or running process leaves
 // it, is no error.
-func (v *View) Sound() error {
+func (v *View) Check() error {
 	var errs []error
 	for _, f := range v.Listing.Files {
 		if f.Err != nil {
@@ -101,7 +101,7 @@
 
 // Ills returns the servers with a problem: down, ejected or failing for a class, warming up after an
 // outage, or at least 1.5 times as slow as usual.
-func (v *View) Ills() (all []limiter.BoxMemory) {
+func (v *View) UnhealthyBoxes() (all []limiter.BoxMemory) {
 	for _, b := range v.Trusted.Boxes {
 		ill := slices.ContainsFunc(b.Ills, func(e limiter.IllMemory) bool { return e.Failures > 0 || e.LeftMs > 0 })
 		if b.Down || ill || b.BackMs > 0 || b.Slowness() >= 1.5 {
--- a/internal/node/ceilings.go
+++ b/internal/node/ceilings.go
@@ -10,8 +10,8 @@
 }
 
 // Hold sets how much of the ceilings this limiter may use from now on; see [limiter.Parts].
-func (n *Node) Hold(shares map[uint64]float64, rest float64) {
+func (n *Node) UseShares(shares map[uint64]float64, rest float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.handle(limiter.Parts{Of: shares, Rest: rest})
+	n.handle(limiter.Parts{ByAccount: shares, Default: rest})
 }
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -146,7 +146,7 @@
 		n.servers.retainListed(listed)
 	}
 	if len(listed) > 0 {
-		n.life.Listed(time.Now())
+		n.life.MarkServersKnown(time.Now())
 	}
 	n.handle(endpoints)
 }
--- a/internal/node/drop_test.go
+++ b/internal/node/drop_test.go
@@ -203,7 +203,7 @@
 	c.Write(whole[:len(whole)/2])
 	time.Sleep(50 * time.Millisecond) // the reader has read it
 	r.stop()
-	time.Sleep(lifecycle.KeepAccepting + 300*time.Millisecond) // connections without a request are closed by then
+	time.Sleep(lifecycle.AcceptAfterStop + 300*time.Millisecond) // connections without a request are closed by then
 	c.Write(whole[len(whole)/2:])
 	resp, err := http.ReadResponse(in, second)
 	if err != nil {
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -82,7 +82,7 @@
 // freeze captures the state; from this moment on the new process decides.
 func (n *Node) freeze() (*handover.State, error) {
 	state := &handover.State{Who: n.upgrade.identity}
-	err := n.updateLife(func(l *lifecycle.Life) error {
+	err := n.updateLife(func(l *lifecycle.Process) error {
 		if err := l.HandOver(time.Now()); err != nil {
 			return err
 		}
@@ -105,8 +105,8 @@
 
 // thaw resumes operation after a hand-over that failed.
 func (n *Node) thaw() {
-	n.updateLife(func(l *lifecycle.Life) error {
-		l.HandBack(time.Now())
+	n.updateLife(func(l *lifecycle.Process) error {
+		l.AbortHandover(time.Now())
 		n.upgrade.frozen = false
 		return nil
 	})
--- a/internal/node/looks.go
+++ b/internal/node/looks.go
@@ -14,21 +14,21 @@
 type ProbeSharing interface {
 	// Want reports that this limiter considers a server unhealthy and needs probe results; false: this limiter
 	// has to probe by itself.
-	Want(server uint64) bool
+	ReportUnhealthy(server uint64) bool
 	// Looked reports the result of one of this limiter's own probes; healthy is meaningless if it was not conclusive.
-	Looked(server uint64, healthy, conclusive bool)
+	ProbeFinished(server uint64, healthy, conclusive bool)
 	// Failed reports that an attempt failed at a server.
-	Failed(server uint64)
+	AttemptFailed(server uint64)
 	// Listed reports an answer of a pool's discovery agent: all its hosts, or the changes, in the agent's
 	// format.
-	Listed(pool string, seq int64, complete bool, hosts []byte)
+	AgentListed(pool string, seq int64, complete bool, hosts []byte)
 	// Lost reports that a pool's discovery agent does not answer.
-	Lost(pool string)
+	AgentLost(pool string)
 }
 
 // requestProbe has a server probed, by other limiters or by this one. The mutex is held.
 func (n *Node) requestProbe(server uint64) {
-	if n.cfg.ProbeSharing == nil || !n.cfg.ProbeSharing.Want(server) {
+	if n.cfg.ProbeSharing == nil || !n.cfg.ProbeSharing.ReportUnhealthy(server) {
 		go n.probe(server)
 	}
 }
@@ -43,17 +43,17 @@
 	}
 	switch ev.Result {
 	case limiter.Pass, limiter.NoRoute, limiter.Cut, limiter.TooSlow:
-		n.cfg.ProbeSharing.Looked(ev.Server, ev.Result == limiter.Pass, true)
+		n.cfg.ProbeSharing.ProbeFinished(ev.Server, ev.Result == limiter.Pass, true)
 	default: // no connection available here, or an inconclusive answer
-		n.cfg.ProbeSharing.Looked(ev.Server, false, false)
+		n.cfg.ProbeSharing.ProbeFinished(ev.Server, false, false)
 	}
 }
 
 // Look makes this limiter probe a server itself.
-func (n *Node) Look(server uint64) { go n.probe(server) }
+func (n *Node) Probe(server uint64) { go n.probe(server) }
 
 // Word applies another limiter's probe result for a server that this one considers unhealthy.
-func (n *Node) Word(server uint64, healthy bool) {
+func (n *Node) ApplyVerdict(server uint64, healthy bool) {
 	ev := limiter.Probed{Server: server, Result: limiter.NoRoute, Load: noLoad}
 	if healthy {
 		ev.Result = limiter.Pass
@@ -81,7 +81,7 @@
 
 // Whole returns a pool's complete list as known to this limiter, in its agent's format; ok is false until a
 // list is known.
-func (n *Node) Whole(pool string) (seq int64, hosts []byte, ok bool) {
+func (n *Node) FullList(pool string) (seq int64, hosts []byte, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	s := n.source(pool)
@@ -99,7 +99,7 @@
 
 // Told applies a list or changes of a pool's servers that another limiter received from the pool's agent. It
 // returns an error if hosts can't be decoded.
-func (n *Node) Told(pool string, seq int64, complete bool, hosts []byte) error {
+func (n *Node) ApplyList(pool string, seq int64, complete bool, hosts []byte) error {
 	list := serverList{Seq: seq, Whole: complete}
 	if err := json.Unmarshal(hosts, &list.Hosts); err != nil {
 		return err
@@ -112,7 +112,7 @@
 
 // Follow makes this limiter watch a pool's agent itself, which may hold each call for the given time; with 0
 // another limiter reports the agent's answers. Initially the limiter watches itself, with calls of watchHold.
-func (n *Node) Follow(pool string, hold time.Duration) {
+func (n *Node) PollAgent(pool string, hold time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if s := n.source(pool); s != nil && s.hold != hold {
@@ -134,7 +134,7 @@
 				if n.cfg.ProbeSharing != nil {
 					n.mu.Lock()
 					defer n.mu.Unlock()
-					n.cfg.ProbeSharing.Lost(s.Pool)
+					n.cfg.ProbeSharing.AgentLost(s.Pool)
 				}
 			})
 		} else {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -66,7 +66,7 @@
 	limiter    *limiter.Limiter
 	queue      []limiter.Event
 	requests   map[string]*request
-	life       lifecycle.Life
+	life       lifecycle.Process
 	closed     bool
 	pendingAsk *pendingAsk // the Ask that the module is handling
 }
@@ -245,7 +245,7 @@
 		}
 	}
 	if state != nil {
-		n.reduceLimits(handover.Sockets(n.cfg.Limits.Sockets, state.Sockets, minSockets))
+		n.reduceLimits(handover.SocketLimit(n.cfg.Limits.Sockets, state.Sockets, minSockets))
 		n.restoreState(state)
 	} else {
 		n.applyList(limiter.Persisted, n.cfg.InitialServers)
@@ -274,8 +274,8 @@
 	for _, ln := range n.listeners {
 		go func() { served <- n.httpServer.Serve(framedListener{ln}) }()
 	}
-	n.updateLife(func(l *lifecycle.Life) error {
-		l.Taking(time.Now())
+	n.updateLife(func(l *lifecycle.Process) error {
+		l.MarkAccepting(time.Now())
 		if state != nil && state.Drained {
 			return l.Drain(time.Now())
 		}
@@ -320,12 +320,12 @@
 // listener at once would reset connections that are being established.
 func (n *Node) shutDown() error {
 	began := time.Now()
-	n.updateLife(func(l *lifecycle.Life) error { l.Stop(began, n.revision.Load().settings.MaxDeadline); return nil })
+	n.updateLife(func(l *lifecycle.Process) error { l.Stop(began, n.revision.Load().settings.MaxDeadline); return nil })
 	n.mu.Lock()
-	stopBy := n.life.StopBy()
+	stopBy := n.life.StopDeadline()
 	n.mu.Unlock()
 	n.log.Info("stopping")
-	time.Sleep(lifecycle.KeepAccepting) // answers carry Connection: close from now on
+	time.Sleep(lifecycle.AcceptAfterStop) // answers carry Connection: close from now on
 	expire := time.AfterFunc(time.Until(stopBy), n.expire)
 	defer expire.Stop()
 	for _, ln := range n.listeners {
--- a/internal/node/operate.go
+++ b/internal/node/operate.go
@@ -42,12 +42,12 @@
 }
 
 // updateLife changes the lifecycle state of this process and applies the consequences.
-func (n *Node) updateLife(change func(*lifecycle.Life) error) error {
+func (n *Node) updateLife(change func(*lifecycle.Process) error) error {
 	n.mu.Lock()
 	before := n.life.Phase()
 	err := change(&n.life)
 	phase := n.life.Phase()
-	n.closing.Store(n.life.Closing())
+	n.closing.Store(n.life.ClosesConnections())
 	n.mu.Unlock()
 	if phase != before {
 		n.log.Info("phase", "is", phase.String(), "was", before.String())
@@ -79,12 +79,12 @@
 
 // Drain starts draining: clients are asked to leave.
 func (n *Node) Drain() error {
-	return n.updateLife(func(l *lifecycle.Life) error { return l.Drain(time.Now()) })
+	return n.updateLife(func(l *lifecycle.Process) error { return l.Drain(time.Now()) })
 }
 
 // Resume ends a drain.
 func (n *Node) Resume() error {
-	return n.updateLife(func(l *lifecycle.Life) error { return l.Resume(time.Now()) })
+	return n.updateLife(func(l *lifecycle.Process) error { return l.Resume(time.Now()) })
 }
 
 // Phase returns the lifecycle phase of this process, and whether load balancers should send clients to it.
@@ -102,8 +102,8 @@
 func (n *Node) closeUnusedConns(ctx context.Context) {
 	for ctx.Err() == nil {
 		n.mu.Lock()
-		fresh, idle, bounded := n.life.Unused(time.Now())
-		closing := n.life.Closing() && n.life.Phase() != lifecycle.Stopping // stopping is handled by shutDown
+		fresh, idle, bounded := n.life.IdleTimeouts(time.Now())
+		closing := n.life.ClosesConnections() && n.life.Phase() != lifecycle.Stopping // stopping is handled by shutDown
 		n.mu.Unlock()
 		if closing && bounded {
 			n.conns.endUnused(idle, fresh)
@@ -135,7 +135,7 @@
 
 // endBy returns t, or the time when this process stops if that is earlier. The node's mutex is held.
 func (n *Node) endBy(t time.Time) time.Time {
-	if by := n.life.StopBy(); !by.IsZero() && by.Before(t) {
+	if by := n.life.StopDeadline(); !by.IsZero() && by.Before(t) {
 		return by
 	}
 	return t
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -102,7 +102,7 @@
 			n.badInputLog.warn("dropped a datagram", "from", addr, "bytes", size)
 			continue
 		}
-		if size > 0 && buf[0] == grant.WordMagic {
+		if size > 0 && buf[0] == grant.NoticeMagic {
 			if n.grants != nil {
 				n.grants.Heard(buf[:size])
 			}
--- a/internal/node/remember.go
+++ b/internal/node/remember.go
@@ -4,7 +4,7 @@
 
 // Begun returns a channel that is closed once the module has its first server list and the state passed to
 // Recall.
-func (n *Node) Begun() <-chan struct{} { return n.started }
+func (n *Node) Started() <-chan struct{} { return n.started }
 
 // Remember returns a snapshot of the state that the module has learnt.
 func (n *Node) Remember() *limiter.Memory {
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -112,7 +112,7 @@
 		r.finalAnswer = &answer{status: http.StatusOK, body: rep.body, contentType: rep.contentType}
 	}
 	if n.cfg.ProbeSharing != nil && (rep.result == limiter.NoRoute || rep.result == limiter.Cut) {
-		n.cfg.ProbeSharing.Failed(att.host.id)
+		n.cfg.ProbeSharing.AttemptFailed(att.host.id)
 	}
 	n.handle(limiter.Outcome{ID: r.id, Try: att.number, Server: att.host.id, Result: rep.result,
 		SpentMs: cmp.Or(rep.elapsedMs, msSince(att.sentAt)), Done: r.finalAnswer != nil, Load: rep.load})
@@ -141,7 +141,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, r := range n.requests {
-		r.deadline = n.life.StopBy()
+		r.deadline = n.life.StopDeadline()
 		if r.current != nil && r.current.conn != nil {
 			r.current.conn.SetDeadline(r.deadline)
 		}
--- a/internal/node/sources.go
+++ b/internal/node/sources.go
@@ -38,7 +38,7 @@
 	if fromAgent && n.cfg.ProbeSharing != nil {
 		hosts, err := json.Marshal(list.Hosts)
 		if err == nil {
-			n.cfg.ProbeSharing.Listed(s.Pool, list.Seq, list.Whole, hosts)
+			n.cfg.ProbeSharing.AgentListed(s.Pool, list.Seq, list.Whole, hosts)
 		}
 	}
 	changes := serverList{Seq: list.Seq}
--- a/internal/node/succeed.go
+++ b/internal/node/succeed.go
@@ -85,7 +85,7 @@
 	if _, err := fmt.Fprintln(p, takeLine); err != nil {
 		return nil, err
 	}
-	var head handover.Head
+	var head handover.Header
 	if _, err := io.ReadFull(p.in, head[:]); err != nil {
 		return nil, fmt.Errorf("reading the state: %w", err)
 	}
@@ -152,7 +152,7 @@
 // restoreState initializes the module with a predecessor's state.
 func (n *Node) restoreState(state *handover.State) {
 	known := n.cfg.InitialServers
-	if list := state.ListOf(n.cfg.Discovery); len(list) > 0 {
+	if list := state.ListFrom(n.cfg.Discovery); len(list) > 0 {
 		var restored serverList
 		if err := json.Unmarshal(list, &restored); err != nil {
 			n.badInputLog.warn("can't decode the server list that was handed over", "err", err)
--- a/internal/node/upgrade_test.go
+++ b/internal/node/upgrade_test.go
@@ -294,7 +294,7 @@
 			t.Parallel()
 			r := startUpgradable(t, func(c *Config) {
 				who := handover.Who{Limiter: c.Name, Listen: c.Listen}
-				if err := os.WriteFile(c.TempDir+"/"+who.File(), note(who), 0o600); err != nil {
+				if err := os.WriteFile(c.TempDir+"/"+who.FileName(), note(who), 0o600); err != nil {
 					t.Fatal(err)
 				}
 			}, server("s-1", echo(t)))
--- a/internal/node/upgradenote.go
+++ b/internal/node/upgradenote.go
@@ -12,7 +12,7 @@
 )
 
 // notePath returns the path of the running process's note file.
-func (n *Node) notePath() string { return filepath.Join(n.cfg.TempDir, n.upgrade.identity.File()) }
+func (n *Node) notePath() string { return filepath.Join(n.cfg.TempDir, n.upgrade.identity.FileName()) }
 
 // readNote reads the previous process's note file. A file owned by another user, or accessible to others, is
 // rejected.
@@ -27,7 +27,7 @@
 		return handover.Note{}, err
 	}
 	if st, ok := info.Sys().(*syscall.Stat_t); !ok || int(st.Uid) != os.Getuid() || info.Mode().Perm()&0o077 != 0 {
-		return handover.Note{}, fmt.Errorf("%w: wrong owner or permissions", handover.ErrNote)
+		return handover.Note{}, fmt.Errorf("%w: wrong owner or permissions", handover.ErrUnusableNote)
 	}
 	data, err := io.ReadAll(io.LimitReader(f, 4<<10))
 	if err != nil {
--- a/internal/ownership/calls.go
+++ b/internal/ownership/calls.go
@@ -46,9 +46,11 @@
 		}
 		return s.StartRollout(ctx, *r.Plan)
 	},
-	"halt":     func(s *Service, ctx context.Context, _ Request) error { return s.ControlRollout(ctx, rollout.Halt) },
-	"continue": func(s *Service, ctx context.Context, _ Request) error { return s.ControlRollout(ctx, rollout.GoOn) },
-	"end":      func(s *Service, ctx context.Context, _ Request) error { return s.ControlRollout(ctx, rollout.End) },
+	"halt": func(s *Service, ctx context.Context, _ Request) error { return s.ControlRollout(ctx, rollout.OpHalt) },
+	"continue": func(s *Service, ctx context.Context, _ Request) error {
+		return s.ControlRollout(ctx, rollout.OpContinue)
+	},
+	"end": func(s *Service, ctx context.Context, _ Request) error { return s.ControlRollout(ctx, rollout.OpEnd) },
 }
 
 // Serve answers one call on the admin address. It has the signature of admin.Stream.
@@ -74,11 +76,11 @@
 	}
 	switch args[0] {
 	case "self":
-		x := s.options.Limiter.Standing()
+		x := s.options.Limiter.LimiterStatus()
 		x.Fleet = s.fleetID()
 		return show(x)
 	case "asked":
-		return show(CeilingDemand{s.fleetID(), s.self.Start, s.options.Limiter.Asked()})
+		return show(CeilingDemand{s.fleetID(), s.self.Start, s.options.Limiter.DemandReports()})
 	case "status":
 		return show(s.Status())
 	case "owners":
--- a/internal/ownership/ceilings.go
+++ b/internal/ownership/ceilings.go
@@ -25,9 +25,9 @@
 	var lastUsed map[uint64]float64       // only for test builds that disable a check
 	var readResets, appliedChanges uint64 // the machine's reset count at the last read; share changes already applied
 	holder := parts.NewHolder(s.position)
-	use := func(shares parts.Use) { s.options.Limiter.Hold(shares.Of, shares.Rest) }
+	use := func(shares parts.UsableShares) { s.options.Limiter.UseShares(shares.ByAccount, shares.Default) }
 	if s.options.Steward {
-		use(holder.Forget())
+		use(holder.UseFloors())
 	}
 	ticker := time.NewTicker(catchUpTimeout / 4) // a confirmation may have been lost
 	defer ticker.Stop()
@@ -41,7 +41,7 @@
 		resets, changes, due := s.machine.shareStatus()
 		if resets != readResets {
 			if readResets != 0 || s.options.Steward {
-				use(holder.Forget())
+				use(holder.UseFloors())
 			}
 			ctx, done := context.WithTimeout(ctx, catchUpTimeout)
 			err := s.host.Read(ctx)
@@ -56,21 +56,21 @@
 		if !due && changes == appliedChanges {
 			continue
 		}
-		var shares parts.Use
+		var shares parts.UsableShares
 		var confirm *parts.Confirm
 		var ok bool
 		s.machine.withState(func(st *state) {
-			shares, confirm, ok = holder.Look(&st.Parts)
+			shares, confirm, ok = holder.Evaluate(&st.Parts)
 			resets, changes = s.machine.resets, s.machine.shareChanges
 		})
 		if resets != readResets || !ok {
 			continue
 		}
 		if checkDisabled("hold") {
-			for id, x := range shares.Of {
-				shares.Of[id] = max(x, lastUsed[id])
+			for id, x := range shares.ByAccount {
+				shares.ByAccount[id] = max(x, lastUsed[id])
 			}
-			lastUsed = shares.Of
+			lastUsed = shares.ByAccount
 		}
 		use(shares)
 		appliedChanges = changes
@@ -109,7 +109,7 @@
 			askAll(ctx, s, "asked", func(position int, _ string, x CeilingDemand) { steward.Observe(position, x.Start, x.Of) })
 			s.machine.withState(func(st *state) { deals = steward.Next(&st.Parts) })
 		} else {
-			s.machine.withState(func(st *state) { deals = st.Parts.Back(func(uint64) bool { return true }) })
+			s.machine.withState(func(st *state) { deals = st.Parts.EqualizingDeals(func(uint64) bool { return true }) })
 		}
 		limiters := 0
 		s.machine.withState(func(st *state) { limiters = st.Parts.Limiters })
--- a/internal/ownership/client.go
+++ b/internal/ownership/client.go
@@ -42,7 +42,7 @@
 // fleetAnswer is an answer that names the fleet of its sender.
 type fleetAnswer interface{ fleet() string }
 
-func (x Standing) fleet() string      { return x.Fleet }
+func (x LimiterStatus) fleet() string { return x.Fleet }
 func (x CeilingDemand) fleet() string { return x.Fleet }
 
 // askAll calls all limiters of this fleet concurrently and passes each answer to handle, one at a time.
@@ -51,7 +51,7 @@
 	var mu sync.Mutex
 	var tasks sync.WaitGroup
 	for position, name := range s.options.Limiters {
-		addr := s.options.Admins[name]
+		addr := s.options.AdminAddrs[name]
 		if addr == "" {
 			continue
 		}
--- a/internal/ownership/conduct.go
+++ b/internal/ownership/conduct.go
@@ -43,12 +43,12 @@
 			conductor, epoch, service = rollout.NewConductor(s.self.Limiter), t.Epoch, serviceRate{}
 		}
 		plan := s.machine.currentRollout()
-		if plan == nil || plan.State != rollout.Running {
+		if plan == nil || plan.State != rollout.StateRunning {
 			service = serviceRate{}
 			continue
 		}
 		seen, statuses := s.pollLimiters(inner)
-		view := rollout.Look{Now: now(), Epoch: t.Epoch, Seen: seen, Served: service.observe(statuses)}
+		view := rollout.Observation{Now: now(), Epoch: t.Epoch, LimiterStatus: seen, ServedShare: service.observe(statuses)}
 		notes, calls, resign := conductor.Next(plan, view)
 		for _, n := range notes {
 			ctx, done := context.WithTimeout(inner, proposeTimeout)
@@ -72,7 +72,7 @@
 	if !owns {
 		return
 	}
-	answer, err := Call(ctx, s.options.Admins[c.Limiter], fmt.Sprintf("%s %v %d %s", c.Verb, t, c.Start, s.fleetID()), nil, peerCallTimeout)
+	answer, err := Call(ctx, s.options.AdminAddrs[c.Limiter], fmt.Sprintf("%s %v %d %s", c.Verb, t, c.Start, s.fleetID()), nil, peerCallTimeout)
 	if err == nil && !strings.HasPrefix(answer, "YES") {
 		err = fmt.Errorf("%s", strings.TrimSpace(answer))
 	}
@@ -81,13 +81,13 @@
 
 // pollLimiters asks all limiters for their status. One that does not answer is in the first map only,
 // with a zero value.
-func (s *Service) pollLimiters(ctx context.Context) (map[string]rollout.Seen, map[string]Standing) {
-	seen, statuses := map[string]rollout.Seen{}, map[string]Standing{}
+func (s *Service) pollLimiters(ctx context.Context) (map[string]rollout.LimiterStatus, map[string]LimiterStatus) {
+	seen, statuses := map[string]rollout.LimiterStatus{}, map[string]LimiterStatus{}
 	for _, name := range s.callableLimiters() {
-		seen[name] = rollout.Seen{}
+		seen[name] = rollout.LimiterStatus{}
 	}
-	askAll(ctx, s, "self", func(_ int, name string, x Standing) {
-		seen[name] = rollout.Seen{Reached: true, Ready: x.Ready, Draining: x.Draining, Start: x.Start, InHand: x.InHand}
+	askAll(ctx, s, "self", func(_ int, name string, x LimiterStatus) {
+		seen[name] = rollout.LimiterStatus{Reached: true, Ready: x.Ready, Draining: x.Draining, Start: x.Start, InFlight: x.InHand}
 		statuses[name] = x
 	})
 	return seen, statuses
@@ -95,13 +95,13 @@
 
 // serviceRate measures the share of requests that the limiters have served recently.
 type serviceRate struct {
-	previous map[string]Standing
+	previous map[string]LimiterStatus
 	samples  [][2]int64 // passed and refused requests between two calls of observe
 }
 
 // observe adds the limiters' current counts and returns the share of served requests, or -1 while there
 // are too few samples.
-func (v *serviceRate) observe(statuses map[string]Standing) float64 {
+func (v *serviceRate) observe(statuses map[string]LimiterStatus) float64 {
 	var delta [2]int64
 	for name, x := range statuses {
 		if b, ok := v.previous[name]; ok && b.Start == x.Start {
--- a/internal/ownership/machine.go
+++ b/internal/ownership/machine.go
@@ -36,8 +36,8 @@
 // state is the replicated state, as snapshots hold it.
 type state struct {
 	Terms    tenure.Registry
-	Rollouts rollout.Book
-	Parts    parts.Book
+	Rollouts rollout.History
+	Parts    parts.Ledger
 }
 
 // Apply implements agreement.Machine.
@@ -52,10 +52,10 @@
 	case e.Term != nil:
 		return m.Terms.Apply(*e.Term)
 	case e.Rollout != nil:
-		return m.Rollouts.Apply(*e.Rollout, m.Terms.Current(rollout.Duty))
+		return m.Rollouts.Apply(*e.Rollout, m.Terms.CurrentEpoch(rollout.Duty))
 	case e.Parts != nil:
 		m.shareChanges++
-		return m.Parts.Apply(*e.Parts, m.Terms.Current(parts.Duty))
+		return m.Parts.Apply(*e.Parts, m.Terms.CurrentEpoch(parts.Duty))
 	}
 	return nil // ignore entries of later versions
 }
@@ -89,9 +89,9 @@
 func (m *machine) startGeneration(generation uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.Terms.BeginAnew(generation)
+	m.Terms.Reset(generation)
 	if m.steward || m.Parts.Limiters > 0 {
-		m.Parts.BeginAnew(m.limiters)
+		m.Parts.Reset(m.limiters)
 		m.shareChanges++
 	}
 }
@@ -101,7 +101,7 @@
 func (m *machine) shareStatus() (resets, changes uint64, due bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	_, due = m.Parts.Due(m.position)
+	_, due = m.Parts.PendingConfirm(m.position)
 	return m.resets, m.shareChanges, due
 }
 
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -35,15 +35,15 @@
 	// Leave starts a clean shutdown of the process.
 	Leave()
 	// Standing returns the current status.
-	Standing() Standing
+	LimiterStatus() LimiterStatus
 	// Asked returns the demand of accounts with ceilings. Hold sets the shares of their ceilings
 	// that this limiter may use: by account, and the share of all others.
-	Asked() []parts.Report
-	Hold(of map[uint64]float64, rest float64)
+	DemandReports() []parts.Report
+	UseShares(of map[uint64]float64, rest float64)
 }
 
 // Standing is a limiter's status as it reports it to the rest of the fleet.
-type Standing struct {
+type LimiterStatus struct {
 	Fleet    string // its fleet's ID; empty: none
 	Start    uint64 // number of its process
 	Ready    bool   // accepts clients
@@ -55,15 +55,15 @@
 
 // Options configure a Service.
 type Options struct {
-	Agreement agreement.Options // without the state machine and the callbacks, which Open sets
-	Terms     tenure.Settings
-	Limiters  []string          // names of all limiters of the fleet
-	Admins    map[string]string // admin addresses by limiter
-	Steward   bool              // redistribute shares of ceilings; false: return to equal shares
-	Rooms     map[string]string // room of each limiter, by name; nil: each limiter probes on its own
-	Eyes      Prober            // this limiter's probes; required with Rooms
-	Limiter   Limiter
-	Log       *slog.Logger
+	Agreement  agreement.Options // without the state machine and the callbacks, which Open sets
+	Terms      tenure.Settings
+	Limiters   []string          // names of all limiters of the fleet
+	AdminAddrs map[string]string // admin addresses by limiter
+	Steward    bool              // redistribute shares of ceilings; false: return to equal shares
+	Rooms      map[string]string // room of each limiter, by name; nil: each limiter probes on its own
+	Prober     Prober            // this limiter's probes; required with Rooms
+	Limiter    Limiter
+	Log        *slog.Logger
 }
 
 // Service runs a limiter's share of its fleet's duties. It is safe for concurrent use.
@@ -132,7 +132,7 @@
 }
 
 // Lookout returns this limiter's part in the shared probing of its room; nil: it probes on its own.
-func (s *Service) Lookout() *RoomWatcher { return s.watcher }
+func (s *Service) Watcher() *RoomWatcher { return s.watcher }
 
 // Start returns the random number of this process, which the limiter's Standing must report.
 func (s *Service) Start() uint64 { return s.self.Start }
@@ -222,7 +222,7 @@
 		}
 		s.mu.Lock()
 		commands := s.candidate.Step(now())
-		wake := s.candidate.Wake(now())
+		wake := s.candidate.NextWake(now())
 		s.mu.Unlock()
 		for _, c := range commands {
 			c.AtMs = wall.Now().UnixMilli()
@@ -310,7 +310,7 @@
 		s.caughtUp = true
 	}
 	var epoch uint64
-	s.machine.withState(func(st *state) { epoch = st.Terms.Current(t.Duty) })
+	s.machine.withState(func(st *state) { epoch = st.Terms.CurrentEpoch(t.Duty) })
 	if t.Epoch < epoch {
 		return fmt.Errorf("token %v is over: epoch %d is agreed on", t, epoch)
 	}
@@ -343,9 +343,9 @@
 	defer s.mu.Unlock()
 	at := now()
 	s.machine.withState(func(st *state) {
-		for _, t := range st.Terms.Sorted() {
+		for _, t := range st.Terms.SortedTerms() {
 			o := Owner{Duty: t.Duty, Owner: t.Owner.Limiter, Epoch: t.Epoch, Terms: t.Takes, Wanted: t.Next}
-			if until := s.candidate.Until(t.Duty); until > at {
+			if until := s.candidate.TermEnd(t.Duty); until > at {
 				o.HereFor = (until - at).Round(time.Millisecond).String()
 			}
 			all = append(all, o)
@@ -399,7 +399,7 @@
 	st := Status{Limiter: s.self.Limiter, Fleet: s.fleetID(), Generation: a.Generation, Leader: a.Roster.Members[a.Leader],
 		Term: a.Term, Applied: a.Applied, Silent: a.Silent, Failed: a.Failed, Sent: a.Sent, SentBytes: a.SentBytes, Received: a.Received, Rollout: s.machine.currentRollout()}
 	s.machine.withState(func(x *state) {
-		st.Moved, st.UnderWay = x.Parts.Moved()
+		st.Moved, st.UnderWay = x.Parts.CountUnequal()
 		for _, i := range x.Parts.Unsure {
 			if i < len(s.options.Limiters) {
 				st.Unsure = append(st.Unsure, s.options.Limiters[i])
@@ -502,7 +502,7 @@
 func (s *Service) StartRollout(ctx context.Context, p rollout.Plan) error {
 	if len(p.Steps) == 0 {
 		for _, n := range s.options.Limiters {
-			p.Steps = append(p.Steps, rollout.Step{Limiter: n, Phase: rollout.Waiting})
+			p.Steps = append(p.Steps, rollout.Step{Limiter: n, Phase: rollout.PhaseWaiting})
 		}
 	}
 	var uncallable []string
@@ -510,7 +510,7 @@
 		if !slices.Contains(s.options.Limiters, st.Limiter) {
 			return fmt.Errorf("there is no limiter %q; there are %v", st.Limiter, s.options.Limiters)
 		}
-		if s.options.Admins[st.Limiter] == "" {
+		if s.options.AdminAddrs[st.Limiter] == "" {
 			uncallable = append(uncallable, st.Limiter)
 		}
 	}
@@ -520,16 +520,16 @@
 	if p.AtOnce >= len(s.options.Limiters) {
 		return fmt.Errorf("%d limiters at once, of %d: nobody would serve", p.AtOnce, len(s.options.Limiters))
 	}
-	return s.propose(ctx, entry{Rollout: &rollout.Command{Op: rollout.Begin, ID: p.ID, Plan: &p}})
+	return s.propose(ctx, entry{Rollout: &rollout.Command{Op: rollout.OpBegin, ID: p.ID, Plan: &p}})
 }
 
 // ControlRollout halts, continues or ends the current rollout.
 func (s *Service) ControlRollout(ctx context.Context, op rollout.Op) error {
-	if op != rollout.GoOn && op != rollout.End && op != rollout.Halt {
+	if op != rollout.OpContinue && op != rollout.OpEnd && op != rollout.OpHalt {
 		return errors.New("a rollout can be halted, continued or ended")
 	}
 	return s.propose(ctx, entry{Rollout: &rollout.Command{Op: op, Why: "an operator said so"}})
 }
 
 // callableLimiters returns the sorted names of limiters with an admin address.
-func (s *Service) callableLimiters() []string { return slices.Sorted(maps.Keys(s.options.Admins)) }
+func (s *Service) callableLimiters() []string { return slices.Sorted(maps.Keys(s.options.AdminAddrs)) }
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -32,17 +32,17 @@
 	s.calls = append(s.calls, what)
 }
 
-func (s *stub) Drain() error          { s.note("drain"); return nil }
-func (s *stub) Resume() error         { s.note("resume"); return nil }
-func (s *stub) Leave()                { s.note("leave") }
-func (s *stub) Standing() Standing    { return Standing{Ready: true} }
-func (s *stub) Asked() []parts.Report { return nil }
+func (s *stub) Drain() error                  { s.note("drain"); return nil }
+func (s *stub) Resume() error                 { s.note("resume"); return nil }
+func (s *stub) Leave()                        { s.note("leave") }
+func (s *stub) LimiterStatus() LimiterStatus  { return LimiterStatus{Ready: true} }
+func (s *stub) DemandReports() []parts.Report { return nil }
 func (s *stub) callsMade() (calls []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append(calls, s.calls...)
 }
-func (s *stub) Hold(of map[uint64]float64, rest float64) {
+func (s *stub) UseShares(of map[uint64]float64, rest float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.of, s.rest = of, rest
@@ -59,7 +59,7 @@
 	l = &stub{rest: -1}
 	log := slog.New(slog.DiscardHandler)
 	o := Options{Agreement: agreement.Options{Label: "f", Name: "n0", Folder: folder, Listen: "127.0.0.1:0", Voters: []string{"n0"}, Peers: map[string]string{"n0": "127.0.0.1:1"}},
-		Terms: tenure.DefaultSettings(), Limiters: []string{"n0"}, Admins: map[string]string{}, Limiter: l, Log: log}
+		Terms: tenure.DefaultSettings(), Limiters: []string{"n0"}, AdminAddrs: map[string]string{}, Limiter: l, Log: log}
 	with(&o)
 	s, err := Open(o)
 	if err != nil {
@@ -191,7 +191,7 @@
 	if deal(9) == nil {
 		t.Error("a deal under an unknown epoch was accepted")
 	}
-	if err := deal(int(m.Terms.Current(parts.Duty))); err != nil {
+	if err := deal(int(m.Terms.CurrentEpoch(parts.Duty))); err != nil {
 		t.Error(err)
 	}
 	b, err := m.Snapshot()
@@ -202,7 +202,7 @@
 	if err := o.Restore(b); err != nil {
 		t.Fatal(err)
 	}
-	if moved, way := o.Parts.Moved(); moved != 1 || way != 1 || o.Terms.Current(parts.Duty) != m.Terms.Current(parts.Duty) {
+	if moved, way := o.Parts.CountUnequal(); moved != 1 || way != 1 || o.Terms.CurrentEpoch(parts.Duty) != m.Terms.CurrentEpoch(parts.Duty) {
 		t.Errorf("%d moved, %d unconfirmed; %+v", moved, way, o.Terms)
 	}
 }
@@ -210,23 +210,23 @@
 // noProber implements the probing interface with no pools and without effect.
 type noProber struct{}
 
-func (noProber) Look(uint64)                            {}
-func (noProber) Word(uint64, bool)                      {}
-func (noProber) Pools() []string                        { return nil }
-func (noProber) Whole(string) (int64, []byte, bool)     { return 0, nil, false }
-func (noProber) Told(string, int64, bool, []byte) error { return nil }
-func (noProber) Follow(string, time.Duration)           {}
+func (noProber) Probe(uint64)                                {}
+func (noProber) ApplyVerdict(uint64, bool)                   {}
+func (noProber) Pools() []string                             { return nil }
+func (noProber) FullList(string) (int64, []byte, bool)       { return 0, nil, false }
+func (noProber) ApplyList(string, int64, bool, []byte) error { return nil }
+func (noProber) PollAgent(string, time.Duration)             {}
 
 // An idle follower stays connected to the leader of its room. It used to be disconnected as lost, and
 // after reconnecting all lists were sent again.
 func TestWhoAsksForNothingIsStillLookedFor(t *testing.T) {
-	s, _, stop := startAloneWith(t, t.TempDir(), func(o *Options) { o.Rooms, o.Eyes = map[string]string{"n0": "a", "n1": "a"}, noProber{} },
-		func(s *Service) { s.watcher.settings.Apart = 5 * time.Millisecond })
+	s, _, stop := startAloneWith(t, t.TempDir(), func(o *Options) { o.Rooms, o.Prober = map[string]string{"n0": "a", "n1": "a"}, noProber{} },
+		func(s *Service) { s.watcher.settings.DisagreementPeriod = 5 * time.Millisecond })
 	defer stop()
 	waitFor(t, "the fleet was not initialized", func() bool { return callService(s, "fleet init", `{"Voters":["n0"]}`+"\n") == "YES" })
-	waitFor(t, "nobody leads the room", func() bool { return s.Lookout().Status().By == "n0" })
+	waitFor(t, "nobody leads the room", func() bool { return s.Watcher().Status().By == "n0" })
 	here, there := net.Pipe()
-	go s.Lookout().serve("n1", agreement.NewStream(there))
+	go s.Watcher().serve("n1", agreement.NewStream(there))
 	in := agreement.NewStream(here)
 	defer in.Close()
 	for beat := range 5 { // of 500 ms each
--- a/internal/ownership/watch.go
+++ b/internal/ownership/watch.go
@@ -26,17 +26,17 @@
 // the room reports. A box is a server.
 type Prober interface {
 	// Look starts a probe of a server; its end is reported to RoomWatcher.Looked.
-	Look(box uint64)
+	Probe(box uint64)
 	// Word applies the leader's verdict on a server.
-	Word(box uint64, well bool)
+	ApplyVerdict(box uint64, well bool)
 	Pools() []string
 	// Whole returns this limiter's full server list of a pool.
-	Whole(pool string) (seq int64, hosts []byte, ok bool)
+	FullList(pool string) (seq int64, hosts []byte, ok bool)
 	// Told applies a server list of the leader: the full list, or the changes to it.
-	Told(pool string, seq int64, whole bool, hosts []byte) error
+	ApplyList(pool string, seq int64, whole bool, hosts []byte) error
 	// Follow makes this limiter poll the discovery agent of a pool itself, with long polls of the
 	// given length; 0: the leader sends the lists.
-	Follow(pool string, hold time.Duration)
+	PollAgent(pool string, hold time.Duration)
 }
 
 // note is a message between the leader of a room, which probes for it, and a follower.
@@ -71,7 +71,7 @@
 	status WatchStatus
 
 	// Used only by the goroutine of run.
-	watcher    *watch.Part
+	watcher    *watch.Watcher
 	token      tenure.Token // while this limiter leads
 	followers  map[string]*follower
 	leaderLink *leaderConn // connection to the leader, nil if there is none
@@ -92,7 +92,7 @@
 }
 
 func newRoomWatcher(s *Service, room string) *RoomWatcher {
-	return &RoomWatcher{service: s, prober: s.options.Eyes, room: room, duty: watch.Duty(room), settings: watch.DefaultSettings(s.options.Terms.Term), log: s.log, wake: make(chan struct{}, 1),
+	return &RoomWatcher{service: s, prober: s.options.Prober, room: room, duty: watch.Duty(room), settings: watch.DefaultSettings(s.options.Terms.Term), log: s.log, wake: make(chan struct{}, 1),
 		followers: map[string]*follower{}, status: WatchStatus{Room: room}}
 }
 
@@ -108,37 +108,39 @@
 }
 
 // Want reports that this limiter considers a server unhealthy; false: the queue is full.
-func (l *RoomWatcher) Want(box uint64) bool {
+func (l *RoomWatcher) ReportUnhealthy(box uint64) bool {
 	l.mu.Lock()
 	full := len(l.events) >= maxQueuedEvents
 	l.mu.Unlock()
 	if !full {
-		l.enqueue(func(at time.Duration) { l.watcher.Want(at, box) })
+		l.enqueue(func(at time.Duration) { l.watcher.HandleUnhealthy(at, box) })
 	}
 	return !full
 }
 
 // Looked reports the result of this limiter's own probe; made is false if there was none.
-func (l *RoomWatcher) Looked(box uint64, well, made bool) {
-	verdict := map[bool]watch.Verdict{true: watch.Well, false: watch.Ill}[well]
+func (l *RoomWatcher) ProbeFinished(box uint64, well, made bool) {
+	verdict := map[bool]watch.Verdict{true: watch.Healthy, false: watch.Unhealthy}[well]
 	if !made {
 		verdict = ""
 	}
-	l.enqueue(func(at time.Duration) { l.watcher.Looked(at, box, verdict) })
+	l.enqueue(func(at time.Duration) { l.watcher.FinishProbe(at, box, verdict) })
 }
 
 // Failed reports a failed attempt at a server.
-func (l *RoomWatcher) Failed(box uint64) {
-	l.enqueue(func(at time.Duration) { l.watcher.Failed(at, box) })
+func (l *RoomWatcher) AttemptFailed(box uint64) {
+	l.enqueue(func(at time.Duration) { l.watcher.AttemptFailed(at, box) })
 }
 
 // Listed reports a server list that the discovery agent of a pool has sent to this limiter.
-func (l *RoomWatcher) Listed(pool string, seq int64, whole bool, hosts []byte) {
-	l.enqueue(func(time.Duration) { l.watcher.Listed(watch.List{Pool: pool, Seq: seq, Whole: whole, Hosts: hosts}) })
+func (l *RoomWatcher) AgentListed(pool string, seq int64, whole bool, hosts []byte) {
+	l.enqueue(func(time.Duration) {
+		l.watcher.HandleAgentList(watch.List{Pool: pool, Seq: seq, Whole: whole, Hosts: hosts})
+	})
 }
 
 // Lost reports that the discovery agent of a pool does not answer this limiter.
-func (l *RoomWatcher) Lost(pool string) {
+func (l *RoomWatcher) AgentLost(pool string) {
 	l.enqueue(func(at time.Duration) { l.watcher.Lost(at, pool) })
 }
 
@@ -151,7 +153,7 @@
 
 // run processes queued events and ticks until the context ends.
 func (l *RoomWatcher) run(ctx context.Context) {
-	l.watcher = watch.NewPart(l.settings, l.prober.Pools())
+	l.watcher = watch.NewWatcher(l.settings, l.prober.Pools())
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -177,56 +179,56 @@
 // tick checks who owns the duty, keeps the connection to the leader, runs timers and updates the status.
 func (l *RoomWatcher) tick(ctx context.Context, at time.Duration) {
 	token, owns := l.service.owns(l.duty)
-	if was := l.watcher.Leads(); was && (!owns || token != l.token) || !was && owns {
+	if was := l.watcher.IsLeader(); was && (!owns || token != l.token) || !was && owns {
 		for _, m := range l.followers {
 			m.disconnect()
 		}
 		clear(l.followers)
 		l.token = token
-		l.watcher.Lead(owns)
+		l.watcher.SetLeader(owns)
 	}
 	l.connect(ctx)
-	if !checkDisabled("alone") || !l.watcher.Alone(at) {
+	if !checkDisabled("alone") || !l.watcher.NoLeader(at) {
 		l.watcher.Tick(at)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.status = WatchStatus{Room: l.room, For: len(l.followers), Figures: l.watcher.Figures(), Follows: l.watcher.Follows()}
+	l.status = WatchStatus{Room: l.room, For: len(l.followers), Figures: l.watcher.Figures(), Follows: l.watcher.PolledPools()}
 	switch {
 	case owns:
 		l.status.By = l.service.self.Limiter
-	case l.leaderLink != nil && !l.watcher.Alone(at):
+	case l.leaderLink != nil && !l.watcher.NoLeader(at):
 		l.status.By = l.leaderLink.leader
 	}
 }
 
 // executeActions performs the actions that the watcher has decided on.
 func (l *RoomWatcher) executeActions() {
-	for _, a := range l.watcher.Acts() {
+	for _, a := range l.watcher.TakeActions() {
 		switch a.Kind {
-		case watch.Look:
-			l.prober.Look(a.Box)
-		case watch.Believe:
-			l.prober.Word(a.Box, a.Is == watch.Well)
-		case watch.Follow:
-			l.prober.Follow(a.Pool, a.Hold)
-		case watch.Take:
-			if err := l.prober.Told(a.List.Pool, a.List.Seq, a.List.Whole, a.List.Hosts); err != nil {
+		case watch.Probe:
+			l.prober.Probe(a.Box)
+		case watch.ApplyVerdict:
+			l.prober.ApplyVerdict(a.Box, a.Is == watch.Healthy)
+		case watch.PollAgent:
+			l.prober.PollAgent(a.Pool, a.Hold)
+		case watch.ApplyList:
+			if err := l.prober.ApplyList(a.List.Pool, a.List.Seq, a.List.Whole, a.List.Hosts); err != nil {
 				l.log.Warn("could not read a server list of the room's leader", "pool", a.List.Pool, "err", err)
-				l.watcher.Itself(a.List.Pool)
+				l.watcher.FollowAgentDirectly(a.List.Pool)
 			}
-		case watch.Say:
+		case watch.SendToLeader:
 			if l.leaderLink != nil {
 				select {
 				case l.leaderLink.queue <- note{Note: a.Note}:
 				default: // the watcher asks again later
 				}
 			}
-		case watch.TellWhole:
-			if seq, hosts, ok := l.prober.Whole(a.Pool); ok {
+		case watch.SendFullList:
+			if seq, hosts, ok := l.prober.FullList(a.Pool); ok {
 				l.sendToFollowers(a.To, watch.Note{List: &watch.List{Pool: a.Pool, Seq: seq, Whole: true, Hosts: hosts}})
 			}
-		case watch.Tell:
+		case watch.SendToFollowers:
 			l.sendToFollowers(a.To, a.Note)
 		case watch.Resign:
 			l.log.Warn("gives a duty up: others hear what this limiter does not", "duty", l.duty, "for", a.Hold.String())
@@ -264,7 +266,7 @@
 	defer l.enqueue(func(time.Duration) {
 		if l.followers[name] == m {
 			delete(l.followers, name)
-			l.watcher.Leave(name)
+			l.watcher.RemoveFollower(name)
 		}
 	})
 	go func() {
@@ -288,7 +290,7 @@
 		}
 		l.enqueue(func(at time.Duration) {
 			if l.followers[name] == m {
-				l.watcher.From(at, name, n.Note)
+				l.watcher.HandleFollowerNote(at, name, n.Note)
 			}
 		})
 	}
@@ -300,7 +302,7 @@
 		before.disconnect()
 	}
 	l.followers[m.name] = m
-	if !l.watcher.Join(m.name) {
+	if !l.watcher.AddFollower(m.name) {
 		delete(l.followers, m.name)
 		m.disconnect()
 	}
@@ -317,7 +319,7 @@
 	if l.leaderLink != nil && l.leaderLink.leader != to {
 		l.leaderLink.stop()
 		l.leaderLink = nil
-		l.watcher.Cut()
+		l.watcher.LeaderDisconnected()
 	}
 	if to == "" || l.leaderLink != nil {
 		return
@@ -339,7 +341,7 @@
 		l.log.Debug("no connection to the room's leader", "limiter", conn.leader, "err", err)
 		l.enqueue(func(time.Duration) {
 			if l.leaderLink == conn {
-				l.watcher.Cut()
+				l.watcher.LeaderDisconnected()
 			}
 		})
 		select {
@@ -375,13 +377,13 @@
 		}
 	}()
 	for {
-		n, err := receive(st, l.settings.Patience)
+		n, err := receive(st, l.settings.AnswerTimeout)
 		if err != nil {
 			return received, err
 		}
 		for i := range n.Words {
-			if checkDisabled("word") && n.Words[i].Is != watch.Well {
-				n.Words[i].Is = watch.Ill
+			if checkDisabled("word") && n.Words[i].Is != watch.Healthy {
+				n.Words[i].Is = watch.Unhealthy
 			}
 		}
 		t, err := tenure.ParseToken(n.Token)
@@ -391,7 +393,7 @@
 		if err == nil {
 			err = l.admit(ctx, t, func(at time.Duration) {
 				if l.leaderLink == conn {
-					l.watcher.Heard(at, n.Note)
+					l.watcher.LeaderHeard(at, n.Note)
 				}
 			})
 		}
--- a/internal/proxy/loans.go
+++ b/internal/proxy/loans.go
@@ -84,7 +84,7 @@
 		return
 	}
 	if of, rest, changed := e.quota.Parts(e.proxy.now()); changed {
-		e.handle(limiter.Parts{Of: of, Rest: rest})
+		e.handle(limiter.Parts{ByAccount: of, Default: rest})
 	}
 }
 
--- a/internal/testring/testring.go
+++ b/internal/testring/testring.go
@@ -440,7 +440,7 @@
 
 func (w *World) parts(n *node) {
 	if of, rest, changed := n.holding.Parts(w.now); changed {
-		w.handle(n, limiter.Parts{Of: of, Rest: rest})
+		w.handle(n, limiter.Parts{ByAccount: of, Default: rest})
 	}
 }
 
--- a/internal/virtual/asks.go
+++ b/internal/virtual/asks.go
@@ -85,14 +85,14 @@
 	binary.LittleEndian.PutUint64(id[:], d.ids)
 	terms := grant.Terms{Account: c.Account, Plan: c.Plan, Class: c.Class, Units: c.Units}
 	epoch, until := h.epoch, d.w.Now()+leaseTime
-	if h.desk.Book().Grant(id, terms, until) != nil {
+	if h.desk.Leases().Grant(id, terms, until) != nil {
 		h.handle(limiter.Settle{Customer: c.Account, Units: c.Units, Back: true})
 		d.after(d.w.ClientDelay(), func() { d.w.Got(d.w.Now(), t, world.GotRefused, leaseTime) })
 		return
 	}
 	d.w.After(until, func() {
 		if h.epoch == epoch {
-			h.desk.Book().Expire(d.w.Now(), func(x grant.Terms) { h.settle(x, grant.Expired) })
+			h.desk.Leases().Expire(d.w.Now(), func(x grant.Terms) { h.settle(x, grant.Expired) })
 		}
 	})
 	// The yes goes to the proxy, and the message to whichever limiter the front picks.
@@ -117,7 +117,7 @@
 	if !h.up {
 		return
 	}
-	h.desk.Words(func(to int, data []byte) {
+	h.desk.SendNotices(func(to int, data []byte) {
 		h.d.res.Counts.Messages++
 		h.d.w.PeerSends(h.d.w.Now(), h.n, to, data)
 	})
@@ -128,6 +128,6 @@
 	h.desk.Heard(h.d.w.Now(), data, func(x grant.Terms) { h.settle(x, grant.Moved) })
 }
 
-func (h *host) settle(x grant.Terms, e grant.Ending) {
-	h.handle(limiter.Settle{Customer: x.Account, Units: x.Units, Back: e.Returns()})
+func (h *host) settle(x grant.Terms, e grant.EndReason) {
+	h.handle(limiter.Settle{Customer: x.Account, Units: x.Units, Back: e.ReturnsUnits()})
 }
--- a/internal/virtual/host.go
+++ b/internal/virtual/host.go
@@ -27,7 +27,7 @@
 	idle   map[int][]conn // by box, the latest used last
 	queue  []limiter.Event
 	busy   bool
-	desk   *grant.Desk
+	desk   *grant.LeaseManager
 	asked  *asked // the Ask that the policy answers just now
 
 	adviser Adviser
@@ -79,7 +79,7 @@
 	h.epoch++
 	h.policy, h.up, h.taking = p, true, true
 	h.known, h.reqs, h.byTry, h.idle = map[int]world.Entry{}, map[string]*req{}, map[uint64]*req{}, map[int][]conn{}
-	h.past, h.desk = map[string]*req{}, grant.NewDesk(h.n, len(h.d.o.Fleet.Limiters), leasesMost)
+	h.past, h.desk = map[string]*req{}, grant.NewLeaseManager(h.n, len(h.d.o.Fleet.Limiters), leasesMost)
 	h.listed(limiter.Persisted, h.d.w.Known(h.n))
 	if h.d.dealer != nil {
 		h.d.dealer.started(h)
--- a/internal/virtual/remember.go
+++ b/internal/virtual/remember.go
@@ -58,11 +58,11 @@
 	now := h.d.w.Now()
 	p.Reserve(ms(2*every + 500*time.Millisecond))
 	if k := h.kept; k.memory != nil {
-		var names recall.Names
+		var names recall.ClassNames
 		for _, c := range h.d.o.Fleet.Classes {
 			names = append(names, c.Name)
 		}
-		found := recall.Found{Age: now - k.at + h.d.o.RememberAge, Clean: k.ended, Intact: true, Down: now - k.at}
+		found := recall.SnapshotInfo{Age: now - k.at + h.d.o.RememberAge, Clean: k.ended, Intact: true, Down: now - k.at}
 		if h.d.o.Distort != nil {
 			h.d.o.Distort(k.memory)
 		}
@@ -72,7 +72,7 @@
 			}
 		}
 		h.kept = kept{} // it may be had once
-		h.handle(limiter.Recall{Memory: recall.Aged(k.memory, found, names, names)})
+		h.handle(limiter.Recall{Memory: recall.Decay(k.memory, found, names, names)})
 	}
 	epoch := h.epoch
 	var keep func()
--- a/internal/virtual/steward.go
+++ b/internal/virtual/steward.go
@@ -20,7 +20,7 @@
 type dealer struct {
 	d       *driver
 	steward *parts.Steward
-	book    parts.Book
+	book    parts.Ledger
 	holders map[int]*parts.Holder // by limiter
 }
 
@@ -38,7 +38,7 @@
 		holder.CaughtUp()
 		return
 	}
-	h.handle(limiter.Parts(holder.Forget()))
+	h.handle(limiter.Parts(holder.UseFloors()))
 	x.d.after(startBehind, func() {
 		if h.up && h.epoch == epoch {
 			holder.CaughtUp()
@@ -49,7 +49,7 @@
 
 // tell has a limiter use what it knows, and returns what it has to confirm.
 func (x *dealer) tell(h *host) *parts.Confirm {
-	u, confirm, ok := x.holders[h.n].Look(&x.book)
+	u, confirm, ok := x.holders[h.n].Evaluate(&x.book)
 	if ok {
 		h.handle(limiter.Parts(u))
 	}
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -240,7 +240,7 @@
 	case world.Listed:
 		d.hosts[a.Limiter].listed(limiter.Partial, a.Entries)
 	case world.PeerHears:
-		if h := d.hosts[a.To]; h.up && len(a.Data) > 0 && a.Data[0] == grant.WordMagic {
+		if h := d.hosts[a.To]; h.up && len(a.Data) > 0 && a.Data[0] == grant.NoticeMagic {
 			h.heard(a.Data)
 		} else if h.up {
 			h.handle(limiter.PeerMessage{From: a.From, Data: a.Data})
--- a/lifecycle/lifecycle.go
+++ b/lifecycle/lifecycle.go
@@ -33,7 +33,7 @@
 	FrontReactionTime = 300 * time.Millisecond
 	// KeepAccepting is how long connections are accepted after SIGTERM: new ones keep
 	// arriving for up to 0.4 s.
-	KeepAccepting = 500 * time.Millisecond
+	AcceptAfterStop = 500 * time.Millisecond
 	// unusedTimeout is how long a connection may have no request while clients are being
 	// moved away: the first request of a new connection is already on its way.
 	unusedTimeout = 250 * time.Millisecond
@@ -52,7 +52,7 @@
 )
 
 // Life is the state machine of one limiter process. It is not safe for concurrent use.
-type Life struct {
+type Process struct {
 	phase         Phase
 	serversKnown  bool // discovery has found a server
 	accepting     bool // client connections are accepted
@@ -63,25 +63,25 @@
 }
 
 // Phase returns the current phase.
-func (l *Life) Phase() Phase { return l.phase }
+func (l *Process) Phase() Phase { return l.phase }
 
 // Listed records that discovery has found at least one server.
-func (l *Life) Listed(now time.Time) { l.serversKnown = true; l.startServing(now) }
+func (l *Process) MarkServersKnown(now time.Time) { l.serversKnown = true; l.startServing(now) }
 
 // Taking records that client connections are being accepted.
-func (l *Life) Taking(now time.Time) { l.accepting = true; l.startServing(now) }
+func (l *Process) MarkAccepting(now time.Time) { l.accepting = true; l.startServing(now) }
 
-func (l *Life) startServing(now time.Time) {
+func (l *Process) startServing(now time.Time) {
 	if l.phase == Starting && l.serversKnown && l.accepting {
 		l.setPhase(now, Serving)
 	}
 }
 
-func (l *Life) setPhase(now time.Time, p Phase) { l.phase, l.phaseStart = p, now }
+func (l *Process) setPhase(now time.Time, p Phase) { l.phase, l.phaseStart = p, now }
 
 // Ready returns nil if the process accepts clients, or else the reason why not. A draining
 // process is ready: which clients it gets is up to its front load balancer.
-func (l *Life) Ready() error {
+func (l *Process) Ready() error {
 	switch l.phase {
 	case Starting:
 		return ErrStarting
@@ -95,19 +95,19 @@
 
 // Prepared records that the limiter is fully prepared. Until then it is not healthy, so that the
 // front sends it no clients, but requests that arrive are served.
-func (l *Life) Prepared() { l.prepared = true }
+func (l *Process) Prepared() { l.prepared = true }
 
 // Healthy returns the result of /healthz: whether the front should send clients here.
-func (l *Life) Healthy() bool { return l.phase == Serving && l.prepared }
+func (l *Process) Healthy() bool { return l.phase == Serving && l.prepared }
 
 // Drain starts to move clients away. It has no effect on a limiter that is draining already.
-func (l *Life) Drain(now time.Time) error { return l.transition(now, Serving, Draining) }
+func (l *Process) Drain(now time.Time) error { return l.transition(now, Serving, Draining) }
 
 // Resume ends a drain. It has no effect on a limiter that is serving.
-func (l *Life) Resume(now time.Time) error { return l.transition(now, Draining, Serving) }
+func (l *Process) Resume(now time.Time) error { return l.transition(now, Draining, Serving) }
 
 // transition changes the phase if it is from, or returns an error if the process is not ready.
-func (l *Life) transition(now time.Time, from, to Phase) error {
+func (l *Process) transition(now time.Time, from, to Phase) error {
 	err := l.Ready()
 	if err == nil && l.phase == from {
 		l.setPhase(now, to)
@@ -116,7 +116,7 @@
 }
 
 // HandOver begins a handover to a new process, which accepts all clients from now on.
-func (l *Life) HandOver(now time.Time) error {
+func (l *Process) HandOver(now time.Time) error {
 	if err := l.Ready(); err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 }
 
 // HandBack returns to the phase before the handover, as the new process has failed.
-func (l *Life) HandBack(now time.Time) {
+func (l *Process) AbortHandover(now time.Time) {
 	if l.phase != HandingOver {
 		return
 	}
@@ -136,12 +136,12 @@
 }
 
 // Drained reports whether the process is draining, or was when its handover began.
-func (l *Life) Drained() bool {
+func (l *Process) Drained() bool {
 	return l.phase == Draining || l.phase == HandingOver && l.drainedBefore
 }
 
 // Stop enters the final phase. longest is the longest deadline of a class.
-func (l *Life) Stop(now time.Time, longest time.Duration) {
+func (l *Process) Stop(now time.Time, longest time.Duration) {
 	if l.phase == Stopping {
 		return
 	}
@@ -150,15 +150,15 @@
 }
 
 // StopBy returns the time by which all requests must be finished; zero before Stop.
-func (l *Life) StopBy() time.Time { return l.stopDeadline }
+func (l *Process) StopDeadline() time.Time { return l.stopDeadline }
 
 // Closing reports whether answers carry Connection: close.
-func (l *Life) Closing() bool { return l.phase > Serving }
+func (l *Process) ClosesConnections() bool { return l.phase > Serving }
 
 // Unused returns how long a connection may be idle now: before its first request (fresh) and
 // between requests (idle); bounded is false if there is no limit. The result may change within
 // a phase, so call it regularly.
-func (l *Life) Unused(now time.Time) (fresh, idle time.Duration, bounded bool) {
+func (l *Process) IdleTimeouts(now time.Time) (fresh, idle time.Duration, bounded bool) {
 	elapsed := now.Sub(l.phaseStart)
 	switch l.phase {
 	case Draining:
@@ -169,7 +169,7 @@
 		// get its first request.
 		return unusedTimeout, 0, true
 	case Stopping:
-		return 0, 0, elapsed >= KeepAccepting
+		return 0, 0, elapsed >= AcceptAfterStop
 	}
 	return 0, 0, false
 }
--- a/limiter/choice.go
+++ b/limiter/choice.go
@@ -39,20 +39,20 @@
 	var fallback *server
 	waitMs, stay := fullBackoffMs, false
 	for _, tier := range p.tiers.Order(req.advice.Prefer, req.advice.Avoid) {
-		if stay || !p.tiers.Enter(now, tier, l.rng.Float64(), unsafe) {
+		if stay || !p.tiers.Admit(now, tier, l.rng.Float64(), unsafe) {
 			continue
 		}
 		srv, lateMs := l.chooseIn(now, req, p.serversByTier[tier])
-		if srv != nil && (lateMs <= 0 || p.tiers.Proving(tier)) {
+		if srv != nil && (lateMs <= 0 || p.tiers.Recovering(tier)) {
 			return srv, 0
 		}
 		fallback = cmp.Or(fallback, srv)
-		waitMs, stay = max(waitMs, lateMs), !p.tiers.Leave(now, tier, req.factor)
+		waitMs, stay = max(waitMs, lateMs), !p.tiers.AllowSpill(now, tier, req.factor)
 	}
 	for tier := 0; tier < p.tiers.Len() && !stay; tier++ {
-		if p.tiers.Resort(tier, unsafe) {
+		if p.tiers.AllowLastResort(tier, unsafe) {
 			srv, lateMs := l.chooseIn(now, req, p.serversByTier[tier])
-			if srv != nil && (lateMs <= 0 || p.tiers.Proving(tier)) {
+			if srv != nil && (lateMs <= 0 || p.tiers.Recovering(tier)) {
 				return srv, 0
 			}
 		}
@@ -200,7 +200,7 @@
 			relative = e.SpentMs / max(1, p.typicalMs[req.class]*p.slowdown(a.load)) * l.warmth(now, srv)
 		}
 		if e.Result != TooSlow || relative >= 2 { // a short timeout says nothing about a tier
-			p.tiers.Proved(now, p.tierOf(srv), e.Result == Pass, relative)
+			p.tiers.RecordAnswer(now, p.tierOf(srv), e.Result == Pass, relative)
 		}
 	}
 	if e.Result == Pass || e.Result == Fault || e.Result == Cut || e.Result == TooSlow {
--- a/limiter/gossip.go
+++ b/limiter/gossip.go
@@ -79,7 +79,7 @@
 		l.refill(now, acct)
 		l.releaseWithheld(acct)
 		acct.decayFlow(now)
-		limits, pause := l.cfg.Plans[acct.plan], l.budget.Pause*l.pauseFactors[acct.plan]
+		limits, pause := l.cfg.Plans[acct.plan], l.budget.PauseMs*l.pauseFactors[acct.plan]
 		assumed := min(limits.Burst, acct.publishedLevel+limits.Rate*(now-acct.publishedAt)/1000)
 		predicted := acct.balance - lookAheadMs/1000*max(0, acct.flow-limits.Rate)
 		if assumed-acct.balance <= limits.Burst/8 || predicted > lowLevelShare*limits.Burst {
@@ -162,7 +162,7 @@
 		}
 		return
 	case message.flags&flagLevelUpdate != 0:
-		l.budget.Heard()
+		l.budget.CountReceived()
 		if message.flags&flagSyncReply != 0 {
 			peer.synced = true
 			l.neighborSynced = l.neighborSynced || l.distance(e.From) == 1
--- a/limiter/health.go
+++ b/limiter/health.go
@@ -92,7 +92,7 @@
 					}
 				}
 			}
-			p.tiers.See(now, tier, len(servers), usable, cold)
+			p.tiers.UpdateBoxes(now, tier, len(servers), usable, cold)
 		}
 		for _, tier := range p.tiers.Step(now) {
 			state := p.tiers.State(now, tier)
--- a/limiter/parts.go
+++ b/limiter/parts.go
@@ -5,8 +5,8 @@
 // never exceed the ceiling, by reducing one limiter's part before it raises another's. Without Parts all
 // parts are equal.
 type Parts struct {
-	Of   map[uint64]float64
-	Rest float64
+	ByAccount map[uint64]float64
+	Default   float64
 }
 
 func (Parts) event() {}
@@ -69,12 +69,12 @@
 		}
 		return oldDefault
 	}
-	l.ceilingParts, l.defaultPart = make(map[uint64]ceilingPart, len(e.Of)), oldDefault.resized(now, e.Rest)
-	for id, x := range e.Of {
+	l.ceilingParts, l.defaultPart = make(map[uint64]ceilingPart, len(e.ByAccount)), oldDefault.resized(now, e.Default)
+	for id, x := range e.ByAccount {
 		l.ceilingParts[id] = previous(id).resized(now, x)
 	}
 	for id, p := range old { // back to the default; its start balance may differ for a while
-		if x := p.resized(now, e.Rest); !hasKey(e.Of, id) &&
+		if x := p.resized(now, e.Default); !hasKey(e.ByAccount, id) &&
 			(now-x.grownAt <= accountIdleMs || x.reduction != l.defaultPart.reduction) {
 			l.ceilingParts[id] = x
 		}
--- a/limiter/parts_test.go
+++ b/limiter/parts_test.go
@@ -24,7 +24,7 @@
 	c := newCluster(t, cfg, 2, makeServers(4))
 	c.runTicks(20000)
 	setPart := func(i int, x float64) {
-		c.limiters[i].Handle(c.now, Parts{Of: map[uint64]float64{7: x}, Rest: 1})
+		c.limiters[i].Handle(c.now, Parts{ByAccount: map[uint64]float64{7: x}, Default: 1})
 	}
 	if n := passUntilRefused(c, 0, 2); !within1(n, 20) {
 		t.Errorf("an equal part of 40 admitted %d", n)
@@ -61,9 +61,9 @@
 	cfg := testSettings()
 	cfg.Plans = []Plan{{Rate: 1000, Burst: 1000, CeilingRate: 20, CeilingBurst: 40, Price: 1}}
 	c := newCluster(t, cfg, 2, makeServers(4))
-	c.limiters[0].Handle(c.now, Parts{Rest: 0.1})
+	c.limiters[0].Handle(c.now, Parts{Default: 0.1})
 	c.runTicks(20000)
-	c.limiters[0].Handle(c.now, Parts{Rest: 1})
+	c.limiters[0].Handle(c.now, Parts{Default: 1})
 	if n := passUntilRefused(c, 0, 2); n > 3 {
 		t.Errorf("%d units of a part that has just grown", n)
 	}
--- a/limiter/pool_test.go
+++ b/limiter/pool_test.go
@@ -510,7 +510,7 @@
 		}
 		h.handle(Alarm{Handle: "tick"})
 	}
-	if x := h.l.Tiers(h.now)[0]; x.Phase != routing.Well {
+	if x := h.l.Tiers(h.now)[0]; x.Phase != routing.Healthy {
 		t.Errorf("%+v", x)
 	}
 }
--- a/limiter/reserve.go
+++ b/limiter/reserve.go
@@ -90,12 +90,12 @@
 	memory := l.accountMemory(now, acct)
 	if limits.CeilingRate > 0 {
 		if acct.reserve == nil {
-			acct.reserve = reserve.Begin(l.unlistedLine(acct))
+			acct.reserve = reserve.NewAccount(l.unlistedLine(acct))
 		}
 		headroom := reserve.Headroom(limits.CeilingRate, limits.CeilingBurst, writer.headroomMs) / divisor
 		memory.Share -= headroom
-		acct.reserve.Write(now, reserve.Line{Level: memory.Share, At: now, Rate: limits.CeilingRate / divisor,
-			Most: limits.CeilingBurst/divisor - headroom}, writer.seq, writer.persistedSeq)
+		acct.reserve.BeginWrite(now, reserve.RisingLevel{Level: memory.Share, SinceMs: now, RatePerS: limits.CeilingRate / divisor,
+			Max: limits.CeilingBurst/divisor - headroom}, writer.seq, writer.persistedSeq)
 	}
 	return append(written, memory)
 }
@@ -137,20 +137,20 @@
 
 // unlistedLine is what a successor assumes of an account without an entry in the file: an empty balance
 // until the file is complete, then a full one less the headroom.
-func (l *Limiter) unlistedLine(acct *account) reserve.Line {
+func (l *Limiter) unlistedLine(acct *account) reserve.RisingLevel {
 	writer := l.accountWriter
 	if !writer.fileComplete {
-		return reserve.Line{}
+		return reserve.RisingLevel{}
 	}
-	line := func(limits Plan) reserve.Line {
+	line := func(limits Plan) reserve.RisingLevel {
 		headroom, divisor := reserve.Headroom(limits.CeilingRate, limits.CeilingBurst, writer.headroomMs),
 			max(1, acct.ceilingDivisor())
-		return reserve.Line{Level: -headroom / divisor, At: writer.earliestKnown, Rate: limits.CeilingRate / divisor,
-			Most: (limits.CeilingBurst - headroom) / divisor}
+		return reserve.RisingLevel{Level: -headroom / divisor, SinceMs: writer.earliestKnown, RatePerS: limits.CeilingRate / divisor,
+			Max: (limits.CeilingBurst - headroom) / divisor}
 	}
 	current := line(l.cfg.Plans[acct.plan])
 	if acct.plan < len(writer.filePlans) {
-		if previous := line(writer.filePlans[acct.plan]); previous.On(acct.refilledAt) > current.On(acct.refilledAt) {
+		if previous := line(writer.filePlans[acct.plan]); previous.LevelAt(acct.refilledAt) > current.LevelAt(acct.refilledAt) {
 			return previous
 		}
 	}
@@ -165,7 +165,7 @@
 	case writer == nil:
 		return acct.ceilingBalance
 	case acct.reserve == nil:
-		return acct.ceilingBalance - max(0, l.unlistedLine(acct).On(acct.refilledAt))
+		return acct.ceilingBalance - max(0, l.unlistedLine(acct).LevelAt(acct.refilledAt))
 	}
 	return acct.ceilingBalance - max(0, acct.reserve.Floor(acct.refilledAt, writer.persistedSeq))
 }
--- a/limiter/servers.go
+++ b/limiter/servers.go
@@ -73,7 +73,7 @@
 		if p.tiers == nil || p.tiers.Len() != len(spills) {
 			p.tiers = routing.New(spills)
 		}
-		p.tiers.Spill(spills)
+		p.tiers.SetSpill(spills)
 		p.serversByTier = make([][]*server, len(spills))
 		for _, srv := range p.servers {
 			tier := p.tierOf(srv)
--- a/parts/book.go
+++ b/parts/book.go
@@ -100,7 +100,7 @@
 }
 
 // Ledger is the replicated allocation of all ceilings. The zero value has no deals: all shares are equal.
-type Book struct {
+type Ledger struct {
 	Limiters int // 0: no deal yet
 	Version  uint64
 	Accounts map[uint64]*Allocation
@@ -108,7 +108,7 @@
 }
 
 // Apply applies a command. epoch is that of the steward's current term.
-func (l *Book) Apply(c Command, epoch uint64) error {
+func (l *Ledger) Apply(c Command, epoch uint64) error {
 	switch {
 	case c.Confirm != nil:
 		return l.applyConfirm(*c.Confirm)
@@ -117,7 +117,7 @@
 	case c.Limiters < 1:
 		return errors.New("a deal needs the number of limiters")
 	case c.Limiters != l.Limiters && l.Limiters != 0:
-		l.BeginAnew(c.Limiters) // positions now mean different limiters
+		l.Reset(c.Limiters) // positions now mean different limiters
 		return nil
 	}
 	for _, d := range c.Deals {
@@ -152,7 +152,7 @@
 }
 
 // applyDeal sets the target shares of an account, if there is room for it.
-func (l *Book) applyDeal(d Deal) {
+func (l *Ledger) applyDeal(d Deal) {
 	allocation := l.Accounts[d.Account]
 	switch {
 	case allocation == nil && len(l.Accounts) >= maxAccounts:
@@ -172,7 +172,7 @@
 
 // grantFree gives free shares to the limiters below their targets. An account whose shares are all
 // equal again is dropped, as if it had never been dealt.
-func (l *Book) grantFree(account uint64, allocation *Allocation) {
+func (l *Ledger) grantFree(account uint64, allocation *Allocation) {
 	free := uint32(allocation.Spread) * Equal
 	for _, share := range allocation.Now {
 		free -= min(free, share)
@@ -192,7 +192,7 @@
 }
 
 // applyConfirm frees what a limiter has confirmed to no longer use.
-func (l *Book) applyConfirm(c Confirm) error {
+func (l *Ledger) applyConfirm(c Confirm) error {
 	if c.Position < 0 || c.Position >= l.Limiters {
 		return fmt.Errorf("there is no limiter %d of %d", c.Position, l.Limiters)
 	}
@@ -222,9 +222,9 @@
 
 // Reset forgets all allocations, as after a fleet reset: what the lost majority agreed on last is
 // unknown. All limiters use their floors until each has confirmed that it does.
-func (l *Book) BeginAnew(limiters int) {
+func (l *Ledger) Reset(limiters int) {
 	version := l.Version + 1
-	*l = Book{Limiters: limiters, Version: version}
+	*l = Ledger{Limiters: limiters, Version: version}
 	for i := range limiters {
 		l.Unsure = append(l.Unsure, i)
 	}
@@ -232,7 +232,7 @@
 
 // SharesOf returns what a limiter may use from now on, in units of an equal share: of each account
 // with a deal, and of the other accounts.
-func (l *Book) SharesOf(position int) (byAccount map[uint64]float64, others float64) {
+func (l *Ledger) SharesOf(position int) (byAccount map[uint64]float64, others float64) {
 	if len(l.Unsure) > 0 {
 		return nil, float64(Floor) / Equal
 	}
@@ -250,7 +250,7 @@
 }
 
 // PendingConfirm returns what a limiter that uses SharesOf must confirm, if anything.
-func (l *Book) Due(position int) (Confirm, bool) {
+func (l *Ledger) PendingConfirm(position int) (Confirm, bool) {
 	if len(l.Unsure) > 0 {
 		return Confirm{Position: position, Version: l.Version, Floor: true}, slices.Contains(l.Unsure, position)
 	}
@@ -266,7 +266,7 @@
 }
 
 // EqualizingDeals returns deals that make shares equal again, for the accounts that include selects.
-func (l *Book) Back(include func(account uint64) bool) (deals []Deal) {
+func (l *Ledger) EqualizingDeals(include func(account uint64) bool) (deals []Deal) {
 	for id, allocation := range l.Accounts {
 		equal := slices.Repeat(Shares{Equal}, allocation.Spread)
 		if len(deals) < maxDealsPerRound && !slices.Equal(allocation.Next, equal) && include(id) {
@@ -278,7 +278,7 @@
 
 // CountUnequal returns how many accounts have unequal shares, and how many of them are still moving
 // to their targets.
-func (l *Book) Moved() (unequal, inTransit int) {
+func (l *Ledger) CountUnequal() (unequal, inTransit int) {
 	for _, allocation := range l.Accounts {
 		if allocation.Next != nil {
 			inTransit++
--- a/parts/model_test.go
+++ b/parts/model_test.go
@@ -15,7 +15,7 @@
 	log           []Command
 	epochs        []uint64 // the steward's epoch when each entry was agreed on
 	epoch         uint64
-	agreed        Book // after the whole log
+	agreed        Ledger // after the whole log
 	nodes         []*node
 	pending       []Command // confirmations in transit
 	accounts      int
@@ -28,7 +28,7 @@
 // node is one limiter.
 type node struct {
 	holder     *Holder
-	book       Book
+	book       Ledger
 	applied    int
 	logAtStart int // length of the log when it started; until it has applied all of that it uses its floors
 	up         bool
@@ -69,7 +69,7 @@
 
 // evaluate has a limiter use the shares it knows, and confirm.
 func (n *node) evaluate(m *model) {
-	usable, confirm, ok := n.holder.Look(&n.book)
+	usable, confirm, ok := n.holder.Evaluate(&n.book)
 	if !ok {
 		return
 	}
@@ -79,14 +79,14 @@
 	if confirm != nil && m.confirmsEarly {
 		return // it uses less only with the next entry
 	}
-	n.use, n.others = usable.Of, usable.Rest
+	n.use, n.others = usable.ByAccount, usable.Default
 }
 
 // start restarts a limiter from its disk.
 func (m *model) start(i int) {
 	n := m.nodes[i]
 	*n = node{up: true, logAtStart: len(m.log), savedAt: n.savedAt, holder: NewHolder(i)}
-	n.use, n.others = nil, n.holder.Forget().Rest
+	n.use, n.others = nil, n.holder.UseFloors().Default
 	for k := range n.savedAt {
 		n.book.Apply(m.log[k], m.epochs[k])
 	}
@@ -103,11 +103,11 @@
 	from := m.nodes[survivor].applied
 	m.log, m.epochs = m.log[:from:from], m.epochs[:from:from]
 	m.pending = nil // they were sent to limiters that are gone
-	m.agreed = Book{}
+	m.agreed = Ledger{}
 	for k := range m.log {
 		m.agreed.Apply(m.log[k], m.epochs[k])
 	}
-	m.agreed.BeginAnew(len(m.nodes))
+	m.agreed.Reset(len(m.nodes))
 	m.epoch += 1 << 40
 }
 
@@ -303,7 +303,7 @@
 		"more than the ceiling's 2000": {Epoch: 5, Limiters: 3, Deals: []Deal{{1, 0, 2, []uint32{1901, 100}}}},
 		"there is no limiter 3 of 0":   {Confirm: &Confirm{Position: 3}},
 	} {
-		var b Book
+		var b Ledger
 		if err := b.Apply(c, 5); err == nil || !contains(err.Error(), want) || b.Version != 0 {
 			t.Errorf("%v, want %q; %+v", err, want, b)
 		}
--- a/parts/steward.go
+++ b/parts/steward.go
@@ -87,7 +87,7 @@
 }
 
 // Next ends a round. It returns the deals that move enough, largest moves first.
-func (s *Steward) Next(b *Book) []Deal {
+func (s *Steward) Next(b *Ledger) []Deal {
 	type candidate struct {
 		Deal
 		moved float64
@@ -136,7 +136,7 @@
 	}
 	if s.round%idleRounds == 0 && len(deals) < maxDealsPerRound {
 		idle := func(id uint64) bool { return s.round-s.asked[id] > idleRounds }
-		deals = append(deals, b.Back(idle)...)
+		deals = append(deals, b.EqualizingDeals(idle)...)
 		for id := range s.asked {
 			if idle(id) {
 				delete(s.asked, id)
--- a/parts/steward_test.go
+++ b/parts/steward_test.go
@@ -12,7 +12,7 @@
 // Shares move to the two of four limiters with demand, larger for the busier one and each enough for
 // the largest request. They move back when the demand moves on.
 func TestStewardFollowsDemand(t *testing.T) {
-	steward, b := NewSteward(4), &Book{}
+	steward, b := NewSteward(4), &Ledger{}
 	asked := make([]float64, 4)
 	round := func(add ...float64) []Deal {
 		for i, x := range add {
@@ -85,7 +85,7 @@
 // An account without demand goes back to equal shares and leaves the ledger. A new steward must not
 // equalize accounts whose demand it has not seen yet.
 func TestIdleAccountsLeaveTheLedger(t *testing.T) {
-	b := &Book{}
+	b := &Ledger{}
 	playRounds := func(s *Steward, n int, asked float64) {
 		for range n {
 			s.Observe(0, 7, []Report{{Account: 1, First: 0, Spread: 4, Asked: asked, Largest: 4, Burst: 12}})
@@ -102,16 +102,16 @@
 	s := NewSteward(4)
 	playRounds(s, 1, 0)
 	playRounds(s, 1, 40)
-	if moved, _ := b.Moved(); moved != 1 {
+	if moved, _ := b.CountUnequal(); moved != 1 {
 		t.Fatalf("%d accounts have unequal shares", moved)
 	}
 	next := NewSteward(4)
 	playRounds(next, idleRounds-1, 40)
-	if moved, _ := b.Moved(); moved != 1 {
+	if moved, _ := b.CountUnequal(); moved != 1 {
 		t.Error("a new steward equalized the shares")
 	}
 	playRounds(next, 2*idleRounds, 40)
-	if moved, _ := b.Moved(); moved != 0 || len(b.Accounts) != 0 {
+	if moved, _ := b.CountUnequal(); moved != 0 || len(b.Accounts) != 0 {
 		t.Errorf("the account is still in the ledger: %+v", b.Accounts[1])
 	}
 }
--- a/peering/budget.go
+++ b/peering/budget.go
@@ -17,7 +17,7 @@
 // safe for concurrent use.
 type Budget struct {
 	// Pause is the time in ms between two announcements of the level of an account.
-	Pause        float64
+	PauseMs      float64
 	credit       float64 // messages that may be sent
 	received     float64 // messages received since the last tick
 	receiveRatio float64 // smoothed rate of received messages, as a fraction of the fair rate
@@ -33,11 +33,11 @@
 	// only the limiter that keeps an account receives them.
 	b.receiveRatio += (b.received/fair - b.receiveRatio) * ms / 1000
 	b.received = 0
-	b.Pause = 1000 * pauseMessages / inPerS * math.Exp(pauseSteepness*max(0, b.receiveRatio-0.5))
+	b.PauseMs = 1000 * pauseMessages / inPerS * math.Exp(pauseSteepness*max(0, b.receiveRatio-0.5))
 }
 
 // Heard counts a level announcement that was received.
-func (b *Budget) Heard() { b.received++ }
+func (b *Budget) CountReceived() { b.received++ }
 
 // Take uses one message of the budget and reports whether one was available.
 func (b *Budget) Take() bool {
--- a/peering/peering_test.go
+++ b/peering/peering_test.go
@@ -55,11 +55,11 @@
 		due := 0.0
 		for range 400 { // twenty seconds; receiveRatio is averaged over one second
 			for due += share * gossipShare * inPerS * tick / 1000; due >= 1; due-- {
-				b.Heard()
+				b.CountReceived()
 			}
 			b.Tick(tick, inPerS, limiters)
 		}
-		return b.Pause
+		return b.PauseMs
 	}
 	calm, fair, over := after(0.2), after(1), after(2)
 	if calm != 1000*pauseMessages/inPerS {
--- a/recall/recall.go
+++ b/recall/recall.go
@@ -45,7 +45,7 @@
 )
 
 // Names lists the names of a configuration's classes, by class index.
-type Names []string
+type ClassNames []string
 
 // decayFactor returns the fraction of the evidence that remains after age. A negative age,
 // from a clock that was set back, counts as zero.
@@ -54,7 +54,7 @@
 }
 
 // Found describes a saved memory and how the limiter that wrote it ended.
-type Found struct {
+type SnapshotInfo struct {
 	Age   time.Duration // since it was saved
 	Clean bool          // its limiter ended cleanly, and no other process continued or continues from it
 	// Intact reports that everything the limiter wrote is present, and that no other process
@@ -86,7 +86,7 @@
 // The quota state is used only if the limiter is known to have ended, or if it limited its
 // spending to the saved headroom until then, and no other process has used it. m is not
 // modified.
-func Aged(m *limiter.Memory, found Found, from, to Names) *limiter.Memory {
+func Decay(m *limiter.Memory, found SnapshotInfo, from, to ClassNames) *limiter.Memory {
 	out, age := &limiter.Memory{}, found.Age
 	if m.Handover != nil && found.Down >= 0 && (found.Clean || found.Intact && m.Handover.HeadMs > 0) {
 		h := *m.Handover
--- a/recall/recall_test.go
+++ b/recall/recall_test.go
@@ -16,17 +16,17 @@
 	}
 }
 
-var names = Names{"check", "bulk"}
+var names = ClassNames{"check", "bulk"}
 
 // The refusal rate decays within seconds, and the warm-up of a box goes on during the downtime.
 func TestShortLived(t *testing.T) {
 	m := memory()
 	m.Pools[0].Pressure, m.Boxes[0].BackMs = 0.4, 3000
-	got := Aged(m, Found{Age: 5 * time.Second}, names, names)
+	got := Decay(m, SnapshotInfo{Age: 5 * time.Second}, names, names)
 	if p, b := got.Pools[0].Pressure, got.Boxes[0].BackMs; p != 0.2 || b != 8000 {
 		t.Errorf("pressure %v, in service again for %v ms", p, b)
 	}
-	if b := Aged(memory(), Found{Age: time.Second}, names, names).Boxes[0].BackMs; b != 0 {
+	if b := Decay(memory(), SnapshotInfo{Age: time.Second}, names, names).Boxes[0].BackMs; b != 0 {
 		t.Errorf("a box that was never down is in service again for %v ms", b)
 	}
 }
@@ -50,7 +50,7 @@
 		{30 * 24 * time.Hour, false, 0, 0, 0, 0, 0},
 	} {
 		m := memory()
-		got := Aged(m, Found{Age: c.age}, names, names)
+		got := Decay(m, SnapshotInfo{Age: c.age}, names, names)
 		b, near := got.Boxes[0], func(x, y float64) bool { return x > y-0.01 && x < y+0.01 }
 		if b.Down != c.down || !near(b.Had, c.had) || !near(b.Spent, 2*c.had) || !near(b.Ills[0].LeftMs, c.left) || b.Ills[0].Failures != c.failures ||
 			!near(got.Pools[0].Work[0].Seen, c.seen) || !near(got.Pools[0].Fit[0], c.seen) || !near(got.Usual[0].Votes, c.us) {
@@ -67,14 +67,14 @@
 
 // Added, removed and reordered classes keep their own values and get no others.
 func TestOtherClasses(t *testing.T) {
-	got := Aged(memory(), Found{}, names, Names{"new", "bulk", "check"})
+	got := Decay(memory(), SnapshotInfo{}, names, ClassNames{"new", "bulk", "check"})
 	w := got.Pools[0].Work
 	if w[0] != (limiter.WorkMemory{}) || w[1].Ms != 80 || w[2].Ms != 40 || got.Usual[2].Ms != 700 || got.Usual[0].Votes != 0 || got.Boxes[0].Ills[2].LeftMs != 3000 || got.Boxes[0].Ills[1].LeftMs != 0 {
 		t.Errorf("%+v", got)
 	}
 	short := memory() // has fewer classes than its class names
 	short.Usual, short.Pools[0].Work, short.Boxes[0].Ills = nil, nil, nil
-	if got := Aged(short, Found{}, names, names); len(got.Usual) != 2 || len(got.Pools[0].Work) != 2 || len(got.Boxes[0].Ills) != 2 {
+	if got := Decay(short, SnapshotInfo{}, names, names); len(got.Usual) != 2 || len(got.Pools[0].Work) != 2 || len(got.Boxes[0].Ills) != 2 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -85,15 +85,15 @@
 	m := memory()
 	m.Handover = &limiter.Handover{Position: 2, DownMs: 7}
 	for _, c := range []struct {
-		found Found
+		found SnapshotInfo
 		want  bool
 		head  float64
 	}{
-		{Found{Clean: true, Down: time.Second}, true, 0}, {Found{Clean: true}, true, 0}, {Found{Down: time.Second}, false, 0}, {Found{Clean: true, Down: -1}, false, 0},
-		{Found{Intact: true}, false, 0}, {Found{Intact: true, Down: time.Minute}, true, 500}, {Found{}, false, 500}, {Found{Intact: true, Down: -1}, false, 500},
+		{SnapshotInfo{Clean: true, Down: time.Second}, true, 0}, {SnapshotInfo{Clean: true}, true, 0}, {SnapshotInfo{Down: time.Second}, false, 0}, {SnapshotInfo{Clean: true, Down: -1}, false, 0},
+		{SnapshotInfo{Intact: true}, false, 0}, {SnapshotInfo{Intact: true, Down: time.Minute}, true, 500}, {SnapshotInfo{}, false, 500}, {SnapshotInfo{Intact: true, Down: -1}, false, 500},
 	} {
 		m.Handover.HeadMs = c.head
-		got := Aged(m, c.found, names, names).Handover
+		got := Decay(m, c.found, names, names).Handover
 		if (got != nil) != c.want || got != nil && (got.DownMs != float64(c.found.Down.Milliseconds()) || got.Position != 2) || m.Handover.DownMs != 7 {
 			t.Errorf("%+v: %+v", c.found, got)
 		}
@@ -124,7 +124,7 @@
 			m.Boxes = append(m.Boxes, b)
 		}
 		detected := 0
-		for _, b := range Aged(m, Found{}, names, names).Boxes {
+		for _, b := range Decay(m, SnapshotInfo{}, names, names).Boxes {
 			if b.Down || b.Spent > 1.5*b.Had || b.Ills[1].LeftMs > 0 {
 				detected++
 			}
--- a/reserve/reserve.go
+++ b/reserve/reserve.go
@@ -10,21 +10,21 @@
 package reserve
 
 // Line is a level that rises at a constant rate up to a maximum, like a token bucket without withdrawals.
-type Line struct {
-	Level float64 // units
-	At    float64 // the time of Level, in ms
-	Rate  float64 // units per second
-	Most  float64 // units
+type RisingLevel struct {
+	Level    float64 // units
+	SinceMs  float64 // the time of Level, in ms
+	RatePerS float64 // units per second
+	Max      float64 // units
 }
 
 // On returns the level at a time; before At, as after a clock was set back, it is the level at At.
-func (l Line) On(now float64) float64 {
-	return min(l.Most, l.Level+max(0, now-l.At)/1000*l.Rate)
+func (l RisingLevel) LevelAt(now float64) float64 {
+	return min(l.Max, l.Level+max(0, now-l.SinceMs)/1000*l.RatePerS)
 }
 
 // upperBound returns a line that is at no time from now on below a or b.
-func upperBound(now float64, a, b Line) Line {
-	return Line{max(a.On(now), b.On(now)), now, max(a.Rate, b.Rate), max(a.Most, b.Most)}
+func upperBound(now float64, a, b RisingLevel) RisingLevel {
+	return RisingLevel{max(a.LevelAt(now), b.LevelAt(now)), now, max(a.RatePerS, b.RatePerS), max(a.Max, b.Max)}
 }
 
 // Headroom returns how many units of a bucket with capacity most, refilled at rate, may be
@@ -35,22 +35,22 @@
 
 // Account tracks what the file may state about one account.
 type Account struct {
-	written Line   // the file states at least this line
-	pending Line   // a newer line that the file may state already
-	seq     uint64 // sequence number of the write with pending
+	written RisingLevel // the file states at least this line
+	pending RisingLevel // a newer line that the file may state already
+	seq     uint64      // sequence number of the write with pending
 }
 
 // Floor returns the level that must not be spent below. kept is the latest write known to be on disk.
 func (a *Account) Floor(now float64, kept uint64) float64 {
 	if a.seq <= kept {
-		return a.pending.On(now)
+		return a.pending.LevelAt(now)
 	}
-	return max(a.written.On(now), a.pending.On(now))
+	return max(a.written.LevelAt(now), a.pending.LevelAt(now))
 }
 
 // Write records that write seq, which contains next, has started. Until it is on disk, the
 // file may state either line; after a failed write it may state any of the three.
-func (a *Account) Write(now float64, next Line, seq, kept uint64) {
+func (a *Account) BeginWrite(now float64, next RisingLevel, seq, kept uint64) {
 	if a.seq <= kept {
 		a.written = a.pending
 	} else {
@@ -61,4 +61,4 @@
 
 // Begin returns an Account that the file does not name yet. unnamed is the line that a
 // successor would assume for it.
-func Begin(unnamed Line) *Account { return &Account{written: unnamed, pending: unnamed} }
+func NewAccount(unnamed RisingLevel) *Account { return &Account{written: unnamed, pending: unnamed} }
--- a/reserve/reserve_test.go
+++ b/reserve/reserve_test.go
@@ -10,24 +10,24 @@
 func TestLinesThatMayStand(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	for range 2000 {
-		random := func(at float64) Line {
-			return Line{Level: r.Float64()*40 - 20, At: at, Rate: float64(r.IntN(3)), Most: r.Float64() * 20}
+		random := func(at float64) RisingLevel {
+			return RisingLevel{Level: r.Float64()*40 - 20, SinceMs: at, RatePerS: float64(r.IntN(3)), Max: r.Float64() * 20}
 		}
-		possible := []Line{random(0)}
-		a := Begin(possible[0])
+		possible := []RisingLevel{random(0)}
+		a := NewAccount(possible[0])
 		kept, now := uint64(0), 0.0
 		for seq := uint64(1); seq < 12; seq++ {
 			now += r.Float64() * 3000
 			l := random(now)
-			a.Write(now, l, seq, kept)
+			a.BeginWrite(now, l, seq, kept)
 			if possible = append(possible, l); r.IntN(2) == 0 {
-				kept, possible = seq, []Line{l}
+				kept, possible = seq, []RisingLevel{l}
 			}
 			for range 3 {
 				now += r.Float64() * 2000
 				highest := math.Inf(-1)
 				for _, l := range possible {
-					highest = max(highest, l.On(now))
+					highest = max(highest, l.LevelAt(now))
 				}
 				if got := a.Floor(now, kept); got < highest-1e-9 || len(possible) == 1 && got != highest {
 					t.Fatalf("floor %v, the highest possible line is at %v", got, highest)
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -21,8 +21,8 @@
 
 // Kinds of rollouts.
 const (
-	Drain   Kind = "drain"   // the limiter sends its clients away, then accepts clients again
-	Restart Kind = "restart" // the same, and its process exits in between; a supervisor restarts it
+	KindDrain   Kind = "drain"   // the limiter sends its clients away, then accepts clients again
+	KindRestart Kind = "restart" // the same, and its process exits in between; a supervisor restarts it
 )
 
 // Phase is a limiter's progress in a rollout.
@@ -30,11 +30,11 @@
 
 // Phases, in order.
 const (
-	Waiting   Phase = "waiting"   // not taken out yet
-	Leaving   Phase = "leaving"   // it must drain: send its clients away
-	Ending    Phase = "ending"    // its process must exit
-	Returning Phase = "returning" // it must accept clients again
-	Back      Phase = "back"      // it is back in service
+	PhaseWaiting   Phase = "waiting"   // not taken out yet
+	PhaseLeaving   Phase = "leaving"   // it must drain: send its clients away
+	PhaseEnding    Phase = "ending"    // its process must exit
+	PhaseReturning Phase = "returning" // it must accept clients again
+	PhaseBack      Phase = "back"      // it is back in service
 )
 
 // State is the state of a whole rollout.
@@ -42,10 +42,10 @@
 
 // States of rollouts.
 const (
-	Running    State = "running"
-	Halted     State = "halted" // until an operator continues or ends it
-	StateDone  State = "done"
-	StateEnded State = "ended" // by an operator, before it was done
+	StateRunning State = "running"
+	StateHalted  State = "halted" // until an operator continues or ends it
+	StateDone    State = "done"
+	StateEnded   State = "ended" // by an operator, before it was done
 )
 
 // Step is the progress of one limiter.
@@ -73,12 +73,12 @@
 
 // Types of commands.
 const (
-	Begin         Op = "begin"
+	OpBegin       Op = "begin"
 	OpAdvance     Op = "note"    // a limiter advances from one phase to the next
 	OpSetBaseline Op = "service" // the share of served requests before the rollout
-	Halt          Op = "halt"
-	GoOn          Op = "continue"
-	End           Op = "end"
+	OpHalt        Op = "halt"
+	OpContinue    Op = "continue"
+	OpEnd         Op = "end"
 )
 
 // Command is a change to the replicated history. A conductor's command carries its epoch.
@@ -95,13 +95,13 @@
 }
 
 // History is the replicated state: the current rollout, if any, and the last ones. The zero value is empty.
-type Book struct{ Plans []*Plan } // oldest first
+type History struct{ Plans []*Plan } // oldest first
 
 const maxPlans = 16
 
 // Current returns the rollout that is running or halted, or nil.
-func (b *Book) Current() *Plan {
-	if n := len(b.Plans); n > 0 && (b.Plans[n-1].State == Running || b.Plans[n-1].State == Halted) {
+func (b *History) Current() *Plan {
+	if n := len(b.Plans); n > 0 && (b.Plans[n-1].State == StateRunning || b.Plans[n-1].State == StateHalted) {
 		return b.Plans[n-1]
 	}
 	return nil
@@ -109,9 +109,9 @@
 
 // Apply applies a command. currentEpoch is that of the duty's current term: a conductor's command under
 // another epoch is rejected.
-func (b *Book) Apply(c Command, currentEpoch uint64) error {
+func (b *History) Apply(c Command, currentEpoch uint64) error {
 	p := b.Current()
-	if c.Op == Begin {
+	if c.Op == OpBegin {
 		if p != nil {
 			return fmt.Errorf("rollout %s is %s: wait for it, or end it first", p.ID, p.State)
 		}
@@ -119,7 +119,7 @@
 			return err
 		}
 		plan := *c.Plan
-		plan.State, plan.Steps = Running, slices.Clone(plan.Steps)
+		plan.State, plan.Steps = StateRunning, slices.Clone(plan.Steps)
 		b.Plans = append(b.Plans, &plan)
 		if excess := len(b.Plans) - maxPlans; excess > 0 {
 			b.Plans = slices.Delete(b.Plans, 0, excess)
@@ -143,23 +143,23 @@
 		if c.Epoch == 0 {
 			return errors.New("a step needs its conductor's epoch")
 		}
-		if c.From == Waiting && p.outOfService() >= p.AtOnce {
+		if c.From == PhaseWaiting && p.outOfService() >= p.AtOnce {
 			return fmt.Errorf("%d limiters are out already", p.outOfService())
 		}
 		p.Steps[i].Phase, p.Steps[i].Epoch = c.To, c.Epoch
 		if c.Start != 0 {
 			p.Steps[i].Start = c.Start
 		}
-		if !slices.ContainsFunc(p.Steps, func(s Step) bool { return s.Phase != Back }) {
+		if !slices.ContainsFunc(p.Steps, func(s Step) bool { return s.Phase != PhaseBack }) {
 			p.State = StateDone
 		}
 	case OpSetBaseline:
 		p.Before = c.Before
-	case Halt:
-		p.State, p.Why = Halted, c.Why
-	case GoOn:
-		p.State, p.Why, p.Before = Running, "", 0
-	case End:
+	case OpHalt:
+		p.State, p.Why = StateHalted, c.Why
+	case OpContinue:
+		p.State, p.Why, p.Before = StateRunning, "", 0
+	case OpEnd:
 		p.State, p.Why = StateEnded, c.Why
 	default:
 		return fmt.Errorf("there is no op %.20q", c.Op)
@@ -172,7 +172,7 @@
 	switch {
 	case p == nil || p.ID == "":
 		return errors.New("a rollout needs an id")
-	case p.Kind != Drain && p.Kind != Restart:
+	case p.Kind != KindDrain && p.Kind != KindRestart:
 		return fmt.Errorf("a rollout is a drain or a restart, not %.20q", p.Kind)
 	case len(p.Steps) == 0:
 		return errors.New("a rollout needs limiters")
@@ -182,7 +182,7 @@
 		return fmt.Errorf("fall %g is not a share above 0", p.Fall)
 	}
 	for i, s := range p.Steps {
-		if s.Limiter == "" || s.Phase != Waiting || slices.ContainsFunc(p.Steps[:i], func(o Step) bool { return o.Limiter == s.Limiter }) {
+		if s.Limiter == "" || s.Phase != PhaseWaiting || slices.ContainsFunc(p.Steps[:i], func(o Step) bool { return o.Limiter == s.Limiter }) {
 			return fmt.Errorf("limiter %q stands twice, or not at its beginning", s.Limiter)
 		}
 	}
@@ -192,7 +192,7 @@
 // outOfService returns how many limiters are out of service.
 func (p *Plan) outOfService() (n int) {
 	for _, s := range p.Steps {
-		if s.Phase != Waiting && s.Phase != Back {
+		if s.Phase != PhaseWaiting && s.Phase != PhaseBack {
 			n++
 		}
 	}
@@ -200,12 +200,12 @@
 }
 
 // LimiterStatus is what a limiter reports about itself.
-type Seen struct {
+type LimiterStatus struct {
 	Reached  bool
 	Ready    bool // it accepts clients
 	Draining bool
 	Start    uint64
-	InHand   int // requests accepted and not finished
+	InFlight int // requests accepted and not finished
 }
 
 // Verb is the operation that a call requests.
@@ -249,45 +249,45 @@
 }
 
 // Observation is what a conductor sees at one time.
-type Look struct {
-	Now    time.Duration
-	Epoch  uint64
-	Seen   map[string]Seen
-	Served float64 // share of requests recently served, over all limiters; negative: unknown
+type Observation struct {
+	Now           time.Duration
+	Epoch         uint64
+	LimiterStatus map[string]LimiterStatus
+	ServedShare   float64 // share of requests recently served, over all limiters; negative: unknown
 }
 
 // Next returns the commands to propose and the calls to make. resign is true if this limiter is the next
 // to be taken out, which another conductor has to do.
-func (c *Conductor) Next(plan *Plan, observed Look) (commands []Command, calls []Call, resign bool) {
-	if plan == nil || plan.State != Running {
+func (c *Conductor) Next(plan *Plan, observed Observation) (commands []Command, calls []Call, resign bool) {
+	if plan == nil || plan.State != StateRunning {
 		clear(c.since)
 		c.lowCount = 0
 		return nil, nil, false
 	}
 	halt := func(why string) []Command {
-		return []Command{{Op: Halt, ID: plan.ID, Epoch: observed.Epoch, Why: why}}
+		return []Command{{Op: OpHalt, ID: plan.ID, Epoch: observed.Epoch, Why: why}}
 	}
 	if plan.Before == 0 {
-		if observed.Served < 0 {
+		if observed.ServedShare < 0 {
 			return nil, nil, false // the limiters' status is needed first
 		}
-		return []Command{{Op: OpSetBaseline, ID: plan.ID, Epoch: observed.Epoch, Before: max(observed.Served, 1e-9)}}, nil, false
+		return []Command{{Op: OpSetBaseline, ID: plan.ID, Epoch: observed.Epoch, Before: max(observed.ServedShare, 1e-9)}}, nil, false
 	}
-	if observed.Served >= 0 && observed.Served < plan.Before-plan.Fall {
+	if observed.ServedShare >= 0 && observed.ServedShare < plan.Before-plan.Fall {
 		if c.lowCount++; c.lowCount >= lowObservationsToHalt {
-			return halt(fmt.Sprintf("service fell from %.3f to %.3f", plan.Before, observed.Served)), nil, false
+			return halt(fmt.Sprintf("service fell from %.3f to %.3f", plan.Before, observed.ServedShare)), nil, false
 		}
-	} else if observed.Served >= 0 {
+	} else if observed.ServedShare >= 0 {
 		c.lowCount = 0
 	}
 	outOfService := plan.outOfService()
 	for _, step := range plan.Steps {
-		status := observed.Seen[step.Limiter]
+		status := observed.LimiterStatus[step.Limiter]
 		advance := func(to Phase, start uint64) {
 			commands = append(commands, Command{Op: OpAdvance, ID: plan.ID, Limiter: step.Limiter, From: step.Phase, To: to, Start: start, Epoch: observed.Epoch})
 		}
 		call := func(v Verb) { calls = append(calls, Call{v, step.Limiter, step.Start}) }
-		if step.Phase == Back || step.Phase == Waiting && outOfService >= plan.AtOnce {
+		if step.Phase == PhaseBack || step.Phase == PhaseWaiting && outOfService >= plan.AtOnce {
 			continue
 		}
 		key := step.Limiter + " " + string(step.Phase)
@@ -301,35 +301,35 @@
 		}
 		restarted := status.Reached && status.Start != step.Start // the process has ended, for whatever reason
 		switch step.Phase {
-		case Waiting:
+		case PhaseWaiting:
 			outOfService++ // also if it can't be reached: it is out of service
 			switch {
 			case !status.Reached || !status.Ready || !c.othersReady(plan, observed):
 			case step.Limiter == c.self:
 				return commands, calls, true
 			default:
-				advance(Leaving, status.Start)
+				advance(PhaseLeaving, status.Start)
 			}
-		case Leaving:
+		case PhaseLeaving:
 			switch {
 			case restarted:
-				advance(Returning, 0)
-			case status.Reached && status.Draining && (status.InHand == 0 || observed.Now-entered > drainTimeout) && plan.Kind == Restart:
-				advance(Ending, 0)
-			case status.Reached && status.Draining && (status.InHand == 0 || observed.Now-entered > drainTimeout):
-				advance(Returning, 0)
+				advance(PhaseReturning, 0)
+			case status.Reached && status.Draining && (status.InFlight == 0 || observed.Now-entered > drainTimeout) && plan.Kind == KindRestart:
+				advance(PhaseEnding, 0)
+			case status.Reached && status.Draining && (status.InFlight == 0 || observed.Now-entered > drainTimeout):
+				advance(PhaseReturning, 0)
 			case status.Reached && !status.Draining:
 				call(CallDrain)
 			}
-		case Ending:
+		case PhaseEnding:
 			if restarted {
-				advance(Returning, 0)
+				advance(PhaseReturning, 0)
 			} else if status.Reached {
 				call(CallLeave)
 			}
-		case Returning:
+		case PhaseReturning:
 			if status.Reached && status.Ready {
-				advance(Back, 0)
+				advance(PhaseBack, 0)
 			} else if status.Reached && status.Draining && !restarted {
 				call(CallResume)
 			}
@@ -340,10 +340,10 @@
 
 // othersReady reports whether all limiters that the rollout has not taken out accept clients. If one is
 // down for another reason, no more are taken out.
-func (c *Conductor) othersReady(plan *Plan, observed Look) bool {
-	for name, status := range observed.Seen {
+func (c *Conductor) othersReady(plan *Plan, observed Observation) bool {
+	for name, status := range observed.LimiterStatus {
 		i := slices.IndexFunc(plan.Steps, func(s Step) bool { return s.Limiter == name })
-		if i >= 0 && plan.Steps[i].Phase != Waiting && plan.Steps[i].Phase != Back {
+		if i >= 0 && plan.Steps[i].Phase != PhaseWaiting && plan.Steps[i].Phase != PhaseBack {
 			continue
 		}
 		if !status.Reached || !status.Ready {
--- a/route/route.go
+++ b/route/route.go
@@ -164,13 +164,13 @@
 
 // Overlaps reports whether some request matches both m and n.
 func (m *Match) Overlaps(n *Match) bool {
-	_, ok := m.Both(n)
+	_, ok := m.Intersect(n)
 	return ok
 }
 
 // Both returns the conditions of the requests that match both m and n, and whether there can
 // be such a request. The result has the priority of m.
-func (m *Match) Both(n *Match) (Match, bool) {
+func (m *Match) Intersect(n *Match) (Match, bool) {
 	b := Match{Priority: m.Priority}
 	switch {
 	case hostIsSubset(n.Host, m.Host):
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -144,7 +144,7 @@
 	for seed := range uint64(4000) {
 		r := rand.New(rand.NewPCG(seed, 2))
 		a, b := randomMatch(r), randomMatch(r)
-		both, overlaps := a.Both(&b)
+		both, overlaps := a.Intersect(&b)
 		covers := a.Covers(&b)
 		if q := b.Sample(); !takes(&b, &q) || covers && !takes(&a, &q) {
 			t.Fatalf("sample of %+v: %+v", b, q)
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -70,7 +70,7 @@
 
 // The phases of a tier. Those from Failing on mean that the tier takes no regular traffic.
 const (
-	Well      Phase = iota
+	Healthy   Phase = iota
 	Returning       // its share grows in steps
 	Held            // it returns, but waits because it was lost repeatedly
 	Failing         // it has usable boxes, but most answers are failures
@@ -134,7 +134,7 @@
 }
 
 // Spill sets the spill share of each tier and keeps everything observed about the tiers.
-func (t *Tiers) Spill(spill []float64) {
+func (t *Tiers) SetSpill(spill []float64) {
 	for k := range t.tiers {
 		t.tiers[k].spill = spill[k]
 	}
@@ -146,14 +146,14 @@
 // See records how many boxes of tier k are listed, how many of them are usable now, and
 // how many of the usable ones are still warming up. Call it for each tier about every 50 ms,
 // followed by Step.
-func (t *Tiers) See(now float64, k, boxes, usable, warmingUp int) {
+func (t *Tiers) UpdateBoxes(now float64, k, boxes, usable, warmingUp int) {
 	x := &t.tiers[k]
 	x.observed, x.boxes, x.usable, x.warmingUp = true, boxes, usable, warmingUp
 	x.decayAnswers(now)
 	// Boxes that discovery no longer lists still count for a while: a tier that lost boxes
 	// must not look complete because they were removed from the list.
 	x.size = max(float64(boxes), x.size*math.Exp((x.sizeUpdatedAt-now)/lossDecayMs))
-	if x.sizeUpdatedAt = now; x.phase == Well && usable > 0 && warmingUp == 0 {
+	if x.sizeUpdatedAt = now; x.phase == Healthy && usable > 0 && warmingUp == 0 {
 		x.serviceRate.add(now, x.good/healthWindowMs/float64(usable))
 	}
 	x.serviceRate.updatedAt = now
@@ -164,7 +164,7 @@
 	good, boxes, allHealthy := 0.0, 0, true
 	for k := range t.tiers {
 		x := &t.tiers[k]
-		good, boxes, allHealthy = good+x.good, boxes+x.usable, allHealthy && x.phase == Well && x.warmingUp == 0
+		good, boxes, allHealthy = good+x.good, boxes+x.usable, allHealthy && x.phase == Healthy && x.warmingUp == 0
 	}
 	if allHealthy && boxes > 0 {
 		t.serviceRate.add(now, good/healthWindowMs/float64(boxes))
@@ -211,8 +211,8 @@
 				x.heldUntil = now + x.holdMs()
 			}
 		case k == t.sole && x.phase >= Failing: // it takes all requests, and answers well
-			x.phase, x.share = Well, 1
-		case x.phase != Well && slow <= slowRecoveryRatio*fastest:
+			x.phase, x.share = Healthy, 1
+		case x.phase != Healthy && slow <= slowRecoveryRatio*fastest:
 			x.adjustShare(now)
 		}
 		if x.phase != phase || x.share != share {
@@ -259,7 +259,7 @@
 func (x *tier) restartStep(now float64) { x.stepStart, x.stepGood, x.admitted, x.full = now, 0, 0, 0 }
 
 // proven reports whether a tier may receive requests that must not be repeated.
-func (x *tier) proven() bool { return x.phase == Well || x.consecutiveSuccesses >= provenSuccesses }
+func (x *tier) proven() bool { return x.phase == Healthy || x.consecutiveSuccesses >= provenSuccesses }
 
 // adjustShare raises or lowers a returning tier's share at the end of a step.
 func (x *tier) adjustShare(now float64) {
@@ -281,7 +281,7 @@
 		x.phase, x.share = Returning, min(1, max(initialShare, 2*x.share))
 	}
 	if x.restartStep(now); x.share >= 1 {
-		x.phase = Well
+		x.phase = Healthy
 	}
 }
 
@@ -290,7 +290,7 @@
 func (t *Tiers) fastestOther(k int) float64 {
 	fastest := math.Inf(1)
 	for i := range t.tiers {
-		if x := &t.tiers[i]; i != k && x.phase == Well && x.slownessAnswers >= minSlownessAnswers {
+		if x := &t.tiers[i]; i != k && x.phase == Healthy && x.slownessAnswers >= minSlownessAnswers {
 			fastest = min(fastest, x.slowness)
 		}
 	}
@@ -307,7 +307,7 @@
 	candidate, previous := -1, t.sole
 	for k := range t.tiers {
 		x := &t.tiers[k]
-		if x.phase == Well && x.usable > 0 {
+		if x.phase == Healthy && x.usable > 0 {
 			t.sole = -1
 			return previous >= 0
 		}
@@ -337,7 +337,7 @@
 // is valid until the next call.
 func (t *Tiers) Order(prefer int, avoid uint32) []int {
 	t.order, t.preferred = t.order[:0], -1
-	if k := prefer - 1; k > 0 && k < len(t.tiers) && t.tiers[k].phase == Well && avoid&(1<<k) == 0 {
+	if k := prefer - 1; k > 0 && k < len(t.tiers) && t.tiers[k].phase == Healthy && avoid&(1<<k) == 0 {
 		t.preferred = k
 		t.order = append(t.order, k)
 	}
@@ -358,7 +358,7 @@
 // 1. What a returning tier does not take goes on to the next tier and does not count as
 // spill. once marks requests that must not be repeated: unless the tier is proven, they are
 // admitted only for the periodic probe.
-func (t *Tiers) Enter(now float64, k int, u float64, once bool) bool {
+func (t *Tiers) Admit(now float64, k int, u float64, once bool) bool {
 	x := &t.tiers[k]
 	switch {
 	case x.observed && x.usable == 0:
@@ -380,7 +380,7 @@
 // but no room. worth is the request's value per unit of work relative to the mean. A request
 // that may not spill has to be refused. When the spill share is nearly used up, requests
 // worth less than the mean are refused first.
-func (t *Tiers) Leave(now float64, k int, worth float64) bool {
+func (t *Tiers) AllowSpill(now float64, k int, worth float64) bool {
 	x := &t.tiers[k]
 	x.full++
 	if k == t.preferred {
@@ -392,7 +392,7 @@
 	if k+1 >= len(t.tiers) {
 		return true // only returning tiers are left
 	}
-	if x.phase != Well || !x.observed || float64(x.usable) < minUsableForSpillBound*x.size { // the spill limit does not apply
+	if x.phase != Healthy || !x.observed || float64(x.usable) < minUsableForSpillBound*x.size { // the spill limit does not apply
 		return true
 	}
 	x.decayRequests(now)
@@ -409,20 +409,20 @@
 
 // Resort reports whether a request that no tier has taken may be tried at a slow or returning
 // tier beyond its share. This serves the request and gives evidence about the tier.
-func (t *Tiers) Resort(k int, once bool) bool {
+func (t *Tiers) AllowLastResort(k int, once bool) bool {
 	x := &t.tiers[k]
-	return !t.inPanic() && x.usable > 0 && (x.phase == Slow || t.Proving(k) && (x.proven() || !once))
+	return !t.inPanic() && x.usable > 0 && (x.phase == Slow || t.Recovering(k) && (x.proven() || !once))
 }
 
 // Proving reports whether a tier is returning, so that its requests test what it can take.
-func (t *Tiers) Proving(k int) bool {
+func (t *Tiers) Recovering(k int) bool {
 	p := t.tiers[k].phase
 	return p == Returning || p == Held
 }
 
 // Proved records an answer of tier k: whether it was successful, and its duration (or the time
 // waited for it) relative to the typical one. A failure halves the share of a returning tier.
-func (t *Tiers) Proved(now float64, k int, good bool, slowness float64) {
+func (t *Tiers) RecordAnswer(now float64, k int, good bool, slowness float64) {
 	x := &t.tiers[k]
 	x.decayAnswers(now)
 	if good {
@@ -438,7 +438,7 @@
 		x.recordSlowness(slowness)
 	}
 	x.consecutiveFailures++
-	if x.phase != Well && x.phase != Lost {
+	if x.phase != Healthy && x.phase != Lost {
 		x.share = max(min(initialShare, x.share), x.share/2)
 		x.restartStep(now)
 	}
@@ -476,9 +476,9 @@
 	switch {
 	case x.phase == Lost:
 		s.Next = fmt.Sprintf("%.0f%% when a box can be used", 100*initialShare)
-	case x.phase != Well && now < x.heldUntil:
+	case x.phase != Healthy && now < x.heldUntil:
 		s.Next = fmt.Sprintf("held for %.1f s more, lost %.1f times of late", (x.heldUntil-now)/1000, x.losses)
-	case x.phase != Well:
+	case x.phase != Healthy:
 		s.Next = fmt.Sprintf("%.0f%% after %d good answers and no failure, %d so far", 100*min(1, max(initialShare, 2*x.share)), rampStepSuccesses, x.stepGood)
 	case x.size == 0:
 		s.Next = "it has no boxes"
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -41,7 +41,7 @@
 	for end, step := x.now+ms, x.now; x.now < end; x.now += interval {
 		for ; step <= x.now; step += 50 {
 			for k := range x.Len() {
-				x.See(step, k, 6, x.boxes[k], x.cold[k])
+				x.UpdateBoxes(step, k, 6, x.boxes[k], x.cold[k])
 			}
 			for _, k := range x.Step(step) {
 				x.changes = append(x.changes, fmt.Sprintf("%d %v", k, x.State(step, k).Phase))
@@ -55,18 +55,18 @@
 func (x *rig) request(once bool, worth float64) (tier int) {
 	tier = -1
 	for k := 0; k < x.Len() && tier < 0; k++ {
-		if !x.Enter(x.now, k, x.rng.Float64(), once) {
+		if !x.Admit(x.now, k, x.rng.Float64(), once) {
 			continue
 		}
 		if x.rng.Float64() < x.roomRatio[k] {
 			tier = k
-		} else if !x.Leave(x.now, k, worth) {
+		} else if !x.AllowSpill(x.now, k, worth) {
 			x.refused++
 			return -1
 		}
 	}
 	for k := 0; k < x.Len() && tier < 0; k++ {
-		if x.Resort(k, once) && x.rng.Float64() < x.roomRatio[k] {
+		if x.AllowLastResort(k, once) && x.rng.Float64() < x.roomRatio[k] {
 			tier = k
 		}
 	}
@@ -75,7 +75,7 @@
 		return -1
 	}
 	x.sent[tier]++
-	x.Proved(x.now, tier, x.rng.Float64() < x.goodRatio[tier], x.slowness[tier])
+	x.RecordAnswer(x.now, tier, x.rng.Float64() < x.goodRatio[tier], x.slowness[tier])
 	return tier
 }
 
@@ -152,7 +152,7 @@
 	x.boxes[0] = 6
 	var shares []float64
 	start := x.now
-	for x.phase(0) != Well && x.now < start+20_000 {
+	for x.phase(0) != Healthy && x.now < start+20_000 {
 		x.play(50, 10, false)
 		if s := x.share(0); len(shares) == 0 || shares[len(shares)-1] != s {
 			shares = append(shares, s)
@@ -170,8 +170,8 @@
 	x.boxes[0] = 6
 	for k := range 1000 {
 		x.now += 50
-		x.See(x.now, 0, 6, 6, 0)
-		x.See(x.now, 1, 6, 6, 0)
+		x.UpdateBoxes(x.now, 0, 6, 6, 0)
+		x.UpdateBoxes(x.now, 1, 6, 6, 0)
 		if x.Step(x.now); k > 200 && x.share(0) != initialShare {
 			t.Fatalf("without answers the share grew to %v", x.share(0))
 		}
@@ -192,12 +192,12 @@
 		x.boxes[0] = 6
 		strain(x)
 		x.play(20_000, 10, false)
-		if x.share(0) > 0.2 || x.phase(0) == Well || x.refused > 0 {
+		if x.share(0) > 0.2 || x.phase(0) == Healthy || x.refused > 0 {
 			t.Errorf("%s: phase %v, share %v, %d refused", name, x.phase(0), x.share(0), x.refused)
 		}
 		x.goodRatio[0], x.roomRatio[0] = 1, 1
 		x.play(35_000, 10, false)
-		if x.phase(0) != Well {
+		if x.phase(0) != Healthy {
 			t.Errorf("%s: still %v after it recovered", name, x.phase(0))
 		}
 	}
@@ -226,7 +226,7 @@
 		t.Errorf("hold times %v", held)
 	}
 	start := x.now
-	for x.phase(0) != Well {
+	for x.phase(0) != Healthy {
 		x.play(100, 10, false)
 		if x.now > start+maxHoldMs+15_000 {
 			t.Fatalf("not healthy within the bound: %+v", x.State(x.now, 0))
@@ -237,7 +237,7 @@
 	x.play(5000, 1000, false)
 	x.boxes[0] = 6
 	start = x.now
-	for x.phase(0) != Well {
+	for x.phase(0) != Healthy {
 		x.play(1000, 1000, false)
 		if x.now > start+maxHoldMs+20_000 {
 			t.Fatalf("not healthy within the bound at one request per second: %+v", x.State(x.now, 0))
@@ -265,7 +265,7 @@
 		}
 		x.goodRatio[0], x.slowness[0] = 1, 1
 		x.play(maxHoldMs+15_000, 10, false)
-		if x.phase(0) != Well {
+		if x.phase(0) != Healthy {
 			t.Errorf("%s: still %v after it recovered", name, x.phase(0))
 		}
 	}
@@ -290,7 +290,7 @@
 	// The sole tier becomes healthy as soon as it answers well.
 	x.goodRatio[0], x.goodRatio[1], x.roomRatio[0], x.roomRatio[1] = 1, 1, 1, 1
 	x.play(5000, 10, false)
-	if x.refused > 0 || x.phase(0) != Well && x.phase(1) != Well {
+	if x.refused > 0 || x.phase(0) != Healthy && x.phase(1) != Healthy {
 		t.Errorf("after recovery: %v and %v, %d refused", x.phase(0), x.phase(1), x.refused)
 	}
 	x.play(60_000, 10, false)
@@ -327,7 +327,7 @@
 		t.Errorf("%d requests that must not be repeated went to an unproven tier", x.sent[0])
 	}
 	x.play(60_000, 10, true)
-	if x.phase(0) != Well {
+	if x.phase(0) != Healthy {
 		t.Errorf("with no other requests the tier is %v after a minute", x.phase(0))
 	}
 }
@@ -382,20 +382,20 @@
 			switch r.IntN(6) {
 			case 0:
 				n := r.IntN(5)
-				x.See(now, k, n, r.IntN(n+1), 0)
+				x.UpdateBoxes(now, k, n, r.IntN(n+1), 0)
 			case 1:
 				x.Step(now)
 			case 2:
-				x.Enter(now, k, r.Float64(), r.IntN(2) == 0)
+				x.Admit(now, k, r.Float64(), r.IntN(2) == 0)
 			case 3:
-				x.Leave(now, k, 2*r.Float64())
+				x.AllowSpill(now, k, 2*r.Float64())
 			case 4:
-				x.Proved(now, k, r.IntN(3) > 0, 5*r.Float64())
+				x.RecordAnswer(now, k, r.IntN(3) > 0, 5*r.Float64())
 			case 5:
-				x.Resort(k, false)
+				x.AllowLastResort(k, false)
 			}
 			s := x.State(now, k)
-			if !(s.Share >= 0 && s.Share <= 1) || math.IsNaN(s.Spilled) || s.Phase == Well && s.Share != 1 {
+			if !(s.Share >= 0 && s.Share <= 1) || math.IsNaN(s.Spilled) || s.Phase == Healthy && s.Share != 1 {
 				t.Fatalf("seed %d: %+v", seed, s)
 			}
 			fmt.Fprint(&out, s)
--- a/tenure/candidate.go
+++ b/tenure/candidate.go
@@ -176,7 +176,7 @@
 }
 
 // TermEnd returns when this process's term of a duty ends; 0: it owns none.
-func (c *Candidate) Until(duty string) time.Duration {
+func (c *Candidate) TermEnd(duty string) time.Duration {
 	if s := c.dutyState(duty); s != nil && s.own(c) {
 		return s.termEnd
 	}
@@ -184,7 +184,7 @@
 }
 
 // NextWake returns when Step next has something to do if nothing happens before.
-func (c *Candidate) Wake(now time.Duration) time.Duration {
+func (c *Candidate) NextWake(now time.Duration) time.Duration {
 	wake := now + c.settings.Term
 	for _, s := range c.duties {
 		if !s.known {
--- a/tenure/registry.go
+++ b/tenure/registry.go
@@ -114,7 +114,7 @@
 }
 
 // CurrentEpoch returns the epoch of a duty's current or last term; 0: there was none.
-func (r *Registry) Current(duty string) uint64 {
+func (r *Registry) CurrentEpoch(duty string) uint64 {
 	if t := r.Terms[duty]; t != nil {
 		return t.Epoch
 	}
@@ -122,13 +122,13 @@
 }
 
 // SortedTerms returns the terms sorted by duty.
-func (r *Registry) Sorted() []*Term {
+func (r *Registry) SortedTerms() []*Term {
 	return slices.SortedFunc(maps.Values(r.Terms), func(a, b *Term) int { return cmp.Compare(a.Duty, b.Duty) })
 }
 
 // Reset voids all tokens that were ever given, when the fleet goes on without the majority that knew
 // them. All terms lose their owners, and the next epochs are higher than all earlier ones.
-func (r *Registry) BeginAnew(generation uint64) {
+func (r *Registry) Reset(generation uint64) {
 	r.Generation = max(r.Generation+1, generation)
 	for _, t := range r.Terms {
 		t.Owner, t.Next = Process{}, ""
--- a/tenure/tenure_test.go
+++ b/tenure/tenure_test.go
@@ -48,18 +48,18 @@
 		if err := r.Apply(c); err != nil {
 			t.Fatal(err)
 		}
-		return r.Current("d")
+		return r.CurrentEpoch("d")
 	}
 	take(&reset, a)
 	for range 1000 { // terms that the survivor never saw
 		take(&lost, a)
 	}
-	reset.BeginAnew(0)
+	reset.Reset(0)
 	if reset.Terms["d"].Owned() {
 		t.Error("a term continues although the fleet was reset")
 	}
-	if e := take(&reset, b); e <= lost.Current("d") {
-		t.Errorf("epoch %d after the reset, %d before", e, lost.Current("d"))
+	if e := take(&reset, b); e <= lost.CurrentEpoch("d") {
+		t.Errorf("epoch %d after the reset, %d before", e, lost.CurrentEpoch("d"))
 	}
 	if err := reset.Apply(Command{Kind: Renew, By: a, Duty: "d", Epoch: 1, Mine: 2}); err == nil {
 		t.Error("a term from before the reset was renewed")
--- a/watch/model_test.go
+++ b/watch/model_test.go
@@ -32,7 +32,7 @@
 	r.leader = NewLeader(r.cfg)
 	for i := range n {
 		r.followers = append(r.followers, NewFollower(r.cfg))
-		r.followers[i].Heard(0)
+		r.followers[i].LeaderHeard(0)
 		r.reachable[i] = true
 	}
 	return r
@@ -42,9 +42,9 @@
 
 func verdict(reachable bool) Verdict {
 	if reachable {
-		return Well
+		return Healthy
 	}
-	return Ill
+	return Unhealthy
 }
 
 func limiterName(i int) string {
@@ -57,7 +57,7 @@
 // believe applies a verdict to a limiter's view of the box.
 func (r *room) believe(i int, v Verdict) {
 	r.knownAt[i] = r.now
-	if v == Well {
+	if v == Healthy {
 		r.unhealthy[i] = false
 	}
 }
@@ -67,7 +67,7 @@
 	r.probes++
 	v := verdict(r.reachable[i])
 	r.believe(i, v)
-	if i > 0 && r.followers[i].Looked(box) && r.leader != nil && !r.loses() {
+	if i > 0 && r.followers[i].FinishProbe(box) && r.leader != nil && !r.loses() {
 		r.report(r.leader.Checked(r.now, box, v))
 	}
 }
@@ -84,9 +84,9 @@
 		case i == 0:
 			r.believe(0, v.Is)
 		case !r.loses():
-			r.followers[i].Heard(r.now)
-			if r.ignoresChecks && v.Is != Well {
-				v.Is = Ill
+			r.followers[i].LeaderHeard(r.now)
+			if r.ignoresChecks && v.Is != Healthy {
+				v.Is = Unhealthy
 			}
 			report, probe := r.followers[i].Told(r.now, v)
 			if report != "" {
@@ -107,11 +107,11 @@
 		if !r.reachable[i] && !r.unhealthy[i] {
 			r.unhealthy[i], r.knownAt[i] = true, r.now
 			if i > 0 {
-				r.followers[i].Failed(r.now, box)
+				r.followers[i].AttemptFailed(r.now, box)
 			}
 		}
 		if r.leader != nil && i > 0 && !r.loses() {
-			r.followers[i].Heard(r.now)
+			r.followers[i].LeaderHeard(r.now)
 		}
 		if !r.unhealthy[i] || r.now < r.wantedAt[i]+r.cfg.ProbeInterval {
 			continue
@@ -125,7 +125,7 @@
 			}
 			continue
 		}
-		ask, probe := r.followers[i].Want(r.now, box)
+		ask, probe := r.followers[i].HandleUnhealthy(r.now, box)
 		if ask && r.leader != nil && !r.loses() {
 			r.report(r.leader.Ask(r.now, limiterName(i), box))
 		}
@@ -136,7 +136,7 @@
 	if r.leader != nil {
 		for _, b := range r.leader.StartProbes(r.now) {
 			r.probes++
-			r.report(r.leader.Looked(r.now, b, verdict(r.reachable[0])))
+			r.report(r.leader.FinishProbe(r.now, b, verdict(r.reachable[0])))
 		}
 	}
 }
@@ -162,11 +162,11 @@
 					r.leader = nil
 				}
 			case 3:
-				r.followers[rapid.IntRange(0, len(r.followers)-1).Draw(t, "cut")].Cut()
+				r.followers[rapid.IntRange(0, len(r.followers)-1).Draw(t, "cut")].LeaderDisconnected()
 			}
 			r.step()
 			for i := range r.followers {
-				if bound := r.cfg.Patience + 2*r.cfg.ProbeInterval; r.unhealthy[i] && r.now-r.knownAt[i] > bound {
+				if bound := r.cfg.AnswerTimeout + 2*r.cfg.ProbeInterval; r.unhealthy[i] && r.now-r.knownAt[i] > bound {
 					t.Fatalf("limiter %d has had no probe or verdict of the box for %v", i, r.now-r.knownAt[i])
 				}
 			}
@@ -216,7 +216,7 @@
 	for r.now < 9*time.Second {
 		r.step()
 	}
-	ask, mustProbe := r.followers[2].Want(r.now, box)
+	ask, mustProbe := r.followers[2].HandleUnhealthy(r.now, box)
 	if ask || !mustProbe {
 		t.Errorf("the limiter trusts the leader against its own attempts: asks %v, probes %v", ask, mustProbe)
 	}
@@ -230,7 +230,7 @@
 		if !led {
 			r.leader = nil
 			for _, p := range r.followers {
-				p.Cut()
+				p.LeaderDisconnected()
 			}
 		}
 		for i := range n {
--- a/watch/part.go
+++ b/watch/part.go
@@ -40,14 +40,14 @@
 
 // Kinds of actions.
 const (
-	Look      Kind = iota // probe a box, and report the end to FinishProbe
-	Believe               // apply the verdict Is about a box
-	Follow                // poll an agent, with polls held open for Hold; 0: the leader sends the list
-	Take                  // apply a list
-	Say                   // send a note to the leader
-	Tell                  // send a note to a follower; to all followers if To is empty
-	TellWhole             // send the full list of a pool to a follower
-	Resign                // give up the duty, as others are fit for it, and don't ask for it again for Hold
+	Probe           Kind = iota // probe a box, and report the end to FinishProbe
+	ApplyVerdict                // apply the verdict Is about a box
+	PollAgent                   // poll an agent, with polls held open for Hold; 0: the leader sends the list
+	ApplyList                   // apply a list
+	SendToLeader                // send a note to the leader
+	SendToFollowers             // send a note to a follower; to all followers if To is empty
+	SendFullList                // send the full list of a pool to a follower
+	Resign                      // give up the duty, as others are fit for it, and don't ask for it again for Hold
 )
 
 // Action is something that the caller must do.
@@ -72,7 +72,7 @@
 
 // Watcher is one limiter's part in the probing and polling of its room, as leader or as follower. Events
 // are passed in, and TakeActions returns what to do. It is not safe for concurrent use.
-type Part struct {
+type Watcher struct {
 	cfg         Settings
 	follower    *Follower
 	leader      *Leader // nil: another limiter leads, or none does
@@ -85,8 +85,8 @@
 
 // NewWatcher returns the watcher of a limiter that has not heard from a leader yet. pools are those whose
 // lists come from discovery agents.
-func NewPart(cfg Settings, pools []string) *Part {
-	w := &Part{cfg: cfg, follower: NewFollower(cfg), feeds: map[string]*Feed{}, pollHolds: map[string]time.Duration{}}
+func NewWatcher(cfg Settings, pools []string) *Watcher {
+	w := &Watcher{cfg: cfg, follower: NewFollower(cfg), feeds: map[string]*Feed{}, pollHolds: map[string]time.Duration{}}
 	for _, pool := range pools {
 		w.feeds[pool] = &Feed{}
 	}
@@ -94,20 +94,20 @@
 }
 
 // TakeActions returns what to do now, in order, and clears it.
-func (w *Part) Acts() []Action {
+func (w *Watcher) TakeActions() []Action {
 	pending := w.actions
 	w.actions = nil
 	return pending
 }
 
 // add appends an action for TakeActions.
-func (w *Part) add(action Action) { w.actions = append(w.actions, action) }
+func (w *Watcher) add(action Action) { w.actions = append(w.actions, action) }
 
 // Figures returns the counts.
-func (w *Part) Figures() Figures { return w.figures }
+func (w *Watcher) Figures() Figures { return w.figures }
 
 // PolledPools returns the pools whose agents this limiter polls itself.
-func (w *Part) Follows() (pools []string) {
+func (w *Watcher) PolledPools() (pools []string) {
 	for pool, hold := range w.pollHolds {
 		if hold > 0 {
 			pools = append(pools, pool)
@@ -118,13 +118,13 @@
 }
 
 // IsLeader reports whether this limiter leads its room.
-func (w *Part) Leads() bool { return w.leader != nil }
+func (w *Watcher) IsLeader() bool { return w.leader != nil }
 
 // NoLeader reports whether this limiter does not lead and hears from no leader.
-func (w *Part) Alone(now time.Duration) bool { return w.leader == nil && w.follower.Silent(now) }
+func (w *Watcher) NoLeader(now time.Duration) bool { return w.leader == nil && w.follower.Silent(now) }
 
 // SetLeader starts or ends this limiter's own term as leader.
-func (w *Part) Lead(isLeader bool) {
+func (w *Watcher) SetLeader(isLeader bool) {
 	w.leader = nil
 	if isLeader {
 		w.leader = NewLeader(w.cfg)
@@ -135,7 +135,7 @@
 }
 
 // Tick does what is due. It should be called about ten times a second.
-func (w *Part) Tick(now time.Duration) {
+func (w *Watcher) Tick(now time.Duration) {
 	silent := w.follower.Silent(now)
 	for _, pool := range slices.Sorted(maps.Keys(w.feeds)) {
 		feed := w.feeds[pool]
@@ -151,18 +151,18 @@
 		}
 		if previous, known := w.pollHolds[pool]; !known || previous != hold {
 			w.pollHolds[pool] = hold
-			w.add(Action{Kind: Follow, Pool: pool, Hold: hold})
+			w.add(Action{Kind: PollAgent, Pool: pool, Hold: hold})
 		}
 	}
 	if w.leader == nil {
 		return
 	}
 	for _, box := range w.leader.StartProbes(now) {
-		w.add(Action{Kind: Look, Box: box})
+		w.add(Action{Kind: Probe, Box: box})
 	}
 	if now >= w.heartbeatAt {
-		w.heartbeatAt = now + w.cfg.Patience/3
-		w.add(Action{Kind: Tell})
+		w.heartbeatAt = now + w.cfg.AnswerTimeout/3
+		w.add(Action{Kind: SendToFollowers})
 	}
 	if w.leader.Unfit(now) {
 		w.add(Action{Kind: Resign, Hold: w.cfg.Unfit})
@@ -170,78 +170,78 @@
 }
 
 // HandleUnhealthy processes that this limiter considers a box unhealthy.
-func (w *Part) Want(now time.Duration, box uint64) {
+func (w *Watcher) HandleUnhealthy(now time.Duration, box uint64) {
 	if w.leader != nil {
 		w.deliver(w.leader.Ask(now, "", box))
 		return
 	}
-	ask, probe := w.follower.Want(now, box)
+	ask, probe := w.follower.HandleUnhealthy(now, box)
 	if ask {
 		w.figures.Asked++
-		w.add(Action{Kind: Say, Note: Note{Ask: box}})
+		w.add(Action{Kind: SendToLeader, Note: Note{Ask: box}})
 	}
 	if probe {
-		w.add(Action{Kind: Look, Box: box})
+		w.add(Action{Kind: Probe, Box: box})
 	}
 }
 
 // FinishProbe processes the end of this limiter's own probe; an empty result: it could not be made.
-func (w *Part) Looked(now time.Duration, box uint64, result Verdict) {
+func (w *Watcher) FinishProbe(now time.Duration, box uint64, result Verdict) {
 	w.figures.Itself++
 	if w.leader != nil {
-		w.deliver(w.leader.Looked(now, box, result))
+		w.deliver(w.leader.FinishProbe(now, box, result))
 	}
-	if w.follower.Looked(box) && result != "" {
-		w.add(Action{Kind: Say, Note: Note{Checked: &BoxVerdict{Box: box, Is: result}}})
+	if w.follower.FinishProbe(box) && result != "" {
+		w.add(Action{Kind: SendToLeader, Note: Note{Checked: &BoxVerdict{Box: box, Is: result}}})
 	}
 }
 
 // AttemptFailed processes a failed attempt of this limiter at a box.
-func (w *Part) Failed(now time.Duration, box uint64) {
-	if w.follower.Failed(now, box) {
+func (w *Watcher) AttemptFailed(now time.Duration, box uint64) {
+	if w.follower.AttemptFailed(now, box) {
 		w.figures.Differs++
 	}
 }
 
 // HandleAgentList processes a list that an agent sent to this limiter.
-func (w *Part) Listed(l List) {
+func (w *Watcher) HandleAgentList(l List) {
 	feed := w.feeds[l.Pool]
 	if feed == nil {
 		return
 	}
 	feed.SetSeq(l.Seq)
 	if w.leader == nil {
-		w.add(Action{Kind: Say, Note: Note{Hears: l.Pool}})
+		w.add(Action{Kind: SendToLeader, Note: Note{Hears: l.Pool}})
 		return
 	}
 	w.leader.AgentHeard(l.Pool)
-	w.add(Action{Kind: Tell, Note: Note{List: &l}})
+	w.add(Action{Kind: SendToFollowers, Note: Note{List: &l}})
 }
 
 // Lost processes that the agent of a pool does not answer this limiter.
-func (w *Part) Lost(now time.Duration, pool string) {
+func (w *Watcher) Lost(now time.Duration, pool string) {
 	if w.leader != nil && w.leader.Lost(now, pool) {
-		w.add(Action{Kind: Tell, Note: Note{Lost: w.leader.LostPools()}})
+		w.add(Action{Kind: SendToFollowers, Note: Note{Lost: w.leader.LostPools()}})
 	}
 }
 
 // deliver sends verdicts to those they are for. The leader knows its own probe's result already.
-func (w *Part) deliver(verdicts []BoxVerdict) {
+func (w *Watcher) deliver(verdicts []BoxVerdict) {
 	for _, v := range verdicts {
 		if v.To != "" {
-			w.add(Action{Kind: Tell, To: v.To, Note: Note{Words: []BoxVerdict{v}}})
+			w.add(Action{Kind: SendToFollowers, To: v.To, Note: Note{Words: []BoxVerdict{v}}})
 		} else if v.Is == ProbeAlone {
-			w.add(Action{Kind: Look, Box: v.Box})
+			w.add(Action{Kind: Probe, Box: v.Box})
 		}
 	}
 }
 
 // AddFollower processes that a follower has connected; false: this limiter does not lead.
-func (w *Part) Join(limiter string) bool {
+func (w *Watcher) AddFollower(limiter string) bool {
 	if w.leader == nil {
 		return false
 	}
-	w.add(Action{Kind: Tell, To: limiter, Note: Note{Lost: w.leader.LostPools()}})
+	w.add(Action{Kind: SendToFollowers, To: limiter, Note: Note{Lost: w.leader.LostPools()}})
 	for _, pool := range slices.Sorted(maps.Keys(w.feeds)) {
 		w.sendFullList(limiter, pool)
 	}
@@ -249,21 +249,21 @@
 }
 
 // sendFullList sends a limiter the full list of a pool, if this limiter reaches its agent.
-func (w *Part) sendFullList(limiter, pool string) {
+func (w *Watcher) sendFullList(limiter, pool string) {
 	if w.feeds[pool] != nil && !slices.Contains(w.leader.LostPools(), pool) {
-		w.add(Action{Kind: TellWhole, To: limiter, Pool: pool})
+		w.add(Action{Kind: SendFullList, To: limiter, Pool: pool})
 	}
 }
 
 // RemoveFollower processes that a follower has disconnected.
-func (w *Part) Leave(limiter string) {
+func (w *Watcher) RemoveFollower(limiter string) {
 	if w.leader != nil {
-		w.leader.Leave(limiter)
+		w.leader.RemoveFollower(limiter)
 	}
 }
 
 // HandleFollowerNote processes a note of a follower.
-func (w *Part) From(now time.Duration, limiter string, note Note) {
+func (w *Watcher) HandleFollowerNote(now time.Duration, limiter string, note Note) {
 	if w.leader == nil {
 		return
 	}
@@ -282,45 +282,45 @@
 }
 
 // LeaderHeard processes a note of the leader.
-func (w *Part) Heard(now time.Duration, note Note) {
+func (w *Watcher) LeaderHeard(now time.Duration, note Note) {
 	if w.leader != nil {
 		return // from a previous leader
 	}
-	w.follower.Heard(now)
+	w.follower.LeaderHeard(now)
 	for _, v := range note.Words {
 		believed, probe := w.follower.Told(now, v)
 		if believed != "" {
 			w.figures.Told++
-			w.add(Action{Kind: Believe, Box: v.Box, Is: believed})
+			w.add(Action{Kind: ApplyVerdict, Box: v.Box, Is: believed})
 		}
 		if probe {
-			w.add(Action{Kind: Look, Box: v.Box})
+			w.add(Action{Kind: Probe, Box: v.Box})
 		}
 	}
 	for _, pool := range note.Lost {
-		w.Itself(pool)
+		w.FollowAgentDirectly(pool)
 	}
 	if list := note.List; list != nil && w.feeds[list.Pool] != nil {
 		accept, requestFull := w.feeds[list.Pool].Offer(list.Seq, list.Whole)
 		if accept {
-			w.add(Action{Kind: Take, List: list})
+			w.add(Action{Kind: ApplyList, List: list})
 		}
 		if requestFull {
-			w.add(Action{Kind: Say, Note: Note{Want: list.Pool}})
+			w.add(Action{Kind: SendToLeader, Note: Note{Want: list.Pool}})
 		}
 	}
 }
 
 // FollowAgentDirectly makes this limiter poll the agent of a pool itself, as the leader's list is of no use.
-func (w *Part) Itself(pool string) {
+func (w *Watcher) FollowAgentDirectly(pool string) {
 	if f := w.feeds[pool]; f != nil {
 		f.FollowAgent()
 	}
 }
 
 // LeaderDisconnected processes that the connection to the leader has ended.
-func (w *Part) Cut() {
-	w.follower.Cut()
+func (w *Watcher) LeaderDisconnected() {
+	w.follower.LeaderDisconnected()
 	for _, f := range w.feeds {
 		f.Disconnected()
 	}
--- a/watch/part_test.go
+++ b/watch/part_test.go
@@ -24,7 +24,7 @@
 
 // node is one limiter.
 type node struct {
-	watcher      *Part
+	watcher      *Watcher
 	listSeq      int64 // of the list in use
 	pollHold     time.Duration
 	calledAt     time.Duration // when its poll of the agent began
@@ -41,7 +41,7 @@
 func newSimulation(t *rapid.T, n int) *simulation {
 	r := &simulation{t: t, agentSeq: 1, leader: -1}
 	for range n {
-		r.limiters = append(r.limiters, &node{watcher: NewPart(DefaultSettings(time.Second), []string{pool}), pollHold: PollHoldAlone, hearsAgent: true, connectable: true})
+		r.limiters = append(r.limiters, &node{watcher: NewWatcher(DefaultSettings(time.Second), []string{pool}), pollHold: PollHoldAlone, hearsAgent: true, connectable: true})
 	}
 	return r
 }
@@ -59,19 +59,19 @@
 
 func (r *simulation) carryOut(i int) {
 	f := r.limiters[i]
-	for _, a := range f.watcher.Acts() {
+	for _, a := range f.watcher.TakeActions() {
 		switch a.Kind {
-		case Follow:
+		case PollAgent:
 			f.pollHold, f.calledAt = a.Hold, r.now
-		case Take:
+		case ApplyList:
 			r.useList(i, a.List.Seq)
-		case Say:
+		case SendToLeader:
 			if r.leader >= 0 && f.joined {
-				r.limiters[r.leader].watcher.From(r.now, r.name(i), a.Note)
+				r.limiters[r.leader].watcher.HandleFollowerNote(r.now, r.name(i), a.Note)
 			}
-		case Tell, TellWhole:
+		case SendToFollowers, SendFullList:
 			n := a.Note
-			if a.Kind == TellWhole {
+			if a.Kind == SendFullList {
 				if f.listSeq == 0 {
 					continue // the agent has not answered yet
 				}
@@ -101,28 +101,28 @@
 		}
 	}
 	for i, f := range r.limiters {
-		if leads := i == r.leader; leads != f.watcher.Leads() {
-			f.watcher.Lead(leads)
+		if leads := i == r.leader; leads != f.watcher.IsLeader() {
+			f.watcher.SetLeader(leads)
 			for _, o := range r.limiters { // connections to the previous leader end
 				o.joined, o.inTransit = false, nil
-				o.watcher.Cut()
+				o.watcher.LeaderDisconnected()
 			}
 		}
 	}
 	for i, f := range r.limiters {
 		switch canJoin := r.leader >= 0 && i != r.leader && f.connectable && r.limiters[r.leader].connectable; {
 		case canJoin && !f.joined:
-			f.joined = r.limiters[r.leader].watcher.Join(r.name(i))
+			f.joined = r.limiters[r.leader].watcher.AddFollower(r.name(i))
 			r.carryOut(r.leader)
 		case !canJoin && f.joined:
 			f.joined, f.inTransit = false, nil
-			f.watcher.Cut()
+			f.watcher.LeaderDisconnected()
 			if r.leader >= 0 {
-				r.limiters[r.leader].watcher.Leave(r.name(i))
+				r.limiters[r.leader].watcher.RemoveFollower(r.name(i))
 			}
 		}
 		for _, n := range f.inTransit {
-			f.watcher.Heard(r.now, n)
+			f.watcher.LeaderHeard(r.now, n)
 		}
 		f.inTransit = nil
 		f.watcher.Tick(r.now)
@@ -136,7 +136,7 @@
 			whole := f.seenSeq == 0
 			r.useList(i, r.agentSeq)
 			f.calledAt = r.now
-			f.watcher.Listed(List{Pool: pool, Seq: r.agentSeq, Whole: whole, Hosts: json.RawMessage("[]")})
+			f.watcher.HandleAgentList(List{Pool: pool, Seq: r.agentSeq, Whole: whole, Hosts: json.RawMessage("[]")})
 		case !f.hearsAgent && r.now >= f.calledAt+f.pollHold+2*time.Second:
 			f.calledAt = r.now
 			f.watcher.Lost(r.now, pool)
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -25,23 +25,23 @@
 
 // Settings are the timing of probes and polls.
 type Settings struct {
-	ProbeInterval time.Duration // least interval between two probes of the leader at one box
-	CheckInterval time.Duration // least interval between two checks of a verdict that a box is unhealthy
-	Patience      time.Duration // a follower that waits this long for an answer probes the box itself
-	Silence       time.Duration // followers poll agents themselves after this long without a note of the leader
-	Apart         time.Duration // how long limiters probe a box themselves after a disagreement about it
-	Unfit         time.Duration // how long a limiter that misses an agent which others reach does not ask for the duty
+	ProbeInterval      time.Duration // least interval between two probes of the leader at one box
+	CheckInterval      time.Duration // least interval between two checks of a verdict that a box is unhealthy
+	AnswerTimeout      time.Duration // a follower that waits this long for an answer probes the box itself
+	Silence            time.Duration // followers poll agents themselves after this long without a note of the leader
+	DisagreementPeriod time.Duration // how long limiters probe a box themselves after a disagreement about it
+	Unfit              time.Duration // how long a limiter that misses an agent which others reach does not ask for the duty
 }
 
 // DefaultSettings returns the settings that suit a duty with this term.
 func DefaultSettings(term time.Duration) Settings {
 	return Settings{
-		ProbeInterval: 500 * time.Millisecond, // as without a leader
-		CheckInterval: time.Second,
-		Patience:      1500 * time.Millisecond, // three requests in a row
-		Silence:       5 * term / 2,            // the next owner takes over within about two terms
-		Apart:         10 * time.Second,
-		Unfit:         5 * time.Minute, // with terms of up to 25 s, ten limiters that miss the agent get one turn each
+		ProbeInterval:      500 * time.Millisecond, // as without a leader
+		CheckInterval:      time.Second,
+		AnswerTimeout:      1500 * time.Millisecond, // three requests in a row
+		Silence:            5 * term / 2,            // the next owner takes over within about two terms
+		DisagreementPeriod: 10 * time.Second,
+		Unfit:              5 * time.Minute, // with terms of up to 25 s, ten limiters that miss the agent get one turn each
 	}
 }
 
@@ -50,8 +50,8 @@
 
 // Verdicts.
 const (
-	Well       Verdict = "well"  // the box can be used
-	Ill        Verdict = "ill"   // the box can not be used
+	Healthy    Verdict = "well"  // the box can be used
+	Unhealthy  Verdict = "ill"   // the box can not be used
 	CheckOnce  Verdict = "check" // the leader finds the box unhealthy: probe it once and report the result
 	ProbeAlone Verdict = "alone" // limiters disagree about the box: probe it yourself for a while
 )
@@ -118,7 +118,7 @@
 		case !state.probing && len(state.waitingSince) > 0 && now >= state.probeStart+l.cfg.ProbeInterval:
 			state.probing, state.probeStart = true, now
 			boxes = append(boxes, box)
-		case !state.probing && now > state.askedAt+l.cfg.Apart+l.cfg.Patience:
+		case !state.probing && now > state.askedAt+l.cfg.DisagreementPeriod+l.cfg.AnswerTimeout:
 			delete(l.states, box)
 		}
 	}
@@ -128,7 +128,7 @@
 // FinishProbe processes the end of a probe. It returns the verdicts for those that asked before the
 // probe began, as an earlier observation does not answer a later question. An empty result means
 // that the probe could not be made.
-func (l *Leader) Looked(now time.Duration, box uint64, result Verdict) (verdicts []BoxVerdict) {
+func (l *Leader) FinishProbe(now time.Duration, box uint64, result Verdict) (verdicts []BoxVerdict) {
 	state := l.states[box]
 	if state == nil || !state.probing {
 		return nil
@@ -145,7 +145,7 @@
 		}
 	}
 	checker := ""
-	if result == Ill && now >= state.checkedAt+l.cfg.CheckInterval {
+	if result == Unhealthy && now >= state.checkedAt+l.cfg.CheckInterval {
 		checker = nextChecker(answered, state.lastChecker)
 	}
 	for _, limiter := range answered {
@@ -177,10 +177,10 @@
 // limiter reaches the box, all probe it themselves for a while.
 func (l *Leader) Checked(now time.Duration, box uint64, result Verdict) (verdicts []BoxVerdict) {
 	state := l.states[box]
-	if state == nil || result != Well {
+	if state == nil || result != Healthy {
 		return nil
 	}
-	state.disagreeUntil = now + l.cfg.Apart
+	state.disagreeUntil = now + l.cfg.DisagreementPeriod
 	for _, limiter := range slices.Sorted(maps.Keys(state.waitingSince)) {
 		verdicts = append(verdicts, BoxVerdict{limiter, box, ProbeAlone})
 	}
@@ -189,7 +189,7 @@
 }
 
 // RemoveFollower forgets a limiter that is gone.
-func (l *Leader) Leave(limiter string) {
+func (l *Leader) RemoveFollower(limiter string) {
 	for _, state := range l.states {
 		delete(state.waitingSince, limiter)
 	}
@@ -253,21 +253,21 @@
 func NewFollower(cfg Settings) *Follower { return &Follower{cfg: cfg, boxes: map[uint64]*boxView{}} }
 
 // LeaderHeard records that a note of any kind arrived from the leader.
-func (f *Follower) Heard(now time.Duration) { f.up, f.known, f.heard = true, true, now }
+func (f *Follower) LeaderHeard(now time.Duration) { f.up, f.known, f.heard = true, true, now }
 
 // LeaderDisconnected records that the connection to the leader has ended.
-func (f *Follower) Cut() { f.up = false }
+func (f *Follower) LeaderDisconnected() { f.up = false }
 
 // Silent reports whether the leader has been silent for so long that agents must be polled directly.
 func (f *Follower) Silent(now time.Duration) bool { return !f.known || now > f.heard+f.cfg.Silence }
 
 // HandleUnhealthy returns what to do about a box that this limiter considers unhealthy: ask the leader,
 // probe the box, or both if questions remain unanswered.
-func (f *Follower) Want(now time.Duration, box uint64) (ask, probe bool) {
+func (f *Follower) HandleUnhealthy(now time.Duration, box uint64) (ask, probe bool) {
 	view := f.boxes[box]
 	if view == nil {
 		for id, other := range f.boxes {
-			if now > other.usedAt+2*f.cfg.Apart {
+			if now > other.usedAt+2*f.cfg.DisagreementPeriod {
 				delete(f.boxes, id)
 			}
 		}
@@ -275,13 +275,13 @@
 		f.boxes[box] = view
 	}
 	view.usedAt = now
-	if !f.up || now > f.heard+f.cfg.Patience || now < view.probeAloneUntil {
+	if !f.up || now > f.heard+f.cfg.AnswerTimeout || now < view.probeAloneUntil {
 		return false, true
 	}
 	if !view.asking {
 		view.asking, view.askedAt = true, now
 	}
-	return true, now >= view.askedAt+f.cfg.Patience
+	return true, now >= view.askedAt+f.cfg.AnswerTimeout
 }
 
 // Told processes a verdict of the leader. believed is the verdict to apply (empty: none), and probe
@@ -293,16 +293,16 @@
 	}
 	view.asking = false
 	switch received.Is {
-	case Well:
+	case Healthy:
 		view.healthyAt, view.toldHealthy = now, true
-		return Well, false
-	case Ill:
-		return Ill, false
+		return Healthy, false
+	case Unhealthy:
+		return Unhealthy, false
 	case CheckOnce:
 		view.checking = true
 		return "", true
 	case ProbeAlone:
-		view.probeAloneUntil = now + f.cfg.Apart
+		view.probeAloneUntil = now + f.cfg.DisagreementPeriod
 		return "", true
 	}
 	return "", false
@@ -310,7 +310,7 @@
 
 // FinishProbe processes the end of this limiter's own probe. It reports whether the leader must get the
 // result.
-func (f *Follower) Looked(box uint64) bool {
+func (f *Follower) FinishProbe(box uint64) bool {
 	view := f.boxes[box]
 	if view == nil || !view.checking {
 		return false
@@ -321,12 +321,12 @@
 
 // AttemptFailed processes a failed attempt of this limiter at a box. If the leader called the box healthy
 // recently, the verdict does not hold for this limiter, which then probes the box itself for a while.
-func (f *Follower) Failed(now time.Duration, box uint64) (differs bool) {
+func (f *Follower) AttemptFailed(now time.Duration, box uint64) (differs bool) {
 	view := f.boxes[box]
-	if view == nil || !view.toldHealthy || now > view.healthyAt+f.cfg.Apart {
+	if view == nil || !view.toldHealthy || now > view.healthyAt+f.cfg.DisagreementPeriod {
 		return false
 	}
-	view.toldHealthy, view.probeAloneUntil = false, now+f.cfg.Apart
+	view.toldHealthy, view.probeAloneUntil = false, now+f.cfg.DisagreementPeriod
 	return true
 }
 
