--- a/internal/nodesettings/nodesettings.go
+++ b/internal/nodesettings/nodesettings.go
@@ -1,4 +1,4 @@
-// Package nodesettings reads the settings file that a process of the system is started with.
+// Package nodesettings reads the JSON settings file that each process of the system starts from.
 package nodesettings
 
 import (
@@ -21,9 +21,9 @@
 // Variable names the environment variable that holds the path of the settings file.
 const Variable = "MADDERDRUM_BOOT"
 
-// Settings is what a process is told about itself and its surroundings.
+// Settings describes a process, its machine, its network and the timing bounds it must keep.
 type Settings struct {
-	Path      string // of the file; empty where it is none
+	Path      string // of the settings file; empty if the settings were not read from a file
 	Node      string
 	Role      string
 	Class     string
@@ -31,26 +31,27 @@
 	IP        string
 	Zone      string
 	Region    string
-	Votes     bool // the machine counts towards what may be lost at once
-	Bootstrap bool // the whole system starts for the first time
+	Votes     bool // the machine is a quorum member: it counts towards the tolerated machine losses
+	Bootstrap bool // first start of the whole system
 	DataDir   string
 	MemoryMB  int
 	Files     int
 	DiskMB    int
 	LinkMbps  float64
 	Listen    map[string]string
-	Ports     [2]int // first and last of the internal ports
-	Seeds     []string
-	Zones     map[string]string // region of each zone
+	Ports     [2]int            // first and last internal port
+	Seeds     []string          // control-plane addresses of core machines
+	Zones     map[string]string // region by zone
 	Heartbeat time.Duration
-	Tolerate  int // core machines that may be lost at once
-	Contracts map[string]bool
-	// MetricsPort is where the process tells its own figures; 0: nowhere. It comes from the command line.
+	Tolerate  int             // core machines that may fail at the same time
+	Contracts map[string]bool // names of the active timing contracts
+	// MetricsPort is the port that serves the metrics of the process; 0 disables it. It is set by a
+	// command-line flag, not by the settings file.
 	MetricsPort int
 	Bounds      Bounds
 }
 
-// Bounds are the figures of the rules in force. A zero means that the rule is not in force.
+// Bounds are the limits of the active timing contracts. A zero means that the contract is not active.
 type Bounds struct {
 	Contact, Ack, Sync, Drain, Grace, LossSlack time.Duration
 	ConfigApply, RevertSlack, Revoke, Evacuate  time.Duration
@@ -61,7 +62,8 @@
 	WarmupOvershoot, WarmupSlack                float64
 }
 
-// Error tells which field of the settings file can't be used and what to write instead.
+// Error is a settings error: the field of the settings file that is invalid, what is wrong with it,
+// and how to correct it.
 type Error struct {
 	Path, Field, Wrong, Fix string
 }
@@ -81,7 +83,7 @@
 	return text
 }
 
-// Load reads the settings file that the environment names.
+// Load reads the settings file whose path is in the environment variable [Variable].
 func Load() (*Settings, error) {
 	path := os.Getenv(Variable)
 	if path == "" {
@@ -90,7 +92,7 @@
 	return LoadFile(path)
 }
 
-// LoadFile reads a settings file.
+// LoadFile reads and validates the settings file at path.
 func LoadFile(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -106,123 +108,123 @@
 	return s, err
 }
 
-// followEvery is how often the file is looked at: it may change without a signal.
-const followEvery = 2 * time.Second
+// pollInterval is the polling interval: the file may change without a signal.
+const pollInterval = 2 * time.Second
 
-// Follow hands over the settings each time that their file has changed, until the context
-// ends; a signal has it looked at at once. What can't be used is told, and the settings that
-// hold stay.
-func (s *Settings) Follow(ctx context.Context, changed func(*Settings), wrong func(error)) {
+// Follow watches the settings file until ctx is done and calls changed with the new settings after each
+// change of its contents. SIGHUP triggers an immediate check. For an invalid file it calls invalid with the
+// error, and the current settings stay in effect.
+func (s *Settings) Follow(ctx context.Context, changed func(*Settings), invalid func(error)) {
 	if s.Path == "" {
 		return
 	}
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
-	tick := time.NewTicker(followEvery)
+	hangup := make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	old, _ := os.ReadFile(s.Path)
+	previous, _ := os.ReadFile(s.Path)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hup:
+		case <-hangup:
 		case <-tick.C:
 		}
 		data, err := os.ReadFile(s.Path)
-		if err != nil || bytes.Equal(data, old) {
-			continue // a file that is being replaced is there the next time
+		if err != nil || bytes.Equal(data, previous) {
+			continue // a file that is missing because it is being replaced is read on the next check
 		}
-		old = data
+		previous = data
 		next, err := LoadFile(s.Path)
 		if err != nil {
-			wrong(err)
+			invalid(err)
 			continue
 		}
 		changed(next)
 	}
 }
 
-// reader collects the first mistake while fields are read.
-type reader struct{ err *Error }
+// fieldReader reads fields and keeps the first error.
+type fieldReader struct{ err *Error }
 
-func (r *reader) fail(field, wrong, fix string) {
+func (r *fieldReader) recordError(field, problem, fix string) {
 	if r.err == nil {
-		r.err = &Error{Field: field, Wrong: wrong, Fix: fix}
+		r.err = &Error{Field: field, Wrong: problem, Fix: fix}
 	}
 }
 
-func (r *reader) text(v *fastjson.Value, field string, needed bool, keys ...string) string {
-	x := v.Get(keys...)
-	if x == nil || x.Type() == fastjson.TypeNull {
-		if needed {
-			r.fail(field, "is missing", "write a string")
+func (r *fieldReader) stringField(v *fastjson.Value, field string, required bool, keys ...string) string {
+	value := v.Get(keys...)
+	if value == nil || value.Type() == fastjson.TypeNull {
+		if required {
+			r.recordError(field, "is missing", "write a string")
 		}
 		return ""
 	}
-	b, err := x.StringBytes()
+	text, err := value.StringBytes()
 	if err != nil {
-		r.fail(field, "is not a string", "write it in quotes")
+		r.recordError(field, "is not a string", "write it in quotes")
 	}
-	return string(b)
+	return string(text)
 }
 
-func (r *reader) duration(v *fastjson.Value, field string, keys ...string) time.Duration {
+func (r *fieldReader) durationField(v *fastjson.Value, field string, keys ...string) time.Duration {
 	if v.Get(keys...) == nil {
 		return 0
 	}
-	d, ok := configuration.Duration(r.text(v, field, true, keys...))
+	duration, ok := configuration.Duration(r.stringField(v, field, true, keys...))
 	if !ok {
-		r.fail(field, "is not a time", "write a number and its unit, as in 1500ms or 2.5s")
+		r.recordError(field, "is not a time", "write a number and its unit, as in 1500ms or 2.5s")
 	}
-	return d
+	return duration
 }
 
-// Parse reads settings. Fields that it does not know are passed over.
+// Parse decodes and validates settings. Unknown fields are ignored.
 func Parse(data []byte) (*Settings, error) {
 	v, err := fastjson.ParseBytes(data)
 	if err != nil {
 		return nil, &Error{Wrong: "is not JSON: " + err.Error(), Fix: "write one JSON object"}
 	}
-	var r reader
-	self, network, terms := v.Get("self_identity"), v.Get("network"), v.Get("timing_terms")
+	var fields fieldReader
+	identity, network, timing := v.Get("self_identity"), v.Get("network"), v.Get("timing_terms")
 	for _, x := range []struct {
 		field string
 		table *fastjson.Value
-	}{{"self_identity", self}, {"network", network}, {"timing_terms", terms}} {
+	}{{"self_identity", identity}, {"network", network}, {"timing_terms", timing}} {
 		if x.table == nil || x.table.Type() != fastjson.TypeObject {
 			return nil, &Error{Field: x.field, Wrong: "is missing", Fix: "write a table of that name"}
 		}
 	}
 	s := &Settings{
-		Node: r.text(self, "self_identity.node_name", true, "node_name"), Role: r.text(self, "self_identity.role", true, "role"),
-		Class: r.text(self, "self_identity.machine_class", false, "machine_class"),
-		IP:    r.text(self, "self_identity.ip_address", true, "ip_address"),
-		Zone:  r.text(self, "self_identity.zone", true, "zone"), Region: r.text(self, "self_identity.region", true, "region"),
-		Votes: self.GetBool("quorum_member"), Bootstrap: self.GetBool("bootstrap"),
-		DataDir:  r.text(self, "self_identity.data_dir", false, "data_dir"),
-		MemoryMB: self.GetInt("limits", "memory_mb"), Files: self.GetInt("limits", "file_descriptors"),
-		DiskMB: self.GetInt("limits", "disk_mb"), LinkMbps: self.GetFloat64("limits", "link_mbps"),
+		Node: fields.stringField(identity, "self_identity.node_name", true, "node_name"), Role: fields.stringField(identity, "self_identity.role", true, "role"),
+		Class: fields.stringField(identity, "self_identity.machine_class", false, "machine_class"),
+		IP:    fields.stringField(identity, "self_identity.ip_address", true, "ip_address"),
+		Zone:  fields.stringField(identity, "self_identity.zone", true, "zone"), Region: fields.stringField(identity, "self_identity.region", true, "region"),
+		Votes: identity.GetBool("quorum_member"), Bootstrap: identity.GetBool("bootstrap"),
+		DataDir:  fields.stringField(identity, "self_identity.data_dir", false, "data_dir"),
+		MemoryMB: identity.GetInt("limits", "memory_mb"), Files: identity.GetInt("limits", "file_descriptors"),
+		DiskMB: identity.GetInt("limits", "disk_mb"), LinkMbps: identity.GetFloat64("limits", "link_mbps"),
 		Listen: map[string]string{}, Zones: map[string]string{}, Contracts: map[string]bool{},
-		Heartbeat: r.duration(v, "provider.heartbeat", "provider", "heartbeat"),
-		Tolerate:  terms.GetInt("fault_tolerance", "machines"),
+		Heartbeat: fields.durationField(v, "provider.heartbeat", "provider", "heartbeat"),
+		Tolerate:  timing.GetInt("fault_tolerance", "machines"),
 	}
-	for _, x := range self.GetArray("serves") {
+	for _, x := range identity.GetArray("serves") {
 		s.Serves = append(s.Serves, string(x.GetStringBytes()))
 	}
-	visit := func(table *fastjson.Value, into map[string]string) {
+	readMap := func(table *fastjson.Value, target map[string]string) {
 		if o, err := table.Object(); table != nil && err == nil {
-			o.Visit(func(k []byte, x *fastjson.Value) { into[string(k)] = string(x.GetStringBytes()) })
+			o.Visit(func(k []byte, x *fastjson.Value) { target[string(k)] = string(x.GetStringBytes()) })
 		}
 	}
 	if t := network.Get("listen"); t != nil {
-		visit(t, s.Listen)
+		readMap(t, s.Listen)
 	}
 	if t := network.Get("zones"); t != nil {
-		visit(t, s.Zones)
+		readMap(t, s.Zones)
 	}
 	ports := network.GetArray("internal_ports")
 	if len(ports) != 2 || ports[0].GetInt() <= 0 || ports[1].GetInt() < ports[0].GetInt()+3 {
-		r.fail("network.internal_ports", "does not hold the first and last of four ports or more", "write two numbers")
+		fields.recordError("network.internal_ports", "does not hold the first and last of four ports or more", "write two numbers")
 	} else {
 		s.Ports = [2]int{ports[0].GetInt(), ports[1].GetInt()}
 	}
@@ -230,72 +232,74 @@
 		s.Seeds = append(s.Seeds, string(x.GetStringBytes()))
 	}
 	if len(s.Seeds) == 0 {
-		r.fail("network.seed_nodes", "names no machine", "write the control_plane addresses of core machines")
+		fields.recordError("network.seed_nodes", "names no machine", "write the control_plane addresses of core machines")
 	}
-	for _, x := range terms.GetArray("active_contracts") {
+	for _, x := range timing.GetArray("active_contracts") {
 		s.Contracts[string(x.GetStringBytes())] = true
 	}
-	s.bounds(&r, terms.Get("bounds"))
+	s.readBounds(&fields, timing.Get("bounds"))
 	if s.Heartbeat == 0 {
 		s.Heartbeat = 1500 * time.Millisecond
 	}
-	if r.err != nil {
-		return nil, r.err
+	if fields.err != nil {
+		return nil, fields.err
 	}
 	return s, nil
 }
 
-func (s *Settings) bounds(r *reader, v *fastjson.Value) {
+func (s *Settings) readBounds(fields *fieldReader, v *fastjson.Value) {
 	if v == nil {
 		return
 	}
-	b := &s.Bounds
-	for name, to := range map[string]*time.Duration{
-		"contact": &b.Contact, "ack": &b.Ack, "sync_time": &b.Sync, "drain": &b.Drain, "grace": &b.Grace,
-		"loss_slack": &b.LossSlack, "config_apply": &b.ConfigApply, "revert_slack": &b.RevertSlack,
-		"revoke": &b.Revoke, "evacuate": &b.Evacuate, "retry_window": &b.RetryWindow,
-		"quota_window": &b.QuotaWindow, "ttl_max": &b.TTLMax, "recovery": &b.Recovery,
+	bounds := &s.Bounds
+	for name, target := range map[string]*time.Duration{
+		"contact": &bounds.Contact, "ack": &bounds.Ack, "sync_time": &bounds.Sync, "drain": &bounds.Drain, "grace": &bounds.Grace,
+		"loss_slack": &bounds.LossSlack, "config_apply": &bounds.ConfigApply, "revert_slack": &bounds.RevertSlack,
+		"revoke": &bounds.Revoke, "evacuate": &bounds.Evacuate, "retry_window": &bounds.RetryWindow,
+		"quota_window": &bounds.QuotaWindow, "ttl_max": &bounds.TTLMax, "recovery": &bounds.Recovery,
 	} {
-		*to = r.duration(v, "timing_terms.bounds."+name, name)
+		*target = fields.durationField(v, "timing_terms.bounds."+name, name)
 	}
-	for name, to := range map[string]*float64{
-		"retry_budget_ratio": &b.RetryRatio, "retry_slack": &b.RetrySlack, "quota_overshoot": &b.QuotaOvershoot,
-		"quota_slack": &b.QuotaSlack, "warmup_overshoot": &b.WarmupOvershoot, "warmup_slack": &b.WarmupSlack,
+	for name, target := range map[string]*float64{
+		"retry_budget_ratio": &bounds.RetryRatio, "retry_slack": &bounds.RetrySlack, "quota_overshoot": &bounds.QuotaOvershoot,
+		"quota_slack": &bounds.QuotaSlack, "warmup_overshoot": &bounds.WarmupOvershoot, "warmup_slack": &bounds.WarmupSlack,
 	} {
-		if x := v.Get(name); x != nil {
-			f, err := x.Float64()
-			if err != nil || f < 0 {
-				r.fail("timing_terms.bounds."+name, "is not a number from 0 on", "write a number")
+		if value := v.Get(name); value != nil {
+			number, err := value.Float64()
+			if err != nil || number < 0 {
+				fields.recordError("timing_terms.bounds."+name, "is not a number from 0 on", "write a number")
 			}
-			*to = f
+			*target = number
 		}
 	}
-	b.RevocationStrict = v.GetBool("revocation_strict")
+	bounds.RevocationStrict = v.GetBool("revocation_strict")
 }
 
-// Internal ports, from the first of the settings on.
+// Offsets of the internal ports from the first one in the settings.
 const (
 	ConfigStorePort = 0
 	RegistryPort    = 1
 	ProxyPort       = 2
 )
 
-// Internal is the address at which a program of another machine is called.
+// Internal returns the address of an internal port, given as an offset such as [ProxyPort], on the machine
+// with that IP address.
 func (s *Settings) Internal(ip string, port int) string {
 	return ip + ":" + strconv.Itoa(s.Ports[0]+port)
 }
 
-// HostOf is the IP number of an address with a port.
+// HostOf returns the host part of an address in the form host:port; an address without a port is returned
+// unchanged.
 func HostOf(address string) string {
-	host, _, ok := strings.Cut(address, ":")
-	if !ok {
+	host, _, hasPort := strings.Cut(address, ":")
+	if !hasPort {
 		return address
 	}
 	return host
 }
 
-// Cores are the IP numbers of the core machines that the seeds name, this one among them
-// where it is one.
+// Cores returns the IP addresses of the core machines listed as seeds, including this machine if it is
+// one of them.
 func (s *Settings) Cores() []string {
 	var ips []string
 	for _, a := range s.Seeds {
@@ -304,10 +308,11 @@
 	return ips
 }
 
-// String is a short name for logs.
+// String returns "node/role", for logs.
 func (s *Settings) String() string { return fmt.Sprintf("%s/%s", s.Node, s.Role) }
 
-// MetricsAddress is where the process tells its own figures; empty: nowhere.
+// MetricsAddress returns the address that serves the metrics of the process; it is empty if they are
+// disabled.
 func (s *Settings) MetricsAddress() string {
 	if s.MetricsPort == 0 {
 		return ""
--- a/internal/nodesettings/nodesettings_test.go
+++ b/internal/nodesettings/nodesettings_test.go
@@ -34,12 +34,12 @@
 		_, err := Parse([]byte(wrong))
 		var e *Error
 		if !errors.As(err, &e) || e.Field != field || e.Fix == "" {
-			t.Errorf("%q wanted: %v", field, err)
+			t.Errorf("field %q: error %v, want one about this field with a fix", field, err)
 		}
 	}
 }
 
-// A file that changes, also without a signal, is taken in; one that can't be used is told.
+// Checks that Follow picks up a changed file without a signal.
 func TestFollow(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.json")
 	if err := os.WriteFile(path, []byte(settings), 0o644); err != nil {
@@ -51,14 +51,14 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	next, wrong := make(chan *Settings, 8), make(chan error, 8)
-	go s.Follow(ctx, func(s *Settings) { next <- s }, func(err error) { wrong <- err })
+	next, invalid := make(chan *Settings, 8), make(chan error, 8)
+	go s.Follow(ctx, func(s *Settings) { next <- s }, func(err error) { invalid <- err })
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 			t.Error(err)
 		}
 	}
-	// Until it is seen: the first look may come after the write.
+	// Writes repeatedly until Follow sees a change: its first read may come after the first write.
 	go func() {
 		for k := 0; ctx.Err() == nil; k++ {
 			write(strings.Replace(settings, "10.0.0.9", "10.0.0."+string(rune('1'+k%5)), 1))
@@ -75,9 +75,9 @@
 				t.Errorf("seeds %v", s.Seeds)
 			}
 			return
-		case <-wrong: // half of a file that is being written; the whole one follows
+		case <-invalid: // a partly written file; the complete one follows
 		case <-ctx.Done():
-			t.Fatal("not seen")
+			t.Fatal("the changed file was not picked up")
 		}
 	}
 }
