--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is what the three programs share: their command line, logs, signals and how
-// they use memory.
+// Package cli holds what the three programs share: command line, logging, signal handling and memory
+// limits.
 package cli
 
 import (
@@ -24,30 +24,30 @@
 )
 
 const (
-	gcPercent   = 50  // memory is dear, and heaps are of a few megabytes
-	memoryShare = 0.7 // of the limit: the heap's soft bound
-	logLevel    = "MADDERDRUM_LOG"
+	gcPercent        = 50  // heaps are a few megabytes and machines have little memory: collect early
+	memoryLimitShare = 0.7 // the Go runtime's soft memory limit as a share of the machine's memory limit
+	logLevelVariable = "MADDERDRUM_LOG"
 
-	statusWithin = 3 * time.Second
-	portMost     = 1<<16 - 1
+	statusTimeout = 3 * time.Second
+	maxPort       = 1<<16 - 1
 )
 
-// Run is a program's work until its context ends.
+// Run is the main function of a program; it returns once ctx is done.
 type Run func(ctx context.Context, set *nodesettings.Settings, log logrus.FieldLogger) error
 
-// Main parses the command line, and exits non-zero when the command fails.
-func Main(name, short string, run Run, more ...*cobra.Command) {
+// Main parses the command line, runs the chosen command and exits with status 1 if it fails.
+func Main(name, short string, run Run, extraCommands ...*cobra.Command) {
 	root := &cobra.Command{Use: name, Short: short, SilenceUsage: true}
 	root.CompletionOptions.DisableDefaultCmd = true
-	root.AddCommand(serveCommand(name, run), check(), status())
-	root.AddCommand(more...)
+	root.AddCommand(serveCommand(name, run), checkCommand(), statusCommand())
+	root.AddCommand(extraCommands...)
 	if root.ExecuteContext(context.Background()) != nil {
 		os.Exit(1)
 	}
 }
 
-// check is the command that checks settings and configurations.
-func check() *cobra.Command {
+// checkCommand returns the command that validates a settings file or a configuration.
+func checkCommand() *cobra.Command {
 	var isConfiguration bool
 	cmd := &cobra.Command{Use: "check FILE", Short: "Check a settings file or, with --configuration, a configuration", Args: cobra.ExactArgs(1)}
 	cmd.Flags().BoolVar(&isConfiguration, "configuration", false, "the file is a whole configuration")
@@ -66,22 +66,23 @@
 		if _, fault := configuration.ReadCall(text, false); fault != nil {
 			return fault
 		}
-		t, fault := configuration.Read(text)
+		configured, fault := configuration.Read(text)
 		if fault != nil {
 			return fault
 		}
-		fmt.Fprintf(cmd.OutOrStdout(), "configuration r%d is good: %d routes, %d services, %d tenants\n", t.Version, len(t.Routes), len(t.Services), len(t.Tenants))
+		fmt.Fprintf(cmd.OutOrStdout(), "configuration r%d is good: %d routes, %d services, %d tenants\n",
+			configured.Version, len(configured.Routes), len(configured.Services), len(configured.Tenants))
 		return nil
 	}
 	return cmd
 }
 
-// status is the command that asks a process how it stands.
-func status() *cobra.Command {
-	return &cobra.Command{Use: "status ADDRESS", Short: "Ask a process how it stands; ADDRESS is that of its internal port", Args: cobra.ExactArgs(1),
+// statusCommand returns the command that prints the status of a running process.
+func statusCommand() *cobra.Command {
+	return &cobra.Command{Use: "status ADDRESS", Short: "Print the status of a process; ADDRESS is the address of its internal port", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var s rpc.Status
-			if err := rpc.NewCaller().Call(cmd.Context(), args[0], rpc.CallStatus, nil, &s, statusWithin); err != nil {
+			if err := rpc.NewCaller().Call(cmd.Context(), args[0], rpc.CallStatus, nil, &s, statusTimeout); err != nil {
 				return err
 			}
 			for _, l := range s.Lines {
@@ -91,51 +92,52 @@
 		}}
 }
 
-// serveCommand is the command that a program runs by.
+// serveCommand returns the command that runs the program.
 func serveCommand(name string, run Run) *cobra.Command {
 	var metricsPort int
 	cmd := &cobra.Command{Use: "serve", Short: "Serve until SIGTERM; " + nodesettings.Variable + " names the settings file", Args: cobra.NoArgs}
-	cmd.Flags().IntVar(&metricsPort, "metrics", 0, "port at which the process tells its own figures, at "+metrics.Path+"; 0: none")
+	cmd.Flags().IntVar(&metricsPort, "metrics", 0, "port that serves the metrics of this process at "+metrics.Path+"; 0: none")
 	cmd.RunE = func(*cobra.Command, []string) error {
-		if metricsPort < 0 || metricsPort > portMost {
-			return fmt.Errorf("--metrics is %d: write a port from 1 to %d, or 0 for none", metricsPort, portMost)
+		if metricsPort < 0 || metricsPort > maxPort {
+			return fmt.Errorf("--metrics is %d: write a port from 1 to %d, or 0 for none", metricsPort, maxPort)
 		}
-		return serve(name, metricsPort, run)
+		return runProgram(name, metricsPort, run)
 	}
 	return cmd
 }
 
-func serve(name string, metricsPort int, run Run) error {
+func runProgram(name string, metricsPort int, run Run) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	set, err := nodesettings.Load()
+	settings, err := nodesettings.Load()
 	if err != nil {
 		return err
 	}
-	set.MetricsPort = metricsPort
+	settings.MetricsPort = metricsPort
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(gcPercent)
-	if set.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(set.MemoryMB<<20)))
+	if settings.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(settings.MemoryMB<<20)))
 	}
-	log, err := NewLog(os.Stderr, os.Getenv(logLevel))
+	log, err := NewLog(os.Stderr, os.Getenv(logLevelVariable))
 	if err != nil {
 		return err
 	}
-	return run(ctx, set, log.WithField("program", name))
+	return run(ctx, settings, log.WithField("program", name))
 }
 
-// NewLog returns a log of one line of key=value pairs an event.
+// NewLog returns a logger that writes one line of key=value pairs per event. level is a logrus level; if it
+// is empty the level is info.
 func NewLog(w io.Writer, level string) (*logrus.Logger, error) {
 	log := logrus.New()
 	log.SetOutput(w)
 	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: "15:04:05.000"})
 	if level != "" {
-		l, err := logrus.ParseLevel(level)
+		parsed, err := logrus.ParseLevel(level)
 		if err != nil {
-			return nil, fmt.Errorf("%s is %q: write debug, info, warning or error", logLevel, level)
+			return nil, fmt.Errorf("%s is %q: write debug, info, warning or error", logLevelVariable, level)
 		}
-		log.SetLevel(l)
+		log.SetLevel(parsed)
 	}
 	return log, nil
 }
