--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -1,6 +1,6 @@
-// Package httpapi answers outside calls over HTTP/1.1: of servers, operators and clients that
-// ask where to go. It reads requests with net/http and writes answers itself: a whole
-// http.Server would take more memory than a core machine's process does.
+// Package httpapi serves the external HTTP/1.1 API for servers, operators, and clients that look up their
+// servers. It parses requests with net/http and writes responses itself: an http.Server would take more
+// memory than the rest of a core machine's process.
 package httpapi
 
 import (
@@ -19,110 +19,111 @@
 )
 
 const (
-	headWithin = 5 * time.Second
-	idleFor    = 60 * time.Second
-	bodyWithin = 20 * time.Second
-	// abandonedWithin is how long the end of a connection is waited for: what follows a call that was
-	// held up comes with it.
-	abandonedWithin = 2 * time.Millisecond
-	// drainWithin is how long calls in hand are waited for when the server ends: callers wait no longer.
-	drainWithin = time.Second
-	drainStep   = 2 * time.Millisecond
+	headTimeout = 5 * time.Second
+	idleTimeout = 60 * time.Second
+	bodyTimeout = 20 * time.Second
+	// abandonedTimeout is how long a read waits for the end of a connection: if a delayed request was
+	// abandoned, its connection's FIN arrives together with it.
+	abandonedTimeout = 2 * time.Millisecond
+	// drainTimeout limits the wait for requests in flight when the server stops: callers wait no longer.
+	drainTimeout      = time.Second
+	drainPollInterval = 2 * time.Millisecond
 )
 
-// Answer is what a call gets.
+// Answer is the response to a request.
 type Answer struct {
 	Status int
 	Header map[string]string
 	Body   []byte
-	// ContentType is the body's; none is JSON.
+	// ContentType is the media type of the body; empty means application/json.
 	ContentType string
 }
 
 const contentTypeJSON = "application/json"
 
-// Handler answers a call, whose body has been read.
+// Handler answers a request; body is its complete body.
 type Handler func(ctx context.Context, r *http.Request, body []byte) Answer
 
-// Server answers calls on a listener.
+// Server serves HTTP/1.1 requests with keep-alive.
 type Server struct {
 	Handler Handler
 	MaxBody int64
-	// DropAbandoned tells of a call that it is not to be carried out once its caller has closed the
-	// connection: what a cut held up comes when it is not wanted any more. Nil is no call.
+	// DropAbandoned reports whether a request must not be handled if its caller has already closed the
+	// connection: a request that a network partition delayed may arrive after the caller has given up on
+	// it. If nil, no request is dropped.
 	DropAbandoned func(r *http.Request) bool
 
-	inHand atomic.Int64 // calls that have begun to come and are not answered yet
+	inFlight atomic.Int64 // requests whose first byte has arrived and that are not answered yet
 }
 
-// Serve runs until the context ends, and then until the calls in hand are answered, drainWithin at most. What
-// handlers are given does not end with the context: a call that was taken is answered.
+// Serve accepts connections on l until ctx is done, and then waits up to drainTimeout for the requests in
+// flight. The context passed to handlers is not canceled with ctx, so that accepted requests are answered.
 func (s *Server) Serve(ctx context.Context, l net.Listener) {
-	sockets.Accept(ctx, l, func(c net.Conn) { s.conn(ctx, c) })
-	for until := time.Now().Add(drainWithin); s.inHand.Load() > 0 && time.Now().Before(until); {
-		time.Sleep(drainStep)
+	sockets.Accept(ctx, l, func(c net.Conn) { s.serveConnection(ctx, c) })
+	for deadline := time.Now().Add(drainTimeout); s.inFlight.Load() > 0 && time.Now().Before(deadline); {
+		time.Sleep(drainPollInterval)
 	}
 }
 
-func (s *Server) conn(ctx context.Context, c net.Conn) {
+func (s *Server) serveConnection(ctx context.Context, c net.Conn) {
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { c.SetReadDeadline(time.Unix(1, 0)) })
 	defer stop()
 	in := bufio.NewReaderSize(c, 2048)
 	for first := true; ; first = false {
-		wait := idleFor
+		timeout := idleTimeout
 		if first {
-			wait = headWithin
+			timeout = headTimeout
 		}
-		c.SetReadDeadline(time.Now().Add(wait))
+		c.SetReadDeadline(time.Now().Add(timeout))
 		if ctx.Err() != nil {
 			return
 		}
 		if _, err := in.Peek(1); err != nil {
 			return
 		}
-		if !s.call(ctx, c, in) {
+		if !s.serveRequest(ctx, c, in) {
 			return
 		}
 	}
 }
 
-// call answers one call, and tells whether the connection goes on behind it.
-func (s *Server) call(ctx context.Context, c net.Conn, in *bufio.Reader) (goesOn bool) {
-	s.inHand.Add(1)
-	defer s.inHand.Add(-1)
-	c.SetReadDeadline(time.Now().Add(headWithin))
+// serveRequest reads and answers one request, and reports whether the connection stays open for another one.
+func (s *Server) serveRequest(ctx context.Context, c net.Conn, in *bufio.Reader) (keepOpen bool) {
+	s.inFlight.Add(1)
+	defer s.inFlight.Add(-1)
+	c.SetReadDeadline(time.Now().Add(headTimeout))
 	r, err := http.ReadRequest(in)
 	if err != nil {
-		write(c, Answer{Status: 400, Body: []byte(`{"error":"the request can't be read"}`)}, true)
+		writeAnswer(c, Answer{Status: 400, Body: []byte(`{"error":"the request can't be read"}`)}, true)
 		return false
 	}
-	c.SetReadDeadline(time.Now().Add(bodyWithin))
+	c.SetReadDeadline(time.Now().Add(bodyTimeout))
 	body, err := io.ReadAll(io.LimitReader(r.Body, s.MaxBody+1))
-	if err != nil { // cut short: there is nobody to answer
+	if err != nil { // the connection broke or timed out: there is no caller left to answer
 		return false
 	}
 	if int64(len(body)) > s.MaxBody {
-		write(c, Answer{Status: 413, Body: []byte(`{"error":"the body is too long"}`)}, true)
+		writeAnswer(c, Answer{Status: 413, Body: []byte(`{"error":"the body is too long"}`)}, true)
 		return false
 	}
 	if s.DropAbandoned != nil && s.DropAbandoned(r) && abandoned(c, in) {
 		return false
 	}
-	a := s.Handler(context.WithoutCancel(ctx), r, body)
-	end := r.Close || ctx.Err() != nil
-	return write(c, a, end) == nil && !end
+	answer := s.Handler(context.WithoutCancel(ctx), r, body)
+	last := r.Close || ctx.Err() != nil
+	return writeAnswer(c, answer, last) == nil && !last
 }
 
-// abandoned tells that the caller has closed the connection already.
+// abandoned reports whether the caller has already closed the connection.
 func abandoned(c net.Conn, in *bufio.Reader) bool {
-	c.SetReadDeadline(time.Now().Add(abandonedWithin))
+	c.SetReadDeadline(time.Now().Add(abandonedTimeout))
 	_, err := in.Peek(1)
-	var late net.Error
-	return err != nil && !(errors.As(err, &late) && late.Timeout())
+	var netError net.Error
+	return err != nil && !(errors.As(err, &netError) && netError.Timeout())
 }
 
-func write(c net.Conn, a Answer, end bool) error {
+func writeAnswer(c net.Conn, a Answer, last bool) error {
 	out := make([]byte, 0, 256+len(a.Body))
 	out = append(out, "HTTP/1.1 "...)
 	out = strconv.AppendInt(out, int64(a.Status), 10)
@@ -135,13 +136,13 @@
 	for k, v := range a.Header {
 		out = append(append(append(append(out, k...), ": "...), v...), "\r\n"...)
 	}
-	if end {
+	if last {
 		out = append(out, "Connection: close\r\n"...)
 	}
 	out = append(out, "Content-Length: "...)
 	out = strconv.AppendInt(out, int64(len(a.Body)), 10)
 	out = append(append(out, "\r\n\r\n"...), a.Body...)
-	c.SetWriteDeadline(time.Now().Add(headWithin))
+	c.SetWriteDeadline(time.Now().Add(headTimeout))
 	_, err := c.Write(out)
 	return err
 }
--- a/internal/httpapi/httpapi_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// A call that came late, its caller gone, is not carried out where it would do harm; any other is.
+// A request that is read after its caller has closed the connection is not handled if DropAbandoned
+// reports it as harmful; any other request is.
 func TestAbandonedCalls(t *testing.T) {
 	var harmful, harmless atomic.Int32
 	done := make(chan struct{}, 8)
@@ -32,14 +33,14 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	send := func(path string, leave bool) {
+	send := func(path string, closeEarly bool) {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", path)
-		if leave {
+		if closeEarly {
 			return
 		}
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -52,22 +53,22 @@
 		send("/harmful", true)
 	}
 	send("/harmless", true)
-	go s.Serve(ctx, l) // all of them have gone before it reads anything
+	go s.Serve(ctx, l) // all callers have closed their connections before it reads anything
 	<-done
 	send("/harmful", false)
 	<-done
 	if harmful.Load() != 1 || harmless.Load() != 1 {
-		t.Errorf("carried out: %d harmful ones, 1 wanted; %d harmless ones, 1 wanted", harmful.Load(), harmless.Load())
+		t.Errorf("handled %d harmful requests, want 1; %d harmless requests, want 1", harmful.Load(), harmless.Load())
 	}
 }
 
-// A call that was taken when the server ends is answered, and the server waits for it; a connection at rest is
-// closed, and one that never sends its call whole holds nothing up for long.
+// When the server stops, it waits for a request in flight and answers it, closes an idle connection, and
+// waits for an incomplete request no longer than the drain timeout.
 func TestCallsInHandAreAnsweredAtTheEnd(t *testing.T) {
-	begun, goesOn := make(chan struct{}), make(chan struct{})
+	started, proceed := make(chan struct{}), make(chan struct{})
 	s := &Server{MaxBody: 1 << 10, Handler: func(ctx context.Context, _ *http.Request, _ []byte) Answer {
-		close(begun)
-		<-goesOn
+		close(started)
+		<-proceed
 		if ctx.Err() != nil {
 			return Answer{Status: 503}
 		}
@@ -78,9 +79,9 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		s.Serve(ctx, l)
 	}()
 	dial := func(text string) net.Conn {
@@ -93,27 +94,27 @@
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		return c
 	}
-	atRest, half := dial(""), dial("POST / HTTP/1.1\r\nHost: h\r\nContent-Le")
-	inHand := dial("GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-	<-begun
+	idle, incomplete := dial(""), dial("POST / HTTP/1.1\r\nHost: h\r\nContent-Le")
+	inFlight := dial("GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+	<-started
 	stop()
-	if _, err := atRest.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("a connection at rest: %v", err)
+	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
+		t.Errorf("read from an idle connection: %v, want EOF", err)
 	}
 	select {
-	case <-ended:
-		t.Error("the server has ended with a call in hand")
+	case <-stopped:
+		t.Error("the server stopped with a request in flight")
 	default:
 	}
-	close(goesOn)
-	answer, err := io.ReadAll(inHand)
+	close(proceed)
+	answer, err := io.ReadAll(inFlight)
 	if err != nil || !strings.HasPrefix(string(answer), "HTTP/1.1 200") || !strings.Contains(string(answer), "Connection: close") {
-		t.Errorf("the call in hand: %q %v", answer, err)
+		t.Errorf("response to the request in flight: %q, %v", answer, err)
 	}
 	select {
-	case <-ended:
-	case <-time.After(3 * drainWithin):
-		t.Error("half a call holds the server up")
+	case <-stopped:
+	case <-time.After(3 * drainTimeout):
+		t.Error("an incomplete request delays the stop of the server")
 	}
-	half.Close()
+	incomplete.Close()
 }
