--- a/internal/nodesettings/nodesettings.go
+++ b/internal/nodesettings/nodesettings.go
@@ -23,28 +23,28 @@
 
 // Settings describes a process, its machine, its network and the timing bounds it must keep.
 type Settings struct {
-	Path      string // of the settings file; empty if the settings were not read from a file
-	Node      string
-	Role      string
-	Class     string
-	Serves    []string
-	IP        string
-	Zone      string
-	Region    string
-	Votes     bool // the machine is a quorum member: it counts towards the tolerated machine losses
-	Bootstrap bool // first start of the whole system
-	DataDir   string
-	MemoryMB  int
-	Files     int
-	DiskMB    int
-	LinkMbps  float64
-	Listen    map[string]string
-	Ports     [2]int            // first and last internal port
-	Seeds     []string          // control-plane addresses of core machines
-	Zones     map[string]string // region by zone
-	Heartbeat time.Duration
-	Tolerate  int             // core machines that may fail at the same time
-	Contracts map[string]bool // names of the active timing contracts
+	Path            string // of the settings file; empty if the settings were not read from a file
+	Node            string
+	Role            string
+	Class           string
+	Serves          []string
+	IP              string
+	Zone            string
+	Region          string
+	QuorumMember    bool // the machine is a quorum member: it counts towards the tolerated machine losses
+	Bootstrap       bool // first start of the whole system
+	DataDir         string
+	MemoryMB        int
+	FileDescriptors int
+	DiskMB          int
+	LinkMbps        float64
+	Listen          map[string]string
+	Ports           [2]int            // first and last internal port
+	Seeds           []string          // control-plane addresses of core machines
+	Zones           map[string]string // region by zone
+	Heartbeat       time.Duration
+	Tolerate        int             // core machines that may fail at the same time
+	Contracts       map[string]bool // names of the active timing contracts
 	// MetricsPort is the port that serves the metrics of the process; 0 disables it. It is set by a
 	// command-line flag, not by the settings file.
 	MetricsPort int
@@ -65,7 +65,7 @@
 // Error is a settings error: the field of the settings file that is invalid, what is wrong with it,
 // and how to correct it.
 type Error struct {
-	Path, Field, Wrong, Fix string
+	Path, Field, Problem, Fix string
 }
 
 func (e *Error) Error() string {
@@ -76,7 +76,7 @@
 	if e.Field != "" {
 		text += ": " + e.Field
 	}
-	text += ": " + e.Wrong
+	text += ": " + e.Problem
 	if e.Fix != "" {
 		text += ": " + e.Fix
 	}
@@ -87,7 +87,7 @@
 func Load() (*Settings, error) {
 	path := os.Getenv(Variable)
 	if path == "" {
-		return nil, &Error{Field: Variable, Wrong: "is not set", Fix: "set it to the path of the settings file"}
+		return nil, &Error{Field: Variable, Problem: "is not set", Fix: "set it to the path of the settings file"}
 	}
 	return LoadFile(path)
 }
@@ -96,7 +96,7 @@
 func LoadFile(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &Error{Path: path, Wrong: err.Error(), Fix: "name a file that can be read"}
+		return nil, &Error{Path: path, Problem: err.Error(), Fix: "name a file that can be read"}
 	}
 	s, err := Parse(data)
 	if e, ok := err.(*Error); ok {
@@ -149,7 +149,7 @@
 
 func (r *fieldReader) recordError(field, problem, fix string) {
 	if r.err == nil {
-		r.err = &Error{Field: field, Wrong: problem, Fix: fix}
+		r.err = &Error{Field: field, Problem: problem, Fix: fix}
 	}
 }
 
@@ -183,7 +183,7 @@
 func Parse(data []byte) (*Settings, error) {
 	v, err := fastjson.ParseBytes(data)
 	if err != nil {
-		return nil, &Error{Wrong: "is not JSON: " + err.Error(), Fix: "write one JSON object"}
+		return nil, &Error{Problem: "is not JSON: " + err.Error(), Fix: "write one JSON object"}
 	}
 	var fields fieldReader
 	identity, network, timing := v.Get("self_identity"), v.Get("network"), v.Get("timing_terms")
@@ -192,7 +192,7 @@
 		table *fastjson.Value
 	}{{"self_identity", identity}, {"network", network}, {"timing_terms", timing}} {
 		if x.table == nil || x.table.Type() != fastjson.TypeObject {
-			return nil, &Error{Field: x.field, Wrong: "is missing", Fix: "write a table of that name"}
+			return nil, &Error{Field: x.field, Problem: "is missing", Fix: "write a table of that name"}
 		}
 	}
 	s := &Settings{
@@ -200,9 +200,9 @@
 		Class: fields.stringField(identity, "self_identity.machine_class", false, "machine_class"),
 		IP:    fields.stringField(identity, "self_identity.ip_address", true, "ip_address"),
 		Zone:  fields.stringField(identity, "self_identity.zone", true, "zone"), Region: fields.stringField(identity, "self_identity.region", true, "region"),
-		Votes: identity.GetBool("quorum_member"), Bootstrap: identity.GetBool("bootstrap"),
+		QuorumMember: identity.GetBool("quorum_member"), Bootstrap: identity.GetBool("bootstrap"),
 		DataDir:  fields.stringField(identity, "self_identity.data_dir", false, "data_dir"),
-		MemoryMB: identity.GetInt("limits", "memory_mb"), Files: identity.GetInt("limits", "file_descriptors"),
+		MemoryMB: identity.GetInt("limits", "memory_mb"), FileDescriptors: identity.GetInt("limits", "file_descriptors"),
 		DiskMB: identity.GetInt("limits", "disk_mb"), LinkMbps: identity.GetFloat64("limits", "link_mbps"),
 		Listen: map[string]string{}, Zones: map[string]string{}, Contracts: map[string]bool{},
 		Heartbeat: fields.durationField(v, "provider.heartbeat", "provider", "heartbeat"),
