--- a/internal/configstore/acceptor.go
+++ b/internal/configstore/acceptor.go
@@ -10,65 +10,68 @@
 	"example.org/madderdrum/internal/wait"
 )
 
-// keepAgain is the pause before a disk that took no record is tried again.
-const keepAgain = 300 * time.Millisecond
+// diskRetryPause is the pause before a failed disk write is retried.
+const diskRetryPause = 300 * time.Millisecond
 
-var closed = func() chan struct{} {
+// closedChan is always ready to receive from, so that a select on it never waits.
+var closedChan = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-// vote has a changed record written down, or takes the change back.
-func (s *Store) vote(do func() (paxos.Reply, bool)) (paxos.Reply, error) {
-	return s.voteBy(nil, do)
+// updateRecord applies update to the acceptor and persists the changed record. If the write fails, the change
+// is rolled back.
+func (s *Store) updateRecord(update func() (paxos.Reply, bool)) (paxos.Reply, error) {
+	return s.updateRecordWithDelta(nil, update)
 }
 
-// voteBy does the same, where a difference is known that makes the new value of the one before.
-func (s *Store) voteBy(delta []byte, do func() (paxos.Reply, bool)) (paxos.Reply, error) {
-	s.accepting.Lock()
-	defer s.accepting.Unlock()
+// updateRecordWithDelta is updateRecord for a change whose delta from the previous value is known; the delta is
+// written instead of the whole value.
+func (s *Store) updateRecordWithDelta(delta []byte, update func() (paxos.Reply, bool)) (paxos.Reply, error) {
+	s.acceptorMu.Lock()
+	defer s.acceptorMu.Unlock()
 	before := s.acceptor.Record
-	reply, write := do()
+	reply, write := update()
 	if write {
-		if err := s.disk.write(&s.acceptor.Record, &before, delta, s.firstVoters()); err != nil {
+		if err := s.disk.write(&s.acceptor.Record, &before, delta, s.initialVoters()); err != nil {
 			s.acceptor.Record = before
 			s.log.WithField("err", err).Warn("disk fails")
-			return paxos.Reply{}, errDisk
+			return paxos.Reply{}, errDiskWrite
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.durable = s.acceptor.Record
 	s.replica.Saw(s.durable.Promised.Number)
-	if write && !s.identified {
-		s.identified = true
-		s.members.Rename(s.voter())
+	if write && !s.identitySaved {
+		s.identitySaved = true
+		s.members.Rename(s.voterID())
 	}
 	return reply, nil
 }
 
-func (s *Store) firstVoters() []string {
+func (s *Store) initialVoters() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.replica.First()
 }
 
-// identify writes the identity of a new disk down. Nobody is told of it before.
-func (s *Store) identify() {
-	s.vote(func() (paxos.Reply, bool) { return paxos.Reply{}, true }) // a failure is logged; it is tried again
+// saveIdentity persists the ID of a new disk. The ID is not sent to other stores before it is durable.
+func (s *Store) saveIdentity() {
+	s.updateRecord(func() (paxos.Reply, bool) { return paxos.Reply{}, true }) // a failure is logged, and confirmOnce retries
 }
 
-// keepChosen has each chosen value on this disk too, where this store's vote was not needed.
-func (s *Store) keepChosen(ctx context.Context) {
+// persistChosen writes each chosen value to this disk, including those accepted by a majority without this store.
+func (s *Store) persistChosen(ctx context.Context) {
 	for {
 		s.mu.Lock()
-		ballot, value, changed := s.replica.Chosen(), s.replica.Value(), s.changed
+		ballot, value, changed := s.replica.Chosen(), s.replica.Value(), s.registerChanged
 		s.mu.Unlock()
-		_, err := s.vote(func() (paxos.Reply, bool) { return paxos.Reply{}, s.acceptor.Learn(ballot, value) })
+		_, err := s.updateRecord(func() (paxos.Reply, bool) { return paxos.Reply{}, s.acceptor.Learn(ballot, value) })
 		if err != nil {
-			wait.Sleep(ctx, keepAgain)
-			changed = closed
+			wait.Sleep(ctx, diskRetryPause)
+			changed = closedChan
 		}
 		select {
 		case <-changed:
@@ -78,52 +81,52 @@
 	}
 }
 
-func (s *Store) prepare(_ context.Context, m paxos.Prepare) (any, error) {
-	return s.votePrepare(m)
+func (s *Store) handlePrepare(_ context.Context, m paxos.Prepare) (any, error) {
+	return s.acceptorPrepare(m)
 }
 
-func (s *Store) votePrepare(m paxos.Prepare) (paxos.Reply, error) {
-	return s.vote(func() (paxos.Reply, bool) { return s.acceptor.Prepare(m) })
+func (s *Store) acceptorPrepare(m paxos.Prepare) (paxos.Reply, error) {
+	return s.updateRecord(func() (paxos.Reply, bool) { return s.acceptor.Prepare(m) })
 }
 
-// acceptCall asks for a vote. The value comes whole or as what makes it of the value that the
-// acceptor has accepted by the ballot Base.
-type acceptCall struct {
+// acceptRequest asks for a vote. It carries either the whole value or a delta from the value that the
+// acceptor accepted in ballot Base.
+type acceptRequest struct {
 	Ballot paxos.Ballot `cbor:"1,keyasint"`
 	Value  []byte       `cbor:"2,keyasint,omitempty"`
 	Base   paxos.Ballot `cbor:"3,keyasint"`
 	Delta  []byte       `cbor:"4,keyasint,omitempty"`
 }
 
-// acceptAnswer is the vote. Lacks tells that the acceptor has another value than the difference is
-// for: the whole is to be sent.
-type acceptAnswer struct {
-	Reply paxos.Reply `cbor:"1,keyasint"`
-	Lacks bool        `cbor:"2,keyasint,omitempty"`
+// acceptResponse is the reply to an acceptRequest. NeedsValue means that the acceptor has not accepted the
+// delta's base value, so the whole value must be sent.
+type acceptResponse struct {
+	Reply      paxos.Reply `cbor:"1,keyasint"`
+	NeedsValue bool        `cbor:"2,keyasint,omitempty"`
 }
 
-func (s *Store) accept(_ context.Context, m acceptCall) (any, error) {
-	return s.voteAccept(m)
+func (s *Store) handleAccept(_ context.Context, m acceptRequest) (any, error) {
+	return s.acceptorAccept(m)
 }
 
-func (s *Store) voteAccept(m acceptCall) (answer acceptAnswer, err error) {
-	answer.Reply, err = s.voteBy(m.Delta, func() (paxos.Reply, bool) {
+func (s *Store) acceptorAccept(m acceptRequest) (response acceptResponse, err error) {
+	response.Reply, err = s.updateRecordWithDelta(m.Delta, func() (paxos.Reply, bool) {
 		value := m.Value
 		if m.Delta != nil {
-			built, fits := s.build(m)
-			if !fits {
-				answer.Lacks = true
+			applied, ok := s.applyDelta(m)
+			if !ok {
+				response.NeedsValue = true
 				return paxos.Reply{}, false
 			}
-			value = built
+			value = applied
 		}
 		return s.acceptor.Accept(paxos.Accept{Ballot: m.Ballot, Value: value})
 	})
-	return answer, err
+	return response, err
 }
 
-// build makes a value of the one that is accepted. The lock round the acceptor is held.
-func (s *Store) build(m acceptCall) (value []byte, fits bool) {
+// applyDelta computes the new value from the accepted one. s.acceptorMu must be held.
+func (s *Store) applyDelta(m acceptRequest) (value []byte, ok bool) {
 	if s.acceptor.Record.Accepted != m.Base {
 		return nil, false
 	}
@@ -131,39 +134,39 @@
 	return value, err == nil
 }
 
-// readCall asks what is accepted, and reports about the store that asks.
-type readCall struct {
+// readRequest asks which value is accepted, and carries the sender's own report.
+type readRequest struct {
 	Known  paxos.Ballot       `cbor:"1,keyasint"`
 	Report coremembers.Report `cbor:"2,keyasint"`
 }
 
-// readAnswer tells it, with the answering store's own report.
-type readAnswer struct {
-	Reply  paxos.Reply        `cbor:"1,keyasint"`
-	Report coremembers.Report `cbor:"2,keyasint"`
-	First  []string           `cbor:"3,keyasint,omitempty"`
+// readResponse carries the accepted value and the responding store's report.
+type readResponse struct {
+	Reply         paxos.Reply        `cbor:"1,keyasint"`
+	Report        coremembers.Report `cbor:"2,keyasint"`
+	InitialVoters []string           `cbor:"3,keyasint,omitempty"`
 }
 
-func (s *Store) read(_ context.Context, m readCall) (any, error) {
+func (s *Store) handleRead(_ context.Context, m readRequest) (any, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.members.Heard(s.now(), m.Report)
-	return readAnswer{Reply: s.readDurable(m.Known), Report: s.report(), First: s.replica.First()}, nil
+	return readResponse{Reply: s.readDurable(m.Known), Report: s.ownReport(), InitialVoters: s.replica.First()}, nil
 }
 
-// readDurable tells what is safe on disk, without waiting for what is being written. The mutex is
+// readDurable returns the acceptor's durable state without waiting for a write in progress. s.mu must be
 // held.
 func (s *Store) readDurable(known paxos.Ballot) paxos.Reply {
 	a := paxos.Acceptor{Record: s.durable}
 	return a.Read(known)
 }
 
-// report is what this store tells of itself. The mutex is held.
-func (s *Store) report() coremembers.Report {
+// ownReport returns this store's report to the other stores. s.mu must be held.
+func (s *Store) ownReport() coremembers.Report {
 	if s.durable.Accepted.Compare(s.replica.Chosen()) >= 0 {
 		s.durableSeq = s.replica.Register().Seq
 	}
-	r := s.members.Report(s.now(), s.state())
+	r := s.members.Report(s.now(), s.voterState())
 	r.Seq = s.durableSeq
 	return r
 }
--- a/internal/configstore/calls.go
+++ b/internal/configstore/calls.go
@@ -13,8 +13,8 @@
 	"example.org/madderdrum/internal/rpc"
 )
 
-// Calls of a store. Those with a capital are made by other packages. Each is safe to be carried out
-// twice: see docs/design/control-safety.md.
+// RPC calls of a store; other packages make the exported ones. Each is safe to execute twice: see
+// docs/design/control-safety.md.
 const (
 	CallChange  = "configstore.change"
 	CallWatch   = "configstore.watch"
@@ -27,113 +27,116 @@
 
 func (s *Store) handlers() map[string]rpc.Handler {
 	return map[string]rpc.Handler{
-		callPrepare: rpc.Taking(s.prepare), callAccept: rpc.Taking(s.accept), callRead: rpc.Taking(s.read), callChosen: rpc.Taking(s.hearChosen),
-		CallChange: rpc.Taking(s.change), CallWatch: rpc.Taking(s.watch), CallFetch: rpc.Asking(s.fetch),
-		rpc.CallStatus: rpc.Asking(s.status),
+		callPrepare: rpc.TypedHandler(s.handlePrepare), callAccept: rpc.TypedHandler(s.handleAccept), callRead: rpc.TypedHandler(s.handleRead), callChosen: rpc.TypedHandler(s.handleChosen),
+		CallChange: rpc.TypedHandler(s.handleChange), CallWatch: rpc.TypedHandler(s.handleWatch), CallFetch: rpc.Asking(s.handleFetch),
+		rpc.CallStatus: rpc.Asking(s.handleStatus),
 	}
 }
 
-// Change gives orders.
-type Change struct {
+// ChangeRequest submits orders, to be carried out in one change of the register.
+type ChangeRequest struct {
 	Orders []controlstate.Order `cbor:"1,keyasint"`
-	// WithinMs is how long the caller waits for the answer; later the orders are not proposed any
-	// more. Zero is a default.
+	// WithinMs is how long the caller waits for the answer; the orders are not proposed after that.
+	// Zero selects the default, orderTimeout.
 	WithinMs uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Changed is the answer. None is there where no majority answered in time.
-type Changed struct {
+// ChangeResponse carries one outcome per order. Outcomes is empty if no majority answered in time.
+type ChangeResponse struct {
 	Outcomes []controlstate.Outcome `cbor:"1,keyasint,omitempty"`
 }
 
-// Watch waits for a version after Seq, for HoldMs at most.
-type Watch struct {
+// WatchRequest waits up to HoldMs for a register newer than Seq.
+type WatchRequest struct {
 	Seq    uint64 `cbor:"1,keyasint"`
 	HoldMs uint64 `cbor:"2,keyasint"`
 }
 
-// Watched is the answer.
-type Watched struct {
-	Register *controlstate.Register `cbor:"1,keyasint,omitempty"` // nil: none after Seq
-	// ProofMs is how long ago a majority had chosen nothing newer; Proven is false where that
-	// is not known at all.
+// WatchResponse answers a watch or a fetch. A fetch fills in Register only.
+type WatchResponse struct {
+	Register *controlstate.Register `cbor:"1,keyasint,omitempty"` // nil if there is none newer than Seq
+	// ProofMs is the age of the latest proof that a majority has chosen nothing newer. Proven is false if
+	// there is no such proof.
 	ProofMs uint64 `cbor:"2,keyasint,omitempty"`
 	Proven  bool   `cbor:"3,keyasint,omitempty"`
 	HeldMs  uint64 `cbor:"4,keyasint,omitempty"`
-	// Voters are the sets of machines that vote, by IP number; empty where they are not known yet.
+	// Voters are the voter sets by IP address, empty while they are unknown. There are two sets while a
+	// change of voters is pending, and each needs a majority.
 	Voters [][]string `cbor:"5,keyasint,omitempty"`
 }
 
-type chosenCall struct {
+// chosenRequest announces a chosen value. Without Value it refers to the value accepted in Ballot.
+type chosenRequest struct {
 	Ballot paxos.Ballot `cbor:"1,keyasint"`
 	Value  []byte       `cbor:"2,keyasint,omitempty"`
 }
 
-type chosenAnswer struct {
-	Lacks bool `cbor:"1,keyasint,omitempty"`
+// chosenResponse answers a chosenRequest. NeedsValue asks the sender to repeat the request with the value.
+type chosenResponse struct {
+	NeedsValue bool `cbor:"1,keyasint,omitempty"`
 }
 
-// hearChosen takes in what another's round has chosen.
-func (s *Store) hearChosen(_ context.Context, m chosenCall) (any, error) {
+// handleChosen learns a value that another store's round has chosen.
+func (s *Store) handleChosen(_ context.Context, m chosenRequest) (any, error) {
 	s.mu.Lock()
 	if m.Value == nil {
 		reply := s.readDurable(paxos.Ballot{})
 		if reply.Accepted != m.Ballot {
 			defer s.mu.Unlock()
-			return chosenAnswer{Lacks: m.Ballot.Compare(s.replica.Chosen()) > 0}, nil
+			return chosenResponse{NeedsValue: m.Ballot.Compare(s.replica.Chosen()) > 0}, nil
 		}
 		m.Value = reply.Value
 	}
 	changed, err := s.replica.Learn(m.Ballot, m.Value)
 	if err != nil {
-		broken(err)
+		panicInvariant(err)
 	}
 	if changed {
-		s.learned()
+		s.notifyRegisterChange()
 	}
 	s.mu.Unlock()
-	return chosenAnswer{}, nil
+	return chosenResponse{}, nil
 }
 
-func (s *Store) change(ctx context.Context, m Change) (any, error) {
+func (s *Store) handleChange(ctx context.Context, m ChangeRequest) (any, error) {
 	for i := range m.Orders {
 		if o := &m.Orders[i]; o.Kind == controlstate.ChangeVoters {
-			if unknown := s.nameVoters(o); unknown != "" {
+			if unknown := s.resolveVoters(o); unknown != "" {
 				text := fmt.Sprintf("no store at %s has reported here: start it, and call again once status lists it among the learners", unknown)
-				return Changed{[]controlstate.Outcome{{Status: 404, Code: "no_learner", Text: text}}}, nil
+				return ChangeResponse{[]controlstate.Outcome{{Status: 404, Code: "no_learner", Text: text}}}, nil
 			}
 		}
 	}
-	within := orderWithin
+	timeout := orderTimeout
 	if m.WithinMs > 0 {
-		within = min(within, time.Duration(m.WithinMs)*time.Millisecond)
+		timeout = min(timeout, time.Duration(m.WithinMs)*time.Millisecond)
 	}
-	return Changed{s.submit(ctx, m.Orders, within)}, nil
+	return ChangeResponse{s.submit(ctx, m.Orders, timeout)}, nil
 }
 
-// nameVoters completes an operator's command, which names machines by their IP numbers: a machine
-// that is to have a seat by the identity under which it was last heard, one that is to leave by all
-// that vote for it. It returns a machine that is not known, or nothing.
-func (s *Store) nameVoters(o *controlstate.Order) (unknown string) {
+// resolveVoters completes an operator's order, which names machines by IP address. A machine that is to
+// get a seat is replaced by its most recently reported voter ID, one that is to leave by all of its IDs among the
+// voters. It returns the first unknown machine, or "".
+func (s *Store) resolveVoters(order *controlstate.Order) (unknown string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(o.First) == 0 {
-		o.First = s.replica.First()
+	if len(order.First) == 0 {
+		order.First = s.replica.First()
 	}
-	voters := replica.Union(s.replica.Register().Sets(o.First)...)
-	known := append(s.members.Learners(s.now(), voters), voters...)
-	seats, leave := o.Seats, o.Leave
-	o.Seats, o.Leave = nil, nil
+	voters := replica.Union(s.replica.Register().Sets(order.First)...)
+	candidates := append(s.members.Learners(s.now(), voters), voters...)
+	seats, leave := order.Seats, order.Leave
+	order.Seats, order.Leave = nil, nil
 	for _, ip := range seats {
-		i := slices.IndexFunc(known, func(id string) bool { return controlstate.VoterIP(id) == ip })
+		i := slices.IndexFunc(candidates, func(id string) bool { return controlstate.VoterIP(id) == ip })
 		if i < 0 {
 			return ip
 		}
-		o.Seats = append(o.Seats, known[i])
+		order.Seats = append(order.Seats, candidates[i])
 	}
 	for _, id := range voters {
-		if slices.Contains(leave, controlstate.VoterIP(id)) && !slices.Contains(o.Seats, id) {
-			o.Leave = append(o.Leave, id)
+		if slices.Contains(leave, controlstate.VoterIP(id)) && !slices.Contains(order.Seats, id) {
+			order.Leave = append(order.Leave, id)
 		}
 	}
 	return ""
@@ -141,32 +144,32 @@
 
 var errNoQuorum = errors.New("no majority answers")
 
-// fetch reads the register by a round: what it answers is chosen, and nothing newer was when
-// it was asked.
-func (s *Store) fetch(ctx context.Context) (any, error) {
-	read := []controlstate.Order{{Kind: controlstate.RegisterLimiters}} // of no limiter: it changes nothing
-	if s.submit(ctx, read, orderWithin) == nil {
+// handleFetch reads the register by running a Paxos round: the result is chosen, and nothing newer had
+// been chosen when the request arrived.
+func (s *Store) handleFetch(ctx context.Context) (any, error) {
+	noOp := []controlstate.Order{{Kind: controlstate.RegisterLimiters}} // registers no limiter, so it changes nothing
+	if s.submit(ctx, noOp, orderTimeout) == nil {
 		return nil, errNoQuorum
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Watched{Register: s.replica.Register()}, nil
+	return WatchResponse{Register: s.replica.Register()}, nil
 }
 
-func (s *Store) watch(ctx context.Context, m Watch) (any, error) {
-	begun := time.Now()
-	late := time.NewTimer(time.Duration(m.HoldMs) * time.Millisecond)
-	defer late.Stop()
+func (s *Store) handleWatch(ctx context.Context, m WatchRequest) (any, error) {
+	start := time.Now()
+	timeout := time.NewTimer(time.Duration(m.HoldMs) * time.Millisecond)
+	defer timeout.Stop()
 	for waiting := true; waiting; {
 		s.mu.Lock()
-		changed, have := s.changed, s.replica.Register().Seq > m.Seq
+		changed, available := s.registerChanged, s.replica.Register().Seq > m.Seq
 		s.mu.Unlock()
-		if have {
+		if available {
 			break
 		}
 		select {
 		case <-changed:
-		case <-late.C:
+		case <-timeout.C:
 			waiting = false
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -174,18 +177,18 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w := Watched{HeldMs: uint64(time.Since(begun).Milliseconds())}
+	response := WatchResponse{HeldMs: uint64(time.Since(start).Milliseconds())}
 	if register := s.replica.Register(); register.Seq > m.Seq {
-		w.Register = register
+		response.Register = register
 	}
-	if at, ok := s.replica.Proved(); ok {
-		w.Proven, w.ProofMs, w.Voters = true, uint64((s.now()-at).Milliseconds())+1, s.machineSets()
+	if provenAt, ok := s.replica.Proved(); ok {
+		response.Proven, response.ProofMs, response.Voters = true, uint64((s.now()-provenAt).Milliseconds())+1, s.voterIPSets()
 	}
-	return w, nil
+	return response, nil
 }
 
-// machineSets are the sets of voters by IP number. The mutex is held.
-func (s *Store) machineSets() (sets [][]string) {
+// voterIPSets returns the voter sets by IP address. s.mu must be held.
+func (s *Store) voterIPSets() (sets [][]string) {
 	for _, set := range s.replica.Register().Sets(s.replica.First()) {
 		if len(set) > 0 {
 			sets = append(sets, replica.Machines(set))
@@ -194,30 +197,30 @@
 	return sets
 }
 
-// votes tells that this store has a seat, and that the change of voters which gave it is complete: until
-// then a majority of the former voters is needed too. The mutex is held.
-func (s *Store) votes() bool {
-	state := s.state()
-	return !state.Prior && slices.Contains(state.Voters, s.voter())
+// hasEffectiveSeat reports whether this store is a voter and the change that gave it the seat is complete:
+// until then a majority of the former voters is required too. s.mu must be held.
+func (s *Store) hasEffectiveSeat() bool {
+	state := s.voterState()
+	return !state.Prior && slices.Contains(state.Voters, s.voterID())
 }
 
-// status tells how this store stands.
-func (s *Store) status(context.Context) (any, error) {
-	s.accepting.Lock()
-	failed := s.disk.sick
-	s.accepting.Unlock()
+// handleStatus returns the status lines of this store.
+func (s *Store) handleStatus(context.Context) (any, error) {
+	s.acceptorMu.Lock()
+	diskFailed := s.disk.failed
+	s.acceptorMu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	proof := "none"
-	if at, ok := s.replica.Proved(); ok {
-		proof = (s.now() - at).Round(time.Millisecond).String()
+	proofAge := "none"
+	if provenAt, ok := s.replica.Proved(); ok {
+		proofAge = (s.now() - provenAt).Round(time.Millisecond).String()
 	}
 	register, voters := s.replica.Register(), replica.Union(s.replica.Sets()...)
 	limiters := register.PlaceTable()
 	return rpc.Status{Lines: []string{
-		fmt.Sprintf("program=configstore node=%s zone=%s voter=%s voters=%v learners=%v votes=%v disk_fails=%v", s.settings.Node, s.settings.Zone, s.voter(), voters,
-			s.members.Learners(s.now(), voters), s.votes(), failed),
+		fmt.Sprintf("program=configstore node=%s zone=%s voter=%s voters=%v learners=%v votes=%v disk_fails=%v", s.settings.Node, s.settings.Zone, s.voterID(), voters,
+			s.members.Learners(s.now(), voters), s.hasEffectiveSeat(), diskFailed),
 		fmt.Sprintf("register seq=%d version=r%d term=%d revoked=%d evacuated=%v limiters=%d", register.Seq, register.Version, register.Term(), register.Revoked, register.Evac, limiters.Count()),
-		fmt.Sprintf("ballots promised=%d accepted=%d chosen=%d proof_age=%s", s.durable.Promised.Number, s.durable.Accepted.Number, s.replica.Chosen().Number, proof),
+		fmt.Sprintf("ballots promised=%d accepted=%d chosen=%d proof_age=%s", s.durable.Promised.Number, s.durable.Accepted.Number, s.replica.Chosen().Number, proofAge),
 	}}, nil
 }
--- a/internal/configstore/confirm.go
+++ b/internal/configstore/confirm.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	confirmEvery = 400 * time.Millisecond
-	// resolveWithin bounds a round that completes what another store has left half done.
-	resolveWithin = 1250 * time.Millisecond
-	// pendingPause is the pause while there is something half done.
-	pendingPause = 125 * time.Millisecond
+	confirmInterval = 400 * time.Millisecond
+	// resolveTimeout bounds a round that completes another store's unfinished round.
+	resolveTimeout = 1250 * time.Millisecond
+	// pendingInterval is the pause between confirmations while a round is unfinished.
+	pendingInterval = 125 * time.Millisecond
 )
 
-// confirm proves at intervals that nothing newer is chosen, completes what another has left half
-// done, and has the voters changed where that is due.
-func (s *Store) confirm(ctx context.Context) {
+// confirmLoop periodically proves that nothing newer is chosen, completes rounds that other stores left
+// unfinished, and starts changes of voters that are due.
+func (s *Store) confirmLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		begun := time.Now()
+		start := time.Now()
 		pause := s.confirmOnce(ctx)
-		s.reseat(ctx)
-		pause -= time.Since(begun)
+		s.startVoterChange(ctx)
+		pause -= time.Since(start)
 		if pause <= 0 {
 			continue
 		}
 		timer := time.NewTimer(pause + rand.N(pause/10+time.Millisecond))
 		select {
 		case <-timer.C:
-		case <-s.reportIn:
+		case <-s.reportNow:
 			wait.Sleep(ctx, 10*time.Millisecond)
 		case <-ctx.Done():
 		}
@@ -44,127 +44,128 @@
 	}
 }
 
-// confirmOnce holds one confirmation and returns the pause until the next.
+// confirmOnce runs one confirmation and returns the pause until the next one.
 func (s *Store) confirmOnce(ctx context.Context) time.Duration {
 	s.mu.Lock()
-	identified := s.identified
+	identified := s.identitySaved
 	s.mu.Unlock()
 	if !identified {
-		s.identify()
+		s.saveIdentity()
 	}
 	s.mu.Lock()
 	confirmation := s.replica.Confirm(s.now())
-	ask := readCall{Known: confirmation.Known(), Report: s.report()}
+	request := readRequest{Known: confirmation.Known(), Report: s.ownReport()}
 	voters := replica.Union(s.replica.Sets()...)
-	others := append(s.members.Learners(s.now(), voters), s.strangers(voters)...)
+	others := append(s.members.Learners(s.now(), voters), s.seedsToContact(voters)...)
 	s.members.Forget(s.now(), voters)
 	s.mu.Unlock()
-	s.readAll(ctx, confirmation, ask, replica.Union(voters, others))
+	s.readAll(ctx, confirmation, request, replica.Union(voters, others))
 	s.mu.Lock()
-	learnt, resolve, pending := confirmation.End()
+	learned, resolve, pending := confirmation.End()
 	s.mu.Unlock()
 	switch {
-	case learnt:
-		return 0 // the proof is still to come
+	case learned:
+		return 0 // a newer value was learned; it still has to be proven
 	case resolve:
-		s.submit(ctx, nil, resolveWithin)
-		return pendingPause
+		s.submit(ctx, nil, resolveTimeout)
+		return pendingInterval
 	case pending:
-		return pendingPause
+		return pendingInterval
 	}
-	return confirmEvery
+	return confirmInterval
 }
 
-// strangers are the machines that the settings name, where this store has no vote: it has to make
-// itself known. The mutex is held.
-func (s *Store) strangers(voters []string) []string {
+// seedsToContact returns the machines named in the settings if this store is not a voter: it has to make itself
+// known to them as a learner. s.mu must be held.
+func (s *Store) seedsToContact(voters []string) []string {
 	for _, v := range voters {
-		if v == s.voter() {
+		if v == s.voterID() {
 			return nil
 		}
 	}
-	return s.contacts
+	return s.seedIPs
 }
 
-// readAll asks stores what they have accepted, until that proves what is known or all have answered.
-// What comes later is taken in too.
-func (s *Store) readAll(ctx context.Context, confirmation *replica.Confirmation, ask readCall, voters []string) {
-	ips := replica.Machines(voters)
+// readAll asks stores what they have accepted until that proves the known value to be the newest, or until all
+// have answered or timed out. Replies that arrive later are still processed.
+func (s *Store) readAll(ctx context.Context, confirmation *replica.Confirmation, request readRequest, stores []string) {
+	ips := replica.Machines(stores)
 	done := make(chan bool, len(ips))
 	for _, ip := range ips {
 		go func() {
-			var answer readAnswer
+			var response readResponse
 			if ip == s.settings.IP {
 				s.mu.Lock()
-				answer.Reply = s.readDurable(ask.Known)
+				response.Reply = s.readDurable(request.Known)
 				s.mu.Unlock()
-			} else if s.caller.Call(ctx, s.settings.Internal(ip, nodesettings.ConfigStorePort), callRead, ask, &answer, callWithin) != nil {
+			} else if s.caller.Call(ctx, s.settings.Internal(ip, nodesettings.ConfigStorePort), callRead, request, &response, callTimeout) != nil {
 				done <- false
 				return
 			}
-			done <- s.hearRead(ip, confirmation, &answer)
+			done <- s.handleReadResponse(ip, confirmation, &response)
 		}()
 	}
-	late := time.NewTimer(callWithin + 50*time.Millisecond)
-	defer late.Stop()
+	timeout := time.NewTimer(callTimeout + 50*time.Millisecond)
+	defer timeout.Stop()
 	for range ips {
 		select {
 		case proven := <-done:
 			if proven {
 				return
 			}
-		case <-late.C:
+		case <-timeout.C:
 			return
 		}
 	}
 }
 
-// hearRead takes in one answer and tells whether what is known is proven.
-func (s *Store) hearRead(ip string, confirmation *replica.Confirmation, answer *readAnswer) (proven bool) {
+// handleReadResponse processes one reply and reports whether the known value is now proven to be the newest.
+func (s *Store) handleReadResponse(ip string, confirmation *replica.Confirmation, response *readResponse) (proven bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.members.Heard(s.now(), answer.Report)
-	s.replica.LearnFirst(answer.First)
-	changed, err := confirmation.Hear(controlstate.VoterID(ip, answer.Reply.Disk), answer.Reply)
+	s.members.Heard(s.now(), response.Report)
+	s.replica.LearnFirst(response.InitialVoters)
+	changed, err := confirmation.Hear(controlstate.VoterID(ip, response.Reply.Disk), response.Reply)
 	if err != nil {
-		broken(err)
+		panicInvariant(err)
 	}
 	if changed {
-		s.learned()
+		s.notifyRegisterChange()
 	}
 	return confirmation.Proven()
 }
 
-// reseat proposes a change of voters where one is due.
-func (s *Store) reseat(ctx context.Context) {
+// startVoterChange starts proposing a change of voters if one is due and none is in progress.
+func (s *Store) startVoterChange(ctx context.Context) {
 	s.mu.Lock()
-	change, due := s.members.Plan(s.now(), s.state())
-	if !due || s.reseating {
+	change, due := s.members.Plan(s.now(), s.voterState())
+	if !due || s.changingVoters {
 		s.mu.Unlock()
 		return
 	}
-	s.reseating = true
-	first := s.replica.First()
+	s.changingVoters = true
+	initialVoters := s.replica.First()
 	s.mu.Unlock()
 	go func() {
-		s.proposeVoters(ctx, change, first)
+		s.proposeVoterChange(ctx, change, initialVoters)
 		s.mu.Lock()
-		s.reseating = false
+		s.changingVoters = false
 		s.mu.Unlock()
 	}()
 }
 
-func (s *Store) proposeVoters(ctx context.Context, change coremembers.Change, first []string) {
+// proposeVoterChange proposes a change of voters, or completes one that is already chosen.
+func (s *Store) proposeVoterChange(ctx context.Context, change coremembers.Change, initialVoters []string) {
 	if !change.Complete {
-		order := controlstate.Order{Kind: controlstate.ChangeVoters, Seats: change.Seat, Leave: change.Leave, Term: change.Term, First: first}
-		out := s.submit(ctx, []controlstate.Order{order}, resolveWithin)
+		order := controlstate.Order{Kind: controlstate.ChangeVoters, Seats: change.Seat, Leave: change.Leave, Term: change.Term, First: initialVoters}
+		outcomes := s.submit(ctx, []controlstate.Order{order}, resolveTimeout)
 		fields := logrus.Fields{"seat": change.Seat, "leave": change.Leave, "term": change.Term}
-		if len(out) != 1 {
-			s.log.WithFields(fields).Info("change of voters has no majority")
+		if len(outcomes) != 1 {
+			s.log.WithFields(fields).Info("voter change failed: no majority answered")
 			return
 		}
-		fields["status"], fields["code"] = out[0].Status, out[0].Code
+		fields["status"], fields["code"] = outcomes[0].Status, outcomes[0].Code
 		s.log.WithFields(fields).Info("change of voters is answered")
 	}
-	s.submit(ctx, nil, resolveWithin) // completes the change, which is chosen
+	s.submit(ctx, nil, resolveTimeout) // completes the chosen change
 }
--- a/internal/configstore/disk.go
+++ b/internal/configstore/disk.go
@@ -19,56 +19,57 @@
 	"example.org/madderdrum/control/paxos"
 )
 
-// A log is begun anew once it holds so much: all that counts is its last record, and the
-// library keeps the whole of it in memory.
-const logMost = 512 << 10
+// maxLogBytes is the log size above which a new log is started: only the last record matters, and the WAL
+// library keeps the whole log in memory.
+const maxLogBytes = 512 << 10
 
-// deltasMost bounds how many entries of a log build on the one before: a restart replays them all.
-const deltasMost = 256
+// maxLogDeltas bounds the entries of one log that are deltas, because a restart replays all of them.
+const maxLogDeltas = 256
 
+// logPrefix starts the name of each log directory; a number follows.
 const logPrefix = "register-"
 
-// disk keeps an acceptor's record in a write-ahead log. The log lies in a folder of its own
-// with a number; a new one is begun, synced and only then takes the place of the old one.
+// disk persists an acceptor's record in a write-ahead log. Each log has a numbered directory of its own. A new
+// log is written and synced before it replaces the old one.
 type disk struct {
-	dir    string
-	number int
-	log    *wal.Log
-	next   uint64
-	size   int
-	deltas int  // entries that build on the one before
-	sick   bool // a write failed: the log has to be begun anew before the next
+	dir       string
+	logNumber int
+	log       *wal.Log
+	nextIndex uint64
+	logBytes  int
+	deltas    int  // delta entries in the current log
+	failed    bool // a write failed: the next write must start a new log
 }
 
-// line is one entry: a whole record, or the promise alone where the value stays.
-type line struct {
+// logEntry is one entry of the log: a whole record, or only the promise if the value did not change.
+type logEntry struct {
 	Record  *paxos.Record `cbor:"1,keyasint,omitempty"`
 	Promise *paxos.Ballot `cbor:"2,keyasint,omitempty"`
 	Voters  []string      `cbor:"3,keyasint,omitempty"`
-	// Delta makes the value of the one before it, where Record comes without a value.
+	// Delta computes the value from that of the previous entry if Record comes without a value.
 	Delta []byte `cbor:"4,keyasint,omitempty"`
 }
 
-// kept is what was found on disk.
-type kept struct {
+// recoveredState is the state read from disk at startup.
+type recoveredState struct {
 	record paxos.Record
 	voters []string
 	found  bool
 }
 
-func (d *disk) folder(number int) string {
+func (d *disk) logDir(number int) string {
 	return filepath.Join(d.dir, fmt.Sprintf("%s%08d", logPrefix, number))
 }
 
-// openDisk reads what a folder holds. A torn tail, which nobody was told of, is cut off.
-func openDisk(dir string) (*disk, kept, error) {
+// openDisk recovers the newest readable log in dir. A torn tail, which was never acknowledged, is discarded.
+func openDisk(dir string) (*disk, recoveredState, error) {
 	d := &disk{dir: dir}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, kept{}, fmt.Errorf("configstore: make the folder %s: %w", dir, err)
+		return nil, recoveredState{}, fmt.Errorf("configstore: make the folder %s: %w", dir, err)
 	}
 	entries, err := os.ReadDir(dir)
 	if err != nil {
-		return nil, kept{}, fmt.Errorf("configstore: list the folder %s: %w", dir, err)
+		return nil, recoveredState{}, fmt.Errorf("configstore: list the folder %s: %w", dir, err)
 	}
 	var numbers []int
 	for _, e := range entries {
@@ -80,71 +81,71 @@
 	}
 	slices.Sort(numbers)
 	slices.Reverse(numbers)
-	var k kept
+	var recovered recoveredState
 	for _, n := range numbers {
-		d.number = max(d.number, n)
-		if !k.found {
-			if k, err = d.read(d.folder(n)); err != nil {
-				return nil, kept{}, err
+		d.logNumber = max(d.logNumber, n)
+		if !recovered.found {
+			if recovered, err = d.replayLog(d.logDir(n)); err != nil {
+				return nil, recoveredState{}, err
 			}
 		}
 	}
-	return d, k, nil
+	return d, recovered, nil
 }
 
-// read replays one log, as far as its entries are whole.
-func (d *disk) read(folder string) (k kept, err error) {
-	files, err := os.ReadDir(folder)
+// replayLog reads a log up to its first torn or corrupt entry.
+func (d *disk) replayLog(logDir string) (recovered recoveredState, err error) {
+	files, err := os.ReadDir(logDir)
 	if err != nil {
-		return k, fmt.Errorf("configstore: list the log %s: %w", folder, err)
+		return recovered, fmt.Errorf("configstore: list the log %s: %w", logDir, err)
 	}
 	for _, f := range files {
 		if len(f.Name()) < 20 {
 			continue
 		}
-		data, err := os.ReadFile(filepath.Join(folder, f.Name()))
+		data, err := os.ReadFile(filepath.Join(logDir, f.Name()))
 		if err != nil {
-			return k, fmt.Errorf("configstore: read the log: %w", err)
+			return recovered, fmt.Errorf("configstore: read the log: %w", err)
 		}
 		for len(data) > 0 {
-			n, used := binary.Uvarint(data)
-			if used <= 0 || uint64(len(data)-used) < n {
+			length, prefix := binary.Uvarint(data)
+			if prefix <= 0 || uint64(len(data)-prefix) < length {
 				break
 			}
-			entry, ok := unseal(data[used : used+int(n)])
-			data = data[used+int(n):]
-			var l line
-			if !ok || cbor.Unmarshal(entry, &l) != nil {
+			payload, ok := stripChecksum(data[prefix : prefix+int(length)])
+			data = data[prefix+int(length):]
+			var entry logEntry
+			if !ok || cbor.Unmarshal(payload, &entry) != nil {
 				break
 			}
-			if !k.take(&l) {
+			if !recovered.apply(&entry) {
 				break
 			}
 		}
 	}
-	return k, nil
+	return recovered, nil
 }
 
-// take replays one entry. It tells whether the entry fits what was read before it.
-func (k *kept) take(l *line) bool {
-	if l.Record != nil {
-		if !k.takeRecord(l) {
+// apply replays one entry. It reports whether the entry is consistent with the preceding ones.
+func (k *recoveredState) apply(entry *logEntry) bool {
+	if entry.Record != nil {
+		if !k.applyRecord(entry) {
 			return false
 		}
 	}
-	if l.Promise != nil {
-		k.record.Promised = *l.Promise
+	if entry.Promise != nil {
+		k.record.Promised = *entry.Promise
 	}
-	if l.Voters != nil {
-		k.voters = l.Voters
+	if entry.Voters != nil {
+		k.voters = entry.Voters
 	}
 	return true
 }
 
-func (k *kept) takeRecord(l *line) bool {
-	record := *l.Record
-	if l.Delta != nil {
-		value, err := configdelta.Apply(k.record.Value, l.Delta)
+func (k *recoveredState) applyRecord(entry *logEntry) bool {
+	record := *entry.Record
+	if entry.Delta != nil {
+		value, err := configdelta.Apply(k.record.Value, entry.Delta)
 		if err != nil {
 			return false
 		}
@@ -154,57 +155,59 @@
 	return true
 }
 
-// seal puts a checksum behind an entry.
-func seal(entry []byte) []byte {
+// appendChecksum appends a CRC-32 to an entry.
+func appendChecksum(entry []byte) []byte {
 	return binary.BigEndian.AppendUint32(entry, crc32.ChecksumIEEE(entry))
 }
 
-func unseal(b []byte) ([]byte, bool) {
-	if len(b) < 4 {
+// stripChecksum verifies the CRC-32 of an entry and removes it.
+func stripChecksum(sealed []byte) ([]byte, bool) {
+	if len(sealed) < 4 {
 		return nil, false
 	}
-	entry := b[:len(b)-4]
-	return entry, binary.BigEndian.Uint32(b[len(b)-4:]) == crc32.ChecksumIEEE(entry)
+	entry := sealed[:len(sealed)-4]
+	return entry, binary.BigEndian.Uint32(sealed[len(sealed)-4:]) == crc32.ChecksumIEEE(entry)
 }
 
-// begin starts a new log with a whole record and removes the older ones.
-func (d *disk) begin(record *paxos.Record, voters []string) error {
+// startLog starts a new log with a whole record and removes the older logs.
+func (d *disk) startLog(record *paxos.Record, voters []string) error {
 	if d.log != nil {
 		d.log.Close()
 		d.log = nil
 	}
-	d.number++
-	folder := d.folder(d.number)
-	log, err := wal.Open(folder, &wal.Options{LogFormat: wal.Binary, SegmentSize: 8 * logMost, SegmentCacheSize: 1, NoCopy: true})
+	d.logNumber++
+	logDir := d.logDir(d.logNumber)
+	log, err := wal.Open(logDir, &wal.Options{LogFormat: wal.Binary, SegmentSize: 8 * maxLogBytes, SegmentCacheSize: 1, NoCopy: true})
 	if err != nil {
 		return err
 	}
-	entry, err := cbor.Marshal(&line{Record: record, Voters: voters})
+	entry, err := cbor.Marshal(&logEntry{Record: record, Voters: voters})
 	if err != nil {
 		return err
 	}
-	if err := log.Write(1, seal(entry)); err != nil {
+	if err := log.Write(1, appendChecksum(entry)); err != nil {
 		log.Close()
 		return err
 	}
-	if err := errors.Join(syncFolder(folder), syncFolder(d.dir)); err != nil {
+	if err := errors.Join(syncDir(logDir), syncDir(d.dir)); err != nil {
 		log.Close()
 		return err
 	}
-	d.log, d.next, d.size, d.deltas, d.sick = log, 2, len(entry), 0, false
+	d.log, d.nextIndex, d.logBytes, d.deltas, d.failed = log, 2, len(entry), 0, false
 	entries, err := os.ReadDir(d.dir)
 	if err != nil {
-		return nil // the older ones take room and do no harm
+		return nil // stale logs only take up space
 	}
 	for _, e := range entries {
-		if strings.HasPrefix(e.Name(), logPrefix) && e.Name() != filepath.Base(folder) {
+		if strings.HasPrefix(e.Name(), logPrefix) && e.Name() != filepath.Base(logDir) {
 			os.RemoveAll(filepath.Join(d.dir, e.Name()))
 		}
 	}
 	return nil
 }
 
-func syncFolder(path string) error {
+// syncDir makes new directory entries durable.
+func syncDir(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
@@ -213,30 +216,30 @@
 	return f.Sync()
 }
 
-// write has a record safe on disk when it returns nil. before is the one written last; delta makes
-// the new value of the one before, where that is known.
+// write makes a record durable before it returns nil. before is the previously written record; delta, if not
+// nil, computes the new value from the previous one.
 func (d *disk) write(record, before *paxos.Record, delta []byte, voters []string) error {
-	if d.log == nil || d.sick || d.size > logMost || d.deltas >= deltasMost {
-		return d.begin(record, voters)
+	if d.log == nil || d.failed || d.logBytes > maxLogBytes || d.deltas >= maxLogDeltas {
+		return d.startLog(record, voters)
 	}
-	l := line{Record: record}
+	entry := logEntry{Record: record}
 	if record.Accepted == before.Accepted && record.Disk == before.Disk && bytes.Equal(record.Value, before.Value) {
-		l = line{Promise: &record.Promised}
+		entry = logEntry{Promise: &record.Promised}
 	} else if delta != nil {
-		short := *record
-		short.Value = nil
-		l = line{Record: &short, Delta: delta}
+		withoutValue := *record
+		withoutValue.Value = nil
+		entry = logEntry{Record: &withoutValue, Delta: delta}
 		d.deltas++
 	}
-	entry, err := cbor.Marshal(&l)
+	data, err := cbor.Marshal(&entry)
 	if err != nil {
 		return err
 	}
-	if err := d.log.Write(d.next, seal(entry)); err != nil {
-		d.sick = true
+	if err := d.log.Write(d.nextIndex, appendChecksum(data)); err != nil {
+		d.failed = true
 		return err
 	}
-	d.next++
-	d.size += len(entry)
+	d.nextIndex++
+	d.logBytes += len(data)
 	return nil
 }
--- a/internal/configstore/fulldisk_test.go
+++ b/internal/configstore/fulldisk_test.go
@@ -10,8 +10,8 @@
 	"example.org/madderdrum/control/paxos"
 )
 
-// A full disk refuses every write, also that of a new log: nothing is told to be written, what was written stays, and
-// once there is room the next record is written whole.
+// A full disk fails every write, including that of a new log: no write is reported as successful, the last
+// record stays readable, and once there is space the next record is written whole.
 func TestFullDiskRefusesEveryWrite(t *testing.T) {
 	dir := t.TempDir()
 	d, _, err := openDisk(dir)
@@ -20,39 +20,40 @@
 	}
 	voters := []string{"1", "2", "3"}
 	record := func(n uint64) *paxos.Record {
-		b := paxos.Ballot{Number: n, Node: 1}
-		return &paxos.Record{Promised: b, Accepted: b, Value: []byte{byte(n)}}
+		ballot := paxos.Ballot{Number: n, Node: 1}
+		return &paxos.Record{Promised: ballot, Accepted: ballot, Value: []byte{byte(n)}}
 	}
 	last := record(1)
-	if err := d.begin(last, voters); err != nil {
+	if err := d.startLog(last, voters); err != nil {
 		t.Fatal(err)
 	}
-	// No more can be appended, and folders can't be made in place of what stands there.
+	// Appending fails because the log is closed; new log directories cannot be created because files of their
+	// names exist.
 	d.log.Close()
 	var blocked []string
-	for n := d.number + 1; n <= d.number+20; n++ {
-		blocked = append(blocked, d.folder(n))
-		if err := os.WriteFile(d.folder(n), nil, 0o600); err != nil {
+	for n := d.logNumber + 1; n <= d.logNumber+20; n++ {
+		blocked = append(blocked, d.logDir(n))
+		if err := os.WriteFile(d.logDir(n), nil, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for n := uint64(2); n < 12; n++ {
 		if err := d.write(record(n), last, nil, voters); err == nil {
-			t.Fatalf("record %d is told to be written", n)
+			t.Fatalf("write of record %d succeeded on a full disk", n)
 		}
 	}
 	for _, path := range blocked {
 		os.Remove(path)
 	}
 	if _, found, err := openDisk(dir); err != nil || cmp.Diff(&found.record, last) != "" {
-		t.Errorf("after the refusals the disk holds %+v %v", found.record, err)
+		t.Errorf("after the failed writes the disk holds %+v %v", found.record, err)
 	}
 	next := record(12)
 	if err := d.write(next, last, nil, voters); err != nil {
-		t.Fatalf("there is room again: %v", err)
+		t.Fatalf("write failed although there is space again: %v", err)
 	}
 	logs, _ := filepath.Glob(filepath.Join(dir, logPrefix+"*"))
 	if _, found, err := openDisk(dir); err != nil || cmp.Diff(&found.record, next) != "" || len(logs) != 1 {
-		t.Errorf("once there is room the disk holds %+v in %v, %v", found.record, logs, err)
+		t.Errorf("once there is space the disk holds %+v in %v, %v", found.record, logs, err)
 	}
 }
--- a/internal/configstore/proposer.go
+++ b/internal/configstore/proposer.go
@@ -15,52 +15,53 @@
 )
 
 const (
-	orderWithin = 2500 * time.Millisecond
-	// retryPause is the mean pause before a round is begun again.
-	retryPause = 35 * time.Millisecond
+	orderTimeout = 2500 * time.Millisecond
+	// meanRetryPause is the mean of the random pause before a round is retried, so that competing proposers
+	// do not keep preempting each other.
+	meanRetryPause = 35 * time.Millisecond
 )
 
-// pending are orders that wait for a round.
-type pending struct {
-	orders []controlstate.Order
-	done   chan []controlstate.Outcome // nil: no majority answered
-	until  time.Time
+// proposal is a set of orders queued for a round.
+type proposal struct {
+	orders   []controlstate.Order
+	result   chan []controlstate.Outcome // receives nil if no majority answered
+	deadline time.Time
 }
 
-// submit proposes orders and returns what became of them, or nil where no majority answered in
-// time: they may then be carried out or not.
-func (s *Store) submit(ctx context.Context, orders []controlstate.Order, within time.Duration) []controlstate.Outcome {
-	p := &pending{orders: orders, done: make(chan []controlstate.Outcome, 1), until: time.Now().Add(within)}
+// submit proposes orders and returns their outcomes, or nil if no majority answered in time: the orders may then
+// have been carried out or not.
+func (s *Store) submit(ctx context.Context, orders []controlstate.Order, timeout time.Duration) []controlstate.Outcome {
+	p := &proposal{orders: orders, result: make(chan []controlstate.Outcome, 1), deadline: time.Now().Add(timeout)}
 	select {
-	case s.orders <- p:
+	case s.proposals <- p:
 	default:
 		return nil
 	}
 	select {
-	case out := <-p.done:
-		return out
+	case outcomes := <-p.result:
+		return outcomes
 	case <-ctx.Done():
 		return nil
 	}
 }
 
-// propose holds rounds for the orders that wait, one round at a time.
-func (s *Store) propose(ctx context.Context) {
+// proposeLoop runs rounds for queued proposals, one round at a time.
+func (s *Store) proposeLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case p := <-s.orders:
-			s.rounds(ctx, append([]*pending{p}, s.waiting()...))
+		case p := <-s.proposals:
+			s.runRounds(ctx, append([]*proposal{p}, s.takeQueued()...))
 		}
 	}
 }
 
-// waiting are the orders that came in meanwhile.
-func (s *Store) waiting() (all []*pending) {
+// takeQueued removes and returns the proposals that are queued now, without waiting.
+func (s *Store) takeQueued() (all []*proposal) {
 	for {
 		select {
-		case p := <-s.orders:
+		case p := <-s.proposals:
 			all = append(all, p)
 		default:
 			return all
@@ -68,181 +69,182 @@
 	}
 }
 
-// rounds holds rounds until one succeeds or nobody waits any more.
-func (s *Store) rounds(ctx context.Context, all []*pending) {
+// runRounds retries until a round succeeds or every proposal has expired.
+func (s *Store) runRounds(ctx context.Context, proposals []*proposal) {
 	for ctx.Err() == nil {
-		all = s.giveUpLate(all)
-		if len(all) == 0 {
+		proposals = s.dropExpired(proposals)
+		if len(proposals) == 0 {
 			return
 		}
-		if s.round(ctx, all) {
+		if s.runRound(ctx, proposals) {
 			return
 		}
-		wait.Sleep(ctx, 5*time.Millisecond+rand.N(2*retryPause))
+		wait.Sleep(ctx, 5*time.Millisecond+rand.N(2*meanRetryPause))
 	}
 }
 
-// giveUpLate answers those whose time is over, and returns the others: an order is not proposed any
-// more once nobody waits for its answer.
-func (s *Store) giveUpLate(all []*pending) (left []*pending) {
+// dropExpired answers the proposals whose deadline has passed and returns the others: orders are not
+// proposed once their submitter has stopped waiting.
+func (s *Store) dropExpired(proposals []*proposal) (remaining []*proposal) {
 	now := time.Now()
-	for _, p := range all {
-		if now.Before(p.until) {
-			left = append(left, p)
+	for _, p := range proposals {
+		if now.Before(p.deadline) {
+			remaining = append(remaining, p)
 		} else {
-			p.done <- nil
+			p.result <- nil
 		}
 	}
-	return left
+	return remaining
 }
 
-// answered is a voter's answer to a message of a round.
-type answered struct {
+// voterReply is a voter's reply to one message of a round.
+type voterReply struct {
 	from  string
 	reply paxos.Reply
 	err   error
 }
 
-// ask has a message sent to the machines of voters, each by its own goroutine; answers come as they
-// are there. A machine answers for the disk that it has.
-func (s *Store) ask(voters []string, send func(ip string) (paxos.Reply, error)) <-chan answered {
+// sendToVoters sends a message to each voter's machine concurrently and returns the replies as they arrive.
+// A reply counts for the voter ID of the disk that the machine has now.
+func (s *Store) sendToVoters(voters []string, send func(ip string) (paxos.Reply, error)) <-chan voterReply {
 	ips := replica.Machines(voters)
-	out := make(chan answered, len(ips))
+	replies := make(chan voterReply, len(ips))
 	for _, ip := range ips {
 		go func() {
 			reply, err := send(ip)
-			out <- answered{controlstate.VoterID(ip, reply.Disk), reply, err}
+			replies <- voterReply{controlstate.VoterID(ip, reply.Disk), reply, err}
 		}()
 	}
-	return out
+	return replies
 }
 
-// sendPrepare asks one machine for a promise.
+// sendPrepare sends a prepare message to one machine.
 func (s *Store) sendPrepare(ctx context.Context, ip string, m paxos.Prepare) (reply paxos.Reply, err error) {
 	if ip == s.settings.IP {
-		return s.votePrepare(m)
+		return s.acceptorPrepare(m)
 	}
-	err = s.caller.Call(ctx, s.settings.Internal(ip, nodesettings.ConfigStorePort), callPrepare, m, &reply, callWithin)
+	err = s.caller.Call(ctx, s.settings.Internal(ip, nodesettings.ConfigStorePort), callPrepare, m, &reply, callTimeout)
 	return reply, err
 }
 
-// sendAccept asks one machine for a vote: first with the difference from what most have accepted,
-// and with the whole value where the machine has accepted something else.
-func (s *Store) sendAccept(ctx context.Context, ip string, difference, whole acceptCall) (paxos.Reply, error) {
-	answer, err := s.sendAcceptCall(ctx, ip, difference)
-	if err == nil && answer.Lacks {
-		answer, err = s.sendAcceptCall(ctx, ip, whole)
+// sendAccept sends an accept message to one machine: first as a delta from the value that most acceptors have,
+// then with the whole value if this acceptor has another one.
+func (s *Store) sendAccept(ctx context.Context, ip string, deltaRequest, fullRequest acceptRequest) (paxos.Reply, error) {
+	response, err := s.sendAcceptRequest(ctx, ip, deltaRequest)
+	if err == nil && response.NeedsValue {
+		response, err = s.sendAcceptRequest(ctx, ip, fullRequest)
 	}
-	return answer.Reply, err
+	return response.Reply, err
 }
 
-func (s *Store) sendAcceptCall(ctx context.Context, ip string, m acceptCall) (answer acceptAnswer, err error) {
+func (s *Store) sendAcceptRequest(ctx context.Context, ip string, m acceptRequest) (response acceptResponse, err error) {
 	if ip == s.settings.IP {
-		return s.voteAccept(m)
+		return s.acceptorAccept(m)
 	}
-	err = s.caller.Call(ctx, s.settings.Internal(ip, nodesettings.ConfigStorePort), callAccept, m, &answer, callWithin)
-	return answer, err
+	err = s.caller.Call(ctx, s.settings.Internal(ip, nodesettings.ConfigStorePort), callAccept, m, &response, callTimeout)
+	return response, err
 }
 
-// acceptCalls are the messages of a round's second half.
-func acceptCalls(attempt *replica.Attempt) (difference, whole acceptCall) {
-	whole = acceptCall{Ballot: attempt.Accept.Ballot, Value: attempt.Accept.Value}
+// acceptRequests returns the accept message of a round in its delta and full forms. Both are full if the base
+// value is unknown or the delta would save less than half.
+func acceptRequests(attempt *replica.Attempt) (deltaRequest, fullRequest acceptRequest) {
+	fullRequest = acceptRequest{Ballot: attempt.Accept.Ballot, Value: attempt.Accept.Value}
 	if len(attempt.Base) == 0 {
-		return whole, whole
+		return fullRequest, fullRequest
 	}
 	delta, err := configdelta.Between(attempt.Base, attempt.Accept.Value)
-	if err != nil || len(delta) > len(whole.Value)/2 {
-		return whole, whole
+	if err != nil || len(delta) > len(fullRequest.Value)/2 {
+		return fullRequest, fullRequest
 	}
-	return acceptCall{Ballot: attempt.Accept.Ballot, Base: attempt.BaseBallot, Delta: delta}, whole
+	return acceptRequest{Ballot: attempt.Accept.Ballot, Base: attempt.BaseBallot, Delta: delta}, fullRequest
 }
 
-// round holds one round, and tells whether what is due was answered.
-func (s *Store) round(ctx context.Context, all []*pending) bool {
+// runRound runs one Paxos round. It reports whether all proposals were answered.
+func (s *Store) runRound(ctx context.Context, proposals []*proposal) bool {
 	var batches [][]controlstate.Order
-	for _, p := range all {
+	for _, p := range proposals {
 		batches = append(batches, p.orders)
 	}
 	s.mu.Lock()
 	attempt := s.replica.Begin(batches)
 	s.mu.Unlock()
 	prepare := attempt.Prepare
-	answers := s.ask(attempt.Voters, func(ip string) (paxos.Reply, error) { return s.sendPrepare(ctx, ip, prepare) })
-	step := s.gather(answers, attempt.Promise)
+	replies := s.sendToVoters(attempt.Voters, func(ip string) (paxos.Reply, error) { return s.sendPrepare(ctx, ip, prepare) })
+	step := s.collectReplies(replies, attempt.Promise)
 	if step == replica.Vote {
 		accept := attempt.Accept
-		difference, whole := acceptCalls(attempt)
-		answers = s.ask(attempt.Voters, func(ip string) (paxos.Reply, error) { return s.sendAccept(ctx, ip, difference, whole) })
-		if step = s.gather(answers, attempt.Voted); step == replica.Settled {
-			s.tell(ctx, attempt.Voters, accept.Ballot, accept.Value)
+		deltaRequest, fullRequest := acceptRequests(attempt)
+		replies = s.sendToVoters(attempt.Voters, func(ip string) (paxos.Reply, error) { return s.sendAccept(ctx, ip, deltaRequest, fullRequest) })
+		if step = s.collectReplies(replies, attempt.Voted); step == replica.Settled {
+			s.announceChosen(ctx, attempt.Voters, accept.Ballot, accept.Value)
 		}
 	}
 	if step != replica.Settled {
 		return false
 	}
-	for i, p := range all {
-		p.done <- attempt.Outcomes()[i]
+	for i, p := range proposals {
+		p.result <- attempt.Outcomes()[i]
 	}
 	return true
 }
 
-// gather feeds answers until one completes the half of the round.
-func (s *Store) gather(answers <-chan answered, take func(string, paxos.Reply) (replica.Step, error)) replica.Step {
-	late := time.NewTimer(callWithin + 50*time.Millisecond)
-	defer late.Stop()
-	for range cap(answers) {
+// collectReplies processes replies until one completes the current phase of the round.
+func (s *Store) collectReplies(replies <-chan voterReply, handle func(string, paxos.Reply) (replica.Step, error)) replica.Step {
+	timeout := time.NewTimer(callTimeout + 50*time.Millisecond)
+	defer timeout.Stop()
+	for range cap(replies) {
 		select {
-		case a := <-answers:
-			if a.err != nil {
+		case reply := <-replies:
+			if reply.err != nil {
 				continue
 			}
-			if step := s.taken(a, take); step != replica.Wait {
+			if step := s.handleReply(reply, handle); step != replica.Wait {
 				return step
 			}
-		case <-late.C:
+		case <-timeout.C:
 			return replica.Wait
 		}
 	}
 	return replica.Wait
 }
 
-// taken feeds one answer.
-func (s *Store) taken(a answered, take func(string, paxos.Reply) (replica.Step, error)) replica.Step {
+// handleReply processes one reply.
+func (s *Store) handleReply(reply voterReply, handle func(string, paxos.Reply) (replica.Step, error)) replica.Step {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.replica.Register()
-	step, err := take(a.from, a.reply)
+	step, err := handle(reply.from, reply.reply)
 	if err != nil {
-		broken(err)
+		panicInvariant(err)
 	}
 	if s.replica.Register() != before {
-		s.learned()
+		s.notifyRegisterChange()
 	}
 	return step
 }
 
-// tell tells the other voters and the learners what is chosen. Those that have accepted it need its
-// ballot alone.
-func (s *Store) tell(ctx context.Context, voters []string, ballot paxos.Ballot, value []byte) {
+// announceChosen announces a chosen value to the other voters and the learners. Stores that have accepted the
+// value need only its ballot.
+func (s *Store) announceChosen(ctx context.Context, voters []string, ballot paxos.Ballot, value []byte) {
 	s.mu.Lock()
-	others := append(slices.Clone(voters), s.members.Learners(s.now(), voters)...)
+	recipients := append(slices.Clone(voters), s.members.Learners(s.now(), voters)...)
 	s.mu.Unlock()
-	for _, ip := range replica.Machines(others) {
+	for _, ip := range replica.Machines(recipients) {
 		if ip == s.settings.IP {
 			continue
 		}
-		go s.tellOne(ctx, ip, ballot, value)
+		go s.announceChosenTo(ctx, ip, ballot, value)
 	}
 }
 
-func (s *Store) tellOne(ctx context.Context, ip string, ballot paxos.Ballot, value []byte) {
-	to := s.settings.Internal(ip, nodesettings.ConfigStorePort)
-	var answer chosenAnswer
-	err := s.caller.Call(ctx, to, callChosen, chosenCall{Ballot: ballot}, &answer, callWithin)
-	if err != nil || !answer.Lacks {
+func (s *Store) announceChosenTo(ctx context.Context, ip string, ballot paxos.Ballot, value []byte) {
+	address := s.settings.Internal(ip, nodesettings.ConfigStorePort)
+	var response chosenResponse
+	err := s.caller.Call(ctx, address, callChosen, chosenRequest{Ballot: ballot}, &response, callTimeout)
+	if err != nil || !response.NeedsValue {
 		return
 	}
-	if err := s.caller.Call(ctx, to, callChosen, chosenCall{Ballot: ballot, Value: value}, &answer, callWithin); err != nil {
-		s.log.WithFields(map[string]any{"to": ip, "err": err}).Debug("a store was not told what is chosen")
+	if err := s.caller.Call(ctx, address, callChosen, chosenRequest{Ballot: ballot, Value: value}, &response, callTimeout); err != nil {
+		s.log.WithFields(map[string]any{"to": ip, "err": err}).Debug("failed to announce the chosen value")
 	}
 }
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -1,6 +1,6 @@
-// Package configstore is the host of the store of configuration: it keeps an acceptor's record on
-// disk, carries the messages of rounds, reports to the other stores and answers the registries. The
-// decisions are in the packages paxos, controlstate, replica and coremembers.
+// Package configstore runs one replica of the replicated configuration store: it persists the acceptor's
+// record, exchanges the messages of Paxos rounds, reports to the other stores and serves the registries.
+// The protocol decisions are made by packages paxos, controlstate, replica and coremembers.
 package configstore
 
 import (
@@ -26,39 +26,39 @@
 )
 
 const (
-	callWithin = 400 * time.Millisecond // one message of a round
-	// leaveWithin is how long a store that is being ended waits for a learner to take its seat.
-	leaveWithin = 3 * time.Second
+	callTimeout = 400 * time.Millisecond // for each message of a round
+	// leaveTimeout bounds how long a store that is shutting down waits for a learner to take its seat.
+	leaveTimeout = 3 * time.Second
 )
 
-// Store is one store of configuration.
+// Store is one replica of the configuration store.
 type Store struct {
-	settings *nodesettings.Settings
-	log      logrus.FieldLogger
-	caller   *rpc.Caller
-	begun    time.Time
-	orders   chan *pending
-	reportIn chan struct{} // has the store report to the others at once
-
-	accepting sync.Mutex // guards the acceptor and the disk
-	acceptor  paxos.Acceptor
-	disk      *disk
-
-	mu         sync.Mutex // guards what follows
-	durable    paxos.Record
-	identified bool   // the identity of the disk is on the disk
-	durableSeq uint64 // of the newest register that is known to be chosen and is on the disk
-	replica    *replica.Replica
-	members    *coremembers.Planner
-	contacts   []string      // IP numbers of core machines that the settings name
-	changed    chan struct{} // closed when the register changes
-	reseating  bool          // a change of voters is being proposed by this store
+	settings  *nodesettings.Settings
+	log       logrus.FieldLogger
+	caller    *rpc.Caller
+	startedAt time.Time
+	proposals chan *proposal
+	reportNow chan struct{} // triggers an immediate report to the other stores
+
+	acceptorMu sync.Mutex // guards acceptor and disk; locked before mu
+	acceptor   paxos.Acceptor
+	disk       *disk
+
+	mu              sync.Mutex // guards the fields below
+	durable         paxos.Record
+	identitySaved   bool   // the voter ID of this disk is durable
+	durableSeq      uint64 // sequence number of the newest register known to be chosen that is on disk
+	replica         *replica.Replica
+	members         *coremembers.Planner
+	seedIPs         []string      // IP addresses of the core machines named in the settings
+	registerChanged chan struct{} // closed when the register changes
+	changingVoters  bool          // this store is proposing a change of voters
 }
 
-// Run serves until the context ends, and then until a learner has taken the store's seat, where
-// there is one.
+// Run serves until the context ends. A store that holds a seat then waits, for a bounded time, until a
+// learner has taken the seat.
 func Run(ctx context.Context, settings *nodesettings.Settings, log logrus.FieldLogger) error {
-	s, err := open(settings, log)
+	s, err := openStore(settings, log)
 	if err != nil {
 		return err
 	}
@@ -66,117 +66,118 @@
 	if err != nil {
 		return fmt.Errorf("configstore: listen for other processes: %w", err)
 	}
-	log.WithFields(logrus.Fields{"voter": s.voter(), "first": s.replica.First(), "accepted": s.acceptor.Record.Accepted.Number}).Info("begins")
+	log.WithFields(logrus.Fields{"voter": s.voterID(), "first": s.replica.First(), "accepted": s.acceptor.Record.Accepted.Number}).Info("begins")
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	metrics.Offer(work, settings.MetricsAddress(), log, s.figures)
+	metrics.Offer(work, settings.MetricsAddress(), log, s.collectMetrics)
 	go rpc.Serve(work, listener, s.handlers())
 	go s.followSettings(work)
-	go s.confirm(work)
-	go s.propose(work)
-	go s.keepChosen(work)
+	go s.confirmLoop(work)
+	go s.proposeLoop(work)
+	go s.persistChosen(work)
 	<-ctx.Done()
-	s.leave(work)
+	s.awaitSuccessor(work)
 	return nil
 }
 
-// open reads what the disk holds and works out which voter this store is.
-func open(settings *nodesettings.Settings, log logrus.FieldLogger) (*Store, error) {
-	disk, found, err := openDisk(settings.DataDir)
+// openStore reads the data directory and determines this store's voter ID.
+func openStore(settings *nodesettings.Settings, log logrus.FieldLogger) (*Store, error) {
+	disk, recovered, err := openDisk(settings.DataDir)
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{settings: settings, log: log, caller: rpc.NewCaller(), begun: time.Now(), disk: disk, contacts: settings.Cores(),
-		orders: make(chan *pending, 64), reportIn: make(chan struct{}, 1), changed: make(chan struct{})}
-	first := found.voters
-	if first == nil && settings.Bootstrap {
-		first = replica.Union(settings.Cores())
+	s := &Store{settings: settings, log: log, caller: rpc.NewCaller(), startedAt: time.Now(), disk: disk, seedIPs: settings.Cores(),
+		proposals: make(chan *proposal, 64), reportNow: make(chan struct{}, 1), registerChanged: make(chan struct{})}
+	initialVoters := recovered.voters
+	if initialVoters == nil && settings.Bootstrap {
+		initialVoters = replica.Union(settings.Cores())
 	}
-	s.acceptor.Record, s.identified = found.record, found.found
-	if s.acceptor.Record.Blank || !found.found && !settings.Bootstrap {
-		// The machine is new, or lost its disk: it is another voter from now on.
+	s.acceptor.Record, s.identitySaved = recovered.record, recovered.found
+	if s.acceptor.Record.Blank || !recovered.found && !settings.Bootstrap {
+		// A new machine, or one that lost its disk, is a different voter: its former promises are gone.
 		s.acceptor.Record = paxos.Record{Disk: 1 + rand.Uint64N(1<<62)}
-		s.identified = false
+		s.identitySaved = false
 	}
 	s.durable = s.acceptor.Record
-	s.replica = replica.New(nodeOf(settings.IP), rand.Uint64(), first)
+	s.replica = replica.New(ballotNode(settings.IP), rand.Uint64(), initialVoters)
 	s.replica.Saw(s.durable.Promised.Number)
-	joining := settings.Bootstrap && !slices.Contains(first, settings.IP)
+	joining := settings.Bootstrap && !slices.Contains(initialVoters, settings.IP)
 	s.members = coremembers.New(coremembers.Report{Zone: settings.Zone, Joining: joining}, 2*settings.Tolerate+1, s.now())
-	if s.identified {
-		s.members.Rename(s.voter())
+	if s.identitySaved {
+		s.members.Rename(s.voterID())
 	} else {
-		s.identify()
+		s.saveIdentity()
 	}
 	return s, nil
 }
 
-// now is the span on the steady clock since the process began.
-func (s *Store) now() time.Duration { return time.Since(s.begun) }
+// now returns the monotonic time since the process started.
+func (s *Store) now() time.Duration { return time.Since(s.startedAt) }
 
-// voter is the identity of this store among the voters.
-func (s *Store) voter() string { return controlstate.VoterID(s.settings.IP, s.durable.Disk) }
+// voterID returns this store's identity as a voter; it includes the disk's ID.
+func (s *Store) voterID() string { return controlstate.VoterID(s.settings.IP, s.durable.Disk) }
 
-// nodeOf is a store's number in ballots.
-func nodeOf(ip string) uint64 {
-	h := fnv.New64a()
-	h.Write([]byte(ip))
-	return h.Sum64()
+// ballotNode returns the node number that a store uses in its ballots.
+func ballotNode(ip string) uint64 {
+	hash := fnv.New64a()
+	hash.Write([]byte(ip))
+	return hash.Sum64()
 }
 
-// followSettings takes over which core machines the settings name.
+// followSettings tracks changes of the core machines that the settings name.
 func (s *Store) followSettings(ctx context.Context) {
 	s.settings.Follow(ctx, func(next *nodesettings.Settings) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.contacts = next.Cores()
-	}, func(err error) { s.log.WithField("err", err).Warn("settings can't be used") })
+		s.seedIPs = next.Cores()
+	}, func(err error) { s.log.WithField("err", err).Warn("cannot use changed settings") })
 }
 
-var errDisk = errors.New("the disk takes no record")
+var errDiskWrite = errors.New("the disk takes no record")
 
-// state is what is agreed on, for the decisions about voters. The mutex is held.
-func (s *Store) state() coremembers.State {
+// voterState returns the agreed state that decisions about voters depend on. s.mu must be held.
+func (s *Store) voterState() coremembers.State {
 	register := s.replica.Register()
 	sets := register.Sets(s.replica.First())
 	return coremembers.State{Voters: sets[len(sets)-1], Prior: len(sets) > 1, Term: register.Term(), Seq: register.Seq}
 }
 
-// learned follows a change of the register: whoever waits for one is woken. The mutex is held.
-func (s *Store) learned() {
-	close(s.changed)
-	s.changed = make(chan struct{})
+// notifyRegisterChange wakes the goroutines that wait for a new register. s.mu must be held.
+func (s *Store) notifyRegisterChange() {
+	close(s.registerChanged)
+	s.registerChanged = make(chan struct{})
 	register := s.replica.Register()
 	s.log.WithFields(logrus.Fields{"seq": register.Seq, "version": register.Version, "ballot": s.replica.Chosen().Number,
 		"term": register.Term(), "voters": len(register.Voters)}).Info("version is chosen")
 }
 
-// broken stops the process: what was agreed on can't be read.
-func broken(err error) {
-	panic(fmt.Sprintf("configstore: a broken invariant: %v", err))
+// panicInvariant stops the process because a chosen value cannot be decoded.
+func panicInvariant(err error) {
+	panic(fmt.Sprintf("configstore: invariant violated: %v", err))
 }
 
-// leave waits until a learner has taken this store's seat. It returns at once where there is none.
-func (s *Store) leave(ctx context.Context) {
-	late := time.NewTimer(leaveWithin)
-	defer late.Stop()
+// awaitSuccessor waits until a learner has taken this store's seat. It returns at once if the store has no
+// seat or no learner is available.
+func (s *Store) awaitSuccessor(ctx context.Context) {
+	timeout := time.NewTimer(leaveTimeout)
+	defer timeout.Stop()
 	s.mu.Lock()
 	s.members.Leave()
 	s.mu.Unlock()
 	for {
 		s.mu.Lock()
-		wait, changed := s.members.CanLeave(s.now(), s.state()), s.changed
+		wait, changed := s.members.CanLeave(s.now(), s.voterState()), s.registerChanged
 		s.mu.Unlock()
 		if !wait {
 			return
 		}
 		select {
-		case s.reportIn <- struct{}{}:
+		case s.reportNow <- struct{}{}:
 		default:
 		}
 		select {
 		case <-changed:
-		case <-late.C:
+		case <-timeout.C:
 			s.log.Warn("ends with its seat: no learner took it in time")
 			return
 		case <-ctx.Done():
--- a/internal/configstore/store_test.go
+++ b/internal/configstore/store_test.go
@@ -16,13 +16,13 @@
 	"example.org/madderdrum/internal/rpc"
 )
 
-// stores are five of them on loopback, of which the first three are named to all.
+// stores runs up to five stores on loopback addresses; the settings of all of them name the first three.
 type stores struct {
-	t    *testing.T
-	dir  string
-	stop [5]context.CancelFunc
-	done [5]chan error
-	call *rpc.Caller
+	t      *testing.T
+	dir    string
+	cancel [5]context.CancelFunc
+	done   [5]chan error
+	call   *rpc.Caller
 }
 
 func (s *stores) ip(i int) string { return fmt.Sprintf("127.79.1.%d", i+1) }
@@ -33,14 +33,14 @@
 	set := &nodesettings.Settings{Node: fmt.Sprintf("core-%d", i+1), IP: s.ip(i), Bootstrap: bootstrap, Tolerate: 2, Ports: [2]int{7460, 7475},
 		DataDir: fmt.Sprintf("%s/%d", s.dir, i), Seeds: []string{s.ip(0) + ":1", s.ip(1) + ":1", s.ip(2) + ":1"}}
 	ctx, stop := context.WithCancel(context.Background())
-	s.stop[i], s.done[i] = stop, make(chan error, 1)
+	s.cancel[i], s.done[i] = stop, make(chan error, 1)
 	done := s.done[i]
 	go func() { done <- Run(ctx, set, log) }()
 }
 
-// end ends a store as a kill does: nothing is written any more.
-func (s *stores) end(i int, wipe bool) {
-	s.stop[i]()
+// stop ends a store, after which it writes nothing, as after a kill. If wipe is set, it deletes the data directory.
+func (s *stores) stop(i int, wipe bool) {
+	s.cancel[i]()
 	if err := <-s.done[i]; err != nil {
 		s.t.Fatal(err)
 	}
@@ -51,15 +51,15 @@
 	}
 }
 
-// order has a zone evacuated by one store, in time.
-func (s *stores) order(ctx context.Context, i int, zone string) bool {
-	var c Changed
-	err := s.call.Call(ctx, s.ip(i)+":7460", CallChange, Change{Orders: []controlstate.Order{{Kind: controlstate.Begin, Zone: zone}}}, &c, 3*time.Second)
+// evacuate asks one store to begin the evacuation of a zone, and reports whether it succeeded in time.
+func (s *stores) evacuate(ctx context.Context, i int, zone string) bool {
+	var c ChangeResponse
+	err := s.call.Call(ctx, s.ip(i)+":7460", CallChange, ChangeRequest{Orders: []controlstate.Order{{Kind: controlstate.Begin, Zone: zone}}}, &c, 3*time.Second)
 	return err == nil && len(c.Outcomes) == 1 && c.Outcomes[0].Status == 200
 }
 
 func (s *stores) fetch(ctx context.Context, i int) *controlstate.Register {
-	var w Watched
+	var w WatchResponse
 	if s.call.Call(ctx, s.ip(i)+":7460", CallFetch, nil, &w, 3*time.Second) != nil {
 		return nil
 	}
@@ -73,14 +73,14 @@
 	for !ok() {
 		select {
 		case <-ctx.Done():
-			s.t.Fatalf("%s: not in time", what)
+			s.t.Fatalf("timed out waiting: %s", what)
 		case <-tick.C:
 		}
 	}
 }
 
-// Five machines of which three are named come to vote all; with any two of them gone orders
-// are taken; and what was acknowledged by three is there after two of these lose their disks.
+// Five machines, of which the settings name three, all become voters. Orders succeed with any two of them down,
+// and an order acknowledged by three survives the loss of two of their disks.
 func TestFiveVoters(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
@@ -88,52 +88,52 @@
 	for i := range 5 {
 		s.start(i, true)
 	}
-	s.until(ctx, "all five vote", func() bool {
+	s.until(ctx, "all five are voters", func() bool {
 		r := s.fetch(ctx, 3)
 		return r != nil && len(r.Voters) == 5 && len(r.Prior) == 0
 	})
-	s.end(3, false)
-	s.end(4, false)
-	s.until(ctx, "an order without the last two", func() bool { return s.order(ctx, 0, "a") })
-	// The three that took it: two lose their disks while the other two come back.
-	s.end(0, true)
-	s.end(1, true)
+	s.stop(3, false)
+	s.stop(4, false)
+	s.until(ctx, "an order succeeds without the last two stores", func() bool { return s.evacuate(ctx, 0, "a") })
+	// Two of the three that accepted the order lose their disks while the other two come back.
+	s.stop(0, true)
+	s.stop(1, true)
 	s.start(3, false)
 	s.start(4, false)
-	s.until(ctx, "it is there with two blank ones gone", func() bool {
+	s.until(ctx, "the order survives the loss of two disks", func() bool {
 		r := s.fetch(ctx, 3)
 		return r != nil && len(r.Evac) == 1
 	})
 	s.start(0, false)
 	s.start(1, false)
-	s.end(2, false)
-	s.end(3, false)
-	// Blank ones have to read three others before they vote: two are not enough now.
-	if s.order(ctx, 4, "b") {
-		t.Error("an order is taken by one voter and two blank ones")
+	s.stop(2, false)
+	s.stop(3, false)
+	// A voter with an empty disk has to read from three others before it votes; two are not enough.
+	if s.evacuate(ctx, 4, "b") {
+		t.Error("an order succeeded with one voter and two stores whose disks are empty")
 	}
 	s.start(2, false)
 	s.start(3, false)
-	s.until(ctx, "orders are taken again", func() bool { return s.order(ctx, 0, "c") })
+	s.until(ctx, "orders succeed again", func() bool { return s.evacuate(ctx, 0, "c") })
 	for i := range 2 {
-		s.until(ctx, "a blank one votes again", func() bool {
+		s.until(ctx, "a store whose disk was lost votes again", func() bool {
 			var st rpc.Status
 			return s.call.Call(ctx, s.ip(i)+":7460", rpc.CallStatus, nil, &st, time.Second) == nil && strings.Contains(st.Lines[0], "votes=true")
 		})
 	}
-	s.end(2, false)
-	s.end(3, false)
-	s.until(ctx, "also by those that were blank", func() bool { return s.order(ctx, 1, "d") })
+	s.stop(2, false)
+	s.stop(3, false)
+	s.until(ctx, "an order succeeds with the stores whose disks were lost", func() bool { return s.evacuate(ctx, 1, "d") })
 	if r := s.fetch(ctx, 0); r == nil || r.Evac[0] != "a" {
-		t.Errorf("what was acknowledged is gone: %+v", r)
+		t.Errorf("an acknowledged order is lost: %+v", r)
 	}
 	for _, i := range []int{0, 1, 4} {
-		s.end(i, false)
+		s.stop(i, false)
 	}
 }
 
-// A machine that is gone for good gives its seat to another, by the operators' command; what was
-// agreed is there, and the loss of one more is borne.
+// The operator's command gives the seat of a machine that is permanently lost to another one. The agreed state
+// survives, and so does the store when it loses one more machine.
 func TestVotersCommand(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
@@ -141,8 +141,8 @@
 	for i := range 3 {
 		s.start(i, true)
 	}
-	s.until(ctx, "an order", func() bool { return s.order(ctx, 0, "a") })
-	s.end(2, true)
+	s.until(ctx, "an order succeeds", func() bool { return s.evacuate(ctx, 0, "a") })
+	s.stop(2, true)
 	s.start(3, false)
 	run := func(args ...string) (string, error) {
 		cmd := Voters()
@@ -154,26 +154,26 @@
 		return out.String(), err
 	}
 	if _, err := run("--unseat", s.ip(2)); err == nil || !strings.Contains(err.Error(), "2 voters would be left") {
-		t.Errorf("two are to be left: %v", err)
+		t.Errorf("unseating one of three voters: error %v", err)
 	}
 	for _, bad := range [][]string{nil, {"--seat", "core-4"}, {"--seat", "127.79.1.9"}} {
 		if _, err := run(bad...); err == nil {
-			t.Errorf("%v is taken", bad)
+			t.Errorf("arguments %v are accepted", bad)
 		}
 	}
-	s.until(ctx, "the fourth takes the third one's seat", func() bool {
+	s.until(ctx, "the fourth store takes the seat of the third", func() bool {
 		out, err := run("--seat", s.ip(3), "--unseat", s.ip(2))
 		return err == nil && strings.Contains(out, s.ip(3)) && !strings.Contains(out, s.ip(2))
 	})
-	s.until(ctx, "it votes", func() bool {
+	s.until(ctx, "the fourth store votes", func() bool {
 		var st rpc.Status
 		return s.call.Call(ctx, s.ip(3)+":7460", rpc.CallStatus, nil, &st, time.Second) == nil && strings.Contains(st.Lines[0], "votes=true")
 	})
-	s.end(1, false)
-	s.until(ctx, "an order by the first and the fourth", func() bool { return s.order(ctx, 3, "b") })
+	s.stop(1, false)
+	s.until(ctx, "an order succeeds with the first and the fourth store", func() bool { return s.evacuate(ctx, 3, "b") })
 	if r := s.fetch(ctx, 0); r == nil || len(r.Evac) != 2 {
-		t.Errorf("what was acknowledged is gone: %+v", r)
+		t.Errorf("an acknowledged order is lost: %+v", r)
 	}
-	s.end(0, false)
-	s.end(3, false)
+	s.stop(0, false)
+	s.stop(3, false)
 }
--- a/internal/configstore/voters.go
+++ b/internal/configstore/voters.go
@@ -12,9 +12,9 @@
 	"example.org/madderdrum/internal/rpc"
 )
 
-const votersWithin = 4 * time.Second
+const votersTimeout = 4 * time.Second
 
-// Voters is the command that lets core machines vote, or has them vote no more.
+// Voters returns the command that gives core machines a vote or takes it away.
 func Voters() *cobra.Command {
 	var seat, unseat []string
 	cmd := &cobra.Command{Use: "voters ADDRESS", Short: "Change which core machines vote; ADDRESS is that of a store's internal port", Args: cobra.ExactArgs(1),
@@ -32,24 +32,24 @@
 			}
 		}
 		order := controlstate.Order{Kind: controlstate.ChangeVoters, Seats: seat, Leave: unseat}
-		for range 2 { // the second has the change known to be chosen
-			var a Changed
-			if err := rpc.NewCaller().Call(cmd.Context(), args[0], CallChange, Change{Orders: []controlstate.Order{order}}, &a, votersWithin); err != nil {
+		for range 2 { // the second call confirms that the change is chosen
+			var response ChangeResponse
+			if err := rpc.NewCaller().Call(cmd.Context(), args[0], CallChange, ChangeRequest{Orders: []controlstate.Order{order}}, &response, votersTimeout); err != nil {
 				return err
 			}
-			if len(a.Outcomes) != 1 {
+			if len(response.Outcomes) != 1 {
 				return errors.New("voters: no majority of the stores answers: bring one back, then call again")
 			}
-			if o := a.Outcomes[0]; o.Status != 200 {
-				return fmt.Errorf("voters: %s", o.Text)
+			if outcome := response.Outcomes[0]; outcome.Status != 200 {
+				return fmt.Errorf("voters: %s", outcome.Text)
 			}
 		}
-		var s rpc.Status
-		if err := rpc.NewCaller().Call(cmd.Context(), args[0], rpc.CallStatus, nil, &s, votersWithin); err != nil {
+		var status rpc.Status
+		if err := rpc.NewCaller().Call(cmd.Context(), args[0], rpc.CallStatus, nil, &status, votersTimeout); err != nil {
 			return err
 		}
-		for _, l := range s.Lines {
-			fmt.Fprintln(cmd.OutOrStdout(), l)
+		for _, line := range status.Lines {
+			fmt.Fprintln(cmd.OutOrStdout(), line)
 		}
 		return nil
 	}
--- a/internal/registry/limiters.go
+++ b/internal/registry/limiters.go
@@ -33,78 +33,78 @@
 // guards it.
 type limiterPlaces struct {
 	*places.Registrar
-	tables  []table       // latest last
-	changed chan struct{} // something is to be done soon
-	askedAt time.Duration // a change of places was asked for
+	tables  []placeTable       // latest last
+	changesDue chan struct{} // something is to be done soon
+	requestedAt time.Duration // a change of places was asked for
 	// gathered is when the other registries were asked for acknowledgements last.
-	gathered time.Duration
+	gatheredAt time.Duration
 }
 
 // table is the places of one register.
-type table struct {
+type placeTable struct {
 	seq    uint64
 	places []places.Place
 }
 
 func newLimiterPlaces() *limiterPlaces {
-	return &limiterPlaces{Registrar: places.NewRegistrar(), changed: make(chan struct{}, 1)}
+	return &limiterPlaces{Registrar: places.NewRegistrar(), changesDue: make(chan struct{}, 1)}
 }
 
 // see takes in a register that was heard of.
-func (l *limiterPlaces) see(now time.Duration, reg *controlstate.Register) {
-	l.See(now, reg.PlaceTable(), reg.Seq)
-	if n := len(l.tables) - tablesMost; n >= 0 {
-		l.tables = slices.Delete(l.tables, 0, n+1)
+func (l *limiterPlaces) observeRegister(now time.Duration, register *controlstate.Register) {
+	l.See(now, register.PlaceTable(), register.Seq)
+	if excess := len(l.tables) - tablesMost; excess >= 0 {
+		l.tables = slices.Delete(l.tables, 0, excess+1)
 	}
-	l.tables = append(l.tables, table{reg.Seq, reg.Places})
+	l.tables = append(l.tables, placeTable{register.Seq, register.Places})
 }
 
 // difference is that of a register's places from those of a former one; ok is false where that is not
 // known any more.
-func (l *limiterPlaces) difference(from uint64, to []places.Place) (d places.Delta, ok bool) {
-	i := slices.IndexFunc(l.tables, func(t table) bool { return t.seq == from })
+func (l *limiterPlaces) deltaFrom(seq uint64, current []places.Place) (delta places.Delta, ok bool) {
+	i := slices.IndexFunc(l.tables, func(t placeTable) bool { return t.seq == seq })
 	if i < 0 {
-		return d, false
+		return delta, false
 	}
-	return places.Difference(l.tables[i].places, to), true
+	return places.Difference(l.tables[i].places, current), true
 }
 
 // hear takes in what a limiter tells of itself with a pull.
-func (l *limiterPlaces) hear(now time.Duration, reg *controlstate.Register, p places.Place, m *Pull) {
-	report := places.Report{Place: p, Version: m.Seq, Loans: time.Duration(m.LoansMs) * time.Millisecond, Done: m.Done}
-	if !l.Hear(now, reg.PlaceTable(), report) {
+func (l *limiterPlaces) handleReport(now time.Duration, register *controlstate.Register, place places.Place, request *Pull) {
+	report := places.Report{Place: place, Version: request.Seq, Loans: time.Duration(request.LoansMs) * time.Millisecond, Done: request.Done}
+	if !l.Hear(now, register.PlaceTable(), report) {
 		return
 	}
 	select {
-	case l.changed <- struct{}{}:
+	case l.changesDue <- struct{}{}:
 	default:
 	}
 }
 
 // ordersOf are the orders for changes of places that are due by the register with a Seq.
-func ordersOf(c places.Changes, seen uint64) (all []controlstate.Order) {
-	if len(c.Join) > 0 {
-		all = append(all, controlstate.Order{Kind: controlstate.RegisterLimiters, Places: c.Join, Seen: seen})
+func placeOrders(changes places.Changes, seenSeq uint64) (orders []controlstate.Order) {
+	if len(changes.Join) > 0 {
+		orders = append(orders, controlstate.Order{Kind: controlstate.RegisterLimiters, Places: changes.Join, Seen: seenSeq})
 	}
-	if len(c.Release) > 0 {
-		all = append(all, controlstate.Order{Kind: controlstate.ReleasePlaces, Holders: c.Release})
+	if len(changes.Release) > 0 {
+		orders = append(orders, controlstate.Order{Kind: controlstate.ReleasePlaces, Holders: changes.Release})
 	}
-	if c.Settle > 0 {
-		all = append(all, controlstate.Order{Kind: controlstate.SettlePlaces, Settled: c.Settle})
+	if changes.Settle > 0 {
+		orders = append(orders, controlstate.Order{Kind: controlstate.SettlePlaces, Settled: changes.Settle})
 	}
-	return all
+	return orders
 }
 
 // count is how many limiters hold places.
-func (l *limiterPlaces) count(reg *controlstate.Register) int {
-	t := reg.PlaceTable()
+func (l *limiterPlaces) heldCount(register *controlstate.Register) int {
+	t := register.PlaceTable()
 	return t.Count()
 }
 
 // report tells of places that are being given or released, and whose holders are waited for.
-func (l *limiterPlaces) report(now time.Duration, reg *controlstate.Register) (lines []string) {
-	t := reg.PlaceTable()
-	for slot, p := range reg.Places {
+func (l *limiterPlaces) statusLines(now time.Duration, register *controlstate.Register) (lines []string) {
+	t := register.PlaceTable()
+	for slot, p := range register.Places {
 		if p.Name == "" {
 			continue
 		}
@@ -119,46 +119,46 @@
 }
 
 // keepPlaces has limiters given places, and places released and settled.
-func (h *Registry) keepPlaces(ctx context.Context) {
+func (h *Registry) placesLoop(ctx context.Context) {
 	tick := time.NewTicker(placesEvery)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-tick.C:
-		case <-h.limiters.changed:
+		case <-h.limiters.changesDue:
 		}
-		h.placesDue(ctx)
+		h.requestDuePlaceChanges(ctx)
 	}
 }
 
 // placesDue asks for the changes of places that are due.
-func (h *Registry) placesDue(ctx context.Context) {
+func (h *Registry) requestDuePlaceChanges(ctx context.Context) {
 	h.mu.Lock()
-	wanted := h.limiters.Wanted(h.clock(), h.reg.PlaceTable())
-	ask := len(wanted) > 0 && h.clock()-h.limiters.gathered >= gatherPause
-	if ask {
-		h.limiters.gathered = h.clock()
+	awaited := h.limiters.Wanted(h.elapsed(), h.register.PlaceTable())
+	gather := len(awaited) > 0 && h.elapsed()-h.limiters.gatheredAt >= gatherPause
+	if gather {
+		h.limiters.gatheredAt = h.elapsed()
 	}
 	h.mu.Unlock()
-	if ask {
-		h.gatherAcknowledgements(ctx, wanted)
+	if gather {
+		h.gatherAcknowledgements(ctx, awaited)
 	}
 	h.mu.Lock()
-	running := h.running()
-	changes := h.limiters.Due(h.clock(), h.reg.PlaceTable(), h.apart(), func(holder string) bool { return running[holder] })
+	running := h.runningHolders()
+	changes := h.limiters.Due(h.elapsed(), h.register.PlaceTable(), h.isolated(), func(holder string) bool { return running[holder] })
 	// One that is cut off from the others would get no answer.
-	due := !changes.Empty() && !h.apart() && h.clock()-h.limiters.askedAt > placesPause
-	seen := h.reg.Seq
+	due := !changes.Empty() && !h.isolated() && h.elapsed()-h.limiters.requestedAt > placesPause
+	seenSeq := h.register.Seq
 	if due {
-		h.limiters.askedAt = h.clock()
+		h.limiters.requestedAt = h.elapsed()
 	}
 	h.mu.Unlock()
 	if !due {
 		return
 	}
-	h.logPlaces(&changes)
-	if _, ok := h.orders(ctx, ordersOf(changes, seen)); !ok {
+	h.logPlaceChanges(&changes)
+	if _, ok := h.submitOrders(ctx, placeOrders(changes, seenSeq)); !ok {
 		h.log.Warn("change of places got no clear answer")
 	}
 	// Other registries have the same to ask for: not all at the same moment.
@@ -166,59 +166,59 @@
 }
 
 // logPlaces tells of changes of places that are asked for.
-func (h *Registry) logPlaces(c *places.Changes) {
-	if len(c.Join) > 0 {
+func (h *Registry) logPlaceChanges(changes *places.Changes) {
+	if len(changes.Join) > 0 {
 		var names []string
-		for _, p := range c.Join {
+		for _, p := range changes.Join {
 			names = append(names, p.Name)
 		}
 		h.log.WithField("limiters", names).Info("limiters join")
 	}
-	if len(c.Release) > 0 {
-		h.log.WithField("limiters", c.Release).Info("places are released")
+	if len(changes.Release) > 0 {
+		h.log.WithField("limiters", changes.Release).Info("places are released")
 	}
-	if c.Settle > 0 {
-		h.log.WithField("seq", c.Settle).Info("places are settled")
+	if changes.Settle > 0 {
+		h.log.WithField("seq", changes.Settle).Info("places are settled")
 	}
 }
 
 // running are the holders of places that are known to run: that their records are not of silent ones or of
 // lives that are over. The mutex is held.
-func (h *Registry) running() map[string]bool {
-	all := map[string]bool{}
-	h.book.Each(h.now(), func(r catalog.Record) {
+func (h *Registry) runningHolders() map[string]bool {
+	holders := map[string]bool{}
+	h.catalog.Each(h.nowMs(), func(r catalog.Record) {
 		if r.Service == catalog.Limiters && (r.State == catalog.Available || r.State == catalog.Draining) {
 			name, _, _ := strings.Cut(r.ID, "#")
-			all[places.HolderOf(name, nodesettings.HostOf(r.Address))] = true
+			holders[places.HolderOf(name, nodesettings.HostOf(r.Address))] = true
 		}
 	})
-	return all
+	return holders
 }
 
 // gatherAcknowledgements asks the other registries which tables some holders go by.
 func (h *Registry) gatherAcknowledgements(ctx context.Context, holders []string) {
-	others := h.cores()[1:]
+	others := h.coreIPs()[1:]
 	answers := make(chan []places.Acknowledgement, len(others))
 	for _, ip := range others {
 		go func() {
-			var all []places.Acknowledgement
-			if h.caller.Call(ctx, h.set.Internal(ip, nodesettings.RegistryPort), callAcknowledgements, holders, &all, pushWithin) != nil {
-				all = nil
+			var acknowledgements []places.Acknowledgement
+			if h.caller.Call(ctx, h.settings.Internal(ip, nodesettings.RegistryPort), callAcknowledgements, holders, &acknowledgements, pushTimeout) != nil {
+				acknowledgements = nil
 			}
-			answers <- all
+			answers <- acknowledgements
 		}()
 	}
 	for range others {
-		all := <-answers
+		acknowledgements := <-answers
 		h.mu.Lock()
-		h.limiters.HearAll(h.clock(), all)
+		h.limiters.HearAll(h.elapsed(), acknowledgements)
 		h.mu.Unlock()
 	}
 }
 
 // acknowledgements tells another registry which tables some holders of places go by, as was heard here.
-func (h *Registry) acknowledgements(_ context.Context, holders []string) (any, error) {
+func (h *Registry) handleAcknowledgements(_ context.Context, holders []string) (any, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.limiters.Acknowledgements(h.clock(), holders), nil
+	return h.limiters.Acknowledgements(h.elapsed(), holders), nil
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -30,48 +30,48 @@
 )
 
 const (
-	syncHold      = 900 * time.Millisecond // how long a pull may wait for news
-	callSlack     = 500 * time.Millisecond // beyond what is held
+	pullHold      = 900 * time.Millisecond // how long a pull may wait for news
+	callMargin     = 500 * time.Millisecond // beyond what is held
 	watchHold     = 400 * time.Millisecond
-	storeWithin   = 900 * time.Millisecond // callers move on after a second
-	pushWithin    = 300 * time.Millisecond
-	repairEvery   = 5 * time.Second
-	expireEvery   = 250 * time.Millisecond
-	limiterSilent = 3200.0 // ms: a limiter pulls once a second
-	serverBeats   = 4.0    // beats that may be missed
-	maxBody       = 64 << 20
+	storeTimeout   = 900 * time.Millisecond // callers move on after a second
+	pushTimeout    = 300 * time.Millisecond
+	repairInterval   = 5 * time.Second
+	expireInterval   = 250 * time.Millisecond
+	limiterSilenceMs = 3200.0 // ms: a limiter pulls once a second
+	missedHeartbeats   = 4.0    // beats that may be missed
+	maxBodyBytes       = 64 << 20
 	// contactWithin is how recently a registry must have answered to count towards a majority.
-	contactWithin = syncHold + callSlack + 200*time.Millisecond
+	contactMaxAge = pullHold + callMargin + 200*time.Millisecond
 	// goneAfter is the silence after which a registry that neither votes nor is named by the
 	// settings is not asked any more.
-	goneAfter   = 30 * time.Second
-	drainedMost = 8192
+	forgetPeerAfter   = 30 * time.Second
+	maxAcknowledgedDrains = 8192
 	// historyMost is how many bytes of older configurations are kept to tell differences by.
-	historyMost = 4 << 20
+	maxHistoryBytes = 4 << 20
 	// storeStale is the age of the proof at which another store is asked too.
-	storeStale = 2 * time.Second
+	staleProofAge = 2 * time.Second
 )
 
 // Registry is one registry.
 type Registry struct {
-	set    *nodesettings.Settings
+	settings    *nodesettings.Settings
 	log    logrus.FieldLogger
 	caller *rpc.Caller
-	begun  time.Time
+	startedAt  time.Time
 	ctx    context.Context
 
 	mu       sync.Mutex
-	others   []string   // IP numbers of the other core machines: those of the seeds, and those heard of
+	peers   []string   // IP numbers of the other core machines: those of the seeds, and those heard of
 	voters   [][]string // IP numbers of the machines of which a majority has to agree
 	seeds    []string   // IP numbers that the settings name
 	contacts *freshness.Contacts
 	proof    freshness.Proof
-	book     *catalog.Book
-	news     chan struct{} // closed when the book or the register changes
-	reg      *controlstate.Register
-	history  *configdelta.History // of configurations
-	drained  map[string]bool      // servers whose drain a majority of the registries holds
-	lives    map[string]time.Time // when a source was last known to run
+	catalog     *catalog.Book
+	changed     chan struct{} // closed when the book or the register changes
+	register      *controlstate.Register
+	configHistory  *configdelta.History // of configurations
+	acknowledgedDrains  map[string]bool      // servers whose drain a majority of the registries holds
+	lastAlive    map[string]time.Time // when a source was last known to run
 	limiters *limiterPlaces
 }
 
@@ -121,128 +121,128 @@
 }
 
 // Run serves until the context ends.
-func Run(ctx context.Context, set *nodesettings.Settings, log logrus.FieldLogger) error {
-	h := &Registry{set: set, log: log, ctx: ctx, caller: rpc.NewCaller(), begun: time.Now(), news: make(chan struct{}),
-		reg: &controlstate.Register{}, contacts: freshness.NewContacts(set.IP), drained: map[string]bool{}, history: configdelta.NewHistory(historyMost), seeds: set.Cores(), lives: map[string]time.Time{}, limiters: newLimiterPlaces(),
-		book: catalog.New(fmt.Sprintf("%s#%08x", set.Node, rand.Uint32()))}
-	inner, err := net.Listen("tcp", set.Internal(set.IP, nodesettings.RegistryPort))
+func Run(ctx context.Context, settings *nodesettings.Settings, log logrus.FieldLogger) error {
+	h := &Registry{settings: settings, log: log, ctx: ctx, caller: rpc.NewCaller(), startedAt: time.Now(), changed: make(chan struct{}),
+		register: &controlstate.Register{}, contacts: freshness.NewContacts(settings.IP), acknowledgedDrains: map[string]bool{}, configHistory: configdelta.NewHistory(maxHistoryBytes), seeds: settings.Cores(), lastAlive: map[string]time.Time{}, limiters: newLimiterPlaces(),
+		catalog: catalog.New(fmt.Sprintf("%s#%08x", settings.Node, rand.Uint32()))}
+	internalListener, err := net.Listen("tcp", settings.Internal(settings.IP, nodesettings.RegistryPort))
 	if err != nil {
 		return fmt.Errorf("registry: listen for other processes: %w", err)
 	}
-	outer, err := net.Listen("tcp", set.Listen["control_plane"])
+	apiListener, err := net.Listen("tcp", settings.Listen["control_plane"])
 	if err != nil {
 		return fmt.Errorf("registry: listen for outside calls: %w", err)
 	}
-	go rpc.Serve(ctx, inner, map[string]rpc.Handler{CallPull: rpc.Taking(h.pull), callPush: rpc.Taking(h.pushed), callRepair: rpc.Taking(h.repaired), callAcknowledgements: rpc.Taking(h.acknowledgements), rpc.CallStatus: rpc.Asking(h.status)})
-	answered := make(chan struct{}) // all outside calls that were taken
+	go rpc.Serve(ctx, internalListener, map[string]rpc.Handler{CallPull: rpc.TypedHandler(h.handlePull), callPush: rpc.TypedHandler(h.handlePush), callRepair: rpc.TypedHandler(h.handleRepair), callAcknowledgements: rpc.TypedHandler(h.handleAcknowledgements), rpc.CallStatus: rpc.Asking(h.handleStatus)})
+	apiDone := make(chan struct{}) // all outside calls that were taken
 	go func() {
-		defer close(answered)
-		(&httpapi.Server{Handler: h.outside, MaxBody: maxBody, DropAbandoned: isEvacuation}).Serve(ctx, outer)
+		defer close(apiDone)
+		(&httpapi.Server{Handler: h.handleAPI, MaxBody: maxBodyBytes, DropAbandoned: isEvacuation}).Serve(ctx, apiListener)
 	}()
-	if set.Bootstrap {
-		h.voters = [][]string{set.Cores()}
+	if settings.Bootstrap {
+		h.voters = [][]string{settings.Cores()}
 	}
 	h.mu.Lock()
-	for _, ip := range set.Cores() {
-		h.meet(ip)
+	for _, ip := range settings.Cores() {
+		h.addPeer(ip)
 	}
 	h.mu.Unlock()
-	metrics.Offer(ctx, set.MetricsAddress(), log, h.figures)
-	go h.watch(ctx)
-	go h.keepPlaces(ctx)
-	go set.Follow(ctx, func(next *nodesettings.Settings) {
+	metrics.Offer(ctx, settings.MetricsAddress(), log, h.collectMetrics)
+	go h.watchLoop(ctx)
+	go h.placesLoop(ctx)
+	go settings.Follow(ctx, func(next *nodesettings.Settings) {
 		log.WithField("seeds", len(next.Seeds)).Info("settings have changed")
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.seeds = next.Cores()
 		for _, ip := range h.seeds {
-			h.meet(ip)
+			h.addPeer(ip)
 		}
 	}, func(err error) { log.WithField("err", err).Warn("settings can't be used") })
-	log.WithFields(logrus.Fields{"seeds": len(set.Cores())}).Info("begins")
-	h.keep(ctx)
-	<-answered
+	log.WithFields(logrus.Fields{"seeds": len(settings.Cores())}).Info("begins")
+	h.maintenanceLoop(ctx)
+	<-apiDone
 	return nil
 }
 
-func (h *Registry) now() float64 { return float64(time.Since(h.begun)) / float64(time.Millisecond) }
+func (h *Registry) nowMs() float64 { return float64(time.Since(h.startedAt)) / float64(time.Millisecond) }
 
 // clock is the span on the steady clock since the process began.
-func (h *Registry) clock() time.Duration { return time.Since(h.begun) }
+func (h *Registry) elapsed() time.Duration { return time.Since(h.startedAt) }
 
 // stir wakes those who wait for news. The mutex is held.
-func (h *Registry) stir() {
-	close(h.news)
-	h.news = make(chan struct{})
+func (h *Registry) notifyChange() {
+	close(h.changed)
+	h.changed = make(chan struct{})
 }
 
 // meet has another registry followed, from the first time that it is heard of. The mutex is
 // held.
-func (h *Registry) meet(ip string) {
-	if ip != h.set.IP && ip != "" && !slices.Contains(h.others, ip) {
-		h.others = append(h.others, ip)
-		go h.follow(h.ctx, ip)
+func (h *Registry) addPeer(ip string) {
+	if ip != h.settings.IP && ip != "" && !slices.Contains(h.peers, ip) {
+		h.peers = append(h.peers, ip)
+		go h.followPeer(h.ctx, ip)
 	}
 }
 
 // meetAll meets the registries that the book names. The mutex is held.
-func (h *Registry) meetAll() {
+func (h *Registry) addPeersFromCatalog() {
 	var found []string
-	h.book.Each(h.now(), func(r catalog.Record) {
+	h.catalog.Each(h.nowMs(), func(r catalog.Record) {
 		if r.Service == catalog.Cores && r.State == catalog.Available {
 			found = append(found, r.Address)
 		}
 	})
 	for _, ip := range found {
-		h.meet(ip)
+		h.addPeer(ip)
 	}
 }
 
 // cores are the IP numbers of the core machines, this one first.
-func (h *Registry) cores() []string {
+func (h *Registry) coreIPs() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]string{h.set.IP}, h.others...)
+	return append([]string{h.settings.IP}, h.peers...)
 }
 
 // self is this registry's word of itself, with a number that rises.
-func (h *Registry) self() catalog.Record {
-	return catalog.Record{ID: h.source(), Service: catalog.Cores, Address: h.set.IP, Zone: h.set.Zone, Sequence: uint64(h.now())}
+func (h *Registry) ownRecord() catalog.Record {
+	return catalog.Record{ID: h.source(), Service: catalog.Cores, Address: h.settings.IP, Zone: h.settings.Zone, Sequence: uint64(h.nowMs())}
 }
 
 // keep does what is due at intervals.
-func (h *Registry) keep(ctx context.Context) {
-	repairAt := time.Now().Add(repairEvery)
+func (h *Registry) maintenanceLoop(ctx context.Context) {
+	repairAt := time.Now().Add(repairInterval)
 	for ctx.Err() == nil {
-		wait.Sleep(ctx, expireEvery)
+		wait.Sleep(ctx, expireInterval)
 		h.mu.Lock()
-		beat := float64(h.set.Heartbeat) / float64(time.Millisecond)
-		if h.book.Beat(h.now(), h.self()) {
-			h.stir()
+		heartbeatMs := float64(h.settings.Heartbeat) / float64(time.Millisecond)
+		if h.catalog.Beat(h.nowMs(), h.ownRecord()) {
+			h.notifyChange()
 		}
-		h.meetAll()
-		if len(h.drained) > drainedMost {
-			clear(h.drained) // what is forgotten costs further calls
+		h.addPeersFromCatalog()
+		if len(h.acknowledgedDrains) > maxAcknowledgedDrains {
+			clear(h.acknowledgedDrains) // what is forgotten costs further calls
 		}
-		if !h.apart() && time.Since(h.begun) > 2*syncHold && h.book.Expire(h.now(), serverBeats*beat, limiterSilent, h.alive) {
-			h.stir()
+		if !h.isolated() && time.Since(h.startedAt) > 2*pullHold && h.catalog.Expire(h.nowMs(), missedHeartbeats*heartbeatMs, limiterSilenceMs, h.isAlive) {
+			h.notifyChange()
 		}
 		h.mu.Unlock()
 		if time.Now().After(repairAt) {
-			repairAt = time.Now().Add(repairEvery + rand.N(time.Second))
-			go h.repair(ctx)
+			repairAt = time.Now().Add(repairInterval + rand.N(time.Second))
+			go h.repairOnce(ctx)
 		}
 	}
 }
 
 // alive tells whether another source runs, as far as is known. The mutex is held.
-func (h *Registry) alive(source string) bool {
-	return time.Since(h.lives[source]) < 2*(syncHold+callSlack)
+func (h *Registry) isAlive(source string) bool {
+	return time.Since(h.lastAlive[source]) < 2*(pullHold+callMargin)
 }
 
 // apart tells that no majority of the registries is heard. The mutex is held.
-func (h *Registry) apart() bool {
-	return !h.contacts.Majority(h.voters, h.clock(), contactWithin)
+func (h *Registry) isolated() bool {
+	return !h.contacts.Majority(h.voters, h.elapsed(), contactMaxAge)
 }
 
 // isMember tells that a machine votes or is named by the settings: it is followed while it is dark
@@ -255,160 +255,160 @@
 }
 
 // follow pulls from another registry, until that is gone for good.
-func (h *Registry) follow(ctx context.Context, ip string) {
-	to := h.set.Internal(ip, nodesettings.RegistryPort)
-	begun := h.clock()
+func (h *Registry) followPeer(ctx context.Context, ip string) {
+	address := h.settings.Internal(ip, nodesettings.RegistryPort)
+	firstAsked := h.elapsed()
 	for ctx.Err() == nil {
 		h.mu.Lock()
-		if h.isGone(ip, begun) {
-			h.others = slices.DeleteFunc(h.others, func(o string) bool { return o == ip })
+		if h.shouldForget(ip, firstAsked) {
+			h.peers = slices.DeleteFunc(h.peers, func(o string) bool { return o == ip })
 			h.contacts.Forget(ip)
 			h.mu.Unlock()
 			return
 		}
-		ask := Pull{Vector: maps.Clone(h.book.Vector()), HoldMs: uint64(syncHold / time.Millisecond), Source: h.source()}
-		me := h.self()
-		ask.Me = &me
+		request := Pull{Vector: maps.Clone(h.catalog.Vector()), HoldMs: uint64(pullHold / time.Millisecond), Source: h.source()}
+		own := h.ownRecord()
+		request.Me = &own
 		h.mu.Unlock()
-		var a Pulled
-		if err := h.caller.Call(ctx, to, CallPull, ask, &a, syncHold+callSlack); err != nil {
+		var response Pulled
+		if err := h.caller.Call(ctx, address, CallPull, request, &response, pullHold+callMargin); err != nil {
 			wait.Sleep(ctx, 100*time.Millisecond+rand.N(100*time.Millisecond))
 			continue
 		}
 		h.mu.Lock()
-		h.contacts.Heard(ip, h.clock())
-		h.lives[a.Source] = time.Now()
-		if len(h.book.Merge(h.now(), a.Records)) > 0 {
-			h.stir()
+		h.contacts.Heard(ip, h.elapsed())
+		h.lastAlive[response.Source] = time.Now()
+		if len(h.catalog.Merge(h.nowMs(), response.Records)) > 0 {
+			h.notifyChange()
 		}
-		h.book.Know(a.Vector)
+		h.catalog.Know(response.Vector)
 		h.mu.Unlock()
 	}
 }
 
 // isGone tells that a machine which neither votes nor is named was not heard for long. begun is when
 // it was first asked. The mutex is held.
-func (h *Registry) isGone(ip string, begun time.Duration) bool {
+func (h *Registry) shouldForget(ip string, firstAsked time.Duration) bool {
 	if h.isMember(ip) {
 		return false
 	}
-	silence, heard := h.contacts.Silence(ip, h.clock())
+	silence, heard := h.contacts.Silence(ip, h.elapsed())
 	if !heard {
-		silence = h.clock() - begun
+		silence = h.elapsed() - firstAsked
 	}
-	return silence > goneAfter
+	return silence > forgetPeerAfter
 }
 
-func (h *Registry) source() string { return h.book.Source() }
+func (h *Registry) source() string { return h.catalog.Source() }
 
 // pull answers another registry or a limiter, at once where it has news for it.
-func (h *Registry) pull(ctx context.Context, m Pull) (any, error) {
-	begun := time.Now()
-	late := time.NewTimer(time.Duration(m.HoldMs) * time.Millisecond)
-	defer late.Stop()
+func (h *Registry) handlePull(ctx context.Context, request Pull) (any, error) {
+	start := time.Now()
+	timeout := time.NewTimer(time.Duration(request.HoldMs) * time.Millisecond)
+	defer timeout.Stop()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if m.Source != "" {
-		h.lives[m.Source] = begun
+	if request.Source != "" {
+		h.lastAlive[request.Source] = start
 	}
 	switch {
-	case m.Me != nil && m.Me.Service == catalog.Cores:
-		h.registry(*m.Me)
-	case m.Me != nil:
-		h.limiter(*m.Me, &m)
+	case request.Me != nil && request.Me.Service == catalog.Cores:
+		h.recordPeer(*request.Me)
+	case request.Me != nil:
+		h.recordLimiter(*request.Me, &request)
 	}
-	for waiting := true; waiting && !h.book.Lacks(m.Vector) && (m.Source != "" || h.reg.Seq <= m.Seq); {
-		news := h.news
+	for waiting := true; waiting && !h.catalog.Lacks(request.Vector) && (request.Source != "" || h.register.Seq <= request.Seq); {
+		changed := h.changed
 		h.mu.Unlock()
 		select {
-		case <-news:
+		case <-changed:
 			// Changes come in clusters: those of a moment go together.
 			wait.Sleep(ctx, 2*time.Millisecond)
-		case <-late.C:
+		case <-timeout.C:
 			waiting = false
 		case <-ctx.Done():
 			waiting = false
 		}
 		h.mu.Lock()
 	}
-	a := Pulled{Source: h.source(), Apart: h.apart(), HeldMs: uint64(time.Since(begun).Milliseconds())}
-	if h.book.Lacks(m.Vector) {
-		a.Records, a.Vector = h.book.Since(h.now(), m.Vector), maps.Clone(h.book.Vector())
+	response := Pulled{Source: h.source(), Apart: h.isolated(), HeldMs: uint64(time.Since(start).Milliseconds())}
+	if h.catalog.Lacks(request.Vector) {
+		response.Records, response.Vector = h.catalog.Since(h.nowMs(), request.Vector), maps.Clone(h.catalog.Vector())
 	}
-	if m.Source == "" {
-		if h.reg.Seq > m.Seq {
-			r := *h.reg
-			r.Applied, r.Voters, r.Prior, r.ZoneChanges = nil, nil, nil, nil
-			if delta, ok := h.limiters.difference(m.Seq, r.Places); ok && !m.Whole {
-				r.Places, a.Places = nil, &delta
+	if request.Source == "" {
+		if h.register.Seq > request.Seq {
+			register := *h.register
+			register.Applied, register.Voters, register.Prior, register.ZoneChanges = nil, nil, nil, nil
+			if delta, ok := h.limiters.deltaFrom(request.Seq, register.Places); ok && !request.Whole {
+				register.Places, response.Places = nil, &delta
 			}
-			if r.Version == m.Version {
-				r.Config = nil
-			} else if delta, ok := h.history.Delta(m.Version); ok {
-				r.Config, a.ConfigDelta = nil, delta
+			if register.Version == request.Version {
+				register.Config = nil
+			} else if delta, ok := h.configHistory.Delta(request.Version); ok {
+				register.Config, response.ConfigDelta = nil, delta
 			}
-			a.Register = &r
+			response.Register = &register
 		}
-		if age, ok := h.proof.Age(h.clock()); ok {
-			a.Proven, a.ProofMs = true, uint64(age.Milliseconds())+1
+		if age, ok := h.proof.Age(h.elapsed()); ok {
+			response.Proven, response.ProofMs = true, uint64(age.Milliseconds())+1
 		}
 	}
-	return a, nil
+	return response, nil
 }
 
 // registry takes in another registry's word of itself, if nobody has told of it yet. The mutex
 // is held.
-func (h *Registry) registry(r catalog.Record) {
-	if _, known := h.book.Get(h.now(), r.ID); !known && h.book.Beat(h.now(), r) {
-		h.stir()
+func (h *Registry) recordPeer(record catalog.Record) {
+	if _, known := h.catalog.Get(h.nowMs(), record.ID); !known && h.catalog.Beat(h.nowMs(), record) {
+		h.notifyChange()
 	}
-	h.meet(r.Address)
+	h.addPeer(record.Address)
 }
 
 // limiter takes in a limiter's word of itself. Its earlier lives are over. The mutex is held.
-func (h *Registry) limiter(r catalog.Record, m *Pull) {
-	now := h.now()
-	_, known := h.book.Get(now, r.ID)
-	news := h.book.Beat(now, r)
-	name, _, _ := strings.Cut(r.ID, "#")
+func (h *Registry) recordLimiter(record catalog.Record, request *Pull) {
+	now := h.nowMs()
+	_, known := h.catalog.Get(now, record.ID)
+	changed := h.catalog.Beat(now, record)
+	name, _, _ := strings.Cut(record.ID, "#")
 	if !known {
-		var old []string
-		h.book.Each(now, func(o catalog.Record) {
-			if n, _, _ := strings.Cut(o.ID, "#"); o.Service == catalog.Limiters && n == name && o.ID != r.ID && o.State != catalog.Gone {
-				old = append(old, o.ID)
+		var earlier []string
+		h.catalog.Each(now, func(other catalog.Record) {
+			if otherName, _, _ := strings.Cut(other.ID, "#"); other.Service == catalog.Limiters && otherName == name && other.ID != record.ID && other.State != catalog.Gone {
+				earlier = append(earlier, other.ID)
 			}
 		})
-		for _, id := range old {
-			news = h.book.Leave(now, id) || news
+		for _, id := range earlier {
+			changed = h.catalog.Leave(now, id) || changed
 		}
 	}
-	h.limiters.hear(h.clock(), h.reg, places.Place{Name: name, IP: nodesettings.HostOf(r.Address), Zone: r.Zone, Life: r.ID}, m)
-	if news {
-		h.stir()
+	h.limiters.handleReport(h.elapsed(), h.register, places.Place{Name: name, IP: nodesettings.HostOf(record.Address), Zone: record.Zone, Life: record.ID}, request)
+	if changed {
+		h.notifyChange()
 	}
 }
 
 // push tells other registries what is not to be lost with this machine, and tells whether a
 // majority has it.
-func (h *Registry) push(ctx context.Context, id string) bool {
+func (h *Registry) replicate(ctx context.Context, id string) bool {
 	h.mu.Lock()
-	record, _ := h.book.Get(h.now(), id)
-	copies := freshness.NewCopies(h.set.IP, h.voters)
-	others := slices.Clone(h.others)
+	record, _ := h.catalog.Get(h.nowMs(), id)
+	copies := freshness.NewCopies(h.settings.IP, h.voters)
+	peers := slices.Clone(h.peers)
 	h.mu.Unlock()
 	if copies.Enough() {
 		return true
 	}
-	done := make(chan string, len(others))
-	for _, ip := range others {
+	done := make(chan string, len(peers))
+	for _, ip := range peers {
 		go func() {
-			if h.caller.Call(ctx, h.set.Internal(ip, nodesettings.RegistryPort), callPush, []catalog.Record{record}, nil, pushWithin) != nil {
+			if h.caller.Call(ctx, h.settings.Internal(ip, nodesettings.RegistryPort), callPush, []catalog.Record{record}, nil, pushTimeout) != nil {
 				ip = ""
 			}
 			done <- ip
 		}()
 	}
-	for range others {
+	for range peers {
 		copies.Stored(<-done)
 		if copies.Enough() {
 			return true
@@ -417,140 +417,140 @@
 	return false
 }
 
-func (h *Registry) pushed(_ context.Context, records []catalog.Record) (any, error) {
+func (h *Registry) handlePush(_ context.Context, records []catalog.Record) (any, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.book.Merge(h.now(), records)) > 0 {
-		h.stir()
+	if len(h.catalog.Merge(h.nowMs(), records)) > 0 {
+		h.notifyChange()
 	}
 	return nil, nil
 }
 
 // repair compares digests with one other registry, and mends what differs.
-func (h *Registry) repair(ctx context.Context) {
-	others := h.cores()[1:]
-	if len(others) == 0 {
+func (h *Registry) repairOnce(ctx context.Context) {
+	peers := h.coreIPs()[1:]
+	if len(peers) == 0 {
 		return
 	}
-	ip := others[rand.IntN(len(others))]
+	ip := peers[rand.IntN(len(peers))]
 	h.mu.Lock()
-	d := h.book.Digests()
+	digests := h.catalog.Digests()
 	h.mu.Unlock()
 	var records []catalog.Record
-	if h.caller.Call(ctx, h.set.Internal(ip, nodesettings.RegistryPort), callRepair, d, &records, time.Second) != nil {
+	if h.caller.Call(ctx, h.settings.Internal(ip, nodesettings.RegistryPort), callRepair, digests, &records, time.Second) != nil {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.book.Merge(h.now(), records)) > 0 {
-		h.stir()
+	if len(h.catalog.Merge(h.nowMs(), records)) > 0 {
+		h.notifyChange()
 	}
 }
 
-func (h *Registry) repaired(_ context.Context, d [catalog.Ranges]uint64) (any, error) {
+func (h *Registry) handleRepair(_ context.Context, digests [catalog.Ranges]uint64) (any, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.book.Differing(h.now(), d), nil
+	return h.catalog.Differing(h.nowMs(), digests), nil
 }
 
 // watch follows the store of configuration on this machine or, while that is down, another.
-func (h *Registry) watch(ctx context.Context) {
-	for k := 0; ctx.Err() == nil; {
-		stores := h.cores()
-		k %= len(stores)
+func (h *Registry) watchLoop(ctx context.Context) {
+	for current := 0; ctx.Err() == nil; {
+		stores := h.coreIPs()
+		current %= len(stores)
 		h.mu.Lock()
-		ask := configstore.Watch{Seq: h.reg.Seq, HoldMs: uint64(watchHold / time.Millisecond)}
+		request := configstore.WatchRequest{Seq: h.register.Seq, HoldMs: uint64(watchHold / time.Millisecond)}
 		h.mu.Unlock()
-		var w configstore.Watched
-		begun := h.clock()
-		err := h.caller.Call(ctx, h.set.Internal(stores[k], nodesettings.ConfigStorePort), configstore.CallWatch, ask, &w, watchHold+callSlack)
+		var response configstore.WatchResponse
+		start := h.elapsed()
+		err := h.caller.Call(ctx, h.settings.Internal(stores[current], nodesettings.ConfigStorePort), configstore.CallWatch, request, &response, watchHold+callMargin)
 		if err != nil {
-			k = (k + 1) % len(stores)
+			current = (current + 1) % len(stores)
 			wait.Sleep(ctx, 50*time.Millisecond)
 			continue
 		}
 		h.mu.Lock()
-		if w.Proven {
-			h.proof.Advance(begun, time.Duration(w.HeldMs)*time.Millisecond, time.Duration(w.ProofMs)*time.Millisecond)
+		if response.Proven {
+			h.proof.Advance(start, time.Duration(response.HeldMs)*time.Millisecond, time.Duration(response.ProofMs)*time.Millisecond)
 		}
-		if len(w.Voters) > 0 {
-			h.follows(w.Voters)
+		if len(response.Voters) > 0 {
+			h.setVoters(response.Voters)
 		}
-		if w.Register != nil && w.Register.Seq > h.reg.Seq {
-			h.reg = w.Register
-			h.history.Add(h.reg.Version, h.reg.Config)
-			h.limiters.see(h.clock(), h.reg)
-			h.stir()
+		if response.Register != nil && response.Register.Seq > h.register.Seq {
+			h.register = response.Register
+			h.configHistory.Add(h.register.Version, h.register.Config)
+			h.limiters.observeRegister(h.elapsed(), h.register)
+			h.notifyChange()
 		}
-		stale := !h.proof.Fresh(h.clock(), storeStale)
+		stale := !h.proof.Fresh(h.elapsed(), staleProofAge)
 		h.mu.Unlock()
 		if stale && len(stores) > 1 { // another store may hear a majority
-			k = (k + 1) % len(stores)
+			current = (current + 1) % len(stores)
 			wait.Sleep(ctx, 50*time.Millisecond)
 		} else {
-			k = 0
+			current = 0
 		}
 	}
 }
 
 // follows takes over which machines vote. The mutex is held.
-func (h *Registry) follows(voters [][]string) {
+func (h *Registry) setVoters(voters [][]string) {
 	h.voters = voters
 	for _, set := range voters {
 		for _, ip := range set {
-			h.meet(ip)
+			h.addPeer(ip)
 		}
 	}
 }
 
 // status tells how this registry stands.
-func (h *Registry) status(context.Context) (any, error) {
+func (h *Registry) handleStatus(context.Context) (any, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	proof := "none"
-	if age, ok := h.proof.Age(h.clock()); ok {
-		proof = age.Round(time.Millisecond).String()
+	proofAge := "none"
+	if age, ok := h.proof.Age(h.elapsed()); ok {
+		proofAge = age.Round(time.Millisecond).String()
 	}
 	lines := []string{
-		fmt.Sprintf("program=registry node=%s zone=%s source=%s apart=%v proof_age=%s", h.set.Node, h.set.Zone, h.source(), h.apart(), proof),
-		fmt.Sprintf("register seq=%d version=r%d evacuated=%v limiters=%d places_settled=%d", h.reg.Seq, h.reg.Version, h.reg.Evac, h.limiters.count(h.reg), h.reg.PlacesSettled),
+		fmt.Sprintf("program=registry node=%s zone=%s source=%s apart=%v proof_age=%s", h.settings.Node, h.settings.Zone, h.source(), h.isolated(), proofAge),
+		fmt.Sprintf("register seq=%d version=r%d evacuated=%v limiters=%d places_settled=%d", h.register.Seq, h.register.Version, h.register.Evac, h.limiters.heldCount(h.register), h.register.PlacesSettled),
 	}
-	lines = append(lines, h.limiters.report(h.clock(), h.reg)...)
-	return rpc.Status{Lines: append(lines, h.book.Report(h.now())...)}, nil
+	lines = append(lines, h.limiters.statusLines(h.elapsed(), h.register)...)
+	return rpc.Status{Lines: append(lines, h.catalog.Report(h.nowMs())...)}, nil
 }
 
 // order gives an order to a store. ok is false when no clear answer came.
-func (h *Registry) order(ctx context.Context, o controlstate.Order) (out controlstate.Outcome, ok bool) {
-	outcomes, ok := h.orders(ctx, []controlstate.Order{o})
+func (h *Registry) submitOrder(ctx context.Context, order controlstate.Order) (outcome controlstate.Outcome, ok bool) {
+	outcomes, ok := h.submitOrders(ctx, []controlstate.Order{order})
 	if !ok {
-		return out, false
+		return outcome, false
 	}
 	return outcomes[0], true
 }
 
 // orders gives orders to a store, to be carried out by one change. ok is false when no clear answer came.
-func (h *Registry) orders(ctx context.Context, all []controlstate.Order) (outcomes []controlstate.Outcome, ok bool) {
-	ok = h.anyStore(func(to string, left time.Duration) bool {
-		var c configstore.Changed
-		err := h.caller.Call(ctx, to, configstore.CallChange, configstore.Change{Orders: all, WithinMs: uint64(left.Milliseconds())}, &c, left)
-		if err != nil || len(c.Outcomes) != len(all) {
+func (h *Registry) submitOrders(ctx context.Context, orders []controlstate.Order) (outcomes []controlstate.Outcome, ok bool) {
+	ok = h.tryStores(func(to string, left time.Duration) bool {
+		var response configstore.ChangeResponse
+		err := h.caller.Call(ctx, to, configstore.CallChange, configstore.ChangeRequest{Orders: orders, WithinMs: uint64(left.Milliseconds())}, &response, left)
+		if err != nil || len(response.Outcomes) != len(orders) {
 			return false
 		}
-		outcomes = c.Outcomes
+		outcomes = response.Outcomes
 		return true
 	})
 	return outcomes, ok
 }
 
 // anyStore calls one store after the other until one has answered, and tells whether one has.
-func (h *Registry) anyStore(call func(to string, left time.Duration) bool) bool {
-	until := time.Now().Add(storeWithin)
-	for _, ip := range h.cores() {
-		left := time.Until(until)
+func (h *Registry) tryStores(call func(to string, left time.Duration) bool) bool {
+	deadline := time.Now().Add(storeTimeout)
+	for _, ip := range h.coreIPs() {
+		left := time.Until(deadline)
 		if left < 50*time.Millisecond {
 			break
 		}
-		if call(h.set.Internal(ip, nodesettings.ConfigStorePort), left) {
+		if call(h.settings.Internal(ip, nodesettings.ConfigStorePort), left) {
 			return true
 		}
 	}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -19,15 +19,15 @@
 )
 
 // houses are registries of three on loopback; there are no stores.
-type houses struct {
+type registries struct {
 	t    *testing.T
 	stop [3]context.CancelFunc
 	call *rpc.Caller
 }
 
-func (h *houses) ip(i int) string { return fmt.Sprintf("127.80.1.%d", i+1) }
+func (h *registries) ip(i int) string { return fmt.Sprintf("127.80.1.%d", i+1) }
 
-func (h *houses) start(i int) {
+func (h *registries) start(i int) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	set := &nodesettings.Settings{Node: fmt.Sprintf("core-%d", i+1), IP: h.ip(i), Bootstrap: true, Zone: "z", Zones: map[string]string{"z": "r"}, Ports: [2]int{7460, 7475}, Heartbeat: 300 * time.Millisecond,
@@ -41,7 +41,7 @@
 	}()
 }
 
-func (h *houses) post(i int, path, body string) (int, string) {
+func (h *registries) post(i int, path, body string) (int, string) {
 	c := &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	r, err := c.Post("http://"+h.ip(i)+":8383"+path, "application/json", strings.NewReader(body))
 	if err != nil {
@@ -52,11 +52,11 @@
 	return r.StatusCode, string(text)
 }
 
-func beat(state string, sequence int) string {
+func heartbeatBody(state string, sequence int) string {
 	return fmt.Sprintf(`{"service":"s","address":"10.0.0.1:80","zone":"z","capacity_slots":2,"state":%q,"warmup_left":"0ms","sequence":%d}`, state, sequence)
 }
 
-func (h *houses) until(ctx context.Context, what string, ok func() bool) {
+func (h *registries) until(ctx context.Context, what string, ok func() bool) {
 	h.t.Helper()
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
@@ -70,7 +70,7 @@
 }
 
 // pulled is what a limiter that knows nothing gets.
-func (h *houses) pulled(ctx context.Context, i int) (a Pulled, err error) {
+func (h *registries) pullAll(ctx context.Context, i int) (a Pulled, err error) {
 	err = h.call.Call(ctx, h.ip(i)+":7461", CallPull, Pull{}, &a, time.Second)
 	return a, err
 }
@@ -81,35 +81,35 @@
 func TestDrainsAreAcknowledgedByAMajority(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	h := &houses{t: t, call: rpc.NewCaller()}
+	h := &registries{t: t, call: rpc.NewCaller()}
 	h.start(0)
 	h.until(ctx, "the first registry answers", func() bool {
-		status, _ := h.post(0, "/instances/i-1/heartbeat", beat("available", 1))
+		status, _ := h.post(0, "/instances/i-1/heartbeat", heartbeatBody("available", 1))
 		return status != 0
 	})
 	for _, what := range []string{"/instances/i-1/heartbeat", "/instances/i-2/deregister"} {
-		if status, text := h.post(0, what, beat("draining", 2)); status != 503 || !strings.Contains(text, "apart") {
+		if status, text := h.post(0, what, heartbeatBody("draining", 2)); status != 503 || !strings.Contains(text, "apart") {
 			t.Errorf("%s alone: %d %s", what, status, text)
 		}
 	}
 	for range 2 { // news or not: others would take the server for silent
-		if status, text := h.post(0, "/instances/i-3/heartbeat", beat("available", 1)); status != 503 || !strings.Contains(text, "apart") {
+		if status, text := h.post(0, "/instances/i-3/heartbeat", heartbeatBody("available", 1)); status != 503 || !strings.Contains(text, "apart") {
 			t.Errorf("a beat alone: %d %s", status, text)
 		}
 	}
-	if a, err := h.pulled(ctx, 0); err != nil || !a.Apart {
+	if a, err := h.pullAll(ctx, 0); err != nil || !a.Apart {
 		t.Errorf("a registry alone says that it is not apart: %v", err)
 	}
 	h.start(1)
 	h.until(ctx, "a drain is acknowledged by two", func() bool {
-		status, _ := h.post(0, "/instances/i-1/heartbeat", beat("draining", 3))
+		status, _ := h.post(0, "/instances/i-1/heartbeat", heartbeatBody("draining", 3))
 		return status == 200
 	})
 	// It dies right after: the other one has the drain, and a late beat does not undo it.
 	h.stop[0]()
 	h.until(ctx, "the other knows of the drain", func() bool {
-		h.post(1, "/instances/i-1/heartbeat", beat("available", 1))
-		a, err := h.pulled(ctx, 1)
+		h.post(1, "/instances/i-1/heartbeat", heartbeatBody("available", 1))
+		a, err := h.pullAll(ctx, 1)
 		for _, r := range a.Records {
 			if r.ID == "i-1" {
 				return err == nil && r.State == catalog.Draining
@@ -121,13 +121,13 @@
 }
 
 func TestBadCalls(t *testing.T) {
-	h := &Registry{set: &nodesettings.Settings{Zones: map[string]string{"z": "r"}, Listen: map[string]string{}}, drained: map[string]bool{}, contacts: freshness.NewContacts(""), reg: &controlstate.Register{}, book: catalog.New("s"), news: make(chan struct{})}
+	h := &Registry{settings: &nodesettings.Settings{Zones: map[string]string{"z": "r"}, Listen: map[string]string{}}, acknowledgedDrains: map[string]bool{}, contacts: freshness.NewContacts(""), register: &controlstate.Register{}, catalog: catalog.New("s"), changed: make(chan struct{})}
 	for _, x := range []struct {
 		method, path, body string
 		status             int
 	}{
 		{"GET", "/instances/i/heartbeat", "", 405}, {"POST", "/instances//heartbeat", "", 400}, {"POST", "/instances/i/dance", "", 404},
-		{"POST", "/instances/i/heartbeat", "{", 400}, {"POST", "/instances/i/heartbeat", beat("dizzy", 1), 400},
+		{"POST", "/instances/i/heartbeat", "{", 400}, {"POST", "/instances/i/heartbeat", heartbeatBody("dizzy", 1), 400},
 		{"POST", "/instances/i/heartbeat", `{"service":"@cores","address":"a","state":"available"}`, 400},
 		{"POST", "/instances/i/heartbeat", `{"service":"s","address":"a","state":"available","warmup_left":"long"}`, 400},
 		{"POST", "/evacuation/nowhere/begin", "", 404}, {"GET", "/evacuation/z/begin", "", 405}, {"POST", "/config/fetch", "", 405}, {"GET", "/", "", 404},
@@ -136,7 +136,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if a := h.outside(context.Background(), r, []byte(x.body)); a.Status != x.status || len(a.Body) == 0 {
+		if a := h.handleAPI(context.Background(), r, []byte(x.body)); a.Status != x.status || len(a.Body) == 0 {
 			t.Errorf("%s %s: %d %s, %d wanted", x.method, x.path, a.Status, a.Body, x.status)
 		}
 	}
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -205,8 +205,8 @@
 // Handler answers a call. body is its CBOR value.
 type Handler func(ctx context.Context, body []byte) (any, error)
 
-// Taking is a handler of calls that carry a value of one type.
-func Taking[M any](answer func(context.Context, M) (any, error)) Handler {
+// TypedHandler is a handler of calls that carry a value of one type.
+func TypedHandler[M any](answer func(context.Context, M) (any, error)) Handler {
 	return func(ctx context.Context, body []byte) (any, error) {
 		var m M
 		if err := Decode(body, &m); err != nil {
