--- a/internal/configstore/acceptor.go
+++ b/internal/configstore/acceptor.go
@@ -20,8 +20,8 @@
 	return c
 }()
 
-// updateRecord applies update to the acceptor and persists the changed record. If the write fails, the change
-// is rolled back.
+// updateRecord applies update to the acceptor and, if update reports a change, persists the record. If the write
+// fails, the change is rolled back.
 func (s *Store) updateRecord(update func() (paxos.Reply, bool)) (paxos.Reply, error) {
 	return s.updateRecordWithDelta(nil, update)
 }
@@ -62,19 +62,19 @@
 	s.updateRecord(func() (paxos.Reply, bool) { return paxos.Reply{}, true }) // a failure is logged, and confirmOnce retries
 }
 
-// persistChosen writes each chosen value to this disk, including those accepted by a majority without this store.
+// persistChosen writes each chosen value to this disk, also if a majority accepted it without this store.
 func (s *Store) persistChosen(ctx context.Context) {
 	for {
 		s.mu.Lock()
-		ballot, value, changed := s.replica.Chosen(), s.replica.Value(), s.registerChanged
+		ballot, value, registerChanged := s.replica.Chosen(), s.replica.Value(), s.registerChanged
 		s.mu.Unlock()
 		_, err := s.updateRecord(func() (paxos.Reply, bool) { return paxos.Reply{}, s.acceptor.Learn(ballot, value) })
 		if err != nil {
 			wait.Sleep(ctx, diskRetryPause)
-			changed = closedChan
+			registerChanged = closedChan
 		}
 		select {
-		case <-changed:
+		case <-registerChanged:
 		case <-ctx.Done():
 			return
 		}
@@ -142,16 +142,16 @@
 
 // readResponse carries the accepted value and the responding store's report.
 type readResponse struct {
-	Reply         paxos.Reply        `cbor:"1,keyasint"`
-	Report        coremembers.Report `cbor:"2,keyasint"`
-	InitialVoters []string           `cbor:"3,keyasint,omitempty"`
+	Reply  paxos.Reply        `cbor:"1,keyasint"`
+	Report coremembers.Report `cbor:"2,keyasint"`
+	First  []string           `cbor:"3,keyasint,omitempty"`
 }
 
 func (s *Store) handleRead(_ context.Context, m readRequest) (any, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.members.Heard(s.now(), m.Report)
-	return readResponse{Reply: s.readDurable(m.Known), Report: s.ownReport(), InitialVoters: s.replica.First()}, nil
+	return readResponse{Reply: s.readDurable(m.Known), Report: s.ownReport(), First: s.replica.First()}, nil
 }
 
 // readDurable returns the acceptor's durable state without waiting for a write in progress. s.mu must be
--- a/internal/configstore/calls.go
+++ b/internal/configstore/calls.go
@@ -36,9 +36,9 @@
 // ChangeRequest submits orders, to be carried out in one change of the register.
 type ChangeRequest struct {
 	Orders []controlstate.Order `cbor:"1,keyasint"`
-	// WithinMs is how long the caller waits for the answer; the orders are not proposed after that.
+	// TimeoutMs is how long the caller waits for the answer; the orders are not proposed after that.
 	// Zero selects the default, orderTimeout.
-	WithinMs uint64 `cbor:"2,keyasint,omitempty"`
+	TimeoutMs uint64 `cbor:"2,keyasint,omitempty"`
 }
 
 // ChangeResponse carries one outcome per order. Outcomes is empty if no majority answered in time.
@@ -55,11 +55,11 @@
 // WatchResponse answers a watch or a fetch. A fetch fills in Register only.
 type WatchResponse struct {
 	Register *controlstate.Register `cbor:"1,keyasint,omitempty"` // nil if there is none newer than Seq
-	// ProofMs is the age of the latest proof that a majority has chosen nothing newer. Proven is false if
+	// ProofAgeMs is the age of the latest proof that a majority has chosen nothing newer. Proven is false if
 	// there is no such proof.
-	ProofMs uint64 `cbor:"2,keyasint,omitempty"`
-	Proven  bool   `cbor:"3,keyasint,omitempty"`
-	HeldMs  uint64 `cbor:"4,keyasint,omitempty"`
+	ProofAgeMs uint64 `cbor:"2,keyasint,omitempty"`
+	Proven     bool   `cbor:"3,keyasint,omitempty"`
+	HeldMs     uint64 `cbor:"4,keyasint,omitempty"`
 	// Voters are the voter sets by IP address, empty while they are unknown. There are two sets while a
 	// change of voters is pending, and each needs a majority.
 	Voters [][]string `cbor:"5,keyasint,omitempty"`
@@ -108,8 +108,8 @@
 		}
 	}
 	timeout := orderTimeout
-	if m.WithinMs > 0 {
-		timeout = min(timeout, time.Duration(m.WithinMs)*time.Millisecond)
+	if m.TimeoutMs > 0 {
+		timeout = min(timeout, time.Duration(m.TimeoutMs)*time.Millisecond)
 	}
 	return ChangeResponse{s.submit(ctx, m.Orders, timeout)}, nil
 }
@@ -162,13 +162,13 @@
 	defer timeout.Stop()
 	for waiting := true; waiting; {
 		s.mu.Lock()
-		changed, available := s.registerChanged, s.replica.Register().Seq > m.Seq
+		registerChanged, available := s.registerChanged, s.replica.Register().Seq > m.Seq
 		s.mu.Unlock()
 		if available {
 			break
 		}
 		select {
-		case <-changed:
+		case <-registerChanged:
 		case <-timeout.C:
 			waiting = false
 		case <-ctx.Done():
@@ -182,7 +182,7 @@
 		response.Register = register
 	}
 	if provenAt, ok := s.replica.Proved(); ok {
-		response.Proven, response.ProofMs, response.Voters = true, uint64((s.now()-provenAt).Milliseconds())+1, s.voterIPSets()
+		response.Proven, response.ProofAgeMs, response.Voters = true, uint64((s.now()-provenAt).Milliseconds())+1, s.voterIPSets()
 	}
 	return response, nil
 }
@@ -200,8 +200,8 @@
 // hasEffectiveSeat reports whether this store is a voter and the change that gave it the seat is complete:
 // until then a majority of the former voters is required too. s.mu must be held.
 func (s *Store) hasEffectiveSeat() bool {
-	state := s.voterState()
-	return !state.Prior && slices.Contains(state.Voters, s.voterID())
+	voterState := s.voterState()
+	return !voterState.Prior && slices.Contains(voterState.Voters, s.voterID())
 }
 
 // handleStatus returns the status lines of this store.
--- a/internal/configstore/confirm.go
+++ b/internal/configstore/confirm.go
@@ -47,9 +47,9 @@
 // confirmOnce runs one confirmation and returns the pause until the next one.
 func (s *Store) confirmOnce(ctx context.Context) time.Duration {
 	s.mu.Lock()
-	identified := s.identitySaved
+	identitySaved := s.identitySaved
 	s.mu.Unlock()
-	if !identified {
+	if !identitySaved {
 		s.saveIdentity()
 	}
 	s.mu.Lock()
@@ -124,7 +124,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.members.Heard(s.now(), response.Report)
-	s.replica.LearnFirst(response.InitialVoters)
+	s.replica.LearnFirst(response.First)
 	changed, err := confirmation.Hear(controlstate.VoterID(ip, response.Reply.Disk), response.Reply)
 	if err != nil {
 		panicInvariant(err)
--- a/internal/configstore/disk.go
+++ b/internal/configstore/disk.go
@@ -50,7 +50,7 @@
 	Delta []byte `cbor:"4,keyasint,omitempty"`
 }
 
-// recoveredState is the state read from disk at startup.
+// recoveredState is the state read from disk at startup. found is false if there was no whole record.
 type recoveredState struct {
 	record paxos.Record
 	voters []string
@@ -65,11 +65,11 @@
 func openDisk(dir string) (*disk, recoveredState, error) {
 	d := &disk{dir: dir}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, recoveredState{}, fmt.Errorf("configstore: make the folder %s: %w", dir, err)
+		return nil, recoveredState{}, fmt.Errorf("configstore: create directory %s: %w", dir, err)
 	}
 	entries, err := os.ReadDir(dir)
 	if err != nil {
-		return nil, recoveredState{}, fmt.Errorf("configstore: list the folder %s: %w", dir, err)
+		return nil, recoveredState{}, fmt.Errorf("configstore: read directory %s: %w", dir, err)
 	}
 	var numbers []int
 	for _, e := range entries {
@@ -97,7 +97,7 @@
 func (d *disk) replayLog(logDir string) (recovered recoveredState, err error) {
 	files, err := os.ReadDir(logDir)
 	if err != nil {
-		return recovered, fmt.Errorf("configstore: list the log %s: %w", logDir, err)
+		return recovered, fmt.Errorf("configstore: read log directory %s: %w", logDir, err)
 	}
 	for _, f := range files {
 		if len(f.Name()) < 20 {
@@ -105,7 +105,7 @@
 		}
 		data, err := os.ReadFile(filepath.Join(logDir, f.Name()))
 		if err != nil {
-			return recovered, fmt.Errorf("configstore: read the log: %w", err)
+			return recovered, fmt.Errorf("configstore: read log file: %w", err)
 		}
 		for len(data) > 0 {
 			length, prefix := binary.Uvarint(data)
@@ -127,31 +127,31 @@
 }
 
 // apply replays one entry. It reports whether the entry is consistent with the preceding ones.
-func (k *recoveredState) apply(entry *logEntry) bool {
+func (r *recoveredState) apply(entry *logEntry) bool {
 	if entry.Record != nil {
-		if !k.applyRecord(entry) {
+		if !r.applyRecord(entry) {
 			return false
 		}
 	}
 	if entry.Promise != nil {
-		k.record.Promised = *entry.Promise
+		r.record.Promised = *entry.Promise
 	}
 	if entry.Voters != nil {
-		k.voters = entry.Voters
+		r.voters = entry.Voters
 	}
 	return true
 }
 
-func (k *recoveredState) applyRecord(entry *logEntry) bool {
+func (r *recoveredState) applyRecord(entry *logEntry) bool {
 	record := *entry.Record
 	if entry.Delta != nil {
-		value, err := configdelta.Apply(k.record.Value, entry.Delta)
+		value, err := configdelta.Apply(r.record.Value, entry.Delta)
 		if err != nil {
 			return false
 		}
 		record.Value = value
 	}
-	k.record, k.found = record, true
+	r.record, r.found = record, true
 	return true
 }
 
@@ -161,12 +161,12 @@
 }
 
 // stripChecksum verifies the CRC-32 of an entry and removes it.
-func stripChecksum(sealed []byte) ([]byte, bool) {
-	if len(sealed) < 4 {
+func stripChecksum(data []byte) ([]byte, bool) {
+	if len(data) < 4 {
 		return nil, false
 	}
-	entry := sealed[:len(sealed)-4]
-	return entry, binary.BigEndian.Uint32(sealed[len(sealed)-4:]) == crc32.ChecksumIEEE(entry)
+	entry := data[:len(data)-4]
+	return entry, binary.BigEndian.Uint32(data[len(data)-4:]) == crc32.ChecksumIEEE(entry)
 }
 
 // startLog starts a new log with a whole record and removes the older logs.
--- a/internal/configstore/disk_test.go
+++ b/internal/configstore/disk_test.go
@@ -79,27 +79,27 @@
 		}
 		for _, cut := range [][]byte{data[:n], torn} {
 			other := t.TempDir()
-			folder := filepath.Join(other, filepath.Base(d.logDir(d.logNumber)))
-			if err := os.MkdirAll(folder, 0o755); err != nil {
+			logDir := filepath.Join(other, filepath.Base(d.logDir(d.logNumber)))
+			if err := os.MkdirAll(logDir, 0o755); err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(filepath.Join(folder, filepath.Base(logFile(t, d))), cut, 0o644); err != nil {
+			if err := os.WriteFile(filepath.Join(logDir, filepath.Base(logFile(t, d))), cut, 0o644); err != nil {
 				t.Fatal(err)
 			}
-			reopened, recovered, err := openDisk(other)
+			reopened, k, err := openDisk(other)
 			if err != nil {
 				t.Fatalf("cut at %d: %v", n, err)
 			}
-			if recovered.found != (lastWhole >= 0) {
-				t.Fatalf("cut at %d: found is %v", n, recovered.found)
+			if k.found != (lastWhole >= 0) {
+				t.Fatalf("cut at %d: found is %v", n, k.found)
 			}
-			if !recovered.found {
+			if !k.found {
 				continue
 			}
-			if diff := cmp.Diff(records[lastWhole], recovered.record); diff != "" {
+			if diff := cmp.Diff(records[lastWhole], k.record); diff != "" {
 				t.Fatalf("cut at %d: %s", n, diff)
 			}
-			if diff := cmp.Diff(voters, recovered.voters); diff != "" {
+			if diff := cmp.Diff(voters, k.voters); diff != "" {
 				t.Fatalf("cut at %d: %s", n, diff)
 			}
 			// The next write starts a new log that replaces the cut one.
--- a/internal/configstore/proposer.go
+++ b/internal/configstore/proposer.go
@@ -16,8 +16,8 @@
 
 const (
 	orderTimeout = 2500 * time.Millisecond
-	// meanRetryPause is the mean of the random pause before a round is retried, so that competing proposers
-	// do not keep preempting each other.
+	// meanRetryPause is the mean of the random part of the pause before a round is retried; it keeps competing
+	// proposers from preempting each other again and again.
 	meanRetryPause = 35 * time.Millisecond
 )
 
@@ -33,7 +33,7 @@
 func (s *Store) submit(ctx context.Context, orders []controlstate.Order, timeout time.Duration) []controlstate.Outcome {
 	p := &proposal{orders: orders, result: make(chan []controlstate.Outcome, 1), deadline: time.Now().Add(timeout)}
 	select {
-	case s.proposals <- p:
+	case s.orders <- p:
 	default:
 		return nil
 	}
@@ -51,7 +51,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case p := <-s.proposals:
+		case p := <-s.orders:
 			s.runRounds(ctx, append([]*proposal{p}, s.takeQueued()...))
 		}
 	}
@@ -61,7 +61,7 @@
 func (s *Store) takeQueued() (all []*proposal) {
 	for {
 		select {
-		case p := <-s.proposals:
+		case p := <-s.orders:
 			all = append(all, p)
 		default:
 			return all
@@ -188,7 +188,7 @@
 	return true
 }
 
-// collectReplies processes replies until one completes the current phase of the round.
+// collectReplies passes replies to the round until one completes its current phase, all have arrived or time is up.
 func (s *Store) collectReplies(replies <-chan voterReply, handle func(string, paxos.Reply) (replica.Step, error)) replica.Step {
 	timeout := time.NewTimer(callTimeout + 50*time.Millisecond)
 	defer timeout.Stop()
@@ -208,12 +208,12 @@
 	return replica.Wait
 }
 
-// handleReply processes one reply.
-func (s *Store) handleReply(reply voterReply, handle func(string, paxos.Reply) (replica.Step, error)) replica.Step {
+// handleReply passes one reply to the round and wakes waiting goroutines if that changed the register.
+func (s *Store) handleReply(received voterReply, handle func(string, paxos.Reply) (replica.Step, error)) replica.Step {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.replica.Register()
-	step, err := handle(reply.from, reply.reply)
+	step, err := handle(received.from, received.reply)
 	if err != nil {
 		panicInvariant(err)
 	}
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -36,9 +36,9 @@
 	settings  *nodesettings.Settings
 	log       logrus.FieldLogger
 	caller    *rpc.Caller
-	startedAt time.Time
-	proposals chan *proposal
-	reportNow chan struct{} // triggers an immediate report to the other stores
+	started   time.Time
+	orders    chan *proposal // queued for proposeLoop
+	reportNow chan struct{}  // triggers an immediate report to the other stores
 
 	acceptorMu sync.Mutex // guards acceptor and disk; locked before mu
 	acceptor   paxos.Acceptor
@@ -82,18 +82,18 @@
 
 // openStore reads the data directory and determines this store's voter ID.
 func openStore(settings *nodesettings.Settings, log logrus.FieldLogger) (*Store, error) {
-	disk, recovered, err := openDisk(settings.DataDir)
+	disk, found, err := openDisk(settings.DataDir)
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{settings: settings, log: log, caller: rpc.NewCaller(), startedAt: time.Now(), disk: disk, seedIPs: settings.Cores(),
-		proposals: make(chan *proposal, 64), reportNow: make(chan struct{}, 1), registerChanged: make(chan struct{})}
-	initialVoters := recovered.voters
+	s := &Store{settings: settings, log: log, caller: rpc.NewCaller(), started: time.Now(), disk: disk, seedIPs: settings.Cores(),
+		orders: make(chan *proposal, 64), reportNow: make(chan struct{}, 1), registerChanged: make(chan struct{})}
+	initialVoters := found.voters
 	if initialVoters == nil && settings.Bootstrap {
 		initialVoters = replica.Union(settings.Cores())
 	}
-	s.acceptor.Record, s.identitySaved = recovered.record, recovered.found
-	if s.acceptor.Record.Blank || !recovered.found && !settings.Bootstrap {
+	s.acceptor.Record, s.identitySaved = found.record, found.found
+	if s.acceptor.Record.Blank || !found.found && !settings.Bootstrap {
 		// A new machine, or one that lost its disk, is a different voter: its former promises are gone.
 		s.acceptor.Record = paxos.Record{Disk: 1 + rand.Uint64N(1<<62)}
 		s.identitySaved = false
@@ -112,7 +112,7 @@
 }
 
 // now returns the monotonic time since the process started.
-func (s *Store) now() time.Duration { return time.Since(s.startedAt) }
+func (s *Store) now() time.Duration { return time.Since(s.started) }
 
 // voterID returns this store's identity as a voter; it includes the disk's ID.
 func (s *Store) voterID() string { return controlstate.VoterID(s.settings.IP, s.durable.Disk) }
@@ -166,7 +166,7 @@
 	s.mu.Unlock()
 	for {
 		s.mu.Lock()
-		wait, changed := s.members.CanLeave(s.now(), s.voterState()), s.registerChanged
+		wait, registerChanged := s.members.CanLeave(s.now(), s.voterState()), s.registerChanged
 		s.mu.Unlock()
 		if !wait {
 			return
@@ -176,7 +176,7 @@
 		default:
 		}
 		select {
-		case <-changed:
+		case <-registerChanged:
 		case <-timeout.C:
 			s.log.Warn("ends with its seat: no learner took it in time")
 			return
--- a/internal/configstore/store_test.go
+++ b/internal/configstore/store_test.go
@@ -32,8 +32,8 @@
 	log.SetOutput(io.Discard)
 	set := &nodesettings.Settings{Node: fmt.Sprintf("core-%d", i+1), IP: s.ip(i), Bootstrap: bootstrap, Tolerate: 2, Ports: [2]int{7460, 7475},
 		DataDir: fmt.Sprintf("%s/%d", s.dir, i), Seeds: []string{s.ip(0) + ":1", s.ip(1) + ":1", s.ip(2) + ":1"}}
-	ctx, stop := context.WithCancel(context.Background())
-	s.cancel[i], s.done[i] = stop, make(chan error, 1)
+	ctx, cancel := context.WithCancel(context.Background())
+	s.cancel[i], s.done[i] = cancel, make(chan error, 1)
 	done := s.done[i]
 	go func() { done <- Run(ctx, set, log) }()
 }
--- a/internal/registry/figures.go
+++ b/internal/registry/figures.go
@@ -2,7 +2,7 @@
 
 import "example.org/madderdrum/internal/metrics"
 
-// figures are what this registry tells of itself to those who collect metrics.
+// collectMetrics returns this registry's current metrics.
 func (h *Registry) collectMetrics() []metrics.Figure {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -16,5 +16,5 @@
 	if age, ok := h.proof.Age(h.elapsed()); ok {
 		figures = append(figures, metrics.One("madderdrum_registry_proof_age_seconds", "Age of the latest proof that nothing newer is agreed.", metrics.Gauge, age.Seconds()))
 	}
-	return append(figures, metrics.Instances("madderdrum_registry_instances", h.catalog.Counts(h.nowMs())))
+	return append(figures, metrics.Instances("madderdrum_registry_instances", h.localCatalog.Counts(h.nowMs())))
 }
--- a/internal/registry/limiters.go
+++ b/internal/registry/limiters.go
@@ -16,31 +16,30 @@
 )
 
 const (
-	// callAcknowledgements asks another registry which places its limiters go by.
+	// callAcknowledgements asks another registry which version of the place table its limiters have acknowledged.
 	callAcknowledgements = "registry.acknowledgements"
-	placesEvery          = 250 * time.Millisecond
-	// placesPause is the least time between two changes of places that a registry asks for: what
-	// happens meanwhile goes together. Where several have the same to ask for the first one is enough.
-	placesPause = 300 * time.Millisecond
-	// gatherPause is the least time between two times that the other registries are asked for
-	// acknowledgements.
-	gatherPause = 500 * time.Millisecond
-	// tablesMost is how many former tables of places are kept to tell differences by.
-	tablesMost = 64
+	placesInterval       = 250 * time.Millisecond
+	// minPlacesRequestInterval is the minimum time between two requests for changes of places, so that changes that
+	// become due meanwhile are batched. If several registries have the same changes due, the first request suffices.
+	minPlacesRequestInterval = 300 * time.Millisecond
+	// minGatherInterval is the minimum time between two requests to the other registries for acknowledgements.
+	minGatherInterval = 500 * time.Millisecond
+	// maxTables is how many former place tables are kept to compute deltas from.
+	maxTables = 64
 )
 
-// limiterPlaces is what a registry knows of limiters' places beside the register. The registry's mutex
-// guards it.
+// limiterPlaces is a registry's own knowledge of the limiters' places, beyond what the register says. The
+// registry's mutex guards it.
 type limiterPlaces struct {
 	*places.Registrar
-	tables  []placeTable       // latest last
-	changesDue chan struct{} // something is to be done soon
-	requestedAt time.Duration // a change of places was asked for
-	// gathered is when the other registries were asked for acknowledgements last.
+	tables      []placeTable  // latest last
+	changesDue  chan struct{} // receives when a change may be due
+	requestedAt time.Duration // when this registry last requested a change of places
+	// gatheredAt is when the other registries were last asked for acknowledgements.
 	gatheredAt time.Duration
 }
 
-// table is the places of one register.
+// placeTable is the place table of one version of the register.
 type placeTable struct {
 	seq    uint64
 	places []places.Place
@@ -50,26 +49,26 @@
 	return &limiterPlaces{Registrar: places.NewRegistrar(), changesDue: make(chan struct{}, 1)}
 }
 
-// see takes in a register that was heard of.
+// observeRegister records a newly received register.
 func (l *limiterPlaces) observeRegister(now time.Duration, register *controlstate.Register) {
 	l.See(now, register.PlaceTable(), register.Seq)
-	if excess := len(l.tables) - tablesMost; excess >= 0 {
+	if excess := len(l.tables) - maxTables; excess >= 0 {
 		l.tables = slices.Delete(l.tables, 0, excess+1)
 	}
 	l.tables = append(l.tables, placeTable{register.Seq, register.Places})
 }
 
-// difference is that of a register's places from those of a former one; ok is false where that is not
-// known any more.
-func (l *limiterPlaces) deltaFrom(seq uint64, current []places.Place) (delta places.Delta, ok bool) {
-	i := slices.IndexFunc(l.tables, func(t placeTable) bool { return t.seq == seq })
+// deltaFrom returns the delta from the place table of a former register to the current places. ok is false
+// if the former table is no longer kept.
+func (l *limiterPlaces) deltaFrom(fromSeq uint64, current []places.Place) (delta places.Delta, ok bool) {
+	i := slices.IndexFunc(l.tables, func(t placeTable) bool { return t.seq == fromSeq })
 	if i < 0 {
 		return delta, false
 	}
 	return places.Difference(l.tables[i].places, current), true
 }
 
-// hear takes in what a limiter tells of itself with a pull.
+// handleReport processes what a limiter reports about itself with a pull.
 func (l *limiterPlaces) handleReport(now time.Duration, register *controlstate.Register, place places.Place, request *Pull) {
 	report := places.Report{Place: place, Version: request.Seq, Loans: time.Duration(request.LoansMs) * time.Millisecond, Done: request.Done}
 	if !l.Hear(now, register.PlaceTable(), report) {
@@ -81,7 +80,7 @@
 	}
 }
 
-// ordersOf are the orders for changes of places that are due by the register with a Seq.
+// placeOrders returns the orders for changes of places that are due in the register version seenSeq.
 func placeOrders(changes places.Changes, seenSeq uint64) (orders []controlstate.Order) {
 	if len(changes.Join) > 0 {
 		orders = append(orders, controlstate.Order{Kind: controlstate.RegisterLimiters, Places: changes.Join, Seen: seenSeq})
@@ -95,13 +94,14 @@
 	return orders
 }
 
-// count is how many limiters hold places.
+// heldCount returns how many limiters hold places.
 func (l *limiterPlaces) heldCount(register *controlstate.Register) int {
 	t := register.PlaceTable()
 	return t.Count()
 }
 
-// report tells of places that are being given or released, and whose holders are waited for.
+// statusLines describes each place. For one that is being given or released it adds the time left until that is
+// settled, and the holders whose acknowledgement is missing.
 func (l *limiterPlaces) statusLines(now time.Duration, register *controlstate.Register) (lines []string) {
 	t := register.PlaceTable()
 	for slot, p := range register.Places {
@@ -118,9 +118,9 @@
 	return lines
 }
 
-// keepPlaces has limiters given places, and places released and settled.
+// placesLoop periodically requests the changes of places that are due: giving, releasing and settling them.
 func (h *Registry) placesLoop(ctx context.Context) {
-	tick := time.NewTicker(placesEvery)
+	tick := time.NewTicker(placesInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		select {
@@ -132,11 +132,11 @@
 	}
 }
 
-// placesDue asks for the changes of places that are due.
+// requestDuePlaceChanges submits orders for the changes of places that are due.
 func (h *Registry) requestDuePlaceChanges(ctx context.Context) {
 	h.mu.Lock()
 	awaited := h.limiters.Wanted(h.elapsed(), h.register.PlaceTable())
-	gather := len(awaited) > 0 && h.elapsed()-h.limiters.gatheredAt >= gatherPause
+	gather := len(awaited) > 0 && h.elapsed()-h.limiters.gatheredAt >= minGatherInterval
 	if gather {
 		h.limiters.gatheredAt = h.elapsed()
 	}
@@ -145,10 +145,10 @@
 		h.gatherAcknowledgements(ctx, awaited)
 	}
 	h.mu.Lock()
-	running := h.runningHolders()
-	changes := h.limiters.Due(h.elapsed(), h.register.PlaceTable(), h.isolated(), func(holder string) bool { return running[holder] })
-	// One that is cut off from the others would get no answer.
-	due := !changes.Empty() && !h.isolated() && h.elapsed()-h.limiters.requestedAt > placesPause
+	runningHolders := h.runningHolders()
+	changes := h.limiters.Due(h.elapsed(), h.register.PlaceTable(), h.isolated(), func(holder string) bool { return runningHolders[holder] })
+	// An isolated registry would get no answer.
+	due := !changes.Empty() && !h.isolated() && h.elapsed()-h.limiters.requestedAt > minPlacesRequestInterval
 	seenSeq := h.register.Seq
 	if due {
 		h.limiters.requestedAt = h.elapsed()
@@ -159,13 +159,13 @@
 	}
 	h.logPlaceChanges(&changes)
 	if _, ok := h.submitOrders(ctx, placeOrders(changes, seenSeq)); !ok {
-		h.log.Warn("change of places got no clear answer")
+		h.log.Warn("request for a change of places got no definite answer")
 	}
-	// Other registries have the same to ask for: not all at the same moment.
+	// Other registries may have the same changes due; the random pause keeps them from asking at the same moment.
 	wait.Sleep(ctx, rand.N(50*time.Millisecond))
 }
 
-// logPlaces tells of changes of places that are asked for.
+// logPlaceChanges logs the changes of places that are requested.
 func (h *Registry) logPlaceChanges(changes *places.Changes) {
 	if len(changes.Join) > 0 {
 		var names []string
@@ -182,11 +182,11 @@
 	}
 }
 
-// running are the holders of places that are known to run: that their records are not of silent ones or of
-// lives that are over. The mutex is held.
+// runningHolders returns the holders of places that are known to run: their catalog record is neither silent nor
+// that of a former process. h.mu must be held.
 func (h *Registry) runningHolders() map[string]bool {
 	holders := map[string]bool{}
-	h.catalog.Each(h.nowMs(), func(r catalog.Record) {
+	h.localCatalog.Each(h.nowMs(), func(r catalog.Record) {
 		if r.Service == catalog.Limiters && (r.State == catalog.Available || r.State == catalog.Draining) {
 			name, _, _ := strings.Cut(r.ID, "#")
 			holders[places.HolderOf(name, nodesettings.HostOf(r.Address))] = true
@@ -195,7 +195,7 @@
 	return holders
 }
 
-// gatherAcknowledgements asks the other registries which tables some holders go by.
+// gatherAcknowledgements asks the other registries which versions of the place table some holders have acknowledged.
 func (h *Registry) gatherAcknowledgements(ctx context.Context, holders []string) {
 	others := h.coreIPs()[1:]
 	answers := make(chan []places.Acknowledgement, len(others))
@@ -216,7 +216,7 @@
 	}
 }
 
-// acknowledgements tells another registry which tables some holders of places go by, as was heard here.
+// handleAcknowledgements returns the acknowledgements of some holders that this registry has received.
 func (h *Registry) handleAcknowledgements(_ context.Context, holders []string) (any, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/registry/outside.go
+++ b/internal/registry/outside.go
@@ -17,7 +17,7 @@
 	"example.org/madderdrum/internal/httpapi"
 )
 
-// The paths of the outside calls. They are described in api/control.yaml.
+// Paths of the HTTP API for servers and operators, which api/control.yaml describes.
 const (
 	pathReplace    = "/config/replace"
 	pathUpdate     = "/config/update"
@@ -26,7 +26,7 @@
 	pathEvacuation = "/evacuation/"
 )
 
-// problem is an answer that tells what was wrong and what to do.
+// errorAnswer returns an HTTP error with a JSON body that says what was wrong and what to do.
 func errorAnswer(status int, code, text string) httpapi.Answer {
 	body, err := json.Marshal(map[string]string{"code": code, "error": text})
 	if err != nil {
@@ -39,11 +39,11 @@
 	return answer
 }
 
-// isEvacuation tells that a call begins or finishes an evacuation: it carries no identity, so that one
-// that was held up on its way can't be told from a new one but by its caller having gone.
+// isEvacuation reports whether a request begins or finishes an evacuation. Such a request carries no identity, so
+// a delayed one cannot be told from a new one, except that its caller has disconnected.
 func isEvacuation(r *http.Request) bool { return strings.HasPrefix(r.URL.Path, pathEvacuation) }
 
-// outside answers servers and operators.
+// handleAPI answers the HTTP requests of servers and operators.
 func (h *Registry) handleAPI(ctx context.Context, r *http.Request, body []byte) httpapi.Answer {
 	path := r.URL.Path
 	switch {
@@ -51,13 +51,13 @@
 		if r.Method != http.MethodPost {
 			return errorAnswer(405, "method", "send it with POST")
 		}
-		id, what, _ := strings.Cut(path[len(pathInstances):], "/")
+		id, action, _ := strings.Cut(path[len(pathInstances):], "/")
 		switch {
 		case id == "" || len(id) > 200:
 			return errorAnswer(400, "unreadable", "the path names no instance")
-		case what == "heartbeat":
+		case action == "heartbeat":
 			return h.handleHeartbeat(ctx, id, body)
-		case what == "deregister":
+		case action == "deregister":
 			return h.handleDeregister(ctx, id)
 		}
 	case path == pathReplace && r.Method == http.MethodPost:
@@ -67,11 +67,11 @@
 	case path == pathFetch && r.Method == http.MethodGet:
 		return h.handleFetch(ctx)
 	case strings.HasPrefix(path, pathEvacuation) && r.Method == http.MethodPost:
-		zone, what, _ := strings.Cut(path[len(pathEvacuation):], "/")
+		zone, action, _ := strings.Cut(path[len(pathEvacuation):], "/")
 		if _, known := h.settings.Zones[zone]; !known {
 			return errorAnswer(404, "unknown_zone", "no zone "+zone+" is in the settings")
 		}
-		switch what {
+		switch action {
 		case "begin":
 			return h.handleChange(ctx, controlstate.Order{Kind: controlstate.Begin, Zone: zone, Seen: h.registerSeq()})
 		case "finish":
@@ -84,7 +84,7 @@
 	return errorAnswer(404, "unknown_call", "no call "+r.Method+" "+path)
 }
 
-// heartbeat takes in a server's word of itself.
+// handleHeartbeat records the state that a server reports about itself.
 func (h *Registry) handleHeartbeat(ctx context.Context, id string, body []byte) httpapi.Answer {
 	fields, err := fastjson.ParseBytes(body)
 	if err != nil {
@@ -110,7 +110,7 @@
 		return errorAnswer(400, "unreadable", "service or address is missing")
 	}
 	h.mu.Lock()
-	changed := h.catalog.Beat(h.nowMs(), record)
+	changed := h.localCatalog.Beat(h.nowMs(), record)
 	if changed {
 		h.notifyChange()
 	}
@@ -118,25 +118,25 @@
 	unacknowledged := record.State == catalog.Draining && !h.acknowledgedDrains[id]
 	h.mu.Unlock()
 	if changed {
-		h.log.WithFields(logrus.Fields{"instance": id, "service": record.Service, "state": record.State.String(), "sequence": record.Sequence, "warm_ms": record.WarmMs}).Debug("server is news")
+		h.log.WithFields(logrus.Fields{"instance": id, "service": record.Service, "state": record.State.String(), "sequence": record.Sequence, "warm_ms": record.WarmMs}).Debug("server state changed")
 	}
-	// What is acknowledged must not end with this machine, wherever it heard of it first.
+	// An acknowledged drain must survive the loss of this machine, whichever registry received it first.
 	if unacknowledged && !h.acknowledgeDrain(ctx, id) {
 		return errorAnswer(503, "apart", "no majority of the registries has it: call another")
 	}
 	if isolated {
-		// It is kept all the same. The server goes on to a registry that others hear: they would take
-		// it for silent.
+		// The heartbeat is recorded all the same, but the server must move on to a registry that the others can
+		// reach: they would consider it silent.
 		return errorAnswer(503, "apart", "no majority of the registries is heard: call another")
 	}
 	if !changed {
-		return httpapi.Answer{Status: 200} // it comes here already
+		return httpapi.Answer{Status: 200} // the heartbeat changed nothing, so the server keeps its target
 	}
 	return httpapi.Answer{Status: 200, Body: []byte(`{"heartbeat_target":"` + h.settings.Listen["control_plane"] + `"}`)}
 }
 
-// acknowledge has a majority of the registries hold the drain of a server, and tells whether one
-// does. It is remembered, so that the beats of a server that drains for long need no further calls.
+// acknowledgeDrain replicates the drain of a server to a majority of the registries and reports whether that
+// succeeded. Success is remembered, so that later heartbeats of the draining server need no further calls.
 func (h *Registry) acknowledgeDrain(ctx context.Context, id string) bool {
 	if !h.replicate(ctx, id) {
 		return false
@@ -149,7 +149,7 @@
 
 func (h *Registry) handleDeregister(ctx context.Context, id string) httpapi.Answer {
 	h.mu.Lock()
-	if h.catalog.Leave(h.nowMs(), id) {
+	if h.localCatalog.Leave(h.nowMs(), id) {
 		h.notifyChange()
 	}
 	h.mu.Unlock()
@@ -162,14 +162,14 @@
 	return httpapi.Answer{Status: 200}
 }
 
-// seen is the version of the register that is in force here.
+// registerSeq returns the sequence number of the register in force here.
 func (h *Registry) registerSeq() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.register.Seq
 }
 
-// change has an order agreed.
+// handleChange submits an order to the configuration store and returns its outcome.
 func (h *Registry) handleChange(ctx context.Context, order controlstate.Order) httpapi.Answer {
 	outcome, ok := h.submitOrder(ctx, order)
 	if !ok {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,6 +1,6 @@
-// Package registry is the host of the registry: it takes the outside calls of servers and
-// operators, keeps the book of servers and limiters with the other registries, and answers
-// the pulls of limiters. The decisions are in package catalog.
+// Package registry runs one registry: it answers the API calls of servers and operators, replicates the catalog of
+// servers and limiters with the other registries, and answers the pulls of limiters. The decisions about the catalog
+// are made by package catalog.
 package registry
 
 import (
@@ -30,111 +30,111 @@
 )
 
 const (
-	pullHold      = 900 * time.Millisecond // how long a pull may wait for news
-	callMargin     = 500 * time.Millisecond // beyond what is held
-	watchHold     = 400 * time.Millisecond
-	storeTimeout   = 900 * time.Millisecond // callers move on after a second
-	pushTimeout    = 300 * time.Millisecond
-	repairInterval   = 5 * time.Second
-	expireInterval   = 250 * time.Millisecond
-	limiterSilenceMs = 3200.0 // ms: a limiter pulls once a second
-	missedHeartbeats   = 4.0    // beats that may be missed
-	maxBodyBytes       = 64 << 20
-	// contactWithin is how recently a registry must have answered to count towards a majority.
+	pullHold            = 900 * time.Millisecond // how long a pull may wait for changes
+	callMargin          = 500 * time.Millisecond // time for the call itself, beyond the hold
+	watchHold           = 400 * time.Millisecond
+	storeTimeout        = 900 * time.Millisecond // callers of the API give up after a second
+	pushTimeout         = 300 * time.Millisecond
+	repairInterval      = 5 * time.Second
+	expireInterval      = 250 * time.Millisecond
+	limiterSilenceMs    = 3200.0 // a limiter pulls once a second
+	maxMissedHeartbeats = 4.0    // a server that misses more is silent
+	maxBodyBytes        = 64 << 20
+	// contactMaxAge is how recently a registry must have answered to count towards a majority.
 	contactMaxAge = pullHold + callMargin + 200*time.Millisecond
-	// goneAfter is the silence after which a registry that neither votes nor is named by the
-	// settings is not asked any more.
-	forgetPeerAfter   = 30 * time.Second
+	// forgetPeerAfter is the silence after which a registry that is neither a voter nor named in the settings is no
+	// longer called.
+	forgetPeerAfter       = 30 * time.Second
 	maxAcknowledgedDrains = 8192
-	// historyMost is how many bytes of older configurations are kept to tell differences by.
+	// maxHistoryBytes bounds the older configurations that are kept to compute deltas from.
 	maxHistoryBytes = 4 << 20
-	// storeStale is the age of the proof at which another store is asked too.
+	// staleProofAge is the proof age from which on another store is tried, as it may reach a majority.
 	staleProofAge = 2 * time.Second
 )
 
-// Registry is one registry.
+// Registry answers the API, replicates the catalog and follows the configuration store on one core machine.
 type Registry struct {
-	settings    *nodesettings.Settings
-	log    logrus.FieldLogger
-	caller *rpc.Caller
-	startedAt  time.Time
-	ctx    context.Context
-
-	mu       sync.Mutex
-	peers   []string   // IP numbers of the other core machines: those of the seeds, and those heard of
-	voters   [][]string // IP numbers of the machines of which a majority has to agree
-	seeds    []string   // IP numbers that the settings name
-	contacts *freshness.Contacts
-	proof    freshness.Proof
-	catalog     *catalog.Book
-	changed     chan struct{} // closed when the book or the register changes
-	register      *controlstate.Register
-	configHistory  *configdelta.History // of configurations
-	acknowledgedDrains  map[string]bool      // servers whose drain a majority of the registries holds
-	lastAlive    map[string]time.Time // when a source was last known to run
-	limiters *limiterPlaces
+	settings *nodesettings.Settings
+	log      logrus.FieldLogger
+	caller   *rpc.Caller
+	started  time.Time
+	ctx      context.Context
+
+	mu                 sync.Mutex
+	peers              []string   // IP addresses of the other core machines, from the settings, the voters and the catalog
+	voters             [][]string // sets of IP addresses; a majority of each set is required
+	seeds              []string   // IP addresses of the core machines that the settings name
+	contacts           *freshness.Contacts
+	proof              freshness.Proof
+	localCatalog       *catalog.Book
+	changed            chan struct{} // closed when the catalog or the register changes
+	register           *controlstate.Register
+	configHistory      *configdelta.History
+	acknowledgedDrains map[string]bool      // IDs of servers whose drain a majority of the registries holds
+	lastAlive          map[string]time.Time // when a catalog source was last known to run
+	limiters           *limiterPlaces
 }
 
-// Calls of a registry.
+// RPC calls of a registry; limiters make the exported one.
 const (
 	CallPull   = "registry.pull"
 	callPush   = "registry.push"
 	callRepair = "registry.repair"
 )
 
-// Pull asks for what the caller lacks.
+// Pull asks for the catalog records and the register that the caller lacks. Limiters and other registries send it.
 type Pull struct {
 	Vector catalog.Vector  `cbor:"1,keyasint,omitempty"`
-	Seq    uint64          `cbor:"2,keyasint,omitempty"` // of the register that it has
-	HoldMs uint64          `cbor:"3,keyasint,omitempty"` // wait so long for news
-	Me     *catalog.Record `cbor:"4,keyasint,omitempty"` // a limiter's word of itself
-	Source string          `cbor:"5,keyasint,omitempty"` // a registry's own
-	// Version is of the configuration that a limiter has. Of the register with Seq it has the rest, unless
-	// it wants the Whole.
+	Seq    uint64          `cbor:"2,keyasint,omitempty"` // version of the caller's register
+	HoldMs uint64          `cbor:"3,keyasint,omitempty"` // how long to wait for changes
+	Me     *catalog.Record `cbor:"4,keyasint,omitempty"` // the caller's own record
+	Source string          `cbor:"5,keyasint,omitempty"` // the calling registry's source ID; empty for a limiter
+	// Version is the version of the configuration that a limiter has. The rest of its register is that of Seq, unless
+	// it asks for the whole register.
 	Version uint64 `cbor:"6,keyasint,omitempty"`
 	Whole   bool   `cbor:"7,keyasint,omitempty"`
-	// LoansMs is in how many ms nobody uses more of this limiter's part than the register with Seq gives
-	// it. From then on it and those who borrow from it go by that register or a later one.
+	// LoansMs is the number of milliseconds after which nobody uses more of this limiter's share than the register
+	// of Seq allows. From then on the limiter and the borrowers of its share apply that register or a later one.
 	LoansMs uint64 `cbor:"9,keyasint,omitempty"`
-	// Done tells that a limiter that leaves sends nothing any more: its place can be released.
+	// Done means that a limiter that is shutting down sends no more requests upstream, so its place can be released.
 	Done bool `cbor:"10,keyasint,omitempty"`
 }
 
-// Pulled is the answer.
+// Pulled carries what is newer than the state of the caller.
 type Pulled struct {
 	Register *controlstate.Register `cbor:"1,keyasint,omitempty"`
 	Records  []catalog.Record       `cbor:"2,keyasint,omitempty"`
-	Vector   catalog.Vector         `cbor:"3,keyasint,omitempty"` // only where it has something new
+	Vector   catalog.Vector         `cbor:"3,keyasint,omitempty"` // only if there are newer records
 	Source   string                 `cbor:"4,keyasint,omitempty"`
-	// ProofMs is how long ago a majority had chosen nothing newer than this register.
+	// ProofMs is the age of the latest proof that a majority has chosen nothing newer than this register.
 	ProofMs uint64 `cbor:"5,keyasint,omitempty"`
 	Proven  bool   `cbor:"6,keyasint,omitempty"`
-	// Apart tells that this registry does not hear a majority of the others.
+	// Apart means that this registry has no contact with a majority of the registries.
 	Apart  bool   `cbor:"7,keyasint,omitempty"`
 	HeldMs uint64 `cbor:"8,keyasint,omitempty"`
-	// The register comes without what the caller has: its configuration, where that has the same
-	// version. Places make its places of those that the caller has.
+	// Register comes without the parts that the caller has, such as a configuration of the same version. Places,
+	// if set, is the delta from the caller's place table to that of the register.
 	Places *places.Delta `cbor:"9,keyasint,omitempty"`
-	// ConfigDelta makes the configuration of the one that the caller has, where that is kept here: see
-	// package configdelta. The register then comes without its configuration.
+	// ConfigDelta computes the configuration from the one that the caller has, if that is still kept here (see
+	// package configdelta). The register then comes without its configuration.
 	ConfigDelta []byte `cbor:"10,keyasint,omitempty"`
 }
 
-// Run serves until the context ends.
+// Run serves until the context ends and every API request that was accepted is answered.
 func Run(ctx context.Context, settings *nodesettings.Settings, log logrus.FieldLogger) error {
-	h := &Registry{settings: settings, log: log, ctx: ctx, caller: rpc.NewCaller(), startedAt: time.Now(), changed: make(chan struct{}),
+	h := &Registry{settings: settings, log: log, ctx: ctx, caller: rpc.NewCaller(), started: time.Now(), changed: make(chan struct{}),
 		register: &controlstate.Register{}, contacts: freshness.NewContacts(settings.IP), acknowledgedDrains: map[string]bool{}, configHistory: configdelta.NewHistory(maxHistoryBytes), seeds: settings.Cores(), lastAlive: map[string]time.Time{}, limiters: newLimiterPlaces(),
-		catalog: catalog.New(fmt.Sprintf("%s#%08x", settings.Node, rand.Uint32()))}
+		localCatalog: catalog.New(fmt.Sprintf("%s#%08x", settings.Node, rand.Uint32()))}
 	internalListener, err := net.Listen("tcp", settings.Internal(settings.IP, nodesettings.RegistryPort))
 	if err != nil {
 		return fmt.Errorf("registry: listen for other processes: %w", err)
 	}
 	apiListener, err := net.Listen("tcp", settings.Listen["control_plane"])
 	if err != nil {
-		return fmt.Errorf("registry: listen for outside calls: %w", err)
+		return fmt.Errorf("registry: listen for API requests: %w", err)
 	}
 	go rpc.Serve(ctx, internalListener, map[string]rpc.Handler{CallPull: rpc.TypedHandler(h.handlePull), callPush: rpc.TypedHandler(h.handlePush), callRepair: rpc.TypedHandler(h.handleRepair), callAcknowledgements: rpc.TypedHandler(h.handleAcknowledgements), rpc.CallStatus: rpc.Asking(h.handleStatus)})
-	apiDone := make(chan struct{}) // all outside calls that were taken
+	apiDone := make(chan struct{}) // closed when all accepted API requests are answered
 	go func() {
 		defer close(apiDone)
 		(&httpapi.Server{Handler: h.handleAPI, MaxBody: maxBodyBytes, DropAbandoned: isEvacuation}).Serve(ctx, apiListener)
@@ -151,33 +151,33 @@
 	go h.watchLoop(ctx)
 	go h.placesLoop(ctx)
 	go settings.Follow(ctx, func(next *nodesettings.Settings) {
-		log.WithField("seeds", len(next.Seeds)).Info("settings have changed")
+		log.WithField("seeds", len(next.Seeds)).Info("settings changed")
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.seeds = next.Cores()
 		for _, ip := range h.seeds {
 			h.addPeer(ip)
 		}
-	}, func(err error) { log.WithField("err", err).Warn("settings can't be used") })
+	}, func(err error) { log.WithField("err", err).Warn("cannot use changed settings") })
 	log.WithFields(logrus.Fields{"seeds": len(settings.Cores())}).Info("begins")
 	h.maintenanceLoop(ctx)
 	<-apiDone
 	return nil
 }
 
-func (h *Registry) nowMs() float64 { return float64(time.Since(h.startedAt)) / float64(time.Millisecond) }
+// nowMs returns the monotonic time since the process started in milliseconds, as package catalog expects it.
+func (h *Registry) nowMs() float64 { return float64(time.Since(h.started)) / float64(time.Millisecond) }
 
-// clock is the span on the steady clock since the process began.
-func (h *Registry) elapsed() time.Duration { return time.Since(h.startedAt) }
+// elapsed returns the monotonic time since the process started.
+func (h *Registry) elapsed() time.Duration { return time.Since(h.started) }
 
-// stir wakes those who wait for news. The mutex is held.
+// notifyChange wakes the calls that wait for changes. h.mu must be held.
 func (h *Registry) notifyChange() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-// meet has another registry followed, from the first time that it is heard of. The mutex is
-// held.
+// addPeer starts pulling from another registry, unless that is already done. h.mu must be held.
 func (h *Registry) addPeer(ip string) {
 	if ip != h.settings.IP && ip != "" && !slices.Contains(h.peers, ip) {
 		h.peers = append(h.peers, ip)
@@ -185,10 +185,10 @@
 	}
 }
 
-// meetAll meets the registries that the book names. The mutex is held.
+// addPeersFromCatalog adds the registries that the catalog lists as available. h.mu must be held.
 func (h *Registry) addPeersFromCatalog() {
 	var found []string
-	h.catalog.Each(h.nowMs(), func(r catalog.Record) {
+	h.localCatalog.Each(h.nowMs(), func(r catalog.Record) {
 		if r.Service == catalog.Cores && r.State == catalog.Available {
 			found = append(found, r.Address)
 		}
@@ -198,33 +198,33 @@
 	}
 }
 
-// cores are the IP numbers of the core machines, this one first.
+// coreIPs returns the IP addresses of the core machines, this one first.
 func (h *Registry) coreIPs() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]string{h.settings.IP}, h.peers...)
 }
 
-// self is this registry's word of itself, with a number that rises.
+// ownRecord returns this registry's own catalog record, with an increasing sequence number.
 func (h *Registry) ownRecord() catalog.Record {
 	return catalog.Record{ID: h.source(), Service: catalog.Cores, Address: h.settings.IP, Zone: h.settings.Zone, Sequence: uint64(h.nowMs())}
 }
 
-// keep does what is due at intervals.
+// maintenanceLoop renews this registry's own record, expires silent records and starts repairs.
 func (h *Registry) maintenanceLoop(ctx context.Context) {
 	repairAt := time.Now().Add(repairInterval)
 	for ctx.Err() == nil {
 		wait.Sleep(ctx, expireInterval)
 		h.mu.Lock()
 		heartbeatMs := float64(h.settings.Heartbeat) / float64(time.Millisecond)
-		if h.catalog.Beat(h.nowMs(), h.ownRecord()) {
+		if h.localCatalog.Beat(h.nowMs(), h.ownRecord()) {
 			h.notifyChange()
 		}
 		h.addPeersFromCatalog()
 		if len(h.acknowledgedDrains) > maxAcknowledgedDrains {
-			clear(h.acknowledgedDrains) // what is forgotten costs further calls
+			clear(h.acknowledgedDrains) // forgotten drains are replicated again with the next heartbeat
 		}
-		if !h.isolated() && time.Since(h.startedAt) > 2*pullHold && h.catalog.Expire(h.nowMs(), missedHeartbeats*heartbeatMs, limiterSilenceMs, h.isAlive) {
+		if !h.isolated() && time.Since(h.started) > 2*pullHold && h.localCatalog.Expire(h.nowMs(), maxMissedHeartbeats*heartbeatMs, limiterSilenceMs, h.isAlive) {
 			h.notifyChange()
 		}
 		h.mu.Unlock()
@@ -235,18 +235,18 @@
 	}
 }
 
-// alive tells whether another source runs, as far as is known. The mutex is held.
+// isAlive reports whether another catalog source is known to run. h.mu must be held.
 func (h *Registry) isAlive(source string) bool {
 	return time.Since(h.lastAlive[source]) < 2*(pullHold+callMargin)
 }
 
-// apart tells that no majority of the registries is heard. The mutex is held.
+// isolated reports whether this registry has no contact with a majority of the registries. h.mu must be held.
 func (h *Registry) isolated() bool {
 	return !h.contacts.Majority(h.voters, h.elapsed(), contactMaxAge)
 }
 
-// isMember tells that a machine votes or is named by the settings: it is followed while it is dark
-// too. The mutex is held.
+// isMember reports whether a machine is a voter or named in the settings; such a peer is called even while it is
+// unreachable. h.mu must be held.
 func (h *Registry) isMember(ip string) bool {
 	if slices.Contains(h.seeds, ip) {
 		return true
@@ -254,7 +254,7 @@
 	return slices.ContainsFunc(h.voters, func(set []string) bool { return slices.Contains(set, ip) })
 }
 
-// follow pulls from another registry, until that is gone for good.
+// followPeer pulls from another registry until that is forgotten.
 func (h *Registry) followPeer(ctx context.Context, ip string) {
 	address := h.settings.Internal(ip, nodesettings.RegistryPort)
 	firstAsked := h.elapsed()
@@ -266,7 +266,7 @@
 			h.mu.Unlock()
 			return
 		}
-		request := Pull{Vector: maps.Clone(h.catalog.Vector()), HoldMs: uint64(pullHold / time.Millisecond), Source: h.source()}
+		request := Pull{Vector: maps.Clone(h.localCatalog.Vector()), HoldMs: uint64(pullHold / time.Millisecond), Source: h.source()}
 		own := h.ownRecord()
 		request.Me = &own
 		h.mu.Unlock()
@@ -278,16 +278,16 @@
 		h.mu.Lock()
 		h.contacts.Heard(ip, h.elapsed())
 		h.lastAlive[response.Source] = time.Now()
-		if len(h.catalog.Merge(h.nowMs(), response.Records)) > 0 {
+		if len(h.localCatalog.Merge(h.nowMs(), response.Records)) > 0 {
 			h.notifyChange()
 		}
-		h.catalog.Know(response.Vector)
+		h.localCatalog.Know(response.Vector)
 		h.mu.Unlock()
 	}
 }
 
-// isGone tells that a machine which neither votes nor is named was not heard for long. begun is when
-// it was first asked. The mutex is held.
+// shouldForget reports whether a machine that is neither a voter nor named in the settings has been silent for
+// too long. firstAsked is when it was first called. h.mu must be held.
 func (h *Registry) shouldForget(ip string, firstAsked time.Duration) bool {
 	if h.isMember(ip) {
 		return false
@@ -299,9 +299,10 @@
 	return silence > forgetPeerAfter
 }
 
-func (h *Registry) source() string { return h.catalog.Source() }
+// source returns the ID of this process as a source of catalog records.
+func (h *Registry) source() string { return h.localCatalog.Source() }
 
-// pull answers another registry or a limiter, at once where it has news for it.
+// handlePull answers a registry or a limiter as soon as there are changes for it, or when the hold is over.
 func (h *Registry) handlePull(ctx context.Context, request Pull) (any, error) {
 	start := time.Now()
 	timeout := time.NewTimer(time.Duration(request.HoldMs) * time.Millisecond)
@@ -317,12 +318,12 @@
 	case request.Me != nil:
 		h.recordLimiter(*request.Me, &request)
 	}
-	for waiting := true; waiting && !h.catalog.Lacks(request.Vector) && (request.Source != "" || h.register.Seq <= request.Seq); {
+	for waiting := true; waiting && !h.localCatalog.Lacks(request.Vector) && (request.Source != "" || h.register.Seq <= request.Seq); {
 		changed := h.changed
 		h.mu.Unlock()
 		select {
 		case <-changed:
-			// Changes come in clusters: those of a moment go together.
+			// Changes come in bursts: the pause lets one answer carry those that occur together.
 			wait.Sleep(ctx, 2*time.Millisecond)
 		case <-timeout.C:
 			waiting = false
@@ -332,22 +333,22 @@
 		h.mu.Lock()
 	}
 	response := Pulled{Source: h.source(), Apart: h.isolated(), HeldMs: uint64(time.Since(start).Milliseconds())}
-	if h.catalog.Lacks(request.Vector) {
-		response.Records, response.Vector = h.catalog.Since(h.nowMs(), request.Vector), maps.Clone(h.catalog.Vector())
+	if h.localCatalog.Lacks(request.Vector) {
+		response.Records, response.Vector = h.localCatalog.Since(h.nowMs(), request.Vector), maps.Clone(h.localCatalog.Vector())
 	}
 	if request.Source == "" {
 		if h.register.Seq > request.Seq {
-			register := *h.register
-			register.Applied, register.Voters, register.Prior, register.ZoneChanges = nil, nil, nil, nil
-			if delta, ok := h.limiters.deltaFrom(request.Seq, register.Places); ok && !request.Whole {
-				register.Places, response.Places = nil, &delta
+			trimmed := *h.register
+			trimmed.Applied, trimmed.Voters, trimmed.Prior, trimmed.ZoneChanges = nil, nil, nil, nil
+			if delta, ok := h.limiters.deltaFrom(request.Seq, trimmed.Places); ok && !request.Whole {
+				trimmed.Places, response.Places = nil, &delta
 			}
-			if register.Version == request.Version {
-				register.Config = nil
+			if trimmed.Version == request.Version {
+				trimmed.Config = nil
 			} else if delta, ok := h.configHistory.Delta(request.Version); ok {
-				register.Config, response.ConfigDelta = nil, delta
+				trimmed.Config, response.ConfigDelta = nil, delta
 			}
-			response.Register = &register
+			response.Register = &trimmed
 		}
 		if age, ok := h.proof.Age(h.elapsed()); ok {
 			response.Proven, response.ProofMs = true, uint64(age.Milliseconds())+1
@@ -356,30 +357,31 @@
 	return response, nil
 }
 
-// registry takes in another registry's word of itself, if nobody has told of it yet. The mutex
-// is held.
+// recordPeer adds another registry's record to the catalog if it is unknown, and starts to pull from it. h.mu
+// must be held.
 func (h *Registry) recordPeer(record catalog.Record) {
-	if _, known := h.catalog.Get(h.nowMs(), record.ID); !known && h.catalog.Beat(h.nowMs(), record) {
+	if _, known := h.localCatalog.Get(h.nowMs(), record.ID); !known && h.localCatalog.Beat(h.nowMs(), record) {
 		h.notifyChange()
 	}
 	h.addPeer(record.Address)
 }
 
-// limiter takes in a limiter's word of itself. Its earlier lives are over. The mutex is held.
+// recordLimiter records what a limiter reports about itself. Records of its earlier processes are marked as gone.
+// h.mu must be held.
 func (h *Registry) recordLimiter(record catalog.Record, request *Pull) {
-	now := h.nowMs()
-	_, known := h.catalog.Get(now, record.ID)
-	changed := h.catalog.Beat(now, record)
+	nowMs := h.nowMs()
+	_, known := h.localCatalog.Get(nowMs, record.ID)
+	changed := h.localCatalog.Beat(nowMs, record)
 	name, _, _ := strings.Cut(record.ID, "#")
 	if !known {
 		var earlier []string
-		h.catalog.Each(now, func(other catalog.Record) {
+		h.localCatalog.Each(nowMs, func(other catalog.Record) {
 			if otherName, _, _ := strings.Cut(other.ID, "#"); other.Service == catalog.Limiters && otherName == name && other.ID != record.ID && other.State != catalog.Gone {
 				earlier = append(earlier, other.ID)
 			}
 		})
 		for _, id := range earlier {
-			changed = h.catalog.Leave(now, id) || changed
+			changed = h.localCatalog.Leave(nowMs, id) || changed
 		}
 	}
 	h.limiters.handleReport(h.elapsed(), h.register, places.Place{Name: name, IP: nodesettings.HostOf(record.Address), Zone: record.Zone, Life: record.ID}, request)
@@ -388,11 +390,11 @@
 	}
 }
 
-// push tells other registries what is not to be lost with this machine, and tells whether a
-// majority has it.
+// replicate sends a record to the other registries and reports whether a majority holds it. Records that must
+// survive the loss of this machine are replicated in this way.
 func (h *Registry) replicate(ctx context.Context, id string) bool {
 	h.mu.Lock()
-	record, _ := h.catalog.Get(h.nowMs(), id)
+	record, _ := h.localCatalog.Get(h.nowMs(), id)
 	copies := freshness.NewCopies(h.settings.IP, h.voters)
 	peers := slices.Clone(h.peers)
 	h.mu.Unlock()
@@ -417,16 +419,17 @@
 	return false
 }
 
+// handlePush merges records that another registry replicates.
 func (h *Registry) handlePush(_ context.Context, records []catalog.Record) (any, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.catalog.Merge(h.nowMs(), records)) > 0 {
+	if len(h.localCatalog.Merge(h.nowMs(), records)) > 0 {
 		h.notifyChange()
 	}
 	return nil, nil
 }
 
-// repair compares digests with one other registry, and mends what differs.
+// repairOnce compares catalog digests with one random peer and merges the records that differ.
 func (h *Registry) repairOnce(ctx context.Context) {
 	peers := h.coreIPs()[1:]
 	if len(peers) == 0 {
@@ -434,7 +437,7 @@
 	}
 	ip := peers[rand.IntN(len(peers))]
 	h.mu.Lock()
-	digests := h.catalog.Digests()
+	digests := h.localCatalog.Digests()
 	h.mu.Unlock()
 	var records []catalog.Record
 	if h.caller.Call(ctx, h.settings.Internal(ip, nodesettings.RegistryPort), callRepair, digests, &records, time.Second) != nil {
@@ -442,18 +445,19 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.catalog.Merge(h.nowMs(), records)) > 0 {
+	if len(h.localCatalog.Merge(h.nowMs(), records)) > 0 {
 		h.notifyChange()
 	}
 }
 
+// handleRepair returns the records of the ranges whose digests differ.
 func (h *Registry) handleRepair(_ context.Context, digests [catalog.Ranges]uint64) (any, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.catalog.Differing(h.nowMs(), digests), nil
+	return h.localCatalog.Differing(h.nowMs(), digests), nil
 }
 
-// watch follows the store of configuration on this machine or, while that is down, another.
+// watchLoop follows the configuration store on this machine or, while that fails or is stale, another one.
 func (h *Registry) watchLoop(ctx context.Context) {
 	for current := 0; ctx.Err() == nil; {
 		stores := h.coreIPs()
@@ -471,7 +475,7 @@
 		}
 		h.mu.Lock()
 		if response.Proven {
-			h.proof.Advance(start, time.Duration(response.HeldMs)*time.Millisecond, time.Duration(response.ProofMs)*time.Millisecond)
+			h.proof.Advance(start, time.Duration(response.HeldMs)*time.Millisecond, time.Duration(response.ProofAgeMs)*time.Millisecond)
 		}
 		if len(response.Voters) > 0 {
 			h.setVoters(response.Voters)
@@ -484,7 +488,7 @@
 		}
 		stale := !h.proof.Fresh(h.elapsed(), staleProofAge)
 		h.mu.Unlock()
-		if stale && len(stores) > 1 { // another store may hear a majority
+		if stale && len(stores) > 1 { // another store may reach a majority
 			current = (current + 1) % len(stores)
 			wait.Sleep(ctx, 50*time.Millisecond)
 		} else {
@@ -493,7 +497,7 @@
 	}
 }
 
-// follows takes over which machines vote. The mutex is held.
+// setVoters records which machines are voters. h.mu must be held.
 func (h *Registry) setVoters(voters [][]string) {
 	h.voters = voters
 	for _, set := range voters {
@@ -503,23 +507,23 @@
 	}
 }
 
-// status tells how this registry stands.
+// handleStatus returns the status lines of this registry.
 func (h *Registry) handleStatus(context.Context) (any, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	proofAge := "none"
+	proof := "none"
 	if age, ok := h.proof.Age(h.elapsed()); ok {
-		proofAge = age.Round(time.Millisecond).String()
+		proof = age.Round(time.Millisecond).String()
 	}
 	lines := []string{
-		fmt.Sprintf("program=registry node=%s zone=%s source=%s apart=%v proof_age=%s", h.settings.Node, h.settings.Zone, h.source(), h.isolated(), proofAge),
+		fmt.Sprintf("program=registry node=%s zone=%s source=%s apart=%v proof_age=%s", h.settings.Node, h.settings.Zone, h.source(), h.isolated(), proof),
 		fmt.Sprintf("register seq=%d version=r%d evacuated=%v limiters=%d places_settled=%d", h.register.Seq, h.register.Version, h.register.Evac, h.limiters.heldCount(h.register), h.register.PlacesSettled),
 	}
 	lines = append(lines, h.limiters.statusLines(h.elapsed(), h.register)...)
-	return rpc.Status{Lines: append(lines, h.catalog.Report(h.nowMs())...)}, nil
+	return rpc.Status{Lines: append(lines, h.localCatalog.Report(h.nowMs())...)}, nil
 }
 
-// order gives an order to a store. ok is false when no clear answer came.
+// submitOrder submits one order to a store. ok is false if no definite answer came.
 func (h *Registry) submitOrder(ctx context.Context, order controlstate.Order) (outcome controlstate.Outcome, ok bool) {
 	outcomes, ok := h.submitOrders(ctx, []controlstate.Order{order})
 	if !ok {
@@ -528,11 +532,11 @@
 	return outcomes[0], true
 }
 
-// orders gives orders to a store, to be carried out by one change. ok is false when no clear answer came.
+// submitOrders submits orders to a store, to be carried out in one change. ok is false if no definite answer came.
 func (h *Registry) submitOrders(ctx context.Context, orders []controlstate.Order) (outcomes []controlstate.Outcome, ok bool) {
 	ok = h.tryStores(func(to string, left time.Duration) bool {
 		var response configstore.ChangeResponse
-		err := h.caller.Call(ctx, to, configstore.CallChange, configstore.ChangeRequest{Orders: orders, WithinMs: uint64(left.Milliseconds())}, &response, left)
+		err := h.caller.Call(ctx, to, configstore.CallChange, configstore.ChangeRequest{Orders: orders, TimeoutMs: uint64(left.Milliseconds())}, &response, left)
 		if err != nil || len(response.Outcomes) != len(orders) {
 			return false
 		}
@@ -542,7 +546,7 @@
 	return outcomes, ok
 }
 
-// anyStore calls one store after the other until one has answered, and tells whether one has.
+// tryStores calls one store after the other until one has answered, and reports whether one has.
 func (h *Registry) tryStores(call func(to string, left time.Duration) bool) bool {
 	deadline := time.Now().Add(storeTimeout)
 	for _, ip := range h.coreIPs() {
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -18,7 +18,7 @@
 	"example.org/madderdrum/internal/rpc"
 )
 
-// houses are registries of three on loopback; there are no stores.
+// registries runs up to three registries on loopback addresses, without configuration stores.
 type registries struct {
 	t    *testing.T
 	stop [3]context.CancelFunc
@@ -63,21 +63,21 @@
 	for !ok() {
 		select {
 		case <-ctx.Done():
-			h.t.Fatalf("%s: not in time", what)
+			h.t.Fatalf("timed out waiting: %s", what)
 		case <-tick.C:
 		}
 	}
 }
 
-// pulled is what a limiter that knows nothing gets.
+// pullAll returns what a limiter without any state receives.
 func (h *registries) pullAll(ctx context.Context, i int) (a Pulled, err error) {
 	err = h.call.Call(ctx, h.ip(i)+":7461", CallPull, Pull{}, &a, time.Second)
 	return a, err
 }
 
-// A registry that hears no majority acknowledges no drain, takes nobody for silent, and tells
-// those who pull; with another it acknowledges what that one has too, and what it has outlives
-// it.
+// A registry without contact to a majority acknowledges no drain and no heartbeat, and reports in its answers to
+// pulls that it is isolated. Together with a second registry it acknowledges a drain that both hold, and the drain
+// survives the loss of the first one.
 func TestDrainsAreAcknowledgedByAMajority(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
@@ -89,25 +89,25 @@
 	})
 	for _, what := range []string{"/instances/i-1/heartbeat", "/instances/i-2/deregister"} {
 		if status, text := h.post(0, what, heartbeatBody("draining", 2)); status != 503 || !strings.Contains(text, "apart") {
-			t.Errorf("%s alone: %d %s", what, status, text)
+			t.Errorf("%s without a majority: %d %s", what, status, text)
 		}
 	}
-	for range 2 { // news or not: others would take the server for silent
+	for range 2 { // whether it changes the record or not: other registries would consider the server silent
 		if status, text := h.post(0, "/instances/i-3/heartbeat", heartbeatBody("available", 1)); status != 503 || !strings.Contains(text, "apart") {
-			t.Errorf("a beat alone: %d %s", status, text)
+			t.Errorf("heartbeat without a majority: %d %s", status, text)
 		}
 	}
 	if a, err := h.pullAll(ctx, 0); err != nil || !a.Apart {
-		t.Errorf("a registry alone says that it is not apart: %v", err)
+		t.Errorf("pull from a registry without a majority: not apart, error %v", err)
 	}
 	h.start(1)
-	h.until(ctx, "a drain is acknowledged by two", func() bool {
+	h.until(ctx, "two registries acknowledge a drain", func() bool {
 		status, _ := h.post(0, "/instances/i-1/heartbeat", heartbeatBody("draining", 3))
 		return status == 200
 	})
-	// It dies right after: the other one has the drain, and a late beat does not undo it.
+	// The first registry stops right after: the second one holds the drain, and a late heartbeat does not undo it.
 	h.stop[0]()
-	h.until(ctx, "the other knows of the drain", func() bool {
+	h.until(ctx, "the second registry knows of the drain", func() bool {
 		h.post(1, "/instances/i-1/heartbeat", heartbeatBody("available", 1))
 		a, err := h.pullAll(ctx, 1)
 		for _, r := range a.Records {
@@ -121,7 +121,7 @@
 }
 
 func TestBadCalls(t *testing.T) {
-	h := &Registry{settings: &nodesettings.Settings{Zones: map[string]string{"z": "r"}, Listen: map[string]string{}}, acknowledgedDrains: map[string]bool{}, contacts: freshness.NewContacts(""), register: &controlstate.Register{}, catalog: catalog.New("s"), changed: make(chan struct{})}
+	h := &Registry{settings: &nodesettings.Settings{Zones: map[string]string{"z": "r"}, Listen: map[string]string{}}, acknowledgedDrains: map[string]bool{}, contacts: freshness.NewContacts(""), register: &controlstate.Register{}, localCatalog: catalog.New("s"), changed: make(chan struct{})}
 	for _, x := range []struct {
 		method, path, body string
 		status             int
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,5 +1,5 @@
-// Package rpc carries calls between the system's own processes: frames of a length and a
-// CBOR value over kept TCP connections, one call at a time on each.
+// Package rpc carries calls between the processes of the system over pooled TCP connections, one call at a time on
+// each. A message is a frame: a 4-byte big-endian length and a CBOR value.
 package rpc
 
 import (
@@ -21,19 +21,19 @@
 )
 
 const (
-	maxFrame = 16 << 20
-	maxIdle  = 4 // kept connections to one address
-	idleFor  = 20 * time.Second
-	// connectWithin is several times as long as regions are apart. The opening packet to a
-	// machine that is just starting is lost, and sent again after a second.
-	connectWithin = 250 * time.Millisecond
-	userTimeout   = 1500 // ms that sent bytes may be unacknowledged: a machine without power says nothing
+	maxFrameBytes     = 16 << 20
+	maxIdlePerAddress = 4 // pooled connections per address
+	idleTimeout       = 20 * time.Second
+	// connectTimeout is several round trips between regions. The SYN to a machine that is just starting is lost
+	// and retransmitted only after a second; with this timeout the caller can retry earlier.
+	connectTimeout = 250 * time.Millisecond
+	userTimeoutMs  = 1500 // ms that sent data may stay unacknowledged: a machine without power sends no reset
 )
 
-// Error tells what went wrong with a call.
+// Error describes a failed call.
 type Error struct {
 	To, Call string
-	// Unsent tells that the other end can't have had the call.
+	// Unsent means that the callee cannot have received the call.
 	Unsent bool
 	Err    error
 }
@@ -42,22 +42,24 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
+// request is the frame of a call.
 type request struct {
 	Call string          `cbor:"1,keyasint"`
 	Body cbor.RawMessage `cbor:"2,keyasint"`
-	// ID numbers the calls of a connection: an answer belongs to the call whose number it carries.
+	// ID numbers the calls of a connection; a response carries the ID of the call that it answers.
 	ID uint64 `cbor:"3,keyasint,omitempty"`
 }
 
+// response is the frame of an answer.
 type response struct {
 	Err  string          `cbor:"1,keyasint,omitempty"`
 	Body cbor.RawMessage `cbor:"2,keyasint,omitempty"`
 	ID   uint64          `cbor:"3,keyasint,omitempty"`
 }
 
-var errOtherCall = errors.New("the answer is that of another call")
+var errWrongCallID = errors.New("response carries the ID of another call")
 
-func write(w io.Writer, v any) error {
+func writeFrame(w io.Writer, v any) error {
 	body, err := cbor.Marshal(v)
 	if err != nil {
 		return err
@@ -68,122 +70,125 @@
 	return err
 }
 
-var errTooLong = errors.New("a frame is too long")
+var errFrameTooLong = errors.New("frame exceeds the maximum length")
 
-func read(r io.Reader, v any) error {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+func readFrame(r io.Reader, v any) error {
+	var header [4]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return err
 	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n > maxFrame {
-		return errTooLong
+	length := binary.BigEndian.Uint32(header[:])
+	if length > maxFrameBytes {
+		return errFrameTooLong
 	}
-	body := make([]byte, n)
+	body := make([]byte, length)
 	if _, err := io.ReadFull(r, body); err != nil {
 		return err
 	}
 	return cbor.Unmarshal(body, v)
 }
 
-// Caller makes calls. It is safe for concurrent use.
+// Caller makes calls and pools the connections. It is safe for concurrent use.
 type Caller struct {
 	mu   sync.Mutex
-	idle map[string][]*line
+	idle map[string][]*clientConn
 }
 
-type line struct {
+// clientConn is a pooled connection.
+type clientConn struct {
 	net.Conn
-	in     *bufio.Reader
-	idleAt time.Time
-	calls  uint64 // made so far
+	in        *bufio.Reader
+	idleSince time.Time
+	calls     uint64 // sent so far; also the ID of the latest call
 }
 
-// NewCaller returns a Caller.
-func NewCaller() *Caller { return &Caller{idle: map[string][]*line{}} }
+// NewCaller returns a Caller without connections.
+func NewCaller() *Caller { return &Caller{idle: map[string][]*clientConn{}} }
 
-func (c *Caller) take(to string) *line {
+// takeIdle returns the most recently used idle connection to an address, or nil. It closes those idle for too long.
+func (c *Caller) takeIdle(to string) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
-		all := c.idle[to]
-		if len(all) == 0 {
+		conns := c.idle[to]
+		if len(conns) == 0 {
 			return nil
 		}
-		l := all[len(all)-1]
-		c.idle[to] = all[:len(all)-1]
-		if time.Since(l.idleAt) < idleFor {
-			return l
+		conn := conns[len(conns)-1]
+		c.idle[to] = conns[:len(conns)-1]
+		if time.Since(conn.idleSince) < idleTimeout {
+			return conn
 		}
-		l.Close()
+		conn.Close()
 	}
 }
 
-func (c *Caller) put(to string, l *line) {
+// putIdle returns a connection to the pool.
+func (c *Caller) putIdle(to string, conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[to]) >= maxIdle {
-		l.Close()
+	if len(c.idle[to]) >= maxIdlePerAddress {
+		conn.Close()
 		return
 	}
-	l.idleAt = time.Now()
-	c.idle[to] = append(c.idle[to], l)
+	conn.idleSince = time.Now()
+	c.idle[to] = append(c.idle[to], conn)
 }
 
-// drop closes what is kept to an address.
-func (c *Caller) drop(to string) {
+// closeIdle closes the idle connections to an address.
+func (c *Caller) closeIdle(to string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, l := range c.idle[to] {
-		l.Close()
+	for _, conn := range c.idle[to] {
+		conn.Close()
 	}
 	delete(c.idle, to)
 }
 
-// Call calls to and waits for the answer until the time is over.
-func (c *Caller) Call(ctx context.Context, to, call string, ask, answer any, within time.Duration) error {
-	body, err := cbor.Marshal(ask)
+// Call sends a call to an address and decodes the response into result, which may be nil. It fails after timeout.
+func (c *Caller) Call(ctx context.Context, to, call string, args, result any, timeout time.Duration) error {
+	body, err := cbor.Marshal(args)
 	if err != nil {
 		return &Error{to, call, true, err}
 	}
-	until := time.Now().Add(within)
+	deadline := time.Now().Add(timeout)
 	for {
-		l := c.take(to)
-		kept := l != nil
-		if l == nil {
-			d := net.Dialer{Timeout: min(connectWithin, time.Until(until)), KeepAlive: -1, Control: Patience}
-			nc, err := d.DialContext(ctx, "tcp", to)
+		conn := c.takeIdle(to)
+		reused := conn != nil
+		if conn == nil {
+			dialer := net.Dialer{Timeout: min(connectTimeout, time.Until(deadline)), KeepAlive: -1, Control: Patience}
+			netConn, err := dialer.DialContext(ctx, "tcp", to)
 			if err != nil {
 				return &Error{to, call, true, err}
 			}
-			l = &line{Conn: nc, in: bufio.NewReaderSize(nc, 2048)}
+			conn = &clientConn{Conn: netConn, in: bufio.NewReaderSize(netConn, 2048)}
 		}
-		l.SetDeadline(until)
-		stop := context.AfterFunc(ctx, func() { l.SetDeadline(time.Unix(1, 0)) })
-		l.calls++
-		err := write(l, &request{Call: call, Body: body, ID: l.calls})
-		var r response
+		conn.SetDeadline(deadline)
+		stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
+		conn.calls++
+		err := writeFrame(conn, &request{Call: call, Body: body, ID: conn.calls})
+		var resp response
 		if err == nil {
-			err = read(l.in, &r)
+			err = readFrame(conn.in, &resp)
 		}
-		if err == nil && r.ID != l.calls {
-			err = errOtherCall
+		if err == nil && resp.ID != conn.calls {
+			err = errWrongCallID
 		}
 		stop()
 		if err != nil {
-			l.Close()
-			c.drop(to)
-			if kept && ctx.Err() == nil && time.Now().Before(until) {
-				continue // the other end may have begun anew; calls can all be repeated
+			conn.Close()
+			c.closeIdle(to)
+			if reused && ctx.Err() == nil && time.Now().Before(deadline) {
+				continue // the callee may have restarted; every call is safe to repeat
 			}
 			return &Error{to, call, false, err}
 		}
-		c.put(to, l)
-		if r.Err != "" {
-			return &Error{to, call, false, errors.New(r.Err)}
+		c.putIdle(to, conn)
+		if resp.Err != "" {
+			return &Error{to, call, false, errors.New(resp.Err)}
 		}
-		if answer != nil {
-			if err := cbor.Unmarshal(r.Body, answer); err != nil {
+		if result != nil {
+			if err := cbor.Unmarshal(resp.Body, result); err != nil {
 				return &Error{to, call, false, err}
 			}
 		}
@@ -191,85 +196,85 @@
 	}
 }
 
-// Patience has a connection end when what was sent stays unacknowledged.
+// Patience is a net.Dialer's Control function that closes a connection whose sent data stays unacknowledged.
 func Patience(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var optionErr error
 	if err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeout)
+		optionErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeoutMs)
 	}); err != nil {
 		return err
 	}
-	return failed
+	return optionErr
 }
 
-// Handler answers a call. body is its CBOR value.
+// Handler answers a call whose CBOR-encoded arguments are in body.
 type Handler func(ctx context.Context, body []byte) (any, error)
 
-// TypedHandler is a handler of calls that carry a value of one type.
-func TypedHandler[M any](answer func(context.Context, M) (any, error)) Handler {
+// TypedHandler returns a Handler that decodes the body into an M.
+func TypedHandler[M any](handle func(context.Context, M) (any, error)) Handler {
 	return func(ctx context.Context, body []byte) (any, error) {
 		var m M
 		if err := Decode(body, &m); err != nil {
 			return nil, err
 		}
-		return answer(ctx, m)
+		return handle(ctx, m)
 	}
 }
 
-// Asking is a handler of calls that carry nothing.
-func Asking(answer func(context.Context) (any, error)) Handler {
-	return func(ctx context.Context, _ []byte) (any, error) { return answer(ctx) }
+// Asking returns a Handler for calls without arguments.
+func Asking(handle func(context.Context) (any, error)) Handler {
+	return func(ctx context.Context, _ []byte) (any, error) { return handle(ctx) }
 }
 
-// Serve answers calls on a listener until the context ends.
-func Serve(ctx context.Context, l net.Listener, calls map[string]Handler) {
-	sockets.Accept(ctx, l, func(c net.Conn) { serve(ctx, c, calls) })
+// Serve answers calls on a listener until the context ends. A call without a handler gets an error response.
+func Serve(ctx context.Context, listener net.Listener, handlers map[string]Handler) {
+	sockets.Accept(ctx, listener, func(c net.Conn) { serveConn(ctx, c, handlers) })
 }
 
-func serve(ctx context.Context, nc net.Conn, calls map[string]Handler) {
-	defer nc.Close()
+func serveConn(ctx context.Context, conn net.Conn, handlers map[string]Handler) {
+	defer conn.Close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := context.AfterFunc(ctx, func() { nc.Close() })
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	in := bufio.NewReaderSize(nc, 2048)
+	in := bufio.NewReaderSize(conn, 2048)
 	for {
-		var q request
-		nc.SetReadDeadline(time.Now().Add(2 * idleFor))
-		if read(in, &q) != nil {
+		var req request
+		conn.SetReadDeadline(time.Now().Add(2 * idleTimeout))
+		if readFrame(in, &req) != nil {
 			return
 		}
-		r := response{ID: q.ID}
-		if h := calls[q.Call]; h == nil {
-			r.Err = "unknown call"
-		} else if answer, err := h(ctx, q.Body); err != nil {
-			r.Err = err.Error()
-		} else if r.Body, err = cbor.Marshal(answer); err != nil {
-			r.Err = err.Error()
+		resp := response{ID: req.ID}
+		if handler := handlers[req.Call]; handler == nil {
+			resp.Err = "unknown call"
+		} else if result, err := handler(ctx, req.Body); err != nil {
+			resp.Err = err.Error()
+		} else if resp.Body, err = cbor.Marshal(result); err != nil {
+			resp.Err = err.Error()
 		}
-		nc.SetWriteDeadline(time.Now().Add(5 * time.Second))
-		if write(nc, &r) != nil {
+		conn.SetWriteDeadline(time.Now().Add(5 * time.Second))
+		if writeFrame(conn, &resp) != nil {
 			return
 		}
 	}
 }
 
-// Decode reads the body of a call.
+// Decode decodes the body of a call.
 func Decode(body []byte, to any) error { return cbor.Unmarshal(body, to) }
 
-// Encode writes a CBOR value.
+// Encode returns v as CBOR. It panics if v cannot be encoded.
 func Encode(v any) []byte {
 	b, err := cbor.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("rpc: a value of our own can't be written: %v", err)) // a broken invariant
+		panic(fmt.Sprintf("rpc: cannot encode a value of this program: %v", err)) // an invariant is violated
 	}
 	return b
 }
 
-// CallStatus asks a process how it stands.
+// CallStatus is the name of the call that asks a process for its status.
 const CallStatus = "status"
 
-// Status is how a process stands: lines of key=value pairs.
+// Status is the status of a process, as lines of key=value pairs.
 type Status struct {
 	Lines []string `cbor:"1,keyasint"`
 }
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -9,46 +9,46 @@
 	"time"
 )
 
-// An answer that carries another call's number is not taken for this one's, and ends the connection.
+// A response that carries the ID of another call is not returned to the caller, and closes the connection.
 func TestAnswerOfAnotherCall(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer listener.Close()
 	conns := make(chan int, 8)
 	go func() {
 		for n := 0; ; n++ {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			conns <- n
 			go func() {
-				defer c.Close()
-				in := bufio.NewReader(c)
-				var q request
-				for read(in, &q) == nil {
-					if n == 0 { // a late answer to an earlier call comes first
-						write(c, &response{ID: q.ID + 7, Body: Encode("late")})
+				defer conn.Close()
+				in := bufio.NewReader(conn)
+				var req request
+				for readFrame(in, &req) == nil {
+					if n == 0 { // a late response to an earlier call comes first
+						writeFrame(conn, &response{ID: req.ID + 7, Body: Encode("late")})
 					}
-					write(c, &response{ID: q.ID, Body: Encode("own")})
+					writeFrame(conn, &response{ID: req.ID, Body: Encode("own")})
 				}
 			}()
 		}
 	}()
 	caller := NewCaller()
-	var answer string
-	err = caller.Call(context.Background(), l.Addr().String(), "x", "ask", &answer, time.Second)
-	if !errors.Is(err, errOtherCall) || answer != "" {
-		t.Errorf("%q %v", answer, err)
+	var result string
+	err = caller.Call(context.Background(), listener.Addr().String(), "x", "ask", &result, time.Second)
+	if !errors.Is(err, errWrongCallID) || result != "" {
+		t.Errorf("%q %v", result, err)
 	}
 	for range 3 {
-		if err := caller.Call(context.Background(), l.Addr().String(), "x", "ask", &answer, time.Second); err != nil || answer != "own" {
-			t.Errorf("%q %v", answer, err)
+		if err := caller.Call(context.Background(), listener.Addr().String(), "x", "ask", &result, time.Second); err != nil || result != "own" {
+			t.Errorf("%q %v", result, err)
 		}
 	}
 	if len(conns) != 2 {
-		t.Errorf("%d connections, 2 wanted: the first one can't be trusted, the second one is kept", len(conns))
+		t.Errorf("%d connections, 2 wanted: the first is closed after the wrong ID, the second is reused", len(conns))
 	}
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,28 +9,29 @@
 	"example.org/madderdrum/limiter"
 )
 
-// Pairs are settings by their path, as on a BEGIN line. They keep the first
-// error of all that is read from them.
+// Pairs holds settings by path, as on a BEGIN line. It records the first error of all reads.
 type Pairs struct {
 	values map[string]string
 	err    error
 }
 
-// NewPairs returns the Pairs of these values.
+// NewPairs returns Pairs that read from values.
 func NewPairs(values map[string]string) *Pairs { return &Pairs{values: values} }
 
-// Err is the first error of what was read so far.
+// Err returns the first error of the reads so far.
 func (p *Pairs) Err() error { return p.err }
 
-var repeats = map[string]limiter.Repeat{
+// repeatByIdempotency maps the values of a request class's idempotency setting.
+var repeatByIdempotency = map[string]limiter.Repeat{
 	"read_like": limiter.Safe, "idempotency_key": limiter.Keyed, "non_idempotent": limiter.Unsafe,
 }
 
-var groups = map[string]limiter.Group{
+// groupByName maps the values of a request class's group setting: which servers share an idempotency key.
+var groupByName = map[string]limiter.Group{
 	"all": limiter.GroupAll, "zone": limiter.GroupZone, "cell": limiter.GroupCell,
 }
 
-// parseSettings reads the settings on a BEGIN line.
+// parseSettings parses the settings on a BEGIN line.
 func parseSettings(text string) (s limiter.Settings, err error) {
 	values := map[string]string{}
 	for _, pair := range strings.Fields(text) {
@@ -43,9 +44,9 @@
 	return NewPairs(values).Settings()
 }
 
-// Settings reads the settings that the module knows and skips the others.
+// Settings returns the settings that the library uses and ignores the others.
 func (p *Pairs) Settings() (limiter.Settings, error) {
-	s := limiter.Settings{
+	settings := limiter.Settings{
 		Position: p.Integer("position"), Balancers: p.Integer("balancers"), Zone: p.Integer("az"),
 		AskMembers: p.values["membership_mode"] == "ask",
 		PeerInPerS: p.Number("family_info.peer_in_per_s"), TrueUp: p.flag("family_info.trued_up"),
@@ -62,63 +63,65 @@
 		},
 	}
 	for i := range p.Count("request_classes") {
-		at := fmt.Sprintf("request_classes.%d.", i)
-		c := limiter.Class{
-			AimMs: p.Number(at + "promise_ms"), DeadlineMs: p.Number(at + "deadline_ms"),
-			WindowMs: p.Number(at + "window_ms"), Worth: p.Number(at + "importance"),
-			LateShare: p.Number(at + "late_share"),
+		prefix := fmt.Sprintf("request_classes.%d.", i)
+		class := limiter.Class{
+			AimMs: p.Number(prefix + "promise_ms"), DeadlineMs: p.Number(prefix + "deadline_ms"),
+			WindowMs: p.Number(prefix + "window_ms"), Worth: p.Number(prefix + "importance"),
+			LateShare: p.Number(prefix + "late_share"),
 			Repeat:    limiter.Unsafe,
 		}
-		if w, ok := p.values[at+"idempotency"]; ok {
-			c.Repeat, ok = repeats[w]
-			p.check(ok, at+"idempotency")
+		if text, ok := p.values[prefix+"idempotency"]; ok {
+			class.Repeat, ok = repeatByIdempotency[text]
+			p.check(ok, prefix+"idempotency")
 		}
-		if w, ok := p.values[at+"group"]; ok && c.Repeat == limiter.Keyed {
-			c.Group, ok = groups[w]
-			p.check(ok, at+"group")
+		if text, ok := p.values[prefix+"group"]; ok && class.Repeat == limiter.Keyed {
+			class.Group, ok = groupByName[text]
+			p.check(ok, prefix+"group")
 		}
-		s.Classes = append(s.Classes, c)
+		settings.Classes = append(settings.Classes, class)
 	}
 	for i := range p.Count("packages") {
-		at := fmt.Sprintf("packages.%d.", i)
-		s.Plans = append(s.Plans, limiter.Plan{
-			Rate: p.Number(at + "per_second"), Burst: p.Number(at + "burst"), AtOnce: p.Integer(at + "at_once"),
-			CeilingRate: p.Number(at + "cap_rate"), CeilingBurst: p.Number(at + "cap_depth"),
-			Price: p.Number(at + "price"), BeyondEarns: p.Number(at + "beyond_earns"),
-			OverrunCost: p.Number(at + "overrun_cost"),
+		prefix := fmt.Sprintf("packages.%d.", i)
+		settings.Plans = append(settings.Plans, limiter.Plan{
+			Rate: p.Number(prefix + "per_second"), Burst: p.Number(prefix + "burst"), AtOnce: p.Integer(prefix + "at_once"),
+			CeilingRate: p.Number(prefix + "cap_rate"), CeilingBurst: p.Number(prefix + "cap_depth"),
+			Price: p.Number(prefix + "price"), BeyondEarns: p.Number(prefix + "beyond_earns"),
+			OverrunCost: p.Number(prefix + "overrun_cost"),
 		})
 	}
-	return s, p.err
+	return settings, p.err
 }
 
+// check records a bad value as the first error unless ok is set or there is an earlier error.
 func (p *Pairs) check(ok bool, name string) {
 	if !ok && p.err == nil {
 		p.err = fmt.Errorf("setting %s: bad value %q", name, p.values[name])
 	}
 }
 
-// Text returns a value as it stands; an absent one is empty.
+// Text returns a value unparsed, or "" if it is absent.
 func (p *Pairs) Text(name string) string { return p.values[name] }
 
-// Number returns a number; an absent one is 0.
+// Number returns a finite number, or 0 if it is absent.
 func (p *Pairs) Number(name string) float64 {
-	w, ok := p.values[name]
-	if !ok || w == "-" || w == "" {
+	text, ok := p.values[name]
+	if !ok || text == "-" || text == "" {
 		return 0
 	}
-	v, err := strconv.ParseFloat(w, 64)
+	v, err := strconv.ParseFloat(text, 64)
 	p.check(err == nil && !math.IsNaN(v) && !math.IsInf(v, 0), name)
 	return v
 }
 
-// Integer returns a whole number; an absent one is 0.
+// Integer returns a whole number, or 0 if it is absent.
 func (p *Pairs) Integer(name string) int {
 	v := p.Number(name)
 	p.check(v == math.Trunc(v) && math.Abs(v) < 1<<31, name)
 	return int(v)
 }
 
-// Count reads the length of a list, which is bounded by the text itself.
+// Count returns the length of a list. It rejects lengths above the number of settings, so that a bad one cannot
+// cause a huge allocation.
 func (p *Pairs) Count(name string) int {
 	n := p.Integer(name + ".count")
 	p.check(n >= 0 && n <= len(p.values), name+".count")
@@ -128,8 +131,9 @@
 	return n
 }
 
+// flag returns a boolean, or false if it is absent.
 func (p *Pairs) flag(name string) bool {
-	w := p.values[name]
-	p.check(w == "" || w == "-" || w == "true" || w == "false" || w == "1" || w == "0", name)
-	return w == "true" || w == "1"
+	text := p.values[name]
+	p.check(text == "" || text == "-" || text == "true" || text == "false" || text == "1" || text == "0", name)
+	return text == "true" || text == "1"
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,5 @@
-// Package wire reads and writes the bench's line protocol. It translates
-// between lines of text and the types of package limiter and decides
-// nothing.
+// Package wire reads and writes the line protocol of the test bench. It translates between lines of text and the
+// types of package limiter, and makes no decisions of its own.
 package wire
 
 import (
@@ -16,190 +15,195 @@
 	"example.org/madderdrum/limiter"
 )
 
-// maxLine bounds one line of input.
-const maxLine = 64 << 20
+// maxLineBytes bounds one line of input.
+const maxLineBytes = 64 << 20
 
-// maxSheets is the number of server lists that the protocol can hold at once.
-const maxSheets = 16
+// maxServerLists is the number of server lists that the protocol can define at the same time.
+const maxServerLists = 16
 
-// Kind is what an Item asks of the host.
+// Kind says what an Item requires of the host of the instances.
 type Kind int
 
-// The kinds of item.
+// Kinds of Item.
 const (
-	Event  Kind = iota // an event for a running instance
-	Begin              // an instance starts
-	Retire             // an instance is gone
+	Event  Kind = iota // deliver an event to a running instance
+	Begin              // start an instance
+	Retire             // remove an instance
 )
 
-// Item is one line of a batch that concerns an instance.
+// Item is one line of a batch that is addressed to an instance.
 type Item struct {
 	Kind     Kind
 	Instance int
-	Event    limiter.Event // nil for what the library has no use for
+	Event    limiter.Event // nil if the library does not use the message
 	Seed     uint64
 	Settings limiter.Settings
-	Err      error // settings that could not be read
+	Err      error // set if the settings are invalid
 }
 
-// Reader reads batches.
+// Reader reads batches of lines.
 type Reader struct {
-	in     *bufio.Scanner
-	line   int
-	sheets [maxSheets][]limiter.ServerInfo
+	in          *bufio.Scanner
+	line        int
+	serverLists [maxServerLists][]limiter.ServerInfo
 }
 
-// NewReader returns a Reader of r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader {
 	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 1<<16), maxLine)
+	s.Buffer(make([]byte, 1<<16), maxLineBytes)
 	return &Reader{in: s}
 }
 
-// fields takes the values of one line in turn and keeps the first error.
-type fields struct {
+// lineFields reads the values of one line in order and records the first error.
+type lineFields struct {
 	rest string
 	err  error
 }
 
-var errShort = errors.New("too few values")
+var errTooFewValues = errors.New("too few values")
 
-func (f *fields) word() string {
+// next returns the next value of the line.
+func (f *lineFields) next() string {
 	if f.rest == "" {
-		f.fail(errShort)
+		f.fail(errTooFewValues)
 		return ""
 	}
-	w, rest, _ := strings.Cut(f.rest, " ")
+	value, rest, _ := strings.Cut(f.rest, " ")
 	f.rest = rest
-	if w == "" {
+	if value == "" {
 		f.fail(errors.New("empty value"))
 	}
-	return w
+	return value
 }
 
-func (f *fields) fail(err error) {
+func (f *lineFields) fail(err error) {
 	if f.err == nil {
 		f.err = err
 	}
 }
 
-func (f *fields) number() float64 {
-	w := f.word()
-	if w == "-" || f.err != nil {
+// number reads a finite number; "-" means 0.
+func (f *lineFields) number() float64 {
+	text := f.next()
+	if text == "-" || f.err != nil {
 		return 0
 	}
-	v, err := strconv.ParseFloat(w, 64)
+	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		f.fail(fmt.Errorf("%q is not a number", w))
+		f.fail(fmt.Errorf("%q is not a number", text))
 	}
 	return v
 }
 
-func (f *fields) integer() int {
-	w := f.word()
-	if w == "-" || f.err != nil {
+// integer reads a whole number; "-" means 0.
+func (f *lineFields) integer() int {
+	text := f.next()
+	if text == "-" || f.err != nil {
 		return 0
 	}
-	v, err := strconv.Atoi(w)
+	v, err := strconv.Atoi(text)
 	if err != nil {
-		f.fail(fmt.Errorf("%q is not an integer", w))
+		f.fail(fmt.Errorf("%q is not an integer", text))
 	}
 	return v
 }
 
-func (f *fields) id() uint64 {
-	w := f.word()
-	if w == "-" || f.err != nil {
+// id reads an unsigned 64-bit ID; "-" means 0.
+func (f *lineFields) id() uint64 {
+	text := f.next()
+	if text == "-" || f.err != nil {
 		return 0
 	}
-	v, err := strconv.ParseUint(w, 10, 64)
+	v, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		f.fail(fmt.Errorf("%q is not an id", w))
+		f.fail(fmt.Errorf("%q is not an id", text))
 	}
 	return v
 }
 
-func (f *fields) flag() bool {
-	switch w := f.word(); w {
+// flag reads a boolean; "-" means false.
+func (f *lineFields) flag() bool {
+	switch text := f.next(); text {
 	case "1":
 		return true
 	case "0", "-", "":
 	default:
-		f.fail(fmt.Errorf("%q is not a bool", w))
+		f.fail(fmt.Errorf("%q is not a bool", text))
 	}
 	return false
 }
 
-// choose reads a word that must be one of the names.
-func choose[T any](f *fields, names map[string]T) (v T) {
-	w := f.word()
+// namedValue reads a name and returns the value that names maps it to.
+func namedValue[T any](f *lineFields, names map[string]T) (v T) {
+	name := f.next()
 	if f.err != nil {
 		return v
 	}
-	v, ok := names[w]
+	v, ok := names[name]
 	if !ok {
-		f.fail(fmt.Errorf("unknown word %q", w))
+		f.fail(fmt.Errorf("unknown word %q", name))
 	}
 	return v
 }
 
-func (f *fields) load() limiter.Load {
-	l := limiter.Load{Busy: -1, Pending: -1, ServiceMs: -1}
-	w := f.word()
-	if w == "-" || f.err != nil {
-		return l
+// load reads a server's load report; absent figures are -1.
+func (f *lineFields) load() limiter.Load {
+	report := limiter.Load{Busy: -1, Pending: -1, ServiceMs: -1}
+	pairs := f.next()
+	if pairs == "-" || f.err != nil {
+		return report
 	}
-	for _, pair := range strings.Split(w, ",") {
+	for _, pair := range strings.Split(pairs, ",") {
 		name, text, ok := strings.Cut(pair, ":")
 		v, err := strconv.ParseFloat(text, 64)
 		if !ok || err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
 			f.fail(fmt.Errorf("bad load report %q", pair))
-			return l
+			return report
 		}
 		switch name {
 		case "busy_reqs":
-			l.Busy = v
+			report.Busy = v
 		case "pending":
-			l.Pending = v
+			report.Pending = v
 		case "svc_ms":
-			l.ServiceMs = v
+			report.ServiceMs = v
 		}
 	}
-	return l
+	return report
 }
 
-var results = map[string]limiter.Result{
+var resultByName = map[string]limiter.Result{
 	"pass": limiter.Pass, "fault": limiter.Fault, "no_room": limiter.NoRoom,
 	"too_slow": limiter.TooSlow, "no_route": limiter.NoRoute, "cut": limiter.Cut,
 	"undone": limiter.Undone, "stale_send": limiter.StaleSend,
 }
 
-var scopes = map[string]limiter.Scope{
+var scopeByName = map[string]limiter.Scope{
 	"Partial": limiter.Partial, "Complete": limiter.Complete,
 	"Persisted": limiter.Persisted, "Error": limiter.Failed,
 }
 
-var phases = map[string]limiter.Phase{
+var phaseByName = map[string]limiter.Phase{
 	"up": limiter.Up, "draining": limiter.Draining, "removed": limiter.Removed,
 }
 
-// Batch reads the next batch. At the end of the input it returns io.EOF; any
-// other error names the line.
+// Batch reads the next batch. It returns io.EOF at the end of the input; any other error contains the line number.
 func (r *Reader) Batch() (now float64, items []Item, err error) {
-	f, name, err := r.next()
+	f, name, err := r.nextLine()
 	if err != nil {
 		return 0, nil, err
 	}
 	if name != "SYNC" {
-		return 0, nil, r.wrong(fmt.Errorf("%q where SYNC was expected", name))
+		return 0, nil, r.lineError(fmt.Errorf("%q where SYNC was expected", name))
 	}
 	if now = f.number(); f.err != nil {
-		return 0, nil, r.wrong(f.err)
+		return 0, nil, r.lineError(f.err)
 	}
 	for {
-		f, name, err = r.next()
+		f, name, err = r.nextLine()
 		if errors.Is(err, io.EOF) {
-			return 0, nil, r.wrong(errors.New("input ends inside a batch"))
+			return 0, nil, r.lineError(errors.New("input ends inside a batch"))
 		}
 		if err != nil {
 			return 0, nil, err
@@ -208,20 +212,21 @@
 		case "COMMIT":
 			return now, items, nil
 		case "LIST":
-			if err := r.list(f); err != nil {
+			if err := r.readServerList(f); err != nil {
 				return 0, nil, err
 			}
 		default:
-			it, err := r.item(name, f)
+			item, err := r.parseItem(name, f)
 			if err != nil {
-				return 0, nil, r.wrong(fmt.Errorf("%s: %w", name, err))
+				return 0, nil, r.lineError(fmt.Errorf("%s: %w", name, err))
 			}
-			items = append(items, it)
+			items = append(items, item)
 		}
 	}
 }
 
-func (r *Reader) next() (*fields, string, error) {
+// nextLine reads a line and returns its fields and the message name at its start.
+func (r *Reader) nextLine() (*lineFields, string, error) {
 	if !r.in.Scan() {
 		if err := r.in.Err(); err != nil {
 			return nil, "", fmt.Errorf("line %d: %w", r.line+1, err)
@@ -229,163 +234,167 @@
 		return nil, "", io.EOF
 	}
 	r.line++
-	f := &fields{rest: r.in.Text()}
+	f := &lineFields{rest: r.in.Text()}
 	name, rest, _ := strings.Cut(f.rest, " ")
 	f.rest = rest
 	return f, name, nil
 }
 
-func (r *Reader) wrong(err error) error { return fmt.Errorf("line %d: %w", r.line, err) }
+// lineError adds the number of the current line to an error.
+func (r *Reader) lineError(err error) error { return fmt.Errorf("line %d: %w", r.line, err) }
 
-func (r *Reader) list(f *fields) error {
-	sheet, n := f.integer(), f.integer()
-	if f.err == nil && (sheet < 0 || sheet >= maxSheets || n < 0) {
+// readServerList reads the rows of a LIST message and stores them under its number for later ENDPOINTS messages.
+func (r *Reader) readServerList(f *lineFields) error {
+	listIndex, rowCount := f.integer(), f.integer()
+	if f.err == nil && (listIndex < 0 || listIndex >= maxServerLists || rowCount < 0) {
 		f.fail(errors.New("number out of range"))
 	}
 	if f.err != nil {
-		return r.wrong(fmt.Errorf("LIST: %w", f.err))
+		return r.lineError(fmt.Errorf("LIST: %w", f.err))
 	}
 	var rows []limiter.ServerInfo
-	for range n {
-		f, name, err := r.next()
+	for range rowCount {
+		f, name, err := r.nextLine()
 		if errors.Is(err, io.EOF) || (err == nil && name != "ROW") {
-			return r.wrong(fmt.Errorf("LIST: %d rows where %d were announced", len(rows), n))
+			return r.lineError(fmt.Errorf("LIST: %d rows where %d were announced", len(rows), rowCount))
 		}
 		if err != nil {
 			return err
 		}
-		s := limiter.ServerInfo{Kind: f.integer(), ReadyAt: f.number(), Zone: f.integer()}
-		s.Phase, s.ID = choose(f, phases), f.id()
-		s.Cell, s.Weight = f.integer(), f.number()
+		server := limiter.ServerInfo{Kind: f.integer(), ReadyAt: f.number(), Zone: f.integer()}
+		server.Phase, server.ID = namedValue(f, phaseByName), f.id()
+		server.Cell, server.Weight = f.integer(), f.number()
 		if f.err != nil {
-			return r.wrong(fmt.Errorf("ROW: %w", f.err))
+			return r.lineError(fmt.Errorf("ROW: %w", f.err))
 		}
-		rows = append(rows, s)
+		rows = append(rows, server)
 	}
-	r.sheets[sheet] = rows
+	r.serverLists[listIndex] = rows
 	return nil
 }
 
-func (r *Reader) item(name string, f *fields) (Item, error) {
-	it := Item{Instance: f.integer()}
+// parseItem parses a message that is addressed to an instance.
+func (r *Reader) parseItem(name string, f *lineFields) (Item, error) {
+	item := Item{Instance: f.integer()}
 	switch name {
 	case "BEGIN":
-		it.Kind, it.Seed = Begin, f.seed()
+		item.Kind, item.Seed = Begin, f.seed()
 		if f.err == nil {
-			it.Settings, it.Err = parseSettings(f.rest)
+			item.Settings, item.Err = parseSettings(f.rest)
 		}
 	case "RETIRE":
-		it.Kind = Retire
+		item.Kind = Retire
 	case "ENDPOINTS":
-		scope := choose(f, scopes)
-		f.word() // the revision: events come in order and leave nothing out
+		scope := namedValue(f, scopeByName)
+		f.next() // revision, unused: events arrive in order and without gaps
 		e := limiter.Endpoints{Scope: scope}
-		if sheet := f.integer(); f.err == nil && scope != limiter.Failed {
-			if sheet < 0 || sheet >= maxSheets {
-				return it, errors.New("sheet out of range")
+		if listIndex := f.integer(); f.err == nil && scope != limiter.Failed {
+			if listIndex < 0 || listIndex >= maxServerLists {
+				return item, errors.New("sheet out of range")
 			}
-			e.Servers = r.sheets[sheet]
+			e.Servers = r.serverLists[listIndex]
 		}
-		it.Event = e
+		item.Event = e
 	case "SUBMIT":
-		e := limiter.Submit{ID: f.word(), ExpiresMs: f.number(), Units: f.number(), Class: f.integer(), Retry: f.flag(), Plan: f.integer()}
-		f.flag() // write: the class says what matters here
+		e := limiter.Submit{ID: f.next(), ExpiresMs: f.number(), Units: f.number(), Class: f.integer(), Retry: f.flag(), Plan: f.integer()}
+		f.flag() // write flag, unused: the class carries what the limiter needs
 		e.Spread, e.First, e.Customer = int(f.number()), int(f.number()), f.id()
-		it.Event = e
+		item.Event = e
 	case "FIRST":
-		it.Event = limiter.FirstByte{ID: f.word(), Try: f.integer()}
+		item.Event = limiter.FirstByte{ID: f.next(), Try: f.integer()}
 	case "REPORT_BACK":
-		e := limiter.Outcome{ID: f.word(), Try: f.integer(), Server: f.id(), Result: choose(f, results), SpentMs: f.number(), Done: f.flag()}
-		f.number() // quota_use: the mechanism hears its peers, not a meter
+		e := limiter.Outcome{ID: f.next(), Try: f.integer(), Server: f.id(), Result: namedValue(f, resultByName), SpentMs: f.number(), Done: f.flag()}
+		f.number() // quota_use, unused: the limiter learns of usage from its peers, not from a meter
 		e.Cost, e.Load = f.number(), f.load()
-		it.Event = e
+		item.Event = e
 	case "ABORTED":
-		it.Event = limiter.Aborted{ID: f.word()}
+		item.Event = limiter.Aborted{ID: f.next()}
 	case "ALARM":
-		it.Event = limiter.Alarm{Handle: f.word()}
+		item.Event = limiter.Alarm{Handle: f.next()}
 	case "HEALTH_RESULT":
-		e := limiter.Probed{SpentMs: f.number(), Server: f.id(), Result: choose(f, results)}
+		e := limiter.Probed{SpentMs: f.number(), Server: f.id(), Result: namedValue(f, resultByName)}
 		e.Load = f.load()
-		it.Event = e
+		item.Event = e
 	case "FROM_PEER":
 		e := limiter.PeerMessage{From: f.integer()}
-		if w := f.word(); w != "-" && f.err == nil {
-			data, err := hex.DecodeString(w)
+		if text := f.next(); text != "-" && f.err == nil {
+			data, err := hex.DecodeString(text)
 			if err != nil {
-				return it, fmt.Errorf("bad bytes: %w", err)
+				return item, fmt.Errorf("bad bytes: %w", err)
 			}
 			e.Data = data
 		}
-		it.Event = e
-	case "ADDED": // the library never calls the counter
+		item.Event = e
+	case "ADDED": // unused: the library never calls the counter
 	default:
-		return it, errors.New("unknown message")
+		return item, errors.New("unknown message")
 	}
-	return it, f.err
+	return item, f.err
 }
 
-// seed reads any 64-bit number, signed or not.
-func (f *fields) seed() uint64 {
-	w := f.word()
-	if v, err := strconv.ParseUint(w, 10, 64); err == nil {
+// seed reads any 64-bit number, signed or unsigned.
+func (f *lineFields) seed() uint64 {
+	text := f.next()
+	if v, err := strconv.ParseUint(text, 10, 64); err == nil {
 		return v
 	}
-	v, err := strconv.ParseInt(w, 10, 64)
+	v, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		f.fail(fmt.Errorf("%q is not a seed", w))
+		f.fail(fmt.Errorf("%q is not a seed", text))
 	}
 	return uint64(v)
 }
 
-// Writer writes replies.
+// Writer writes the actions of instances.
 type Writer struct{ out *bufio.Writer }
 
-// NewWriter returns a Writer to w.
+// NewWriter returns a buffered Writer to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{bufio.NewWriterSize(w, 1<<16)} }
 
-// Yield ends a reply and sends it off.
+// Yield ends a reply and flushes it.
 func (w *Writer) Yield() error {
 	w.out.WriteString("YIELD\n")
 	return w.out.Flush()
 }
 
-// Fault tells that an instance has failed.
-func (w *Writer) Fault(who int, text string) { w.line("FAULT", who, oneLine(text)) }
+// Fault reports that an instance has failed.
+func (w *Writer) Fault(instance int, text string) { w.writeLine("FAULT", instance, oneLine(text)) }
 
 // Action writes one action of an instance.
-func (w *Writer) Action(who int, a limiter.Action) {
+func (w *Writer) Action(instance int, a limiter.Action) {
 	switch a := a.(type) {
 	case limiter.PassOn:
-		w.line("PASS_ON", who, a.ID, num(a.CapMs), strconv.FormatUint(a.Server, 10))
+		w.writeLine("PASS_ON", instance, a.ID, formatNumber(a.CapMs), strconv.FormatUint(a.Server, 10))
 	case limiter.Refuse:
-		w.line("OVERLOAD_REPLY", who, a.ID, num(a.WaitMs))
+		w.writeLine("OVERLOAD_REPLY", instance, a.ID, formatNumber(a.WaitMs))
 	case limiter.Fail:
-		w.line("ERROR", who, a.ID)
+		w.writeLine("ERROR", instance, a.ID)
 	case limiter.AbortAttempt:
-		w.line("ABORT_ATTEMPT", who, a.ID, strconv.Itoa(a.Try))
+		w.writeLine("ABORT_ATTEMPT", instance, a.ID, strconv.Itoa(a.Try))
 	case limiter.Timer:
-		w.line("TIMER", who, num(a.At), a.Handle)
+		w.writeLine("TIMER", instance, formatNumber(a.At), a.Handle)
 	case limiter.Probe:
-		w.line("INSPECT", who, strconv.FormatUint(a.Server, 10))
+		w.writeLine("INSPECT", instance, strconv.FormatUint(a.Server, 10))
 	case limiter.Tell:
 		bytes := "-"
 		if len(a.Data) > 0 {
 			bytes = hex.EncodeToString(a.Data)
 		}
-		w.line("SHARE", who, strconv.Itoa(a.To), bytes)
+		w.writeLine("SHARE", instance, strconv.Itoa(a.To), bytes)
 	case limiter.Log:
-		w.line("DEBUG", who, oneLine(a.Line))
+		w.writeLine("DEBUG", instance, oneLine(a.Line))
 	case limiter.Listen:
-		w.line("LISTEN", who, "1")
+		w.writeLine("LISTEN", instance, "1")
 	case limiter.QueryAll:
-		w.line("QUERY_ALL", who)
+		w.writeLine("QUERY_ALL", instance)
 	}
 }
 
-func (w *Writer) line(name string, who int, values ...string) {
+// writeLine writes a message name, an instance and the values, separated by blanks.
+func (w *Writer) writeLine(name string, instance int, values ...string) {
 	w.out.WriteString(name)
 	w.out.WriteByte(' ')
-	w.out.WriteString(strconv.Itoa(who))
+	w.out.WriteString(strconv.Itoa(instance))
 	for _, v := range values {
 		w.out.WriteByte(' ')
 		w.out.WriteString(v)
@@ -393,6 +402,8 @@
 	w.out.WriteByte('\n')
 }
 
-func num(v float64) string { return strconv.FormatFloat(v, 'f', 3, 64) }
+// formatNumber formats a number with three decimals.
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', 3, 64) }
 
+// oneLine replaces line breaks by blanks.
 func oneLine(s string) string { return strings.NewReplacer("\n", " ", "\r", " ").Replace(s) }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"example.org/madderdrum/limiter"
 )
 
-const good = `SYNC 8412.25
+const validBatch = `SYNC 8412.25
 BEGIN 3 5138197539985895 az=1 balancers=2 position=1 membership_mode=push new.key=7 caps.cancel=true family_info.peer_in_per_s=40.0 request_classes.count=1 request_classes.0.idempotency=idempotency_key request_classes.0.group=zone request_classes.0.promise_ms=300.0 request_classes.0.deadline_ms=900.0 packages.count=1 packages.0.per_second=2.5 packages.0.burst=9.0
 LIST 0 2
 ROW 0 - 0 up 51530247 0 1
@@ -27,7 +27,7 @@
 `
 
 func TestReadBatch(t *testing.T) {
-	r := NewReader(strings.NewReader(good))
+	r := NewReader(strings.NewReader(validBatch))
 	now, items, err := r.Batch()
 	if err != nil || now != 8412.25 || len(items) != 9 {
 		t.Fatalf("now %g, %d items, %v", now, len(items), err)
@@ -107,7 +107,7 @@
 }
 
 func FuzzBatch(f *testing.F) {
-	f.Add(good)
+	f.Add(validBatch)
 	f.Fuzz(func(t *testing.T, in string) {
 		r := NewReader(strings.NewReader(in))
 		for {
