--- a/internal/registry/limiters.go
+++ b/internal/registry/limiters.go
@@ -16,95 +16,95 @@
 )
 
 const (
-	// callAcknowledgements asks another registry which places its limiters go by.
+	// callAcknowledgements asks another registry which version of the place table its limiters have acknowledged.
 	callAcknowledgements = "registry.acknowledgements"
-	placesEvery          = 250 * time.Millisecond
-	// placesPause is the least time between two changes of places that a registry asks for: what
-	// happens meanwhile goes together. Where several have the same to ask for the first one is enough.
-	placesPause = 300 * time.Millisecond
-	// gatherPause is the least time between two times that the other registries are asked for
-	// acknowledgements.
-	gatherPause = 500 * time.Millisecond
-	// tablesMost is how many former tables of places are kept to tell differences by.
-	tablesMost = 64
+	placesInterval       = 250 * time.Millisecond
+	// minPlacesRequestInterval is the minimum time between two requests for changes of places, so that changes that
+	// become due meanwhile are batched. If several registries have the same changes due, the first request suffices.
+	minPlacesRequestInterval = 300 * time.Millisecond
+	// minGatherInterval is the minimum time between two requests to the other registries for acknowledgements.
+	minGatherInterval = 500 * time.Millisecond
+	// maxTables is how many former place tables are kept to compute deltas from.
+	maxTables = 64
 )
 
-// limiterPlaces is what a registry knows of limiters' places beside the register. The registry's mutex
-// guards it.
+// limiterPlaces is a registry's own knowledge of the limiters' places, beyond what the register says. The
+// registry's mutex guards it.
 type limiterPlaces struct {
 	*places.Registrar
-	tables  []table       // latest last
-	changed chan struct{} // something is to be done soon
-	askedAt time.Duration // a change of places was asked for
-	// gathered is when the other registries were asked for acknowledgements last.
-	gathered time.Duration
+	tables      []placeTable  // latest last
+	changesDue  chan struct{} // receives when a change may be due
+	requestedAt time.Duration // when this registry last requested a change of places
+	// gatheredAt is when the other registries were last asked for acknowledgements.
+	gatheredAt time.Duration
 }
 
-// table is the places of one register.
-type table struct {
+// placeTable is the place table of one version of the register.
+type placeTable struct {
 	seq    uint64
 	places []places.Place
 }
 
 func newLimiterPlaces() *limiterPlaces {
-	return &limiterPlaces{Registrar: places.NewRegistrar(), changed: make(chan struct{}, 1)}
+	return &limiterPlaces{Registrar: places.NewRegistrar(), changesDue: make(chan struct{}, 1)}
 }
 
-// see takes in a register that was heard of.
-func (l *limiterPlaces) see(now time.Duration, reg *controlstate.Register) {
-	l.See(now, reg.PlaceTable(), reg.Seq)
-	if n := len(l.tables) - tablesMost; n >= 0 {
-		l.tables = slices.Delete(l.tables, 0, n+1)
+// observeRegister records a newly received register.
+func (l *limiterPlaces) observeRegister(now time.Duration, register *controlstate.Register) {
+	l.See(now, register.PlaceTable(), register.Seq)
+	if excess := len(l.tables) - maxTables; excess >= 0 {
+		l.tables = slices.Delete(l.tables, 0, excess+1)
 	}
-	l.tables = append(l.tables, table{reg.Seq, reg.Places})
+	l.tables = append(l.tables, placeTable{register.Seq, register.Places})
 }
 
-// difference is that of a register's places from those of a former one; ok is false where that is not
-// known any more.
-func (l *limiterPlaces) difference(from uint64, to []places.Place) (d places.Delta, ok bool) {
-	i := slices.IndexFunc(l.tables, func(t table) bool { return t.seq == from })
+// deltaFrom returns the delta from the place table of a former register to the current places. ok is false
+// if the former table is no longer kept.
+func (l *limiterPlaces) deltaFrom(fromSeq uint64, current []places.Place) (delta places.Delta, ok bool) {
+	i := slices.IndexFunc(l.tables, func(t placeTable) bool { return t.seq == fromSeq })
 	if i < 0 {
-		return d, false
+		return delta, false
 	}
-	return places.Difference(l.tables[i].places, to), true
+	return places.Difference(l.tables[i].places, current), true
 }
 
-// hear takes in what a limiter tells of itself with a pull.
-func (l *limiterPlaces) hear(now time.Duration, reg *controlstate.Register, p places.Place, m *Pull) {
-	report := places.Report{Place: p, Version: m.Seq, Loans: time.Duration(m.LoansMs) * time.Millisecond, Done: m.Done}
-	if !l.Hear(now, reg.PlaceTable(), report) {
+// handleReport processes what a limiter reports about itself with a pull.
+func (l *limiterPlaces) handleReport(now time.Duration, register *controlstate.Register, place places.Place, request *Pull) {
+	report := places.Report{Place: place, Version: request.Seq, Loans: time.Duration(request.LoansMs) * time.Millisecond, Done: request.Done}
+	if !l.Hear(now, register.PlaceTable(), report) {
 		return
 	}
 	select {
-	case l.changed <- struct{}{}:
+	case l.changesDue <- struct{}{}:
 	default:
 	}
 }
 
-// ordersOf are the orders for changes of places that are due by the register with a Seq.
-func ordersOf(c places.Changes, seen uint64) (all []controlstate.Order) {
-	if len(c.Join) > 0 {
-		all = append(all, controlstate.Order{Kind: controlstate.RegisterLimiters, Places: c.Join, SeenSeq: seen})
+// placeOrders returns the orders for changes of places that are due in the register version seenSeq.
+func placeOrders(changes places.Changes, seenSeq uint64) (orders []controlstate.Order) {
+	if len(changes.Join) > 0 {
+		orders = append(orders, controlstate.Order{Kind: controlstate.RegisterLimiters, Places: changes.Join, SeenSeq: seenSeq})
 	}
-	if len(c.Release) > 0 {
-		all = append(all, controlstate.Order{Kind: controlstate.ReleasePlaces, Holders: c.Release})
+	if len(changes.Release) > 0 {
+		orders = append(orders, controlstate.Order{Kind: controlstate.ReleasePlaces, Holders: changes.Release})
 	}
-	if c.Settle > 0 {
-		all = append(all, controlstate.Order{Kind: controlstate.SettlePlaces, SettledSeq: c.Settle})
+	if changes.Settle > 0 {
+		orders = append(orders, controlstate.Order{Kind: controlstate.SettlePlaces, SettledSeq: changes.Settle})
 	}
-	return all
+	return orders
 }
 
-// count is how many limiters hold places.
-func (l *limiterPlaces) count(reg *controlstate.Register) int {
-	t := reg.PlaceTable()
+// heldCount returns how many limiters hold places.
+func (l *limiterPlaces) heldCount(register *controlstate.Register) int {
+	t := register.PlaceTable()
 	return t.Count()
 }
 
-// report tells of places that are being given or released, and whose holders are waited for.
-func (l *limiterPlaces) report(now time.Duration, reg *controlstate.Register) (lines []string) {
-	t := reg.PlaceTable()
-	for slot, p := range reg.Places {
+// statusLines describes each place. For one that is being given or released it adds the time left until that is
+// settled, and the holders whose acknowledgement is missing.
+func (l *limiterPlaces) statusLines(now time.Duration, register *controlstate.Register) (lines []string) {
+	t := register.PlaceTable()
+	for slot, p := range register.Places {
 		if p.Name == "" {
 			continue
 		}
@@ -118,107 +118,107 @@
 	return lines
 }
 
-// keepPlaces has limiters given places, and places released and settled.
-func (h *Registry) keepPlaces(ctx context.Context) {
-	tick := time.NewTicker(placesEvery)
+// placesLoop periodically requests the changes of places that are due: giving, releasing and settling them.
+func (h *Registry) placesLoop(ctx context.Context) {
+	tick := time.NewTicker(placesInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-tick.C:
-		case <-h.limiters.changed:
+		case <-h.limiters.changesDue:
 		}
-		h.placesDue(ctx)
+		h.requestDuePlaceChanges(ctx)
 	}
 }
 
-// placesDue asks for the changes of places that are due.
-func (h *Registry) placesDue(ctx context.Context) {
+// requestDuePlaceChanges submits orders for the changes of places that are due.
+func (h *Registry) requestDuePlaceChanges(ctx context.Context) {
 	h.mu.Lock()
-	wanted := h.limiters.Wanted(h.clock(), h.reg.PlaceTable())
-	ask := len(wanted) > 0 && h.clock()-h.limiters.gathered >= gatherPause
-	if ask {
-		h.limiters.gathered = h.clock()
+	awaited := h.limiters.Wanted(h.elapsed(), h.register.PlaceTable())
+	gather := len(awaited) > 0 && h.elapsed()-h.limiters.gatheredAt >= minGatherInterval
+	if gather {
+		h.limiters.gatheredAt = h.elapsed()
 	}
 	h.mu.Unlock()
-	if ask {
-		h.gatherAcknowledgements(ctx, wanted)
+	if gather {
+		h.gatherAcknowledgements(ctx, awaited)
 	}
 	h.mu.Lock()
-	running := h.running()
-	changes := h.limiters.Due(h.clock(), h.reg.PlaceTable(), h.apart(), func(holder string) bool { return running[holder] })
-	// One that is cut off from the others would get no answer.
-	due := !changes.Empty() && !h.apart() && h.clock()-h.limiters.askedAt > placesPause
-	seen := h.reg.Seq
+	runningHolders := h.runningHolders()
+	changes := h.limiters.Due(h.elapsed(), h.register.PlaceTable(), h.isolated(), func(holder string) bool { return runningHolders[holder] })
+	// An isolated registry would get no answer.
+	due := !changes.Empty() && !h.isolated() && h.elapsed()-h.limiters.requestedAt > minPlacesRequestInterval
+	seenSeq := h.register.Seq
 	if due {
-		h.limiters.askedAt = h.clock()
+		h.limiters.requestedAt = h.elapsed()
 	}
 	h.mu.Unlock()
 	if !due {
 		return
 	}
-	h.logPlaces(&changes)
-	if _, ok := h.orders(ctx, ordersOf(changes, seen)); !ok {
-		h.log.Warn("change of places got no clear answer")
+	h.logPlaceChanges(&changes)
+	if _, ok := h.submitOrders(ctx, placeOrders(changes, seenSeq)); !ok {
+		h.log.Warn("request for a change of places got no definite answer")
 	}
-	// Other registries have the same to ask for: not all at the same moment.
+	// Other registries may have the same changes due; the random pause keeps them from asking at the same moment.
 	wait.Sleep(ctx, rand.N(50*time.Millisecond))
 }
 
-// logPlaces tells of changes of places that are asked for.
-func (h *Registry) logPlaces(c *places.Changes) {
-	if len(c.Join) > 0 {
+// logPlaceChanges logs the changes of places that are requested.
+func (h *Registry) logPlaceChanges(changes *places.Changes) {
+	if len(changes.Join) > 0 {
 		var names []string
-		for _, p := range c.Join {
+		for _, p := range changes.Join {
 			names = append(names, p.Name)
 		}
 		h.log.WithField("limiters", names).Info("limiters join")
 	}
-	if len(c.Release) > 0 {
-		h.log.WithField("limiters", c.Release).Info("places are released")
+	if len(changes.Release) > 0 {
+		h.log.WithField("limiters", changes.Release).Info("places are released")
 	}
-	if c.Settle > 0 {
-		h.log.WithField("seq", c.Settle).Info("places are settled")
+	if changes.Settle > 0 {
+		h.log.WithField("seq", changes.Settle).Info("places are settled")
 	}
 }
 
-// running are the holders of places that are known to run: that their records are not of silent ones or of
-// lives that are over. The mutex is held.
-func (h *Registry) running() map[string]bool {
-	all := map[string]bool{}
-	h.book.Each(h.now(), func(r catalog.Record) {
+// runningHolders returns the holders of places that are known to run: their catalog record is neither silent nor
+// that of a former process. h.mu must be held.
+func (h *Registry) runningHolders() map[string]bool {
+	holders := map[string]bool{}
+	h.localCatalog.Each(h.nowMs(), func(r catalog.Record) {
 		if r.Service == catalog.Limiters && (r.State == catalog.Available || r.State == catalog.Draining) {
 			name, _, _ := strings.Cut(r.ID, "#")
-			all[places.HolderOf(name, nodesettings.HostOf(r.Address))] = true
+			holders[places.HolderOf(name, nodesettings.HostOf(r.Address))] = true
 		}
 	})
-	return all
+	return holders
 }
 
-// gatherAcknowledgements asks the other registries which tables some holders go by.
+// gatherAcknowledgements asks the other registries which versions of the place table some holders have acknowledged.
 func (h *Registry) gatherAcknowledgements(ctx context.Context, holders []string) {
-	others := h.cores()[1:]
+	others := h.coreIPs()[1:]
 	answers := make(chan []places.Acknowledgement, len(others))
 	for _, ip := range others {
 		go func() {
-			var all []places.Acknowledgement
-			if h.caller.Call(ctx, h.set.Internal(ip, nodesettings.RegistryPort), callAcknowledgements, holders, &all, pushWithin) != nil {
-				all = nil
+			var acknowledgements []places.Acknowledgement
+			if h.caller.Call(ctx, h.settings.Internal(ip, nodesettings.RegistryPort), callAcknowledgements, holders, &acknowledgements, pushTimeout) != nil {
+				acknowledgements = nil
 			}
-			answers <- all
+			answers <- acknowledgements
 		}()
 	}
 	for range others {
-		all := <-answers
+		acknowledgements := <-answers
 		h.mu.Lock()
-		h.limiters.HearAll(h.clock(), all)
+		h.limiters.HearAll(h.elapsed(), acknowledgements)
 		h.mu.Unlock()
 	}
 }
 
-// acknowledgements tells another registry which tables some holders of places go by, as was heard here.
-func (h *Registry) acknowledgements(_ context.Context, holders []string) (any, error) {
+// handleAcknowledgements returns the acknowledgements of some holders that this registry has received.
+func (h *Registry) handleAcknowledgements(_ context.Context, holders []string) (any, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.limiters.Acknowledgements(h.clock(), holders), nil
+	return h.limiters.Acknowledgements(h.elapsed(), holders), nil
 }
