--- a/internal/controlsim/controlsim.go
+++ b/internal/controlsim/controlsim.go
@@ -1,11 +1,11 @@
-// Package controlsim runs stores of configuration together in virtual time: their acceptors, rounds,
-// confirmations, reports and changes of voters, as the hosts in internal/configstore do, with the
-// registries beside them and limiters that pull from these, over links
-// that are cut in one direction or both, with processes that freeze, end and come back, disks that
-// are lost and machines that are replaced. An operator gives orders all the while, and a judge holds
-// what is acknowledged and what is served as current against each other.
+// Package controlsim simulates a group of configuration stores in virtual time: their acceptors, rounds,
+// confirmations, reports and voter changes, as the hosts in internal/configstore run them, together with
+// the registries next to them and the limiters that pull from those registries. It injects one-way and
+// two-way link failures, frozen, stopped and restarted processes, lost disks and replaced machines. An
+// operator submits orders throughout, and a checker verifies that whatever is served as current contains
+// every order that was acknowledged before.
 //
-// A world is driven by one goroutine and is the same for the same seed.
+// One goroutine drives a World, and the same seed always gives the same run.
 package controlsim
 
 import (
@@ -21,15 +21,15 @@
 	"example.org/madderdrum/control/replica"
 )
 
-// Spans that the hosts keep too.
+// Timing of the simulated stores, as in the hosts of internal/configstore.
 const (
-	confirmEvery = 400 * time.Millisecond
-	callWithin   = 400 * time.Millisecond
-	pendingPause = 125 * time.Millisecond
-	orderWithin  = 900 * time.Millisecond
-	retryPause   = 35 * time.Millisecond
-	syncTime     = 500 * time.Microsecond
-	leaveWithin  = 3 * time.Second
+	confirmInterval     = 400 * time.Millisecond
+	callTimeout         = 400 * time.Millisecond
+	pendingConfirmDelay = 125 * time.Millisecond
+	orderTimeout        = 900 * time.Millisecond
+	meanRetryDelay      = 35 * time.Millisecond
+	diskSyncTime        = 500 * time.Microsecond
+	leaveTimeout        = 3 * time.Second
 )
 
 type event struct {
@@ -56,90 +56,92 @@
 	return x
 }
 
-// World is stores with an operator.
+// World is one simulation: the stores, their limiters, the links between them and an operator.
 type World struct {
-	Now      time.Duration
-	rng      *rand.Rand
-	queue    events
-	serial   int
-	stores   []*Store
-	limiters []*Limiter
-	first    []string
-	cut      map[[2]int]bool
-	disks    uint64
-	wanted   int
-
-	Acked  map[string]time.Duration // orders that were acknowledged
-	Sent   map[string]time.Duration // orders that wait for an acknowledgement, since when
-	Slow   time.Duration            // the longest wait for an acknowledgement
-	Broken error                    // the first rule that was broken
-	orders int
-
-	// ProvesAlone, UnseatsCutOff, NoFence and StaysWithStale build a fault in on purpose, to see that it
-	// is found.
-	ProvesAlone, UnseatsCutOff, NoFence, StaysWithStale bool
+	Now          time.Duration
+	rng          *rand.Rand
+	queue        events
+	serial       int
+	stores       []*Store
+	limiters     []*Limiter
+	initialIPs   []string
+	cut          map[[2]int]bool
+	lastDiskID   uint64
+	targetVoters int
+
+	Acked        map[string]time.Duration // when each order was acknowledged, by zone
+	PendingSince map[string]time.Duration // when each unacknowledged order was first sent, by zone
+	MaxAckDelay  time.Duration            // the longest time from sending an order to its acknowledgement
+	Violation    error                    // the first violated invariant, or nil
+	orderCount   int
+
+	// Each of these switches introduces a fault, so that tests can verify that the checks detect it: a store
+	// proves alone that it is current, a voter is replaced as soon as it is unreachable, voter changes carry
+	// no term, and limiters stay with a registry that is not current.
+	FaultSelfProof, FaultReplaceUnreachable, FaultNoTermCheck, FaultKeepStaleRegistry bool
 }
 
-// Store is one machine with its disk.
+// Store is one machine with its disk, its store process and its registry.
 type Store struct {
-	world  *World
-	index  int
-	ip     string
-	zone   string
-	life   int
-	up     bool
-	thawAt time.Duration
-	disk   paxos.Record
-	isNew  bool // the disk has an identity of its own: who began is not on it
-
-	began    time.Duration
-	acceptor paxos.Acceptor
-	replica  *replica.Replica
-	members  *coremembers.Planner
-	leaving  bool
-	registry *registry
-	proposal *proposal
-	waiting  []*order
-	changing bool
+	world       *World
+	index       int
+	ip          string
+	zone        string
+	incarnation int
+	running     bool
+	frozenUntil time.Duration
+	disk        paxos.Record
+	joining     bool // the machine has a new disk and does not know the initial voters
+
+	startedAt      time.Duration
+	acceptor       paxos.Acceptor
+	replica        *replica.Replica
+	members        *coremembers.Planner
+	leaving        bool
+	registry       *registry
+	proposal       *proposal
+	pendingOrders  []*order
+	changingVoters bool
 }
 
 type order struct {
-	orders []controlstate.Order
-	until  time.Duration
-	done   func([]controlstate.Outcome)
+	orders   []controlstate.Order
+	deadline time.Duration
+	done     func([]controlstate.Outcome)
 }
 
 type proposal struct {
 	attempt *replica.Attempt
 	orders  []*order
-	serial  int
+	phaseID int
 }
 
-// New returns a world of stores that begin together, spread over zones by turns.
+// New returns a World whose stores all start at once, assigned to the zones round-robin. The stores
+// are meant to tolerate the given number of failures.
 func New(seed uint64, stores, tolerate int, zones ...string) *World {
-	w := &World{rng: rand.New(rand.NewPCG(seed, 41)), cut: map[[2]int]bool{}, wanted: 2*tolerate + 1,
-		Acked: map[string]time.Duration{}, Sent: map[string]time.Duration{}}
+	w := &World{rng: rand.New(rand.NewPCG(seed, 41)), cut: map[[2]int]bool{}, targetVoters: 2*tolerate + 1,
+		Acked: map[string]time.Duration{}, PendingSince: map[string]time.Duration{}}
 	for i := range stores {
-		w.first = append(w.first, fmt.Sprintf("10.0.0.%d", i+1))
+		w.initialIPs = append(w.initialIPs, fmt.Sprintf("10.0.0.%d", i+1))
 	}
 	for i := range stores {
-		s := &Store{world: w, index: i, ip: w.first[i], zone: zones[i%len(zones)]}
+		s := &Store{world: w, index: i, ip: w.initialIPs[i], zone: zones[i%len(zones)]}
 		w.stores = append(w.stores, s)
 		s.Start()
 	}
 	return w
 }
 
-// After has something done after a span.
+// After schedules do to run once span has passed in virtual time.
 func (w *World) After(span time.Duration, do func()) {
 	w.serial++
 	heap.Push(&w.queue, event{w.Now + span, w.serial, do})
 }
 
-// Run plays a span, or until a rule is broken.
+// Run advances virtual time by span; it processes no further events once an invariant is violated.
 func (w *World) Run(span time.Duration) {
 	until := w.Now + span
-	for len(w.queue) > 0 && w.queue[0].at <= until && w.Broken == nil {
+	for len(w.queue) > 0 && w.queue[0].at <= until && w.Violation == nil {
 		e := heap.Pop(&w.queue).(event)
 		w.Now = e.at
 		e.do()
@@ -148,108 +150,110 @@
 }
 
 func (w *World) fail(format string, args ...any) {
-	if w.Broken == nil {
-		w.Broken = fmt.Errorf("at %v: %w", w.Now, fmt.Errorf(format, args...))
+	if w.Violation == nil {
+		w.Violation = fmt.Errorf("at %v: %w", w.Now, fmt.Errorf(format, args...))
 	}
 }
 
-// Cut cuts the link from one store to another, or joins it.
+// Cut breaks the link from one store to another if cut is true, and restores it otherwise.
 func (w *World) Cut(from, to int, cut bool) { w.cut[[2]int{from, to}] = cut }
 
-// Isolate cuts a store off from all others, or joins it. heard and hears say in which direction.
-func (w *World) Isolate(i int, heard, hears, cut bool) {
+// Isolate breaks the links between store i and all others, or restores them if cut is false. outgoing
+// and incoming select the directions.
+func (w *World) Isolate(i int, outgoing, incoming, cut bool) {
 	for k := range w.stores {
 		if k == i {
 			continue
 		}
-		if heard {
+		if outgoing {
 			w.Cut(i, k, cut)
 		}
-		if hears {
+		if incoming {
 			w.Cut(k, i, cut)
 		}
 	}
 }
 
-// Store is the i-th store.
+// Store returns the store with index i.
 func (w *World) Store(i int) *Store { return w.stores[i] }
 
-// Stores is how many there are and were.
-func (w *World) Stores() int { return len(w.stores) }
+// StoreCount returns the number of stores ever created, stopped ones included.
+func (w *World) StoreCount() int { return len(w.stores) }
 
-// Add has a machine with an empty disk join in a zone. It returns its index.
+// Add starts a store on a new machine with an empty disk in a zone, and returns the index of the store.
 func (w *World) Add(zone string) int {
-	w.disks++
-	s := &Store{world: w, index: len(w.stores), ip: fmt.Sprintf("10.0.1.%d", len(w.stores)), zone: zone, isNew: true, disk: paxos.Record{Disk: w.disks}}
+	w.lastDiskID++
+	s := &Store{world: w, index: len(w.stores), ip: fmt.Sprintf("10.0.1.%d", len(w.stores)), zone: zone, joining: true,
+		disk: paxos.Record{Disk: w.lastDiskID}}
 	w.stores = append(w.stores, s)
 	s.Start()
 	return s.index
 }
 
-// Start starts a store's process with what is on its disk.
+// Start starts the store's process from the contents of its disk.
 func (s *Store) Start() {
 	w := s.world
-	s.life++
-	s.up, s.leaving, s.thawAt, s.began = true, false, 0, w.Now
+	s.incarnation++
+	s.running, s.leaving, s.frozenUntil, s.startedAt = true, false, 0, w.Now
 	s.acceptor.Record = s.disk
-	first := w.first
-	if s.isNew {
-		first = nil
+	initialIPs := w.initialIPs
+	if s.joining {
+		initialIPs = nil
 	}
-	s.replica = replica.New(uint64(s.index+1), uint64(s.life), first)
+	s.replica = replica.New(uint64(s.index+1), uint64(s.incarnation), initialIPs)
 	s.replica.ObserveBallotNumber(s.disk.Promised.Number)
-	s.members = coremembers.New(coremembers.Report{Voter: s.ID(), Zone: s.zone}, w.wanted, 0)
-	s.proposal, s.waiting, s.changing = nil, nil, false
-	s.later(time.Duration(w.rng.IntN(50))*time.Millisecond, s.confirm)
+	s.members = coremembers.New(coremembers.Report{Voter: s.ID(), Zone: s.zone}, w.targetVoters, 0)
+	s.proposal, s.pendingOrders, s.changingVoters = nil, nil, false
+	s.schedule(time.Duration(w.rng.IntN(50))*time.Millisecond, s.confirm)
 	if len(w.limiters) > 0 {
 		s.startRegistry()
 	}
 }
 
-// Stop ends the process without a word.
-func (s *Store) Stop() { s.up = false }
+// Stop kills the process without notice to the other stores.
+func (s *Store) Stop() { s.running = false }
 
-// Wipe has the machine come back without its disk.
+// Wipe replaces the disk of the machine by an empty one with a new identity; it takes effect at Start.
 func (s *Store) Wipe() {
-	s.world.disks++
-	s.disk, s.isNew = paxos.Record{Disk: s.world.disks}, true
+	s.world.lastDiskID++
+	s.disk, s.joining = paxos.Record{Disk: s.world.lastDiskID}, true
 }
 
-// Leave ends the process in good order: a learner takes its seat first, where there is one.
+// Leave shuts the process down gracefully: a learner, if there is one, replaces it as a voter first.
 func (s *Store) Leave() {
 	s.members.Leave()
 	s.leaving = true
-	s.report()
-	s.awaitSeat(s.world.Now + leaveWithin)
+	s.confirmNow()
+	s.awaitReplacement(s.world.Now + leaveTimeout)
 }
 
-func (s *Store) awaitSeat(late time.Duration) {
-	if !s.members.ShouldWaitToLeave(s.clock(), s.state()) || s.world.Now > late {
+func (s *Store) awaitReplacement(deadline time.Duration) {
+	if !s.members.ShouldWaitToLeave(s.clock(), s.state()) || s.world.Now > deadline {
 		s.Stop()
 		return
 	}
-	s.later(10*time.Millisecond, func() { s.awaitSeat(late) })
+	s.schedule(10*time.Millisecond, func() { s.awaitReplacement(deadline) })
 }
 
-// Freeze has the process stand still for a span.
-func (s *Store) Freeze(span time.Duration) { s.thawAt = s.world.Now + span }
+// Freeze pauses the process for span; its pending events run afterwards.
+func (s *Store) Freeze(span time.Duration) { s.frozenUntil = s.world.Now + span }
 
-// ID is the store's identity as a voter.
+// ID returns the store's voter ID, which combines its address and its disk.
 func (s *Store) ID() string { return controlstate.VoterID(s.ip, s.disk.Disk) }
 
-// Up tells that its process runs.
-func (s *Store) Up() bool { return s.up }
+// Running reports whether the store's process is running, even if it is frozen.
+func (s *Store) Running() bool { return s.running }
 
-// Register is what it knows to be chosen.
+// Register returns the newest register that the store knows to be chosen.
 func (s *Store) Register() *controlstate.Register { return s.replica.Register() }
 
-// Voters are the voters as it knows them; settled tells that no change of them is under way.
+// Voters returns the voters as the store knows them; settled is true if no voter change is in progress.
 func (s *Store) Voters() (voters []string, settled bool) {
 	st := s.state()
 	return st.Voters, !st.Prior
 }
 
-func (s *Store) clock() time.Duration { return s.world.Now - s.began }
+func (s *Store) clock() time.Duration { return s.world.Now - s.startedAt }
 
 func (s *Store) state() coremembers.State {
 	register := s.replica.Register()
@@ -257,38 +261,40 @@
 	return coremembers.State{Voters: sets[len(sets)-1], Prior: len(sets) > 1, Term: register.Term(), Seq: register.Seq}
 }
 
-// later has the process do something after a span, unless it ended; while frozen it waits.
-func (s *Store) later(span time.Duration, do func()) {
-	life := s.life
+// schedule runs action in the process after delay. It drops the action if the process has ended by then,
+// and postpones it while the process is frozen.
+func (s *Store) schedule(delay time.Duration, action func()) {
+	incarnation := s.incarnation
 	var run func()
 	run = func() {
 		switch {
-		case !s.up || s.life != life:
-		case s.world.Now < s.thawAt:
-			s.world.After(s.thawAt-s.world.Now+time.Duration(s.world.rng.IntN(1000))*time.Microsecond, run)
+		case !s.running || s.incarnation != incarnation:
+		case s.world.Now < s.frozenUntil:
+			s.world.After(s.frozenUntil-s.world.Now+time.Duration(s.world.rng.IntN(1000))*time.Microsecond, run)
 		default:
-			do()
+			action()
 		}
 	}
-	s.world.After(span, run)
+	s.world.After(delay, run)
 }
 
-// call carries a call to another machine and its answer back. What a cut holds up is lost.
-func (s *Store) call(to int, ask func(other *Store) func()) {
+// call delivers a call to another machine, which runs handle, and runs the function that handle returns
+// when the reply arrives. A message over a broken link is lost.
+func (s *Store) call(to int, handle func(other *Store) func()) {
 	w, other := s.world, s.world.stores[to]
-	life := s.life
+	incarnation := s.incarnation
 	if w.cut[[2]int{s.index, to}] && to != s.index {
 		return
 	}
-	other.later(w.delay(s, other), func() {
-		answer := ask(other)
+	other.schedule(w.delay(s, other), func() {
+		deliver := handle(other)
 		if w.cut[[2]int{to, s.index}] && to != s.index {
 			return
 		}
-		other.later(syncTime, func() { // the record is on the disk
+		other.schedule(diskSyncTime, func() { // the reply is sent once the record is on disk
 			w.After(w.delay(s, other), func() {
-				if s.life == life {
-					s.later(0, answer)
+				if s.incarnation == incarnation {
+					s.schedule(0, deliver)
 				}
 			})
 		})
@@ -302,13 +308,13 @@
 	return time.Duration(200+w.rng.IntN(1500)) * time.Microsecond
 }
 
-func (w *World) find(ip string) int {
+func (w *World) storeByIP(ip string) int {
 	return slices.IndexFunc(w.stores, func(s *Store) bool { return s.ip == ip })
 }
 
-func (w *World) machines(voters []string) (all []int) {
+func (w *World) storeIndexes(voters []string) (all []int) {
 	for _, v := range voters {
-		if k := w.find(controlstate.VoterIP(v)); k >= 0 && !slices.Contains(all, k) {
+		if k := w.storeByIP(controlstate.VoterIP(v)); k >= 0 && !slices.Contains(all, k) {
 			all = append(all, k)
 		}
 	}
--- a/internal/controlsim/limiters.go
+++ b/internal/controlsim/limiters.go
@@ -9,16 +9,16 @@
 	"example.org/madderdrum/control/replica"
 )
 
-// Spans that the hosts of registries and limiters keep too.
+// Timing of the simulated registries and limiters, as in their hosts.
 const (
-	followEvery   = 900 * time.Millisecond
-	contactWithin = 1600 * time.Millisecond
-	watchEvery    = 20 * time.Millisecond
-	pullEvery     = 200 * time.Millisecond // held pulls of a second, with news at once, come to less
-	pullWithin    = 1450 * time.Millisecond
+	followInterval = 900 * time.Millisecond
+	contactTimeout = 1600 * time.Millisecond
+	watchInterval  = 20 * time.Millisecond
+	pullInterval   = 200 * time.Millisecond // hosts hold a pull for 1 s but answer changes at once, which is faster
+	pullTimeout    = 1450 * time.Millisecond
 )
 
-// registry is the process beside a store that limiters pull from.
+// registry is the registry process on the machine of a store; limiters pull from it.
 type registry struct {
 	register *controlstate.Register
 	proof    freshness.Proof
@@ -26,32 +26,32 @@
 	voters   [][]string
 }
 
-// startRegistry starts the registry beside a store, knowing nothing.
+// startRegistry starts the registry on the store's machine with an empty register.
 func (s *Store) startRegistry() {
 	s.registry = &registry{register: &controlstate.Register{}, contacts: freshness.NewContacts(s.ip)}
-	s.later(0, s.followOthers)
-	s.later(0, s.watch)
+	s.schedule(0, s.followOthers)
+	s.schedule(0, s.watch)
 }
 
-// followOthers asks the other registries for news, and notes who answers.
+// followOthers polls the other registries and records which of them answer in time.
 func (s *Store) followOthers() {
 	for k := range s.world.stores {
 		if k == s.index {
 			continue
 		}
-		asked := s.world.Now
+		sentAt := s.world.Now
 		s.call(k, func(other *Store) func() {
 			return func() {
-				if s.world.Now-asked < contactWithin {
+				if s.world.Now-sentAt < contactTimeout {
 					s.registry.contacts.Heard(other.ip, s.clock())
 				}
 			}
 		})
 	}
-	s.later(followEvery, s.followOthers)
+	s.schedule(followInterval, s.followOthers)
 }
 
-// watch follows the store on this machine.
+// watch copies the register, the proof of its currency and the voters from the store on this machine.
 func (s *Store) watch() {
 	r := s.registry
 	if s.replica.Register().Seq > r.register.Seq {
@@ -64,83 +64,84 @@
 			r.voters = append(r.voters, replica.VoterIPs(set))
 		}
 	}
-	s.later(watchEvery, s.watch)
+	s.schedule(watchInterval, s.watch)
 }
 
-// source is what a registry tells of itself with an answer.
-func (s *Store) source() freshness.RegistryStatus {
+// status returns the status that the registry attaches to its answers.
+func (s *Store) status() freshness.RegistryStatus {
 	age, ok := s.registry.proof.Age(s.clock())
-	return freshness.RegistryStatus{Isolated: !s.registry.contacts.HasMajority(s.registry.voters, s.clock(), contactWithin), Proven: ok, Age: age}
+	return freshness.RegistryStatus{Isolated: !s.registry.contacts.HasMajority(s.registry.voters, s.clock(), contactTimeout), Proven: ok, Age: age}
 }
 
-// Limiter pulls the register from one registry, and from another when that one is not to be gone by.
+// Limiter pulls the register from one registry, and switches to another when that one is not usable.
 // The links between limiters and core machines are never cut.
 type Limiter struct {
-	world    *World
-	at       int
-	register *controlstate.Register
-	proof    freshness.Proof
+	world      *World
+	storeIndex int
+	register   *controlstate.Register
+	proof      freshness.Proof
 }
 
-// AddLimiter has a limiter begin.
+// AddLimiter starts a limiter that pulls from a random registry.
 func (w *World) AddLimiter() *Limiter {
-	if len(w.limiters) == 0 { // registries cost time, and nobody else asks them
+	if len(w.limiters) == 0 { // without limiters the registries would only slow the simulation down
 		for _, s := range w.stores {
 			s.startRegistry()
 		}
 	}
-	l := &Limiter{world: w, at: w.rng.IntN(len(w.stores)), register: &controlstate.Register{}}
+	l := &Limiter{world: w, storeIndex: w.rng.IntN(len(w.stores)), register: &controlstate.Register{}}
 	w.limiters = append(w.limiters, l)
 	w.After(0, l.pull)
 	return l
 }
 
-// ProofAge is how old the limiter's proof is that its register is current.
+// ProofAge returns the age of the limiter's proof that its register is current; ok is false if it has none.
 func (l *Limiter) ProofAge() (age time.Duration, ok bool) { return l.proof.Age(l.world.Now) }
 
-// pull asks once, and goes on with the next registry where the answer says so or does not come.
+// pull sends one pull and schedules the next one, to the next registry if this one does not answer in time
+// or reports that it is not usable.
 func (l *Limiter) pull() {
 	w := l.world
-	s := w.stores[l.at]
-	asked, answered := w.Now, false
-	again := func(stays bool) {
+	s := w.stores[l.storeIndex]
+	sentAt, answered := w.Now, false
+	finish := func(usable bool) {
 		if answered {
 			return
 		}
 		answered = true
-		if !stays && !w.StaysWithStale {
-			l.at = (l.at + 1) % len(w.stores)
+		if !usable && !w.FaultKeepStaleRegistry {
+			l.storeIndex = (l.storeIndex + 1) % len(w.stores)
 		}
-		w.After(pullEvery, l.pull)
+		w.After(pullInterval, l.pull)
 	}
-	if s.up {
-		s.later(time.Millisecond, func() {
-			source, register := s.source(), s.registry.register
+	if s.running {
+		s.schedule(time.Millisecond, func() {
+			status, register := s.status(), s.registry.register
 			w.After(time.Millisecond, func() {
 				if !answered {
-					l.take(asked, source, register)
-					again(source.Usable())
+					l.handleAnswer(sentAt, status, register)
+					finish(status.Usable())
 				}
 			})
 		})
 	}
-	w.After(pullWithin, func() { again(false) })
+	w.After(pullTimeout, func() { finish(false) })
 }
 
-// take takes an answer in, and is judged: what is proven to be current holds all that was
-// acknowledged when the proof was made.
-func (l *Limiter) take(asked time.Duration, source freshness.RegistryStatus, register *controlstate.Register) {
+// handleAnswer applies an answer and checks the invariant: a register that is proven current contains every
+// order that was acknowledged before the proof was made.
+func (l *Limiter) handleAnswer(sentAt time.Duration, status freshness.RegistryStatus, register *controlstate.Register) {
 	if register.Seq > l.register.Seq {
 		l.register = register
 	}
-	if !source.Proven {
+	if !status.Proven {
 		return
 	}
-	l.proof.Advance(asked, 0, source.Age)
+	l.proof.Advance(sentAt, 0, status.Age)
 	age, _ := l.proof.Age(l.world.Now)
 	for zone, at := range l.world.Acked {
 		if at < l.world.Now-age && !slices.Contains(l.register.EvacuatedZones, zone) {
-			l.world.fail("a limiter has proof of %v ago, and lacks %s, acknowledged at %v", age, zone, at)
+			l.world.fail("a limiter has a proof of age %v but lacks order %s, acknowledged at %v", age, zone, at)
 		}
 	}
 }
--- a/internal/controlsim/loops.go
+++ b/internal/controlsim/loops.go
@@ -10,16 +10,16 @@
 	"example.org/madderdrum/control/replica"
 )
 
-// report has the store hold a confirmation at once, besides those that it holds at intervals.
-func (s *Store) report() { s.readAll(s.replica.Confirm(s.clock()), func() {}) }
+// confirmNow runs an extra confirmation at once, to send the store's report to the others.
+func (s *Store) confirmNow() { s.readAll(s.replica.Confirm(s.clock()), func() {}) }
 
-// confirm holds one confirmation, and the next one after a pause.
+// confirm runs one confirmation and schedules the next.
 func (s *Store) confirm() {
 	confirmation := s.replica.Confirm(s.clock())
-	if s.world.ProvesAlone {
-		s.answerForAll(confirmation)
+	if s.world.FaultSelfProof {
+		s.replyForAllVoters(confirmation)
 	}
-	begun := s.world.Now
+	startedAt := s.world.Now
 	ended := false
 	end := func() {
 		if ended {
@@ -28,44 +28,44 @@
 		ended = true
 		learnt, resolve, pending := confirmation.End()
 		if resolve {
-			s.submit(nil, orderWithin, func([]controlstate.Outcome) {})
+			s.submit(nil, orderTimeout, func([]controlstate.Outcome) {})
 		}
-		s.reseat()
-		pause := confirmEvery - (s.world.Now - begun)
+		s.proposeVoterChange()
+		pause := confirmInterval - (s.world.Now - startedAt)
 		switch {
 		case learnt:
 			pause = 0
 		case pending:
-			pause = pendingPause
+			pause = pendingConfirmDelay
 		}
-		s.later(max(0, pause)+time.Duration(s.world.rng.IntN(40))*time.Millisecond, s.confirm)
+		s.schedule(max(0, pause)+time.Duration(s.world.rng.IntN(40))*time.Millisecond, s.confirm)
 	}
 	s.readAll(confirmation, end)
-	s.later(callWithin+50*time.Millisecond, end)
+	s.schedule(callTimeout+50*time.Millisecond, end)
 }
 
-// answerForAll has the store take its own answer for that of every voter.
-func (s *Store) answerForAll(confirmation *replica.Confirmation) {
+// replyForAllVoters implements FaultSelfProof: it counts the store's own reply as that of every voter.
+func (s *Store) replyForAllVoters(confirmation *replica.Confirmation) {
 	for _, voter := range replica.Union(s.replica.VoterSets()...) {
-		confirmation.HandleReply(voter, s.acceptor.Read(confirmation.Known())) // nothing newer is in it
+		confirmation.HandleReply(voter, s.acceptor.Read(confirmation.Known())) // cannot fail: the reply contains nothing newer
 	}
 	if confirmation.Proven() {
-		s.judge(s.world.Now)
+		s.checkCurrent(s.world.Now)
 	}
 }
 
 func (s *Store) readAll(confirmation *replica.Confirmation, proven func()) {
 	w := s.world
 	voters := replica.Union(s.replica.VoterSets()...)
-	all := w.machines(append(slices.Clone(voters), s.members.Learners(s.clock(), voters)...))
-	if !slices.Contains(voters, s.ID()) { // the settings name machines that serve
+	all := w.storeIndexes(append(slices.Clone(voters), s.members.Learners(s.clock(), voters)...))
+	if !slices.Contains(voters, s.ID()) { // a store that is no voter reads from all machines in its settings
 		for k, o := range w.stores {
-			if o.up && k != s.index && !slices.Contains(all, k) {
+			if o.running && k != s.index && !slices.Contains(all, k) {
 				all = append(all, k)
 			}
 		}
 	}
-	begun, known, mine := w.Now, confirmation.Known(), s.ownReport()
+	startedAt, known, mine := w.Now, confirmation.Known(), s.ownReport()
 	for _, k := range all {
 		s.call(k, func(other *Store) func() {
 			other.members.Heard(other.clock(), mine)
@@ -74,15 +74,15 @@
 			return func() {
 				s.members.Heard(s.clock(), theirs)
 				s.replica.LearnInitialVoters(first)
-				if w.Now-begun > callWithin {
-					return // the call has timed out
+				if w.Now-startedAt > callTimeout {
+					return // too late: the call has timed out
 				}
 				if _, err := confirmation.HandleReply(from, reply); err != nil {
 					w.fail("%s: %w", s.ID(), err)
 				}
-				s.keep()
+				s.persistChosen()
 				if confirmation.Proven() {
-					s.judge(begun)
+					s.checkCurrent(startedAt)
 					proven()
 				}
 			}
@@ -95,14 +95,15 @@
 	if s.acceptor.Record.Accepted.Compare(s.replica.Chosen()) < 0 {
 		r.Seq = 0
 	}
-	if s.world.UnseatsCutOff {
-		r.Successions = s.unseatsAnyDark()
+	if s.world.FaultReplaceUnreachable {
+		r.Successions = s.successionsForUnreachable()
 	}
 	return r
 }
 
-// unseatsAnyDark finds every voter gone that was not heard for a moment, whenever its successor came.
-func (s *Store) unseatsAnyDark() (all []coremembers.Succession) {
+// successionsForUnreachable implements FaultReplaceUnreachable: it proposes a successor for every voter that
+// is briefly unreachable, no matter when the successor joined.
+func (s *Store) successionsForUnreachable() (all []coremembers.Succession) {
 	st := s.state()
 	learners := s.members.Learners(s.clock(), st.Voters)
 	for _, voter := range st.Voters {
@@ -113,146 +114,148 @@
 	return all
 }
 
-// judge has what is proven to be current hold all that was acknowledged before the proof began.
-func (s *Store) judge(begun time.Duration) {
+// checkCurrent verifies that the register, just proven current, contains every order that was acknowledged
+// before the confirmation started.
+func (s *Store) checkCurrent(confirmationStart time.Duration) {
 	for zone, at := range s.world.Acked {
-		if at < begun && !slices.Contains(s.replica.Register().EvacuatedZones, zone) {
-			s.world.fail("%s has proof that its register is current, and lacks %s, acknowledged at %v", s.ID(), zone, at)
+		if at < confirmationStart && !slices.Contains(s.replica.Register().EvacuatedZones, zone) {
+			s.world.fail("%s proved its register current but lacks order %s, acknowledged at %v", s.ID(), zone, at)
 		}
 	}
 }
 
-// keep has the chosen value on the disk.
-func (s *Store) keep() {
+// persistChosen writes the chosen value to the disk.
+func (s *Store) persistChosen() {
 	if value := s.replica.Value(); value != nil && s.acceptor.Learn(s.replica.Chosen(), value) {
 		s.disk = s.acceptor.Record
 	}
 }
 
-// reseat proposes a change of voters where one is due.
-func (s *Store) reseat() {
+// proposeVoterChange proposes a voter change if one is due and none is in progress.
+func (s *Store) proposeVoterChange() {
 	change, due := s.members.Plan(s.clock(), s.state())
-	if s.world.UnseatsCutOff && !due {
-		if all := s.unseatsAnyDark(); len(all) > 0 && slices.Contains(s.state().Voters, s.ID()) {
+	if s.world.FaultReplaceUnreachable && !due {
+		if all := s.successionsForUnreachable(); len(all) > 0 && slices.Contains(s.state().Voters, s.ID()) {
 			change, due = coremembers.Change{NewVoters: []string{all[0].Successor}, RemoveVoters: []string{all[0].Voter}, Term: s.state().Term}, true
 		}
 	}
-	if !due || s.changing {
+	if !due || s.changingVoters {
 		return
 	}
-	s.changing = true
+	s.changingVoters = true
 	complete := func([]controlstate.Outcome) {
-		s.submit(nil, orderWithin, func([]controlstate.Outcome) { s.changing = false })
+		s.submit(nil, orderTimeout, func([]controlstate.Outcome) { s.changingVoters = false })
 	}
 	if change.CompletePending {
 		complete(nil)
 		return
 	}
 	o := controlstate.Order{Kind: controlstate.ChangeVoters, AddVoters: change.NewVoters, RemoveVoters: change.RemoveVoters, Term: change.Term, InitialVoters: s.replica.InitialVoters()}
-	if s.world.NoFence {
+	if s.world.FaultNoTermCheck {
 		o.Term = 0
 	}
-	s.submit([]controlstate.Order{o}, orderWithin, complete)
+	s.submit([]controlstate.Order{o}, orderTimeout, complete)
 }
 
-// submit has orders proposed.
+// submit queues orders for the next round; done receives their outcomes, or nil if none succeeds in time.
 func (s *Store) submit(orders []controlstate.Order, within time.Duration, done func([]controlstate.Outcome)) {
-	s.waiting = append(s.waiting, &order{orders, s.world.Now + within, done})
+	s.pendingOrders = append(s.pendingOrders, &order{orders, s.world.Now + within, done})
 	if s.proposal == nil {
-		s.round()
+		s.startRound()
 	}
 }
 
-// round begins a round for the orders that wait.
-func (s *Store) round() {
-	var left []*order
-	for _, o := range s.waiting {
-		if s.world.Now < o.until {
-			left = append(left, o)
+// startRound starts a round for the queued orders that have not timed out.
+func (s *Store) startRound() {
+	var remaining []*order
+	for _, o := range s.pendingOrders {
+		if s.world.Now < o.deadline {
+			remaining = append(remaining, o)
 		} else {
 			o.done(nil)
 		}
 	}
-	s.waiting = nil
-	if len(left) == 0 {
+	s.pendingOrders = nil
+	if len(remaining) == 0 {
 		s.proposal = nil
 		return
 	}
 	var batches [][]controlstate.Order
-	for _, o := range left {
+	for _, o := range remaining {
 		batches = append(batches, o.orders)
 	}
-	p := &proposal{attempt: s.replica.Begin(batches), orders: left}
+	p := &proposal{attempt: s.replica.Begin(batches), orders: remaining}
 	s.proposal = p
-	s.send(p, p.attempt.Voters, func(other *Store) (paxos.Reply, bool) { return other.acceptor.Prepare(p.attempt.Prepare) }, p.attempt.HandlePromise)
+	s.sendPhase(p, p.attempt.Voters, func(other *Store) (paxos.Reply, bool) { return other.acceptor.Prepare(p.attempt.Prepare) }, p.attempt.HandlePromise)
 }
 
-// send sends one half of a round; if it does not succeed in time, the round begins again.
-func (s *Store) send(p *proposal, voters []string, ask func(*Store) (paxos.Reply, bool), take func(string, paxos.Reply) (replica.Step, error)) {
-	p.serial++
-	serial := p.serial
-	for _, k := range s.world.machines(voters) {
+// sendPhase sends the prepare or accept phase of a round to the voters, and retries the round if the phase
+// does not complete in time.
+func (s *Store) sendPhase(p *proposal, voters []string, handle func(*Store) (paxos.Reply, bool), handleReply func(string, paxos.Reply) (replica.Step, error)) {
+	p.phaseID++
+	phaseID := p.phaseID
+	for _, k := range s.world.storeIndexes(voters) {
 		s.call(k, func(other *Store) func() {
-			reply, _ := ask(other)
+			reply, _ := handle(other)
 			other.disk = other.acceptor.Record
 			from := other.ID()
 			return func() {
-				if s.proposal != p || p.serial != serial {
+				if s.proposal != p || p.phaseID != phaseID {
 					return
 				}
-				step, err := take(from, reply)
+				step, err := handleReply(from, reply)
 				if err != nil {
 					s.world.fail("%s: %w", s.ID(), err)
 				}
-				s.follow(p, step)
+				s.advance(p, step)
 			}
 		})
 	}
-	s.later(callWithin+50*time.Millisecond, func() {
-		if s.proposal == p && p.serial == serial {
-			s.again(p)
+	s.schedule(callTimeout+50*time.Millisecond, func() {
+		if s.proposal == p && p.phaseID == phaseID {
+			s.retryRound(p)
 		}
 	})
 }
 
-// follow does what a round asks for.
-func (s *Store) follow(p *proposal, step replica.Step) {
+// advance performs the next step of a round.
+func (s *Store) advance(p *proposal, step replica.Step) {
 	switch step {
 	case replica.Restart:
-		s.again(p)
+		s.retryRound(p)
 	case replica.SendAccept:
 		accept := p.attempt.Accept
-		s.send(p, p.attempt.Voters, func(other *Store) (paxos.Reply, bool) { return other.acceptor.Accept(accept) }, p.attempt.HandleAccepted)
+		s.sendPhase(p, p.attempt.Voters, func(other *Store) (paxos.Reply, bool) { return other.acceptor.Accept(accept) }, p.attempt.HandleAccepted)
 	case replica.Finished:
-		s.keep()
-		s.tell()
+		s.persistChosen()
+		s.announceChosen()
 		outcomes := p.attempt.Outcomes()
 		s.proposal = nil
 		for i, o := range p.orders {
 			o.done(outcomes[i])
 		}
-		if s.proposal == nil && len(s.waiting) > 0 {
-			s.round()
+		if s.proposal == nil && len(s.pendingOrders) > 0 {
+			s.startRound()
 		}
 	}
 }
 
-// again begins a round anew after a pause.
-func (s *Store) again(p *proposal) {
-	p.serial++
-	s.waiting = append(p.orders, s.waiting...)
-	s.later(5*time.Millisecond+time.Duration(s.world.rng.Int64N(int64(2*retryPause))), func() {
+// retryRound requeues the orders of a round and starts a new round after a random delay.
+func (s *Store) retryRound(p *proposal) {
+	p.phaseID++
+	s.pendingOrders = append(p.orders, s.pendingOrders...)
+	s.schedule(5*time.Millisecond+time.Duration(s.world.rng.Int64N(int64(2*meanRetryDelay))), func() {
 		if s.proposal == p {
-			s.round()
+			s.startRound()
 		}
 	})
 }
 
-// tell tells the others what is chosen.
-func (s *Store) tell() {
+// announceChosen sends the chosen value to the other voters and the learners.
+func (s *Store) announceChosen() {
 	voters := replica.Union(s.replica.VoterSets()...)
 	ballot, value := s.replica.Chosen(), s.replica.Value()
-	for _, k := range s.world.machines(append(slices.Clone(voters), s.members.Learners(s.clock(), voters)...)) {
+	for _, k := range s.world.storeIndexes(append(slices.Clone(voters), s.members.Learners(s.clock(), voters)...)) {
 		if k == s.index {
 			continue
 		}
@@ -260,7 +263,7 @@
 			if _, err := other.replica.Learn(ballot, value); err != nil {
 				s.world.fail("%s: %w", other.ID(), err)
 			}
-			other.keep()
+			other.persistChosen()
 			return func() {}
 		})
 	}
