--- a/internal/smallsystem/rules_test.go
+++ b/internal/smallsystem/rules_test.go
@@ -15,15 +15,15 @@
 	"time"
 )
 
-// These tests hold the three programs to rules of the operators' pages, one each.
+// Each of these tests checks the three programs against one rule of the operators' documentation.
 
 const (
-	rulesWork    = 25 * time.Millisecond // that a server has with a request
-	rulesSlots   = 4                     // of a server; the stand-ins tell that many
-	rulesServers = 3
+	serviceTime    = 25 * time.Millisecond // time that a server spends on a request
+	slotsPerServer = 4                     // per server; matches capacity_slots in the heartbeats of the stub servers
+	rulesServers   = 3
 )
 
-// rulesConfiguration has an urgent route and a less urgent one to the same service.
+// rulesConfiguration returns a configuration with an urgent and a less urgent route to the same service.
 func rulesConfiguration(version, base int) []byte {
 	return fmt.Appendf(nil, `{"config_version":"r%d","base_revision":"r%d","limits":{"max_header_bytes":16384,"max_body_bytes":1048576,"header_timeout":"3s","idle_timeout":"15s"},`+
 		`"tenants":[{"name":"till","api_keys":["key-1"],"rate_per_s":2000,"burst_size":2000}],"listeners":[{"hostname":"model.example","policy":[`+
@@ -32,28 +32,29 @@
 		`"clusters":[{"name":"engines","health_path":"/health","max_connections":110,"warmup":"1s","cold_per_s":20}]}`, version, base)
 }
 
-// slotted is the work of servers that turn away what they have no slot for. It counts what each has run.
-type slotted struct {
-	mu   sync.Mutex
-	busy map[string]int
-	ran  map[string]int
+// slotServer implements servers that reject requests when all their slots are busy, and counts the requests that
+// each server has executed.
+type slotServer struct {
+	mu       sync.Mutex
+	busy     map[string]int
+	requests map[string]int
 }
 
-func (s *slotted) work(w http.ResponseWriter, r *http.Request) {
+func (s *slotServer) work(w http.ResponseWriter, r *http.Request) {
 	at := r.Context().Value(http.LocalAddrContextKey).(net.Addr).String()
 	s.mu.Lock()
-	room := s.busy[at] < rulesSlots
-	if room {
+	free := s.busy[at] < slotsPerServer
+	if free {
 		s.busy[at]++
-		s.ran[at]++
+		s.requests[at]++
 	}
 	s.mu.Unlock()
-	if !room {
+	if !free {
 		w.Header().Set("X-Madderdrum-Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	time.Sleep(rulesWork)
+	time.Sleep(serviceTime)
 	s.mu.Lock()
 	s.busy[at]--
 	s.mu.Unlock()
@@ -61,26 +62,26 @@
 	fmt.Fprint(w, "done")
 }
 
-// ranAt is how many requests the server at an address has run.
-func (s *slotted) ranAt(address string) int {
+// requestsAt returns how many requests the server at an address has executed.
+func (s *slotServer) requestsAt(address string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ran[address]
+	return s.requests[address]
 }
 
-// rulesSystem is a system that serves.
+// rulesSystem is a System whose limiters are ready, with its slotServer.
 type rulesSystem struct {
 	*System
 	t    *testing.T
 	ctx  context.Context
-	work *slotted
+	work *slotServer
 }
 
 func startRules(t *testing.T, net byte, edges int) *rulesSystem {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	t.Cleanup(cancel)
-	work := &slotted{busy: map[string]int{}, ran: map[string]int{}}
+	work := &slotServer{busy: map[string]int{}, requests: map[string]int{}}
 	s, err := Start(Options{Programs: programs(t), Dir: t.TempDir(), Net: net, Edges: edges, Servers: rulesServers, Work: work.work})
 	t.Cleanup(s.Stop)
 	if err != nil {
@@ -89,7 +90,7 @@
 	r := &rulesSystem{s, t, ctx, work}
 	r.replace(3, 0)
 	for e := range edges {
-		until(t, ctx, "a limiter is ready", func() bool { return s.Ready(ctx, e) })
+		waitFor(t, ctx, "a limiter is ready", func() bool { return s.Ready(ctx, e) })
 	}
 	return r
 }
@@ -97,29 +98,29 @@
 func (r *rulesSystem) replace(version, base int) {
 	r.t.Helper()
 	if status, answer, err := r.Order(r.ctx, http.MethodPost, "/config/replace", rulesConfiguration(version, base)); status != http.StatusOK {
-		r.t.Fatalf("version r%d: %d %s %v", version, status, answer, err)
+		r.t.Fatalf("configuration version r%d: status %d %s %v", version, status, answer, err)
 	}
 }
 
-// pressed is what became of requests.
-type pressed struct{ sent, served, inAim int }
+// loadResult counts the requests of a load, those that were served, and those served within the target latency.
+type loadResult struct{ sent, served, onTime int }
 
-func (p pressed) share() float64 { return float64(p.served) / float64(p.sent) }
+func (p loadResult) servedShare() float64 { return float64(p.served) / float64(p.sent) }
 
-// earned is the share of their worth, of which late answers earn a third.
-func (p pressed) earned() float64 {
-	return (float64(p.inAim) + float64(p.served-p.inAim)/3) / float64(p.sent)
+// earnedShare is the share of the requests' value that was earned; a late answer earns a third of its value.
+func (p loadResult) earnedShare() float64 {
+	return (float64(p.onTime) + float64(p.served-p.onTime)/3) / float64(p.sent)
 }
 
-// press sends requests to all limiters in turn at a rate for a while.
-func (r *rulesSystem) press(path string, perS float64, lasts, aim time.Duration) pressed {
-	var served, inAim atomic.Int64
+// sendLoad sends perS requests per second for some time, to all limiters in turn.
+func (r *rulesSystem) sendLoad(path string, perS float64, duration, target time.Duration) loadResult {
+	var served, onTime atomic.Int64
 	var all sync.WaitGroup
 	sent := 0
-	pause := time.Duration(float64(time.Second) / perS)
-	begun := time.Now()
-	for ; time.Since(begun) < lasts; sent++ {
-		edge := sent % r.o.Edges
+	interval := time.Duration(float64(time.Second) / perS)
+	startedAt := time.Now()
+	for ; time.Since(startedAt) < duration; sent++ {
+		edge := sent % r.options.Edges
 		all.Go(func() {
 			at := time.Now()
 			status, _, err := r.Send(r.ctx, edge, path, "key-1")
@@ -127,58 +128,59 @@
 				return
 			}
 			served.Add(1)
-			if time.Since(at) <= aim {
-				inAim.Add(1)
+			if time.Since(at) <= target {
+				onTime.Add(1)
 			}
 		})
-		time.Sleep(time.Until(begun.Add(time.Duration(sent+1) * pause)))
+		time.Sleep(time.Until(startedAt.Add(time.Duration(sent+1) * interval)))
 	}
 	all.Wait()
-	return pressed{sent, int(served.Load()), int(inAim.Load())}
+	return loadResult{sent, int(served.Load()), int(onTime.Load())}
 }
 
-// Of two kinds of requests to one service that has room for two thirds of them, the more urgent one is served no less
-// often than the other, but for 5 in 100, and earns no smaller share of its worth, but for 15 in 100.
+// A service with capacity for two thirds of its load gets urgent and less urgent requests at the same rate. The share
+// of urgent requests that are served must not be more than 0.05 below that of the others, and the share of their value
+// that is earned not more than 0.15 below.
 func TestUrgentRequestsAreServedAsOften(t *testing.T) {
 	t.Parallel()
 	r := startRules(t, 60, 2)
-	const perS, lasts = 360, 8 * time.Second // of each kind; servers have room for 480 of both
-	var urgent, later pressed
+	const perS, lasts = 360, 8 * time.Second // of each kind; the capacity of the servers is 480 per second
+	var urgent, later loadResult
 	var both sync.WaitGroup
-	both.Go(func() { urgent = r.press("/a/1", perS, lasts, 400*time.Millisecond) })
-	both.Go(func() { later = r.press("/b/1", perS, lasts, 1200*time.Millisecond) })
+	both.Go(func() { urgent = r.sendLoad("/a/1", perS, lasts, 400*time.Millisecond) })
+	both.Go(func() { later = r.sendLoad("/b/1", perS, lasts, 1200*time.Millisecond) })
 	both.Wait()
-	t.Logf("served and earned: %.3f and %.3f by the urgent ones, %.3f and %.3f by the others", urgent.share(), urgent.earned(), later.share(), later.earned())
-	if urgent.share() < later.share()-0.05 {
-		t.Errorf("%.3f of the urgent ones are served, %.3f of the others", urgent.share(), later.share())
+	t.Logf("served and earned: %.3f and %.3f of the urgent requests, %.3f and %.3f of the others", urgent.servedShare(), urgent.earnedShare(), later.servedShare(), later.earnedShare())
+	if urgent.servedShare() < later.servedShare()-0.05 {
+		t.Errorf("%.3f of the urgent requests are served, %.3f of the others", urgent.servedShare(), later.servedShare())
 	}
-	if urgent.earned() < later.earned()-0.15 {
-		t.Errorf("%.3f of their worth is earned by the urgent ones, %.3f by the others", urgent.earned(), later.earned())
+	if urgent.earnedShare() < later.earnedShare()-0.15 {
+		t.Errorf("the urgent requests earn %.3f of their value, the others %.3f", urgent.earnedShare(), later.earnedShare())
 	}
 }
 
-// In calm times a limiter is ready, also while the configuration changes.
+// Without failures a limiter stays ready, also while the configuration changes.
 func TestReadyInCalmTimes(t *testing.T) {
 	t.Parallel()
 	r := startRules(t, 61, 3)
-	looks, ready := 0, 0
+	checks, ready := 0, 0
 	version := 3
-	for begun := time.Now(); time.Since(begun) < 5*time.Second; looks++ {
-		if looks%20 == 0 {
+	for startedAt := time.Now(); time.Since(startedAt) < 5*time.Second; checks++ {
+		if checks%20 == 0 {
 			r.replace(version+1, version)
 			version++
 		}
-		if r.Ready(r.ctx, looks%3) {
+		if r.Ready(r.ctx, checks%3) {
 			ready++
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	if ready < looks*7/8 {
-		t.Errorf("ready at %d of %d looks", ready, looks)
+	if ready < checks*7/8 {
+		t.Errorf("ready in %d of %d checks", ready, checks)
 	}
 }
 
-// A server that joins gets requests while the others of its service do.
+// A server that joins gets requests while the other servers of its service do.
 func TestJoiningServerGetsRequests(t *testing.T) {
 	t.Parallel()
 	r := startRules(t, 62, 2)
@@ -188,15 +190,15 @@
 		}
 	})
 	defer joins.Stop()
-	r.press("/a/1", 40, 7*time.Second, time.Second) // its first acknowledgement, 3 s, 2 s, and a part of 4 s
+	r.sendLoad("/a/1", 40, 7*time.Second, time.Second) // it joins after 1 s; then its first acknowledgement, 3 s, 2 s, and a part of 4 s
 	joined := net.JoinHostPort(fmt.Sprintf("127.62.3.%d", rulesServers+1), strconv.Itoa(serverPort))
-	if n := r.work.ranAt(joined); n == 0 {
+	if n := r.work.requestsAt(joined); n == 0 {
 		t.Error("a server that joined got no request within 6 s")
 	}
 }
 
-// All processes lose their machines at once, right behind an acknowledgement: what was acknowledged is there when they
-// are back, and requests are served.
+// All processes are killed at once, right after a configuration was acknowledged: after the restart the acknowledged
+// configuration is still there, and requests are served.
 func TestAllProcessesAreKilledAtOnce(t *testing.T) {
 	t.Parallel()
 	r := startRules(t, 63, 2)
@@ -217,10 +219,10 @@
 		}
 		status, text, err := r.Order(r.ctx, http.MethodGet, "/config/fetch", nil)
 		if want := fmt.Sprintf(`"config_version":"r%d"`, version); status != http.StatusOK || !bytes.Contains(text, []byte(want)) {
-			t.Fatalf("round %d: read back: %d %.200s %v, %s wanted", round, status, text, err, want)
+			t.Fatalf("round %d: fetched configuration: status %d %.200s %v, want %s", round, status, text, err, want)
 		}
 		for e := range 2 {
-			until(t, r.ctx, "a limiter serves again", func() bool {
+			waitFor(t, r.ctx, "a limiter serves again", func() bool {
 				status, _, err := r.Send(r.ctx, e, "/a/1", "key-1")
 				return err == nil && status == http.StatusOK
 			})
--- a/internal/smallsystem/slowlog_test.go
+++ b/internal/smallsystem/slowlog_test.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// A limiter whose standard error is not taken any more (a disk that stands still, a log collector that hangs) writes
-// its lines in the middle of its work: it stands still with the first one that finds no room, and does not end within
-// its grace period. Evidence: of nine limiters that were killed in one run of the soak, on a machine whose disk stood
-// still, four had written "ends" two seconds before their SIGKILL, which stands behind the writing of that line.
+// Guards against a limiter that blocks while it writes its log, because its standard error is no longer read (a disk
+// stalls, or a log collector hangs): it stops working at the first line that does not fit into the pipe, and does not
+// end within its grace period. In one soak run on a machine whose disk had stalled, nine limiters were killed with
+// SIGKILL; four of them had logged "ends" two seconds before, and a process exits only after that line is written.
 //
 // Here nobody reads the pipe that is a limiter's standard error.
 func TestSlowLogDoesNotHoldLimiter(t *testing.T) {
@@ -31,9 +31,9 @@
 		t.Fatal(err)
 	}
 	defer read.Close()
-	fill(t, write)
-	edge := r.of("edge-2")[0]
-	cmd := exec.Command(filepath.Join(r.o.Programs, edge.role), "serve")
+	fillPipe(t, write)
+	edge := r.startedPrograms("edge-2")[0]
+	cmd := exec.Command(filepath.Join(r.options.Programs, edge.role), "serve")
 	cmd.Env = append(os.Environ(), "MADDERDRUM_BOOT="+edge.settings)
 	cmd.Stdout, cmd.Stderr = taken, write
 	if err := cmd.Start(); err != nil {
@@ -50,7 +50,7 @@
 	defer cancel()
 	for !r.Ready(ctx, 1) {
 		if ctx.Err() != nil {
-			t.Fatal("a limiter whose log is not taken is not ready after 10 s")
+			t.Fatal("a limiter whose log is not read is not ready after 10 s")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -59,12 +59,12 @@
 	case err := <-ended:
 		ended <- err
 	case <-time.After(DefaultGrace):
-		t.Errorf("a limiter whose log is not taken did not end within %v", DefaultGrace)
+		t.Errorf("a limiter whose log is not read did not end within %v", DefaultGrace)
 	}
 }
 
-// fill writes to a pipe until it takes nothing more.
-func fill(t *testing.T, pipe *os.File) {
+// fillPipe writes to a pipe until it is full.
+func fillPipe(t *testing.T, pipe *os.File) {
 	t.Helper()
 	w := bufio.NewWriterSize(pipe, 1<<10)
 	pipe.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))
--- a/internal/smallsystem/smallsystem.go
+++ b/internal/smallsystem/smallsystem.go
@@ -1,6 +1,6 @@
-// Package smallsystem is the whole system in small, on loopback: three core machines, some
-// limiters, and servers and an operator of its own. Each machine has an address of its own in
-// 127.0.0.0/8. It is for newcomers, who start it with one command, and for tests.
+// Package smallsystem runs a complete small system on loopback: three core machines, some limiters, and stub
+// servers and operator calls of its own. Each machine has its own address in 127.0.0.0/8. It serves tests, and
+// newcomers, who can start it with one command.
 package smallsystem
 
 import (
@@ -28,84 +28,85 @@
 	"example.org/madderdrum/internal/rpc"
 )
 
-// Options say how much there is of what.
+// Options configure the size of a System, its directories and its address range.
 type Options struct {
-	Programs string // folder with the three programs
-	Dir      string // for settings, disks and logs
-	Net      byte   // second number of all addresses, 127.NET.x.y
+	Programs string // directory with the three programs
+	Dir      string // directory for settings, disks and logs
+	Net      byte   // second byte of all addresses, 127.NET.x.y
 	Edges    int
-	Servers  int // of one service
+	Servers  int // servers, all of one service
 	Log      func(format string, args ...any)
-	Grace    time.Duration    // between SIGTERM and SIGKILL; 0: DefaultGrace
-	Work     http.HandlerFunc // what servers do with a request that is theirs; nil: they answer at once
+	Grace    time.Duration    // grace period between SIGTERM and SIGKILL; 0 means DefaultGrace
+	Work     http.HandlerFunc // how servers handle a request; nil means that they answer at once
 }
 
-// DefaultGrace is the grace period of the programs where the options name none.
+// DefaultGrace is the grace period of the programs if Options.Grace is 0.
 const DefaultGrace = 3 * time.Second
 
 const (
-	cores       = 3
-	controlPort = 8383
-	frontPort   = 8389
-	readyPort   = 8384
-	lookupPort  = 8385
-	portsFrom   = 7460
-	portsTo     = 7475
-	serverPort  = 8080
-	beatEvery   = 300 * time.Millisecond
+	coreCount         = 3
+	controlPort       = 8383
+	frontendPort      = 8389
+	readyPort         = 8384
+	directoryPort     = 8385
+	firstInternalPort = 7460
+	lastInternalPort  = 7475
+	serverPort        = 8080
+	heartbeatInterval = 300 * time.Millisecond
 )
 
-// metricsPorts are where the programs tell their figures, by role: those of one machine share its ports.
+// metricsPorts holds the metrics port of each role; the programs of one machine share its address.
 var metricsPorts = map[string]int{"proxy": 7470, "registry": 7471, "configstore": 7472}
 
-// System is one that runs.
+// System is a running system: its programs and its stub servers.
 type System struct {
-	o        Options
+	options  Options
 	mu       sync.Mutex
-	programs map[string]*program // by machine and role
-	stubs    []*Server
+	programs map[string]*program // by machine/role
+	servers  []*Server
 	client   *http.Client
-	ids      atomic.Uint64
+	nextID   atomic.Uint64
 }
 
 type program struct {
 	name, role, settings string
 	cmd                  *exec.Cmd
 	ended                chan struct{}
-	err                  error // of the program's end; it is known once ended is closed
+	err                  error // exit error; set before ended is closed
 }
 
-func (s *System) core(i int) string { return fmt.Sprintf("127.%d.1.%d", s.o.Net, i+1) }
-func (s *System) edge(i int) string { return fmt.Sprintf("127.%d.2.%d", s.o.Net, i+1) }
+func (s *System) core(i int) string { return fmt.Sprintf("127.%d.1.%d", s.options.Net, i+1) }
+func (s *System) edge(i int) string { return fmt.Sprintf("127.%d.2.%d", s.options.Net, i+1) }
 
-// Start starts the machines and the servers; it does not wait for anything.
-func Start(o Options) (*System, error) {
-	s := &System{o: o, programs: map[string]*program{}, client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{}}}
-	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
-		return s, fmt.Errorf("smallsystem: folder for settings, disks and logs: %w", err)
+// Start starts the programs of all machines and the servers, and does not wait until they are ready. Call Stop on
+// the result even after an error.
+func Start(options Options) (*System, error) {
+	s := &System{options: options, programs: map[string]*program{}, client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{}}}
+	if err := os.MkdirAll(options.Dir, 0o755); err != nil {
+		return s, fmt.Errorf("smallsystem: create directory for settings, disks and logs: %w", err)
 	}
-	for i := range cores {
+	for i := range coreCount {
 		name := fmt.Sprintf("core-%d", i+1)
 		for _, role := range []string{"configstore", "registry"} {
 			listen := map[string]string{}
 			if role == "registry" {
 				listen["control_plane"] = fmt.Sprintf("%s:%d", s.core(i), controlPort)
 			}
-			if err := s.add(name, role, "core", s.core(i), filepath.Join(o.Dir, "disk", name, role), listen); err != nil {
+			if err := s.addProgram(name, role, "core", s.core(i), filepath.Join(options.Dir, "disk", name, role), listen); err != nil {
 				return s, err
 			}
 		}
 	}
-	for i := range o.Edges {
+	for i := range options.Edges {
 		ip := s.edge(i)
-		err := s.add(fmt.Sprintf("edge-%d", i+1), "proxy", "edge", ip, "", map[string]string{
-			"frontend": fmt.Sprintf("%s:%d", ip, frontPort), "readiness": fmt.Sprintf("%s:%d", ip, readyPort),
-			"directory": fmt.Sprintf("%s:%d", ip, lookupPort)})
+		err := s.addProgram(fmt.Sprintf("edge-%d", i+1), "proxy", "edge", ip, "", map[string]string{
+			"frontend": fmt.Sprintf("%s:%d", ip, frontendPort), "readiness": fmt.Sprintf("%s:%d", ip, readyPort),
+			"directory": fmt.Sprintf("%s:%d", ip, directoryPort)})
 		if err != nil {
 			return s, err
 		}
 	}
-	for i := range o.Servers {
+	for i := range options.Servers {
 		if _, err := s.AddServer(i); err != nil {
 			return s, err
 		}
@@ -113,18 +114,18 @@
 	return s, nil
 }
 
-// add writes the settings of a program and starts it.
-func (s *System) add(name, role, class, ip, disk string, listen map[string]string) error {
+// addProgram writes the settings of a program and starts it.
+func (s *System) addProgram(name, role, machineClass, ip, disk string, listen map[string]string) error {
 	var seeds []string
-	for i := range cores {
+	for i := range coreCount {
 		seeds = append(seeds, fmt.Sprintf("%s:%d", s.core(i), controlPort))
 	}
-	grace := cmp.Or(s.o.Grace, DefaultGrace)
+	grace := cmp.Or(s.options.Grace, DefaultGrace)
 	text, err := json.MarshalIndent(map[string]any{
-		"self_identity": map[string]any{"node_name": name, "role": role, "machine_class": class, "serves": []string{},
-			"ip_address": ip, "zone": "depot-a", "region": "depot", "quorum_member": class == "core", "bootstrap": true,
+		"self_identity": map[string]any{"node_name": name, "role": role, "machine_class": machineClass, "serves": []string{},
+			"ip_address": ip, "zone": "depot-a", "region": "depot", "quorum_member": machineClass == "core", "bootstrap": true,
 			"data_dir": disk, "limits": map[string]any{"memory_mb": 200, "file_descriptors": 1024}},
-		"network": map[string]any{"listen": listen, "internal_ports": []int{portsFrom, portsTo}, "seed_nodes": seeds,
+		"network": map[string]any{"listen": listen, "internal_ports": []int{firstInternalPort, lastInternalPort}, "seed_nodes": seeds,
 			"zones": map[string]string{"depot-a": "depot", "depot-b": "depot"}},
 		"provider": map[string]any{"heartbeat": "300ms"},
 		"timing_terms": map[string]any{"active_contracts": []string{"base"}, "fault_tolerance": map[string]int{"machines": 1},
@@ -135,7 +136,7 @@
 	if err != nil {
 		return err
 	}
-	p := &program{name: name, role: role, settings: filepath.Join(s.o.Dir, name+"-"+role+".json")}
+	p := &program{name: name, role: role, settings: filepath.Join(s.options.Dir, name+"-"+role+".json")}
 	if err := os.WriteFile(p.settings, text, 0o644); err != nil {
 		return err
 	}
@@ -145,14 +146,14 @@
 	return s.start(p)
 }
 
-// start starts a program; its output goes to a file beside its settings.
+// start starts a program. Its output is appended to a log file next to its settings.
 func (s *System) start(p *program) error {
 	out, err := os.OpenFile(p.settings+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
 	defer out.Close()
-	cmd := exec.Command(filepath.Join(s.o.Programs, p.role), "serve", "--metrics", strconv.Itoa(metricsPorts[p.role]))
+	cmd := exec.Command(filepath.Join(s.options.Programs, p.role), "serve", "--metrics", strconv.Itoa(metricsPorts[p.role]))
 	cmd.Env = append(os.Environ(), "MADDERDRUM_BOOT="+p.settings)
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
@@ -172,8 +173,8 @@
 	return nil
 }
 
-// of are the programs of a machine that were started.
-func (s *System) of(machine string) (all []*program) {
+// startedPrograms returns the programs of a machine that have been started, including those that have ended.
+func (s *System) startedPrograms(machine string) (all []*program) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.programs {
@@ -186,15 +187,16 @@
 
 // Signal sends a signal to all programs of a machine.
 func (s *System) Signal(machine string, sig syscall.Signal) {
-	for _, p := range s.of(machine) {
+	for _, p := range s.startedPrograms(machine) {
 		p.cmd.Process.Signal(sig)
 	}
 }
 
-// Await waits for the ends of all programs of a machine. Its error is that of one that did not end in order.
+// Await waits until all programs of a machine have ended. It returns the errors of those that exited with a failure
+// status or by a signal.
 func (s *System) Await(machine string) error {
 	var errs []error
-	for _, p := range s.of(machine) {
+	for _, p := range s.startedPrograms(machine) {
 		<-p.ended
 		s.mu.Lock()
 		errs = append(errs, p.err)
@@ -203,15 +205,15 @@
 	return errors.Join(errs...)
 }
 
-// Kill ends all programs of a machine with a signal and waits for their ends.
+// Kill sends a signal to all programs of a machine and waits until they have ended.
 func (s *System) Kill(machine string, sig syscall.Signal) {
 	s.Signal(machine, sig)
 	s.Await(machine)
 }
 
-// TouchSettings has the settings files of a machine changed in a way that means nothing else.
+// TouchSettings changes the settings files of a machine without changing their meaning.
 func (s *System) TouchSettings(machine string) error {
-	for _, p := range s.of(machine) {
+	for _, p := range s.startedPrograms(machine) {
 		text, err := os.ReadFile(p.settings)
 		if err != nil {
 			return fmt.Errorf("smallsystem: settings of %s: %w", machine, err)
@@ -226,13 +228,13 @@
 // Restart starts the programs of a machine again.
 func (s *System) Restart(machine string) error {
 	var errs []error
-	for _, p := range s.of(machine) {
+	for _, p := range s.startedPrograms(machine) {
 		errs = append(errs, s.start(p))
 	}
 	return errors.Join(errs...)
 }
 
-// Stop ends everything.
+// Stop kills all programs and closes all servers.
 func (s *System) Stop() {
 	s.mu.Lock()
 	var all []*program
@@ -241,18 +243,18 @@
 			all = append(all, p)
 		}
 	}
-	stubs := s.stubs
+	servers := s.servers
 	s.mu.Unlock()
 	for _, p := range all {
 		p.cmd.Process.Kill()
 		<-p.ended
 	}
-	for _, x := range stubs {
-		x.end()
+	for _, x := range servers {
+		x.close()
 	}
 }
 
-// Config is a configuration of one route to the service, with one tenant.
+// Config returns a configuration with one route to the service and one tenant.
 func Config(version, base int, prefix, key string) []byte {
 	return fmt.Appendf(nil, `{"config_version":"r%d","base_revision":"r%d","limits":{"max_header_bytes":16384,"max_body_bytes":1048576,"header_timeout":"3s","idle_timeout":"15s"},`+
 		`"tenants":[{"name":"till","api_keys":[%q],"rate_per_s":500,"burst_size":500}],`+
@@ -261,17 +263,17 @@
 		`"clusters":[{"name":"engines","health_path":"/health","max_connections":110,"warmup":"1s","cold_per_s":5}]}`, version, base, key, prefix)
 }
 
-// Order sends a call of the operator to one core machine after the other until one gives a
-// clear answer.
+// Order sends an operator's call to the core machines in turn until one gives a definite answer, which is any status
+// below 500.
 func (s *System) Order(ctx context.Context, method, path string, body []byte) (int, []byte, error) {
 	for k := 0; ; k++ {
-		status, answer, err := s.call(ctx, method, fmt.Sprintf("http://%s:%d%s", s.core(k%cores), controlPort, path), body, nil)
+		status, answer, err := s.call(ctx, method, fmt.Sprintf("http://%s:%d%s", s.core(k%coreCount), controlPort, path), body, nil)
 		if err == nil && status < 500 {
 			return status, answer, nil
 		}
 		select {
 		case <-ctx.Done():
-			return 0, nil, fmt.Errorf("smallsystem: %s: no clear answer, last %d %w", path, status, errors.Join(err, ctx.Err()))
+			return 0, nil, fmt.Errorf("smallsystem: %s: no definite answer, last status %d: %w", path, status, errors.Join(err, ctx.Err()))
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
@@ -297,9 +299,9 @@
 	return resp.StatusCode, answer, err
 }
 
-// Resolve asks a limiter where to go.
+// Resolve queries the directory of a limiter for the addresses of the limiters that clients may use.
 func (s *System) Resolve(ctx context.Context, edge int) ([]string, error) {
-	status, body, err := s.call(ctx, http.MethodGet, fmt.Sprintf("http://%s:%d/resolve?name=model.example&region=depot&zone=depot-a", s.edge(edge), lookupPort), nil, nil)
+	status, body, err := s.call(ctx, http.MethodGet, fmt.Sprintf("http://%s:%d/resolve?name=model.example&region=depot&zone=depot-a", s.edge(edge), directoryPort), nil, nil)
 	if err != nil || status != http.StatusOK {
 		return nil, errors.Join(err, fmt.Errorf("status %d", status))
 	}
@@ -307,26 +309,26 @@
 	return a.Addresses, json.Unmarshal(body, &a)
 }
 
-// RegistryStatus is what the registry of a core machine tells of how it stands, line by line.
+// RegistryStatus returns the lines of the status report of the registry on a core machine.
 func (s *System) RegistryStatus(ctx context.Context, core int) ([]string, error) {
 	return s.status(ctx, s.core(core), nodesettings.RegistryPort)
 }
 
-// LimiterStatus are the lines by which a limiter tells how it stands.
+// LimiterStatus returns the lines of the status report of a limiter.
 func (s *System) LimiterStatus(ctx context.Context, edge int) ([]string, error) {
 	return s.status(ctx, s.edge(edge), nodesettings.ProxyPort)
 }
 
 func (s *System) status(ctx context.Context, ip string, port int) ([]string, error) {
 	var status rpc.Status
-	to := net.JoinHostPort(ip, strconv.Itoa(portsFrom+port))
+	to := net.JoinHostPort(ip, strconv.Itoa(firstInternalPort+port))
 	if err := rpc.NewCaller().Call(ctx, to, rpc.CallStatus, nil, &status, time.Second); err != nil {
 		return nil, fmt.Errorf("smallsystem: status: %w", err)
 	}
 	return status.Lines, nil
 }
 
-// Metrics is the text of figures that a program of a machine tells.
+// Metrics returns the metrics of a program in the text exposition format.
 func (s *System) Metrics(ctx context.Context, ip, role string) (string, error) {
 	to := net.JoinHostPort(ip, strconv.Itoa(metricsPorts[role]))
 	status, body, err := s.call(ctx, http.MethodGet, "http://"+to+metrics.Path, nil, nil)
@@ -336,62 +338,62 @@
 	return string(body), nil
 }
 
-// Ready tells that a limiter says that it is ready.
+// Ready reports whether a limiter's readiness check succeeds.
 func (s *System) Ready(ctx context.Context, edge int) bool {
 	status, _, err := s.call(ctx, http.MethodGet, fmt.Sprintf("http://%s:%d/readiness", s.edge(edge), readyPort), nil, nil)
 	return err == nil && status == http.StatusOK
 }
 
-// Send sends a client's request to a limiter.
+// Send sends a client's request to a limiter, and returns the status and the body of the answer.
 func (s *System) Send(ctx context.Context, edge int, path, key string) (int, []byte, error) {
-	h := http.Header{"Host": {"model.example"}, "X-Madderdrum-Attempt-Id": {fmt.Sprintf("%016x", s.ids.Add(1))},
+	h := http.Header{"Host": {"model.example"}, "X-Madderdrum-Attempt-Id": {fmt.Sprintf("%016x", s.nextID.Add(1))},
 		"X-Madderdrum-Deadline-Ms": {"2500"}, "X-Madderdrum-Credential": {key}}
-	return s.call(ctx, http.MethodGet, fmt.Sprintf("http://%s:%d%s", s.edge(edge), frontPort, path), nil, h)
+	return s.call(ctx, http.MethodGet, fmt.Sprintf("http://%s:%d%s", s.edge(edge), frontendPort, path), nil, h)
 }
 
-// HoldPath ends the path of requests that a server is at work on until their caller has gone.
+// HoldPath is the path suffix of requests that a server does not answer until the caller closes the connection.
 const HoldPath = "/hold"
 
-// Server is one server of the service.
+// Server is one stub server of the service.
 type Server struct {
-	ID    string
-	Ran   atomic.Int64 // requests
-	Held  atomic.Int64 // requests at work until their caller closes the connection
-	sys   *System
-	addr  string
-	srv   *http.Server
-	state atomic.Value // string
-	stop  context.CancelFunc
+	ID           string
+	RequestCount atomic.Int64 // requests that were executed
+	Held         atomic.Int64 // requests under HoldPath in progress
+	system       *System
+	addr         string
+	httpServer   *http.Server
+	state        atomic.Value // string
+	stop         context.CancelFunc
 }
 
-// AddServer starts a server that beats until it is drained or ends.
+// AddServer starts a server, which sends heartbeats until the system stops.
 func (s *System) AddServer(i int) (*Server, error) {
-	x := &Server{ID: fmt.Sprintf("i-%d-%08x", i, s.ids.Add(1)), sys: s, addr: fmt.Sprintf("127.%d.3.%d:%d", s.o.Net, i+1, serverPort)}
+	x := &Server{ID: fmt.Sprintf("i-%d-%08x", i, s.nextID.Add(1)), system: s, addr: fmt.Sprintf("127.%d.3.%d:%d", s.options.Net, i+1, serverPort)}
 	x.state.Store("available")
 	l, err := net.Listen("tcp", x.addr)
 	if err != nil {
-		return nil, fmt.Errorf("smallsystem: a server's address: %w", err)
+		return nil, fmt.Errorf("smallsystem: listen for a server: %w", err)
 	}
-	x.srv = &http.Server{Handler: x}
-	go x.srv.Serve(l)
+	x.httpServer = &http.Server{Handler: x}
+	go x.httpServer.Serve(l)
 	ctx, stop := context.WithCancel(context.Background())
 	x.stop = stop
-	go x.beat(ctx)
+	go x.sendHeartbeats(ctx)
 	s.mu.Lock()
-	s.stubs = append(s.stubs, x)
+	s.servers = append(s.servers, x)
 	s.mu.Unlock()
 	return x, nil
 }
 
-func (x *Server) end() {
+func (x *Server) close() {
 	x.stop()
-	x.srv.Close()
+	x.httpServer.Close()
 }
 
-// Drain has the server say that it is leaving. It serves on.
+// Drain makes the server report that it is draining. It keeps serving requests.
 func (x *Server) Drain() { x.state.Store("draining") }
 
-// ServeHTTP answers as the protocol of servers has it.
+// ServeHTTP answers requests and health checks as the server protocol requires.
 func (x *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Madderdrum-Instance-Id", x.ID)
 	if r.URL.Path == "/health" {
@@ -402,9 +404,9 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	x.Ran.Add(1)
-	if x.sys.o.Work != nil {
-		x.sys.o.Work(w, r)
+	x.RequestCount.Add(1)
+	if x.system.options.Work != nil {
+		x.system.options.Work(w, r)
 		return
 	}
 	if strings.HasSuffix(r.URL.Path, HoldPath) {
@@ -417,19 +419,19 @@
 	fmt.Fprintf(w, "%s ran %s for %s\n", x.ID, r.URL.Path, r.Header.Get("X-Madderdrum-Tenant"))
 }
 
-// beat tells a core machine of the server, the next one when one does not answer.
-func (x *Server) beat(ctx context.Context) {
+// sendHeartbeats sends heartbeats to a core machine, and to the next one after a failure.
+func (x *Server) sendHeartbeats(ctx context.Context) {
 	for k, n := 0, 1; ; n++ {
 		body := fmt.Appendf(nil, `{"service":"engines","address":%q,"zone":"depot-a","config_version":"v1","capacity_slots":4,"state":%q,"warmup_left":"0ms","sequence":%d}`,
 			x.addr, x.state.Load(), n)
-		status, _, err := x.sys.call(ctx, http.MethodPost, fmt.Sprintf("http://%s:%d/instances/%s/heartbeat", x.sys.core(k%cores), controlPort, x.ID), body, nil)
+		status, _, err := x.system.call(ctx, http.MethodPost, fmt.Sprintf("http://%s:%d/instances/%s/heartbeat", x.system.core(k%coreCount), controlPort, x.ID), body, nil)
 		if err != nil || status != http.StatusOK {
 			k++
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(beatEvery):
+		case <-time.After(heartbeatInterval):
 		}
 	}
 }
--- a/internal/smallsystem/smallsystem_test.go
+++ b/internal/smallsystem/smallsystem_test.go
@@ -14,7 +14,8 @@
 	"time"
 )
 
-// programs is the folder that deploy/system.toml builds into, as CI has it, or one made now.
+// programs returns the directory with the programs: the one in MADDERDRUM_TARGET, as in CI, or a temporary one that it
+// builds them into.
 func programs(t *testing.T) string {
 	if dir := os.Getenv("MADDERDRUM_TARGET"); dir != "" {
 		return dir
@@ -28,8 +29,8 @@
 	return dir
 }
 
-// until waits for something that has to come about.
-func until(t *testing.T, ctx context.Context, what string, ok func() bool) {
+// waitFor polls until ok returns true, and fails the test if that does not happen before ctx ends.
+func waitFor(t *testing.T, ctx context.Context, what string, ok func() bool) {
 	t.Helper()
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
@@ -42,8 +43,8 @@
 	}
 }
 
-// A small day of the whole system: a configuration, a drain, a change, an evacuation, the loss
-// of a core machine, a limiter that leaves, and one that is killed.
+// An end-to-end run of the whole system: a configuration, a client that disconnects, a drain, a configuration change,
+// an evacuation, the loss of one and of all core machines, a limiter that leaves, and one that is killed.
 func TestSmallDay(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
 	defer cancel()
@@ -66,11 +67,11 @@
 		t.Helper()
 		status, answer, err := s.Order(ctx, method, path, body)
 		if err != nil || status != want {
-			t.Fatalf("%s %s: %d %s %v, %d wanted", method, path, status, answer, err, want)
+			t.Fatalf("%s %s: status %d %s %v, want %d", method, path, status, answer, err, want)
 		}
 		return answer
 	}
-	last := "nothing" // of a limiter, for whoever reads why the day failed
+	last := "nothing" // last answer of a limiter, logged if the test fails
 	t.Cleanup(func() {
 		if t.Failed() {
 			t.Log(last)
@@ -87,38 +88,38 @@
 	}
 	first := Config(3, 0, "/a/", "key-1")
 	order("POST", "/config/replace", first, 200)
-	order("POST", "/config/replace", first, 200) // the same call again
+	order("POST", "/config/replace", first, 200) // a repeated call succeeds
 	order("POST", "/config/replace", Config(4, 1, "/a/", "key-1"), 412)
 	order("POST", "/config/replace", first[:100], 400)
 	for i := range 2 {
-		until(t, ctx, "a limiter is ready", func() bool { return s.Ready(ctx, i) })
-		until(t, ctx, "a limiter serves", serves(i, "/a/1", "key-1", 200))
+		waitFor(t, ctx, "a limiter is ready", func() bool { return s.Ready(ctx, i) })
+		waitFor(t, ctx, "a limiter serves", serves(i, "/a/1", "key-1", 200))
 	}
-	until(t, ctx, "the directory names both", func() bool {
+	waitFor(t, ctx, "the directory lists both limiters", func() bool {
 		all, _ := s.Resolve(ctx, 0)
 		return len(all) == 2
 	})
 	if !serves(0, "/a/1", "key-9", 401)() || !serves(0, "/b/1", "key-1", 404)() {
-		t.Error("a key or a route that is not there is let through")
+		t.Error("a request with an unknown key or route is not rejected")
 	}
-	// A client that leaves: its request ends at the server at once, and not by its deadline.
+	// When a client disconnects, its request at the server is cancelled at once, not at its deadline.
 	leaving, leave := context.WithCancel(ctx)
 	go s.Send(leaving, 0, "/a"+HoldPath, "key-1")
 	held := func() (n int64) {
-		for _, x := range s.stubs {
+		for _, x := range s.servers {
 			n += x.Held.Load()
 		}
 		return n
 	}
-	until(t, ctx, "a request is at work", func() bool { return held() == 1 })
+	waitFor(t, ctx, "the server executes a request", func() bool { return held() == 1 })
 	leave()
-	until(t, ctx, "it ends with its client", func() bool { return held() == 0 })
-	until(t, ctx, "the limiter tells of it", func() bool {
+	waitFor(t, ctx, "the request is cancelled when its client disconnects", func() bool { return held() == 0 })
+	waitFor(t, ctx, "the limiter reports the cancelled request", func() bool {
 		lines, err := s.LimiterStatus(ctx, 0)
 		last = strings.Join(lines, "\n")
 		return err == nil && strings.Contains(last, "connections=1 requests=1 sent_after=0 broken_off=1 ran_on=0")
 	})
-	// All three programs tell their figures.
+	// All three programs serve their metrics.
 	for _, x := range []struct{ ip, role, line string }{
 		{s.edge(0), "proxy", "madderdrum_proxy_disconnected_attempts_broken_off_total 1\n"},
 		{s.edge(0), "proxy", "madderdrum_proxy_answers_total{status=\"401\""},
@@ -127,50 +128,50 @@
 	} {
 		text, err := s.Metrics(ctx, x.ip, x.role)
 		if err != nil || !strings.Contains(text, x.line) {
-			t.Errorf("metrics of a %s lack %q: %s %v", x.role, x.line, text, err)
+			t.Errorf("metrics of the %s lack %q: %s %v", x.role, x.line, text, err)
 		}
 	}
-	// A drain: from soon after on the server gets nothing more.
-	x := s.stubs[0]
+	// A draining server soon gets no more requests.
+	x := s.servers[0]
 	x.Drain()
-	until(t, ctx, "a draining server gets nothing", func() bool {
-		before := x.Ran.Load()
+	waitFor(t, ctx, "a draining server gets no requests", func() bool {
+		before := x.RequestCount.Load()
 		for i := range 20 {
 			serves(i%2, "/a/1", "key-1", 200)()
 		}
-		return x.Ran.Load() == before
+		return x.RequestCount.Load() == before
 	})
-	// A change, with a core machine gone.
+	// The configuration changes while a core machine is down.
 	s.Kill("core-1", syscall.SIGKILL)
 	order("POST", "/config/update", []byte(`{"config_version":"r7","base_revision":"r3","upsert":{"tenants":[{"name":"till","api_keys":["key-2"],"rate_per_s":500,"burst_size":500}]}}`), 200)
 	for i := range 2 {
-		until(t, ctx, "a key that was taken away is refused", serves(i, "/a/1", "key-1", 401))
-		until(t, ctx, "the new key is served", serves(i, "/a/1", "key-2", 200))
+		waitFor(t, ctx, "a removed key is rejected", serves(i, "/a/1", "key-1", 401))
+		waitFor(t, ctx, "the new key is accepted", serves(i, "/a/1", "key-2", 200))
 	}
 	if err := s.Restart("core-1"); err != nil {
 		t.Fatal(err)
 	}
 	if got := order("GET", "/config/fetch", nil, 200); !bytes.Contains(got, []byte(`"r7"`)) || !bytes.Contains(got, []byte("key-2")) {
-		t.Errorf("read back: %s", got)
+		t.Errorf("fetched configuration: %s", got)
 	}
-	// An evacuation takes all servers, and gives them back.
+	// An evacuation takes all servers out of service, and its end restores them.
 	order("POST", "/evacuation/depot-a/begin", nil, 200)
-	until(t, ctx, "an evacuated zone gets nothing", serves(0, "/a/1", "key-2", 503))
+	waitFor(t, ctx, "an evacuated zone gets no requests", serves(0, "/a/1", "key-2", 503))
 	order("POST", "/evacuation/nowhere/begin", nil, 404)
 	order("POST", "/evacuation/depot-a/finish", nil, 200)
-	until(t, ctx, "a zone that was given back serves", serves(0, "/a/1", "key-2", 200))
-	// A limiter that leaves is out of the directory of the other, and ends by itself.
+	waitFor(t, ctx, "a restored zone serves requests", serves(0, "/a/1", "key-2", 200))
+	// A limiter that leaves is removed from the other's directory, and its process ends.
 	s.Kill("edge-2", syscall.SIGTERM)
-	until(t, ctx, "a limiter that has left is not named", func() bool {
+	waitFor(t, ctx, "the directory does not list a limiter that has left", func() bool {
 		all, err := s.Resolve(ctx, 0)
 		return err == nil && len(all) == 1
 	})
-	until(t, ctx, "its place is released and settled, so that the other one holds everything", func() bool {
+	waitFor(t, ctx, "its place is released, so that the other limiter holds everything", func() bool {
 		lines, err := s.RegistryStatus(ctx, 0)
 		all := strings.Join(lines, "\n")
 		return err == nil && strings.Count(all, "place=") == 1 && strings.Contains(all, "limiter=edge-1 ") && strings.Contains(all, "state=held")
 	})
-	// The whole core is killed: what was acknowledged is there, and the limiter serves on.
+	// All core machines are killed: the acknowledged configuration survives, and the limiter keeps serving.
 	for _, m := range []string{"core-1", "core-2", "core-3"} {
 		s.Kill(m, syscall.SIGKILL)
 	}
@@ -180,15 +181,15 @@
 		}
 	}
 	if got := order("GET", "/config/fetch", nil, 200); !bytes.Contains(got, []byte(`"r7"`)) {
-		t.Errorf("read back after the core was killed: %s", got)
+		t.Errorf("fetched configuration after the core was killed: %s", got)
 	}
-	until(t, ctx, "the limiter serves", serves(0, "/a/1", "key-2", 200))
+	waitFor(t, ctx, "the limiter serves requests", serves(0, "/a/1", "key-2", 200))
 	s.Kill("edge-1", syscall.SIGKILL)
 	if err := s.Restart("edge-1"); err != nil {
 		t.Fatal(err)
 	}
-	until(t, ctx, "a limiter that was killed serves again", serves(0, "/a/1", "key-2", 200))
+	waitFor(t, ctx, "a restarted limiter serves requests", serves(0, "/a/1", "key-2", 200))
 	if all, _ := s.Resolve(ctx, 0); len(all) > 0 && !slices.Contains(all, s.edge(0)+":8389") {
-		t.Errorf("the directory names %v", all)
+		t.Errorf("the directory lists %v", all)
 	}
 }
--- a/internal/smallsystem/soak_clients_test.go
+++ b/internal/smallsystem/soak_clients_test.go
@@ -13,116 +13,116 @@
 	"time"
 )
 
-// soakClient is one client. It sends what it likes on the connections that it has.
+// soakClient is one client with its own connections and its cached answer of the directory.
 type soakClient struct {
 	*soak
-	name      string
-	keeps     time.Duration // an answer of the directory
-	addresses []int         // limiters
-	until     time.Time     // for which it keeps them
-	sends     int
+	name         string
+	directoryTTL time.Duration // time for which it caches an answer of the directory
+	limiters     []int         // from the directory, by index
+	validUntil   time.Time     // when the cached limiters expire
+	sendCount    int
 }
 
-// choose is a limiter to open a connection to, as the directory has it.
-func (c *soakClient) choose() (edge int, ok bool) {
-	if time.Now().After(c.until) || len(c.addresses) == 0 {
+// chooseEdge returns a random limiter from the directory's answer, which it refreshes when it has expired.
+func (c *soakClient) chooseEdge() (edge int, ok bool) {
+	if time.Now().After(c.validUntil) || len(c.limiters) == 0 {
 		for range 3 {
-			all, err := c.system.Resolve(c.ctx, c.below(c.edges))
+			all, err := c.system.Resolve(c.ctx, c.randomInt(c.edges))
 			if err != nil {
 				continue
 			}
-			c.addresses = nil
+			c.limiters = nil
 			for _, address := range all {
 				for e := range c.edges {
 					if strings.HasPrefix(address, c.system.edge(e)+":") {
-						c.addresses = append(c.addresses, e)
+						c.limiters = append(c.limiters, e)
 					}
 				}
 			}
-			c.until = time.Now().Add(c.keeps)
+			c.validUntil = time.Now().Add(c.directoryTTL)
 			break
 		}
 	}
-	if len(c.addresses) == 0 {
+	if len(c.limiters) == 0 {
 		return 0, false
 	}
-	return c.addresses[c.below(len(c.addresses))], true
+	return c.limiters[c.randomInt(len(c.limiters))], true
 }
 
-// soakConn is a connection of a client.
+// soakConn is a client's connection to a limiter's process.
 type soakConn struct {
 	net.Conn
-	in   *bufio.Reader
-	life *soakLife
+	reader  *bufio.Reader
+	process *soakProcess
 }
 
-func (c *soakClient) open() *soakConn {
-	edge, ok := c.choose()
+func (c *soakClient) connect() *soakConn {
+	edge, ok := c.chooseEdge()
 	if !ok {
 		c.pause(50)
 		return nil
 	}
-	life := c.life(edge)
-	conn, err := net.DialTimeout("tcp", fmt.Sprintf("%s:%d", c.system.edge(edge), frontPort), time.Second)
+	process := c.process(edge)
+	conn, err := net.DialTimeout("tcp", fmt.Sprintf("%s:%d", c.system.edge(edge), frontendPort), time.Second)
 	if err != nil {
-		c.until = time.Time{} // it asks anew
+		c.validUntil = time.Time{} // query the directory again
 		c.pause(20)
 		return nil
 	}
-	if c.life(edge) != life { // it can't be told which process has it
+	if c.process(edge) != process { // the limiter restarted: unknown which process accepted the connection
 		conn.Close()
 		return nil
 	}
-	return &soakConn{conn, bufio.NewReader(conn), life}
+	return &soakConn{conn, bufio.NewReader(conn), process}
 }
 
-func (c *soakClient) pause(most int) {
+func (c *soakClient) pause(maxMs int) {
 	select {
 	case <-c.ctx.Done():
-	case <-time.After(time.Duration(1+c.below(most)) * time.Millisecond):
+	case <-time.After(time.Duration(1+c.randomInt(maxMs)) * time.Millisecond):
 	}
 }
 
-// soakKind is what a request is.
+// soakKind is the kind of a request: whether it is repeatable, and whether its body or answer is long.
 type soakKind int
 
 const (
-	soakRead     soakKind = iota // a short one, which can be repeated
-	soakOnce                     // a short one, which can't
-	soakDownload                 // with a long answer
-	soakUpload                   // with a long body; it can't be repeated
+	soakRead     soakKind = iota // short, repeatable
+	soakWrite                    // short, not repeatable
+	soakDownload                 // with a long answer, repeatable
+	soakUpload                   // with a long body, not repeatable
 )
 
 func (k soakKind) String() string { return []string{"read", "once", "download", "upload"}[k] }
 
 const (
 	soakUploadPiece   = 64 << 10
-	soakUploadPieces  = 32      // more than the limiter holds of a body
-	soakDownloadLines = 1 << 18 // of an answer: more than the limiter holds
-	soakDownloadPiece = 1 << 14 // lines that are written or read at once
+	soakUploadPieces  = 32      // more than the limiter buffers of a body
+	soakDownloadLines = 1 << 18 // of an answer: more than the limiter buffers
+	soakDownloadPiece = 1 << 14 // lines that are written or read at a time
 )
 
-// soakLine is one of many that a long answer is made of.
+// soakLine returns the line that a long answer repeats.
 func soakLine(id string) string { return fmt.Sprintf("%-15s\n", id) }
 
-// readOrOnce draws a kind of short requests.
-func (c *soakClient) readOrOnce() soakKind {
-	if c.below(3) == 0 {
-		return soakOnce
+// randomShortKind returns a random kind of short request.
+func (c *soakClient) randomShortKind() soakKind {
+	if c.randomInt(3) == 0 {
+		return soakWrite
 	}
 	return soakRead
 }
 
-// send writes a request, and notes it.
+// send records a request and writes it to a connection.
 func (c *soakClient) send(to *soakConn, kind soakKind) (*soakRequest, error) {
-	c.sends++
-	sent := &soakRequest{id: fmt.Sprintf("%s-%d", c.name, c.sends), kind: kind, life: to.life, deadline: soakDeadline}
-	if c.below(4) == 0 || kind >= soakDownload {
+	c.sendCount++
+	sent := &soakRequest{id: fmt.Sprintf("%s-%d", c.name, c.sendCount), kind: kind, process: to.process, deadline: soakDeadline}
+	if c.randomInt(4) == 0 || kind >= soakDownload {
 		sent.deadline = soakLongDeadline
 	}
 	method, path, body := "GET", "/a/1", ""
 	switch kind {
-	case soakOnce:
+	case soakWrite:
 		method, path, body = "POST", "/b/1", "payload"
 	case soakDownload:
 		path = "/c/1"
@@ -134,18 +134,18 @@
 	c.mu.Lock()
 	sent.sent = time.Now()
 	c.requests[sent.id] = sent
-	c.order = append(c.order, sent)
+	c.requestList = append(c.requestList, sent)
 	c.mu.Unlock()
 	err := c.write(to, text)
 	if err == nil {
 		c.mu.Lock()
-		sent.whole = time.Now()
+		sent.fullySent = time.Now()
 		c.mu.Unlock()
 	}
 	return sent, err
 }
 
-// write writes a text, a long one in pieces with pauses.
+// write writes a text, in pieces with pauses if it is long.
 func (c *soakClient) write(to *soakConn, text string) error {
 	for len(text) > 0 {
 		n := min(len(text), soakUploadPiece)
@@ -159,7 +159,8 @@
 	return nil
 }
 
-// read reads the body of an answer, a long one in pieces with pauses. Of the lines of a download it returns one.
+// read reads the body of an answer, in pieces with pauses if it is a download. For a complete download it returns the
+// request's ID.
 func (c *soakClient) read(from io.Reader, sent *soakRequest) (string, error) {
 	if sent.kind != soakDownload {
 		body, err := io.ReadAll(from)
@@ -179,10 +180,10 @@
 	return sent.id, nil
 }
 
-// receive reads the answer to a request, and tells whether the connection goes on.
+// receive reads the answer to a request, and reports whether the connection can be used further.
 func (c *soakClient) receive(from *soakConn, sent *soakRequest) bool {
 	from.SetReadDeadline(sent.sent.Add(sent.deadline + 5*time.Second))
-	r, err := http.ReadResponse(from.in, nil)
+	r, err := http.ReadResponse(from.reader, nil)
 	var body string
 	if err == nil {
 		body, err = c.readAnswer(r, sent)
@@ -192,14 +193,14 @@
 	sent.ended = time.Now()
 	if err != nil {
 		sent.fault = err.Error()
-		sent.gaveUp = errors.Is(err, os.ErrDeadlineExceeded)
+		sent.clientTimedOut = errors.Is(err, os.ErrDeadlineExceeded)
 		return false
 	}
 	sent.status, sent.body = r.StatusCode, body
 	return !r.Close
 }
 
-// readAnswer reads the rest of an answer.
+// readAnswer reads the body of an answer; only a successful one may be long.
 func (c *soakClient) readAnswer(r *http.Response, sent *soakRequest) (string, error) {
 	if r.StatusCode == http.StatusOK {
 		return c.read(r.Body, sent)
@@ -208,16 +209,16 @@
 	return string(body), err
 }
 
-// long sends requests with long bodies or answers, one after the other on a connection until it ends.
-func (c *soakClient) long(kind soakKind) {
+// longTransfers sends requests with long bodies or answers, one after the other on a connection until it ends.
+func (c *soakClient) longTransfers(kind soakKind) {
 	for c.ctx.Err() == nil {
-		to := c.open()
+		to := c.connect()
 		if to == nil {
 			continue
 		}
 		for c.ctx.Err() == nil {
-			sent, _ := c.send(to, kind) // an answer may come before all is written
-			if !c.receive(to, sent) || sent.whole.IsZero() {
+			sent, _ := c.send(to, kind) // an answer may come before the body is written completely
+			if !c.receive(to, sent) || sent.fullySent.IsZero() {
 				break
 			}
 			c.pause(300)
@@ -226,15 +227,15 @@
 	}
 }
 
-// kept sends one request after the other, on one connection until it ends.
-func (c *soakClient) kept(pause int) {
+// keepAlive sends short requests one after the other on a connection until it ends.
+func (c *soakClient) keepAlive(pause int) {
 	for c.ctx.Err() == nil {
-		to := c.open()
+		to := c.connect()
 		if to == nil {
 			continue
 		}
 		for c.ctx.Err() == nil {
-			sent, err := c.send(to, c.readOrOnce())
+			sent, err := c.send(to, c.randomShortKind())
 			if !c.receive(to, sent) || err != nil {
 				break
 			}
@@ -244,11 +245,11 @@
 	}
 }
 
-// single opens a connection for each request.
+// single opens a new connection for each request.
 func (c *soakClient) single() {
 	for c.ctx.Err() == nil {
-		if to := c.open(); to != nil {
-			if sent, err := c.send(to, c.readOrOnce()); err == nil {
+		if to := c.connect(); to != nil {
+			if sent, err := c.send(to, c.randomShortKind()); err == nil {
 				c.receive(to, sent)
 			}
 			to.Close()
@@ -257,28 +258,28 @@
 	}
 }
 
-// pipelined always has some requests on their way on a connection until it ends.
-func (c *soakClient) pipelined(atOnce int) {
+// pipelined keeps up to maxInFlight requests in flight on a connection until it ends.
+func (c *soakClient) pipelined(maxInFlight int) {
 	for c.ctx.Err() == nil {
-		if to := c.open(); to != nil {
-			c.pipeline(to, atOnce)
+		if to := c.connect(); to != nil {
+			c.pipeline(to, maxInFlight)
 			to.Close()
 		}
 	}
 }
 
-func (c *soakClient) pipeline(to *soakConn, atOnce int) {
-	under := make(chan *soakRequest, atOnce)
-	over := make(chan struct{})
-	var last *soakRequest // behind which nothing is answered; it is set before over is closed
+func (c *soakClient) pipeline(to *soakConn, maxInFlight int) {
+	pending := make(chan *soakRequest, maxInFlight)
+	stopped := make(chan struct{})
+	var last *soakRequest // the last request that is answered, or that failed; set before stopped is closed
 	go func() {
-		defer close(under)
+		defer close(pending)
 		for c.ctx.Err() == nil {
 			sent, err := c.send(to, soakRead)
 			select {
-			case under <- sent:
-			case <-over:
-				c.unanswered(sent, last)
+			case pending <- sent:
+			case <-stopped:
+				c.recordUnanswered(sent, last)
 				return
 			}
 			if err != nil {
@@ -287,34 +288,34 @@
 			c.pause(100)
 		}
 	}()
-	goesOn := true
-	for sent := range under {
-		if !goesOn {
-			c.unanswered(sent, last)
+	usable := true
+	for sent := range pending {
+		if !usable {
+			c.recordUnanswered(sent, last)
 			continue
 		}
-		if goesOn = c.receive(to, sent); !goesOn {
+		if usable = c.receive(to, sent); !usable {
 			last = sent
-			close(over)
+			close(stopped)
 		}
 	}
 }
 
-// unanswered notes a request that gets no answer as its connection has ended with another one: behind its last
-// answer, behind a request that was cut, or behind one for which the client would wait no longer.
-func (c *soakClient) unanswered(sent, last *soakRequest) {
+// recordUnanswered records a request that gets no answer because its connection ended at an earlier request, last: by
+// the connection's last answer, by a failure, or because the client timed out.
+func (c *soakClient) recordUnanswered(sent, last *soakRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	sent.behind, sent.gaveUp, sent.ended = last.status != 0, last.gaveUp, time.Now()
-	if !sent.behind {
+	sent.afterLastAnswer, sent.clientTimedOut, sent.ended = last.status != 0, last.clientTimedOut, time.Now()
+	if !sent.afterLastAnswer {
 		sent.fault = "the connection ended before: " + last.fault
 	}
 }
 
-// quiet uses a connection now and then, whatever the directory says.
-func (c *soakClient) quiet() {
+// infrequent uses a connection at long intervals until it ends, even if the directory no longer lists its limiter.
+func (c *soakClient) infrequent() {
 	for c.ctx.Err() == nil {
-		to := c.open()
+		to := c.connect()
 		if to == nil {
 			continue
 		}
@@ -329,28 +330,28 @@
 	}
 }
 
-// work is what a server does: it is at work for a time that is drawn, unless its caller leaves, and answers.
-func (s *soak) work(w http.ResponseWriter, r *http.Request) {
+// serve handles a request at a server: it waits for a random time or until the caller disconnects, and answers.
+func (s *soak) serve(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Madderdrum-Attempt-Id")
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		return // it did not come whole: it is not run
+		return // the body is incomplete: the request is not executed
 	}
-	takes := time.Duration(20+s.below(200)) * time.Millisecond
-	switch draw := s.below(100); {
-	case draw < 2: // until its caller leaves
-		takes = time.Minute
+	serviceTime := time.Duration(20+s.randomInt(200)) * time.Millisecond
+	switch draw := s.randomInt(100); {
+	case draw < 2: // longer than any deadline: until the caller disconnects
+		serviceTime = time.Minute
 	case draw < 12:
-		takes = time.Duration(800+s.below(1600)) * time.Millisecond
+		serviceTime = time.Duration(800+s.randomInt(1600)) * time.Millisecond
 	}
 	s.mu.Lock()
 	sent := s.requests[id]
-	k := 0
+	index := 0
 	if sent != nil {
-		k = len(sent.runs)
-		sent.runs = append(sent.runs, soakRun{begun: time.Now()})
+		index = len(sent.executions)
+		sent.executions = append(sent.executions, soakExecution{startedAt: time.Now()})
 	}
 	s.mu.Unlock()
-	done := time.NewTimer(takes)
+	done := time.NewTimer(serviceTime)
 	defer done.Stop()
 	select {
 	case <-done.C:
@@ -358,7 +359,7 @@
 	}
 	if sent != nil {
 		s.mu.Lock()
-		sent.runs[k].ended = time.Now()
+		sent.executions[index].ended = time.Now()
 		s.mu.Unlock()
 	}
 	w.Header().Set("X-Madderdrum-Server-Seal", "model")
--- a/internal/smallsystem/soak_operator_test.go
+++ b/internal/smallsystem/soak_operator_test.go
@@ -9,55 +9,55 @@
 	"time"
 )
 
-// endLife has a limiter get a signal that ends it, and starts it again after a while.
-func (s *soak) endLife(edge int, sig syscall.Signal, again time.Duration) {
+// stopAndRestart sends a terminating signal to a limiter, and starts it again restartDelay after it has exited.
+func (s *soak) stopAndRestart(edge int, sig syscall.Signal, restartDelay time.Duration) {
 	name := fmt.Sprintf("edge-%d", edge+1)
 	s.mu.Lock()
-	life := s.lives[edge]
-	if !life.started {
+	process := s.processes[edge]
+	if !process.started {
 		s.mu.Unlock()
 		return
 	}
-	if !life.sigterm.IsZero() || !life.killed.IsZero() {
-		if sig == syscall.SIGKILL && life.killed.IsZero() {
-			life.killed = time.Now()
+	if !process.sigterm.IsZero() || !process.killed.IsZero() {
+		if sig == syscall.SIGKILL && process.killed.IsZero() {
+			process.killed = time.Now()
 		}
 		s.mu.Unlock()
-		s.system.Signal(name, sig) // once more: SIGTERM changes nothing
-		s.note("%s gets %v once more", name, sig)
+		s.system.Signal(name, sig) // a repeated SIGTERM must have no effect
+		s.logEvent("%s gets another %v", name, sig)
 		return
 	}
 	if sig == syscall.SIGTERM {
-		life.sigterm = time.Now()
+		process.sigterm = time.Now()
 	} else {
-		life.killed = time.Now()
+		process.killed = time.Now()
 	}
 	s.mu.Unlock()
-	s.note("%s gets %v", name, sig)
+	s.logEvent("%s gets %v", name, sig)
 	s.system.Signal(name, sig)
-	s.signalled(life, sig)
-	platform := time.AfterFunc(soakGrace, func() { s.killOverdue(life) })
+	s.recordSignal(process, sig)
+	graceTimer := time.AfterFunc(soakGrace, func() { s.killAfterGrace(process) })
 	err := s.system.Await(name)
-	platform.Stop()
+	graceTimer.Stop()
 	s.mu.Lock()
-	life.ended = time.Now()
-	if err == nil && life.overdue {
-		// It had ended by itself when it was to be killed: the soak heard late of it.
-		life.overdue, life.killed, life.heardLate = false, time.Time{}, true
+	process.ended = time.Now()
+	if err == nil && process.graceExpired {
+		// It had exited by itself before SIGKILL; the test only noticed its exit late.
+		process.graceExpired, process.killed, process.exitSeenLate = false, time.Time{}, true
 	}
-	killed := !life.killed.IsZero()
-	s.past = append(s.past, life)
+	killed := !process.killed.IsZero()
+	s.endedProcesses = append(s.endedProcesses, process)
 	s.mu.Unlock()
-	s.note("%s has ended: %v", name, err)
-	if err != nil && !killed && s.served(life) {
+	s.logEvent("%s has ended: %v", name, err)
+	if err != nil && !killed && s.hadClients(process) {
 		s.t.Errorf("%s: %v", name, err)
 	}
-	s.sleep(again)
+	s.sleep(restartDelay)
 	s.mu.Lock()
-	next := &soakLife{edge: edge, begun: time.Now()}
-	s.lives[edge] = next
+	next := &soakProcess{edge: edge, startedAt: time.Now()}
+	s.processes[edge] = next
 	s.mu.Unlock()
-	s.note("%s starts again", name)
+	s.logEvent("%s starts again", name)
 	if err := s.system.Restart(name); err != nil {
 		s.t.Error(err)
 	}
@@ -66,64 +66,64 @@
 	s.mu.Unlock()
 }
 
-// signalled notes that a limiter has its signal. The soak may stand still between drawing it and sending it.
-func (s *soak) signalled(life *soakLife, sig syscall.Signal) {
+// recordSignal records the time after a signal was sent, as the test may stall between choosing and sending it.
+func (s *soak) recordSignal(process *soakProcess, sig syscall.Signal) {
 	at := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if sig == syscall.SIGTERM {
-		life.sigterm = at
+		process.sigterm = at
 	}
 }
 
-// served tells that a client was connected to a limiter. One that gets SIGTERM before its program handles signals ends by
-// it at once, and has nothing to end in order: it listens later than that.
-func (s *soak) served(life *soakLife) bool {
+// hadClients reports whether any client sent a request to the process. A process that gets SIGTERM before it handles
+// signals is killed by it at once. That is no failure, because it does not listen before that.
+func (s *soak) hadClients(process *soakProcess) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.ContainsFunc(s.order, func(r *soakRequest) bool { return r.life == life })
+	return slices.ContainsFunc(s.requestList, func(r *soakRequest) bool { return r.process == process })
 }
 
-// killOverdue ends a limiter whose grace period is over, as the platform does.
-func (s *soak) killOverdue(life *soakLife) {
-	name := fmt.Sprintf("edge-%d", life.edge+1)
+// killAfterGrace kills a limiter whose grace period is over, as the platform does.
+func (s *soak) killAfterGrace(process *soakProcess) {
+	name := fmt.Sprintf("edge-%d", process.edge+1)
 	s.mu.Lock()
-	due := life.ended.IsZero() && life.killed.IsZero()
+	due := process.ended.IsZero() && process.killed.IsZero()
 	if due {
-		life.killed, life.overdue = time.Now(), true
+		process.killed, process.graceExpired = time.Now(), true
 	}
 	s.mu.Unlock()
 	if due {
-		s.note("%s is overdue and killed", name)
+		s.logEvent("%s is killed after its grace period", name)
 		s.system.Signal(name, syscall.SIGKILL)
 	}
 }
 
-// stall has a limiter stand still for a while, as a machine does that gets no processor.
-func (s *soak) stall(edge int, lasts time.Duration) {
+// stall stops a limiter with SIGSTOP for some time, to simulate a process that is not scheduled.
+func (s *soak) stall(edge int, duration time.Duration) {
 	name := fmt.Sprintf("edge-%d", edge+1)
 	s.mu.Lock()
-	life := s.lives[edge]
-	runs := life.started && life.ended.IsZero() && life.killed.IsZero()
-	if runs {
-		life.stalls = append(life.stalls, soakStall{from: time.Now()})
+	process := s.processes[edge]
+	running := process.started && process.ended.IsZero() && process.killed.IsZero()
+	if running {
+		process.stalls = append(process.stalls, soakStall{from: time.Now()})
 	}
 	s.mu.Unlock()
-	if !runs {
+	if !running {
 		return
 	}
-	s.note("%s stands still for %v", name, lasts)
+	s.logEvent("%s is stopped for %v", name, duration)
 	s.system.Signal(name, syscall.SIGSTOP)
-	if s.life(edge) == life {
-		time.Sleep(lasts)
+	if s.process(edge) == process {
+		time.Sleep(duration)
 	}
 	s.system.Signal(name, syscall.SIGCONT)
 	s.mu.Lock()
-	life.stalls[len(life.stalls)-1].to = time.Now()
+	process.stalls[len(process.stalls)-1].to = time.Now()
 	s.mu.Unlock()
 }
 
-// sleep waits, to the end of the soak at most.
+// sleep waits for d, or until the test run ends.
 func (s *soak) sleep(d time.Duration) {
 	select {
 	case <-s.ctx.Done():
@@ -131,8 +131,8 @@
 	}
 }
 
-// change sends changes of the configuration, one after the other.
-func (s *soak) change(n int, gap time.Duration) {
+// changeConfiguration applies n configuration changes, one after the other.
+func (s *soak) changeConfiguration(n int, gap time.Duration) {
 	for range n {
 		if s.ctx.Err() != nil {
 			return
@@ -145,94 +145,94 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 		status, answer, err := s.system.Order(ctx, "POST", "/config/replace", soakConfiguration(version, base))
 		cancel()
-		s.note("version r%d: %d %s %v", version, status, answer, err)
+		s.logEvent("configuration version r%d: status %d %s %v", version, status, answer, err)
 		if status != 200 {
-			s.t.Errorf("version r%d on r%d: %d %s %v", version, base, status, answer, err)
+			s.t.Errorf("configuration version r%d on r%d: status %d %s %v", version, base, status, answer, err)
 			return
 		}
 		s.mu.Lock()
-		s.changed++
+		s.acknowledgedChanges++
 		s.mu.Unlock()
 		s.sleep(gap)
 	}
 }
 
-// operate does what the seed says: series of signals, restarts and changes that overlap.
-func (s *soak) operate() {
+// injectEvents runs the overlapping series of signals, restarts, stalls and changes that the seed determines.
+func (s *soak) injectEvents() {
 	var all sync.WaitGroup
-	do := func(f func()) {
+	startTask := func(f func()) {
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			f()
 		}()
 	}
-	do(func() { // rolls, of all limiters one after the other
+	startTask(func() { // rolling restarts of all limiters
 		for s.ctx.Err() == nil {
-			gap := time.Duration(300+s.below(5000)) * time.Millisecond
-			first := s.below(s.edges)
+			gap := time.Duration(300+s.randomInt(5000)) * time.Millisecond
+			first := s.randomInt(s.edges)
 			for i := range s.edges {
-				again := time.Duration(s.below(600)) * time.Millisecond
-				do(func() { s.endLife((first+i)%s.edges, syscall.SIGTERM, again) })
+				restartDelay := time.Duration(s.randomInt(600)) * time.Millisecond
+				startTask(func() { s.stopAndRestart((first+i)%s.edges, syscall.SIGTERM, restartDelay) })
 				s.sleep(gap)
 			}
-			s.sleep(time.Duration(2000+s.below(4000)) * time.Millisecond)
+			s.sleep(time.Duration(2000+s.randomInt(4000)) * time.Millisecond)
 		}
 	})
-	do(func() { // settings that change, with SIGHUP and without
+	startTask(func() { // SIGHUP with and without changed settings
 		for s.ctx.Err() == nil {
-			name := fmt.Sprintf("edge-%d", 1+s.below(s.edges))
-			if s.below(2) == 0 {
+			name := fmt.Sprintf("edge-%d", 1+s.randomInt(s.edges))
+			if s.randomInt(2) == 0 {
 				if err := s.system.TouchSettings(name); err != nil {
 					s.t.Error(err)
 				}
 			}
 			s.system.Signal(name, syscall.SIGHUP)
-			s.note("%s gets SIGHUP", name)
-			s.sleep(time.Duration(200+s.below(3000)) * time.Millisecond)
+			s.logEvent("%s gets SIGHUP", name)
+			s.sleep(time.Duration(200+s.randomInt(3000)) * time.Millisecond)
 		}
 	})
-	do(func() {
+	startTask(func() {
 		for s.ctx.Err() == nil {
-			s.sleep(time.Duration(s.below(3000)) * time.Millisecond)
-			s.change(1+s.below(4), time.Duration(s.below(700))*time.Millisecond)
+			s.sleep(time.Duration(s.randomInt(3000)) * time.Millisecond)
+			s.changeConfiguration(1+s.randomInt(4), time.Duration(s.randomInt(700))*time.Millisecond)
 		}
 	})
-	do(func() { // one core machine at a time
+	startTask(func() { // restarts of one core machine at a time
 		for s.ctx.Err() == nil {
-			s.sleep(time.Duration(1000+s.below(6000)) * time.Millisecond)
-			name := fmt.Sprintf("core-%d", 1+s.below(cores))
-			sig := []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL}[s.below(2)]
-			s.note("%s gets %v", name, sig)
+			s.sleep(time.Duration(1000+s.randomInt(6000)) * time.Millisecond)
+			name := fmt.Sprintf("core-%d", 1+s.randomInt(coreCount))
+			sig := []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL}[s.randomInt(2)]
+			s.logEvent("%s gets %v", name, sig)
 			s.system.Kill(name, sig)
 			if err := s.system.Restart(name); err != nil {
 				s.t.Error(err)
 			}
-			s.note("%s runs again", name)
+			s.logEvent("%s is restarted", name)
 			s.sleep(3 * time.Second)
 		}
 	})
 	if s.seed%4 == 0 {
-		do(func() {
-			s.sleep(time.Duration(4000+s.below(12000)) * time.Millisecond)
-			s.endLife(s.below(s.edges), syscall.SIGKILL, 200*time.Millisecond)
+		startTask(func() {
+			s.sleep(time.Duration(4000+s.randomInt(12000)) * time.Millisecond)
+			s.stopAndRestart(s.randomInt(s.edges), syscall.SIGKILL, 200*time.Millisecond)
 		})
 	}
 	if s.seed%2 == 0 {
-		do(func() { // machines that stand still, at any time
+		startTask(func() { // stalls of limiters at any time
 			for s.ctx.Err() == nil {
-				s.sleep(time.Duration(s.below(1500)) * time.Millisecond)
-				s.stall(s.below(s.edges), time.Duration(200+s.below(3300))*time.Millisecond)
+				s.sleep(time.Duration(s.randomInt(1500)) * time.Millisecond)
+				s.stall(s.randomInt(s.edges), time.Duration(200+s.randomInt(3300))*time.Millisecond)
 			}
 		})
 	}
 	if s.seed%5 == 0 {
-		do(func() { // all limiters at once
-			sig := []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL}[s.below(2)]
-			s.sleep(time.Duration(5000+s.below(10000)) * time.Millisecond)
+		startTask(func() { // stop and restart all limiters at once
+			sig := []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL}[s.randomInt(2)]
+			s.sleep(time.Duration(5000+s.randomInt(10000)) * time.Millisecond)
 			for edge := range s.edges {
-				again := time.Duration(s.below(600)) * time.Millisecond
-				do(func() { s.endLife(edge, sig, again) })
+				restartDelay := time.Duration(s.randomInt(600)) * time.Millisecond
+				startTask(func() { s.stopAndRestart(edge, sig, restartDelay) })
 			}
 		})
 	}
--- a/internal/smallsystem/soak_test.go
+++ b/internal/smallsystem/soak_test.go
@@ -18,102 +18,102 @@
 	"time"
 )
 
-// A soak plays a system of real processes under clients that use their connections until the process behind them
-// is gone, while limiters and core machines get signals, stand still and are restarted and the configuration
-// changes, in series that overlap. What happens, and when, is drawn by a seed.
+// A soak test runs a system of real processes with clients that use their connections until the process at the other
+// end is gone. Meanwhile limiters and core machines get signals, stall and are restarted, and the configuration changes,
+// in overlapping series. A seed determines which events happen and when.
 const (
-	soakFirst = "SOAK_FIRST" // first seed; 1 by default
-	soakSeeds = "SOAK_SEEDS" // how many; soakSeedsByDefault by default
-	soakBusy  = "SOAK_BUSY"  // how many processes keep the machine busy in each third run; 0 by default
-	soakMany  = "SOAK_EDGES" // how many limiters there are in each fifth run; soakEdges by default
-	soakKeep  = "SOAK_KEEP"  // folder in which logs are kept; none by default
+	soakFirstEnv  = "SOAK_FIRST" // first seed, default 1
+	soakSeedsEnv  = "SOAK_SEEDS" // number of seeds, default soakDefaultSeeds
+	soakBusyEnv   = "SOAK_BUSY"  // number of busy-looping processes in every third run, default 0
+	soakEdgesEnv  = "SOAK_EDGES" // number of limiters in every fifth run, default soakEdges
+	soakLogDirEnv = "SOAK_KEEP"  // directory in which logs are kept, default none
 
-	soakSeedsByDefault = 2
-	soakEdges          = 3
-	soakServers        = 4
-	soakClients        = 30
-	soakGrace          = 6 * time.Second
-	soakLasts          = 20 * time.Second
-	soakDeadline       = 2500 * time.Millisecond // of most requests
-	soakLongDeadline   = 6 * time.Second         // of those that clients are patient with
-	soakDeadlineMargin = 100 * time.Millisecond  // before a deadline, a 504 is for it
-	soakTTL            = 2 * time.Second         // for which clients keep an answer of the directory
-	soakTakenWithin    = 3 * time.Second         // after SIGTERM; what is sent later is not taken
-	soakExitMargin     = 50 * time.Millisecond
-	soakStallMargin    = 600 * time.Millisecond // a process that goes on so shortly before the end of its grace may miss it
-	soakSettles        = 200 * time.Millisecond // after which a process that has gone on counts as running
-	soakTick           = 20 * time.Millisecond
-	soakOwnStall       = 500 * time.Millisecond // a pause by which the soak itself stood still
-	soakIdleTimeout    = 15 * time.Second       // of the configuration
-	soakCloseWithin    = time.Second            // a request that meets a close is told of it
-	soakNetFirst       = 80
+	soakDefaultSeeds       = 2
+	soakEdges              = 3
+	soakServers            = 4
+	soakClients            = 30
+	soakGrace              = 6 * time.Second
+	soakDuration           = 20 * time.Second
+	soakDeadline           = 2500 * time.Millisecond // of most requests
+	soakLongDeadline       = 6 * time.Second         // of the other requests
+	soakDeadlineMargin     = 100 * time.Millisecond  // a 504 this close to the deadline is due to the deadline
+	soakDirectoryTTL       = 2 * time.Second         // for which most clients cache an answer of the directory
+	soakMaxAcceptDelay     = 3 * time.Second         // after SIGTERM; requests sent later must not be accepted
+	soakExitMargin         = 50 * time.Millisecond
+	soakStallMargin        = 600 * time.Millisecond // a process that stalled this close to the end of its grace period may overrun it
+	soakResumeMargin       = 200 * time.Millisecond // after a stall, until the process counts as running
+	soakStallCheckInterval = 20 * time.Millisecond
+	soakMinHarnessStall    = 500 * time.Millisecond // a longer gap between checks is a stall of the test process itself
+	soakIdleTimeout        = 15 * time.Second       // idle_timeout of the configuration
+	soakCloseTimeout       = time.Second            // within which the client of a request that crosses a close notices it
+	soakFirstNet           = 80
 )
 
-// soakLife is one process of a limiter.
-type soakLife struct {
-	edge     int
-	begun    time.Time
-	sigterm  time.Time     // zero: it has not come
-	killed   time.Time     // zero: it was not
-	ended    time.Time     // zero: it runs
-	started  bool          // its process has been; until then no signal is for it
-	overdue  bool          // it was killed as its grace period was over
-	toldLate time.Duration // how long before it was heard SIGTERM may have been sent, by its log
-	// heardLate tells that it had ended in time, and that the soak heard of it behind that.
-	heardLate bool
-	stalls    []soakStall
+// soakProcess is one process of a limiter, from start to exit.
+type soakProcess struct {
+	edge         int
+	startedAt    time.Time
+	sigterm      time.Time     // zero: not sent
+	killed       time.Time     // when SIGKILL was sent; zero: not sent
+	ended        time.Time     // zero: still running
+	started      bool          // the process exists, so that signals reach it
+	graceExpired bool          // killed because its grace period was over
+	sigtermDelay time.Duration // maximum delay between sending and handling of SIGTERM, from its log
+	// exitSeenLate is set if it had exited in time but the test noticed only after the end of its grace period.
+	exitSeenLate bool
+	stalls       []soakStall
 }
 
-// soakStall is a time in which a process stands still. A zero end: it has not gone on yet.
+// soakStall is a period in which a process is stopped or not scheduled. to is zero while it lasts.
 type soakStall struct{ from, to time.Time }
 
-// leftBefore tells that it had got SIGTERM by then.
-func (l *soakLife) leftBefore(at time.Time) bool { return !l.sigterm.IsZero() && l.sigterm.Before(at) }
+// leaving reports whether the process had got SIGTERM before the given time.
+func (l *soakProcess) leaving(at time.Time) bool { return !l.sigterm.IsZero() && l.sigterm.Before(at) }
 
-// countsFrom is from when a process may count its grace period: SIGTERM or, where it stood still then, when it had last
-// run, as it can't tell when the signal was sent. Stalls that the machine brings about, by having no processor for it,
-// are known from what it tells of them.
-func (l *soakLife) countsFrom() time.Time {
-	if l.toldLate > 0 {
-		return l.sigterm.Add(-l.toldLate)
+// graceStart returns the earliest time from which the process may count its grace period: SIGTERM or, if the process
+// was stalled then, the beginning of the stall, as it can't know when the signal was sent. Stalls caused by a busy
+// machine are known from the process's log.
+func (l *soakProcess) graceStart() time.Time {
+	if l.sigtermDelay > 0 {
+		return l.sigterm.Add(-l.sigtermDelay)
 	}
 	for _, s := range l.stalls {
-		if s.from.Before(l.sigterm) && (s.to.IsZero() || s.to.After(l.sigterm.Add(-soakSettles))) {
+		if s.from.Before(l.sigterm) && (s.to.IsZero() || s.to.After(l.sigterm.Add(-soakResumeMargin))) {
 			return s.from
 		}
 	}
 	return l.sigterm
 }
 
-// stood tells that the process stood still within some time.
-func (l *soakLife) stood(from, to time.Time) bool {
+// stalledDuring reports whether the process was stalled at any time between from and to.
+func (l *soakProcess) stalledDuring(from, to time.Time) bool {
 	return slices.ContainsFunc(l.stalls, func(s soakStall) bool {
 		return s.from.Before(to) && (s.to.IsZero() || s.to.After(from))
 	})
 }
 
-// soakRequest is one try of a client.
+// soakRequest is one request of a client and what happened to it.
 type soakRequest struct {
-	id       string
-	kind     soakKind
-	life     *soakLife
-	sent     time.Time // its first byte
-	whole    time.Time // its last one; zero: it could not be written
-	deadline time.Duration
-	ended    time.Time // the answer was read whole, or the connection had ended
-	status   int       // 0: no answer
-	body     string
-	behind   bool // an answer before it on its connection was the last
-	gaveUp   bool // its client closed the connection, as an answer took longer than it would wait
-	fault    string
-	runs     []soakRun
+	id              string
+	kind            soakKind
+	process         *soakProcess
+	sent            time.Time // when sending began
+	fullySent       time.Time // when sending was complete; zero: it failed
+	deadline        time.Duration
+	ended           time.Time // when the answer was complete or the connection ended
+	status          int       // HTTP status; 0: no answer
+	body            string
+	afterLastAnswer bool // pipelined after a request whose answer closed the connection
+	clientTimedOut  bool // the client closed the connection after waiting too long for an answer
+	fault           string
+	executions      []soakExecution
 }
 
-// once tells that it can't be repeated.
-func (r *soakRequest) once() bool { return r.kind == soakOnce || r.kind == soakUpload }
+// nonRepeatable reports whether the request must not be executed more than once.
+func (r *soakRequest) nonRepeatable() bool { return r.kind == soakWrite || r.kind == soakUpload }
 
-// soakRun is one run of a request at a server.
-type soakRun struct{ begun, ended time.Time }
+// soakExecution is one execution of a request at a server.
+type soakExecution struct{ startedAt, ended time.Time }
 
 type soak struct {
 	t      *testing.T
@@ -121,63 +121,63 @@
 	system *System
 	ctx    context.Context
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	edges    int
-	lives    []*soakLife
-	past     []*soakLife
-	requests map[string]*soakRequest
-	order    []*soakRequest
-	events   []string
-	version  int
-	changed  int         // changes that were acknowledged
-	own      []soakStall // of the soak itself
-	begun    time.Time
+	mu                  sync.Mutex
+	random              *rand.Rand
+	edges               int
+	processes           []*soakProcess
+	endedProcesses      []*soakProcess
+	requests            map[string]*soakRequest
+	requestList         []*soakRequest
+	events              []string
+	version             int
+	acknowledgedChanges int         // configuration changes
+	harnessStalls       []soakStall // of the test process itself
+	startedAt           time.Time
 }
 
-func (s *soak) below(n int) int {
+func (s *soak) randomInt(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.IntN(n)
 }
 
-// watchItself notes when the soak itself stands still: it then measures no times.
-func (s *soak) watchItself(stop <-chan struct{}) {
+// recordHarnessStalls records the stalls of the test process itself, during which its time measurements are invalid.
+func (s *soak) recordHarnessStalls(stop <-chan struct{}) {
 	last := time.Now()
 	for {
 		select {
 		case <-stop:
 			return
-		case <-time.After(soakTick):
+		case <-time.After(soakStallCheckInterval):
 		}
 		now := time.Now()
-		if now.Sub(last) > soakOwnStall {
+		if now.Sub(last) > soakMinHarnessStall {
 			s.mu.Lock()
-			s.own = append(s.own, soakStall{last, now})
+			s.harnessStalls = append(s.harnessStalls, soakStall{last, now})
 			s.mu.Unlock()
 		}
 		last = now
 	}
 }
 
-// restedBefore tells that the soak stood still for so long before a moment that a connection may have been idle for
-// longer than the limits allow.
-func (s *soak) restedBefore(at time.Time) bool {
-	return slices.ContainsFunc(s.own, func(x soakStall) bool {
+// harnessStalledBefore reports whether the test process was stalled for so long before the given time that a connection
+// may have exceeded its idle timeout.
+func (s *soak) harnessStalledBefore(at time.Time) bool {
+	return slices.ContainsFunc(s.harnessStalls, func(x soakStall) bool {
 		return x.to.Sub(x.from) > soakIdleTimeout/2 && x.from.Before(at) && x.to.After(at.Add(-soakIdleTimeout))
 	})
 }
 
-// stoodItself tells that the soak stood still within some time.
-func (s *soak) stoodItself(from, to time.Time) bool {
-	return slices.ContainsFunc(s.own, func(x soakStall) bool { return x.from.Before(to) && x.to.After(from) })
+// harnessStalledDuring reports whether the test process was stalled at any time between from and to.
+func (s *soak) harnessStalledDuring(from, to time.Time) bool {
+	return slices.ContainsFunc(s.harnessStalls, func(x soakStall) bool { return x.from.Before(to) && x.to.After(from) })
 }
 
-// note keeps what happened, for whoever reads why a soak failed.
-func (s *soak) note(format string, args ...any) {
+// logEvent records an event with its time; the events are printed if the test fails.
+func (s *soak) logEvent(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.events = append(s.events, fmt.Sprintf("%7.3f ", time.Since(s.begun).Seconds())+fmt.Sprintf(format, args...))
+	s.events = append(s.events, fmt.Sprintf("%7.3f ", time.Since(s.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
 func soakConfiguration(version, base int) []byte {
@@ -190,160 +190,160 @@
 		`"clusters":[{"name":"engines","health_path":"/health","max_connections":200,"warmup":"1s","cold_per_s":50}]}`, version, base, 1500+version%7)
 }
 
-// life is the process that listens at a limiter's address.
-func (s *soak) life(edge int) *soakLife {
+// process returns the current process of a limiter.
+func (s *soak) process(edge int) *soakProcess {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lives[edge]
+	return s.processes[edge]
 }
 
-// soakTally counts what became of requests.
+// soakTally counts the outcomes of requests.
 type soakTally struct {
-	requests, answered, ran, cutByKill, atTheEnd, behind, crossed, gaveUp, pastDeadline, stalls int
-	status                                                                                      map[int]int
-	faults                                                                                      map[string]int // by what is wrong
-	latest                                                                                      time.Duration  // that a request which ran was sent after SIGTERM
+	requests, answered, executed, cutByKill, abortedAtGraceEnd, afterLastAnswer, closedUnread, clientTimedOut, pastDeadline, stalls int
+	status                                                                                                                          map[int]int
+	faults                                                                                                                          map[string]int // by description
+	latestAccepted                                                                                                                  time.Duration  // longest time after SIGTERM at which an executed request was sent
 }
 
-// readLogs notes what limiters have told of SIGTERMs that they heard late: the longest of each limiter.
+// readLogs reads from the logs by how long limiters received SIGTERM late, and uses the maximum of each limiter.
 func (s *soak) readLogs(folder string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	told := map[int]time.Duration{}
+	delays := map[int]time.Duration{}
 	for edge := range s.edges {
 		text, err := os.ReadFile(filepath.Join(folder, fmt.Sprintf("edge-%d-proxy.json.log", edge+1)))
 		if err != nil {
 			return err
 		}
-		for _, found := range heardLateField.FindAllSubmatch(text, -1) {
+		for _, found := range sigtermDelayField.FindAllSubmatch(text, -1) {
 			ms, err := strconv.Atoi(string(found[1]))
 			if err != nil {
 				return err
 			}
-			told[edge] = max(told[edge], time.Duration(ms)*time.Millisecond)
+			delays[edge] = max(delays[edge], time.Duration(ms)*time.Millisecond)
 		}
 	}
-	for _, life := range slices.Concat(s.past, s.lives) {
-		life.toldLate = told[life.edge]
+	for _, process := range slices.Concat(s.endedProcesses, s.processes) {
+		process.sigtermDelay = delays[process.edge]
 	}
 	return nil
 }
 
-var heardLateField = regexp.MustCompile(`msg=leaves .*heard_late_ms=(\d+)`)
+var sigtermDelayField = regexp.MustCompile(`msg=leaves .*heard_late_ms=(\d+)`)
 
-// judge looks at every request. It returns what is wrong.
-func (s *soak) judge() (tally soakTally, wrong []string) {
+// checkResults checks every request and every ended process, and returns a description of each failure.
+func (s *soak) checkResults() (tally soakTally, failures []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	tally.status, tally.faults = map[int]int{}, map[string]int{}
-	for _, r := range s.order {
-		if why := s.judgeRequest(r, &tally); why != "" {
-			tally.faults[why]++
-			wrong = append(wrong, fmt.Sprintf("%s: %s", s.describe(r), why))
+	for _, r := range s.requestList {
+		if failure := s.checkRequest(r, &tally); failure != "" {
+			tally.faults[failure]++
+			failures = append(failures, fmt.Sprintf("%s: %s", s.describe(r), failure))
 		}
 	}
-	for _, life := range s.past {
-		tally.stalls += len(life.stalls)
-		late := life.overdue || life.killed.IsZero() && !life.heardLate && life.ended.Sub(life.sigterm) > soakGrace-soakExitMargin
-		end := life.sigterm.Add(soakGrace)
-		if late && !life.stood(end.Add(-soakStallMargin), end) && !s.stoodItself(life.sigterm, life.ended) {
-			tally.faults["a limiter did not end within its grace"]++
-			wrong = append(wrong, fmt.Sprintf("edge-%d ended %v after SIGTERM, %v of grace", life.edge+1, life.ended.Sub(life.sigterm), soakGrace))
+	for _, process := range s.endedProcesses {
+		tally.stalls += len(process.stalls)
+		late := process.graceExpired || process.killed.IsZero() && !process.exitSeenLate && process.ended.Sub(process.sigterm) > soakGrace-soakExitMargin
+		end := process.sigterm.Add(soakGrace)
+		if late && !process.stalledDuring(end.Add(-soakStallMargin), end) && !s.harnessStalledDuring(process.sigterm, process.ended) {
+			tally.faults["a limiter did not end within its grace period"]++
+			failures = append(failures, fmt.Sprintf("edge-%d ended %v after SIGTERM, with a grace period of %v", process.edge+1, process.ended.Sub(process.sigterm), soakGrace))
 		}
 	}
-	return tally, wrong
+	return tally, failures
 }
 
-func (s *soak) judgeRequest(r *soakRequest, tally *soakTally) (wrong string) {
+func (s *soak) checkRequest(r *soakRequest, tally *soakTally) (failure string) {
 	tally.requests++
 	tally.status[r.status]++
-	ran := len(r.runs) > 0
-	if ran {
-		tally.ran++
+	executed := len(r.executions) > 0
+	if executed {
+		tally.executed++
 	}
-	life := r.life
+	process := r.process
 	afterSIGTERM := time.Duration(0)
-	if !life.sigterm.IsZero() {
-		afterSIGTERM = r.sent.Sub(life.sigterm)
+	if !process.sigterm.IsZero() {
+		afterSIGTERM = r.sent.Sub(process.sigterm)
 	}
-	if ran && r.once() && len(r.runs) > 1 {
-		return "it can't be repeated and ran more than once"
+	if executed && r.nonRepeatable() && len(r.executions) > 1 {
+		return "a non-repeatable request was executed more than once"
 	}
-	if ran && afterSIGTERM > 0 {
-		tally.latest = max(tally.latest, afterSIGTERM)
-		if afterSIGTERM > soakTakenWithin {
-			return "it was sent long after SIGTERM and taken"
+	if executed && afterSIGTERM > 0 {
+		tally.latestAccepted = max(tally.latestAccepted, afterSIGTERM)
+		if afterSIGTERM > soakMaxAcceptDelay {
+			return "it was accepted although it was sent long after SIGTERM"
 		}
 	}
 	switch {
 	case r.status == 200 && r.body != r.id:
-		return "it got the answer of another one"
+		return "it got the answer to another request"
 	case r.status == 200:
 		tally.answered++
 		return ""
-	case (r.status == 429 || r.status == 503) && ran && r.once():
-		return "it was promised that it has not run"
+	case (r.status == 429 || r.status == 503) && executed && r.nonRepeatable():
+		return "its status says that it was not executed, but it was"
 	case r.status != 0 && !slices.Contains([]int{429, 503, 502, 504}, r.status):
-		return "it is a proper request"
-	case r.status == 502 && life.leftBefore(r.ended):
-		return "it was broken off behind SIGTERM"
-	case r.status == 504 && life.leftBefore(r.ended) && r.ended.Sub(r.sent) < r.deadline-soakDeadlineMargin:
-		if r.ended.Sub(life.countsFrom()) < soakGrace*5/6 {
-			return "it was given up early behind SIGTERM"
+		return "unexpected status for a valid request"
+	case r.status == 502 && process.leaving(r.ended):
+		return "it was aborted after SIGTERM"
+	case r.status == 504 && process.leaving(r.ended) && r.ended.Sub(r.sent) < r.deadline-soakDeadlineMargin:
+		if r.ended.Sub(process.graceStart()) < soakGrace*5/6 {
+			return "it was aborted after SIGTERM, before the end of the grace period"
 		}
-		tally.atTheEnd++
+		tally.abortedAtGraceEnd++
 		tally.answered++
 		return ""
 	case r.status != 0:
 		tally.answered++
 		return ""
-	case r.kind == soakDownload && ran && r.ended.Sub(r.sent) >= r.deadline-soakDeadlineMargin:
-		tally.pastDeadline++ // a long answer that has begun can only be broken off
+	case r.kind == soakDownload && executed && r.ended.Sub(r.sent) >= r.deadline-soakDeadlineMargin:
+		tally.pastDeadline++ // a long answer that has begun can only be aborted
 		return ""
-	case r.behind:
-		tally.behind++
-		if ran {
-			return "it stood behind a connection's last answer, and ran"
+	case r.afterLastAnswer:
+		tally.afterLastAnswer++
+		if executed {
+			return "it was executed although it came after the last answer of its connection"
 		}
 		return ""
-	case r.gaveUp:
-		tally.gaveUp++
+	case r.clientTimedOut:
+		tally.clientTimedOut++
 		return ""
-	case !life.killed.IsZero() && !r.ended.Before(life.killed.Add(-soakExitMargin)):
+	case !process.killed.IsZero() && !r.ended.Before(process.killed.Add(-soakExitMargin)):
 		tally.cutByKill++
 		return ""
-	case !ran:
-		tally.crossed++
-		if life.sigterm.IsZero() {
-			if s.restedBefore(r.sent) {
-				return "" // its limiter may have closed it as idle
+	case !executed:
+		tally.closedUnread++
+		if process.sigterm.IsZero() {
+			if s.harnessStalledBefore(r.sent) {
+				return "" // its limiter may have closed the connection as idle
 			}
-			return "its connection was closed by a limiter that does not leave"
+			return "its connection was closed by a limiter that is not leaving"
 		}
-		if !r.whole.IsZero() && r.ended.Sub(r.whole) > soakCloseWithin && life.toldLate == 0 && !life.stood(r.sent, r.ended) && !s.stoodItself(r.sent, r.ended) {
-			// One that was not read crosses the close. A process with a processor has read by then.
-			return "its connection was closed long after it had been sent"
+		if !r.fullySent.IsZero() && r.ended.Sub(r.fullySent) > soakCloseTimeout && process.sigtermDelay == 0 && !process.stalledDuring(r.sent, r.ended) && !s.harnessStalledDuring(r.sent, r.ended) {
+			// An unread request may cross the close of its connection, but a running process reads it within soakCloseTimeout.
+			return "its connection was closed, unread, long after it had been sent"
 		}
 		return ""
 	}
-	return "it had reached a server and has no answer"
+	return "it reached a server but has no answer"
 }
 
-// describe tells the story of a request.
+// describe returns the history of a request for failure messages.
 func (s *soak) describe(r *soakRequest) string {
-	text := fmt.Sprintf("%s %v at edge-%d, sent %.3f", r.id, r.kind, r.life.edge+1, r.sent.Sub(s.begun).Seconds())
-	for name, at := range map[string]time.Time{"SIGTERM": r.life.sigterm, "SIGKILL": r.life.killed, "end of the process": r.life.ended} {
+	text := fmt.Sprintf("%s %v at edge-%d, sent %.3f", r.id, r.kind, r.process.edge+1, r.sent.Sub(s.startedAt).Seconds())
+	for name, at := range map[string]time.Time{"SIGTERM": r.process.sigterm, "SIGKILL": r.process.killed, "end of the process": r.process.ended} {
 		if !at.IsZero() {
-			text += fmt.Sprintf(", %s %.3f", name, at.Sub(s.begun).Seconds())
+			text += fmt.Sprintf(", %s %.3f", name, at.Sub(s.startedAt).Seconds())
 		}
 	}
-	for _, run := range r.runs {
-		text += fmt.Sprintf(", ran from %.3f to %.3f", run.begun.Sub(s.begun).Seconds(), run.ended.Sub(s.begun).Seconds())
+	for _, run := range r.executions {
+		text += fmt.Sprintf(", executed from %.3f to %.3f", run.startedAt.Sub(s.startedAt).Seconds(), run.ended.Sub(s.startedAt).Seconds())
 	}
-	return text + fmt.Sprintf(", ended %.3f with %d %s", r.ended.Sub(s.begun).Seconds(), r.status, r.fault)
+	return text + fmt.Sprintf(", ended %.3f with %d %s", r.ended.Sub(s.startedAt).Seconds(), r.status, r.fault)
 }
 
-// keepBusy starts processes that use all the processor that they get, until the test ends.
+// keepBusy starts n busy-looping processes that run until the test ends.
 func keepBusy(t *testing.T, n int) {
 	for range n {
 		cmd := exec.Command("sh", "-c", "while :; do :; done")
@@ -357,11 +357,11 @@
 	}
 }
 
-// number is a whole number that the environment has, or another one.
-func number(t *testing.T, name string, otherwise int) int {
+// envInt returns the non-negative integer in an environment variable, or defaultValue if it is not set.
+func envInt(t *testing.T, name string, defaultValue int) int {
 	text := os.Getenv(name)
 	if text == "" {
-		return otherwise
+		return defaultValue
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 0 {
@@ -372,43 +372,43 @@
 
 func (s *soak) run(t *testing.T) {
 	for e := range s.edges {
-		until(t, s.ctx, "a limiter is ready", func() bool { return s.system.Ready(s.ctx, e) })
+		waitFor(t, s.ctx, "a limiter is ready", func() bool { return s.system.Ready(s.ctx, e) })
 	}
 	var clients sync.WaitGroup
 	for i := range soakClients * s.edges / soakEdges {
-		c := &soakClient{soak: s, name: fmt.Sprintf("c%d", i), keeps: soakTTL}
+		c := &soakClient{soak: s, name: fmt.Sprintf("c%d", i), directoryTTL: soakDirectoryTTL}
 		if i%3 == 0 {
-			c.keeps = 3 * soakTTL
+			c.directoryTTL = 3 * soakDirectoryTTL
 		}
-		behave := []func(){func() { c.kept(150) }, func() { c.pipelined(3) }, c.single, c.quiet, func() { c.pipelined(8) }, func() { c.kept(5) }, func() { c.long(soakDownload) }, func() { c.long(soakUpload) }}[i%8]
+		behave := []func(){func() { c.keepAlive(150) }, func() { c.pipelined(3) }, c.single, c.infrequent, func() { c.pipelined(8) }, func() { c.keepAlive(5) }, func() { c.longTransfers(soakDownload) }, func() { c.longTransfers(soakUpload) }}[i%8]
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
 			behave()
 		}()
 	}
-	over := make(chan struct{})
+	finished := make(chan struct{})
 	var watch sync.WaitGroup
-	watch.Go(func() { s.watchItself(over) })
-	s.operate()
+	watch.Go(func() { s.recordHarnessStalls(finished) })
+	s.injectEvents()
 	clients.Wait()
-	close(over)
+	close(finished)
 	watch.Wait()
 }
 
-// TestSoak: whatever series of signals, stalls, restarts and changes there is, each request that a limiter has taken
-// is answered unless it is killed, and none is taken late.
+// TestSoak checks that every request that a limiter accepts is answered unless the limiter is killed, and that none is
+// accepted late, under any series of signals, stalls, restarts and configuration changes.
 //
-// A request was taken 4 s after SIGTERM, and its connection closed 5.7 s after it with no answer. Three ways to that
-// were left: a process that stood still over the end of its intake went on reading until its own clock was looked at;
-// one that stood still when SIGTERM came counted its grace period from when it went on, beyond its end by SIGKILL;
-// and what was in hand at the end of the process got no answer. Evidence: on the code as it was seeds with stalls fail
-// by each of the three, and without by the last.
+// It guards against a request that was accepted 4 s after SIGTERM and whose connection was closed 5.7 s after SIGTERM
+// without an answer. There were three causes: a process that was stalled when it should have stopped accepting requests
+// kept reading until it checked its clock; a process that was stalled when SIGTERM came counted its grace period from
+// the end of the stall, and so beyond its SIGKILL; and requests in flight when the process ended got no answer. Before
+// the fix, seeds with stalls failed by each of the three, and seeds without stalls by the last.
 func TestSoak(t *testing.T) {
-	first, seeds := number(t, soakFirst, 1), number(t, soakSeeds, soakSeedsByDefault)
-	busy, many := number(t, soakBusy, 0), number(t, soakMany, soakEdges)
+	first, seeds := envInt(t, soakFirstEnv, 1), envInt(t, soakSeedsEnv, soakDefaultSeeds)
+	busy, manyEdges := envInt(t, soakBusyEnv, 0), envInt(t, soakEdgesEnv, soakEdges)
 	dir := programs(t)
-	// Programs inherit it. A signal that comes before a process has begun to run can't be handled by its program.
+	// Inherited by the programs, which can't handle a signal that comes before they have started.
 	signal.Ignore(syscall.SIGHUP)
 	for i := range seeds {
 		seed := uint64(first + i)
@@ -418,45 +418,45 @@
 				keepBusy(t, busy)
 			}
 			folder := t.TempDir()
-			if keep := os.Getenv(soakKeep); keep != "" {
-				folder = filepath.Join(keep, fmt.Sprint(seed))
+			if logDir := os.Getenv(soakLogDirEnv); logDir != "" {
+				folder = filepath.Join(logDir, fmt.Sprint(seed))
 			}
 			edges := soakEdges
 			if seed%5 == 0 {
-				edges = many
+				edges = manyEdges
 			}
-			s := &soak{t: t, seed: seed, edges: edges, random: rand.New(rand.NewPCG(seed, 61)), requests: map[string]*soakRequest{}, begun: time.Now()}
-			system, err := Start(Options{Programs: dir, Dir: folder, Net: byte(soakNetFirst + seed%100), Edges: edges, Servers: soakServers, Grace: soakGrace, Work: s.work})
+			s := &soak{t: t, seed: seed, edges: edges, random: rand.New(rand.NewPCG(seed, 61)), requests: map[string]*soakRequest{}, startedAt: time.Now()}
+			system, err := Start(Options{Programs: dir, Dir: folder, Net: byte(soakFirstNet + seed%100), Edges: edges, Servers: soakServers, Grace: soakGrace, Work: s.serve})
 			defer system.Stop()
 			if err != nil {
 				t.Fatal(err)
 			}
 			s.system = system
 			for e := range edges {
-				s.lives = append(s.lives, &soakLife{edge: e, begun: s.begun, started: true})
+				s.processes = append(s.processes, &soakProcess{edge: e, startedAt: s.startedAt, started: true})
 			}
 			s.version = 3
 			setup, done := context.WithTimeout(context.Background(), 30*time.Second)
 			defer done()
 			if status, answer, err := system.Order(setup, "POST", "/config/replace", soakConfiguration(3, 0)); status != 200 {
-				t.Fatalf("the first configuration: %d %s %v", status, answer, err)
+				t.Fatalf("the first configuration: status %d %s %v", status, answer, err)
 			}
-			ctx, cancel := context.WithTimeout(context.Background(), soakLasts)
+			ctx, cancel := context.WithTimeout(context.Background(), soakDuration)
 			defer cancel()
 			s.ctx = ctx
 			s.run(t)
 			if err := s.readLogs(folder); err != nil {
 				t.Fatal(err)
 			}
-			tally, wrong := s.judge()
-			t.Logf("seed %d: %d requests, %d ran, %d answered, by status %v; %d behind a last answer, %d met a close unread, %d cut by SIGKILL, %d told so at the end of the grace, %d given up by their clients, %d long answers past their deadline; latest taken %v after SIGTERM; %d changes, %d limiters, %d ends, %d stalls, %d of the soak itself",
-				seed, tally.requests, tally.ran, tally.answered, tally.status, tally.behind, tally.crossed, tally.cutByKill, tally.atTheEnd, tally.gaveUp, tally.pastDeadline, tally.latest.Round(time.Millisecond), s.changed, edges, len(s.past), tally.stalls, len(s.own))
-			if len(wrong) > 0 {
-				os.WriteFile(filepath.Join(folder, "faults.txt"), []byte(strings.Join(wrong, "\n")), 0o600)
-				t.Errorf("%d faults, %v, the first of them:\n%s\n%s", len(wrong), tally.faults, strings.Join(wrong[:min(6, len(wrong))], "\n"), strings.Join(s.events, "\n"))
+			tally, failures := s.checkResults()
+			t.Logf("seed %d: %d requests, %d executed, %d answered, by status %v; %d after a last answer, %d closed unread, %d cut by SIGKILL, %d aborted at the end of the grace period, %d timed out at their clients, %d long answers past their deadline; latest accepted %v after SIGTERM; %d changes, %d limiters, %d ended processes, %d stalls, %d of the test itself",
+				seed, tally.requests, tally.executed, tally.answered, tally.status, tally.afterLastAnswer, tally.closedUnread, tally.cutByKill, tally.abortedAtGraceEnd, tally.clientTimedOut, tally.pastDeadline, tally.latestAccepted.Round(time.Millisecond), s.acknowledgedChanges, edges, len(s.endedProcesses), tally.stalls, len(s.harnessStalls))
+			if len(failures) > 0 {
+				os.WriteFile(filepath.Join(folder, "faults.txt"), []byte(strings.Join(failures, "\n")), 0o600)
+				t.Errorf("%d failures, %v, the first of them:\n%s\n%s", len(failures), tally.faults, strings.Join(failures[:min(6, len(failures))], "\n"), strings.Join(s.events, "\n"))
 			}
 			if tally.status[200] < 100 {
-				t.Errorf("%d requests were served, which tests little", tally.status[200])
+				t.Errorf("only %d requests were served, want 100", tally.status[200])
 			}
 		})
 	}
