--- a/internal/controlsim/controlsim_test.go
+++ b/internal/controlsim/controlsim_test.go
@@ -64,19 +64,19 @@
 // current and confirms nothing on its own; the other stores keep working.
 func TestCutOff(t *testing.T) {
 	for _, stores := range []int{3, 4, 5} {
-		for _, directions := range []struct{ heard, hears bool }{{true, true}, {true, false}, {false, true}} {
+		for _, directions := range []struct{ outgoing, incoming bool }{{true, true}, {true, false}, {false, true}} {
 			for isolated := range stores {
-				what := fmt.Sprintf("%d stores, store %d cut off, outgoing %v, incoming %v", stores, isolated, directions.heard, directions.hears)
+				what := fmt.Sprintf("%d stores, store %d cut off, outgoing %v, incoming %v", stores, isolated, directions.outgoing, directions.incoming)
 				w := New(uint64(isolated), stores, (stores-1)/2, "a", "b")
 				w.Operate(700*time.Millisecond, 40*second)
 				w.Run(5 * second)
 				before, _ := w.Store(isolated).Voters()
-				w.Isolate(isolated, directions.heard, directions.hears, true)
+				w.Isolate(isolated, directions.outgoing, directions.incoming, true)
 				w.Run(20 * second)
 				if w.LongestWait() > ackTimeout {
 					t.Errorf("%s: an order has been unacknowledged for %v", what, w.LongestWait())
 				}
-				w.Isolate(isolated, directions.heard, directions.hears, false)
+				w.Isolate(isolated, directions.outgoing, directions.incoming, false)
 				requireRecovery(t, w, what)
 				if after, _ := w.Store(isolated).Voters(); !slices.Equal(before, after) {
 					t.Errorf("%s: the voters changed from %v to %v", what, before, after)
