--- a/advice/counsel/counsel.go
+++ b/advice/counsel/counsel.go
@@ -26,4 +26,4 @@
 
 // Due reports whether plug-ins should be asked about a request. They are not if it has a lease,
 // because they were asked when the lease was granted.
-func Due(s *limiter.Submit) bool { return s.Leased <= 0 && !s.Vouched }
+func Due(s *limiter.Submit) bool { return s.Leased <= 0 && !s.QuotaChecked }
--- a/advice/counsel/counsel_test.go
+++ b/advice/counsel/counsel_test.go
@@ -27,7 +27,7 @@
 
 // Plug-ins are not asked again about a request with a lease.
 func TestDue(t *testing.T) {
-	if !Due(&limiter.Submit{}) || Due(&limiter.Submit{Leased: 1}) || Due(&limiter.Submit{Vouched: true}) {
+	if !Due(&limiter.Submit{}) || Due(&limiter.Submit{Leased: 1}) || Due(&limiter.Submit{QuotaChecked: true}) {
 		t.Error("wrong requests are put to plug-ins")
 	}
 }
--- a/cmd/smallsystem/scale.go
+++ b/cmd/smallsystem/scale.go
@@ -44,13 +44,13 @@
 func play(seed uint64, limiters, servers int, span time.Duration) error {
 	begun := time.Now()
 	w := testring.New(testring.Options{Seed: seed, Regions: 3, Zones: 3, Limiters: limiters, Cores: 5, Servers: servers, Tenants: min(90, max(8, limiters)), PerS: 10 * float64(limiters),
-		Loss: 0.002, Light: limiters*servers > 500_000, Rules: allowance.Rules{QuotaWindow: 5 * time.Second, QuotaOvershoot: 0.1, QuotaSlack: 20, RetryRatio: 0.2, RetrySlack: 200}})
+		Loss: 0.002, OmitCatalogs: limiters*servers > 500_000, Rules: allowance.Rules{QuotaWindow: 5 * time.Second, QuotaOvershoot: 0.1, QuotaSlack: 20, RetryRatio: 0.2, RetrySlack: 200}})
 	w.Run(10_000)
 	clear(w.Sent)
 	refused, requests := w.Refused, w.Requests
 	w.Run(float64(span / time.Millisecond))
 	fmt.Printf("%d limiters, %d servers, %v in %v: refused within quotas %.4f of %d requests, quota overrun %.0f, out of reach by mistake %d\n", limiters, servers,
-		span, time.Since(begun).Round(time.Millisecond), float64(w.Refused-refused)/max(1, float64(w.Requests-requests)), w.Requests-requests, max(0, w.Over()), w.Out())
+		span, time.Since(begun).Round(time.Millisecond), float64(w.Refused-refused)/max(1, float64(w.Requests-requests)), w.Requests-requests, max(0, w.MaxQuotaExcess()), w.CountFalseUnreachable())
 	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "kind\tmessages/s\tbytes/s of a limiter")
 	for _, kind := range []string{"pulls", "line", "loans", "asks", "spending", "registries", "beats"} {
--- a/control/catalog/catalog.go
+++ b/control/catalog/catalog.go
@@ -37,17 +37,17 @@
 
 // Record describes one incarnation of a server or, if Service is [Limiters], of a limiter.
 type Record struct {
-	ID       string `cbor:"1,keyasint"`
-	Service  string `cbor:"2,keyasint,omitempty"`
-	Address  string `cbor:"3,keyasint,omitempty"`
-	Zone     string `cbor:"4,keyasint,omitempty"`
-	Slots    int    `cbor:"5,keyasint,omitempty"` // requests that it can process at the same time
-	State    State  `cbor:"6,keyasint,omitempty"`
-	Sequence uint64 `cbor:"7,keyasint,omitempty"` // of the heartbeat that the record is based on
-	WarmMs   uint64 `cbor:"8,keyasint,omitempty"` // remaining warm-up time when the record was sent
-	Source   string `cbor:"9,keyasint,omitempty"` // process that stamped this version
-	Version  uint64 `cbor:"10,keyasint,omitempty"`
-	Since    uint64 `cbor:"11,keyasint,omitempty"` // milliseconds in this state when the record was sent
+	ID           string `cbor:"1,keyasint"`
+	Service      string `cbor:"2,keyasint,omitempty"`
+	Address      string `cbor:"3,keyasint,omitempty"`
+	Zone         string `cbor:"4,keyasint,omitempty"`
+	Slots        int    `cbor:"5,keyasint,omitempty"` // requests that it can process at the same time
+	State        State  `cbor:"6,keyasint,omitempty"`
+	Sequence     uint64 `cbor:"7,keyasint,omitempty"` // of the heartbeat that the record is based on
+	WarmupLeftMs uint64 `cbor:"8,keyasint,omitempty"` // remaining warm-up time when the record was sent
+	Source       string `cbor:"9,keyasint,omitempty"` // process that stamped this version
+	Version      uint64 `cbor:"10,keyasint,omitempty"`
+	Since        uint64 `cbor:"11,keyasint,omitempty"` // milliseconds in this state when the record was sent
 }
 
 // Reserved service names: Limiters for the limiters themselves, Cores for the registries.
@@ -81,7 +81,7 @@
 type Vector map[string]uint64
 
 // Catalog holds the records that one process knows.
-type Book struct {
+type Catalog struct {
 	source  string
 	version uint64
 	records *btree.BTreeG[*entry]
@@ -90,27 +90,27 @@
 
 // New returns an empty catalog. source must be unique to this run of the process; it is empty for a
 // process that only reads.
-func New(source string) *Book {
-	return &Book{source: source, records: btree.NewG(8, lessByID), vector: Vector{}}
+func New(source string) *Catalog {
+	return &Catalog{source: source, records: btree.NewG(8, lessByID), vector: Vector{}}
 }
 
 // Source returns the source name with which this process stamps records.
-func (b *Book) Source() string { return b.source }
+func (b *Catalog) Source() string { return b.source }
 
 // Len returns the number of records, including those of servers that have left.
-func (b *Book) Len() int { return b.records.Len() }
+func (b *Catalog) Len() int { return b.records.Len() }
 
 // Vector returns the version vector of this catalog. The caller must not modify it.
-func (b *Book) Vector() Vector { return b.vector }
+func (b *Catalog) Vector() Vector { return b.vector }
 
 // lookup returns the entry with an id, or nil.
-func (b *Book) lookup(id string) *entry {
+func (b *Catalog) lookup(id string) *entry {
 	e, _ := b.records.Get(&entry{Record: Record{ID: id}})
 	return e
 }
 
 // Get returns the record with an id, with its durations as of now.
-func (b *Book) Get(now float64, id string) (Record, bool) {
+func (b *Catalog) Get(now float64, id string) (Record, bool) {
 	e := b.lookup(id)
 	if e == nil {
 		return Record{}, false
@@ -121,7 +121,7 @@
 // recordAt returns the record with its durations as of now.
 func (e *entry) recordAt(now float64) Record {
 	r := e.Record
-	r.WarmMs = uint64(max(0, e.warmUntil-now))
+	r.WarmupLeftMs = uint64(max(0, e.warmUntil-now))
 	r.Since = uint64(max(0, now-e.stateSince))
 	return r
 }
@@ -132,7 +132,7 @@
 
 // ApplyHeartbeat applies a heartbeat from a server and reports whether it changes something that other
 // processes must learn. A heartbeat that was overtaken by a later one is ignored.
-func (b *Book) Beat(now float64, r Record) (changed bool) {
+func (b *Catalog) ApplyHeartbeat(now float64, r Record) (changed bool) {
 	e := b.lookup(r.ID)
 	if e != nil && (e.State == Gone || r.Sequence < e.Sequence) {
 		return false
@@ -142,9 +142,9 @@
 		return true
 	}
 	e.lastHeard = now
-	warmUntil := now + float64(r.WarmMs)
-	warmupChanged := r.WarmMs > 0 && (warmUntil > e.warmUntil+warmupToleranceMs || e.warmUntil <= now) ||
-		r.WarmMs == 0 && e.warmUntil > now+warmupToleranceMs
+	warmUntil := now + float64(r.WarmupLeftMs)
+	warmupChanged := r.WarmupLeftMs > 0 && (warmUntil > e.warmUntil+warmupToleranceMs || e.warmUntil <= now) ||
+		r.WarmupLeftMs == 0 && e.warmUntil > now+warmupToleranceMs
 	if e.Source == b.source && e.State == r.State && e.Address == r.Address && e.Service == r.Service && !warmupChanged {
 		e.Sequence = max(e.Sequence, r.Sequence)
 		return false
@@ -154,7 +154,7 @@
 }
 
 // MarkGone records that a server has left for good and reports whether that is a change.
-func (b *Book) Leave(now float64, id string) bool {
+func (b *Catalog) MarkGone(now float64, id string) bool {
 	e := b.lookup(id)
 	if e != nil && e.State == Gone {
 		return false
@@ -169,7 +169,7 @@
 }
 
 // stamp stores a record under the source of this process and its next version.
-func (b *Book) stamp(now float64, r Record) {
+func (b *Catalog) stamp(now float64, r Record) {
 	b.version++
 	r.Source, r.Version = b.source, b.version
 	b.vector[b.source] = b.version
@@ -178,8 +178,8 @@
 
 // store replaces the record with the same id. since is how long it has been in its state, in
 // milliseconds; an earlier start that is known here is kept.
-func (b *Book) store(now float64, r Record, since float64) {
-	e := &entry{Record: r, lastHeard: now, warmUntil: now + float64(r.WarmMs), stateSince: now - since}
+func (b *Catalog) store(now float64, r Record, since float64) {
+	e := &entry{Record: r, lastHeard: now, warmUntil: now + float64(r.WarmupLeftMs), stateSince: now - since}
 	if o := b.lookup(r.ID); o != nil && o.State == r.State {
 		e.stateSince = min(e.stateSince, o.stateSince)
 	}
@@ -190,7 +190,7 @@
 // advances the version vector only if it carries the next version of its source: the sender may hold
 // single records that were pushed to it and lack earlier ones. For a complete answer the caller passes
 // the sender's vector to [Catalog.AdvanceVector] afterwards.
-func (b *Book) Merge(now float64, records []Record) (changed []Record) {
+func (b *Catalog) Merge(now float64, records []Record) (changed []Record) {
 	for _, r := range records {
 		if r.Source == "" || r.Source == b.source {
 			continue
@@ -217,7 +217,7 @@
 }
 
 // Since returns the records that a process with version vector v lacks.
-func (b *Book) Since(now float64, v Vector) (records []Record) {
+func (b *Catalog) Since(now float64, v Vector) (records []Record) {
 	b.records.Ascend(func(e *entry) bool {
 		if e.Version > v[e.Source] {
 			records = append(records, e.recordAt(now))
@@ -228,7 +228,7 @@
 }
 
 // HasNewerThan reports whether this catalog has a version that a process with version vector v lacks.
-func (b *Book) Lacks(v Vector) bool {
+func (b *Catalog) HasNewerThan(v Vector) bool {
 	for s, n := range b.vector {
 		if n > v[s] {
 			return true
@@ -238,7 +238,7 @@
 }
 
 // AdvanceVector raises the version vector to that of a process whose records have been merged completely.
-func (b *Book) Know(v Vector) {
+func (b *Catalog) AdvanceVector(v Vector) {
 	for s, n := range v {
 		if n > b.vector[s] {
 			b.vector[s] = n
@@ -252,7 +252,7 @@
 // of other sources. alive reports whether another source still runs; such a source expires its own records.
 // A process that is cut off from the majority must not call Expire: it can't distinguish silent servers
 // from servers across the partition.
-func (b *Book) Expire(now, servers, limiters float64, alive func(source string) bool) (changed bool) {
+func (b *Catalog) Expire(now, servers, limiters float64, alive func(source string) bool) (changed bool) {
 	var silent, forgotten []*entry
 	b.records.Ascend(func(e *entry) bool {
 		limit := servers
@@ -285,7 +285,7 @@
 const retentionMs = 120_000.0
 
 // Each calls f for every record, in order of ids.
-func (b *Book) Each(now float64, f func(Record)) {
+func (b *Catalog) Each(now float64, f func(Record)) {
 	b.records.Ascend(func(e *entry) bool {
 		f(e.recordAt(now))
 		return true
@@ -293,17 +293,17 @@
 }
 
 // DigestRanges is the number of hash ranges of ids for which digests are computed.
-const Ranges = 16
+const DigestRanges = 16
 
 // digestRange returns the digest range that an id belongs to.
 func digestRange(id string) int {
 	h := fnv.New32a()
 	h.Write([]byte(id))
-	return int(h.Sum32() % Ranges)
+	return int(h.Sum32() % DigestRanges)
 }
 
 // Digests returns one digest per range. Catalogs that hold the same records have equal digests.
-func (b *Book) Digests() (d [Ranges]uint64) {
+func (b *Catalog) Digests() (d [DigestRanges]uint64) {
 	b.records.Ascend(func(e *entry) bool {
 		h := fnv.New64a()
 		h.Write([]byte(e.ID))
@@ -318,7 +318,7 @@
 }
 
 // DifferingRecords returns the records of the ranges whose digests differ from d.
-func (b *Book) Differing(now float64, d [Ranges]uint64) (records []Record) {
+func (b *Catalog) DifferingRecords(now float64, d [DigestRanges]uint64) (records []Record) {
 	own := b.Digests()
 	if own == d {
 		return nil
@@ -333,7 +333,7 @@
 }
 
 // Sources returns the names of the sources in the version vector, sorted.
-func (b *Book) Sources() (all []string) {
+func (b *Catalog) Sources() (all []string) {
 	for s := range b.vector {
 		all = append(all, s)
 	}
@@ -349,7 +349,7 @@
 }
 
 // Counts returns the counts of all services, sorted by name.
-func (b *Book) Counts(now float64) []ServiceCount {
+func (b *Catalog) Counts(now float64) []ServiceCount {
 	byName := map[string]*ServiceCount{}
 	b.Each(now, func(r Record) {
 		count := byName[r.Service]
@@ -358,7 +358,7 @@
 			byName[r.Service] = count
 		}
 		count.States[r.State]++
-		if r.WarmMs > 0 {
+		if r.WarmupLeftMs > 0 {
 			count.Cold++
 		}
 	})
@@ -370,7 +370,7 @@
 }
 
 // Report returns one line of key=value pairs for each source and each service.
-func (b *Book) Report(now float64) (lines []string) {
+func (b *Catalog) Report(now float64) (lines []string) {
 	for _, s := range b.Sources() {
 		lines = append(lines, fmt.Sprintf("source=%s version=%d", s, b.vector[s]))
 	}
--- a/control/catalog/catalog_test.go
+++ b/control/catalog/catalog_test.go
@@ -10,7 +10,7 @@
 )
 
 // content returns the state and address of each record by id, without times and versions.
-func content(now float64, b *Book) map[string]string {
+func content(now float64, b *Catalog) map[string]string {
 	m := map[string]string{}
 	b.Each(now, func(r Record) { m[r.ID] = r.State.String() + " " + r.Address })
 	return m
@@ -22,13 +22,13 @@
 func TestBooksAgree(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		catalogs := []*Book{New("a0"), New("b0"), New("c0")}
+		catalogs := []*Catalog{New("a0"), New("b0"), New("c0")}
 		sent := map[string]Record{}
 		now := 0.0
 		pullFrom := func(i, k int) {
 			records := catalogs[k].Since(now, catalogs[i].Vector())
 			catalogs[i].Merge(now, records)
-			catalogs[i].Know(catalogs[k].Vector())
+			catalogs[i].AdvanceVector(catalogs[k].Vector())
 		}
 		for step := range 400 {
 			now += 20
@@ -45,12 +45,12 @@
 				sent[id] = r
 				k := rng.IntN(3)
 				if r.State == Gone {
-					catalogs[k].Leave(now, id)
+					catalogs[k].MarkGone(now, id)
 				} else {
-					catalogs[k].Beat(now, r)
+					catalogs[k].ApplyHeartbeat(now, r)
 					late := r // a heartbeat that was overtaken by a later one
 					late.Sequence, late.State = r.Sequence-1, Available
-					catalogs[k].Beat(now, late)
+					catalogs[k].ApplyHeartbeat(now, late)
 				}
 			}
 			if rng.Float64() < 0.5 {
@@ -65,7 +65,7 @@
 			for _, r := range sent { // all remaining servers continue to send heartbeats
 				if r.State != Gone {
 					r.Sequence += 1000
-					catalogs[rng.IntN(3)].Beat(now, r)
+					catalogs[rng.IntN(3)].ApplyHeartbeat(now, r)
 				}
 			}
 			for i := range catalogs {
@@ -75,7 +75,7 @@
 			}
 			for i := range catalogs {
 				for k := range catalogs {
-					catalogs[i].Merge(now, catalogs[k].Differing(now, catalogs[i].Digests()))
+					catalogs[i].Merge(now, catalogs[k].DifferingRecords(now, catalogs[i].Digests()))
 				}
 			}
 		}
@@ -96,8 +96,8 @@
 // A record that is pushed alone must not advance the version vector past an earlier record whose push was lost.
 func TestVectorSkipsNothingThatWasLost(t *testing.T) {
 	a, b := New("a"), New("b")
-	a.Beat(0, Record{ID: "1", Service: "s", Sequence: 1})
-	a.Beat(0, Record{ID: "2", Service: "s", Sequence: 1})
+	a.ApplyHeartbeat(0, Record{ID: "1", Service: "s", Sequence: 1})
+	a.ApplyHeartbeat(0, Record{ID: "2", Service: "s", Sequence: 1})
 	r, _ := a.Get(0, "2")
 	b.Merge(0, []Record{r}) // pushed; the push of the first record was lost
 	b.Merge(0, a.Since(0, b.Vector()))
@@ -111,9 +111,9 @@
 func TestSilence(t *testing.T) {
 	alive := map[string]bool{"a": true}
 	a, b := New("a"), New("b")
-	a.Beat(0, Record{ID: "1", Service: "s", Sequence: 1})
+	a.ApplyHeartbeat(0, Record{ID: "1", Service: "s", Sequence: 1})
 	b.Merge(0, a.Since(0, b.Vector()))
-	state := func(catalog *Book, now float64) State {
+	state := func(catalog *Catalog, now float64) State {
 		r, _ := catalog.Get(now, "1")
 		return r.State
 	}
@@ -125,7 +125,7 @@
 	if b.Expire(13000, 6000, 3000, isAlive); state(b, 13000) != Silent {
 		t.Error("record was not expired although its source no longer runs")
 	}
-	b.Beat(13100, Record{ID: "1", Service: "s", Sequence: 9})
+	b.ApplyHeartbeat(13100, Record{ID: "1", Service: "s", Sequence: 9})
 	if state(b, 13100) != Available {
 		t.Error("server is not available after a new heartbeat")
 	}
@@ -139,21 +139,21 @@
 // partition heals, the record of the registry that receives the heartbeats must win everywhere.
 func TestSilenceOfACutOffRegistry(t *testing.T) {
 	a, b, c := New("a"), New("b"), New("c")
-	a.Beat(0, Record{ID: "1", Service: "s", Sequence: 1})
+	a.ApplyHeartbeat(0, Record{ID: "1", Service: "s", Sequence: 1})
 	b.Merge(0, a.Since(0, b.Vector()))
 	c.Merge(0, a.Since(0, c.Vector()))
 	for now := 1500.0; now <= 15000; now += 1500 {
-		a.Beat(now, Record{ID: "1", Service: "s", Sequence: 1 + uint64(now)/1500})
+		a.ApplyHeartbeat(now, Record{ID: "1", Service: "s", Sequence: 1 + uint64(now)/1500})
 	}
 	b.Expire(15000, 6000, 3000, func(string) bool { return false })
 	for range 2 {
-		for _, x := range []*Book{a, b, c} {
-			for _, y := range []*Book{a, b, c} {
+		for _, x := range []*Catalog{a, b, c} {
+			for _, y := range []*Catalog{a, b, c} {
 				x.Merge(15100, y.Since(15100, x.Vector()))
 			}
 		}
 	}
-	for name, catalog := range map[string]*Book{"a": a, "b": b, "c": c} {
+	for name, catalog := range map[string]*Catalog{"a": a, "b": b, "c": c} {
 		if r, _ := catalog.Get(15100, "1"); r.State != Available {
 			t.Errorf("%s has state %v for a server that sends heartbeats", name, r.State)
 		}
@@ -164,7 +164,7 @@
 func TestWarmth(t *testing.T) {
 	a := New("a")
 	heartbeat := func(now float64, seq, warm uint64) bool {
-		return a.Beat(now, Record{ID: "1", Service: "s", Sequence: seq, WarmMs: warm})
+		return a.ApplyHeartbeat(now, Record{ID: "1", Service: "s", Sequence: seq, WarmupLeftMs: warm})
 	}
 	for i, step := range []struct {
 		now, warm uint64
@@ -174,8 +174,8 @@
 			t.Errorf("heartbeat at %d with %d ms of warm-up left: changed is %v", step.now, step.warm, got)
 		}
 	}
-	if r, _ := a.Get(7000, "1"); r.WarmMs != 2000 {
-		t.Errorf("%d ms of warm-up left a second later, want 2000", r.WarmMs)
+	if r, _ := a.Get(7000, "1"); r.WarmupLeftMs != 2000 {
+		t.Errorf("%d ms of warm-up left a second later, want 2000", r.WarmupLeftMs)
 	}
 }
 
@@ -191,7 +191,7 @@
 	}
 	for seed := range uint64(3000) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		catalogs := []*Book{New("a"), New("b"), New("c"), New("")} // the last one belongs to the limiter
+		catalogs := []*Catalog{New("a"), New("b"), New("c"), New("")} // the last one belongs to the limiter
 		last := map[string]Record{}
 		pulls := map[[2]int]*pull{}
 		now := 0.0
@@ -206,12 +206,12 @@
 					r.State = Draining
 				}
 				last[id] = r
-				if catalogs[k].Beat(now, r); rng.IntN(3) == 0 && i != k && i < 3 {
+				if catalogs[k].ApplyHeartbeat(now, r); rng.IntN(3) == 0 && i != k && i < 3 {
 					r, _ := catalogs[k].Get(now, id)
 					catalogs[i].Merge(now, []Record{r})
 				}
 			case x == 2 && i != k && i < 3:
-				catalogs[i].Merge(now, catalogs[k].Differing(now, catalogs[i].Digests()))
+				catalogs[i].Merge(now, catalogs[k].DifferingRecords(now, catalogs[i].Digests()))
 			case i != k:
 				switch p := pulls[[2]int{i, k}]; {
 				case p == nil:
@@ -220,7 +220,7 @@
 					p.answered, p.records, p.vector = true, catalogs[k].Since(now, p.request), maps.Clone(catalogs[k].Vector())
 				default:
 					catalogs[i].Merge(now, p.records)
-					catalogs[i].Know(p.vector)
+					catalogs[i].AdvanceVector(p.vector)
 					delete(pulls, [2]int{i, k})
 				}
 			}
@@ -230,7 +230,7 @@
 				for k, o := range catalogs[:3] {
 					if i != k {
 						b.Merge(now, o.Since(now, b.Vector()))
-						b.Know(o.Vector())
+						b.AdvanceVector(o.Vector())
 					}
 				}
 			}
--- a/control/configuration/configuration.go
+++ b/control/configuration/configuration.go
@@ -42,32 +42,32 @@
 
 // Limits bound the size of a client's request and the time for sending it. Zero means no limit.
 type Limits struct {
-	Header, Body  int64 // bytes
-	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	MaxHeaderBytes, MaxBodyBytes int64 // bytes
+	HeaderTimeout                time.Duration
+	IdleTimeout                  time.Duration
 }
 
 // Tenant is one customer with its API keys and its quota.
 type Tenant struct {
-	Name     string
-	Keys     []string
-	Priority int
-	Rate     float64  // requests per second across all limiters; 0: no limit
-	Burst    float64  // requests
-	Homes    []string // regions that may serve it; empty: all
+	Name           string
+	Keys           []string
+	Priority       int
+	Rate           float64  // requests per second across all limiters; 0: no limit
+	Burst          float64  // requests
+	AllowedRegions []string // regions that may serve it; empty: all
 }
 
 // Route maps requests with a host and a path prefix to services.
 type Route struct {
 	Name, Host, Prefix string
 	Kind               Kind
-	Aim                time.Duration // target_latency in the text
+	TargetLatency      time.Duration // target_latency in the text
 	Timeout            time.Duration
 	Priority           int
 	Attempts           int  // most servers to which one client request may be sent
-	Open               bool // auth_exempt: no API key needed
-	Homes              []string
-	To                 []Destination
+	AuthExempt         bool // auth_exempt: no API key needed
+	AllowedRegions     []string
+	Destinations       []Destination
 }
 
 // Destination is a service that receives a part of a route's requests, by weight.
@@ -78,11 +78,11 @@
 
 // Service is a set of interchangeable servers, called a cluster in the text.
 type Service struct {
-	Name        string
-	HealthPath  string
-	Connections int           // max_connections in the text
-	Warmup      time.Duration // time for which a new server is cold
-	ColdPerS    float64       // requests per second that a cold server may receive; cold_per_s in the text
+	Name             string
+	HealthPath       string
+	Connections      int           // max_connections in the text
+	Warmup           time.Duration // time for which a new server is cold
+	ColdRequestsPerS float64       // requests per second that a cold server may receive; cold_per_s in the text
 }
 
 // Fault describes why a configuration or a change is rejected. It is sent to the operator.
@@ -154,7 +154,7 @@
 
 // ParseChange checks that a change is a complete JSON object and reads its version and base version.
 // The items are checked by [Apply].
-func ReadCall(body []byte, partial bool) (*Change, *Fault) {
+func ParseChange(body []byte, partial bool) (*Change, *Fault) {
 	v, err := fastjson.ParseBytes(body)
 	if err != nil || v.Type() != fastjson.TypeObject {
 		return nil, &Fault{Code: Unreadable, Wrong: fmt.Sprintf("the body is not a JSON object (%d bytes)", len(body)), Fix: "send it whole"}
@@ -188,7 +188,7 @@
 	if c.Version <= version {
 		return nil, &Fault{Code: StaleVersion, Where: "config_version", Wrong: fmt.Sprintf("is r%d and r%d is current", c.Version, version), Fix: "write a greater number"}
 	}
-	if _, f := Read(next); f != nil {
+	if _, f := Parse(next); f != nil {
 		return nil, f
 	}
 	return next, nil
@@ -286,7 +286,7 @@
 }
 
 // Parse parses and validates a whole configuration.
-func Read(text []byte) (*Table, *Fault) {
+func Parse(text []byte) (*Table, *Fault) {
 	document, err := fastjson.ParseBytes(text)
 	if err != nil || document.Type() != fastjson.TypeObject {
 		return nil, &Fault{Code: Unreadable, Wrong: "is not a JSON object", Fix: "send it whole"}
@@ -295,21 +295,21 @@
 	t := &Table{Services: map[string]*Service{}, routesByHost: map[string][]*Route{}, tenantsByKey: map[string]*Tenant{}}
 	t.Version, _ = ParseVersion(document.Get("config_version"))
 	if limits := document.Get("limits"); limits != nil {
-		t.Limits = Limits{Header: int64(r.number(limits, "limits", "max_header_bytes")), Body: int64(r.number(limits, "limits", "max_body_bytes")),
+		t.Limits = Limits{MaxHeaderBytes: int64(r.number(limits, "limits", "max_header_bytes")), MaxBodyBytes: int64(r.number(limits, "limits", "max_body_bytes")),
 			HeaderTimeout: r.duration(limits, "limits", "header_timeout"), IdleTimeout: r.duration(limits, "limits", "idle_timeout")}
 	}
 	for i, item := range r.list(document, "", "clusters") {
 		where := fmt.Sprintf("clusters[%d]", i)
 		service := &Service{Name: r.text(item, where, "name"), HealthPath: string(item.GetStringBytes("health_path")),
 			Connections: int(r.number(item, where, "max_connections")), Warmup: r.duration(item, where, "warmup"),
-			ColdPerS: r.number(item, where, "cold_per_s")}
+			ColdRequestsPerS: r.number(item, where, "cold_per_s")}
 		t.Services[service.Name] = service
 	}
 	for i, item := range r.list(document, "", "tenants") {
 		where := fmt.Sprintf("tenants[%d]", i)
 		t.Tenants = append(t.Tenants, Tenant{Name: r.text(item, where, "name"), Keys: r.texts(item, where, "api_keys"),
 			Priority: int(r.number(item, where, "priority")), Rate: r.number(item, where, "rate_per_s"),
-			Burst: r.number(item, where, "burst_size"), Homes: r.texts(item, where, "allowed_regions")})
+			Burst: r.number(item, where, "burst_size"), AllowedRegions: r.texts(item, where, "allowed_regions")})
 	}
 	for i := range t.Tenants {
 		for _, k := range t.Tenants[i].Keys {
@@ -347,10 +347,10 @@
 		return Route{}
 	}
 	route := Route{Name: r.text(item, where, "name"), Host: strings.ToLower(host),
-		Prefix: r.text(match, where+".match_criteria", "path_prefix"),
-		Aim:    r.duration(item, where, "target_latency"), Timeout: r.duration(action, where+".forward_action", "timeout"),
+		Prefix:        r.text(match, where+".match_criteria", "path_prefix"),
+		TargetLatency: r.duration(item, where, "target_latency"), Timeout: r.duration(action, where+".forward_action", "timeout"),
 		Priority: int(r.number(item, where, "priority")), Attempts: int(r.number(action, where+".forward_action", "max_attempts")),
-		Open: item.GetBool("auth_exempt"), Homes: r.texts(action, where+".forward_action", "allowed_regions")}
+		AuthExempt: item.GetBool("auth_exempt"), AllowedRegions: r.texts(action, where+".forward_action", "allowed_regions")}
 	kind := r.text(item, where, "route_type")
 	var ok bool
 	if route.Kind, ok = kindsByName[kind]; !ok {
@@ -358,12 +358,12 @@
 	}
 	if split := r.list(action, where+".forward_action", "traffic_split"); len(split) > 0 {
 		for _, destination := range split {
-			route.To = append(route.To, Destination{r.text(destination, where+".traffic_split", "service"), r.number(destination, where+".traffic_split", "weight")})
+			route.Destinations = append(route.Destinations, Destination{r.text(destination, where+".traffic_split", "service"), r.number(destination, where+".traffic_split", "weight")})
 		}
 	} else {
-		route.To = []Destination{{r.text(action, where+".forward_action", "service"), 1}}
+		route.Destinations = []Destination{{r.text(action, where+".forward_action", "service"), 1}}
 	}
-	for _, destination := range route.To {
+	for _, destination := range route.Destinations {
 		if t.Services[destination.Service] == nil {
 			r.fail(UnknownService, where+".forward_action", fmt.Sprintf("service %q is not among the clusters", destination.Service), "add the cluster or name another one")
 		}
@@ -371,15 +371,15 @@
 	switch {
 	case route.Timeout == 0:
 		r.fail(NoTimeout, where+".forward_action.timeout", "is 0 or missing", "write how long a request may be held")
-	case route.Aim-route.Timeout >= targetExcessLimit:
-		r.fail(TargetBeyondTimeout, where+".target_latency", fmt.Sprintf("is %v and the timeout %v", route.Aim, route.Timeout), "write less")
+	case route.TargetLatency-route.Timeout >= targetExcessLimit:
+		r.fail(TargetBeyondTimeout, where+".target_latency", fmt.Sprintf("is %v and the timeout %v", route.TargetLatency, route.Timeout), "write less")
 	}
 	return route
 }
 
 // FindRoute returns the route with the longest prefix that matches a request, or nil. host may include a
 // port and path a query.
-func (t *Table) Find(host, path string) *Route {
+func (t *Table) FindRoute(host, path string) *Route {
 	if i := strings.IndexByte(host, ':'); i >= 0 {
 		host = host[:i]
 	}
@@ -400,31 +400,31 @@
 
 // HostRegions returns the regions that may serve all routes of a host. restricted is false if none of the
 // routes is restricted to regions. host may include a port.
-func (t *Table) HostHomes(host string) (regions []string, restricted bool) {
+func (t *Table) HostRegions(host string) (regions []string, restricted bool) {
 	if i := strings.IndexByte(host, ':'); i >= 0 {
 		host = host[:i]
 	}
 	for _, r := range t.routesByHost[strings.ToLower(host)] {
 		switch {
-		case len(r.Homes) == 0:
+		case len(r.AllowedRegions) == 0:
 		case !restricted:
-			regions, restricted = slices.Clone(r.Homes), true
+			regions, restricted = slices.Clone(r.AllowedRegions), true
 		default:
-			regions = slices.DeleteFunc(regions, func(region string) bool { return !slices.Contains(r.Homes, region) })
+			regions = slices.DeleteFunc(regions, func(region string) bool { return !slices.Contains(r.AllowedRegions, region) })
 		}
 	}
 	return regions, restricted
 }
 
 // TenantByKey returns the tenant that owns an API key, or nil.
-func (t *Table) TenantOf(key string) *Tenant { return t.tenantsByKey[key] }
+func (t *Table) TenantByKey(key string) *Tenant { return t.tenantsByKey[key] }
 
 // RequiresKey reports whether requests need an API key unless their route is exempt.
-func (t *Table) Guarded() bool { return len(t.Tenants) > 0 }
+func (t *Table) RequiresKey() bool { return len(t.Tenants) > 0 }
 
 // KeyRevoked reports whether an API key of the old table is missing from the new one or belongs to
 // another tenant there.
-func Lost(old, new *Table) bool {
+func KeyRevoked(old, new *Table) bool {
 	if old == nil {
 		return false
 	}
@@ -438,17 +438,17 @@
 
 // AllowedRegions returns the regions in which both a route and a tenant may be served. all is true if
 // neither is restricted to regions.
-func Homes(r *Route, t *Tenant) (regions []string, all bool) {
+func AllowedRegions(r *Route, t *Tenant) (regions []string, all bool) {
 	switch {
-	case len(r.Homes) == 0 && (t == nil || len(t.Homes) == 0):
+	case len(r.AllowedRegions) == 0 && (t == nil || len(t.AllowedRegions) == 0):
 		return nil, true
-	case len(r.Homes) == 0:
-		return t.Homes, false
-	case t == nil || len(t.Homes) == 0:
-		return r.Homes, false
+	case len(r.AllowedRegions) == 0:
+		return t.AllowedRegions, false
+	case t == nil || len(t.AllowedRegions) == 0:
+		return r.AllowedRegions, false
 	}
-	for _, x := range r.Homes {
-		for _, y := range t.Homes {
+	for _, x := range r.AllowedRegions {
+		for _, y := range t.AllowedRegions {
 			if x == y {
 				regions = append(regions, x)
 			}
--- a/control/configuration/configuration_test.go
+++ b/control/configuration/configuration_test.go
@@ -14,20 +14,20 @@
 "clusters":[{"name":"s1","health_path":"/health","max_connections":110,"warmup":"3s","cold_per_s":3.6},{"name":"s2","health_path":"/health"}]}`
 
 func TestRead(t *testing.T) {
-	table, f := Read([]byte(exampleConfiguration))
+	table, f := Parse([]byte(exampleConfiguration))
 	if f != nil {
 		t.Fatal(f)
 	}
-	if r := table.Find("h.example:8080", "/a/b/c?x=/a/"); r == nil || r.Name != "r2" || r.Kind != NonIdempotent || r.Timeout != 2500*time.Millisecond {
+	if r := table.FindRoute("h.example:8080", "/a/b/c?x=/a/"); r == nil || r.Name != "r2" || r.Kind != NonIdempotent || r.Timeout != 2500*time.Millisecond {
 		t.Errorf("want the route with the longest prefix: %+v", r)
 	}
-	if r := table.Find("H.example", "/a/x"); r == nil || r.Name != "r1" || len(r.To) != 2 {
+	if r := table.FindRoute("H.example", "/a/x"); r == nil || r.Name != "r1" || len(r.Destinations) != 2 {
 		t.Errorf("host names must match regardless of case: %+v", r)
 	}
-	if table.Find("h.example", "/a") != nil || table.Find("other", "/a/x") != nil {
+	if table.FindRoute("h.example", "/a") != nil || table.FindRoute("other", "/a/x") != nil {
 		t.Error("found a route for a request that matches none")
 	}
-	regions, all := Homes(table.Find("h.example", "/a/x"), table.TenantOf("k2"))
+	regions, all := AllowedRegions(table.FindRoute("h.example", "/a/x"), table.TenantByKey("k2"))
 	if all || len(regions) != 1 || regions[0] != "north" {
 		t.Errorf("want the regions common to route and tenant: %v", regions)
 	}
@@ -48,7 +48,7 @@
 			t.Fatalf("%s: the replacement matched nothing", name)
 		}
 		var code string
-		if c, f := ReadCall([]byte(text), false); f != nil {
+		if c, f := ParseChange([]byte(text), false); f != nil {
 			code = f.Code
 		} else if _, f := Apply(nil, 0, c); f != nil {
 			code = f.Code
@@ -64,7 +64,7 @@
 
 func TestUpdate(t *testing.T) {
 	call := func(text string) ([]byte, *Fault) {
-		c, f := ReadCall([]byte(text), true)
+		c, f := ParseChange([]byte(text), true)
 		if f != nil {
 			return nil, f
 		}
@@ -74,18 +74,18 @@
 	if f != nil {
 		t.Fatal(f)
 	}
-	table, f := Read(next)
+	table, f := Parse(next)
 	if f != nil {
 		t.Fatal(f)
 	}
-	if table.Version != 9 || table.Find("h.example", "/a/b/c") != nil || table.Find("new.example", "/z/1") == nil {
+	if table.Version != 9 || table.FindRoute("h.example", "/a/b/c") != nil || table.FindRoute("new.example", "/z/1") == nil {
 		t.Errorf("a rule was not moved to another host, or another one was not removed: %+v", table.Routes)
 	}
-	if table.TenantOf("k3") != nil || table.TenantOf("k4") == nil || table.TenantOf("k1") == nil {
+	if table.TenantByKey("k3") != nil || table.TenantByKey("k4") == nil || table.TenantByKey("k1") == nil {
 		t.Error("want tenant t2 replaced by name and t1 unchanged")
 	}
-	old, _ := Read([]byte(exampleConfiguration))
-	if !Lost(old, table) || Lost(table, table) {
+	old, _ := Parse([]byte(exampleConfiguration))
+	if !KeyRevoked(old, table) || KeyRevoked(table, table) {
 		t.Error("want a revoked key between the old and the new table, and none between equal tables")
 	}
 	for text, code := range map[string]string{
@@ -107,7 +107,7 @@
 	f.Add([]byte(`{"config_version":"r9","base_revision":"r7","upsert":{"listeners":[{"hostname":"x","policy":[{}]}]},"remove":{"routes":["r2"]}}`), true)
 	f.Add([]byte(`{"config_version":1,"base_revision":"","upsert":{"limits":{},"clusters":[{}]},"remove":{"tenants":[1,null]}}`), true)
 	f.Fuzz(func(t *testing.T, body []byte, update bool) {
-		c, fault := ReadCall(body, update)
+		c, fault := ParseChange(body, update)
 		if fault != nil {
 			return
 		}
@@ -119,11 +119,11 @@
 		if fault != nil {
 			return
 		}
-		table, fault := Read(next)
+		table, fault := Parse(next)
 		if fault != nil {
 			t.Fatalf("accepted, but can't be parsed: %v", fault)
 		}
-		table.Find("h.example", "/a/")
+		table.FindRoute("h.example", "/a/")
 	})
 }
 
@@ -136,17 +136,17 @@
 {"hostname":"free","policy":[` + route("a", "") + `]},
 {"hostname":"Bound","policy":[` + route("b", `"north","isles"`) + `,` + route("c", "") + `,` + route("d", `"isles","south"`) + `]}],
 "clusters":[{"name":"s","health_path":"/health"}]}`
-	table, fault := Read([]byte(text))
+	table, fault := Parse([]byte(text))
 	if fault != nil {
 		t.Fatal(fault)
 	}
-	if regions, restricted := table.HostHomes("free:80"); restricted || regions != nil {
+	if regions, restricted := table.HostRegions("free:80"); restricted || regions != nil {
 		t.Errorf("%v %v", regions, restricted)
 	}
-	if regions, restricted := table.HostHomes("bound"); !restricted || len(regions) != 1 || regions[0] != "isles" {
+	if regions, restricted := table.HostRegions("bound"); !restricted || len(regions) != 1 || regions[0] != "isles" {
 		t.Errorf("%v %v", regions, restricted)
 	}
-	if _, restricted := table.HostHomes("nobody"); restricted {
+	if _, restricted := table.HostRegions("nobody"); restricted {
 		t.Error("a host without routes is restricted to regions")
 	}
 }
--- a/control/controlstate/controlstate.go
+++ b/control/controlstate/controlstate.go
@@ -211,7 +211,7 @@
 // changeConfiguration replaces or updates the configuration. A repeated call is acknowledged again without
 // a change. A call older than all remembered ones may or may not have been applied, so it gets status 503.
 func (r *Register) changeConfiguration(order *Order) (bool, Outcome) {
-	call, fault := configuration.ReadCall(order.Body, order.Kind == UpdateConfig)
+	call, fault := configuration.ParseChange(order.Body, order.Kind == UpdateConfig)
 	if fault != nil {
 		return false, faultOutcome(fault)
 	}
@@ -228,8 +228,8 @@
 	if fault != nil {
 		return false, faultOutcome(fault)
 	}
-	if old, unreadable := configuration.Read(r.Config); unreadable == nil && len(r.Config) > 0 {
-		if t, unreadable := configuration.Read(next); unreadable == nil && configuration.Lost(old, t) {
+	if old, unreadable := configuration.Parse(r.Config); unreadable == nil && len(r.Config) > 0 {
+		if t, unreadable := configuration.Parse(next); unreadable == nil && configuration.KeyRevoked(old, t) {
 			r.RevocationSeq = r.Seq + 1
 		}
 	}
--- a/control/controlstate/controlstate_test.go
+++ b/control/controlstate/controlstate_test.go
@@ -66,8 +66,8 @@
 	apply("limiters join", Order{Kind: RegisterLimiters, SeenSeq: r.Seq, Places: []places.Place{{Name: "b", IP: "2", Zone: "z"}, {Name: "a", IP: "1", Zone: "z"}}}, 200)
 	joinedSeq := r.Seq
 	apply("another machine joins under an existing name", Order{Kind: RegisterLimiters, SeenSeq: r.Seq, Places: []places.Place{{Name: "a", IP: "9", Zone: "z"}, {Name: "c", IP: "3", Zone: "z"}}}, 200)
-	want := []places.Place{{Name: "b", IP: "2", Zone: "z", From: joinedSeq}, {Name: "a", IP: "1", Zone: "z", From: joinedSeq, To: joinedSeq + 1},
-		{Name: "a", IP: "9", Zone: "z", From: joinedSeq + 1}, {Name: "c", IP: "3", Zone: "z", From: joinedSeq + 1}}
+	want := []places.Place{{Name: "b", IP: "2", Zone: "z", JoinedVersion: joinedSeq}, {Name: "a", IP: "1", Zone: "z", JoinedVersion: joinedSeq, ReleasedVersion: joinedSeq + 1},
+		{Name: "a", IP: "9", Zone: "z", JoinedVersion: joinedSeq + 1}, {Name: "c", IP: "3", Zone: "z", JoinedVersion: joinedSeq + 1}}
 	if diff := cmp.Diff(want, r.Places); diff != "" || r.PlacesSettled != joinedSeq {
 		t.Errorf("the former machine is a different holder: settled %d, %s", r.PlacesSettled, diff)
 	}
--- a/control/controlstate/places_test.go
+++ b/control/controlstate/places_test.go
@@ -13,7 +13,7 @@
 	const limiters, replacedPerDay, days = 760, 1900, 30
 	place := func(i int) places.Place {
 		name := fmt.Sprintf("edge-north-a-%06d", i)
-		return places.Place{Name: name, IP: fmt.Sprintf("10.%d.%d.%d", 64+i>>16, i>>8&255, i&255), Zone: "north-a", Life: name + "#204bdd61"}
+		return places.Place{Name: name, IP: fmt.Sprintf("10.%d.%d.%d", 64+i>>16, i>>8&255, i&255), Zone: "north-a", Incarnation: name + "#204bdd61"}
 	}
 	r := &Register{}
 	apply := func(order Order) {
--- a/control/controlstate/size_test.go
+++ b/control/controlstate/size_test.go
@@ -94,7 +94,7 @@
 			text := configurationOf(tenants)
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, fault := configuration.Read(text); fault != nil {
+				if _, fault := configuration.Parse(text); fault != nil {
 					b.Fatal(fault)
 				}
 			}
--- a/control/places/lease.go
+++ b/control/places/lease.go
@@ -43,11 +43,11 @@
 
 // UsableShare returns the share that the limiter of a slot may use under a table, and the time until which
 // its lease permits that. A limiter without a slot, which is given as a negative number, may use nothing.
-func (l *Lease) Use(t Table, slot int) (share float64, until time.Duration) {
+func (l *Lease) UsableShare(t Table, slot int) (share float64, until time.Duration) {
 	if slot < 0 {
 		return 0, 0
 	}
-	if share = Share(t.Sets(), slot); share == 0 {
+	if share = Share(t.SetsInUse(), slot); share == 0 {
 		return 0, 0
 	}
 	return share, l.end
--- a/control/places/model_test.go
+++ b/control/places/model_test.go
@@ -78,7 +78,7 @@
 	if slot < 0 {
 		return 0
 	}
-	return Share(t.Sets(), slot)
+	return Share(t.SetsInUse(), slot)
 }
 
 // settled returns the version that the majority would settle now, if any.
@@ -92,10 +92,10 @@
 	}
 	s := NewAckTracker()
 	for i, at := range m.seen {
-		s.See(at, m.tables[i], uint64(i+1))
+		s.Add(at, m.tables[i], uint64(i+1))
 	}
 	for _, ack := range m.acks {
-		s.Hear(ack.at, Acknowledgement{Holder: HolderOf("a", "a"), Version: ack.version})
+		s.Receive(ack.at, Acknowledgement{Holder: HolderOf("a", "a"), Version: ack.version})
 	}
 	return s.Due(m.now, t)
 }
@@ -217,7 +217,7 @@
 		number(uint64(at), t.Settled)
 		for _, p := range t.Places {
 			key = append(key, p.Name...)
-			number(p.From, p.To, p.Left, p.Back)
+			number(p.JoinedVersion, p.ReleasedVersion, p.FirstReleasedVersion, p.RestoredVersion)
 		}
 	}
 	if m.inFlight != nil {
--- a/control/places/places_test.go
+++ b/control/places/places_test.go
@@ -21,7 +21,7 @@
 
 // shares returns the shares of all slots.
 func shares(t *Table) (all []float64) {
-	sets := t.Sets()
+	sets := t.SetsInUse()
 	for slot := range t.Places {
 		all = append(all, Share(sets, slot))
 	}
@@ -59,7 +59,7 @@
 	if x.Places[3].Name != "e7" || len(x.UnsettledVersions()) != 1 {
 		t.Errorf("a free slot was not reused: %+v", x.Places)
 	}
-	if n, near := x.Count(), x.InZone("z1"); n != 7 || near != 3 {
+	if n, near := x.HeldCount(), x.MaxInZone("z1"); n != 7 || near != 3 {
 		t.Errorf("%d limiters hold places, want 7; %d in zone z1, want 3", n, near)
 	}
 	x.Join(7, 7, []Place{{Name: "e7", IP: "70", Zone: "z1"}, {Name: "e8", IP: "0", Zone: "z1"}})
@@ -98,32 +98,32 @@
 	var x Table
 	s := NewAckTracker()
 	x.Join(1, 1, limiters(0, 3))
-	s.See(0, x, 1)
+	s.Add(0, x, 1)
 	x.Release(2, []string{"e2@2"})
 	now := 10 * time.Second
-	s.See(now, x, 2)
+	s.Add(now, x, 2)
 	x.Release(3, []string{"e1@1"})
-	s.See(now+time.Second, x, 3)
+	s.Add(now+time.Second, x, 3)
 	due := func(at time.Duration, want uint64) {
 		t.Helper()
 		if got, _ := s.Due(at, x); got != want {
 			t.Errorf("settled up to %d after %v, want %d", got, at-now, want)
 		}
 	}
-	s.Hear(now, Acknowledgement{Holder: "e0@0", Version: 3})
-	s.Hear(now, Acknowledgement{Holder: "e1@1", Version: 2})
+	s.Receive(now, Acknowledgement{Holder: "e0@0", Version: 3})
+	s.Receive(now, Acknowledgement{Holder: "e1@1", Version: 2})
 	due(now+minAckWait, 0)
-	s.Hear(now, Acknowledgement{Holder: "e2@2", Version: 3, InMs: 5000})
+	s.Receive(now, Acknowledgement{Holder: "e2@2", Version: 3, InMs: 5000})
 	due(now+minAckWait, 0)
 	due(now+5*time.Second-1, 0)
 	due(now+5*time.Second, 2)
-	s.Hear(now+5*time.Second, Acknowledgement{Holder: "e1@1", Version: 3, InMs: 2000})
+	s.Receive(now+5*time.Second, Acknowledgement{Holder: "e1@1", Version: 3, InMs: 2000})
 	due(now+6*time.Second, 2)
 	// Another registry that receives these acknowledgements decides the same.
 	other := NewAckTracker()
-	other.See(now, x, 3)
+	other.Add(now, x, 3)
 	for _, a := range s.Acknowledgements(now+6*time.Second, []string{"e0@0", "e1@1", "e2@2"}) {
-		other.Hear(now+6*time.Second, a)
+		other.Receive(now+6*time.Second, a)
 	}
 	if got, _ := other.Due(now+6*time.Second, x); got != 2 {
 		t.Errorf("another registry considers the table settled up to %d, want 2", got)
@@ -133,7 +133,7 @@
 		t.Errorf("another registry later considers the table settled up to %d, want 3", got)
 	}
 	silent := NewAckTracker()
-	silent.See(now, x, 3)
+	silent.Add(now, x, 3)
 	if _, ok := silent.Due(now+allLeasesExpireWithin-1, x); ok {
 		t.Error("settled before all leases have expired")
 	}
@@ -224,7 +224,7 @@
 					by := least + uint64(rng.IntN(int(v-least)+1))
 					y := tables[by]
 					if slot := y.SlotOf(fmt.Sprint("e", k), fmt.Sprint(k)); slot >= 0 {
-						sum += Share(y.Sets(), slot)
+						sum += Share(y.SetsInUse(), slot)
 					}
 				}
 				if sum > 1+1e-9 {
@@ -259,8 +259,8 @@
 		}
 		most = max(most, len(x.Places))
 	}
-	if most > holders+30 || x.Count() != holders {
-		t.Errorf("%d slots for %d limiters, %d of them held", most, holders, x.Count())
+	if most > holders+30 || x.HeldCount() != holders {
+		t.Errorf("%d slots for %d limiters, %d of them held", most, holders, x.HeldCount())
 	}
 	x.Settle(version)
 	sum := 0.0
@@ -284,7 +284,7 @@
 	all := limiters(0, 3)
 	for _, p := range all {
 		present[p.Holder()] = true
-		if !r.Hear(0, x, Report{Place: p}) {
+		if !r.Receive(0, x, Report{Place: p}) {
 			t.Errorf("no change is due for %s, which has no place", p.Name)
 		}
 	}
@@ -292,38 +292,38 @@
 		t.Error(d)
 	}
 	x.Join(1, 1, all)
-	r.See(0, x, 1)
-	if c := due(0); !c.Empty() || r.Wanted(time.Hour, x) != nil {
+	r.Add(0, x, 1)
+	if c := due(0); !c.Empty() || r.Awaited(time.Hour, x) != nil {
 		t.Errorf("%+v is due although all limiters hold their places", c)
 	}
 	for _, p := range all[:2] {
-		r.Hear(time.Second, x, Report{Place: p, Version: 1, Done: p.Name == "e1"})
+		r.Receive(time.Second, x, Report{Place: p, Version: 1, Done: p.Name == "e1"})
 	}
 	if d := cmp.Diff(Changes{Release: []string{"e1@1"}}, due(time.Second)); d != "" {
 		t.Error(d)
 	}
 	x.Release(2, []string{"e1@1"})
-	r.See(time.Second, x, 2)
-	other.See(time.Second, x, 2)
+	r.Add(time.Second, x, 2)
+	other.Add(time.Second, x, 2)
 	for _, p := range all[:2] {
-		r.Hear(2*time.Second, x, Report{Place: p, Version: 2, Done: p.Name == "e1"})
+		r.Receive(2*time.Second, x, Report{Place: p, Version: 2, Done: p.Name == "e1"})
 	}
-	other.Hear(2*time.Second, x, Report{Place: all[2], Version: 2})
+	other.Receive(2*time.Second, x, Report{Place: all[2], Version: 2})
 	if c := due(5 * time.Second); !c.Empty() {
 		t.Errorf("%+v is due before all acknowledgements are known", c)
 	}
-	if state, left, missing := r.Pending(5*time.Second, x, &x.Places[1]); state != "released" || left <= 0 || !cmp.Equal(missing, []string{"e2@2"}) {
+	if state, left, missing := r.PendingChange(5*time.Second, x, &x.Places[1]); state != "released" || left <= 0 || !cmp.Equal(missing, []string{"e2@2"}) {
 		t.Errorf("state %s, %v left, missing acknowledgements from %v", state, left, missing)
 	}
-	if d := cmp.Diff([]string{"e2@2"}, r.Wanted(5*time.Second, x)); d != "" || r.Wanted(2*time.Second, x) != nil {
+	if d := cmp.Diff([]string{"e2@2"}, r.Awaited(5*time.Second, x)); d != "" || r.Awaited(2*time.Second, x) != nil {
 		t.Errorf("wrong holders awaited: %s", d)
 	}
-	r.HearAll(5*time.Second, other.Acknowledgements(5*time.Second, []string{"e2@2"}))
+	r.ReceiveAcknowledgements(5*time.Second, other.Acknowledgements(5*time.Second, []string{"e2@2"}))
 	if d := cmp.Diff(Changes{Settle: 2}, due(5*time.Second)); d != "" {
 		t.Error(d)
 	}
 	x.Settle(2)
-	r.Hear(6*time.Second, x, Report{Place: limiters(7, 8)[0]})
+	r.Receive(6*time.Second, x, Report{Place: limiters(7, 8)[0]})
 	if c := due(6*time.Second + joinRequestTTL); len(c.Join) != 1 {
 		t.Errorf("%+v is due, want one join for a limiter that has just reported without a place", c)
 	}
@@ -344,20 +344,20 @@
 	r := NewRegistrar()
 	all := limiters(0, 2)
 	x.Join(1, 1, all)
-	r.See(0, x, 1)
+	r.Add(0, x, 1)
 	x.Release(2, []string{"e0@0"})
-	r.See(0, x, 2)
+	r.Add(0, x, 2)
 	x.Join(3, 3, all[:1])
-	r.See(0, x, 3)
+	r.Add(0, x, 3)
 	present := func(string) bool { return true }
 	for _, p := range all { // acknowledge the version in which e0 was released
-		r.Hear(time.Second, x, Report{Place: p, Version: 2})
+		r.Receive(time.Second, x, Report{Place: p, Version: 2})
 	}
 	if c := r.Due(5*time.Second, x, false, present); !c.Empty() {
 		t.Errorf("%+v is requested although it would change nothing", c)
 	}
 	for _, p := range all {
-		r.Hear(6*time.Second, x, Report{Place: p, Version: 3})
+		r.Receive(6*time.Second, x, Report{Place: p, Version: 3})
 	}
 	if d := cmp.Diff(Changes{Settle: 3}, r.Due(6*time.Second, x, false, present)); d != "" {
 		t.Error(d)
--- a/control/places/registrar.go
+++ b/control/places/registrar.go
@@ -44,21 +44,21 @@
 
 // Report is what a limiter reports about itself with a pull.
 type Report struct {
-	Place   Place
-	Version uint64        // of the table that it uses; 0: none
-	Loans   time.Duration // time until no borrower uses more of its share than that table grants it
-	Done    bool          // it has stopped sending requests and can be released
+	Place      Place
+	Version    uint64        // of the table that it uses; 0: none
+	LoansEndIn time.Duration // time until no borrower uses more of its share than that table grants it
+	Done       bool          // it has stopped sending requests and can be released
 }
 
 // Add records that a version of the table was received.
-func (r *Registrar) See(now time.Duration, t Table, version uint64) { r.tracker.See(now, t, version) }
+func (r *Registrar) Add(now time.Duration, t Table, version uint64) { r.tracker.Add(now, t, version) }
 
 // Receive processes a report from a limiter and reports whether a change is due because of it.
-func (r *Registrar) Hear(now time.Duration, t Table, report Report) (due bool) {
+func (r *Registrar) Receive(now time.Duration, t Table, report Report) (due bool) {
 	holder := report.Place.Holder()
 	if report.Version > 0 {
-		r.tracker.Hear(now, Acknowledgement{Holder: holder, Version: report.Version,
-			InMs: uint64(report.Loans / time.Millisecond)})
+		r.tracker.Receive(now, Acknowledgement{Holder: holder, Version: report.Version,
+			InMs: uint64(report.LoansEndIn / time.Millisecond)})
 	}
 	has := t.SlotOf(report.Place.Name, report.Place.IP) >= 0
 	delete(r.joinRequests, holder)
@@ -103,7 +103,7 @@
 
 // Awaited returns the holders whose acknowledgements are missing for the newest change that could
 // be settled now. Other registries may have received them.
-func (r *Registrar) Wanted(now time.Duration, t Table) []string { return r.tracker.Wanted(now, t) }
+func (r *Registrar) Awaited(now time.Duration, t Table) []string { return r.tracker.Awaited(now, t) }
 
 // Acknowledgements returns the acknowledgements received from some holders, to be sent to another registry.
 func (r *Registrar) Acknowledgements(now time.Duration, holders []string) []Acknowledgement {
@@ -111,18 +111,18 @@
 }
 
 // ReceiveAcknowledgements records acknowledgements that another registry has received.
-func (r *Registrar) HearAll(now time.Duration, all []Acknowledgement) {
+func (r *Registrar) ReceiveAcknowledgements(now time.Duration, all []Acknowledgement) {
 	for _, a := range all {
-		r.tracker.Hear(now, a)
+		r.tracker.Receive(now, a)
 	}
 }
 
 // PendingChange describes the latest join or release of a place if it is not settled: the longest time
 // until it is, and the holders whose acknowledgements are missing.
-func (r *Registrar) Pending(now time.Duration, t Table, p *Place) (state string, left time.Duration, missing []string) {
-	change := max(p.From, p.To, p.Back)
+func (r *Registrar) PendingChange(now time.Duration, t Table, p *Place) (state string, left time.Duration, missing []string) {
+	change := max(p.JoinedVersion, p.ReleasedVersion, p.RestoredVersion)
 	switch {
-	case p.To > 0:
+	case p.ReleasedVersion > 0:
 		state = "released"
 	case change > t.Settled:
 		state = "joining"
--- a/control/places/settler.go
+++ b/control/places/settler.go
@@ -38,7 +38,7 @@
 func NewAckTracker() *AckTracker { return &AckTracker{received: map[string][]received{}} }
 
 // Add records that a version of the table was received, and drops entries that are no longer needed.
-func (s *AckTracker) See(now time.Duration, t Table, version uint64) {
+func (s *AckTracker) Add(now time.Duration, t Table, version uint64) {
 	if n := len(s.observed); n == 0 || s.observed[n-1].version < version {
 		s.observed = append(s.observed, observed{version, now})
 	}
@@ -54,7 +54,7 @@
 }
 
 // Receive records an acknowledgement received at the time now.
-func (s *AckTracker) Hear(now time.Duration, a Acknowledgement) {
+func (s *AckTracker) Receive(now time.Duration, a Acknowledgement) {
 	effectiveAt := now + time.Duration(a.InMs)*time.Millisecond
 	all := slices.DeleteFunc(s.received[a.Holder], func(ack received) bool {
 		return ack.version <= a.Version && ack.effectiveAt >= effectiveAt // subsumed by the new one
@@ -91,7 +91,7 @@
 
 // Awaited returns the holders whose acknowledgements are missing for the newest change that was
 // first observed at least [minAckWait] ago.
-func (s *AckTracker) Wanted(now time.Duration, t Table) []string {
+func (s *AckTracker) Awaited(now time.Duration, t Table) []string {
 	for _, change := range slices.Backward(t.UnsettledVersions()) {
 		if observedAt, ok := s.firstObserved(change); ok && now-observedAt >= minAckWait {
 			return s.MissingHolders(now, &t, change)
--- a/control/places/table.go
+++ b/control/places/table.go
@@ -30,15 +30,15 @@
 	Zone string `cbor:"3,keyasint"`
 	// Incarnation identifies the process that the place was created for. Later processes of the same
 	// limiter on the same machine keep the place and this value.
-	Life string `cbor:"4,keyasint,omitempty"`
-	From uint64 `cbor:"5,keyasint,omitempty"` // version of the table that created the place
-	To   uint64 `cbor:"6,keyasint,omitempty"` // version that released it; 0: it is held
+	Incarnation     string `cbor:"4,keyasint,omitempty"`
+	JoinedVersion   uint64 `cbor:"5,keyasint,omitempty"` // version of the table that created the place
+	ReleasedVersion uint64 `cbor:"6,keyasint,omitempty"` // version that released it; 0: it is held
 	// FirstReleasedVersion and RestoredVersion are set if the place was released and then restored before
 	// the release was settled; otherwise they are 0. Tables from RestoredVersion on have the place as held
 	// throughout, while the tables from FirstReleasedVersion up to RestoredVersion did not have it as held;
 	// so none of the latter can become the settled one.
-	Left uint64 `cbor:"7,keyasint,omitempty"`
-	Back uint64 `cbor:"8,keyasint,omitempty"`
+	FirstReleasedVersion uint64 `cbor:"7,keyasint,omitempty"`
+	RestoredVersion      uint64 `cbor:"8,keyasint,omitempty"`
 }
 
 // Holder identifies the limiter that holds the place by its name and machine. The same name on another
@@ -49,11 +49,11 @@
 func HolderOf(name, ip string) string { return name + "@" + ip }
 
 // Held reports whether the limiter holds the place in the newest table.
-func (p *Place) Held() bool { return p.Name != "" && p.To == 0 }
+func (p *Place) Held() bool { return p.Name != "" && p.ReleasedVersion == 0 }
 
 // heldAt reports whether the limiter holds the place in the table of a version.
 func (p *Place) heldAt(version uint64) bool {
-	return p.Name != "" && p.From <= version && (p.To == 0 || version < p.To)
+	return p.Name != "" && p.JoinedVersion <= version && (p.ReleasedVersion == 0 || version < p.ReleasedVersion)
 }
 
 // Table is one version of all places, indexed by slot. A slot is reused once the release of its former
@@ -89,21 +89,21 @@
 func (t *Table) join(version, seen uint64, limiter Place) (changed bool) {
 	for i := range t.Places { // the limiter of this name has moved to another machine
 		if p := &t.Places[i]; p.Name == limiter.Name && p.IP != limiter.IP && p.Held() {
-			p.To, changed = version, true
+			p.ReleasedVersion, changed = version, true
 		}
 	}
 	slot := t.slotOfHolder(limiter.Holder())
 	if slot < 0 {
-		limiter.From, limiter.To = version, 0
+		limiter.JoinedVersion, limiter.ReleasedVersion = version, 0
 		t.insert(limiter)
 		return true
 	}
 	place := t.Places[slot]
 	place.Zone = limiter.Zone
-	if place.To > seen {
+	if place.ReleasedVersion > seen {
 		return changed
 	}
-	if place.To > 0 {
+	if place.ReleasedVersion > 0 {
 		place.restore(version)
 	}
 	if place != t.Places[slot] {
@@ -114,10 +114,10 @@
 
 // restore marks a released place as held again from the table of a version on.
 func (p *Place) restore(version uint64) {
-	if p.Left == 0 {
-		p.Left = p.To
+	if p.FirstReleasedVersion == 0 {
+		p.FirstReleasedVersion = p.ReleasedVersion
 	}
-	p.Back, p.To = version, 0
+	p.RestoredVersion, p.ReleasedVersion = version, 0
 }
 
 // insert stores a place in the first free slot.
@@ -150,8 +150,8 @@
 // has changed.
 func (t *Table) Release(version uint64, holders []string) (changed bool) {
 	for _, holder := range holders {
-		if slot := t.slotOfHolder(holder); slot >= 0 && t.Places[slot].To == 0 {
-			t.Places[slot].To, changed = version, true
+		if slot := t.slotOfHolder(holder); slot >= 0 && t.Places[slot].ReleasedVersion == 0 {
+			t.Places[slot].ReleasedVersion, changed = version, true
 		}
 	}
 	return changed
@@ -167,11 +167,11 @@
 	t.Settled = version
 	for i := range t.Places {
 		p := &t.Places[i]
-		if p.To > 0 && p.To <= version {
+		if p.ReleasedVersion > 0 && p.ReleasedVersion <= version {
 			*p = Place{}
 		}
-		if p.Back <= version {
-			p.Left, p.Back = 0, 0
+		if p.RestoredVersion <= version {
+			p.FirstReleasedVersion, p.RestoredVersion = 0, 0
 		}
 	}
 	return true
@@ -182,8 +182,8 @@
 	for lowered := true; lowered; {
 		lowered = false
 		for i := range t.Places {
-			if p := &t.Places[i]; p.Left > 0 && p.Left <= version && version < p.Back {
-				version, lowered = p.Left-1, true
+			if p := &t.Places[i]; p.FirstReleasedVersion > 0 && p.FirstReleasedVersion <= version && version < p.RestoredVersion {
+				version, lowered = p.FirstReleasedVersion-1, true
 			}
 		}
 	}
@@ -194,7 +194,7 @@
 // were restored, in ascending order.
 func (t *Table) UnsettledVersions() (versions []uint64) {
 	for _, p := range t.Places {
-		for _, version := range []uint64{p.From, p.To, p.Left, p.Back} {
+		for _, version := range []uint64{p.JoinedVersion, p.ReleasedVersion, p.FirstReleasedVersion, p.RestoredVersion} {
 			if version > t.Settled {
 				versions = append(versions, version)
 			}
@@ -219,7 +219,7 @@
 
 // SetsInUse returns the slot sets of all versions that a limiter may still use, from the settled version to
 // the newest.
-func (t *Table) Sets() []SlotSet {
+func (t *Table) SetsInUse() []SlotSet {
 	sets := []SlotSet{t.slotsAt(t.Settled)}
 	for _, version := range t.UnsettledVersions() {
 		sets = append(sets, t.slotsAt(version))
@@ -241,8 +241,8 @@
 }
 
 // MaxInZone returns the largest number of limiters of a zone that hold places under any version in use.
-func (t *Table) InZone(zone string) (most int) {
-	for _, set := range t.Sets() {
+func (t *Table) MaxInZone(zone string) (most int) {
+	for _, set := range t.SetsInUse() {
 		n := 0
 		for _, slot := range set {
 			if t.Places[slot].Zone == zone {
@@ -258,11 +258,11 @@
 // including, a version, sorted.
 func (t *Table) HoldersBefore(version uint64) (holders []string) {
 	for _, p := range t.Places {
-		until := p.To
+		until := p.ReleasedVersion
 		if until == 0 || until > version {
 			until = version
 		}
-		if p.Name != "" && p.From < version && until > t.Settled {
+		if p.Name != "" && p.JoinedVersion < version && until > t.Settled {
 			holders = append(holders, p.Holder())
 		}
 	}
@@ -271,7 +271,7 @@
 }
 
 // HeldCount returns the number of limiters that hold places in the newest table.
-func (t *Table) Count() (n int) {
+func (t *Table) HeldCount() (n int) {
 	for i := range t.Places {
 		if t.Places[i].Held() {
 			n++
--- a/internal/agreement/core.go
+++ b/internal/agreement/core.go
@@ -208,7 +208,7 @@
 }
 
 // ProposeRoster proposes a change of the wanted voters. Its result is reported like that of [Core.Propose].
-func (c *Core) ProposeRoster(id uint64, request Wish) error {
+func (c *Core) ProposeRoster(id uint64, request VoterRequest) error {
 	data, err := json.Marshal(request)
 	if err != nil {
 		return err
@@ -218,7 +218,7 @@
 
 // Read asks the leader for its commit index (Raft's read index). [Core.ReadDone] reports, for the same mark,
 // when the log is applied here up to that index.
-func (c *Core) Read(mark string) { c.node.ReadIndex([]byte(mark)) }
+func (c *Core) ReadBarrier(mark string) { c.node.ReadIndex([]byte(mark)) }
 
 // ReadDone reports whether all entries that were committed when [Core.Read] was called with this mark are
 // applied here. It returns true once for each mark.
@@ -359,7 +359,7 @@
 	case machineEntry:
 		err = c.machine.Apply(data[9:])
 	case rosterEntry:
-		var request Wish
+		var request VoterRequest
 		if err = json.Unmarshal(data[9:], &request); err == nil {
 			err = c.roster.applyVoterChange(request, c.confState)
 		}
--- a/internal/agreement/core_test.go
+++ b/internal/agreement/core_test.go
@@ -415,7 +415,7 @@
 	if !isLearner(9) || !slices.Contains(currentLeader().confState.GetVoters(), 3) {
 		t.Fatalf("voters %v, learners %v", currentLeader().confState.GetVoters(), currentLeader().confState.GetLearners())
 	}
-	if err := currentLeader().ProposeRoster(1<<40, Wish{Add: "n3"}); err != nil {
+	if err := currentLeader().ProposeRoster(1<<40, VoterRequest{Add: "n3"}); err != nil {
 		t.Fatal(err)
 	}
 	for range 50 {
@@ -433,7 +433,7 @@
 	s := newSimulation(t, 5, 3)
 	l := s.leader()
 	l.Propose(77, []byte("bad"))
-	l.Read("mark")
+	l.ReadBarrier("mark")
 	for range 4 {
 		s.runRound()
 	}
--- a/internal/agreement/host.go
+++ b/internal/agreement/host.go
@@ -36,15 +36,15 @@
 
 // Options configure a [Host].
 type Options struct {
-	Label   string            // of the fleet
-	Name    string            // of this limiter
-	Folder  string            // data directory, used by this limiter only
-	Listen  string            // host:port for connections of other limiters
-	Peers   map[string]string // addresses of the other limiters, by name
-	Voters  []string          // limiters to contact while this one has not found the fleet
-	Machine Machine           // called by one goroutine only; other readers need their own lock
-	Changed func()            // called after entries were applied; must not block; may be nil
-	Tick    time.Duration     // 0: DefaultTick
+	Label     string            // of the fleet
+	Name      string            // of this limiter
+	Folder    string            // data directory, used by this limiter only
+	Listen    string            // host:port for connections of other limiters
+	Peers     map[string]string // addresses of the other limiters, by name
+	Voters    []string          // limiters to contact while this one has not found the fleet
+	Machine   Machine           // called by one goroutine only; other readers need their own lock
+	OnApplied func()            // called after entries were applied; must not block; may be nil
+	Tick      time.Duration     // 0: DefaultTick
 	// Streams are the handlers of streams that other limiters open with [Host.Dial], by purpose. They are
 	// called only for accepted limiters. The connection is closed when a handler returns or Run ends.
 	Streams map[string]func(limiter string, s *Stream)
@@ -305,7 +305,7 @@
 		return
 	}
 	for mark := range h.pendingReads { // repeated because a request may have been lost
-		h.core.Read(mark)
+		h.core.ReadBarrier(mark)
 	}
 	if h.core.IsLeader() {
 		view := h.core.View()
@@ -423,8 +423,8 @@
 			close(done)
 		}
 	}
-	if h.core.appliedIndex != appliedBefore && h.options.Changed != nil {
-		h.options.Changed()
+	if h.core.appliedIndex != appliedBefore && h.options.OnApplied != nil {
+		h.options.OnApplied()
 	}
 }
 
@@ -460,7 +460,7 @@
 
 // Want requests that a limiter becomes a voter, or a learner again. It returns once the request is committed;
 // the leader then changes the members one step at a time.
-func (h *Host) Want(ctx context.Context, w Wish) error {
+func (h *Host) RequestVoterChange(ctx context.Context, w VoterRequest) error {
 	return h.propose(ctx, func(id uint64) error { return h.core.ProposeRoster(id, w) })
 }
 
@@ -502,14 +502,14 @@
 
 // Read is a linearizable read barrier: it returns once all entries that were committed when it was called
 // are applied here.
-func (h *Host) Read(ctx context.Context) error {
+func (h *Host) ReadBarrier(ctx context.Context) error {
 	mark, done := fmt.Sprint(rand.Uint64()), make(chan struct{})
 	if err := h.runOnDriver(ctx, func() error {
 		if err := h.checkReady(); err != nil {
 			return err
 		}
 		h.pendingReads[mark] = done
-		h.core.Read(mark)
+		h.core.ReadBarrier(mark)
 		return nil
 	}); err != nil {
 		return err
@@ -524,7 +524,7 @@
 }
 
 // Fence returns the highest fencing epoch of each duty that this limiter has seen as a receiver.
-func (h *Host) Fence(ctx context.Context) (map[string]uint64, error) {
+func (h *Host) FencingEpochs(ctx context.Context) (map[string]uint64, error) {
 	return runOnDriver(ctx, h, func() (map[string]uint64, error) {
 		if h.dataFolder == nil {
 			return nil, h.failure
@@ -534,7 +534,7 @@
 }
 
 // Raise stores a fencing epoch of a duty; it is synced to disk when Raise returns.
-func (h *Host) Raise(ctx context.Context, duty string, epoch uint64) error {
+func (h *Host) RaiseFencingEpoch(ctx context.Context, duty string, epoch uint64) error {
 	return h.runOnDriver(ctx, func() error {
 		if h.core == nil {
 			return fmt.Errorf("this limiter's disk failed: %w", h.failure)
@@ -554,7 +554,7 @@
 
 // HandOver transfers the leadership, if this member has it, to the voter with the longest log, and waits
 // until this member is no longer the leader or ctx is done.
-func (h *Host) HandOver(ctx context.Context) {
+func (h *Host) TransferLeadership(ctx context.Context) {
 	transferring := func() bool {
 		started, _ := runOnDriver(ctx, h, func() (bool, error) {
 			if h.core == nil || !h.core.IsLeader() {
--- a/internal/agreement/host_test.go
+++ b/internal/agreement/host_test.go
@@ -22,7 +22,7 @@
 // the end of the process.
 func TestAskEndsWithTheHost(t *testing.T) {
 	h, err := Open(Options{Label: "f", Name: "n0", Folder: t.TempDir(), Listen: "127.0.0.1:0", Voters: []string{"n0"},
-		Peers: map[string]string{"n0": "127.0.0.1:1"}, Machine: emptyMachine{}, Changed: func() {}, Log: slog.New(slog.DiscardHandler)})
+		Peers: map[string]string{"n0": "127.0.0.1:1"}, Machine: emptyMachine{}, OnApplied: func() {}, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 	}
 	defer other.Close()
 	h, err := Open(Options{Label: "f", Name: "n0", Folder: t.TempDir(), Listen: "127.0.0.1:0", Voters: []string{"n0", "n1"},
-		Peers: map[string]string{"n0": "127.0.0.1:1", "n1": other.Addr().String()}, Machine: emptyMachine{}, Changed: func() {}, Log: slog.New(slog.DiscardHandler)})
+		Peers: map[string]string{"n0": "127.0.0.1:1", "n1": other.Addr().String()}, Machine: emptyMachine{}, OnApplied: func() {}, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 		if begun {
 			return
 		}
-		if err := h.Begin(ctx, []string{"n0"}); err != nil { // after the hello, before its answer
+		if err := h.Bootstrap(ctx, []string{"n0"}); err != nil { // after the hello, before its answer
 			t.Fatal(err)
 		}
 		answer, _ := json.Marshal(reply{Hello: Hello{Label: "f", Name: "n1", Member: 7, Start: 1, Mark: 1, To: "n0"}})
--- a/internal/agreement/hostbegin.go
+++ b/internal/agreement/hostbegin.go
@@ -9,7 +9,7 @@
 
 // Begin initializes a new fleet with this limiter as the only voter; the listed voters are added once they
 // join.
-func (h *Host) Begin(ctx context.Context, voters []string) error {
+func (h *Host) Bootstrap(ctx context.Context, voters []string) error {
 	return h.startFleet(ctx, func() error {
 		if h.dataFolder.self.Fleet != 0 {
 			return fmt.Errorf("this limiter is in a fleet already: %016x", h.dataFolder.self.Fleet)
@@ -21,7 +21,7 @@
 // BeginAnew re-initializes the fleet as a new generation with this limiter as the only voter, after a
 // majority of voters is lost. The state is that of this limiter: committed entries that it has not received
 // are lost. before is called first and may change the state machine.
-func (h *Host) BeginAnew(ctx context.Context, before func(generation uint64)) error {
+func (h *Host) ForceNewFleet(ctx context.Context, before func(generation uint64)) error {
 	return h.startFleet(ctx, func() error {
 		if h.dataFolder.self.Fleet == 0 {
 			return ErrNoFleet
--- a/internal/agreement/linear_test.go
+++ b/internal/agreement/linear_test.go
@@ -74,7 +74,7 @@
 				}
 			} else {
 				op.mark = fmt.Sprint("read ", k)
-				c.Read(op.mark)
+				c.ReadBarrier(op.mark)
 				pending = append(pending, op)
 			}
 		}
--- a/internal/agreement/roster.go
+++ b/internal/agreement/roster.go
@@ -16,7 +16,7 @@
 }
 
 // Wish is an operator's request to add or remove a voter; one field is set.
-type Wish struct {
+type VoterRequest struct {
 	Add, Remove string // a limiter's name
 }
 
@@ -64,7 +64,7 @@
 }
 
 // applyVoterChange records an operator's request. The leader carries it out one membership change at a time.
-func (r *Roster) applyVoterChange(request Wish, conf *raftpb.ConfState) error {
+func (r *Roster) applyVoterChange(request VoterRequest, conf *raftpb.ConfState) error {
 	if r.Wanted == nil {
 		r.Wanted = map[string]uint64{}
 	}
--- a/internal/best/best.go
+++ b/internal/best/best.go
@@ -111,7 +111,7 @@
 
 // regarder is a policy that tells what it takes a server for.
 type regarder interface {
-	Regards(now float64, id uint64, class int) limiter.Regard
+	Regards(now float64, id uint64, class int) limiter.Availability
 }
 
 // refused finds why a try is refused, by what is true at that moment.
@@ -142,7 +142,7 @@
 // room tells why no server was found for a try.
 func (x *Watcher) room(n int, p virtual.Policy, t *world.Try) string {
 	sees, ok := p.(regarder)
-	counts := map[limiter.Regard]int{}
+	counts := map[limiter.Availability]int{}
 	spill := true
 	for i, b := range x.w.Boxes {
 		if !b.Well() || !b.Idle() || !x.w.Reaches(n, i) {
@@ -157,13 +157,13 @@
 			spill = false
 		}
 	}
-	ill := counts[limiter.TakenDown] + counts[limiter.TakenIll] + counts[limiter.Silent] + counts[limiter.Full]
+	ill := counts[limiter.MarkedDown] + counts[limiter.Ejected] + counts[limiter.Unresponsive] + counts[limiter.Full]
 	switch {
 	case counts[limiter.Usable] > 0 && spill:
 		return causeSpill
 	case counts[limiter.Usable] > 0:
 		return causeRoom
-	case counts[limiter.TooCold] > 0:
+	case counts[limiter.WarmingUp] > 0:
 		return causeCold
 	case ill > 0:
 		return causeWellIll
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -63,10 +63,10 @@
 		if err != nil {
 			return err
 		}
-		if _, fault := configuration.ReadCall(text, false); fault != nil {
+		if _, fault := configuration.ParseChange(text, false); fault != nil {
 			return fault
 		}
-		configured, fault := configuration.Read(text)
+		configured, fault := configuration.Parse(text)
 		if fault != nil {
 			return fault
 		}
--- a/internal/configstore/calls.go
+++ b/internal/configstore/calls.go
@@ -28,8 +28,8 @@
 func (s *Store) handlers() map[string]rpc.Handler {
 	return map[string]rpc.Handler{
 		callPrepare: rpc.TypedHandler(s.handlePrepare), callAccept: rpc.TypedHandler(s.handleAccept), callRead: rpc.TypedHandler(s.handleRead), callChosen: rpc.TypedHandler(s.handleChosen),
-		CallChange: rpc.TypedHandler(s.handleChange), CallWatch: rpc.TypedHandler(s.handleWatch), CallFetch: rpc.Asking(s.handleFetch),
-		rpc.CallStatus: rpc.Asking(s.handleStatus),
+		CallChange: rpc.TypedHandler(s.handleChange), CallWatch: rpc.TypedHandler(s.handleWatch), CallFetch: rpc.NoBodyHandler(s.handleFetch),
+		rpc.CallStatus: rpc.NoBodyHandler(s.handleStatus),
 	}
 }
 
@@ -220,7 +220,7 @@
 	return rpc.Status{Lines: []string{
 		fmt.Sprintf("program=configstore node=%s zone=%s voter=%s voters=%v learners=%v votes=%v disk_fails=%v", s.settings.Node, s.settings.Zone, s.voterID(), voters,
 			s.members.Learners(s.now(), voters), s.hasEffectiveSeat(), diskFailed),
-		fmt.Sprintf("register seq=%d version=r%d term=%d revoked=%d evacuated=%v limiters=%d", register.Seq, register.Version, register.Term(), register.RevocationSeq, register.EvacuatedZones, limiters.Count()),
+		fmt.Sprintf("register seq=%d version=r%d term=%d revoked=%d evacuated=%v limiters=%d", register.Seq, register.Version, register.Term(), register.RevocationSeq, register.EvacuatedZones, limiters.HeldCount()),
 		fmt.Sprintf("ballots promised=%d accepted=%d chosen=%d proof_age=%s", s.durable.Promised.Number, s.durable.Accepted.Number, s.replica.Chosen().Number, proofAge),
 	}}, nil
 }
--- a/internal/configstore/confirm.go
+++ b/internal/configstore/confirm.go
@@ -98,7 +98,7 @@
 				s.mu.Lock()
 				response.Reply = s.readDurable(request.Known)
 				s.mu.Unlock()
-			} else if s.caller.Call(ctx, s.settings.Internal(ip, nodesettings.ConfigStorePort), callRead, request, &response, callTimeout) != nil {
+			} else if s.caller.Call(ctx, s.settings.InternalAddress(ip, nodesettings.ConfigStorePort), callRead, request, &response, callTimeout) != nil {
 				done <- false
 				return
 			}
--- a/internal/configstore/proposer.go
+++ b/internal/configstore/proposer.go
@@ -123,7 +123,7 @@
 	if ip == s.settings.IP {
 		return s.acceptorPrepare(m)
 	}
-	err = s.caller.Call(ctx, s.settings.Internal(ip, nodesettings.ConfigStorePort), callPrepare, m, &reply, callTimeout)
+	err = s.caller.Call(ctx, s.settings.InternalAddress(ip, nodesettings.ConfigStorePort), callPrepare, m, &reply, callTimeout)
 	return reply, err
 }
 
@@ -141,7 +141,7 @@
 	if ip == s.settings.IP {
 		return s.acceptorAccept(m)
 	}
-	err = s.caller.Call(ctx, s.settings.Internal(ip, nodesettings.ConfigStorePort), callAccept, m, &response, callTimeout)
+	err = s.caller.Call(ctx, s.settings.InternalAddress(ip, nodesettings.ConfigStorePort), callAccept, m, &response, callTimeout)
 	return response, err
 }
 
@@ -238,7 +238,7 @@
 }
 
 func (s *Store) announceChosenTo(ctx context.Context, ip string, ballot paxos.Ballot, value []byte) {
-	address := s.settings.Internal(ip, nodesettings.ConfigStorePort)
+	address := s.settings.InternalAddress(ip, nodesettings.ConfigStorePort)
 	var response chosenResponse
 	err := s.caller.Call(ctx, address, callChosen, chosenRequest{Ballot: ballot}, &response, callTimeout)
 	if err != nil || !response.NeedsValue {
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	listener, err := net.Listen("tcp", settings.Internal(settings.IP, nodesettings.ConfigStorePort))
+	listener, err := net.Listen("tcp", settings.InternalAddress(settings.IP, nodesettings.ConfigStorePort))
 	if err != nil {
 		return fmt.Errorf("configstore: listen for other processes: %w", err)
 	}
@@ -86,11 +86,11 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{settings: settings, log: log, caller: rpc.NewCaller(), started: time.Now(), disk: disk, seedIPs: settings.Cores(),
+	s := &Store{settings: settings, log: log, caller: rpc.NewCaller(), started: time.Now(), disk: disk, seedIPs: settings.CoreIPs(),
 		orders: make(chan *proposal, 64), reportNow: make(chan struct{}, 1), registerChanged: make(chan struct{})}
 	initialVoters := found.voters
 	if initialVoters == nil && settings.Bootstrap {
-		initialVoters = replica.Union(settings.Cores())
+		initialVoters = replica.Union(settings.CoreIPs())
 	}
 	s.acceptor.Record, s.identitySaved = found.record, found.found
 	if s.acceptor.Record.Blank || !found.found && !settings.Bootstrap {
@@ -102,7 +102,7 @@
 	s.replica = replica.New(ballotNode(settings.IP), rand.Uint64(), initialVoters)
 	s.replica.ObserveBallotNumber(s.durable.Promised.Number)
 	joining := settings.Bootstrap && !slices.Contains(initialVoters, settings.IP)
-	s.members = coremembers.New(coremembers.Report{Zone: settings.Zone, Joining: joining}, 2*settings.Tolerate+1, s.now())
+	s.members = coremembers.New(coremembers.Report{Zone: settings.Zone, Joining: joining}, 2*settings.FaultTolerance+1, s.now())
 	if s.identitySaved {
 		s.members.SetVoterID(s.voterID())
 	} else {
@@ -126,10 +126,10 @@
 
 // followSettings tracks changes of the core machines that the settings name.
 func (s *Store) followSettings(ctx context.Context) {
-	s.settings.Follow(ctx, func(next *nodesettings.Settings) {
+	s.settings.Watch(ctx, func(next *nodesettings.Settings) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.seedIPs = next.Cores()
+		s.seedIPs = next.CoreIPs()
 	}, func(err error) { s.log.WithField("err", err).Warn("cannot use changed settings") })
 }
 
--- a/internal/configstore/store_test.go
+++ b/internal/configstore/store_test.go
@@ -30,7 +30,7 @@
 func (s *stores) start(i int, bootstrap bool) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	set := &nodesettings.Settings{Node: fmt.Sprintf("core-%d", i+1), IP: s.ip(i), Bootstrap: bootstrap, Tolerate: 2, Ports: [2]int{7460, 7475},
+	set := &nodesettings.Settings{Node: fmt.Sprintf("core-%d", i+1), IP: s.ip(i), Bootstrap: bootstrap, FaultTolerance: 2, Ports: [2]int{7460, 7475},
 		DataDir: fmt.Sprintf("%s/%d", s.dir, i), Seeds: []string{s.ip(0) + ":1", s.ip(1) + ":1", s.ip(2) + ":1"}}
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel[i], s.done[i] = cancel, make(chan error, 1)
--- a/internal/forwardauth/forwardauth_test.go
+++ b/internal/forwardauth/forwardauth_test.go
@@ -70,7 +70,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.leased -= s.Units
-	if s.Back {
+	if s.Refund {
 		b.level += s.Units
 	}
 }
@@ -268,7 +268,7 @@
 				}
 			}
 			a := b.asks[0]
-			if a.Customer != 0xab || a.Class != 1 || a.Plan != 1 || a.Units != 2 || a.Spread != 2 || a.First != 1 || a.ExpiresMs != 900 || !a.Lease {
+			if a.Account != 0xab || a.Class != 1 || a.Plan != 1 || a.Units != 2 || a.Spread != 2 || a.First != 1 || a.ExpiresMs != 900 || !a.Lease {
 				t.Errorf("asked %+v", a)
 			}
 		})
--- a/internal/forwardauth/parse.go
+++ b/internal/forwardauth/parse.go
@@ -65,7 +65,7 @@
 			return x, err
 		}
 	}
-	if a.Customer, err = strconv.ParseUint(account, 16, 64); err != nil || a.Customer >= 1<<mostIDBits || len(account) > 16 {
+	if a.Account, err = strconv.ParseUint(account, 16, 64); err != nil || a.Account >= 1<<mostIDBits || len(account) > 16 {
 		return x, fmt.Errorf("account %q is no hexadecimal number below 2^%d", clip(account), mostIDBits)
 	}
 	ok, wait := false, p.Wait
@@ -83,7 +83,7 @@
 		if host == "" {
 			host = q.Host
 		}
-		if to, ok = s.Route(&route.Request{Host: host, Path: canonical, Method: method, Account: a.Customer, Plan: planName, Header: q.Header.Get}); !ok {
+		if to, ok = s.Route(&route.Request{Host: host, Path: canonical, Method: method, Account: a.Account, Plan: planName, Header: q.Header.Get}); !ok {
 			return x, fmt.Errorf("no route takes this request")
 		}
 		if to.Deadline > 0 {
--- a/internal/forwardauth/service.go
+++ b/internal/forwardauth/service.go
@@ -225,7 +225,7 @@
 
 // settle tells the module that a lease has ended. The lock is held.
 func (s *Service) settle(t grant.Terms, e grant.EndReason) {
-	s.d.Settle(limiter.Settle{Customer: t.Account, Units: t.Units, Back: e.ReturnsUnits()})
+	s.d.Settle(limiter.Settle{Account: t.Account, Units: t.Units, Refund: e.ReturnsUnits()})
 }
 
 // Paths of the front besides asks.
@@ -298,7 +298,7 @@
 			return v[0]
 		}
 		return ""
-	}, Request: advice.Request{Account: x.ask.Customer, Plan: x.ask.Plan, Class: x.ask.Class, PlanName: x.plan, ClassName: x.class, Method: x.method, Path: x.path,
+	}, Request: advice.Request{Account: x.ask.Account, Plan: x.ask.Plan, Class: x.ask.Class, PlanName: x.plan, ClassName: x.class, Method: x.method, Path: x.path,
 		Units: x.ask.Units, LeftMs: x.ask.ExpiresMs, Retry: x.ask.Retry}}
 	x.ask.Advice = x.to.Advise(q.Context(), s, time.Duration(x.ask.ExpiresMs*float64(time.Millisecond)))
 	if q.Context().Err() != nil {
@@ -315,7 +315,7 @@
 		return "", false, 0, false
 	}
 	now := time.Since(s.start)
-	terms := grant.Terms{Account: a.Customer, Plan: a.Plan, Class: a.Class, Units: a.Units}
+	terms := grant.Terms{Account: a.Account, Plan: a.Plan, Class: a.Class, Units: a.Units}
 	try := grant.Attempt{Proxy: p.Name, ID: x.id, Terms: terms}
 	if token, again := s.desk.FindRepeat(now, try); again {
 		s.count.again.Add(1)
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -58,7 +58,7 @@
 	for range 40 {
 		x.ids++
 		id := string(rune('a'+x.ids%26)) + time.Duration(x.ids).String()
-		for _, a := range x.handle(limiter.Submit{ID: id, ExpiresMs: 900, Units: 1, Customer: account, Spread: 1}) {
+		for _, a := range x.handle(limiter.Submit{ID: id, ExpiresMs: 900, Units: 1, Account: account, Spread: 1}) {
 			if p, ok := a.(limiter.PassOn); ok {
 				n++
 				x.handle(limiter.Outcome{ID: id, Server: p.Server, SpentMs: 20, Done: true})
--- a/internal/node/advise.go
+++ b/internal/node/advise.go
@@ -59,9 +59,9 @@
 		return true
 	}
 	subject := &advice.Subject{Whole: r.body, Header: func(name string) string { return singleHeader(hr.Header, name) },
-		Request: advice.Request{Account: ev.Customer, Plan: ev.Plan, Class: ev.Class, Method: hr.Method, Path: hr.URL.Path,
+		Request: advice.Request{Account: ev.Account, Plan: ev.Plan, Class: ev.Class, Method: hr.Method, Path: hr.URL.Path,
 			PlanName: hr.Header.Get("Plan"), ClassName: v.classNames[ev.Class], Units: ev.Units, Retry: ev.Retry}}
-	subject.Balance, subject.Pressure = n.Glance(ev.Customer, ev.Plan, ev.Pool)
+	subject.Balance, subject.Pressure = n.Glance(ev.Account, ev.Plan, ev.Pool)
 	remaining := time.Until(r.deadline)
 	subject.LeftMs = float64(remaining) / float64(time.Millisecond)
 	r.counsel = r.destination.Advise(hr.Context(), subject, remaining)
--- a/internal/node/asks.go
+++ b/internal/node/asks.go
@@ -76,7 +76,7 @@
 // redeemLease finds out whether units were already leased for a request.
 func (n *Node) redeemLease(hr *http.Request, ev *limiter.Submit) {
 	if token := hr.Header.Get(grantHeader); token != "" {
-		ev.Leased, ev.Vouched = n.grants.Redeem(token, grant.Terms{Account: ev.Customer,
+		ev.Leased, ev.QuotaChecked = n.grants.Redeem(token, grant.Terms{Account: ev.Account,
 			Plan: ev.Plan, Class: ev.Class, Units: ev.Units})
 	}
 }
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -199,7 +199,7 @@
 		if err = n.submit(req, event, rev); err == nil {
 			break
 		}
-		n.Settle(limiter.Settle{Customer: event.Customer, Units: event.Leased, Back: true})
+		n.Settle(limiter.Settle{Account: event.Account, Units: event.Leased, Refund: true})
 		if err == errConfigChanged { // read the request again with the new revision; the lease was settled with the old one
 			body, bodyRest := req.body, req.bodyRest
 			rev = n.revision.Load()
@@ -367,7 +367,7 @@
 		return nil, submit, err
 	}
 	submit = limiter.Submit{ID: id, Class: class, Plan: plan, Retry: h.Get("X-Retried") == "1",
-		Customer: customer, Pool: destination.ID, Attempts: destination.Attempts}
+		Account: customer, Pool: destination.ID, Attempts: destination.Attempts}
 	if err := parseQuotaInfo(h.Get("Quota-Info"), v.settings.Module.Balancers, v.settings.MaxUnits, &submit); err != nil {
 		return nil, submit, err
 	}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -188,7 +188,7 @@
 	}
 	values := map[string]string{}
 	flatten("", object, values)
-	p := wire.NewPairs(values)
+	p := wire.NewSettingValues(values)
 	if s.Module, err = p.Settings(); err != nil {
 		return s, err
 	}
@@ -210,7 +210,7 @@
 }
 
 // nameIndex maps the names in a list of settings to their positions.
-func nameIndex(p *wire.Pairs, list string) (map[string]int, error) {
+func nameIndex(p *wire.SettingValues, list string) (map[string]int, error) {
 	m := map[string]int{}
 	for i := range p.Count(list) {
 		name := p.Text(fmt.Sprintf("%s.%d.name", list, i))
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -384,7 +384,7 @@
 // retried. The node's mutex is held.
 func (n *Node) reportProgress(att *attempt, spent bool) {
 	n.handle(limiter.Progress{ID: att.req.id, Try: att.number,
-		LeftMs: float64(att.req.attemptTimeout) / float64(time.Millisecond), Spent: spent})
+		LeftMs: float64(att.req.attemptTimeout) / float64(time.Millisecond), BodyReleased: spent})
 }
 
 // attemptHooks returns the hooks of an attempt. Short requests, which are written at once, share theirs.
--- a/internal/nodesettings/nodesettings.go
+++ b/internal/nodesettings/nodesettings.go
@@ -43,7 +43,7 @@
 	Seeds           []string          // control-plane addresses of core machines
 	Zones           map[string]string // region by zone
 	Heartbeat       time.Duration
-	Tolerate        int             // core machines that may fail at the same time
+	FaultTolerance  int             // core machines that may fail at the same time
 	Contracts       map[string]bool // names of the active timing contracts
 	// MetricsPort is the port that serves the metrics of the process; 0 disables it. It is set by a
 	// command-line flag, not by the settings file.
@@ -114,7 +114,7 @@
 // Follow watches the settings file until ctx is done and calls changed with the new settings after each
 // change of its contents. SIGHUP triggers an immediate check. For an invalid file it calls invalid with the
 // error, and the current settings stay in effect.
-func (s *Settings) Follow(ctx context.Context, changed func(*Settings), invalid func(error)) {
+func (s *Settings) Watch(ctx context.Context, changed func(*Settings), invalid func(error)) {
 	if s.Path == "" {
 		return
 	}
@@ -205,8 +205,8 @@
 		MemoryMB: identity.GetInt("limits", "memory_mb"), FileDescriptors: identity.GetInt("limits", "file_descriptors"),
 		DiskMB: identity.GetInt("limits", "disk_mb"), LinkMbps: identity.GetFloat64("limits", "link_mbps"),
 		Listen: map[string]string{}, Zones: map[string]string{}, Contracts: map[string]bool{},
-		Heartbeat: fields.durationField(v, "provider.heartbeat", "provider", "heartbeat"),
-		Tolerate:  timing.GetInt("fault_tolerance", "machines"),
+		Heartbeat:      fields.durationField(v, "provider.heartbeat", "provider", "heartbeat"),
+		FaultTolerance: timing.GetInt("fault_tolerance", "machines"),
 	}
 	for _, x := range identity.GetArray("serves") {
 		s.Serves = append(s.Serves, string(x.GetStringBytes()))
@@ -284,7 +284,7 @@
 
 // Internal returns the address of an internal port, given as an offset such as [ProxyPort], on the machine
 // with that IP address.
-func (s *Settings) Internal(ip string, port int) string {
+func (s *Settings) InternalAddress(ip string, port int) string {
 	return ip + ":" + strconv.Itoa(s.Ports[0]+port)
 }
 
@@ -300,7 +300,7 @@
 
 // Cores returns the IP addresses of the core machines listed as seeds, including this machine if it is
 // one of them.
-func (s *Settings) Cores() []string {
+func (s *Settings) CoreIPs() []string {
 	var ips []string
 	for _, a := range s.Seeds {
 		ips = append(ips, HostOf(a))
--- a/internal/nodesettings/nodesettings_test.go
+++ b/internal/nodesettings/nodesettings_test.go
@@ -19,8 +19,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Node != "e1" || s.Bounds.Revoke != 5*time.Second || !s.Bounds.RevocationStrict || s.Tolerate != 2 || s.Heartbeat != 1500*time.Millisecond ||
-		s.Cores()[1] != "10.0.0.8" || s.Internal(s.IP, ProxyPort) != "10.0.0.1:7462" {
+	if s.Node != "e1" || s.Bounds.Revoke != 5*time.Second || !s.Bounds.RevocationStrict || s.FaultTolerance != 2 || s.Heartbeat != 1500*time.Millisecond ||
+		s.CoreIPs()[1] != "10.0.0.8" || s.InternalAddress(s.IP, ProxyPort) != "10.0.0.1:7462" {
 		t.Errorf("%+v", s)
 	}
 	for wrong, field := range map[string]string{
@@ -52,7 +52,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	next, invalid := make(chan *Settings, 8), make(chan error, 8)
-	go s.Follow(ctx, func(s *Settings) { next <- s }, func(err error) { invalid <- err })
+	go s.Watch(ctx, func(s *Settings) { next <- s }, func(err error) { invalid <- err })
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 			t.Error(err)
@@ -71,7 +71,7 @@
 	for {
 		select {
 		case s := <-next:
-			if s.Cores()[0] == "10.0.0.9" {
+			if s.CoreIPs()[0] == "10.0.0.9" {
 				t.Errorf("seeds %v", s.Seeds)
 			}
 			return
--- a/internal/ownership/ceilings.go
+++ b/internal/ownership/ceilings.go
@@ -44,7 +44,7 @@
 				use(holder.UseFloors())
 			}
 			ctx, done := context.WithTimeout(ctx, catchUpTimeout)
-			err := s.host.Read(ctx)
+			err := s.host.ReadBarrier(ctx)
 			done()
 			if err != nil {
 				continue
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -121,7 +121,7 @@
 	}
 	s.candidate = tenure.NewCandidate(s.self, o.Terms, s.duties, o.Limiters)
 	a := o.Agreement
-	a.Machine, a.Changed, a.Log = s.machine, s.handleApplied, o.Log
+	a.Machine, a.OnApplied, a.Log = s.machine, s.handleApplied, o.Log
 	if o.Rooms != nil {
 		s.watcher = newRoomWatcher(s, o.Rooms[s.self.Limiter])
 		a.Streams = map[string]func(string, *agreement.Stream){watchStream: s.watcher.serve}
@@ -255,7 +255,7 @@
 	for s.ownsAny() && ctx.Err() == nil {
 		time.Sleep(10 * time.Millisecond)
 	}
-	s.host.HandOver(ctx)
+	s.host.TransferLeadership(ctx)
 }
 
 // resign requests to give up a duty; "" means all.
@@ -295,7 +295,7 @@
 		return effect()
 	}
 	if s.fence == nil {
-		kept, err := s.host.Fence(ctx)
+		kept, err := s.host.FencingEpochs(ctx)
 		if err != nil {
 			return fmt.Errorf("what was seen of tokens can't be read: %w", err)
 		}
@@ -304,7 +304,7 @@
 	if !s.caughtUp {
 		// The stored fence may come from an outdated folder. Everything agreed before this
 		// process started is known only after it has caught up.
-		if err := s.host.Read(ctx); err != nil {
+		if err := s.host.ReadBarrier(ctx); err != nil {
 			return fmt.Errorf("this limiter has started and has not caught up with the fleet: %w", err)
 		}
 		s.caughtUp = true
@@ -319,7 +319,7 @@
 		return err
 	}
 	if raised {
-		if err := s.host.Raise(ctx, t.Duty, t.Epoch); err != nil {
+		if err := s.host.RaiseFencingEpoch(ctx, t.Duty, t.Epoch); err != nil {
 			s.fence = nil // read the stored value again next time
 			return fmt.Errorf("token %v can't be written down: %w", t, err)
 		}
@@ -455,13 +455,13 @@
 	if !slices.Contains(voters, s.self.Limiter) {
 		return fmt.Errorf("%s is none of the voters %v: call one of them", s.self.Limiter, voters)
 	}
-	return s.host.Begin(ctx, voters)
+	return s.host.Bootstrap(ctx, voters)
 }
 
 // ForceNewFleet makes this limiter the only voter and invalidates all tokens. It recovers a fleet that
 // has lost its majority.
 func (s *Service) ForceNewFleet(ctx context.Context) error {
-	return s.host.BeginAnew(ctx, s.machine.startGeneration)
+	return s.host.ForceNewFleet(ctx, s.machine.startGeneration)
 }
 
 // SetVoter makes a limiter a voter, or a learner.
@@ -469,11 +469,11 @@
 	if !slices.Contains(s.options.Limiters, limiter) {
 		return fmt.Errorf("there is no limiter %q; there are %v", limiter, s.options.Limiters)
 	}
-	w := agreement.Wish{Remove: limiter}
+	w := agreement.VoterRequest{Remove: limiter}
 	if votes {
-		w = agreement.Wish{Add: limiter}
+		w = agreement.VoterRequest{Add: limiter}
 	}
-	return s.host.Want(ctx, w)
+	return s.host.RequestVoterChange(ctx, w)
 }
 
 // Transfer proposes that a duty moves to another limiter.
--- a/internal/policies/policies.go
+++ b/internal/policies/policies.go
@@ -116,10 +116,10 @@
 // number of limiters that it comes through.
 func (p *policy) take(now float64, e limiter.Submit) bool {
 	plan, n := p.set.Plans[e.Plan], float64(max(1, e.Spread))
-	b := p.buckets[e.Customer]
+	b := p.buckets[e.Account]
 	if b == nil {
 		b = &bucket{plan.Burst / n, now}
-		p.buckets[e.Customer] = b
+		p.buckets[e.Account] = b
 	}
 	b.level, b.at = min(max(e.Units, plan.Burst/n), b.level+(now-b.at)/1000*plan.Rate/n), now
 	if b.level < e.Units {
--- a/internal/policies/policies_test.go
+++ b/internal/policies/policies_test.go
@@ -30,7 +30,7 @@
 		refused := 0
 		for i := range 20 {
 			id := string(rune('a' + i))
-			switch a := p.Handle(1, limiter.Submit{ID: id, Units: 1, Customer: 7, Spread: 2})[0].(type) {
+			switch a := p.Handle(1, limiter.Submit{ID: id, Units: 1, Account: 7, Spread: 2})[0].(type) {
 			case limiter.PassOn:
 				got[a.Server]++
 			case limiter.Refuse:
@@ -46,11 +46,11 @@
 		if name == "least" && (got[1] != 10 || got[2] != 10) {
 			t.Errorf("least outstanding: %v", got)
 		}
-		unsafe := p.Handle(1000, limiter.Submit{ID: "u", Units: 1, Class: 1, Customer: 8})[0].(limiter.PassOn)
+		unsafe := p.Handle(1000, limiter.Submit{ID: "u", Units: 1, Class: 1, Account: 8})[0].(limiter.PassOn)
 		if a := p.Handle(1001, limiter.Outcome{ID: "u", Server: unsafe.Server, Result: limiter.Cut}); len(a) != 1 || a[0] != (limiter.Fail{ID: "u"}) {
 			t.Errorf("%s after an unsafe request was lost: %v", name, a)
 		}
-		safe := p.Handle(1000, limiter.Submit{ID: "s", Units: 1, Customer: 8})[0].(limiter.PassOn)
+		safe := p.Handle(1000, limiter.Submit{ID: "s", Units: 1, Account: 8})[0].(limiter.PassOn)
 		if a := p.Handle(1001, limiter.Outcome{ID: "s", Server: safe.Server, Result: limiter.Cut}); len(a) != 1 {
 			t.Errorf("%s after a safe request was lost: %v", name, a)
 		} else if _, again := a[0].(limiter.PassOn); !again {
--- a/internal/proxy/asks.go
+++ b/internal/proxy/asks.go
@@ -75,7 +75,7 @@
 	proxy.pendingTokenRequests[tokenSerial] = replies
 	ip := proxy.register.Places[place].IP
 	proxy.mu.Unlock()
-	proxy.sendDatagram(proxy.settings.Internal(ip, nodesettings.ProxyPort), datagramTokenRequest,
+	proxy.sendDatagram(proxy.settings.InternalAddress(ip, nodesettings.ProxyPort), datagramTokenRequest,
 		rpc.Encode(tokenRequest{tokenSerial, accountID(c.tenant.Name), c.route.Name, c.service}))
 	return tokenSerial
 }
@@ -144,7 +144,7 @@
 	e.applyDueParts()
 	e.handle(limiter.Ask{Submit: limiter.Submit{ID: tokenRequestPrefix + strconv.Itoa(e.requestCount),
 		ExpiresMs: deadlineStretch * ms(route.Timeout), Units: 1,
-		Class: e.classIndex[route.Name], Plan: plan, Customer: request.Account, Spread: e.slotCount,
+		Class: e.classIndex[route.Name], Plan: plan, Account: request.Account, Spread: e.slotCount,
 		Pool: e.poolID(request.Service, route, nil)}})
 	e.pendingReply = nil
 	return reply
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -69,15 +69,15 @@
 	if config == nil {
 		return &answer{status: 503, retryAfterMs: 300, reason: "no configuration yet"}
 	}
-	route := config.table.Find(r.Host, r.URL.EscapedPath())
+	route := config.table.FindRoute(r.Host, r.URL.EscapedPath())
 	if route == nil {
 		return &answer{status: 404, reason: "no route takes this"}
 	}
 	var tenant *configuration.Tenant
-	if config.table.Guarded() && !route.Open {
+	if config.table.RequiresKey() && !route.AuthExempt {
 		keys := r.Header[headerCredential]
 		if len(keys) == 1 {
-			tenant = config.table.TenantOf(keys[0])
+			tenant = config.table.TenantByKey(keys[0])
 		}
 		if tenant == nil {
 			return &answer{status: 401, reason: "key is missing or not known"}
@@ -147,7 +147,7 @@
 		Class: c.assignedEngine.classIndex[route.Name], Spread: c.assignedEngine.slotCount,
 		Pool: c.assignedEngine.poolID(c.service, route, tenant)}
 	if tenant != nil {
-		ev.Plan, ev.Customer = c.assignedEngine.planIndex[tenant.Name], accountID(tenant.Name)
+		ev.Plan, ev.Account = c.assignedEngine.planIndex[tenant.Name], accountID(tenant.Name)
 	}
 	if prepaid {
 		ev.Leased, c.needsShare = 1, false
@@ -181,20 +181,20 @@
 
 // pickService picks one of a route's services by weight; x is a random number in [0, 1).
 func pickService(r *configuration.Route, x float64) string {
-	if len(r.To) == 1 {
-		return r.To[0].Service
+	if len(r.Destinations) == 1 {
+		return r.Destinations[0].Service
 	}
 	sum := 0.0
-	for _, s := range r.To {
+	for _, s := range r.Destinations {
 		sum += s.Weight
 	}
 	x *= sum
-	for _, s := range r.To {
+	for _, s := range r.Destinations {
 		if x -= s.Weight; x < 0 {
 			return s.Service
 		}
 	}
-	return r.To[len(r.To)-1].Service
+	return r.Destinations[len(r.Destinations)-1].Service
 }
 
 // run executes the steps of a call until it has an answer.
--- a/internal/proxy/departure_test.go
+++ b/internal/proxy/departure_test.go
@@ -77,7 +77,7 @@
 // renew delivers the server's heartbeat and a proof that renews the lease, as pulls do.
 func (d *departure) renew() {
 	d.server.Sequence++
-	d.testProxy.records.Beat(d.now(), d.server)
+	d.testProxy.records.ApplyHeartbeat(d.now(), d.server)
 	d.deliver(nil)
 }
 
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -38,7 +38,7 @@
 	s := &silentServer{id: id, prelude: prelude, received: make(chan string, 64), ended: make(chan struct{}, 64),
 		answer: make(chan string, 64)}
 	address := listen(proxy.t, s.serve)
-	proxy.records.Beat(0, catalog.Record{ID: id, Service: "s", Address: address, Zone: "z", Sequence: 1, Slots: 64})
+	proxy.records.ApplyHeartbeat(0, catalog.Record{ID: id, Service: "s", Address: address, Zone: "z", Sequence: 1, Slots: 64})
 	return s
 }
 
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -33,10 +33,10 @@
 	pools             map[poolKey]*pool
 	memberIDs         map[poolMember]uint64 // IDs that the limiter.Limiter knows servers by
 	servers           map[uint64]*serverEntry
-	membersByInstance map[uint32][]uint64       // by instance hash; one member ID for each pool that the server is in
-	inFlight          map[uint64]int            // attempts in flight, by member ID
-	capacity          map[uint32]float64        // concurrent requests that an instance works on, by instance hash
-	othersInFlight    map[uint64]limiter.InHand // by member ID; load from other limiters and pools, as last passed on
+	membersByInstance map[uint32][]uint64          // by instance hash; one member ID for each pool that the server is in
+	inFlight          map[uint64]int               // attempts in flight, by member ID
+	capacity          map[uint32]float64           // concurrent requests that an instance works on, by instance hash
+	othersInFlight    map[uint64]limiter.Occupancy // by member ID; load from other limiters and pools, as last passed on
 	requestCount      int
 	places            []allowance.Place  // by slot, in the newest table
 	quota             *quotaloan.Holding // this limiter's parts of the tenants' ceilings
@@ -95,7 +95,7 @@
 func (e *engine) limiterSettings(table *configuration.Table, slot int) (settings limiter.Settings, classIndex,
 	planIndex map[string]int) {
 	settings = limiter.Settings{Position: slot, Balancers: e.slotCount, Zone: 0, PeerInPerS: peerMessagesPerSecond,
-		IllMostMs: maxExclusionMs,
+		MaxEjectionMs: maxExclusionMs,
 		Caps: limiter.Caps{Attempts: 8, Peers: e.slotCount > 1, Probes: true, RetryAfter: true, MaxWaitMs: 1000,
 			ConnectMs: 300},
 		Rules: limiter.Rules{FallMs: 1000}}
@@ -109,7 +109,7 @@
 		}
 		classIndex[route.Name] = len(settings.Classes)
 		e.classByRouteID[routeID(route.Name)] = len(settings.Classes)
-		aim := route.Aim
+		aim := route.TargetLatency
 		if aim == 0 {
 			aim = route.Timeout
 		}
@@ -172,7 +172,7 @@
 			Share: e.quota.RestartBurst(e.proxy.rules, accountID(tenant))}
 		if old, ok := previous[account.ID]; ok {
 			account.Balance, account.Share, account.Flow = min(ceiling.Burst, old.Balance), old.Share, old.Flow
-		} else if e.proxy.register.Places[slot].Life == e.proxy.instanceID {
+		} else if e.proxy.register.Places[slot].Incarnation == e.proxy.instanceID {
 			account.Share = 0
 		}
 		handover.Accounts = append(handover.Accounts, account)
@@ -181,7 +181,7 @@
 	// Open all accounts now: an account opened after the next configuration would start empty.
 	for tenant, i := range e.planIndex {
 		e.handle(limiter.Ask{Submit: limiter.Submit{ID: openAccountID, ExpiresMs: 1, Plan: i,
-			Customer: accountID(tenant), Spread: e.slotCount}})
+			Account: accountID(tenant), Spread: e.slotCount}})
 	}
 }
 
@@ -254,10 +254,10 @@
 func (e *engine) label(table *configuration.Table) {
 	for i := range table.Routes {
 		route := &table.Routes[i]
-		for _, target := range route.To {
+		for _, target := range route.Destinations {
 			e.poolID(target.Service, route, nil)
 			for k := range table.Tenants {
-				if len(table.Tenants[k].Homes) > 0 {
+				if len(table.Tenants[k].AllowedRegions) > 0 {
 					e.poolID(target.Service, route, &table.Tenants[k])
 				}
 			}
@@ -267,7 +267,7 @@
 
 // poolID returns the pool of a service's servers in the regions where a request may be served.
 func (e *engine) poolID(service string, route *configuration.Route, tenant *configuration.Tenant) uint64 {
-	regions, anyRegion := configuration.Homes(route, tenant)
+	regions, anyRegion := configuration.AllowedRegions(route, tenant)
 	regions = slices.Sorted(slices.Values(regions))
 	key := poolKey{service, strings.Join(regions, " "), !anyRegion, route.Kind == configuration.Download}
 	existing := e.pools[key]
@@ -356,7 +356,7 @@
 
 // updateWarmup records until when a server is cold and schedules a server update for that time.
 func (proxy *Proxy) updateWarmup(server *upstream, record *catalog.Record, now time.Time) {
-	until := now.Add(time.Duration(record.WarmMs) * time.Millisecond)
+	until := now.Add(time.Duration(record.WarmupLeftMs) * time.Millisecond)
 	if assumed := proxy.coldUntil[record.ID]; assumed.After(until) {
 		until = assumed
 	}
@@ -401,7 +401,7 @@
 	if s == nil {
 		return time.Hour
 	}
-	return proxy.rules.ColdInterval(s.ColdPerS, proxy.zoneLimiterCount)
+	return proxy.rules.ColdInterval(s.ColdRequestsPerS, proxy.zoneLimiterCount)
 }
 
 // handle passes an event to the limiter.Limiter and executes the resulting actions. Events that arise meanwhile
@@ -462,7 +462,7 @@
 		e.probe(a.Server)
 	case limiter.Tell:
 		if a.To >= 0 && a.To < len(proxy.register.Places) && proxy.register.Places[a.To].Held() {
-			proxy.sendDatagram(proxy.settings.Internal(proxy.register.Places[a.To].IP, nodesettings.ProxyPort),
+			proxy.sendDatagram(proxy.settings.InternalAddress(proxy.register.Places[a.To].IP, nodesettings.ProxyPort),
 				datagramSpending, a.Data)
 		}
 	case limiter.Log:
--- a/internal/proxy/lease.go
+++ b/internal/proxy/lease.go
@@ -43,15 +43,15 @@
 // updateShare computes this limiter's share from the places of the register in force. The mutex is held.
 func (proxy *Proxy) updateShare() {
 	t := proxy.register.PlaceTable()
-	sets := t.Sets()
+	sets := t.SetsInUse()
 	proxy.limiterCount = 1
 	for _, settings := range sets { // the slots of one place set
 		proxy.limiterCount = max(proxy.limiterCount, len(settings))
 	}
-	proxy.zoneLimiterCount = t.InZone(proxy.settings.Zone)
+	proxy.zoneLimiterCount = t.MaxInZone(proxy.settings.Zone)
 	share := places.Share(sets, proxy.ownSlot())
 	if share != proxy.share {
-		proxy.log.WithFields(logrus.Fields{"share": share, "limiters": t.Count(),
+		proxy.log.WithFields(logrus.Fields{"share": share, "limiters": t.HeldCount(),
 			"settled": t.Settled}).Info("part of all ceilings changes")
 	}
 	proxy.share = share
@@ -67,7 +67,7 @@
 	if proxy.returningPlace || ownSlot != e.slot {
 		ownSlot = -1
 	}
-	share, until := proxy.lease.Use(proxy.register.PlaceTable(), ownSlot)
+	share, until := proxy.lease.UsableShare(proxy.register.PlaceTable(), ownSlot)
 	proxy.shareEnds.Store(int64(until))
 	proxy.loans.SetShare(share*float64(e.slotCount), ms(until))
 	if proxy.holdsShare() {
--- a/internal/proxy/lease_test.go
+++ b/internal/proxy/lease_test.go
@@ -23,7 +23,7 @@
 }
 
 func otherPlace(name string, from uint64) places.Place {
-	return places.Place{Name: name, IP: "127.0.0.9", Zone: "z", From: from}
+	return places.Place{Name: name, IP: "127.0.0.9", Zone: "z", JoinedVersion: from}
 }
 
 // requestStatus returns the status of the answer to one request within the quota.
@@ -41,7 +41,7 @@
 	if got := proxy.requestStatus("id-1"); got != 200 {
 		t.Fatalf("status %d with a place", got)
 	}
-	proxy.deliver(registerWithPlaces(2, 0, ownPlace(places.Place{To: 2})))
+	proxy.deliver(registerWithPlaces(2, 0, ownPlace(places.Place{ReleasedVersion: 2})))
 	if got := proxy.requestStatus("id-2"); got != 429 {
 		t.Errorf("status %d without a place", got)
 	}
@@ -51,7 +51,7 @@
 		}) {
 		t.Errorf("status call returned %v, error %v", answer, err)
 	}
-	proxy.deliver(registerWithPlaces(3, 0, ownPlace(places.Place{Left: 2, Back: 3})))
+	proxy.deliver(registerWithPlaces(3, 0, ownPlace(places.Place{FirstReleasedVersion: 2, RestoredVersion: 3})))
 	// The saved-up balance was lost with the place and has to refill.
 	for until := time.Now().Add(2 * time.Second); proxy.requestStatus("id-3") != 200; {
 		if time.Now().After(until) {
@@ -65,7 +65,7 @@
 	proxy := newTestProxy(t)
 	proxy.Proxy.hasHeldShare, proxy.Proxy.engine, proxy.Proxy.loans = false, nil, nil // as after a start of the process
 	proxy.deliver(registerWithPlaces(2, 1, otherPlace("e2", 1),
-		ownPlace(places.Place{From: 2, Life: proxy.instanceID})))
+		ownPlace(places.Place{JoinedVersion: 2, Incarnation: proxy.instanceID})))
 	proxy.mu.Lock()
 	of, rest, _ := proxy.engine.quota.Ledger.Parts(proxy.now())
 	proxy.mu.Unlock()
@@ -73,7 +73,7 @@
 		t.Errorf("before the place is settled: ready %v, parts %v, default part %g", proxy.ready(), of, rest)
 	}
 	proxy.deliver(registerWithPlaces(3, 2, otherPlace("e2", 1),
-		ownPlace(places.Place{From: 2, Life: proxy.instanceID})))
+		ownPlace(places.Place{JoinedVersion: 2, Incarnation: proxy.instanceID})))
 	proxy.mu.Lock()
 	_, rest, _ = proxy.engine.quota.Ledger.Parts(proxy.now())
 	proxy.mu.Unlock()
@@ -115,17 +115,17 @@
 	proxy.mu.Lock()
 	proxy.dropLease()
 	proxy.mu.Unlock()
-	proxy.applyPulled(time.Now(), &registry.Pulled{})
+	proxy.applyPulled(time.Now(), &registry.PullResponse{})
 	if proxy.holdsShare() {
 		t.Error("an answer without proof renews the lease")
 	}
-	proxy.applyPulled(time.Now(), &registry.Pulled{Proven: true,
-		ProofMs: uint64((places.LeaseLength + time.Second) / time.Millisecond)})
+	proxy.applyPulled(time.Now(), &registry.PullResponse{Proven: true,
+		ProofAgeMs: uint64((places.LeaseLength + time.Second) / time.Millisecond)})
 	if proxy.holdsShare() {
 		t.Error("a proof older than the lease length renews the lease")
 	}
-	proxy.applyPulled(time.Now(), &registry.Pulled{Proven: true,
-		ProofMs: uint64((places.LeaseLength - time.Second) / time.Millisecond)})
+	proxy.applyPulled(time.Now(), &registry.PullResponse{Proven: true,
+		ProofAgeMs: uint64((places.LeaseLength - time.Second) / time.Millisecond)})
 	proxy.mu.Lock()
 	left := proxy.lease.End() - time.Since(proxy.base)
 	proxy.mu.Unlock()
@@ -149,7 +149,7 @@
 	if rest != 0 || proxy.holdsShare() {
 		t.Errorf("a part of %g is still used", rest)
 	}
-	proxy.deliver(registerWithPlaces(2, 0, ownPlace(places.Place{To: 2})))
+	proxy.deliver(registerWithPlaces(2, 0, ownPlace(places.Place{ReleasedVersion: 2})))
 	if proxy.returnPlace(); proxy.placeReturned() {
 		t.Error("place returned before the core machines know that this limiter uses the new register")
 	}
--- a/internal/proxy/listeners.go
+++ b/internal/proxy/listeners.go
@@ -29,11 +29,11 @@
 		}
 		go (&httpapi.Server{Handler: h, MaxBody: 1 << 10}).Serve(ctx, l)
 	}
-	l, err := net.Listen("tcp", proxy.settings.Internal(proxy.settings.IP, nodesettings.ProxyPort))
+	l, err := net.Listen("tcp", proxy.settings.InternalAddress(proxy.settings.IP, nodesettings.ProxyPort))
 	if err != nil {
 		return fmt.Errorf("proxy: listen for status calls: %w", err)
 	}
-	go rpc.Serve(ctx, l, map[string]rpc.Handler{rpc.CallStatus: rpc.Asking(proxy.status)})
+	go rpc.Serve(ctx, l, map[string]rpc.Handler{rpc.CallStatus: rpc.NoBodyHandler(proxy.status)})
 	return nil
 }
 
@@ -52,7 +52,7 @@
 			proxy.settings.Node, proxy.settings.Zone, proxy.instanceID, ready, proxy.leaving.Load(),
 			proxy.inFlight.Load(), proof, proxy.keysTrusted()),
 		fmt.Sprintf("register seq=%d version=r%d evacuated=%v limiters=%d", proxy.register.Seq,
-			proxy.register.Version, proxy.register.EvacuatedZones, table.Count()),
+			proxy.register.Version, proxy.register.EvacuatedZones, table.HeldCount()),
 		fmt.Sprintf("place=%d share=%.4f lease_left=%s settled=%d", proxy.ownSlot(), proxy.share,
 			max(0, proxy.lease.End()-time.Since(proxy.base)).Round(time.Millisecond), table.Settled),
 	}
--- a/internal/proxy/lives_test.go
+++ b/internal/proxy/lives_test.go
@@ -42,7 +42,7 @@
 // server starts a server that answers each request in a randomly chosen way.
 func (w *lifecycleTest) server(id string) {
 	address := listen(w.t, func(c net.Conn) { w.serveConn(id, c) })
-	w.records.Beat(0, catalog.Record{ID: id, Service: "s", Address: address, Zone: "z", Sequence: 1, Slots: 8})
+	w.records.ApplyHeartbeat(0, catalog.Record{ID: id, Service: "s", Address: address, Zone: "z", Sequence: 1, Slots: 8})
 }
 
 // serveConn answers the requests of a connection until it ends or is cut.
@@ -156,7 +156,7 @@
 			w.t = t
 			table := *w.configSnapshot.Load()
 			limits := *table.table
-			limits.Limits.Body = 4 << 20
+			limits.Limits.MaxBodyBytes = 4 << 20
 			table.table = &limits
 			w.configSnapshot.Store(&table)
 			for i := range 3 {
--- a/internal/proxy/load.go
+++ b/internal/proxy/load.go
@@ -40,7 +40,7 @@
 	}
 	data := rpc.Encode(report)
 	for _, ip := range addresses {
-		proxy.sendDatagram(proxy.settings.Internal(ip, nodesettings.ProxyPort), datagramLoad, data)
+		proxy.sendDatagram(proxy.settings.InternalAddress(ip, nodesettings.ProxyPort), datagramLoad, data)
 	}
 }
 
@@ -67,14 +67,14 @@
 	if e == nil {
 		return
 	}
-	othersInFlight := map[uint64]limiter.InHand{}
+	othersInFlight := map[uint64]limiter.Occupancy{}
 	for server, n := range others {
 		for _, member := range e.membersByInstance[server] {
-			othersInFlight[member] = limiter.InHand{Server: member,
+			othersInFlight[member] = limiter.Occupancy{Server: member,
 				Others: n + float64(proxy.loadReports.InFlight(server)-e.inFlight[member]), Slots: e.capacity[server]}
 		}
 	}
-	var changed []limiter.InHand
+	var changed []limiter.Occupancy
 	for member, load := range othersInFlight {
 		if e.othersInFlight[member] != load {
 			changed = append(changed, load)
@@ -82,11 +82,11 @@
 	}
 	for member := range e.othersInFlight {
 		if _, still := othersInFlight[member]; !still {
-			changed = append(changed, limiter.InHand{Server: member})
+			changed = append(changed, limiter.Occupancy{Server: member})
 		}
 	}
 	if e.othersInFlight = othersInFlight; len(changed) > 0 {
-		e.handle(limiter.Occupied{Servers: changed})
+		e.handle(limiter.Occupancies{Servers: changed})
 	}
 }
 
--- a/internal/proxy/loans.go
+++ b/internal/proxy/loans.go
@@ -44,7 +44,7 @@
 		return
 	}
 	proxy.loans = quotaloan.New(proxy.now(), slot, slotCount, near, rand.Uint64())
-	if proxy.register.Places[slot].Life == proxy.instanceID {
+	if proxy.register.Places[slot].Incarnation == proxy.instanceID {
 		proxy.loans.SkipRecall()
 	}
 }
@@ -73,7 +73,7 @@
 
 func (e *engine) sendLoanMessage(letter quotaloan.Envelope) {
 	if letter.To < len(e.proxy.register.Places) && e.proxy.register.Places[letter.To].IP != "" {
-		e.proxy.sendDatagram(e.proxy.settings.Internal(e.proxy.register.Places[letter.To].IP, nodesettings.ProxyPort),
+		e.proxy.sendDatagram(e.proxy.settings.InternalAddress(e.proxy.register.Places[letter.To].IP, nodesettings.ProxyPort),
 			datagramLoans, rpc.Encode(letter.Message))
 	}
 }
@@ -147,7 +147,7 @@
 		case datagramTokenRequest:
 			var m tokenRequest
 			if rpc.Decode(data, &m) == nil {
-				proxy.sendDatagram(proxy.settings.Internal(ip, nodesettings.ProxyPort), datagramTokenReply,
+				proxy.sendDatagram(proxy.settings.InternalAddress(ip, nodesettings.ProxyPort), datagramTokenReply,
 					rpc.Encode(e.answerTokenRequest(m)))
 			}
 		case datagramTokenReply:
--- a/internal/proxy/membership.go
+++ b/internal/proxy/membership.go
@@ -90,7 +90,7 @@
 		if ip := proxy.memberIPs[l.To]; ip != "" {
 			m := probeMessage{Membership: l.Message, Failures: proxy.failureReports.NextReports(proxy.now())}
 			m.Waits, m.WaitsKnown = proxy.zoneWaits()
-			proxy.sendDatagram(proxy.settings.Internal(ip, nodesettings.ProxyPort), datagramProbe, rpc.Encode(m))
+			proxy.sendDatagram(proxy.settings.InternalAddress(ip, nodesettings.ProxyPort), datagramProbe, rpc.Encode(m))
 		}
 	}
 }
@@ -104,7 +104,7 @@
 	for _, s := range proxy.failureReports.Receive(proxy.now(), m.Failures) {
 		if e := proxy.engine; e != nil {
 			if class, known := e.classByRouteID[s.Class]; known {
-				e.handle(limiter.Sighting{Server: s.Server, Class: class})
+				e.handle(limiter.PeerFailure{Server: s.Server, Class: class})
 			}
 		}
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -57,7 +57,7 @@
 	shareEnds      atomic.Int64 // ns since base; until then this limiter may use its share
 
 	mu                   sync.Mutex // guards the fields below
-	records              *catalog.Book
+	records              *catalog.Catalog
 	register             *controlstate.Register
 	recordSequence       uint64 // of this limiter's own catalog record; increases with each pull
 	provenAt             time.Time
@@ -112,7 +112,7 @@
 	if err != nil {
 		return fmt.Errorf("proxy: listen for clients: %w", err)
 	}
-	if proxy.peerConn, err = net.ListenPacket("udp", settings.Internal(settings.IP,
+	if proxy.peerConn, err = net.ListenPacket("udp", settings.InternalAddress(settings.IP,
 		nodesettings.ProxyPort)); err != nil {
 		return fmt.Errorf("proxy: listen for other limiters: %w", err)
 	}
@@ -131,11 +131,11 @@
 		proxy.tickStalls()
 		proxy.sendLoadReport()
 	})
-	go settings.Follow(serveCtx, func(next *nodesettings.Settings) {
+	go settings.Watch(serveCtx, func(next *nodesettings.Settings) {
 		log.WithField("seeds", len(next.Seeds)).Info("settings changed")
 		proxy.mu.Lock()
 		defer proxy.mu.Unlock()
-		proxy.seeds = next.Cores()
+		proxy.seeds = next.CoreIPs()
 		proxy.updateCores()
 	}, func(err error) { log.WithField("err", err).Warn("cannot use changed settings") })
 	metrics.Offer(serveCtx, settings.MetricsAddress(), log, proxy.metricValues)
@@ -149,7 +149,7 @@
 func newProxy(settings *nodesettings.Settings, log logrus.FieldLogger) *Proxy {
 	proxy := &Proxy{settings: settings, log: log, link: newLink(settings.LinkMbps), caller: rpc.NewCaller(),
 		base: time.Now(), instanceID: fmt.Sprintf("%s#%08x", settings.Node, rand.Uint32()),
-		seeds: settings.Cores(), cores: settings.Cores(), pullNow: make(chan struct{}, 1),
+		seeds: settings.CoreIPs(), cores: settings.CoreIPs(), pullNow: make(chan struct{}, 1),
 		exiting: make(chan struct{}), records: catalog.New(""), register: &controlstate.Register{},
 		evacuatedZones: map[string]bool{}, coldUntil: map[string]time.Time{}, replacedInstances: map[string]bool{},
 		upstreams: map[string]*upstream{}, retryBudgets: map[string]*allowance.RetryBudget{},
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -35,7 +35,7 @@
 type testProxy struct {
 	*Proxy
 	t       testing.TB
-	records *catalog.Book
+	records *catalog.Catalog
 }
 
 const routes = `{"config_version":"r1","base_revision":0,"limits":{"max_header_bytes":16384,"max_body_bytes":100000,"idle_timeout":"15s"},
@@ -66,9 +66,9 @@
 
 // deliver passes the limiter new records of the core machine's catalog and a register.
 func (proxy *testProxy) deliver(register *controlstate.Register) {
-	proxy.applyPulled(time.Now(), &registry.Pulled{Register: register,
+	proxy.applyPulled(time.Now(), &registry.PullResponse{Register: register,
 		Records: proxy.records.Since(0, proxy.Proxy.records.Vector()), Vector: proxy.records.Vector(), Proven: true,
-		ProofMs: 1})
+		ProofAgeMs: 1})
 }
 
 // earnRetries gives the service the retry budget that a number of requests earn.
@@ -105,8 +105,8 @@
 func (proxy *testProxy) server(id string, warmMs uint64, behaviours ...string) *server {
 	s := &server{id: id, behaviours: behaviours}
 	s.address = listen(proxy.t, s.serveConn)
-	proxy.records.Beat(0, catalog.Record{ID: id, Service: "s", Address: s.address, Zone: "z", Sequence: 1,
-		WarmMs: warmMs})
+	proxy.records.ApplyHeartbeat(0, catalog.Record{ID: id, Service: "s", Address: s.address, Zone: "z", Sequence: 1,
+		WarmupLeftMs: warmMs})
 	return s
 }
 
@@ -372,7 +372,7 @@
 		proxy := newTestProxy(t)
 		config := *proxy.configSnapshot.Load()
 		table := *config.table
-		table.Limits.Body = test.limit
+		table.Limits.MaxBodyBytes = test.limit
 		config.table = &table
 		proxy.configSnapshot.Store(&config)
 		s := proxy.server("i-1", 0, test.behaviours...)
@@ -454,23 +454,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	pulls := make(chan registry.Pull, 4)
+	pulls := make(chan registry.PullRequest, 4)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go rpc.Serve(ctx, l, map[string]rpc.Handler{registry.CallPull: func(ctx context.Context, body []byte) (any, error) {
-		var m registry.Pull
+		var m registry.PullRequest
 		if err := rpc.Decode(body, &m); err != nil {
 			return nil, err
 		}
 		pulls <- m
-		if m.Me.State != catalog.Draining {
+		if m.CallerRecord.State != catalog.Draining {
 			<-ctx.Done() // holds the call
 		}
-		return registry.Pulled{Proven: true}, nil
+		return registry.PullResponse{Proven: true}, nil
 	}})
 	done := make(chan bool, 1)
 	go func() { done <- proxy.pull(ctx, l.Addr().String()) }()
-	if a := <-pulls; a.Seq != 1 || a.Me.State != catalog.Available {
+	if a := <-pulls; a.Seq != 1 || a.CallerRecord.State != catalog.Available {
 		t.Errorf("pulled with %+v", a)
 	}
 	proxy.leaving.Store(true)
@@ -479,8 +479,8 @@
 		t.Error("an interrupted pull counts as a failure of the core machine")
 	}
 	proxy.pull(ctx, l.Addr().String())
-	if a := <-pulls; a.Me.State != catalog.Draining {
-		t.Errorf("a leaving limiter reports state %v", a.Me.State)
+	if a := <-pulls; a.CallerRecord.State != catalog.Draining {
+		t.Errorf("a leaving limiter reports state %v", a.CallerRecord.State)
 	}
 }
 
@@ -517,7 +517,7 @@
 func TestRegisterInParts(t *testing.T) {
 	proxy := newTestProxy(t)
 	place := places.Place{Name: "e2", IP: "127.0.0.2", Zone: "z"}
-	proxy.applyPulled(time.Now(), &registry.Pulled{Places: addedPlace(1, place),
+	proxy.applyPulled(time.Now(), &registry.PullResponse{Places: addedPlace(1, place),
 		Register: &controlstate.Register{Seq: 2, Version: 1, EvacuatedZones: []string{"z"}}})
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
@@ -527,7 +527,7 @@
 	}
 	// An older register of another core machine changes nothing.
 	proxy.mu.Unlock()
-	proxy.applyPulled(time.Now(), &registry.Pulled{Register: &controlstate.Register{Seq: 1, Version: 1,
+	proxy.applyPulled(time.Now(), &registry.PullResponse{Register: &controlstate.Register{Seq: 1, Version: 1,
 		Config: []byte(routes)}})
 	proxy.mu.Lock()
 	if proxy.register.Seq != 2 || !proxy.evacuatedZones["z"] {
@@ -599,7 +599,7 @@
 	again := 0
 	for k := range 4 {
 		place := places.Place{Name: fmt.Sprint("e", k+2), IP: fmt.Sprint("127.0.0.", k+2), Zone: "z"}
-		proxy.applyPulled(time.Now(), &registry.Pulled{Places: addedPlace(k+1, place),
+		proxy.applyPulled(time.Now(), &registry.PullResponse{Places: addedPlace(k+1, place),
 			Register: &controlstate.Register{Seq: uint64(k + 2), Version: 1}})
 		proxy.deliver(nil)
 		again += ask()
@@ -667,7 +667,7 @@
 	f.Add(datagramSpending, []byte{1, 2, 3, 4, 5, 6, 7, 8, 9})
 	f.Fuzz(func(t *testing.T, kind byte, data []byte) {
 		proxy := newTestProxy(t)
-		proxy.applyPulled(time.Now(), &registry.Pulled{Places: addedPlace(1,
+		proxy.applyPulled(time.Now(), &registry.PullResponse{Places: addedPlace(1,
 			places.Place{Name: "e2", IP: "127.0.0.2", Zone: "z"}),
 			Register: &controlstate.Register{Seq: 2, Version: 1}})
 		for range 3 {
@@ -769,14 +769,14 @@
 					if version == 1 {
 						continue
 					}
-					proxy.applyPulled(time.Now(), &registry.Pulled{Proven: true,
+					proxy.applyPulled(time.Now(), &registry.PullResponse{Proven: true,
 						Register: &controlstate.Register{Seq: uint64(version), Version: uint64(version),
 							Config: stormConfig(version), Places: places}})
 					newest[i] = max(newest[i], version)
 					table := proxy.configSnapshot.Load().table
 					for x := max(1, v-6); x <= v; x++ {
 						for _, k := range []int{0, 49} {
-							have := table.Find("h", fmt.Sprintf("/v%d/%d/x", x, k)) != nil
+							have := table.FindRoute("h", fmt.Sprintf("/v%d/%d/x", x, k)) != nil
 							if want := x == newest[i]; have != want && newest[i] > 1 {
 								t.Fatalf("seed %d: with r%d in force, a route of r%d exists: %v", seed, newest[i], x,
 									have)
--- a/internal/proxy/pull.go
+++ b/internal/proxy/pull.go
@@ -34,7 +34,7 @@
 	for failed := 0; ctx.Err() == nil; {
 		cores := proxy.coresToPull(failed)
 		next %= len(cores)
-		address := proxy.settings.Internal(cores[next], nodesettings.RegistryPort)
+		address := proxy.settings.InternalAddress(cores[next], nodesettings.RegistryPort)
 		if proxy.pull(ctx, address) {
 			failed = 0
 			continue
@@ -95,13 +95,13 @@
 	} else if proxy.engine == nil || !proxy.hasHeldShare {
 		record.State, hold = catalog.Draining, pullHoldTime/2 // not ready: clients must not be sent here yet
 	}
-	request := registry.Pull{Vector: maps.Clone(proxy.records.Vector()), Seq: proxy.register.Seq, Me: record,
-		Version: proxy.register.Version, Done: proxy.returningPlace}
+	request := registry.PullRequest{Vector: maps.Clone(proxy.records.Vector()), Seq: proxy.register.Seq, CallerRecord: record,
+		Version: proxy.register.Version, Stopped: proxy.returningPlace}
 	if proxy.loans != nil {
-		request.LoansMs = uint64(math.Ceil(proxy.loans.LoansEndIn(proxy.now())))
+		request.LoansEndInMs = uint64(math.Ceil(proxy.loans.LoansEndIn(proxy.now())))
 	}
 	if proxy.needsWholeRegister {
-		request.Version, request.Whole = 0, true
+		request.Version, request.FullRegister = 0, true
 	}
 	confirmsReturn := proxy.returningPlace && proxy.ownSlot() < 0 // this pull confirms the return
 	if confirmsReturn {
@@ -120,7 +120,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	var pulled registry.Pulled
+	var pulled registry.PullResponse
 	startedAt := time.Now()
 	err := proxy.caller.Call(ctx, address, registry.CallPull, request, &pulled, hold+pullTimeoutMargin)
 	uninterrupted := ctx.Err() == nil
@@ -136,16 +136,16 @@
 		proxy.mu.Unlock()
 	}
 	return freshness.RegistryStatus{Isolated: pulled.Isolated, Proven: pulled.Proven,
-		Age: time.Duration(pulled.ProofMs) * time.Millisecond}.Usable()
+		Age: time.Duration(pulled.ProofAgeMs) * time.Millisecond}.Usable()
 }
 
 // applyPulled applies the answer to a pull that was sent at base.
-func (proxy *Proxy) applyPulled(base time.Time, pulled *registry.Pulled) {
+func (proxy *Proxy) applyPulled(base time.Time, pulled *registry.PullResponse) {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	changed := len(proxy.records.Merge(proxy.now(), pulled.Records)) > 0
 	leaseHadEnded := !proxy.lease.Valid(time.Since(proxy.base))
-	proxy.records.Know(pulled.Vector)
+	proxy.records.AdvanceVector(pulled.Vector)
 	if pulled.Register != nil && pulled.Register.Seq > proxy.register.Seq {
 		// The answer leaves out what this limiter had when it sent the pull. Nothing else changes that.
 		if !proxy.completeRegister(pulled) {
@@ -167,11 +167,11 @@
 
 // recordProof records the age of a core machine's proof that the register in the answer, or an earlier one than
 // this limiter has, is current. The mutex is held.
-func (proxy *Proxy) recordProof(base time.Time, pulled *registry.Pulled) {
+func (proxy *Proxy) recordProof(base time.Time, pulled *registry.PullResponse) {
 	if !pulled.Proven {
 		return
 	}
-	at := base.Add(time.Duration(pulled.HeldMs)*time.Millisecond - time.Duration(pulled.ProofMs)*time.Millisecond)
+	at := base.Add(time.Duration(pulled.HeldMs)*time.Millisecond - time.Duration(pulled.ProofAgeMs)*time.Millisecond)
 	if at.After(proxy.provenAt) {
 		proxy.provenAt = at
 	}
@@ -180,7 +180,7 @@
 
 // completeRegister fills in what the answer left out of the register because this limiter had it when it sent the
 // pull. It reports whether the register is complete. The mutex is held.
-func (proxy *Proxy) completeRegister(pulled *registry.Pulled) bool {
+func (proxy *Proxy) completeRegister(pulled *registry.PullResponse) bool {
 	received := pulled.Register
 	switch {
 	case received.Version == proxy.register.Version:
@@ -208,7 +208,7 @@
 }
 
 // applyRegister puts a newer register in force. The mutex is held.
-func (proxy *Proxy) applyRegister(pulled *registry.Pulled) {
+func (proxy *Proxy) applyRegister(pulled *registry.PullResponse) {
 	register := pulled.Register
 	evacuatedZones := map[string]bool{}
 	for _, zone := range register.EvacuatedZones {
@@ -219,7 +219,7 @@
 		table = config.table
 	}
 	if len(register.Config) > 0 && register.Version != proxy.register.Version {
-		parsed, fault := configuration.Read(register.Config)
+		parsed, fault := configuration.Parse(register.Config)
 		if fault != nil { // unexpected: the core machines validate configurations
 			proxy.log.WithField("err", fault).Error("cannot read the configuration")
 			proxy.dropLease() // the proof is for a register that is not in force here
@@ -260,7 +260,7 @@
 	var homes []string
 	restricted := false
 	if config := proxy.configSnapshot.Load(); config != nil && config.table != nil {
-		homes, restricted = config.table.HostHomes(host)
+		homes, restricted = config.table.HostRegions(host)
 	}
 	serves := func(region string) bool { return !restricted || slices.Contains(homes, region) }
 	proxy.mu.Lock()
--- a/internal/proxy/requestreader.go
+++ b/internal/proxy/requestreader.go
@@ -73,11 +73,11 @@
 	if configured.IdleTimeout > 0 {
 		limits.idle = configured.IdleTimeout + time.Second
 	}
-	if configured.Header > 0 {
-		limits.head = configured.Header
+	if configured.MaxHeaderBytes > 0 {
+		limits.head = configured.MaxHeaderBytes
 	}
-	if configured.Body > 0 {
-		limits.body = configured.Body
+	if configured.MaxBodyBytes > 0 {
+		limits.body = configured.MaxBodyBytes
 	}
 	return limits
 }
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -158,7 +158,7 @@
 	if deadline.Before(until) {
 		until = deadline
 	}
-	d := net.Dialer{Deadline: until, KeepAlive: -1, Control: rpc.Patience}
+	d := net.Dialer{Deadline: until, KeepAlive: -1, Control: rpc.SetUserTimeout}
 	c, err := d.Dial("tcp", s.address)
 	if err != nil {
 		return nil, err
--- a/internal/registry/limiters.go
+++ b/internal/registry/limiters.go
@@ -51,7 +51,7 @@
 
 // observeRegister records a newly received register.
 func (l *limiterPlaces) observeRegister(now time.Duration, register *controlstate.Register) {
-	l.See(now, register.PlaceTable(), register.Seq)
+	l.Add(now, register.PlaceTable(), register.Seq)
 	if excess := len(l.tables) - maxTables; excess >= 0 {
 		l.tables = slices.Delete(l.tables, 0, excess+1)
 	}
@@ -69,9 +69,9 @@
 }
 
 // handleReport processes what a limiter reports about itself with a pull.
-func (l *limiterPlaces) handleReport(now time.Duration, register *controlstate.Register, place places.Place, request *Pull) {
-	report := places.Report{Place: place, Version: request.Seq, Loans: time.Duration(request.LoansMs) * time.Millisecond, Done: request.Done}
-	if !l.Hear(now, register.PlaceTable(), report) {
+func (l *limiterPlaces) handleReport(now time.Duration, register *controlstate.Register, place places.Place, request *PullRequest) {
+	report := places.Report{Place: place, Version: request.Seq, LoansEndIn: time.Duration(request.LoansEndInMs) * time.Millisecond, Done: request.Stopped}
+	if !l.Receive(now, register.PlaceTable(), report) {
 		return
 	}
 	select {
@@ -97,7 +97,7 @@
 // heldCount returns how many limiters hold places.
 func (l *limiterPlaces) heldCount(register *controlstate.Register) int {
 	t := register.PlaceTable()
-	return t.Count()
+	return t.HeldCount()
 }
 
 // statusLines describes each place. For one that is being given or released it adds the time left until that is
@@ -108,8 +108,8 @@
 		if p.Name == "" {
 			continue
 		}
-		state, left, missing := l.Pending(now, t, &p)
-		line := fmt.Sprintf("place=%d limiter=%s ip=%s zone=%s state=%s since=%d", slot, p.Name, p.IP, p.Zone, state, max(p.From, p.To, p.Back))
+		state, left, missing := l.PendingChange(now, t, &p)
+		line := fmt.Sprintf("place=%d limiter=%s ip=%s zone=%s state=%s since=%d", slot, p.Name, p.IP, p.Zone, state, max(p.JoinedVersion, p.ReleasedVersion, p.RestoredVersion))
 		if state != "held" {
 			line += fmt.Sprintf(" settled_within=%s waits_for=%v", left.Round(time.Millisecond), missing)
 		}
@@ -135,7 +135,7 @@
 // requestDuePlaceChanges submits orders for the changes of places that are due.
 func (h *Registry) requestDuePlaceChanges(ctx context.Context) {
 	h.mu.Lock()
-	awaited := h.limiters.Wanted(h.elapsed(), h.register.PlaceTable())
+	awaited := h.limiters.Awaited(h.elapsed(), h.register.PlaceTable())
 	gather := len(awaited) > 0 && h.elapsed()-h.limiters.gatheredAt >= minGatherInterval
 	if gather {
 		h.limiters.gatheredAt = h.elapsed()
@@ -202,7 +202,7 @@
 	for _, ip := range others {
 		go func() {
 			var acknowledgements []places.Acknowledgement
-			if h.caller.Call(ctx, h.settings.Internal(ip, nodesettings.RegistryPort), callAcknowledgements, holders, &acknowledgements, pushTimeout) != nil {
+			if h.caller.Call(ctx, h.settings.InternalAddress(ip, nodesettings.RegistryPort), callAcknowledgements, holders, &acknowledgements, pushTimeout) != nil {
 				acknowledgements = nil
 			}
 			answers <- acknowledgements
@@ -211,7 +211,7 @@
 	for range others {
 		acknowledgements := <-answers
 		h.mu.Lock()
-		h.limiters.HearAll(h.elapsed(), acknowledgements)
+		h.limiters.ReceiveAcknowledgements(h.elapsed(), acknowledgements)
 		h.mu.Unlock()
 	}
 }
--- a/internal/registry/outside.go
+++ b/internal/registry/outside.go
@@ -104,13 +104,13 @@
 		if !ok {
 			return errorAnswer(400, "unreadable", "warmup_left is not a time: write a number and its unit, as in 1500ms")
 		}
-		record.WarmMs = uint64(left.Milliseconds())
+		record.WarmupLeftMs = uint64(left.Milliseconds())
 	}
 	if record.Service == "" || record.Address == "" || strings.HasPrefix(record.Service, "@") {
 		return errorAnswer(400, "unreadable", "service or address is missing")
 	}
 	h.mu.Lock()
-	changed := h.localCatalog.Beat(h.nowMs(), record)
+	changed := h.localCatalog.ApplyHeartbeat(h.nowMs(), record)
 	if changed {
 		h.notifyChange()
 	}
@@ -118,7 +118,7 @@
 	unacknowledged := record.State == catalog.Draining && !h.acknowledgedDrains[id]
 	h.mu.Unlock()
 	if changed {
-		h.log.WithFields(logrus.Fields{"instance": id, "service": record.Service, "state": record.State.String(), "sequence": record.Sequence, "warm_ms": record.WarmMs}).Debug("server state changed")
+		h.log.WithFields(logrus.Fields{"instance": id, "service": record.Service, "state": record.State.String(), "sequence": record.Sequence, "warm_ms": record.WarmupLeftMs}).Debug("server state changed")
 	}
 	// An acknowledged drain must survive the loss of this machine, whichever registry received it first.
 	if unacknowledged && !h.acknowledgeDrain(ctx, id) {
@@ -149,7 +149,7 @@
 
 func (h *Registry) handleDeregister(ctx context.Context, id string) httpapi.Answer {
 	h.mu.Lock()
-	if h.localCatalog.Leave(h.nowMs(), id) {
+	if h.localCatalog.MarkGone(h.nowMs(), id) {
 		h.notifyChange()
 	}
 	h.mu.Unlock()
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -66,7 +66,7 @@
 	seeds              []string   // IP addresses of the core machines that the settings name
 	contacts           *freshness.Contacts
 	proof              freshness.Proof
-	localCatalog       *catalog.Book
+	localCatalog       *catalog.Catalog
 	changed            chan struct{} // closed when the catalog or the register changes
 	register           *controlstate.Register
 	configHistory      *configdelta.History
@@ -83,32 +83,32 @@
 )
 
 // Pull asks for the catalog records and the register that the caller lacks. Limiters and other registries send it.
-type Pull struct {
-	Vector catalog.Vector  `cbor:"1,keyasint,omitempty"`
-	Seq    uint64          `cbor:"2,keyasint,omitempty"` // version of the caller's register
-	HoldMs uint64          `cbor:"3,keyasint,omitempty"` // how long to wait for changes
-	Me     *catalog.Record `cbor:"4,keyasint,omitempty"` // the caller's own record
-	Source string          `cbor:"5,keyasint,omitempty"` // the calling registry's source ID; empty for a limiter
+type PullRequest struct {
+	Vector       catalog.Vector  `cbor:"1,keyasint,omitempty"`
+	Seq          uint64          `cbor:"2,keyasint,omitempty"` // version of the caller's register
+	HoldMs       uint64          `cbor:"3,keyasint,omitempty"` // how long to wait for changes
+	CallerRecord *catalog.Record `cbor:"4,keyasint,omitempty"` // the caller's own record
+	Source       string          `cbor:"5,keyasint,omitempty"` // the calling registry's source ID; empty for a limiter
 	// Version is the version of the configuration that a limiter has. The rest of its register is that of Seq, unless
 	// it asks for the whole register.
-	Version uint64 `cbor:"6,keyasint,omitempty"`
-	Whole   bool   `cbor:"7,keyasint,omitempty"`
+	Version      uint64 `cbor:"6,keyasint,omitempty"`
+	FullRegister bool   `cbor:"7,keyasint,omitempty"`
 	// LoansMs is the number of milliseconds after which nobody uses more of this limiter's share than the register
 	// of Seq allows. From then on the limiter and the borrowers of its share apply that register or a later one.
-	LoansMs uint64 `cbor:"9,keyasint,omitempty"`
+	LoansEndInMs uint64 `cbor:"9,keyasint,omitempty"`
 	// Done means that a limiter that is shutting down sends no more requests upstream, so its place can be released.
-	Done bool `cbor:"10,keyasint,omitempty"`
+	Stopped bool `cbor:"10,keyasint,omitempty"`
 }
 
 // Pulled carries what is newer than the state of the caller.
-type Pulled struct {
+type PullResponse struct {
 	Register *controlstate.Register `cbor:"1,keyasint,omitempty"`
 	Records  []catalog.Record       `cbor:"2,keyasint,omitempty"`
 	Vector   catalog.Vector         `cbor:"3,keyasint,omitempty"` // only if there are newer records
 	Source   string                 `cbor:"4,keyasint,omitempty"`
 	// ProofMs is the age of the latest proof that a majority has chosen nothing newer than this register.
-	ProofMs uint64 `cbor:"5,keyasint,omitempty"`
-	Proven  bool   `cbor:"6,keyasint,omitempty"`
+	ProofAgeMs uint64 `cbor:"5,keyasint,omitempty"`
+	Proven     bool   `cbor:"6,keyasint,omitempty"`
 	// Apart means that this registry has no contact with a majority of the registries.
 	Isolated bool   `cbor:"7,keyasint,omitempty"`
 	HeldMs   uint64 `cbor:"8,keyasint,omitempty"`
@@ -123,9 +123,9 @@
 // Run serves until the context ends and every API request that was accepted is answered.
 func Run(ctx context.Context, settings *nodesettings.Settings, log logrus.FieldLogger) error {
 	h := &Registry{settings: settings, log: log, ctx: ctx, caller: rpc.NewCaller(), started: time.Now(), changed: make(chan struct{}),
-		register: &controlstate.Register{}, contacts: freshness.NewContacts(settings.IP), acknowledgedDrains: map[string]bool{}, configHistory: configdelta.NewHistory(maxHistoryBytes), seeds: settings.Cores(), lastAlive: map[string]time.Time{}, limiters: newLimiterPlaces(),
+		register: &controlstate.Register{}, contacts: freshness.NewContacts(settings.IP), acknowledgedDrains: map[string]bool{}, configHistory: configdelta.NewHistory(maxHistoryBytes), seeds: settings.CoreIPs(), lastAlive: map[string]time.Time{}, limiters: newLimiterPlaces(),
 		localCatalog: catalog.New(fmt.Sprintf("%s#%08x", settings.Node, rand.Uint32()))}
-	internalListener, err := net.Listen("tcp", settings.Internal(settings.IP, nodesettings.RegistryPort))
+	internalListener, err := net.Listen("tcp", settings.InternalAddress(settings.IP, nodesettings.RegistryPort))
 	if err != nil {
 		return fmt.Errorf("registry: listen for other processes: %w", err)
 	}
@@ -133,33 +133,33 @@
 	if err != nil {
 		return fmt.Errorf("registry: listen for API requests: %w", err)
 	}
-	go rpc.Serve(ctx, internalListener, map[string]rpc.Handler{CallPull: rpc.TypedHandler(h.handlePull), callPush: rpc.TypedHandler(h.handlePush), callRepair: rpc.TypedHandler(h.handleRepair), callAcknowledgements: rpc.TypedHandler(h.handleAcknowledgements), rpc.CallStatus: rpc.Asking(h.handleStatus)})
+	go rpc.Serve(ctx, internalListener, map[string]rpc.Handler{CallPull: rpc.TypedHandler(h.handlePull), callPush: rpc.TypedHandler(h.handlePush), callRepair: rpc.TypedHandler(h.handleRepair), callAcknowledgements: rpc.TypedHandler(h.handleAcknowledgements), rpc.CallStatus: rpc.NoBodyHandler(h.handleStatus)})
 	apiDone := make(chan struct{}) // closed when all accepted API requests are answered
 	go func() {
 		defer close(apiDone)
 		(&httpapi.Server{Handler: h.handleAPI, MaxBody: maxBodyBytes, DropAbandoned: isEvacuation}).Serve(ctx, apiListener)
 	}()
 	if settings.Bootstrap {
-		h.voters = [][]string{settings.Cores()}
+		h.voters = [][]string{settings.CoreIPs()}
 	}
 	h.mu.Lock()
-	for _, ip := range settings.Cores() {
+	for _, ip := range settings.CoreIPs() {
 		h.addPeer(ip)
 	}
 	h.mu.Unlock()
 	metrics.Offer(ctx, settings.MetricsAddress(), log, h.collectMetrics)
 	go h.watchLoop(ctx)
 	go h.placesLoop(ctx)
-	go settings.Follow(ctx, func(next *nodesettings.Settings) {
+	go settings.Watch(ctx, func(next *nodesettings.Settings) {
 		log.WithField("seeds", len(next.Seeds)).Info("settings changed")
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.seeds = next.Cores()
+		h.seeds = next.CoreIPs()
 		for _, ip := range h.seeds {
 			h.addPeer(ip)
 		}
 	}, func(err error) { log.WithField("err", err).Warn("cannot use changed settings") })
-	log.WithFields(logrus.Fields{"seeds": len(settings.Cores())}).Info("begins")
+	log.WithFields(logrus.Fields{"seeds": len(settings.CoreIPs())}).Info("begins")
 	h.maintenanceLoop(ctx)
 	<-apiDone
 	return nil
@@ -217,7 +217,7 @@
 		wait.Sleep(ctx, expireInterval)
 		h.mu.Lock()
 		heartbeatMs := float64(h.settings.Heartbeat) / float64(time.Millisecond)
-		if h.localCatalog.Beat(h.nowMs(), h.ownRecord()) {
+		if h.localCatalog.ApplyHeartbeat(h.nowMs(), h.ownRecord()) {
 			h.notifyChange()
 		}
 		h.addPeersFromCatalog()
@@ -256,7 +256,7 @@
 
 // followPeer pulls from another registry until that is forgotten.
 func (h *Registry) followPeer(ctx context.Context, ip string) {
-	address := h.settings.Internal(ip, nodesettings.RegistryPort)
+	address := h.settings.InternalAddress(ip, nodesettings.RegistryPort)
 	firstAsked := h.elapsed()
 	for ctx.Err() == nil {
 		h.mu.Lock()
@@ -266,11 +266,11 @@
 			h.mu.Unlock()
 			return
 		}
-		request := Pull{Vector: maps.Clone(h.localCatalog.Vector()), HoldMs: uint64(pullHold / time.Millisecond), Source: h.source()}
+		request := PullRequest{Vector: maps.Clone(h.localCatalog.Vector()), HoldMs: uint64(pullHold / time.Millisecond), Source: h.source()}
 		own := h.ownRecord()
-		request.Me = &own
+		request.CallerRecord = &own
 		h.mu.Unlock()
-		var response Pulled
+		var response PullResponse
 		if err := h.caller.Call(ctx, address, CallPull, request, &response, pullHold+callMargin); err != nil {
 			wait.Sleep(ctx, 100*time.Millisecond+rand.N(100*time.Millisecond))
 			continue
@@ -281,7 +281,7 @@
 		if len(h.localCatalog.Merge(h.nowMs(), response.Records)) > 0 {
 			h.notifyChange()
 		}
-		h.localCatalog.Know(response.Vector)
+		h.localCatalog.AdvanceVector(response.Vector)
 		h.mu.Unlock()
 	}
 }
@@ -303,7 +303,7 @@
 func (h *Registry) source() string { return h.localCatalog.Source() }
 
 // handlePull answers a registry or a limiter as soon as there are changes for it, or when the hold is over.
-func (h *Registry) handlePull(ctx context.Context, request Pull) (any, error) {
+func (h *Registry) handlePull(ctx context.Context, request PullRequest) (any, error) {
 	start := time.Now()
 	timeout := time.NewTimer(time.Duration(request.HoldMs) * time.Millisecond)
 	defer timeout.Stop()
@@ -313,12 +313,12 @@
 		h.lastAlive[request.Source] = start
 	}
 	switch {
-	case request.Me != nil && request.Me.Service == catalog.Cores:
-		h.recordPeer(*request.Me)
-	case request.Me != nil:
-		h.recordLimiter(*request.Me, &request)
+	case request.CallerRecord != nil && request.CallerRecord.Service == catalog.Cores:
+		h.recordPeer(*request.CallerRecord)
+	case request.CallerRecord != nil:
+		h.recordLimiter(*request.CallerRecord, &request)
 	}
-	for waiting := true; waiting && !h.localCatalog.Lacks(request.Vector) && (request.Source != "" || h.register.Seq <= request.Seq); {
+	for waiting := true; waiting && !h.localCatalog.HasNewerThan(request.Vector) && (request.Source != "" || h.register.Seq <= request.Seq); {
 		changed := h.changed
 		h.mu.Unlock()
 		select {
@@ -332,15 +332,15 @@
 		}
 		h.mu.Lock()
 	}
-	response := Pulled{Source: h.source(), Isolated: h.isolated(), HeldMs: uint64(time.Since(start).Milliseconds())}
-	if h.localCatalog.Lacks(request.Vector) {
+	response := PullResponse{Source: h.source(), Isolated: h.isolated(), HeldMs: uint64(time.Since(start).Milliseconds())}
+	if h.localCatalog.HasNewerThan(request.Vector) {
 		response.Records, response.Vector = h.localCatalog.Since(h.nowMs(), request.Vector), maps.Clone(h.localCatalog.Vector())
 	}
 	if request.Source == "" {
 		if h.register.Seq > request.Seq {
 			trimmed := *h.register
 			trimmed.Applied, trimmed.Voters, trimmed.Prior, trimmed.ZoneChanges = nil, nil, nil, nil
-			if delta, ok := h.limiters.deltaFrom(request.Seq, trimmed.Places); ok && !request.Whole {
+			if delta, ok := h.limiters.deltaFrom(request.Seq, trimmed.Places); ok && !request.FullRegister {
 				trimmed.Places, response.Places = nil, &delta
 			}
 			if trimmed.Version == request.Version {
@@ -351,7 +351,7 @@
 			response.Register = &trimmed
 		}
 		if age, ok := h.proof.Age(h.elapsed()); ok {
-			response.Proven, response.ProofMs = true, uint64(age.Milliseconds())+1
+			response.Proven, response.ProofAgeMs = true, uint64(age.Milliseconds())+1
 		}
 	}
 	return response, nil
@@ -360,7 +360,7 @@
 // recordPeer adds another registry's record to the catalog if it is unknown, and starts to pull from it. h.mu
 // must be held.
 func (h *Registry) recordPeer(record catalog.Record) {
-	if _, known := h.localCatalog.Get(h.nowMs(), record.ID); !known && h.localCatalog.Beat(h.nowMs(), record) {
+	if _, known := h.localCatalog.Get(h.nowMs(), record.ID); !known && h.localCatalog.ApplyHeartbeat(h.nowMs(), record) {
 		h.notifyChange()
 	}
 	h.addPeer(record.Address)
@@ -368,10 +368,10 @@
 
 // recordLimiter records what a limiter reports about itself. Records of its earlier processes are marked as gone.
 // h.mu must be held.
-func (h *Registry) recordLimiter(record catalog.Record, request *Pull) {
+func (h *Registry) recordLimiter(record catalog.Record, request *PullRequest) {
 	nowMs := h.nowMs()
 	_, known := h.localCatalog.Get(nowMs, record.ID)
-	changed := h.localCatalog.Beat(nowMs, record)
+	changed := h.localCatalog.ApplyHeartbeat(nowMs, record)
 	name, _, _ := strings.Cut(record.ID, "#")
 	if !known {
 		var earlier []string
@@ -381,10 +381,10 @@
 			}
 		})
 		for _, id := range earlier {
-			changed = h.localCatalog.Leave(nowMs, id) || changed
+			changed = h.localCatalog.MarkGone(nowMs, id) || changed
 		}
 	}
-	h.limiters.handleReport(h.elapsed(), h.register, places.Place{Name: name, IP: nodesettings.HostOf(record.Address), Zone: record.Zone, Life: record.ID}, request)
+	h.limiters.handleReport(h.elapsed(), h.register, places.Place{Name: name, IP: nodesettings.HostOf(record.Address), Zone: record.Zone, Incarnation: record.ID}, request)
 	if changed {
 		h.notifyChange()
 	}
@@ -404,7 +404,7 @@
 	done := make(chan string, len(peers))
 	for _, ip := range peers {
 		go func() {
-			if h.caller.Call(ctx, h.settings.Internal(ip, nodesettings.RegistryPort), callPush, []catalog.Record{record}, nil, pushTimeout) != nil {
+			if h.caller.Call(ctx, h.settings.InternalAddress(ip, nodesettings.RegistryPort), callPush, []catalog.Record{record}, nil, pushTimeout) != nil {
 				ip = ""
 			}
 			done <- ip
@@ -440,7 +440,7 @@
 	digests := h.localCatalog.Digests()
 	h.mu.Unlock()
 	var records []catalog.Record
-	if h.caller.Call(ctx, h.settings.Internal(ip, nodesettings.RegistryPort), callRepair, digests, &records, time.Second) != nil {
+	if h.caller.Call(ctx, h.settings.InternalAddress(ip, nodesettings.RegistryPort), callRepair, digests, &records, time.Second) != nil {
 		return
 	}
 	h.mu.Lock()
@@ -451,10 +451,10 @@
 }
 
 // handleRepair returns the records of the ranges whose digests differ.
-func (h *Registry) handleRepair(_ context.Context, digests [catalog.Ranges]uint64) (any, error) {
+func (h *Registry) handleRepair(_ context.Context, digests [catalog.DigestRanges]uint64) (any, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.localCatalog.Differing(h.nowMs(), digests), nil
+	return h.localCatalog.DifferingRecords(h.nowMs(), digests), nil
 }
 
 // watchLoop follows the configuration store on this machine or, while that fails or is stale, another one.
@@ -467,7 +467,7 @@
 		h.mu.Unlock()
 		var response configstore.WatchResponse
 		start := h.elapsed()
-		err := h.caller.Call(ctx, h.settings.Internal(stores[current], nodesettings.ConfigStorePort), configstore.CallWatch, request, &response, watchHold+callMargin)
+		err := h.caller.Call(ctx, h.settings.InternalAddress(stores[current], nodesettings.ConfigStorePort), configstore.CallWatch, request, &response, watchHold+callMargin)
 		if err != nil {
 			current = (current + 1) % len(stores)
 			wait.Sleep(ctx, 50*time.Millisecond)
@@ -554,7 +554,7 @@
 		if left < 50*time.Millisecond {
 			break
 		}
-		if call(h.settings.Internal(ip, nodesettings.ConfigStorePort), left) {
+		if call(h.settings.InternalAddress(ip, nodesettings.ConfigStorePort), left) {
 			return true
 		}
 	}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -70,8 +70,8 @@
 }
 
 // pullAll returns what a limiter without any state receives.
-func (h *registries) pullAll(ctx context.Context, i int) (a Pulled, err error) {
-	err = h.call.Call(ctx, h.ip(i)+":7461", CallPull, Pull{}, &a, time.Second)
+func (h *registries) pullAll(ctx context.Context, i int) (a PullResponse, err error) {
+	err = h.call.Call(ctx, h.ip(i)+":7461", CallPull, PullRequest{}, &a, time.Second)
 	return a, err
 }
 
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -156,7 +156,7 @@
 		conn := c.takeIdle(to)
 		reused := conn != nil
 		if conn == nil {
-			dialer := net.Dialer{Timeout: min(connectTimeout, time.Until(deadline)), KeepAlive: -1, Control: Patience}
+			dialer := net.Dialer{Timeout: min(connectTimeout, time.Until(deadline)), KeepAlive: -1, Control: SetUserTimeout}
 			netConn, err := dialer.DialContext(ctx, "tcp", to)
 			if err != nil {
 				return &Error{to, call, true, err}
@@ -197,7 +197,7 @@
 }
 
 // Patience is a net.Dialer's Control function that closes a connection whose sent data stays unacknowledged.
-func Patience(_, _ string, raw syscall.RawConn) error {
+func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var optionErr error
 	if err := raw.Control(func(fd uintptr) {
 		optionErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeoutMs)
@@ -222,7 +222,7 @@
 }
 
 // Asking returns a Handler for calls without arguments.
-func Asking(handle func(context.Context) (any, error)) Handler {
+func NoBodyHandler(handle func(context.Context) (any, error)) Handler {
 	return func(ctx context.Context, _ []byte) (any, error) { return handle(ctx) }
 }
 
--- a/internal/testring/cores.go
+++ b/internal/testring/cores.go
@@ -53,8 +53,8 @@
 
 // call sends a pull to a registry, which answers at once if the caller lacks something, and otherwise on the
 // next change or after held ms. It runs onAnswer with the answer, or onTimeout if none comes in time.
-func (w *World) call(kind string, from location, to *core, ask registry.Pull, held float64,
-	onAnswer func(*registry.Pulled), onTimeout func()) {
+func (w *World) call(kind string, from location, to *core, ask registry.PullRequest, held float64,
+	onAnswer func(*registry.PullResponse), onTimeout func()) {
 	w.count(kind, len(rpc.Encode(ask)))
 	finished := false
 	w.after(held+timeoutSlackMs, func() {
@@ -71,8 +71,8 @@
 		if !to.up || to.incarnation != incarnation {
 			return
 		}
-		if ask.Me != nil {
-			if _, known := to.book.Get(w.now, ask.Me.ID); (!known || ask.Me.Service == catalog.Limiters) && to.book.Beat(w.now, *ask.Me) {
+		if ask.CallerRecord != nil {
+			if _, known := to.book.Get(w.now, ask.CallerRecord.ID); (!known || ask.CallerRecord.Service == catalog.Limiters) && to.book.ApplyHeartbeat(w.now, *ask.CallerRecord) {
 				w.notify(to)
 			}
 			w.recordReport(to, &ask)
@@ -83,13 +83,13 @@
 			if finished || !to.up || to.incarnation != incarnation {
 				return
 			}
-			lacks := to.book.Lacks(ask.Vector)
+			lacks := to.book.HasNewerThan(ask.Vector)
 			newer := ask.Source == "" && to.version > ask.Seq
 			if !lacks && !newer && w.now < until {
 				to.heldPulls = append(to.heldPulls, answer)
 				return
 			}
-			a := &registry.Pulled{Source: to.book.Source()}
+			a := &registry.PullResponse{Source: to.book.Source()}
 			if lacks {
 				a.Records, a.Vector = to.book.Since(w.now, ask.Vector), maps.Clone(to.book.Vector())
 			}
@@ -120,15 +120,15 @@
 			return
 		}
 		me := catalog.Record{ID: c.book.Source(), Service: catalog.Cores, Address: c.name, Sequence: uint64(w.now)}
-		w.call("registries", c.location, from, registry.Pull{Vector: maps.Clone(c.book.Vector()), HoldMs: registryHoldMs, Source: c.book.Source(), Me: &me}, registryHoldMs,
-			func(a *registry.Pulled) {
+		w.call("registries", c.location, from, registry.PullRequest{Vector: maps.Clone(c.book.Vector()), HoldMs: registryHoldMs, Source: c.book.Source(), CallerRecord: &me}, registryHoldMs,
+			func(a *registry.PullResponse) {
 				if !c.up || c.incarnation != incarnation {
 					return
 				}
 				if len(c.book.Merge(w.now, a.Records)) > 0 {
 					w.notify(c)
 				}
-				c.book.Know(a.Vector)
+				c.book.AdvanceVector(a.Vector)
 				w.followRegistry(c, from, incarnation)
 			}, func() { w.after(150, func() { w.followRegistry(c, from, incarnation) }) })
 	})
@@ -145,9 +145,9 @@
 	if n.book != nil {
 		n.vector = n.book.Vector()
 	}
-	ask, held := registry.Pull{Vector: maps.Clone(n.vector), HoldMs: pullHoldMs, Me: me, Seq: n.version, Done: n.drained}, pullHoldMs
+	ask, held := registry.PullRequest{Vector: maps.Clone(n.vector), HoldMs: pullHoldMs, CallerRecord: me, Seq: n.version, Stopped: n.drained}, pullHoldMs
 	if n.holding != nil {
-		ask.LoansMs = uint64(math.Ceil(n.holding.Ledger.LoansEndIn(w.now)))
+		ask.LoansEndInMs = uint64(math.Ceil(n.holding.Ledger.LoansEndIn(w.now)))
 	}
 	releasing := n.drained && n.table.SlotOf(n.name, n.name) < 0
 	if releasing {
@@ -155,7 +155,7 @@
 	}
 	asked := w.now
 	w.call("pulls", n.location, w.cores[n.core], ask, held,
-		func(a *registry.Pulled) {
+		func(a *registry.PullResponse) {
 			if !n.up || n.incarnation != incarnation {
 				return
 			}
@@ -166,7 +166,7 @@
 			w.applyPlaces(n, asked, a)
 			if n.book != nil {
 				n.book.Merge(w.now, a.Records)
-				n.book.Know(a.Vector)
+				n.book.AdvanceVector(a.Vector)
 			} else if a.Vector != nil {
 				n.vector = a.Vector
 			}
@@ -212,7 +212,7 @@
 		return
 	}
 	w.count("beats", 200)
-	if c.book.Beat(w.now, catalog.Record{ID: fmt.Sprintf("i-%d", i), Service: fmt.Sprintf("s%d", i%4), Address: fmt.Sprintf("10.1.%d.%d:8080", i>>8, i&255),
+	if c.book.ApplyHeartbeat(w.now, catalog.Record{ID: fmt.Sprintf("i-%d", i), Service: fmt.Sprintf("s%d", i%4), Address: fmt.Sprintf("10.1.%d.%d:8080", i>>8, i&255),
 		Zone: fmt.Sprint(i % (w.Regions * w.Zones)), Slots: 2, State: s, Sequence: uint64(sequence)}) {
 		w.notify(c)
 	}
--- a/internal/testring/places.go
+++ b/internal/testring/places.go
@@ -83,30 +83,30 @@
 		return
 	}
 	c.version = version
-	c.registrar.See(toDuration(w.now), w.tables[version], version)
+	c.registrar.Add(toDuration(w.now), w.tables[version], version)
 	w.notify(c)
 }
 
 // recordReport records what a limiter reports about its place with a pull.
-func (w *World) recordReport(c *core, ask *registry.Pull) {
-	if ask.Me.Service != catalog.Limiters {
+func (w *World) recordReport(c *core, ask *registry.PullRequest) {
+	if ask.CallerRecord.Service != catalog.Limiters {
 		return
 	}
-	n := w.byName[limiterName(ask.Me.ID)]
-	c.registrar.Hear(toDuration(w.now), w.tables[c.version], places.Report{Place: places.Place{Name: n.name, IP: n.name, Zone: fmt.Sprint(n.zone), Life: ask.Me.ID},
-		Version: ask.Seq, Loans: time.Duration(ask.LoansMs) * time.Millisecond, Done: ask.Done})
+	n := w.byName[limiterName(ask.CallerRecord.ID)]
+	c.registrar.Receive(toDuration(w.now), w.tables[c.version], places.Report{Place: places.Place{Name: n.name, IP: n.name, Zone: fmt.Sprint(n.zone), Incarnation: ask.CallerRecord.ID},
+		Version: ask.Seq, LoansEndIn: time.Duration(ask.LoansEndInMs) * time.Millisecond, Done: ask.Stopped})
 }
 
 // proposePlaceChanges makes a core machine propose the changes of places that are due.
 func (w *World) proposePlaceChanges(c *core) {
 	t := w.tables[c.version]
-	if wanted := c.registrar.Wanted(toDuration(w.now), t); len(wanted) > 0 && w.now-c.ackQueriedAt >= minAckQueryIntervalMs {
+	if wanted := c.registrar.Awaited(toDuration(w.now), t); len(wanted) > 0 && w.now-c.ackQueriedAt >= minAckQueryIntervalMs {
 		c.ackQueriedAt = w.now
 		for _, o := range w.cores {
 			if o != c && o.up && !w.isCut(c.location, o.location) && !w.isCut(o.location, c.location) {
 				all := o.registrar.Acknowledgements(toDuration(w.now), wanted)
 				w.count("acknowledgements", len(rpc.Encode(wanted))+len(rpc.Encode(all)))
-				c.registrar.HearAll(toDuration(w.now), all)
+				c.registrar.ReceiveAcknowledgements(toDuration(w.now), all)
 			}
 		}
 	}
@@ -154,7 +154,7 @@
 
 // addPlaces adds to an answer the changes of places that a limiter lacks, and the age of the proof that the
 // table is current.
-func (w *World) addPlaces(c *core, has uint64, heldMs float64, a *registry.Pulled) {
+func (w *World) addPlaces(c *core, has uint64, heldMs float64, a *registry.PullResponse) {
 	if c.version > has {
 		t := w.tables[c.version]
 		delta := places.Difference(w.tables[has].Places, t.Places)
@@ -162,13 +162,13 @@
 		a.Places = &delta
 	}
 	if age := w.now - c.provenAt; !math.IsInf(age, 1) {
-		a.Proven, a.ProofMs = true, uint64(age)+1
+		a.Proven, a.ProofAgeMs = true, uint64(age)+1
 	}
 	a.HeldMs = uint64(heldMs)
 }
 
 // applyPlaces applies the table of places and the proof in an answer to a limiter, and renews its lease.
-func (w *World) applyPlaces(n *node, asked float64, a *registry.Pulled) {
+func (w *World) applyPlaces(n *node, asked float64, a *registry.PullResponse) {
 	ended := !n.lease.Valid(toDuration(w.now))
 	if a.Register != nil && a.Register.Seq > n.version {
 		all, ok := a.Places.Apply(n.table.Places)
@@ -178,7 +178,7 @@
 		n.table, n.version = places.Table{Places: all, Settled: a.Register.PlacesSettled}, a.Register.Seq
 	}
 	if a.Proven {
-		proved := asked + float64(a.HeldMs) - float64(a.ProofMs)
+		proved := asked + float64(a.HeldMs) - float64(a.ProofAgeMs)
 		n.lease.Renew(toDuration(proved), toDuration(n.startedAt))
 	}
 	slot := n.table.SlotOf(n.name, n.name)
@@ -219,7 +219,7 @@
 	if n.drained || slot != n.position {
 		slot = -1
 	}
-	share, until := n.lease.Use(n.table, slot)
+	share, until := n.lease.UsableShare(n.table, slot)
 	end := float64(until) / float64(time.Millisecond)
 	n.holding.Ledger.SetShare(share*float64(w.slotCount()), end)
 	if share > 0 && w.now < end {
@@ -258,7 +258,7 @@
 func (w *World) UsedShares() (sum float64) {
 	for _, n := range w.nodes {
 		if n.up && n.lim != nil && !n.drained && n.lease.Valid(toDuration(w.now)) && n.table.SlotOf(n.name, n.name) == n.position {
-			sum += places.Share(n.table.Sets(), n.position)
+			sum += places.Share(n.table.SetsInUse(), n.position)
 		}
 	}
 	return sum
--- a/internal/testring/places_test.go
+++ b/internal/testring/places_test.go
@@ -61,7 +61,7 @@
 	if used := w.UsedShares(); used < 0.999 || used > 1.001 {
 		t.Errorf("%s: the remaining limiters hold shares of %g in total, want 1", play, used)
 	}
-	if over := w.Over(); over > 0 {
+	if over := w.MaxQuotaExcess(); over > 0 {
 		t.Errorf("%s: a tenant is %.0f requests over its quota", play, over)
 	}
 }
@@ -187,7 +187,7 @@
 			w.Run(30_000 * rng.Float64())
 		}
 	}
-	if over := w.Over(); over > 0 {
+	if over := w.MaxQuotaExcess(); over > 0 {
 		return fmt.Errorf("a tenant is %.0f requests over its quota", over)
 	}
 	return w.checkRecovery()
@@ -223,7 +223,7 @@
 	for _, limiters := range []int{9, 90, 760} {
 		b.Run(fmt.Sprint(limiters), func(b *testing.B) {
 			o := options(1, limiters)
-			o.Standby, o.Redirect, o.Light, o.PerS, o.Servers = 12, true, true, 100, 0
+			o.Standby, o.Redirect, o.OmitCatalogs, o.PerS, o.Servers = 12, true, true, 100, 0
 			w := New(o)
 			w.Run(12_000)
 			clear(w.Sent)
@@ -263,7 +263,7 @@
 			t.Errorf("seed %d: shares of %g are held 3 s after all limiters restart, want 1", seed, used)
 		}
 		w.Run(10_000)
-		if over := w.Over(); over > 0 {
+		if over := w.MaxQuotaExcess(); over > 0 {
 			t.Errorf("seed %d: a tenant is %.0f requests over its quota", seed, over)
 		}
 	}
--- a/internal/testring/requests.go
+++ b/internal/testring/requests.go
@@ -58,7 +58,7 @@
 	}
 	n.serial++
 	id := fmt.Sprint(n.serial)
-	ev := limiter.Submit{ID: id, ExpiresMs: 3000, Units: 1, Plan: int(t.id), Customer: t.id, Spread: w.slotCount()}
+	ev := limiter.Submit{ID: id, ExpiresMs: 3000, Units: 1, Plan: int(t.id), Account: t.id, Spread: w.slotCount()}
 	aggregated, isKeeper := n.holding.KeeperStatus(t.id)
 	submit := func(refused func(short bool)) {
 		n.callbacks[id] = func(ok, short bool, server uint64) {
@@ -143,7 +143,7 @@
 			}
 			keeper.tokenGranted = &paid
 			keeper.serial++
-			w.handle(keeper, limiter.Ask{Submit: limiter.Submit{ID: fmt.Sprintf("ask/%d", keeper.serial), ExpiresMs: 3000, Units: 1, Plan: int(t.id), Customer: t.id, Spread: w.slotCount()}})
+			w.handle(keeper, limiter.Ask{Submit: limiter.Submit{ID: fmt.Sprintf("ask/%d", keeper.serial), ExpiresMs: 3000, Units: 1, Plan: int(t.id), Account: t.id, Spread: w.slotCount()}})
 			keeper.tokenGranted = nil
 			w.datagram("asks", keeper, n, 20, func() {
 				switch {
--- a/internal/testring/rush.go
+++ b/internal/testring/rush.go
@@ -77,7 +77,7 @@
 	lim        *limiter.Limiter
 	tracker    *loadreports.Tracker
 	callbacks  map[string]func(server uint64) // server is 0 if the request is refused
-	reported   map[uint64]limiter.InHand
+	reported   map[uint64]limiter.Occupancy
 	eventQueue []limiter.Event
 	handling   bool
 }
@@ -132,7 +132,7 @@
 
 // startLimiter creates limiter i and schedules its load reports.
 func (w *surge) startLimiter(i int) {
-	n := &surgeLimiter{zone: i % w.Zones, tracker: loadreports.New(uint32(i + 1)), callbacks: map[string]func(uint64){}, reported: map[uint64]limiter.InHand{}}
+	n := &surgeLimiter{zone: i % w.Zones, tracker: loadreports.New(uint32(i + 1)), callbacks: map[string]func(uint64){}, reported: map[uint64]limiter.Occupancy{}}
 	lim, err := limiter.New(limiter.Settings{Position: i, Balancers: w.Zones * w.Limiters, Classes: []limiter.Class{{Repeat: limiter.Unsafe, AimMs: 3 * w.AimMs, DeadlineMs: 1, Worth: 1, LateShare: 0.3}},
 		Plans: []limiter.Plan{{Price: 1}}, Caps: limiter.Caps{Attempts: 1, RetryAfter: true, MaxWaitMs: 1000, ConnectMs: 300}, Rules: limiter.Rules{FallMs: 1000}}, w.rng.Uint64())
 	if err != nil {
@@ -210,13 +210,13 @@
 }
 
 func (w *surge) applyOthersLoad(n *surgeLimiter, others map[uint32]float64) {
-	var news []limiter.InHand
+	var news []limiter.Occupancy
 	for server, x := range others {
-		news = append(news, limiter.InHand{Server: uint64(server), Others: x, Slots: float64(w.Slots)})
+		news = append(news, limiter.Occupancy{Server: uint64(server), Others: x, Slots: float64(w.Slots)})
 	}
 	for server := range n.reported {
 		if _, still := others[uint32(server)]; !still {
-			news = append(news, limiter.InHand{Server: server})
+			news = append(news, limiter.Occupancy{Server: server})
 		}
 	}
 	clear(n.reported)
@@ -225,7 +225,7 @@
 			n.reported[x.Server] = x
 		}
 	}
-	w.handle(n, limiter.Occupied{Servers: news})
+	w.handle(n, limiter.Occupancies{Servers: news})
 }
 
 func (w *surge) handle(n *surgeLimiter, ev limiter.Event) {
--- a/internal/testring/testring.go
+++ b/internal/testring/testring.go
@@ -40,7 +40,7 @@
 	HotX            float64 // ... between HotFrom and HotTo
 	HotFrom, HotTo  float64 // ms
 	Loss            float64 // share of datagrams that are lost
-	Light           bool    // limiters keep no catalog, only its version vector, for large simulations
+	OmitCatalogs    bool    // limiters keep no catalog, only its version vector, for large simulations
 	ZoneMs, CrossMs float64 // one-way latency between zones of a region, and between regions
 }
 
@@ -83,7 +83,7 @@
 // core is a core machine: a registry that also proposes changes of places.
 type core struct {
 	location
-	book            *catalog.Book
+	book            *catalog.Catalog
 	up              bool
 	heldPulls       []func() // pulls that wait for changes
 	notifyScheduled bool
@@ -115,7 +115,7 @@
 	holding        *quotaloan.Holding
 	ledger         *quotaloan.Ledger
 	detector       *membership.Detector
-	book           *catalog.Book
+	book           *catalog.Catalog
 	vector         catalog.Vector
 	core           int
 	backoffs       map[uint64]*allowance.AskBackoff
@@ -262,7 +262,7 @@
 	n.vector, n.backoffs, n.callbacks, n.eventQueue, n.handling = catalog.Vector{}, map[uint64]*allowance.AskBackoff{},
 		map[string]func(bool, bool, uint64){}, nil, false
 	n.detector = membership.New(n.id(), w.rng.Uint64())
-	if !w.Light {
+	if !w.OmitCatalogs {
 		n.book = catalog.New("")
 	}
 	n.startedAt, n.table, n.version, n.lease = w.now, places.Table{}, 0, places.Lease{}
@@ -288,7 +288,7 @@
 		n.ledger.Resize(slot, w.slotCount(), neighbours)
 	} else {
 		n.ledger = quotaloan.New(w.now, slot, w.slotCount(), neighbours, w.rng.Uint64())
-		if n.table.Places[slot].Life == n.id() {
+		if n.table.Places[slot].Incarnation == n.id() {
 			n.ledger.SkipRecall()
 		}
 	}
@@ -305,7 +305,7 @@
 	w.updateShare(n)
 	for k, t := range w.tenants {
 		a := limiter.AccountMemory{ID: t.id, Plan: k + 1, Spread: w.slotCount(), Balance: n.holding.Ceilings[t.id].Burst}
-		if n.table.Places[slot].Life != n.id() {
+		if n.table.Places[slot].Incarnation != n.id() {
 			a.Share = n.holding.RestartBurst(w.Rules, t.id)
 		}
 		handover.Accounts = append(handover.Accounts, a)
@@ -319,7 +319,7 @@
 	w.handle(n, limiter.Endpoints{Scope: limiter.Complete, Servers: []limiter.ServerInfo{{ID: 1, Phase: limiter.Up}, {ID: 2, Phase: limiter.Up}, {ID: 3, Phase: limiter.Up}}})
 	w.handle(n, limiter.Recall{Memory: &limiter.Memory{Handover: handover}})
 	for k, t := range w.tenants {
-		w.handle(n, limiter.Ask{Submit: limiter.Submit{ID: "opens", ExpiresMs: 1, Plan: k + 1, Customer: t.id, Spread: w.slotCount()}})
+		w.handle(n, limiter.Ask{Submit: limiter.Submit{ID: "opens", ExpiresMs: 1, Plan: k + 1, Account: t.id, Spread: w.slotCount()}})
 	}
 }
 
@@ -449,7 +449,7 @@
 
 // Out counts the pairs of running limiters of a region of which the first wrongly considers the second
 // unreachable.
-func (w *World) Out() (wrong int) {
+func (w *World) CountFalseUnreachable() (wrong int) {
 	for _, n := range w.nodes {
 		for _, o := range w.nodes {
 			if n != o && n.up && o.up && n.region == o.region && n.detector.State(o.id()) == membership.Unreachable {
@@ -463,7 +463,7 @@
 // Over returns the largest excess of any tenant over its quota in any window, in requests; it is 0 or less
 // if all limiters together keep the quotas. The limit is that of the operators' rule: the rate times the
 // window plus the burst, times one plus the overshoot, plus the slack.
-func (w *World) Over() float64 {
+func (w *World) MaxQuotaExcess() float64 {
 	worst := math.Inf(-1)
 	window := float64(w.Rules.QuotaWindow / time.Millisecond)
 	for _, t := range w.tenants {
--- a/internal/testring/testring_test.go
+++ b/internal/testring/testring_test.go
@@ -42,14 +42,14 @@
 	w.Run(5000)
 	for range 10 {
 		w.Run(1000)
-		if n := w.Out(); n > 0 {
+		if n := w.CountFalseUnreachable(); n > 0 {
 			t.Errorf("%d times a limiter is considered unreachable", n)
 		}
 	}
 	if share := float64(w.Refused) / float64(w.Requests); share > 0.01 || w.Requests < 5000 {
 		t.Errorf("%d of %d requests within their quotas are refused", w.Refused, w.Requests)
 	}
-	if over := w.Over(); over > 0 {
+	if over := w.MaxQuotaExcess(); over > 0 {
 		t.Errorf("a tenant is %.0f requests over its quota", over)
 	}
 }
@@ -91,7 +91,7 @@
 				w.Run(10000)
 				fault(w)
 				w.Run(10000)
-				if over := w.Over(); over > 0 {
+				if over := w.MaxQuotaExcess(); over > 0 {
 					t.Errorf("seed %d: a tenant is %.0f requests over its quota", seed, over)
 				}
 				if share := float64(w.Refused) / float64(w.Requests); share > 0.1 {
@@ -113,7 +113,7 @@
 		wrong := 0
 		for range 10 {
 			w.Run(500)
-			wrong += w.Out()
+			wrong += w.CountFalseUnreachable()
 		}
 		if wrong > 0 {
 			t.Errorf("seed %d: limiters are considered unreachable %d times", seed, wrong)
@@ -134,7 +134,7 @@
 		w.Congest(4, 10000)
 		for range 10 {
 			w.Run(1000)
-			if n := w.Out(); n > len(w.nodes)/3 {
+			if n := w.CountFalseUnreachable(); n > len(w.nodes)/3 {
 				t.Errorf("seed %d: limiters are considered unreachable %d times", seed, n)
 			}
 		}
--- a/internal/virtual/advise.go
+++ b/internal/virtual/advise.go
@@ -30,7 +30,7 @@
 		return
 	}
 	f := h.d.o.Fleet
-	q := &advice.Subject{Request: advice.Request{Account: s.Customer, Plan: s.Plan, Class: s.Class, PlanName: f.Plans[s.Plan].Name, ClassName: f.Classes[s.Class].Name,
+	q := &advice.Subject{Request: advice.Request{Account: s.Account, Plan: s.Plan, Class: s.Class, PlanName: f.Plans[s.Plan].Name, ClassName: f.Classes[s.Class].Name,
 		Method: http.MethodPost, Path: "/v1/" + f.Classes[s.Class].Name, Units: s.Units, LeftMs: s.ExpiresMs, Retry: s.Retry}}
 	if f.Classes[s.Class].Repeat == limiter.Safe {
 		q.Method = http.MethodGet
@@ -38,7 +38,7 @@
 	if p, ok := h.policy.(interface {
 		Glance(now float64, account uint64, plan int, pool uint64) (balance, pressure float64)
 	}); ok {
-		q.Balance, q.Pressure = p.Glance(ms(h.d.w.Now()), s.Customer, s.Plan, s.Pool)
+		q.Balance, q.Pressure = p.Glance(ms(h.d.w.Now()), s.Account, s.Plan, s.Pool)
 	}
 	said := h.adviser.Advise(context.Background(), q, 0)
 	s.Advice = counsel.Of(&said, h.d.tiers)
--- a/internal/virtual/asks.go
+++ b/internal/virtual/asks.go
@@ -62,7 +62,7 @@
 	spread, first := d.w.Entrance(c.Account)
 	d.res.Counts.Asks++
 	s := limiter.Submit{ID: askID, ExpiresMs: float64(waits.Microseconds()) / 1000,
-		Units: c.Units, Class: c.Class, Plan: c.Plan, Retry: t.Retry, Customer: c.Account, Spread: spread, First: first}
+		Units: c.Units, Class: c.Class, Plan: c.Plan, Retry: t.Retry, Account: c.Account, Spread: spread, First: first}
 	h.advise(&s)
 	h.asked = &asked{}
 	h.handle(limiter.Ask{Lease: how == leased, Submit: s})
@@ -86,7 +86,7 @@
 	terms := grant.Terms{Account: c.Account, Plan: c.Plan, Class: c.Class, Units: c.Units}
 	epoch, until := h.epoch, d.w.Now()+leaseTime
 	if h.desk.Leases().Grant(id, terms, until) != nil {
-		h.handle(limiter.Settle{Customer: c.Account, Units: c.Units, Back: true})
+		h.handle(limiter.Settle{Account: c.Account, Units: c.Units, Refund: true})
 		d.after(d.w.ClientDelay(), func() { d.w.Got(d.w.Now(), t, world.GotRefused, leaseTime) })
 		return
 	}
@@ -129,5 +129,5 @@
 }
 
 func (h *host) settle(x grant.Terms, e grant.EndReason) {
-	h.handle(limiter.Settle{Customer: x.Account, Units: x.Units, Back: e.ReturnsUnits()})
+	h.handle(limiter.Settle{Account: x.Account, Units: x.Units, Refund: e.ReturnsUnits()})
 }
--- a/internal/virtual/host.go
+++ b/internal/virtual/host.go
@@ -240,7 +240,7 @@
 	})
 	spread, first := h.d.w.Entrance(c.Account)
 	s := limiter.Submit{ID: r.id, ExpiresMs: float64((r.stopAt - now).Microseconds()) / 1000, Units: c.Units, Class: c.Class,
-		Plan: c.Plan, Retry: t.Retry, Customer: c.Account, Spread: spread, First: first, Leased: leased, Vouched: vouched}
+		Plan: c.Plan, Retry: t.Retry, Account: c.Account, Spread: spread, First: first, Leased: leased, QuotaChecked: vouched}
 	h.advise(&s)
 	h.handle(s)
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -10,16 +10,16 @@
 )
 
 // Pairs holds settings by path, as on a BEGIN line. It records the first error of all reads.
-type Pairs struct {
+type SettingValues struct {
 	values map[string]string
 	err    error
 }
 
 // NewPairs returns Pairs that read from values.
-func NewPairs(values map[string]string) *Pairs { return &Pairs{values: values} }
+func NewSettingValues(values map[string]string) *SettingValues { return &SettingValues{values: values} }
 
 // Err returns the first error of the reads so far.
-func (p *Pairs) Err() error { return p.err }
+func (p *SettingValues) Err() error { return p.err }
 
 // repeatByIdempotency maps the values of a request class's idempotency setting.
 var repeatByIdempotency = map[string]limiter.Repeat{
@@ -41,15 +41,15 @@
 		}
 		values[name] = value
 	}
-	return NewPairs(values).Settings()
+	return NewSettingValues(values).Settings()
 }
 
 // Settings returns the settings that the library uses and ignores the others.
-func (p *Pairs) Settings() (limiter.Settings, error) {
+func (p *SettingValues) Settings() (limiter.Settings, error) {
 	settings := limiter.Settings{
 		Position: p.Integer("position"), Balancers: p.Integer("balancers"), Zone: p.Integer("az"),
-		AskMembers: p.values["membership_mode"] == "ask",
-		PeerInPerS: p.Number("family_info.peer_in_per_s"), TrueUp: p.flag("family_info.trued_up"),
+		SubscribeServers: p.values["membership_mode"] == "ask",
+		PeerInPerS:       p.Number("family_info.peer_in_per_s"), TrueUp: p.flag("family_info.trued_up"),
 		CrossPrice: p.Number("prices.cross_zone"), AskWithin: p.Number("invariants.ask_within_ms"),
 		Caps: limiter.Caps{
 			Attempts: p.Integer("caps.attempts_cap"), Cancel: p.flag("caps.cancel"),
@@ -93,17 +93,17 @@
 }
 
 // check records a bad value as the first error unless ok is set or there is an earlier error.
-func (p *Pairs) check(ok bool, name string) {
+func (p *SettingValues) check(ok bool, name string) {
 	if !ok && p.err == nil {
 		p.err = fmt.Errorf("setting %s: bad value %q", name, p.values[name])
 	}
 }
 
 // Text returns a value unparsed, or "" if it is absent.
-func (p *Pairs) Text(name string) string { return p.values[name] }
+func (p *SettingValues) Text(name string) string { return p.values[name] }
 
 // Number returns a finite number, or 0 if it is absent.
-func (p *Pairs) Number(name string) float64 {
+func (p *SettingValues) Number(name string) float64 {
 	text, ok := p.values[name]
 	if !ok || text == "-" || text == "" {
 		return 0
@@ -114,7 +114,7 @@
 }
 
 // Integer returns a whole number, or 0 if it is absent.
-func (p *Pairs) Integer(name string) int {
+func (p *SettingValues) Integer(name string) int {
 	v := p.Number(name)
 	p.check(v == math.Trunc(v) && math.Abs(v) < 1<<31, name)
 	return int(v)
@@ -122,7 +122,7 @@
 
 // Count returns the length of a list. It rejects lengths above the number of settings, so that a bad one cannot
 // cause a huge allocation.
-func (p *Pairs) Count(name string) int {
+func (p *SettingValues) Count(name string) int {
 	n := p.Integer(name + ".count")
 	p.check(n >= 0 && n <= len(p.values), name+".count")
 	if p.err != nil {
@@ -132,7 +132,7 @@
 }
 
 // flag returns a boolean, or false if it is absent.
-func (p *Pairs) flag(name string) bool {
+func (p *SettingValues) flag(name string) bool {
 	text := p.values[name]
 	p.check(text == "" || text == "-" || text == "true" || text == "false" || text == "1" || text == "0", name)
 	return text == "true" || text == "1"
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -298,7 +298,7 @@
 	case "SUBMIT":
 		e := limiter.Submit{ID: f.next(), ExpiresMs: f.number(), Units: f.number(), Class: f.integer(), Retry: f.flag(), Plan: f.integer()}
 		f.flag() // write flag, unused: the class carries what the limiter needs
-		e.Spread, e.First, e.Customer = int(f.number()), int(f.number()), f.id()
+		e.Spread, e.First, e.Account = int(f.number()), int(f.number()), f.id()
 		item.Event = e
 	case "FIRST":
 		item.Event = limiter.FirstByte{ID: f.next(), Try: f.integer()}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -41,7 +41,7 @@
 	if len(list.Servers) != 2 || list.Servers[1] != (limiter.ServerInfo{ID: 747639282, ReadyAt: 6100, Phase: limiter.Draining, Cell: 2, Weight: 1.5}) {
 		t.Errorf("list %+v", list)
 	}
-	want := limiter.Submit{ID: "rq_a", ExpiresMs: 240, Units: 2, Spread: 3, First: 1, Customer: 4569004829}
+	want := limiter.Submit{ID: "rq_a", ExpiresMs: 240, Units: 2, Spread: 3, First: 1, Account: 4569004829}
 	if got := items[2].Event.(limiter.Submit); got != want {
 		t.Errorf("submit %+v", got)
 	}
--- a/limiter/advice_test.go
+++ b/limiter/advice_test.go
@@ -9,27 +9,27 @@
 // follow. Nothing is sent or spent, and a lease is refunded.
 func TestAdviceRefuses(t *testing.T) {
 	h := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7})
-	h.submit("a", Submit{Units: 3, Customer: 4, Pool: 7, Advice: Advice{Refuse: true, WaitMs: 200}})
-	h.submit("b", Submit{Units: 3, Customer: 4, Pool: 7, Advice: Advice{Refuse: true, WaitMs: 9000}})
+	h.submit("a", Submit{Units: 3, Account: 4, Pool: 7, Advice: Advice{Refuse: true, WaitMs: 200}})
+	h.submit("b", Submit{Units: 3, Account: 4, Pool: 7, Advice: Advice{Refuse: true, WaitMs: 9000}})
 	if h.results["a"] != "refused" || h.waitMs["a"] != 200 || h.waitMs["b"] != 500 || len(h.sent) > 0 {
 		t.Errorf("%v after %v, sent %v", h.results, h.waitMs, h.sent)
 	}
 	if c := h.l.accounts[4]; c.balance != 20 || c.spent != 0 {
 		t.Errorf("spent %v, left %v", c.spent, c.balance)
 	}
-	h.submit("c", Submit{Units: 100, Customer: 4, Pool: 7, Advice: Advice{Refuse: true, WaitMs: 10}})
+	h.submit("c", Submit{Units: 100, Account: 4, Pool: 7, Advice: Advice{Refuse: true, WaitMs: 10}})
 	if h.waitMs["c"] != 500 { // the wait by quota is longer
 		t.Errorf("beyond the quota and refused: wait %v", h.waitMs["c"])
 	}
-	h.handle(Ask{Lease: true, Submit: Submit{ID: "l", ExpiresMs: 900, Units: 3, Customer: 4, Spread: 1, Pool: 7}})
+	h.handle(Ask{Lease: true, Submit: Submit{ID: "l", ExpiresMs: 900, Units: 3, Account: 4, Spread: 1, Pool: 7}})
 	if c := h.l.accounts[4]; c.leased != 3 {
 		t.Fatalf("leased %v", c.leased)
 	}
-	h.submit("d", Submit{Units: 3, Customer: 4, Pool: 7, Leased: 3, Advice: Advice{Refuse: true}})
+	h.submit("d", Submit{Units: 3, Account: 4, Pool: 7, Leased: 3, Advice: Advice{Refuse: true}})
 	if c := h.l.accounts[4]; h.results["d"] != "refused" || c.leased != 0 || c.balance != 20 {
 		t.Errorf("%v, leased %v, left %v", h.results["d"], c.leased, c.balance)
 	}
-	h.handle(Ask{Submit: Submit{ID: "e", ExpiresMs: 900, Units: 3, Customer: 4, Spread: 1, Pool: 7, Advice: Advice{Refuse: true, WaitMs: 50}}})
+	h.handle(Ask{Submit: Submit{ID: "e", ExpiresMs: 900, Units: 3, Account: 4, Spread: 1, Pool: 7, Advice: Advice{Refuse: true, WaitMs: 50}}})
 	if h.results["e"] != "refused" || h.waitMs["e"] != 50 {
 		t.Errorf("an ask: %v after %v", h.results["e"], h.waitMs["e"])
 	}
@@ -41,7 +41,7 @@
 	for i := range 40 {
 		h.now++
 		id := fmt.Sprint("r", i)
-		h.submit(id, Submit{Units: 1, Customer: 4, Pool: 7, Advice: Advice{Factor: 10, Prefer: 1}})
+		h.submit(id, Submit{Units: 1, Account: 4, Pool: 7, Advice: Advice{Factor: 10, Prefer: 1}})
 		if len(h.sent[id]) > 0 {
 			h.outcome(id, Pass)
 		} else if h.results[id] != "refused" {
@@ -85,7 +85,7 @@
 		h.now += 20
 		h.handle(Alarm{Handle: "tick"})
 		id := fmt.Sprint("t", n)
-		h.submit(id, Submit{Units: 1, Customer: 1, Pool: 7, Advice: a})
+		h.submit(id, Submit{Units: 1, Account: 1, Pool: 7, Advice: a})
 		if len(h.sent[id]) == 0 {
 			return 0
 		}
@@ -129,7 +129,7 @@
 	if b, p := h.l.Glance(h.now, 4, 0, 7); b != 20 || p != 0 {
 		t.Errorf("unknown: %v, %v", b, p)
 	}
-	h.submit("a", Submit{Units: 12, Customer: 4, Pool: 7})
+	h.submit("a", Submit{Units: 12, Account: 4, Pool: 7})
 	h.l.poolOf(7).pressure = 0.25
 	if b, p := h.l.Glance(h.now+500, 4, 0, 7); b != 13 || p != 0.25 {
 		t.Errorf("12 of 20 spent half a second ago: %v, %v", b, p)
--- a/limiter/api.go
+++ b/limiter/api.go
@@ -13,21 +13,21 @@
 // Settings describe the deployment to one Limiter. The zero value of an optional field means that the
 // deployment has no such limit or feature.
 type Settings struct {
-	Position   int  // index of this limiter, from 0
-	Balancers  int  // number of limiters
-	Zone       int  // zone of this limiter
-	AskMembers bool // subscribe to the server list with [Listen]
-	Classes    []Class
-	Plans      []Plan
-	Caps       Caps
-	Rules      Rules
-	PeerInPerS float64 // peer messages that a limiter accepts per second
-	TrueUp     bool    // units are an estimate, corrected by the cost in the outcome
-	CrossPrice float64 // price of an attempt at a server in another zone
+	Position         int  // index of this limiter, from 0
+	Balancers        int  // number of limiters
+	Zone             int  // zone of this limiter
+	SubscribeServers bool // subscribe to the server list with [Listen]
+	Classes          []Class
+	Plans            []Plan
+	Caps             Caps
+	Rules            Rules
+	PeerInPerS       float64 // peer messages that a limiter accepts per second
+	TrueUp           bool    // units are an estimate, corrected by the cost in the outcome
+	CrossPrice       float64 // price of an attempt at a server in another zone
 	// IllMostMs bounds how long a server is ejected for a class: the time doubles each time that the
 	// server fails the class again soon after an ejection. 0: it does not grow.
-	IllMostMs float64
-	AskWithin float64 // ms within which the server list must be requested again
+	MaxEjectionMs float64
+	AskWithin     float64 // ms within which the server list must be requested again
 	// Spills has, for each pool with tiers of preference, the share of a tier's requests that may spill
 	// over to the next tier while the tier has usable servers.
 	Spills map[uint64][]float64
@@ -109,7 +109,7 @@
 	Class     int     // index into Settings.Classes
 	Plan      int     // index into Settings.Plans
 	Retry     bool    // the client has marked it as a retry
-	Customer  uint64  // ID of the account
+	Account   uint64  // ID of the account
 	Spread    int     // number of limiters that the account's requests come through
 	First     int     // position of the first of them; the others follow it
 	Pool      uint64  // pool whose servers may take it; 0 if there is only one
@@ -119,8 +119,8 @@
 	Leased float64
 	// Vouched means that another limiter has leased units for the request and checked the quota. The
 	// request is charged here as well, and the ceiling here must have room for it.
-	Vouched bool
-	Advice  Advice // of plug-ins
+	QuotaChecked bool
+	Advice       Advice // of plug-ins
 }
 
 // Ask asks whether a request may proceed that this limiter does not proxy. It is decided like a Submit,
@@ -134,9 +134,9 @@
 
 // Settle ends a lease: its units are spent or, with Back, refunded.
 type Settle struct {
-	Customer uint64
-	Units    float64
-	Back     bool
+	Account uint64
+	Units   float64
+	Refund  bool
 }
 
 // Outcome is the end of one attempt.
@@ -156,10 +156,10 @@
 
 // Progress means that the body of a long request is still being sent to the attempt's server.
 type Progress struct {
-	ID     string
-	Try    int
-	LeftMs float64 // time that the client will wait once the last byte is sent
-	Spent  bool    // the body is no longer buffered, so the request can't be retried
+	ID           string
+	Try          int
+	LeftMs       float64 // time that the client will wait once the last byte is sent
+	BodyReleased bool    // the body is no longer buffered, so the request can't be retried
 }
 
 // FirstByte means that a streamed answer has begun, so the request can't be retried.
@@ -194,10 +194,10 @@
 // Occupied reports how many requests servers have besides those that this limiter has sent to them by
 // their IDs here: those of other limiters, and its own through other pools. A figure is valid until the
 // next one for the server.
-type Occupied struct{ Servers []InHand }
+type Occupancies struct{ Servers []Occupancy }
 
 // InHand is the reported occupancy of one server.
-type InHand struct {
+type Occupancy struct {
 	Server uint64
 	Others float64 // requests from elsewhere; a fraction if estimated
 	Slots  float64 // requests that the server processes in parallel
@@ -216,7 +216,7 @@
 type Recall struct{ Memory *Memory }
 
 func (Submit) event()      {}
-func (Occupied) event()    {}
+func (Occupancies) event() {}
 func (Recall) event()      {}
 func (Reconfigure) event() {}
 func (Settle) event()      {}
--- a/limiter/ask_test.go
+++ b/limiter/ask_test.go
@@ -23,7 +23,7 @@
 func askGranted(t testing.TB, l *Limiter, now, units float64, lease bool) bool {
 	t.Helper()
 	granted, answers := false, 0
-	for _, a := range l.Handle(now, Ask{Lease: lease, Submit: Submit{ID: "a", ExpiresMs: 750, Units: units, Customer: 7, Spread: 1}}) {
+	for _, a := range l.Handle(now, Ask{Lease: lease, Submit: Submit{ID: "a", ExpiresMs: 750, Units: units, Account: 7, Spread: 1}}) {
 		switch a := a.(type) {
 		case Grant:
 			granted = true
@@ -45,7 +45,7 @@
 
 // submitPassed reports whether a request is sent to a server.
 func submitPassed(l *Limiter, now, units, leased float64, id string) bool {
-	return passedTo(l.Handle(now, Submit{ID: id, ExpiresMs: 750, Units: units, Customer: 7, Spread: 1, Leased: leased})) != 0
+	return passedTo(l.Handle(now, Submit{ID: id, ExpiresMs: 750, Units: units, Account: 7, Spread: 1, Leased: leased})) != 0
 }
 
 // Asks and proxied requests spend from the same bucket.
@@ -90,17 +90,17 @@
 			t.Errorf("at %g: admitted although the whole balance is leased", now)
 		}
 	}
-	l.Handle(90_000, Settle{Customer: 7, Units: 4, Back: true})
+	l.Handle(90_000, Settle{Account: 7, Units: 4, Refund: true})
 	if !askGranted(t, l, 90_000, 4, false) || askGranted(t, l, 90_000, 1, false) {
 		t.Error("the refund is not what was leased")
 	}
 	for range 9 { // more than was ever leased
-		l.Handle(90_000, Settle{Customer: 7, Units: 40, Back: true})
+		l.Handle(90_000, Settle{Account: 7, Units: 40, Refund: true})
 	}
 	if c := l.accounts[7]; c.leased != 0 || c.balance > 16+1e-9 || c.ceilingBalance > 16+1e-9 {
 		t.Errorf("leased %g, balance %g, ceiling balance %g", c.leased, c.balance, c.ceilingBalance)
 	}
-	l.Handle(90_000, Settle{Customer: 99, Units: 4, Back: true}) // unknown account
+	l.Handle(90_000, Settle{Account: 99, Units: 4, Refund: true}) // unknown account
 }
 
 // A request with a lease spends nothing more, and the lease is refunded if the request is refused.
@@ -130,7 +130,7 @@
 func TestVouched(t *testing.T) {
 	l := newAskLimiter(t, Plan{Rate: 1, Burst: 4, CeilingRate: 1, CeilingBurst: 6, Price: 1})
 	vouched := func(id string) bool {
-		return passedTo(l.Handle(60_000, Submit{ID: id, ExpiresMs: 750, Units: 2, Customer: 7, Spread: 1, Vouched: true})) != 0
+		return passedTo(l.Handle(60_000, Submit{ID: id, ExpiresMs: 750, Units: 2, Account: 7, Spread: 1, QuotaChecked: true})) != 0
 	}
 	if !submitPassed(l, 60_000, 4, 0, "a") || submitPassed(l, 60_000, 2, 0, "b") {
 		t.Fatal("the quota is not 4")
@@ -188,7 +188,7 @@
 				l.Handle(now, Outcome{ID: id, Result: Pass, SpentMs: 5, Done: true})
 			case len(leases) > 0:
 				last := len(leases) - 1
-				l.Handle(now, Settle{Customer: 7, Units: leases[last], Back: true})
+				l.Handle(now, Settle{Account: 7, Units: leases[last], Refund: true})
 				leases = leases[:last]
 			}
 			out := 0.0
@@ -211,13 +211,13 @@
 	b.Run("ask", func(b *testing.B) {
 		l := newAskLimiter(b, plan)
 		for now := 60_000.0; b.Loop(); now++ {
-			l.Handle(now, Ask{Submit: Submit{ID: "a", ExpiresMs: 750, Units: 1, Customer: 7, Spread: 1}})
+			l.Handle(now, Ask{Submit: Submit{ID: "a", ExpiresMs: 750, Units: 1, Account: 7, Spread: 1}})
 		}
 	})
 	b.Run("carried", func(b *testing.B) {
 		l := newAskLimiter(b, plan)
 		for now := 60_000.0; b.Loop(); now++ {
-			s := passedTo(l.Handle(now, Submit{ID: "a", ExpiresMs: 750, Units: 1, Customer: 7, Spread: 1}))
+			s := passedTo(l.Handle(now, Submit{ID: "a", ExpiresMs: 750, Units: 1, Account: 7, Spread: 1}))
 			l.Handle(now, Outcome{ID: "a", Server: s, Result: Pass, SpentMs: 5, Done: true})
 		}
 	})
--- a/limiter/choice_test.go
+++ b/limiter/choice_test.go
@@ -46,7 +46,7 @@
 	for i := range 20 * n {
 		now++
 		id := fmt.Sprint("r", i)
-		s := passedTo(l.Handle(now, Submit{ID: id, ExpiresMs: 750, Units: 1, Customer: 1, Spread: 1}))
+		s := passedTo(l.Handle(now, Submit{ID: id, ExpiresMs: 750, Units: 1, Account: 1, Spread: 1}))
 		if s == 0 {
 			t.Fatalf("request %d was not sent", i)
 		}
@@ -71,7 +71,7 @@
 	l.Handle(now, e)
 	for i := range 20 {
 		id := fmt.Sprint("s", i)
-		if s := passedTo(l.Handle(now, Submit{ID: id, ExpiresMs: 750, Units: 1, Customer: 1, Spread: 1})); s != 322 {
+		if s := passedTo(l.Handle(now, Submit{ID: id, ExpiresMs: 750, Units: 1, Account: 1, Spread: 1})); s != 322 {
 			t.Fatalf("sent to %d with only 322 left", s)
 		}
 		l.Handle(now, Outcome{ID: id, Server: 322, Result: Pass, SpentMs: 200, Done: true})
@@ -84,7 +84,7 @@
 	l := manyServers(t, 600)
 	for i := range 50 {
 		id := fmt.Sprint("k", i)
-		first := passedTo(l.Handle(1000, Submit{ID: id, ExpiresMs: 750, Units: 1, Class: 1, Customer: 1, Spread: 1}))
+		first := passedTo(l.Handle(1000, Submit{ID: id, ExpiresMs: 750, Units: 1, Class: 1, Account: 1, Spread: 1}))
 		second := passedTo(l.Handle(1010, Outcome{ID: id, Server: first, Result: Cut, SpentMs: 10}))
 		if second == 0 && i < 5 { // while the retry budget lasts
 			t.Fatalf("request %d was not sent again", i)
@@ -132,7 +132,7 @@
 			now := 1000.0
 			for b.Loop() {
 				now++
-				s := passedTo(l.Handle(now, Submit{ID: "r", ExpiresMs: 750, Units: 1, Customer: 1, Spread: 1}))
+				s := passedTo(l.Handle(now, Submit{ID: "r", ExpiresMs: 750, Units: 1, Account: 1, Spread: 1}))
 				l.Handle(now, Outcome{ID: "r", Server: s, Result: Pass, SpentMs: 40, Done: true})
 			}
 		})
@@ -178,7 +178,7 @@
 				for k := range b.N {
 					now += 0.01
 					id := fmt.Sprint(k)
-					for _, a := range l.Handle(now, Submit{ID: id, ExpiresMs: 900, Units: 1, Customer: uint64(k % 300), Spread: 3}) {
+					for _, a := range l.Handle(now, Submit{ID: id, ExpiresMs: 900, Units: 1, Account: uint64(k % 300), Spread: 3}) {
 						if p, ok := a.(PassOn); ok {
 							l.Handle(now, Outcome{ID: id, Server: p.Server, Result: Pass, SpentMs: 20, Done: true})
 							break
@@ -200,12 +200,12 @@
 // A report that a server's slots are used keeps requests away from it while another server has free ones. A report of
 // free slots has no effect, and a later report replaces an earlier one.
 func TestOccupiedServersWait(t *testing.T) {
-	countSends := func(occupancies ...InHand) map[uint64]int {
+	countSends := func(occupancies ...Occupancy) map[uint64]int {
 		s := newScript(t, testSettings(), makeServers(2)...)
-		s.handle(Occupied{Servers: occupancies})
+		s.handle(Occupancies{Servers: occupancies})
 		got := map[uint64]int{}
 		for range 40 {
-			id, a := s.submit(Submit{Customer: 5})
+			id, a := s.submit(Submit{Account: 5})
 			p, ok := a.(PassOn)
 			if !ok {
 				t.Fatalf("%#v", a)
@@ -216,16 +216,16 @@
 		}
 		return got
 	}
-	if n := countSends(InHand{1, 2, 2}, InHand{99, 1, 1}); n[1] > 0 {
+	if n := countSends(Occupancy{1, 2, 2}, Occupancy{99, 1, 1}); n[1] > 0 {
 		t.Errorf("a full server gets %d of 40", n[1])
 	}
-	if with, without := countSends(InHand{1, 1, 2}), countSends(); with[1] != without[1] {
+	if with, without := countSends(Occupancy{1, 1, 2}), countSends(); with[1] != without[1] {
 		t.Errorf("a server with a free slot gets %d, %d without reports", with[1], without[1])
 	}
-	if with, without := countSends(InHand{1, 9, 2}, InHand{1, 0, 2}), countSends(); with[1] != without[1] {
+	if with, without := countSends(Occupancy{1, 9, 2}, Occupancy{1, 0, 2}), countSends(); with[1] != without[1] {
 		t.Errorf("a server whose slots became free gets %d, %d without reports", with[1], without[1])
 	}
-	if with, without := countSends(InHand{1, -9, 2}, InHand{2, 5, 0}), countSends(); with[1] != without[1] {
+	if with, without := countSends(Occupancy{1, -9, 2}, Occupancy{2, 5, 0}), countSends(); with[1] != without[1] {
 		t.Errorf("with an invalid report %d, %d without reports", with[1], without[1])
 	}
 }
--- a/limiter/example_test.go
+++ b/limiter/example_test.go
@@ -21,7 +21,7 @@
 	now := 1000.0 // milliseconds on the host's clock
 	l.Handle(now, limiter.Endpoints{Scope: limiter.Complete, Servers: []limiter.ServerInfo{{ID: 9}}})
 	for _, id := range []string{"a", "b", "c"} {
-		e := limiter.Submit{ID: id, ExpiresMs: 900, Units: 1, Customer: 7, Spread: 1}
+		e := limiter.Submit{ID: id, ExpiresMs: 900, Units: 1, Account: 7, Spread: 1}
 		// A slice of actions is valid until the next call of Handle.
 		for _, action := range append([]limiter.Action(nil), l.Handle(now, e)...) {
 			switch a := action.(type) {
--- a/limiter/health.go
+++ b/limiter/health.go
@@ -42,7 +42,7 @@
 			}
 			l.log("server %d: ejected for class %d after repeated failures", srv.info.ID, class)
 		}
-		record.until = now + max(ejectionMs, min(l.cfg.IllMostMs,
+		record.until = now + max(ejectionMs, min(l.cfg.MaxEjectionMs,
 			ejectionMs*float64(int(1)<<min(record.repeats, 8))))
 	}
 }
--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -35,7 +35,7 @@
 		l.started, l.startedAt, l.knownSince, l.sweptAt = true, now, now, now
 		l.hintIntervalMs = 1000 * float64(len(l.peers)) / (hintShare * max(1, l.cfg.PeerInPerS))
 		l.nextHintAt = now + l.hintIntervalMs*l.rng.Float64() // spreads the limiters' first hints
-		if l.cfg.AskMembers {
+		if l.cfg.SubscribeServers {
 			l.emit(Listen{})
 		}
 		l.emit(Timer{At: now + tickMs*(0.5+l.rng.Float64()/2), Handle: "tick"})
@@ -50,9 +50,9 @@
 	case Ask:
 		l.ask(now, e)
 	case Settle:
-		if acct := l.accounts[e.Customer]; acct != nil {
+		if acct := l.accounts[e.Account]; acct != nil {
 			l.refill(now, acct)
-			l.settle(acct, e.Units, e.Back)
+			l.settle(acct, e.Units, e.Refund)
 		}
 	case Outcome:
 		l.outcome(now, e)
@@ -77,9 +77,9 @@
 		l.probed(now, e)
 	case PeerMessage:
 		l.receive(now, e)
-	case Sighting:
+	case PeerFailure:
 		l.peerFailure(now, e)
-	case Occupied:
+	case Occupancies:
 		l.occupied(e)
 	case Recall:
 		l.recall(now, e.Memory)
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -154,7 +154,7 @@
 	if got := s.admit(40, Submit{}); got != 20 {
 		t.Errorf("the bucket holds 20, %d were admitted", got)
 	}
-	if got := s.admit(100, Submit{Plan: 3, Customer: 9}); got != 100 {
+	if got := s.admit(100, Submit{Plan: 3, Account: 9}); got != 100 {
 		t.Errorf("a plan without a quota admitted %d of 100", got)
 	}
 }
@@ -637,7 +637,7 @@
 	s := newScript(t, cfg, makeServers(2)...)
 	for range 60 {
 		for _, plan := range []int{0, 3} {
-			id, a := s.submit(Submit{Plan: plan, Customer: uint64(s.ids)})
+			id, a := s.submit(Submit{Plan: plan, Account: uint64(s.ids)})
 			if p, ok := a.(PassOn); ok {
 				s.handle(Outcome{ID: id, Server: p.Server, Result: Pass, SpentMs: 60, Done: true, Load: Load{Busy: -1}})
 			}
@@ -646,7 +646,7 @@
 	passed := map[int]int{}
 	for i := range 200 {
 		plan := []int{0, 3}[i%2]
-		if _, a := s.submit(Submit{Plan: plan, Customer: uint64(s.ids)}); a != nil {
+		if _, a := s.submit(Submit{Plan: plan, Account: uint64(s.ids)}); a != nil {
 			if _, ok := a.(PassOn); ok {
 				passed[plan]++
 			}
@@ -661,14 +661,14 @@
 func TestDropsIdleAccounts(t *testing.T) {
 	s := newScript(t, testSettings(), makeServers(4)...)
 	for c := range 500 {
-		s.admit(1, Submit{Customer: uint64(c)})
+		s.admit(1, Submit{Account: uint64(c)})
 	}
 	s.now += 2 * accountIdleMs
 	s.handle(Alarm{Handle: "tick"})
 	if len(s.l.accounts) != 0 || len(s.l.accountList) != 0 || len(s.l.requests) != 0 {
 		t.Errorf("%d accounts, %d in the list and %d requests are still stored", len(s.l.accounts), len(s.l.accountList), len(s.l.requests))
 	}
-	if got := s.admit(40, Submit{Customer: 3}); got != 20 {
+	if got := s.admit(40, Submit{Account: 3}); got != 20 {
 		t.Errorf("a dropped account got %d, want its burst of 20", got)
 	}
 }
@@ -706,7 +706,7 @@
 	s := newScript(t, testSettings(), makeServers(4)...)
 	for i := range 4000 {
 		s.now += 20
-		s.admit(1, Submit{Plan: i % 3, Customer: uint64(1000 + i), Spread: 2})
+		s.admit(1, Submit{Plan: i % 3, Account: uint64(1000 + i), Spread: 2})
 		m := peerMsg{mark: 7, seq: uint64(i + 1), ageMs: uint64(s.now), entries: []peerEntry{
 			{account: uint64(100000 + i), plan: uint64(i % 3), spread: 2, spent: 8, newlySpent: 8}}}
 		data, _ := m.encode()
@@ -737,7 +737,7 @@
 // here is not charged with all that a peer has ever admitted.
 func TestBoundsPeerMessages(t *testing.T) {
 	s := newScript(t, testSettings(), makeServers(4)...)
-	s.admit(1, Submit{Customer: 5, Spread: 2})
+	s.admit(1, Submit{Account: 5, Spread: 2})
 	send := func(e peerEntry, seq uint64, flags byte) {
 		m := peerMsg{mark: 7, seq: seq, flags: flags, entries: []peerEntry{e}}
 		data, _ := m.encode()
@@ -745,7 +745,7 @@
 	}
 	send(peerEntry{account: 5, spread: 2, spent: 1 << 40, newlySpent: 1 << 40}, 1, 0)
 	s.now += 6500 // a little more than three bursts of 20 at 10 per second
-	if got := s.admit(1, Submit{Customer: 5, Spread: 2}); got != 1 {
+	if got := s.admit(1, Submit{Account: 5, Spread: 2}); got != 1 {
 		t.Error("locked out for longer than the limiters' bursts take to refill")
 	}
 	send(peerEntry{account: 5, level: 1 << 40, margin: 1 << 40}, 2, flagLevelUpdate)
--- a/limiter/memory_test.go
+++ b/limiter/memory_test.go
@@ -15,7 +15,7 @@
 	for i := range 400 {
 		h.now += 5
 		id := fmt.Sprint("r", i)
-		h.submit(id, Submit{Units: 1, Customer: 1, Pool: 7, Class: i % 2})
+		h.submit(id, Submit{Units: 1, Account: 1, Pool: 7, Class: i % 2})
 		for h.results[id] == "" && len(h.sent[id]) > 0 {
 			try := len(h.sent[id]) - 1
 			server := h.sent[id][try]
@@ -61,7 +61,7 @@
 	}
 	for i := range 30 {
 		id := fmt.Sprint("n", i)
-		next.submit(id, Submit{Units: 1, Customer: 1, Pool: 7, Class: 1})
+		next.submit(id, Submit{Units: 1, Account: 1, Pool: 7, Class: 1})
 		if s := next.sent[id]; len(s) != 1 || s[0] != 3 && s[0] != 1 {
 			t.Fatalf("sent to %v although 2 fails this class and 4 is down", s)
 		}
@@ -133,7 +133,7 @@
 				h.handle(Probed{Server: id + 1, Result: Pass})
 			}
 			id := fmt.Sprint("r", i)
-			h.submit(id, Submit{Units: 1, Customer: uint64(i), Pool: 1})
+			h.submit(id, Submit{Units: 1, Account: uint64(i), Pool: 1})
 			if len(h.sent[id]) > 0 {
 				h.outcome(id, Pass)
 			}
@@ -171,7 +171,7 @@
 func (h *harness) countPassed(account uint64, plan int) (n int) {
 	for i := range 60 {
 		id := fmt.Sprint("p", account, "-", i, "-", h.now)
-		h.submit(id, Submit{Units: 1, Customer: account, Plan: plan})
+		h.submit(id, Submit{Units: 1, Account: account, Plan: plan})
 		if len(h.sent[id]) > 0 {
 			h.outcome(id, Pass)
 			n++
--- a/limiter/parts_test.go
+++ b/limiter/parts_test.go
@@ -7,7 +7,7 @@
 
 // passUntilRefused submits one-unit requests to a limiter until it refuses one, and returns the units admitted.
 func passUntilRefused(c *cluster, i int, spread int) (units int) {
-	for units < 1000 && c.submit(i, Submit{Customer: 7, Spread: spread}) {
+	for units < 1000 && c.submit(i, Submit{Account: 7, Spread: spread}) {
 		units++
 	}
 	return units
