--- a/limiter/pool_test.go
+++ b/limiter/pool_test.go
@@ -72,7 +72,7 @@
 		h.now += 200
 		pool := []uint64{7, 9}[i%2]
 		id := fmt.Sprint("r", i)
-		h.submit(id, Submit{Units: 1, Customer: uint64(i % 8), Pool: pool})
+		h.submit(id, Submit{Units: 1, Account: uint64(i % 8), Pool: pool})
 		for k, result := range []Result{NoRoom, Pass}[min(1, i%6):] {
 			if len(h.sent[id]) <= k {
 				t.Fatalf("request %d was not sent again: %v", i, h.results[id])
@@ -85,7 +85,7 @@
 			}
 		}
 	}
-	h.submit("nowhere", Submit{Units: 1, Customer: 50, Pool: 11})
+	h.submit("nowhere", Submit{Units: 1, Account: 50, Pool: 11})
 	if h.results["nowhere"] != "refused" || len(h.sent["nowhere"]) > 0 {
 		t.Errorf("a pool without servers: %v, sent to %v", h.results["nowhere"], h.sent["nowhere"])
 	}
@@ -96,7 +96,7 @@
 	h := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7}, ServerInfo{ID: 2, Pool: 9})
 	for i := range 40 { // pool 7 is slow and full
 		h.now += 100
-		h.submit(fmt.Sprint("s", i), Submit{Units: 1, Customer: uint64(i), Pool: 7})
+		h.submit(fmt.Sprint("s", i), Submit{Units: 1, Account: uint64(i), Pool: 7})
 		if i%4 == 3 {
 			h.handle(Outcome{ID: fmt.Sprint("s", i-3), Server: 1, Result: Pass, SpentMs: 400, Done: true, Load: Load{-1, -1, -1}})
 		}
@@ -105,7 +105,7 @@
 	for i := range 10 {
 		h.now += 100
 		id := fmt.Sprint("f", i)
-		if h.submit(id, Submit{Units: 1, Customer: 100 + uint64(i), Pool: 9}); len(h.sent[id]) == 0 {
+		if h.submit(id, Submit{Units: 1, Account: 100 + uint64(i), Pool: 9}); len(h.sent[id]) == 0 {
 			refused++
 			continue
 		}
@@ -119,7 +119,7 @@
 // A server that moves to another pool takes its attempts in flight along, and an empty pool is dropped.
 func TestPoolsMove(t *testing.T) {
 	h := newHarness(t, poolSettings(), ServerInfo{ID: 1, Pool: 7}, ServerInfo{ID: 2, Pool: 9})
-	h.submit("a", Submit{Units: 1, Customer: 1, Pool: 7})
+	h.submit("a", Submit{Units: 1, Account: 1, Pool: 7})
 	h.handle(Endpoints{Scope: Complete, Servers: []ServerInfo{{ID: 1, Pool: 9}, {ID: 2, Pool: 9}}})
 	if h.l.pools[7] != nil || h.l.poolOf(9).inflight != 1 || len(h.l.poolOf(9).servers) != 2 {
 		t.Errorf("pool 7 %v, pool 9 %+v", h.l.pools[7], h.l.poolOf(9))
@@ -134,7 +134,7 @@
 func TestAttemptsOfARoute(t *testing.T) {
 	for _, c := range []struct{ bound, want int }{{1, 1}, {2, 2}, {0, 3}, {9, 3}} {
 		h := newHarness(t, poolSettings(), ServerInfo{ID: 1}, ServerInfo{ID: 2}, ServerInfo{ID: 3}, ServerInfo{ID: 4})
-		h.submit("a", Submit{Units: 1, Customer: 1, Attempts: c.bound})
+		h.submit("a", Submit{Units: 1, Account: 1, Attempts: c.bound})
 		for h.results["a"] == "" {
 			h.outcome("a", NoRoom)
 		}
@@ -150,7 +150,7 @@
 	spent := func(h *harness, plan int, id string) (n int) { // counts one-unit requests until one is refused
 		for ; ; n++ {
 			x := fmt.Sprint(id, n)
-			if h.submit(x, Submit{Units: 1, Customer: account, Plan: plan}); h.results[x] == "refused" {
+			if h.submit(x, Submit{Units: 1, Account: account, Plan: plan}); h.results[x] == "refused" {
 				return n
 			}
 			h.outcome(x, Pass)
@@ -175,7 +175,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, poolSettings(), ServerInfo{ID: 1}, ServerInfo{ID: 2})
 			h.now += 60_000 // long enough for a full burst
-			h.submit("first", Submit{Units: 0, Customer: account})
+			h.submit("first", Submit{Units: 0, Account: account})
 			h.outcome("first", Pass)
 			if c.before > 0 {
 				if n := spent(h, 0, "before"); n != c.before {
@@ -198,14 +198,14 @@
 	h.now += 60_000
 	s := poolSettings()
 	s.Plans[1].Rate, s.Plans[1].Burst, s.Plans[1].CeilingRate, s.Plans[1].CeilingBurst = 50, 100, 3, 6
-	h.handle(Submit{ID: "first", ExpiresMs: 900, Customer: 5, Plan: 1, Spread: 1})
+	h.handle(Submit{ID: "first", ExpiresMs: 900, Account: 5, Plan: 1, Spread: 1})
 	h.outcome("first", Pass)
 	h.handle(Reconfigure{Settings: s, Classes: []int{0, 1, 2}, Plans: []int{0, 1}})
 	passed, start := 0.0, h.now
 	for i := 0; h.now < start+20_000; i++ {
 		h.now += 20
 		id := fmt.Sprint("r", i)
-		if h.submit(id, Submit{Units: 1, Customer: 5, Plan: 1}); len(h.sent[id]) > 0 {
+		if h.submit(id, Submit{Units: 1, Account: 5, Plan: 1}); len(h.sent[id]) > 0 {
 			h.outcome(id, Pass)
 			passed++
 		}
@@ -218,12 +218,12 @@
 // A pending request keeps its class when the class is removed, and is only retried if that class allows it.
 func TestReconfigureClassInHand(t *testing.T) {
 	h := newHarness(t, poolSettings(), ServerInfo{ID: 1}, ServerInfo{ID: 2}, ServerInfo{ID: 3})
-	h.submit("safe", Submit{Units: 1, Customer: 1, Class: 0})
-	h.submit("unsafe", Submit{Units: 1, Customer: 2, Class: 2})
+	h.submit("safe", Submit{Units: 1, Account: 1, Class: 0})
+	h.submit("unsafe", Submit{Units: 1, Account: 2, Class: 2})
 	s := poolSettings()
 	s.Classes = s.Classes[1:2]
 	h.handle(Reconfigure{Settings: s, Classes: []int{-1, 0, -1}, Plans: []int{0, 1}})
-	h.submit("keyed", Submit{Units: 1, Customer: 3, Class: 0})
+	h.submit("keyed", Submit{Units: 1, Account: 3, Class: 0})
 	for _, id := range []string{"safe", "unsafe", "keyed"} {
 		h.outcome(id, Cut)
 	}
@@ -232,7 +232,7 @@
 	}
 	h.outcome("safe", Pass)
 	h.outcome("keyed", Pass)
-	if h.submit("gone", Submit{Units: 1, Customer: 1, Class: 0}); len(h.l.requests) != 1 {
+	if h.submit("gone", Submit{Units: 1, Account: 1, Class: 0}); len(h.l.requests) != 1 {
 		t.Errorf("%d pending requests", len(h.l.requests))
 	}
 	for range 3 { // classes that are no longer used are removed
@@ -247,7 +247,7 @@
 func TestReconfigureOften(t *testing.T) {
 	h := newHarness(t, poolSettings(), ServerInfo{ID: 1}, ServerInfo{ID: 2})
 	h.now += 60_000
-	h.submit("a", Submit{Units: 7, Customer: 5})
+	h.submit("a", Submit{Units: 7, Account: 5})
 	for i := range 1000 {
 		s := poolSettings()
 		if i%2 == 0 {
@@ -284,7 +284,7 @@
 		h.now += 20
 		h.handle(Alarm{Handle: "tick"})
 		id := fmt.Sprint("w", h.now)
-		h.submit(id, Submit{Units: 1, Customer: 1, Pool: 7})
+		h.submit(id, Submit{Units: 1, Account: 1, Pool: 7})
 		for h.results[id] == "" && len(h.sent[id]) > 0 {
 			server := h.sent[id][len(h.sent[id])-1]
 			r := result(server)
@@ -353,7 +353,7 @@
 	for i := range 600 { // without answers the first tier is soon at its capacity
 		h.now += 2
 		id := fmt.Sprint("s", i)
-		h.submit(id, Submit{Units: 1, Customer: 1, Pool: 7})
+		h.submit(id, Submit{Units: 1, Account: 1, Pool: 7})
 		switch {
 		case h.results[id] == "refused":
 			if refused++; h.waitMs[id] <= 0 {
@@ -412,7 +412,7 @@
 		if i%4 > 0 {
 			plan = 0
 		}
-		if h.submit(id, Submit{Units: 1, Customer: 5, Plan: plan}); len(h.sent[id]) > 0 {
+		if h.submit(id, Submit{Units: 1, Account: 5, Plan: plan}); len(h.sent[id]) > 0 {
 			h.outcome(id, Pass)
 			passed++
 		}
@@ -440,7 +440,7 @@
 		}
 		h.sendThroughTiers(100, firstTierDown)
 		id := "repeat"
-		h.submit(id, Submit{Units: 1, Customer: 1, Pool: 7, Class: c.class})
+		h.submit(id, Submit{Units: 1, Account: 1, Pool: 7, Class: c.class})
 		if len(h.sent[id]) != 1 || h.sent[id][0] <= 3 {
 			t.Fatalf("%s: sent to %v", name, h.sent[id])
 		}
@@ -504,7 +504,7 @@
 	for i := range 200 {
 		h.now += 100
 		id := fmt.Sprint("hurried", i)
-		h.handle(Submit{ID: id, Spread: 1, Units: 1, Customer: 1, Pool: 7, ExpiresMs: 15})
+		h.handle(Submit{ID: id, Spread: 1, Units: 1, Account: 1, Pool: 7, ExpiresMs: 15})
 		if len(h.sent[id]) > 0 && h.results[id] == "" {
 			h.outcome(id, TooSlow)
 		}
--- a/limiter/progress.go
+++ b/limiter/progress.go
@@ -11,7 +11,7 @@
 	if extension := now + e.LeftMs - req.deadlineAt; extension > 0 {
 		req.deadlineAt, req.aimAt = req.deadlineAt+extension, req.aimAt+extension
 	}
-	if e.Spent {
+	if e.BodyReleased {
 		req.maxAttempts = len(req.attempts)
 	}
 }
--- a/limiter/progress_test.go
+++ b/limiter/progress_test.go
@@ -29,7 +29,7 @@
 				t.Fatalf("at %v the server counts as stalled", now)
 			}
 		}
-		l.Handle(5000, Progress{ID: "r", LeftMs: 400, Spent: spent})
+		l.Handle(5000, Progress{ID: "r", LeftMs: 400, BodyReleased: spent})
 		again := false
 		for _, a := range l.Handle(5010, Outcome{ID: "r", Server: at.Server, Result: NoRoute, Load: Load{-1, -1, -1}}) {
 			_, ok := a.(PassOn)
--- a/limiter/property_test.go
+++ b/limiter/property_test.go
@@ -213,9 +213,9 @@
 	if c.cfg.Plans[s.Plan].CeilingRate == 0 {
 		return
 	}
-	left := &c.ceilingLeft[s.Customer]
+	left := &c.ceilingLeft[s.Account]
 	if *left -= s.Units; *left < -1e-6 {
-		c.t.Fatalf("the ceiling of account %d is exceeded by %g", s.Customer, -*left)
+		c.t.Fatalf("the ceiling of account %d is exceeded by %g", s.Account, -*left)
 	}
 }
 
@@ -289,7 +289,7 @@
 		c.ids++
 		plan := c.rng.IntN(len(c.cfg.Plans))
 		s := Submit{ID: fmt.Sprint("q", c.ids), ExpiresMs: 50 + 1950*c.rng.Float64(), Units: float64(1 + c.rng.IntN(4)),
-			Class: c.rng.IntN(len(c.cfg.Classes)), Plan: plan, Customer: uint64(plan + len(c.cfg.Plans)*c.rng.IntN(4)),
+			Class: c.rng.IntN(len(c.cfg.Classes)), Plan: plan, Account: uint64(plan + len(c.cfg.Plans)*c.rng.IntN(4)),
 			Spread: randomRunLimiters}
 		if c.advised {
 			s.Advice = randomAdvice(c.rng)
@@ -415,7 +415,7 @@
 		for n := range 3000 {
 			now := float64(n * 3)
 			out += fmt.Sprint(l.Handle(now, Submit{ID: fmt.Sprint(n), ExpiresMs: 900, Units: 1, Plan: rng.IntN(4),
-				Class: rng.IntN(4), Customer: uint64(rng.IntN(30)), Spread: 2}))
+				Class: rng.IntN(4), Account: uint64(rng.IntN(30)), Spread: 2}))
 			out += fmt.Sprint(l.Handle(now, Outcome{ID: fmt.Sprint(rng.IntN(n + 1)), Result: Result(rng.IntN(8)), SpentMs: 30}))
 			out += fmt.Sprint(l.Handle(now, Alarm{Handle: "tick"}), l.Handle(now, Probed{Server: 3, Result: TooSlow}))
 		}
@@ -470,7 +470,7 @@
 			switch k % 9 {
 			case 0, 1:
 				l.Handle(now, Submit{ID: id, ExpiresMs: float64(x * 10), Units: float64(x), Class: y % 5, Plan: int(z) % 5,
-					Customer: uint64(y), Spread: x, First: x, Advice: Advice{Refuse: z%7 == 0, WaitMs: float64(x), Factor: float64(int8(z)), Prefer: x, Avoid: uint32(y)}})
+					Account: uint64(y), Spread: x, First: x, Advice: Advice{Refuse: z%7 == 0, WaitMs: float64(x), Factor: float64(int8(z)), Prefer: x, Avoid: uint32(y)}})
 			case 2, 3:
 				l.Handle(now, Outcome{ID: id, Try: x % 4, Server: uint64(y), Result: Result(z % 9), SpentMs: float64(x), Done: y%2 == 0})
 			case 4:
--- a/limiter/reason.go
+++ b/limiter/reason.go
@@ -41,37 +41,37 @@
 }
 
 // Regard is a limiter's view of whether a server can be used.
-type Regard int
+type Availability int
 
 // The views of a server.
 const (
-	Usable    Regard = iota
-	Unlisted         // it is not listed, draining or removed
-	TakenDown        // connections or probes fail
-	TakenIll         // it is ejected for the class
-	Silent           // it has owed answers for too long
-	Full             // it has just refused requests for overload
-	TooCold          // it warms up, and this limiter's part of its capacity is used up
+	Usable       Availability = iota
+	Unlisted                  // it is not listed, draining or removed
+	MarkedDown                // connections or probes fail
+	Ejected                   // it is ejected for the class
+	Unresponsive              // it has owed answers for too long
+	Full                      // it has just refused requests for overload
+	WarmingUp                 // it warms up, and this limiter's part of its capacity is used up
 )
 
 // Regards returns whether a server can be used for requests of a class, and why not. It changes no state.
-func (l *Limiter) Regards(now float64, id uint64, class int) Regard {
+func (l *Limiter) Regards(now float64, id uint64, class int) Availability {
 	srv := l.serversByID[id]
 	switch {
 	case srv == nil || srv.info.Phase != Up:
 		return Unlisted
 	case srv.down:
-		return TakenDown
+		return MarkedDown
 	case now < srv.ejections[class].until:
-		return TakenIll
+		return Ejected
 	case now < srv.fullUntil:
 		return Full
 	case l.warmth(now, srv) < 1 && srv.coldCredit < 1:
-		return TooCold
+		return WarmingUp
 	}
 	serverCopy, poolCopy := *srv, *srv.pool
 	if serverCopy.pool = &poolCopy; l.stalled(now, &serverCopy) { // on copies, as stalled decays averages
-		return Silent
+		return Unresponsive
 	}
 	return Usable
 }
--- a/limiter/reason_test.go
+++ b/limiter/reason_test.go
@@ -16,15 +16,15 @@
 	for _, c := range []struct {
 		server uint64
 		class  int
-		want   Regard
-	}{{1, 0, Full}, {2, 0, Usable}, {2, 1, TakenIll}, {3, 1, Usable}, {4, 0, TakenDown}, {5, 0, TooCold}, {6, 0, Unlisted}, {9, 0, Unlisted}} {
+		want   Availability
+	}{{1, 0, Full}, {2, 0, Usable}, {2, 1, Ejected}, {3, 1, Usable}, {4, 0, MarkedDown}, {5, 0, WarmingUp}, {6, 0, Unlisted}, {9, 0, Unlisted}} {
 		if got := h.l.Regards(h.now, c.server, c.class); got != c.want {
 			t.Errorf("server %d, class %d: %v, want %v", c.server, c.class, got, c.want)
 		}
 	}
 	s := h.l.serversByID[3]
 	s.inflight, s.silentSince = 1, h.now-1e6
-	if got := h.l.Regards(h.now, 3, 0); got != Silent {
+	if got := h.l.Regards(h.now, 3, 0); got != Unresponsive {
 		t.Errorf("a server that has owed an answer for long: %v", got)
 	}
 	s.inflight = 0
@@ -48,7 +48,7 @@
 func TestReasons(t *testing.T) {
 	s := poolSettings()
 	h := newHarness(t, s, ServerInfo{ID: 1})
-	ask := Submit{ID: "a", ExpiresMs: 900, Units: 1, Customer: 1, Plan: 1}
+	ask := Submit{ID: "a", ExpiresMs: 900, Units: 1, Account: 1, Plan: 1}
 	if got := h.refusalReason(ask); got != CeilingShort { // a limiter that starts has none of the ceiling
 		t.Errorf("at the start: %v", got)
 	}
@@ -65,7 +65,7 @@
 		"nothing short":          {func(e *Submit) {}, -1},
 	} {
 		e := ask
-		e.ID, e.Plan, e.Customer = name, 0, 2
+		e.ID, e.Plan, e.Account = name, 0, 2
 		c.change(&e)
 		if got := h.refusalReason(e); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
@@ -78,7 +78,7 @@
 func TestViewsChangeNothing(t *testing.T) {
 	h := newHarness(t, poolSettings(), ServerInfo{ID: 1})
 	h.now += 60_000
-	if refusalReason := h.refusalReason(Submit{ID: "a", ExpiresMs: 900, Units: 1, Customer: 2}); refusalReason != -1 {
+	if refusalReason := h.refusalReason(Submit{ID: "a", ExpiresMs: 900, Units: 1, Account: 2}); refusalReason != -1 {
 		t.Fatalf("refused: %v", refusalReason)
 	}
 	s := h.l.serversByID[1]
--- a/limiter/requests.go
+++ b/limiter/requests.go
@@ -33,7 +33,7 @@
 
 // ask answers for a request that another component carries.
 func (l *Limiter) ask(now float64, e Ask) {
-	e.Leased, e.Vouched = 0, false
+	e.Leased, e.QuotaChecked = 0, false
 	if req, srv := l.admit(now, e.Submit); srv != nil {
 		l.spend(now, req.account, req.units)
 		if e.Lease {
@@ -49,7 +49,7 @@
 		l.emit(Refuse{ID: e.ID})
 		return nil, nil
 	}
-	acct := l.accountOf(now, e.Customer, e.Plan, e.Spread)
+	acct := l.accountOf(now, e.Account, e.Plan, e.Spread)
 	if acct.spread == 0 {
 		l.setLimiters(now, acct, e.Spread, e.First)
 	}
@@ -69,7 +69,7 @@
 	aim := l.remainingAim(e)
 	waitMs, ok := 0.0, true
 	if e.Leased == 0 {
-		waitMs, ok = l.checkQuota(acct, units, e.Vouched)
+		waitMs, ok = l.checkQuota(acct, units, e.QuotaChecked)
 	}
 	if e.Advice.Refuse {
 		waitMs, ok = max(waitMs, e.Advice.WaitMs), false
--- a/limiter/reserve_test.go
+++ b/limiter/reserve_test.go
@@ -68,7 +68,7 @@
 			id := uint64(1 + r.IntN(6))
 			for k := range 1 + r.IntN(8) {
 				name := fmt.Sprint(step, "-", k)
-				h.submit(name, Submit{Units: 1, Customer: id, Plan: 1})
+				h.submit(name, Submit{Units: 1, Account: id, Plan: 1})
 				if len(h.sent[name]) > 0 {
 					h.outcome(name, Pass)
 					ceilings.spend(h.now, id, settings.Plans[1], 1)
@@ -108,7 +108,7 @@
 					h.now += r.Float64() * 30
 					name := fmt.Sprint(step, "between", h.now)
 					id := uint64(1 + r.IntN(6))
-					if h.submit(name, Submit{Units: 1, Customer: id, Plan: 1}); len(h.sent[name]) > 0 {
+					if h.submit(name, Submit{Units: 1, Account: id, Plan: 1}); len(h.sent[name]) > 0 {
 						h.outcome(name, Pass)
 						ceilings.spend(h.now, id, settings.Plans[1], 1)
 						passed++
--- a/limiter/scale_test.go
+++ b/limiter/scale_test.go
@@ -84,7 +84,7 @@
 	passed, rng := 0, rand.New(rand.NewPCG(1, 1))
 	for range 200 { // ten seconds at 40 units per second, with a quota of 10
 		for range 2 {
-			if c.submit(rng.IntN(n), Submit{Customer: 5, Spread: n}) {
+			if c.submit(rng.IntN(n), Submit{Account: 5, Spread: n}) {
 				passed++
 			}
 		}
@@ -103,12 +103,12 @@
 	c := newCluster(t, cfg, n, makeServers(4))
 	gone := -1
 	c.dropMessage = func(from, to int) bool { return from == gone || to == gone }
-	c.submit(0, Submit{Customer: 5, Spread: n})
+	c.submit(0, Submit{Account: 5, Spread: n})
 	gone = c.limiters[0].accounts[5].recipients[0]
 	c.runTicks(6000)
 	passed := 0
 	for k := range 200 {
-		if i := k % n; i != gone && c.submit(i, Submit{Customer: 5, Spread: n}) {
+		if i := k % n; i != gone && c.submit(i, Submit{Account: 5, Spread: n}) {
 			passed++
 		}
 		c.runTicks(tickMs)
@@ -124,7 +124,7 @@
 	cfg.Balancers = 40
 	s := newScript(t, cfg, makeServers(4)...)
 	s.now += 6000
-	s.submit(Submit{Customer: 5, Spread: 40})
+	s.submit(Submit{Account: 5, Spread: 40})
 	c := s.l.accounts[5]
 	levelUpdate := func(from int, level float64) PeerMessage {
 		m := peerMsg{flags: flagLevelUpdate, entries: []peerEntry{{account: 5, level: int64(level * unitScale)}}}
@@ -162,7 +162,7 @@
 		rng := rand.New(rand.NewPCG(2, 2))
 		for range 2000 { // ten seconds at 200 requests per second over all limiters
 			i := rng.IntN(n)
-			c.submit(i, Submit{Plan: 3, Customer: rng.Uint64N(99), Spread: n})
+			c.submit(i, Submit{Plan: 3, Account: rng.Uint64N(99), Spread: n})
 			l := c.limiters[i] // uses all its credit, as if the cold server were always the best choice
 			for s := l.serversByID[1]; l.allowsCold(c.now, s); s.coldCredit-- {
 				c.sent[1]++
@@ -189,7 +189,7 @@
 		cfg.Caps.Peers = false
 		c := newCluster(t, cfg, n, []ServerInfo{{ID: 1, ReadyAt: 1e6}})
 		for k := range 2000 {
-			c.submit(k%n, Submit{Plan: 3, Customer: uint64(k), Spread: n})
+			c.submit(k%n, Submit{Plan: 3, Account: uint64(k), Spread: n})
 			c.now += 0.5
 		}
 		if c.sent[1] == 0 || c.sent[1] > 40 {
@@ -213,7 +213,7 @@
 		c.now++
 		store = min(900, store+0.4)
 		i := rng.IntN(n)
-		if c.submit(i, Submit{Plan: 1, Customer: 1, Spread: n}) {
+		if c.submit(i, Submit{Plan: 1, Account: 1, Spread: n}) {
 			store--
 		}
 		if store < 0 {
@@ -359,7 +359,7 @@
 	cfg := testSettings()
 	cfg.Balancers = 470
 	s := newScript(t, cfg, makeServers(4)...)
-	s.submit(Submit{Customer: 5, Spread: 200})
+	s.submit(Submit{Account: 5, Spread: 200})
 	s.handle(Alarm{Handle: "tick"})
 	if n := len(s.l.accounts[5].peerViews); n > aggregators {
 		t.Errorf("an account with 200 limiters has %d peer records, want %d", n, aggregators)
@@ -378,7 +378,7 @@
 	for k := range b.N {
 		now := 10000 + float64(k)*300
 		id := fmt.Sprint(k)
-		for _, a := range l.Handle(now, Submit{ID: id, ExpiresMs: 900, Units: 1, Customer: uint64(k % 300), Spread: 100}) {
+		for _, a := range l.Handle(now, Submit{ID: id, ExpiresMs: 900, Units: 1, Account: uint64(k % 300), Spread: 100}) {
 			if p, ok := a.(PassOn); ok {
 				l.Handle(now+20, Outcome{ID: id, Server: p.Server, Result: Pass, SpentMs: 20, Done: true})
 				break
@@ -414,7 +414,7 @@
 				l.Handle(1, Endpoints{Scope: Complete, Servers: makeServers(12)})
 				l.Reserve(1500)
 				for i := range n {
-					l.Handle(1, Submit{ID: fmt.Sprint(i), ExpiresMs: 900, Units: 1, Customer: uint64(i), Spread: 1})
+					l.Handle(1, Submit{ID: fmt.Sprint(i), ExpiresMs: 900, Units: 1, Account: uint64(i), Spread: 1})
 				}
 				var parts []time.Duration
 				held := func(f func()) { // measures how long the limiter is blocked by one call
@@ -451,7 +451,7 @@
 	const n, perS, seconds = 85, 460, 40
 	cfg := testSettings()
 	cfg.PeerInPerS = 3
-	cfg.IllMostMs = 16_000
+	cfg.MaxEjectionMs = 16_000
 	cfg.Classes = []Class{{Repeat: Unsafe, AimMs: 2400, DeadlineMs: 1, Worth: 2}}
 	cfg.Plans = []Plan{{Price: 1}}
 	for seed := range uint64(3) {
@@ -479,11 +479,11 @@
 		for k := range seconds * 20 {
 			for range perS / 20 {
 				receiver := rng.IntN(n)
-				c.submit(receiver, Submit{Customer: 5, Spread: n})
+				c.submit(receiver, Submit{Account: 5, Spread: n})
 				for _, server := range failed {
 					for i := receiver % 3; i < n; i += 3 {
 						if i != receiver {
-							c.event(i, Sighting{server, 0})
+							c.event(i, PeerFailure{server, 0})
 						}
 					}
 				}
@@ -496,7 +496,7 @@
 			ejecting := 0
 			for _, l := range c.limiters {
 				for _, s := range servers {
-					switch ejected := l.Regards(c.now, s.ID, 0) == TakenIll; {
+					switch ejected := l.Regards(c.now, s.ID, 0) == Ejected; {
 					case s.ID == grey && ejected:
 						ejecting++
 					case s.ID != grey:
@@ -533,11 +533,11 @@
 		}
 		id := makeServers(4)[1].ID
 		for range 4 {
-			s.handle(Sighting{id, 0})
+			s.handle(PeerFailure{id, 0})
 		}
-		s.handle(Sighting{12345, 0})
-		s.handle(Sighting{id, 99})
-		if off := s.l.Regards(s.now, id, 0) == TakenIll; off == short {
+		s.handle(PeerFailure{12345, 0})
+		s.handle(PeerFailure{id, 99})
+		if off := s.l.Regards(s.now, id, 0) == Ejected; off == short {
 			t.Errorf("lack of servers: %v; the server is ejected: %v", short, off)
 		}
 	}
--- a/limiter/servers.go
+++ b/limiter/servers.go
@@ -9,7 +9,7 @@
 
 func (l *Limiter) endpoints(now float64, e Endpoints) {
 	if e.Scope == Failed {
-		if l.cfg.AskMembers {
+		if l.cfg.SubscribeServers {
 			l.emit(Timer{At: now + 1000 + 1000*l.rng.Float64(), Handle: "ask"})
 		}
 		return
@@ -53,7 +53,7 @@
 }
 
 // occupied stores how many requests servers have from elsewhere.
-func (l *Limiter) occupied(e Occupied) {
+func (l *Limiter) occupied(e Occupancies) {
 	for _, occupancy := range e.Servers {
 		if srv := l.serversByID[occupancy.Server]; srv != nil {
 			srv.othersInflight, srv.slots = max(0, occupancy.Others), max(0, occupancy.Slots)
--- a/limiter/spending_test.go
+++ b/limiter/spending_test.go
@@ -22,7 +22,7 @@
 		cut = k >= from && k < to
 		for due += 28 * share * tickMs / 1000; due >= 1; due-- {
 			turn++
-			passed := c.submit(turn%n, Submit{Customer: 7, Spread: n})
+			passed := c.submit(turn%n, Submit{Account: 7, Spread: n})
 			if k >= to {
 				asked++
 				refused += btoi(!passed)
@@ -64,11 +64,11 @@
 	cfg.Plans = []Plan{{Rate: 28, Burst: 70, Price: 1}}
 	c := newCluster(t, cfg, 3, makeServers(4))
 	c.runTicks(3000)
-	c.submit(0, Submit{Customer: 7, Spread: 3})
-	c.submit(1, Submit{Customer: 7, Spread: 3})
+	c.submit(0, Submit{Account: 7, Spread: 3})
+	c.submit(1, Submit{Account: 7, Spread: 3})
 	c.runTicks(12000) // 336 units of refill are discarded
 	for range 50 {
-		c.submit(0, Submit{Customer: 7, Spread: 3})
+		c.submit(0, Submit{Account: 7, Spread: 3})
 	}
 	c.runTicks(tickMs)
 	if b := c.limiters[1].accounts[7].balance; b > 25 {
--- a/limiter/vast_test.go
+++ b/limiter/vast_test.go
@@ -34,7 +34,7 @@
 			l.pools[0].typicalMs[k], l.pools[0].answers[k] = 500, minAnswersForTier
 		}
 		for k := range 20 {
-			for _, a := range l.Handle(c.now, Submit{ID: fmt.Sprint(k), ExpiresMs: 1500, Plan: 3, Units: 1, Customer: uint64(i)}) {
+			for _, a := range l.Handle(c.now, Submit{ID: fmt.Sprint(k), ExpiresMs: 1500, Plan: 3, Units: 1, Account: uint64(i)}) {
 				if _, ok := a.(PassOn); ok {
 					inflight++
 				}
@@ -60,7 +60,7 @@
 				c.event(i, Alarm{Handle: "tick"})
 			}
 		}
-		c.submit(rng.IntN(len(c.limiters)), Submit{Plan: 3, Customer: rng.Uint64N(500), Spread: 1})
+		c.submit(rng.IntN(len(c.limiters)), Submit{Plan: 3, Account: rng.Uint64N(500), Spread: 1})
 	}
 	return c.sent
 }
--- a/limiter/view.go
+++ b/limiter/view.go
@@ -33,7 +33,7 @@
 			v.Cold++
 		}
 		for class := range l.cfg.Classes {
-			if regard := l.Regards(now, srv.info.ID, class); regard != Usable && regard != TooCold {
+			if regard := l.Regards(now, srv.info.ID, class); regard != Usable && regard != WarmingUp {
 				v.Off++
 				break
 			}
--- a/traffic/allowance/allowance.go
+++ b/traffic/allowance/allowance.go
@@ -73,7 +73,7 @@
 // PlaceSets returns the places of limiters by slot, for each set in the table that some limiter may still
 // be using, newest last. region returns the region of a zone.
 func PlaceSets(t places.Table, region func(zone string) string) (all [][]Place) {
-	for _, set := range t.Sets() {
+	for _, set := range t.SetsInUse() {
 		members := make([]Place, len(t.Places))
 		for _, slot := range set {
 			p := &t.Places[slot]
