--- a/plugin/asm_test.go
+++ b/plugin/asm_test.go
@@ -2,10 +2,10 @@
 
 import "example.org/madderdrum/plugin/plugintest"
 
-// Short names for modules that are put together by hand.
+// Short names for the hand-assembled modules of package plugintest.
 type (
-	asm      = plugintest.Module
-	imported = plugintest.Import
+	testModule = plugintest.Module
+	testImport = plugintest.Import
 )
 
 const (
@@ -15,13 +15,13 @@
 )
 
 var (
-	join     = plugintest.Join
-	forever  = plugintest.Forever
-	constI32 = plugintest.ConstI32
-	constF64 = plugintest.ConstF64
-	call     = plugintest.Call
-	says     = plugintest.Says
-	trap     = plugintest.Trap
-	drop     = plugintest.Drop
-	none     = plugintest.None
+	join         = plugintest.Join
+	forever      = plugintest.Forever
+	constI32     = plugintest.ConstI32
+	constF64     = plugintest.ConstF64
+	call         = plugintest.Call
+	returnAdvice = plugintest.Says
+	trap         = plugintest.Trap
+	drop         = plugintest.Drop
+	noOpinion    = plugintest.None
 )
--- a/plugin/breaker.go
+++ b/plugin/breaker.go
@@ -2,90 +2,91 @@
 
 import "time"
 
-// Breaker benches a plug-in that fails. After a fault it lets one call through at a time,
-// after faults in a row none for a pause, then one trial, and a longer pause if that fails
-// too. It does no I/O and reads no clock; times are handed in and do not go back. It is not
-// safe for concurrent use.
+// Breaker is a circuit breaker that benches (stops calling) a failing plug-in. After a fault
+// it allows one call at a time. After benchAfterFaults consecutive faults it allows none until
+// a pause has passed, then a single trial call; each failed trial doubles the pause. It does no
+// I/O and reads no clock: callers pass non-decreasing times. It is not safe for concurrent use.
 type Breaker struct {
-	faults  int
-	out     int // calls that were allowed and have not ended
-	pause   time.Duration
-	until   time.Duration
-	benched bool
-	trial   bool // one is out
+	consecutiveFaults int
+	inFlight          int // allowed calls that have not ended yet
+	pause             time.Duration
+	until             time.Duration
+	benched           bool
+	trialRunning      bool // a trial call is in flight
 }
 
 const (
-	benchAfter = 3
-	firstPause = time.Second
-	mostPause  = time.Minute
+	benchAfterFaults = 3
+	initialPause     = time.Second
+	maxPause         = time.Minute
 )
 
-// Verdict is whether a call may be made.
+// Verdict is the breaker's decision on whether a call may be made now.
 type Verdict int
 
-// The verdicts.
+// Verdicts of Breaker.Allow.
 const (
-	Allowed Verdict = iota
-	OnBench         // it is not asked for a while
-	InTurn          // another call has to show first that the plug-in does not fail
+	Allowed       Verdict = iota
+	DeniedBenched         // the plug-in is benched, or its trial call is still in flight
+	DeniedPending         // the last call failed and another one is in flight; its result decides first
 )
 
-// Allow tells whether a call may be made at a time. One that is allowed has to end with
-// Done or Void.
+// Allow decides whether a call may be made at the given time. The caller must finish each
+// allowed call with Done or Cancel.
 func (b *Breaker) Allow(now time.Duration) Verdict {
 	switch {
-	case b.benched && (b.trial || now < b.until):
-		return OnBench
-	case !b.benched && b.faults > 0 && b.out > 0:
-		return InTurn
+	case b.benched && (b.trialRunning || now < b.until):
+		return DeniedBenched
+	case !b.benched && b.consecutiveFaults > 0 && b.inFlight > 0:
+		return DeniedPending
 	}
-	b.trial = b.benched
-	b.out++
+	b.trialRunning = b.benched
+	b.inFlight++
 	return Allowed
 }
 
-// Done takes in how a call that was allowed ended, and tells whether the plug-in was
-// benched, or let back, by it.
+// Done records the result of an allowed call and reports whether it benched or reinstated
+// the plug-in.
 func (b *Breaker) Done(now time.Duration, ok bool) (change bool) {
-	b.out--
-	return b.ended(now, ok)
+	b.inFlight--
+	return b.recordResult(now, ok)
 }
 
-// Fault takes in a fault outside of a call, such as of a start.
-func (b *Breaker) Fault(now time.Duration) (change bool) { return b.ended(now, false) }
+// Fault records a fault outside a call, such as an instance that failed to start.
+func (b *Breaker) Fault(now time.Duration) (change bool) { return b.recordResult(now, false) }
 
-func (b *Breaker) ended(now time.Duration, ok bool) (change bool) {
+// recordResult updates the state after a success or fault; change means benched or reinstated.
+func (b *Breaker) recordResult(now time.Duration, ok bool) (change bool) {
 	switch {
-	case ok && b.benched && !b.trial: // it began before
+	case ok && b.benched && !b.trialRunning: // a call that began before the bench does not reinstate
 		return false
 	case ok:
 		change = b.benched
-		*b = Breaker{out: b.out}
+		*b = Breaker{inFlight: b.inFlight}
 		return change
-	case b.benched && !b.trial:
+	case b.benched && !b.trialRunning:
 		return false
 	case b.benched:
-		b.pause = min(mostPause, 2*b.pause)
+		b.pause = min(maxPause, 2*b.pause)
 	default:
-		if b.faults++; b.faults < benchAfter {
+		if b.consecutiveFaults++; b.consecutiveFaults < benchAfterFaults {
 			return false
 		}
-		b.benched, b.pause, change = true, firstPause, true
+		b.benched, b.pause, change = true, initialPause, true
 	}
-	b.trial, b.until = false, now+b.pause
+	b.trialRunning, b.until = false, now+b.pause
 	return change
 }
 
-// Void takes in that a call that was allowed says nothing of the plug-in: it was not made,
-// or its client left. A trial is still to come then.
-func (b *Breaker) Void() {
-	b.out--
-	b.trial = false
+// Cancel ends an allowed call without a result, because it was not made or its client
+// disconnected. If it was the trial call, the trial is still due.
+func (b *Breaker) Cancel() {
+	b.inFlight--
+	b.trialRunning = false
 }
 
-// Reset lets a plug-in back at once.
-func (b *Breaker) Reset() { *b = Breaker{out: b.out} }
+// Reset reinstates the plug-in at once and forgets its faults.
+func (b *Breaker) Reset() { *b = Breaker{inFlight: b.inFlight} }
 
-// Benched tells until when a plug-in is benched, if it is.
+// Benched reports whether the plug-in is benched, and until when.
 func (b *Breaker) Benched() (until time.Duration, benched bool) { return b.until, b.benched }
--- a/plugin/call.go
+++ b/plugin/call.go
@@ -6,50 +6,51 @@
 	"time"
 )
 
-// callContext is the context of an instance's calls, one after another. It is made once for
-// all of them: a context of the standard library's with a deadline costs four allocations a
-// call. It ends when a call has run past its time, and then for good: the instance is thrown
-// away.
+// callContext is the context for all calls of one instance, which run one at a time. It is
+// reused because a standard library context with a deadline costs four allocations per call.
+// It expires when a call exceeds its time budget and can't be reused after that; the instance
+// is then discarded.
 type callContext struct {
-	i     *instance
-	timer *time.Timer
-	done  chan struct{}
-	over  atomic.Bool
+	owner   *instance
+	timer   *time.Timer
+	done    chan struct{}
+	expired atomic.Bool
 }
 
-func (c *callContext) init(i *instance) {
-	c.i, c.done = i, make(chan struct{})
+// init creates the timer that expires the context; it is not started yet.
+func (c *callContext) init(owner *instance) {
+	c.owner, c.done = owner, make(chan struct{})
 	c.timer = time.AfterFunc(time.Hour, func() {
-		c.over.Store(true)
+		c.expired.Store(true)
 		close(c.done)
 	})
 	c.timer.Stop()
 }
 
-// begin starts the time of a call.
+// begin starts the timer of a call.
 func (c *callContext) begin(within time.Duration) { c.timer.Reset(within) }
 
-// end ends it, and tells whether it was in time.
+// end stops the timer and reports whether the call ended in time.
 func (c *callContext) end() bool { return c.timer.Stop() }
 
-// Deadline is unknown: the time is watched by the timer alone.
+// Deadline reports none: only the timer enforces the time budget.
 func (c *callContext) Deadline() (time.Time, bool) { return time.Time{}, false }
 
-// Done is closed when the call has run past its time.
+// Done returns a channel that is closed when a call exceeds its time budget.
 func (c *callContext) Done() <-chan struct{} { return c.done }
 
-// Err is context.DeadlineExceeded then.
+// Err returns context.DeadlineExceeded after a call has exceeded its time budget, else nil.
 func (c *callContext) Err() error {
-	if c.over.Load() {
+	if c.expired.Load() {
 		return context.DeadlineExceeded
 	}
 	return nil
 }
 
-// Value finds the instance, for the host functions.
+// Value returns the instance under instanceKey, so that host functions find their caller.
 func (c *callContext) Value(key any) any {
 	if key == (instanceKey{}) {
-		return c.i
+		return c.owner
 	}
 	return nil
 }
--- a/plugin/chain.go
+++ b/plugin/chain.go
@@ -8,62 +8,64 @@
 	"example.org/madderdrum/advice"
 )
 
-// Member is a plug-in in a chain, with what the operator lets it see and say.
+// Member is a plug-in of a chain, with the operator's limits on the advice it may give (Grant)
+// and the request data it may see (Sight).
 type Member struct {
 	Plugin *Plugin
 	Grant  advice.Grant
 	Sight  advice.Sight
 }
 
-// Chain are the plug-ins that a request is put to, in the operator's order.
+// Chain lists the plug-ins that advise on a request, in the operator's order.
 type Chain []Member
 
-// Advise asks each in turn, until one refuses, the client has left or the time is used up
-// that all have together; 0 is no such bound. One that failed, is benched or could not be
-// asked counts by its grant: the request goes on without it, or is refused. That a client
-// left is nobody's failure.
-func (c Chain) Advise(ctx context.Context, s *advice.Subject, within time.Duration) advice.Combined {
-	all := advice.Start()
-	begun := time.Now()
-	for place := range c {
+// Advise calls the plug-ins in turn and combines their advice. It stops when one refuses, when
+// ctx ends because the client disconnected, or when the shared time budget within is used up
+// (0: no shared budget). The grant of a plug-in that failed, is benched or is busy decides
+// whether the request continues without its advice or is refused. A disconnected client does
+// not count as a failure.
+func (c Chain) Advise(ctx context.Context, subject *advice.Subject, within time.Duration) advice.Combined {
+	combined := advice.Start()
+	start := time.Now()
+	for position := range c {
 		if ctx.Err() != nil {
-			return all
+			return combined
 		}
-		m, left := &c[place], time.Duration(0)
+		member, remaining := &c[position], time.Duration(0)
 		if within > 0 {
-			if left = within - time.Since(begun); left <= 0 {
-				if !all.Failed(place, &m.Grant, advice.OnBusy) {
-					m.Plugin.Counts.Refused.Add(1)
+			if remaining = within - time.Since(start); remaining <= 0 {
+				if !combined.Failed(position, &member.Grant, advice.OnBusy) {
+					member.Plugin.Counts.Refused.Add(1)
 					break
 				}
 				continue
 			}
 		}
-		a, err := m.Plugin.Advise(s.For(&m.Sight, m.Plugin.WantsBody()), left)
-		more := true
+		answer, err := member.Plugin.Advise(subject.For(&member.Sight, member.Plugin.WantsBody()), remaining)
+		proceed := true
 		switch {
 		case err == nil:
-			more = all.Add(place, &m.Grant, a)
-		case errors.Is(err, ErrClosed): // taken away by a reload: nothing to ask
+			proceed = combined.Add(position, &member.Grant, answer)
+		case errors.Is(err, ErrClosed): // unloaded by a reload: skip it
 		case errors.Is(err, ErrBenched):
-			more = all.Failed(place, &m.Grant, advice.OnBenched)
+			proceed = combined.Failed(position, &member.Grant, advice.OnBenched)
 		case errors.Is(err, ErrBusy):
-			more = all.Failed(place, &m.Grant, advice.OnBusy)
+			proceed = combined.Failed(position, &member.Grant, advice.OnBusy)
 		default:
-			more = all.Failed(place, &m.Grant, advice.OnFault)
+			proceed = combined.Failed(position, &member.Grant, advice.OnFault)
 		}
-		if !more {
-			m.Plugin.Counts.Refused.Add(1)
+		if !proceed {
+			member.Plugin.Counts.Refused.Add(1)
 			break
 		}
 	}
-	return all
+	return combined
 }
 
-// Name is that of the plug-in at a place.
-func (c Chain) Name(place int) string {
-	if place < 0 || place >= len(c) {
+// Name returns the name of the plug-in at the given position, or "" if there is none.
+func (c Chain) Name(position int) string {
+	if position < 0 || position >= len(c) {
 		return ""
 	}
-	return c[place].Plugin.name
+	return c[position].Plugin.name
 }
--- a/plugin/inspect.go
+++ b/plugin/inspect.go
@@ -13,52 +13,54 @@
 	"example.org/madderdrum/plugin/bounds"
 )
 
-// Report is what a module is made of.
+// Report describes a module: its size, imports, exports and whether it fits the ABI.
 type Report struct {
 	Bytes            int
-	Imports, Exports []string // with their types
-	LeastMemory      int      // bytes
-	Problem          error    // why it can't be loaded; nil: it can, as far as its outside tells
+	Imports, Exports []string // names with their function types
+	LeastMemory      int      // initial memory, bytes
+	Problem          error    // why it can't be loaded; nil if its imports and exports fit the ABI
 }
 
-// Inspect reads a module without running any of it. An error tells that it is none.
+// Inspect describes a module without running it. It returns an error if the bytes are not a valid module.
 func Inspect(ctx context.Context, module []byte) (*Report, error) {
-	if _, err := bounds.Apply(module, math.MaxInt32); err != nil { // the engine believes what a module announces
+	// Check first: the engine allocates by the counts that a module declares.
+	if _, err := bounds.Apply(module, math.MaxInt32); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrModule, err)
 	}
 	runtime := wazero.NewRuntimeWithConfig(ctx, wazero.NewRuntimeConfigInterpreter())
 	defer runtime.Close(ctx)
-	m, err := runtime.CompileModule(ctx, module)
+	compiled, err := runtime.CompileModule(ctx, module)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrModule, err)
 	}
-	r := &Report{Bytes: len(module), Problem: check(m)}
-	for _, f := range m.ImportedFunctions() {
+	report := &Report{Bytes: len(module), Problem: checkABI(compiled)}
+	for _, f := range compiled.ImportedFunctions() {
 		from, name, _ := f.Import()
-		r.Imports = append(r.Imports, from+"."+name+types(f))
+		report.Imports = append(report.Imports, from+"."+name+formatSignature(f))
 	}
-	for name, f := range m.ExportedFunctions() {
-		r.Exports = append(r.Exports, name+types(f))
+	for name, f := range compiled.ExportedFunctions() {
+		report.Exports = append(report.Exports, name+formatSignature(f))
 	}
-	for name, x := range m.ExportedMemories() {
-		r.Exports = append(r.Exports, name+" (memory)")
-		r.LeastMemory = max(r.LeastMemory, int(x.Min())<<16)
+	for name, exported := range compiled.ExportedMemories() {
+		report.Exports = append(report.Exports, name+" (memory)")
+		report.LeastMemory = max(report.LeastMemory, int(exported.Min())<<16)
 	}
-	slices.Sort(r.Exports)
-	return r, nil
+	slices.Sort(report.Exports)
+	return report, nil
 }
 
-func types(f api.FunctionDefinition) string {
-	names := func(all []api.ValueType) string {
+// formatSignature returns the parameter and result types of a function as text.
+func formatSignature(f api.FunctionDefinition) string {
+	typeNames := func(all []api.ValueType) string {
 		var b []string
 		for _, t := range all {
 			b = append(b, api.ValueTypeName(t))
 		}
 		return strings.Join(b, " ")
 	}
-	s := "(" + names(f.ParamTypes()) + ")"
-	if gives := names(f.ResultTypes()); gives != "" {
-		s += " -> " + gives
+	s := "(" + typeNames(f.ParamTypes()) + ")"
+	if results := typeNames(f.ResultTypes()); results != "" {
+		s += " -> " + results
 	}
 	return s
 }
--- a/plugin/offer.go
+++ b/plugin/offer.go
@@ -14,29 +14,29 @@
 	"example.org/madderdrum/advice"
 )
 
-// hostFunctions are what a module may import from hostModule.
+// hostFunctions lists the functions that a module may import from hostModule.
 var hostFunctions = []string{"count", "log", "now", "random"}
 
-// clockStep is how coarse the plug-ins' clock is.
+// clockStep is the resolution of the clock that plug-ins can read.
 const clockStep = 100 * time.Millisecond
 
-// mostLine bounds one line of a plug-in's log, in bytes.
-const mostLine = 256
+// maxLogLineBytes is the length at which one log line of a plug-in is cut.
+const maxLogLineBytes = 256
 
-// offer instantiates the host functions:
+// instantiateHostFunctions makes the host functions available to the module:
 //
 //	count(key i32, size i32, amount f64, half_life_ms f64) -> f64
 //	log(text i32, size i32)
 //	now() -> i64       ms since an arbitrary start, in steps of 100
-//	random() -> i64    by the seed of the load
-func (p *Plugin) offer(ctx context.Context) error {
+//	random() -> i64    from a generator seeded by Options.Seed
+func (p *Plugin) instantiateHostFunctions(ctx context.Context) error {
 	if _, err := wasi_snapshot_preview1.Instantiate(ctx, p.runtime); err != nil {
 		return fmt.Errorf("wasi: %w", err)
 	}
 	b := p.runtime.NewHostModuleBuilder(hostModule)
-	b.NewFunctionBuilder().WithFunc(func(ctx context.Context, m api.Module, key, size uint32, amount, half float64) float64 {
-		data := p.read(ctx, m, key, size)
-		ms := max(0, min(half, float64(advice.MostHalf/time.Millisecond)))
+	b.NewFunctionBuilder().WithFunc(func(ctx context.Context, m api.Module, key, size uint32, amount, halfLifeMs float64) float64 {
+		data := p.readMemory(ctx, m, key, size)
+		ms := max(0, min(halfLifeMs, float64(advice.MostHalf/time.Millisecond)))
 		if math.IsNaN(ms) {
 			ms = 0
 		}
@@ -45,14 +45,14 @@
 		return p.counters.Add(p.now(), data, amount, time.Duration(ms*float64(time.Millisecond)))
 	}).Export("count")
 	b.NewFunctionBuilder().WithFunc(func(ctx context.Context, m api.Module, text, size uint32) {
-		p.says(p.read(ctx, m, text, size))
+		p.logLine(p.readMemory(ctx, m, text, size))
 	}).Export("log")
 	b.NewFunctionBuilder().WithFunc(func(ctx context.Context) int64 {
-		used(ctx, p.limits.HostCalls)
+		countHostCall(ctx, p.limits.HostCalls)
 		return int64(p.now().Truncate(clockStep) / time.Millisecond)
 	}).Export("now")
 	b.NewFunctionBuilder().WithFunc(func(ctx context.Context) uint64 {
-		used(ctx, p.limits.HostCalls)
+		countHostCall(ctx, p.limits.HostCalls)
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return p.rng.Uint64()
@@ -63,19 +63,19 @@
 	return nil
 }
 
-// used counts a host call and ends the module's call when there were too many: the panic
-// is what wazero turns into the call's error.
-func used(ctx context.Context, most int) {
+// countHostCall counts a host call and panics above the limit. wazero recovers the panic and
+// returns it as the error of the module's call.
+func countHostCall(ctx context.Context, limit int) {
 	if i, ok := ctx.Value(instanceKey{}).(*instance); ok {
-		if i.calls++; i.calls > most {
+		if i.hostCalls++; i.hostCalls > limit {
 			panic(ErrCalls)
 		}
 	}
 }
 
-// read is what a module points at.
-func (p *Plugin) read(ctx context.Context, m api.Module, at, size uint32) []byte {
-	used(ctx, p.limits.HostCalls)
+// readMemory returns the bytes of the module's memory at an address that the module passed.
+func (p *Plugin) readMemory(ctx context.Context, m api.Module, at, size uint32) []byte {
+	countHostCall(ctx, p.limits.HostCalls)
 	data, ok := m.Memory().Read(at, size)
 	if !ok {
 		panic(ErrBounds)
@@ -83,11 +83,11 @@
 	return data
 }
 
-// says passes a line on while the budget lasts.
-func (p *Plugin) says(text []byte) {
-	text = text[:min(len(text), mostLine)]
+// logLine logs a line of the plug-in, without control characters, while the log budget lasts.
+func (p *Plugin) logLine(text []byte) {
+	text = text[:min(len(text), maxLogLineBytes)]
 	p.mu.Lock()
-	within := p.logged.take(p.now(), len(text)+1, p.limits.LogBytes)
+	within := p.logWindow.allow(p.now(), len(text)+1, p.limits.LogBytes)
 	p.mu.Unlock()
 	if !within {
 		return
--- a/plugin/sdk_test.go
+++ b/plugin/sdk_test.go
@@ -9,8 +9,8 @@
 	"example.org/madderdrum/advice"
 )
 
-// The Friday example, built with the SDK as its author would: while boxes are short and
-// reminders come, bulk waits; with nothing short, or no reminders, it goes.
+// Builds the Friday example with the SDK, as a plug-in author would. It refuses bulk requests
+// while capacity is short and reminders arrive; otherwise it lets them pass.
 func TestFriday(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "friday.wasm")
 	build := exec.Command("go", "build", "-buildmode=c-shared", "-o", path, "example.org/madderdrum/examples/plugins/friday")
@@ -23,29 +23,29 @@
 		t.Fatal(err)
 	}
 	p := load(t, module, Options{Name: "friday", Limits: Limits{Memory: 16 << 20, Instances: 1}})
-	say := func(class string, pressure float64) advice.Advice {
+	advise := func(class string, pressure float64) advice.Advice {
 		a, err := p.Advise(&advice.Request{ClassName: class, Pressure: pressure}, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return a
 	}
-	if a := say("send-bulk-paid", 0.5); a.Refuse || a.Priority != 0.5 {
-		t.Errorf("no reminders: %+v", a)
+	if a := advise("send-bulk-paid", 0.5); a.Refuse || a.Priority != 0.5 {
+		t.Errorf("bulk without reminders: %+v", a)
 	}
 	for range 40 {
-		if a := say("send-reminder", 0.5); a.Refuse || a.Priority != 2 {
-			t.Errorf("a reminder: %+v", a)
+		if a := advise("send-reminder", 0.5); a.Refuse || a.Priority != 2 {
+			t.Errorf("reminder: %+v", a)
 		}
 	}
-	if a := say("send-bulk-paid", 0.5); !a.Refuse || a.WaitMs != 500 || a.Label != "friday" {
-		t.Errorf("reminders come and boxes are short: %+v", a)
+	if a := advise("send-bulk-paid", 0.5); !a.Refuse || a.WaitMs != 500 || a.Label != "friday" {
+		t.Errorf("bulk with reminders and short capacity: %+v", a)
 	}
-	if a := say("send-bulk-paid", 0); a.Refuse {
-		t.Errorf("nothing is short: %+v", a)
+	if a := advise("send-bulk-paid", 0); a.Refuse {
+		t.Errorf("bulk with enough capacity: %+v", a)
 	}
-	if a := say("status-check", 0.5); a != (advice.Advice{}) {
+	if a := advise("status-check", 0.5); a != (advice.Advice{}) {
 		t.Errorf("another class: %+v", a)
 	}
-	t.Logf("module %d KiB, memory of an instance %d KiB", len(module)>>10, (<-p.free).memory.Size()>>10)
+	t.Logf("module %d KiB, memory of an instance %d KiB", len(module)>>10, (<-p.idle).memory.Size()>>10)
 }
--- a/plugin/set.go
+++ b/plugin/set.go
@@ -11,10 +11,10 @@
 	"example.org/madderdrum/advice"
 )
 
-// Spec is a plug-in as a configuration has it.
+// Spec is the configuration of one plug-in.
 type Spec struct {
 	Name   string
-	Order  int // of two plug-ins the one with the lower order is asked first; no two are equal
+	Order  int // plug-ins are called in ascending order; no two are equal
 	Module []byte
 	Limits Limits
 	Seed   uint64
@@ -22,29 +22,29 @@
 	Sight  advice.Sight
 }
 
-// Set are the plug-ins of one version of a configuration. It never changes; its methods are
-// safe for concurrent use.
+// Set holds the loaded plug-ins of one version of the configuration. It is immutable and its
+// methods are safe for concurrent use.
 type Set struct {
-	held []held // by order
+	loaded []loaded // in the order of Spec.Order
 }
 
-// held is a plug-in with what it was loaded for.
-type held struct {
+// loaded is a plug-in of a set with the configuration that it was loaded from.
+type loaded struct {
 	Member
-	name string
-	made made
+	name     string
+	identity identity
 }
 
-// made is all that a loaded plug-in depends on. One that does not change over a reload goes
-// on, with its store and its breaker.
-type made struct {
+// identity is everything that a loaded plug-in depends on. A plug-in whose identity is unchanged
+// by a reload keeps running, with its counters and its breaker.
+type identity struct {
 	sum    [sha256.Size]byte
 	limits Limits
 	seed   uint64
 	body   bool
 }
 
-// SetOptions are what the plug-ins of a set have in common.
+// SetOptions configures LoadSet; it applies to all plug-ins of the set.
 type SetOptions struct {
 	Log   func(line string)
 	Now   func() time.Duration // nil: real time
@@ -52,7 +52,7 @@
 	Wait  bool                 // see Options.Wait
 }
 
-// LoadError is that a plug-in can't be loaded.
+// LoadError reports that the plug-in called Name can't be loaded.
 type LoadError struct {
 	Name string
 	err  error
@@ -60,10 +60,10 @@
 
 func (e *LoadError) Error() string { return e.err.Error() }
 
-// Unwrap returns why.
+// Unwrap returns the cause.
 func (e *LoadError) Unwrap() error { return e.err }
 
-// LoadErrors are those of an error of LoadSet, a plug-in each.
+// LoadErrors extracts the errors from one that LoadSet returned, one per plug-in.
 func LoadErrors(err error) (all []*LoadError) {
 	if many, ok := err.(interface{ Unwrap() []error }); ok {
 		for _, e := range many.Unwrap() {
@@ -76,89 +76,89 @@
 	return all
 }
 
-// LoadSet loads the plug-ins of a configuration. Those of a set before that are the same
-// module with the same budget are taken over. An error names every plug-in that can't be
-// loaded, and leaves the set before as it was.
-func LoadSet(ctx context.Context, specs []Spec, before *Set, o SetOptions) (*Set, error) {
+// LoadSet loads the plug-ins of a configuration. It reuses those plug-ins of the previous set
+// whose module, limits, seed and access to bodies are unchanged. An error names every plug-in
+// that can't be loaded; the previous set stays usable then.
+func LoadSet(ctx context.Context, specs []Spec, previous *Set, o SetOptions) (*Set, error) {
 	s := &Set{}
-	var fresh []*Plugin
+	var started []*Plugin
 	var errs []error
 	for i := range specs {
-		x := &specs[i]
-		h := held{name: x.Name, made: made{sha256.Sum256(x.Module), x.Limits.or(Defaults()), x.Seed, x.Sight.Body}}
-		h.Grant, h.Sight = x.Grant, x.Sight
-		if h.Plugin = before.find(x.Name, h.made); h.Plugin == nil {
-			p, err := Load(ctx, x.Module, Options{Name: x.Name, Limits: x.Limits, Seed: x.Seed, Body: x.Sight.Body, Now: o.Now, Log: o.Log, Cache: o.Cache, Wait: o.Wait})
+		spec := &specs[i]
+		entry := loaded{name: spec.Name, identity: identity{sha256.Sum256(spec.Module), spec.Limits.withDefaults(Defaults()), spec.Seed, spec.Sight.Body}}
+		entry.Grant, entry.Sight = spec.Grant, spec.Sight
+		if entry.Plugin = previous.find(spec.Name, entry.identity); entry.Plugin == nil {
+			p, err := Load(ctx, spec.Module, Options{Name: spec.Name, Limits: spec.Limits, Seed: spec.Seed, Body: spec.Sight.Body, Now: o.Now, Log: o.Log, Cache: o.Cache, Wait: o.Wait})
 			if err != nil {
-				errs = append(errs, &LoadError{x.Name, err})
+				errs = append(errs, &LoadError{spec.Name, err})
 				continue
 			}
-			fresh = append(fresh, p)
-			h.Plugin = p
+			started = append(started, p)
+			entry.Plugin = p
 		}
-		s.held = append(s.held, h)
+		s.loaded = append(s.loaded, entry)
 	}
 	if len(errs) > 0 {
-		for _, p := range fresh {
+		for _, p := range started {
 			p.Close()
 		}
 		return nil, errors.Join(errs...)
 	}
 	order := map[string]int{}
-	for _, x := range specs {
-		order[x.Name] = x.Order
+	for _, spec := range specs {
+		order[spec.Name] = spec.Order
 	}
-	slices.SortStableFunc(s.held, func(a, b held) int { return cmp.Compare(order[a.name], order[b.name]) })
+	slices.SortStableFunc(s.loaded, func(a, b loaded) int { return cmp.Compare(order[a.name], order[b.name]) })
 	return s, nil
 }
 
-// find is the plug-in of a name, if it was made of the same; nil sets have none.
-func (s *Set) find(name string, m made) *Plugin {
+// find returns the plug-in with the given name and identity, or nil; s may be nil.
+func (s *Set) find(name string, wanted identity) *Plugin {
 	if s != nil {
-		for i := range s.held {
-			if h := &s.held[i]; h.name == name && h.made == m {
-				return h.Plugin
+		for i := range s.loaded {
+			if entry := &s.loaded[i]; entry.name == name && entry.identity == wanted {
+				return entry.Plugin
 			}
 		}
 	}
 	return nil
 }
 
-// Chain are the plug-ins of some names, or with all, of all, in their order.
+// Chain returns the plug-ins with the given names, or every plug-in if all is set, in call order.
 func (s *Set) Chain(all bool, names ...string) (c Chain) {
-	for i := range s.held {
-		if all || slices.Contains(names, s.held[i].name) {
-			c = append(c, s.held[i].Member)
+	for i := range s.loaded {
+		if all || slices.Contains(names, s.loaded[i].name) {
+			c = append(c, s.loaded[i].Member)
 		}
 	}
 	return c
 }
 
-// Leave unloads the plug-ins that another set has not taken over, once the calls that are
-// in them have ended; nil takes none over.
+// Leave closes the plug-ins that the next set does not reuse and waits for their running calls.
+// If next is nil, it closes all.
 func (s *Set) Leave(next *Set) error {
 	var errs []error
-	for i := range s.held {
-		if h := &s.held[i]; next.find(h.name, h.made) != h.Plugin {
-			errs = append(errs, h.Plugin.Close())
+	for i := range s.loaded {
+		if entry := &s.loaded[i]; next.find(entry.name, entry.identity) != entry.Plugin {
+			errs = append(errs, entry.Plugin.Close())
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// States are what operators see, in the order of the plug-ins.
+// States returns the status of each plug-in, in call order.
 func (s *Set) States() (all []State) {
-	for i := range s.held {
-		all = append(all, s.held[i].Plugin.State())
+	for i := range s.loaded {
+		all = append(all, s.loaded[i].Plugin.State())
 	}
 	return all
 }
 
-// Reset lets a benched plug-in back at once, and tells whether there is one of that name.
+// Reset reinstates the named plug-in if it is benched and reports whether the set contains it.
 func (s *Set) Reset(name string) bool {
-	for i := range s.held {
-		if s.held[i].name == name {
-			s.held[i].Plugin.Reset()
+	for i := range s.loaded {
+		if s.loaded[i].name == name {
+			s.loaded[i].Plugin.Reset()
 			return true
 		}
 	}
--- a/plugin/set_test.go
+++ b/plugin/set_test.go
@@ -8,12 +8,12 @@
 	"example.org/madderdrum/advice"
 )
 
-// A reload takes over what is the same, with its store, replaces what is not, and refuses
-// what can't be loaded, by name, while the set before goes on.
+// A reload reuses unchanged plug-ins with their counters and replaces changed ones. If some can't
+// be loaded, the error names them and the previous set stays in use.
 func TestSet(t *testing.T) {
-	counts := asm{Imports: []imported{countImport}, Advise: join(constI32(0), constI32(3), constF64(1), constF64(3.6e6), call(0), drop, none), Data: []byte("key")}.Build()
+	counts := testModule{Imports: []testImport{countImport}, Advise: join(constI32(0), constI32(3), constF64(1), constF64(3.6e6), call(0), drop, noOpinion), Data: []byte("key")}.Build()
 	loud := (&advice.Advice{Label: "loud"}).Append(nil)
-	labels := asm{Advise: says(0, uint32(len(loud))), Data: loud}.Build()
+	labels := testModule{Advise: returnAdvice(0, uint32(len(loud))), Data: loud}.Build()
 	limits := Limits{Call: 10 * time.Second}
 	a, b := Spec{Name: "a", Order: 2, Module: counts, Limits: limits}, Spec{Name: "b", Order: 1, Module: labels, Limits: limits, Grant: advice.Grant{Label: true}}
 	set := func(before *Set, specs ...Spec) *Set {
@@ -33,16 +33,16 @@
 	}
 	first.Chain(true).Advise(t.Context(), &advice.Subject{}, 0)
 
-	b.Grant.Label = false // what it may say is no reason to load it again
+	b.Grant.Label = false // a changed grant needs no new load
 	second := set(first, a, b)
 	if err := first.Leave(second); err != nil {
 		t.Fatal(err)
 	}
 	if second.States()[1].Counters != 1 || second.States()[0].Calls != 1 {
-		t.Errorf("not taken over: %+v", second.States())
+		t.Errorf("not reused: %+v", second.States())
 	}
 	if c := second.Chain(true).Advise(t.Context(), &advice.Subject{}, 0); len(c.Labels) > 0 {
-		t.Errorf("the grant of before holds: %+v", c)
+		t.Errorf("the previous grant still applies: %+v", c)
 	}
 
 	bad := a
@@ -54,17 +54,17 @@
 		t.Errorf("%+v", c)
 	}
 
-	a.Limits.Memory = 1 << 20 // another budget is another plug-in
+	a.Limits.Memory = 1 << 20 // changed limits make it a different plug-in
 	third := set(second, a)
 	if err := second.Leave(third); err != nil {
 		t.Fatal(err)
 	}
 	if third.States()[0].Counters != 0 {
-		t.Error("the store of another budget goes on")
+		t.Error("counters survived a change of limits")
 	}
-	for i := range second.held {
-		if _, err := second.held[i].Plugin.Advise(&advice.Request{}, 0); !errors.Is(err, ErrClosed) {
-			t.Errorf("%s: %v", second.held[i].name, err)
+	for i := range second.loaded {
+		if _, err := second.loaded[i].Plugin.Advise(&advice.Request{}, 0); !errors.Is(err, ErrClosed) {
+			t.Errorf("%s: %v", second.loaded[i].name, err)
 		}
 	}
 	if third.Reset("nobody") || !third.Reset("a") {
@@ -75,7 +75,7 @@
 	}
 }
 
-// Memory of compiled modules on disk: the second load compiles nothing.
+// Compiled modules are cached on disk: a second cache in the same directory loads and runs them.
 func TestCache(t *testing.T) {
 	dir := t.TempDir()
 	for range 2 {
@@ -83,14 +83,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := load(t, asm{}.Build(), Options{Cache: c})
-		if _, err := ask(t, p); err != nil {
+		p := load(t, testModule{}.Build(), Options{Cache: c})
+		if _, err := adviseWhenIdle(t, p); err != nil {
 			t.Fatal(err)
 		}
 		p.Close()
 		c.Close()
 	}
 	if _, err := NewCache("/dev/null/none"); err == nil {
-		t.Error("a folder that can't be made")
+		t.Error("no error for a directory that can't be created")
 	}
 }
