--- a/plugin/bounds/bounds.go
+++ b/plugin/bounds/bounds.go
@@ -1,21 +1,21 @@
-// Package bounds rewrites a WebAssembly module, before it is compiled, so that what it can
-// take of its host is bounded where the engine bounds nothing or too late.
+// Package bounds rewrites a WebAssembly module before it is compiled. It limits those host
+// resources that the engine does not limit, or limits too late.
 //
-// The depth of calls: the engine lets a call stack grow to 400 MB, by doubling and copying
-// it, which no deadline ends in time; one recursing plug-in then costs every other request
-// hundreds of milliseconds. Each function that calls others adds its weight to a counter when
-// it is entered, traps if that passes the bound, and takes it off when it is left. The weight
-// is an upper bound of the bytes that its frame takes, by its parameters, locals and size.
-// This is stack metering as in Parity's wasm-instrument.
+// Call depth: the engine lets a call stack grow to 400 MB by doubling and copying it, and no
+// deadline interrupts that in time; one recursing plug-in then delays every other request by
+// hundreds of milliseconds. So each function that calls others adds its weight to a counter on
+// entry, traps if the counter exceeds the limit, and subtracts the weight on return. The weight
+// is an upper bound of the bytes of its stack frame, estimated from its parameters, locals and
+// code size. This is stack metering as in Parity's wasm-instrument.
 //
-// Tables: a module may grow one to 32 GB. Each is given a maximum.
+// Tables: a module could grow a table to 32 GB. Each table gets a maximum size.
 //
-// Counts: a few bytes can announce four thousand million entries, for which the engine makes
-// room before it looks at the first. Each count is held against what is there. Custom
-// sections, such as those of names, are left out.
+// Counts: a few bytes can declare four billion entries, for which the engine allocates memory
+// before it reads the first. Each count is checked against the bytes that follow. Custom
+// sections, such as those of names, are removed.
 //
-// The layout is that of the WebAssembly Core Specification 2.0, section 5; what is beyond it
-// (threads, exceptions, tail calls, garbage collection) is refused.
+// The binary format is that of the WebAssembly Core Specification 2.0, section 5. Modules that
+// use later features (threads, exceptions, tail calls, garbage collection) are refused.
 package bounds
 
 import (
@@ -25,17 +25,17 @@
 	"slices"
 )
 
-// Export is the name of the global that counts. It is above the bound after a module has
-// trapped for its depth.
-const Export = "madderdrum_depth"
+// DepthExport is the exported name of the global that counts stack bytes. Its value exceeds the
+// limit after a module has trapped because of its call depth.
+const DepthExport = "madderdrum_depth"
 
-// Errors of a module that can't be rewritten.
+// Errors of Apply: a malformed module, and an instruction that is not supported.
 var (
 	ErrLayout = errors.New("does not hold together as a module")
 	ErrOpcode = errors.New("has an instruction that is not known here")
 )
 
-// The sections that are read or changed.
+// Numbers of the sections that are read or changed.
 const (
 	typeSection     = 1
 	importSection   = 2
@@ -49,56 +49,57 @@
 	dataSection     = 11
 )
 
-// mostEntries bounds what all tables of a module may hold together.
-const mostEntries = 1 << 17
+// maxTableEntries limits the entries of all tables of a module together.
+const maxTableEntries = 1 << 17
 
+// Type codes of the binary format, and the weights for the estimate of a stack frame.
 const (
-	i32Type    = 0x7f
-	emptyBlock = 0x40
-	funcForm   = 0x60
-	frameBytes = 64 // of a frame without anything in it
-	localBytes = 8
-	codeBytes  = 2 // of spilled values for each byte of code, at most
+	i32Type               = 0x7f
+	emptyBlock            = 0x40
+	funcForm              = 0x60
+	frameBaseBytes        = 64 // of an empty frame
+	bytesPerLocal         = 8
+	spillBytesPerCodeByte = 2 // upper bound of spilled values
 )
 
-// Apply returns a module whose calls take no more than most bytes of stack, by estimate. The
-// module need not be valid; what is not becomes an error, or is still not valid afterwards.
-func Apply(module []byte, most uint32) ([]byte, error) {
-	b := &bounder{most: min(most, math.MaxInt32)}
-	sections, err := split(module)
+// Apply returns the module with its estimated call stack limited to maxStack bytes. The module
+// need not be valid: an invalid one causes an error or stays invalid.
+func Apply(module []byte, maxStack uint32) ([]byte, error) {
+	b := &rewriter{maxStack: min(maxStack, math.MaxInt32)}
+	sections, err := splitSections(module)
 	if err != nil {
 		return nil, err
 	}
 	for _, s := range sections {
-		if err := b.learn(s); err != nil {
+		if err := b.collect(s); err != nil {
 			return nil, err
 		}
 	}
 	out := slices.Clone(module[:8])
-	global, export, code := false, false, false
+	withGlobal, withExport, code := false, false, false
 	for _, s := range sections {
-		if s.id != 0 { // in the order of their numbers; the data count, 12, comes behind what is added here
-			if !global && s.id > globalSection {
-				out, global = appendSection(out, globalSection, b.global(nil)), true
+		if s.id != 0 { // sections are ordered by number; the data count, 12, follows those added here
+			if !withGlobal && s.id > globalSection {
+				out, withGlobal = appendSection(out, globalSection, b.withGlobal(nil)), true
 			}
-			if !export && s.id > exportSection {
-				out, export = appendSection(out, exportSection, b.export(nil)), true
+			if !withExport && s.id > exportSection {
+				out, withExport = appendSection(out, exportSection, b.withExport(nil)), true
 			}
 		}
 		switch s.id {
 		case 0: // custom
 		case tableSection:
-			body, err := tables(s.body)
+			body, err := limitTables(s.body)
 			if err != nil {
 				return nil, err
 			}
 			out = appendSection(out, s.id, body)
 		case typeSection:
-			// written below, with the types that blocks need: they are known after the code
+			// written last, with the types for added blocks, which are known only after the code
 		case globalSection:
-			out, global = appendSection(out, s.id, b.global(s.body)), true
+			out, withGlobal = appendSection(out, s.id, b.withGlobal(s.body)), true
 		case exportSection:
-			out, export = appendSection(out, s.id, b.export(s.body)), true
+			out, withExport = appendSection(out, s.id, b.withExport(s.body)), true
 		case codeSection:
 			body, err := b.code(s.body)
 			if err != nil {
@@ -110,18 +111,19 @@
 		}
 	}
 	if !code {
-		return module, nil // no functions of its own
+		return module, nil // it defines no functions
 	}
 	return slices.Concat(module[:8], appendSection(nil, typeSection, b.typesBody()), out[8:]), nil
 }
 
+// section is a numbered section of a module.
 type section struct {
 	id   byte
 	body []byte
 }
 
-// split finds the sections.
-func split(module []byte) (all []section, err error) {
+// splitSections checks the header and returns the sections.
+func splitSections(module []byte) (all []section, err error) {
 	if len(module) < 8 || string(module[:8]) != "\x00asm\x01\x00\x00\x00" {
 		return nil, fmt.Errorf("%w: no header", ErrLayout)
 	}
@@ -133,37 +135,39 @@
 	return all, r.err
 }
 
+// appendSection appends a section with its number and length.
 func appendSection(to []byte, id byte, body []byte) []byte {
-	return append(uleb(append(to, id), uint32(len(body))), body...)
+	return append(appendULEB(append(to, id), uint32(len(body))), body...)
 }
 
-// signature is a function type.
+// signature is the part of a function type that the rewriting needs.
 type signature struct {
-	params  int
-	results []byte
+	paramCount int
+	results    []byte
 }
 
-type bounder struct {
-	most      uint32
-	types     []signature
-	rawTypes  []byte // the entries as they stand
-	extra     []byte // entries of types for blocks with several results
-	extras    map[string]uint32
-	functions []uint32 // types of the module's own functions
-	globals   uint32   // imported and own
-	imported  uint32
+// rewriter holds what Apply knows about a module.
+type rewriter struct {
+	maxStack         uint32
+	types            []signature
+	rawTypes         []byte // the encoded types of the module
+	extraTypes       []byte // encoded types added for blocks with several results
+	extraTypeIndexes map[string]uint32
+	functionTypes    []uint32 // type index of each function that the module defines
+	globals          uint32   // defined by the module, without imported ones
+	importedGlobals  uint32
 }
 
-// learn reads what the rewriting needs to know.
-func (b *bounder) learn(s section) error {
+// collect reads what the rewriting needs from a section and checks the section's counts.
+func (b *rewriter) collect(s section) error {
 	r := reader{b: s.body}
 	switch s.id {
 	case memorySection, exportSection, tableSection:
 		r.count()
 	case elementSection:
-		r.elements()
+		r.checkElements()
 	case dataSection:
-		r.data()
+		r.checkData()
 	case typeSection:
 		n := r.count()
 		from := r.at
@@ -187,13 +191,13 @@
 				r.u32()
 			case 1: // table
 				r.byte()
-				r.limits()
+				r.skipLimits()
 			case 2: // memory
-				r.limits()
+				r.skipLimits()
 			case 3: // global
 				r.byte()
 				r.byte()
-				b.imported++
+				b.importedGlobals++
 			default:
 				return fmt.Errorf("%w: an import of kind %d", ErrLayout, kind)
 			}
@@ -203,7 +207,7 @@
 		}
 	case functionSection:
 		for range r.count() {
-			b.functions = append(b.functions, r.u32())
+			b.functionTypes = append(b.functionTypes, r.u32())
 			if r.err != nil {
 				return r.err
 			}
@@ -214,103 +218,104 @@
 	return r.err
 }
 
-// tables are those of a module, each with a maximum.
-func tables(body []byte) ([]byte, error) {
+// limitTables rewrites the table section so that each table has a maximum size.
+func limitTables(body []byte) ([]byte, error) {
 	r := reader{b: body}
 	n := r.count()
-	out, left := uleb(nil, n), uint32(mostEntries)
+	out, remaining := appendULEB(nil, n), uint32(maxTableEntries)
 	for range n {
 		kind, flag := r.byte(), r.byte()
-		least, most := r.u32(), uint32(math.MaxUint32)
+		minimum, maximum := r.u32(), uint32(math.MaxUint32)
 		if flag&1 != 0 {
-			most = r.u32()
+			maximum = r.u32()
 		}
 		switch {
 		case r.err != nil:
 			return nil, r.err
-		case least > left:
-			return nil, fmt.Errorf("%w: tables of more than %d entries", ErrLayout, mostEntries)
+		case minimum > remaining:
+			return nil, fmt.Errorf("%w: tables of more than %d entries", ErrLayout, maxTableEntries)
 		}
-		most = max(least, min(most, left))
-		left -= most
-		out = uleb(uleb(append(out, kind, 1), least), most)
+		maximum = max(minimum, min(maximum, remaining))
+		remaining -= maximum
+		out = appendULEB(appendULEB(append(out, kind, 1), minimum), maximum)
 	}
 	return append(out, body[r.at:]...), nil
 }
 
-// global is the section of globals with the counter behind the others.
-func (b *bounder) global(body []byte) []byte {
+// withGlobal returns the global section with the counter appended.
+func (b *rewriter) withGlobal(body []byte) []byte {
 	r := reader{b: body}
 	n := uint32(0)
 	if body != nil {
 		n = r.u32()
 	}
-	out := append(uleb(nil, n+1), body[r.at:]...)
+	out := append(appendULEB(nil, n+1), body[r.at:]...)
 	return append(out, i32Type, 1, 0x41, 0, 0x0b)
 }
 
-// export is the section of exports with the counter behind the others. A module that has
-// such an export already is not valid any more.
-func (b *bounder) export(body []byte) []byte {
+// withExport returns the export section with the counter appended. A module that already has an
+// export of that name becomes invalid.
+func (b *rewriter) withExport(body []byte) []byte {
 	r := reader{b: body}
 	n := uint32(0)
 	if body != nil {
 		n = r.u32()
 	}
-	out := append(uleb(nil, n+1), body[r.at:]...)
-	out = append(append(uleb(out, uint32(len(Export))), Export...), 3)
-	return uleb(out, b.counter())
+	out := append(appendULEB(nil, n+1), body[r.at:]...)
+	out = append(append(appendULEB(out, uint32(len(DepthExport))), DepthExport...), 3)
+	return appendULEB(out, b.counterIndex())
 }
 
-// counter is the index of the global that counts.
-func (b *bounder) counter() uint32 { return b.imported + b.globals }
+// counterIndex is the index of the counter among the globals.
+func (b *rewriter) counterIndex() uint32 { return b.importedGlobals + b.globals }
 
-// typesBody are the types, with those that blocks need.
-func (b *bounder) typesBody() []byte {
-	return slices.Concat(uleb(nil, uint32(len(b.types)+len(b.extras))), b.rawTypes, b.extra)
+// typesBody returns the type section with the types for added blocks.
+func (b *rewriter) typesBody() []byte {
+	return slices.Concat(appendULEB(nil, uint32(len(b.types)+len(b.extraTypeIndexes))), b.rawTypes, b.extraTypes)
 }
 
-// blockType is that of a block with a function's results.
-func (b *bounder) blockType(results []byte) []byte {
+// blockType returns the encoded type of a block that has a function's results. Several results
+// need a type of their own, which is added once.
+func (b *rewriter) blockType(results []byte) []byte {
 	switch len(results) {
 	case 0:
 		return []byte{emptyBlock}
 	case 1:
 		return results
 	}
-	at, have := b.extras[string(results)]
-	if !have {
-		if b.extras == nil {
-			b.extras = map[string]uint32{}
+	index, found := b.extraTypeIndexes[string(results)]
+	if !found {
+		if b.extraTypeIndexes == nil {
+			b.extraTypeIndexes = map[string]uint32{}
 		}
-		at = uint32(len(b.types) + len(b.extras))
-		b.extras[string(results)] = at
-		b.extra = append(uleb(append(b.extra, funcForm, 0), uint32(len(results))), results...)
+		index = uint32(len(b.types) + len(b.extraTypeIndexes))
+		b.extraTypeIndexes[string(results)] = index
+		b.extraTypes = append(appendULEB(append(b.extraTypes, funcForm, 0), uint32(len(results))), results...)
 	}
-	return sleb(nil, int64(at))
+	return appendSLEB(nil, int64(index))
 }
 
-// code rewrites the functions.
-func (b *bounder) code(body []byte) ([]byte, error) {
+// code rewrites the code section function by function.
+func (b *rewriter) code(body []byte) ([]byte, error) {
 	r := reader{b: body}
 	n := r.u32()
-	if r.err != nil || int(n) != len(b.functions) {
-		return nil, fmt.Errorf("%w: %d bodies of %d functions", ErrLayout, n, len(b.functions))
+	if r.err != nil || int(n) != len(b.functionTypes) {
+		return nil, fmt.Errorf("%w: %d bodies of %d functions", ErrLayout, n, len(b.functionTypes))
 	}
-	out := uleb(nil, n)
+	out := appendULEB(nil, n)
 	for k := range n {
 		f := r.take(int(r.u32()))
 		if r.err != nil {
 			return nil, r.err
 		}
-		if int(b.functions[k]) >= len(b.types) {
+		if int(b.functionTypes[k]) >= len(b.types) {
 			return nil, fmt.Errorf("%w: a function of an unknown type", ErrLayout)
 		}
-		f, err := b.function(f, b.types[b.functions[k]])
+		f, err := b.rewriteFunction(f, b.types[b.functionTypes[k]])
 		if err != nil {
 			return nil, fmt.Errorf("function %d: %w", k, err)
 		}
-		out = append(uleb(out, uint32(len(f))), f...)
+		out = append(appendULEB(out, uint32(len(f))), f...)
 	}
 	if r.at != len(body) {
 		return nil, fmt.Errorf("%w: something behind the code", ErrLayout)
@@ -318,11 +323,12 @@
 	return out, nil
 }
 
-// function rewrites one: its body becomes a block, which is where it returns to, between
-// what adds its weight and what takes it off.
-func (b *bounder) function(f []byte, is signature) ([]byte, error) {
+// rewriteFunction rewrites one function. Its body becomes a block, which returns branch out of;
+// code before the block adds the weight to the counter and checks the limit, and code after it
+// subtracts the weight.
+func (b *rewriter) rewriteFunction(f []byte, sig signature) ([]byte, error) {
 	r := reader{b: f}
-	locals := uint64(is.params)
+	locals := uint64(sig.paramCount)
 	for range r.u32() {
 		locals += uint64(r.u32())
 		r.byte()
@@ -331,20 +337,20 @@
 		}
 	}
 	start := r.at
-	calls, err := r.instructions(nil)
-	if err != nil || !calls { // one that calls nothing can't recurse
+	calls, err := r.scanInstructions(nil)
+	if err != nil || !calls { // a function without calls can't recurse
 		return f, err
 	}
-	weight := int64(min(uint64(b.most), frameBytes+localBytes*locals+codeBytes*uint64(len(f))))
-	counter := uleb(nil, b.counter())
+	weight := int64(min(uint64(b.maxStack), frameBaseBytes+bytesPerLocal*locals+spillBytesPerCodeByte*uint64(len(f))))
+	counterIndex := appendULEB(nil, b.counterIndex())
 	out := slices.Clone(f[:start])
-	get, set := append([]byte{0x23}, counter...), append([]byte{0x24}, counter...)
-	add := sleb([]byte{0x41}, weight)
+	get, set := append([]byte{0x23}, counterIndex...), append([]byte{0x24}, counterIndex...)
+	add := appendSLEB([]byte{0x41}, weight)
 	out = slices.Concat(out, get, add, []byte{0x6a}, set,
-		get, sleb([]byte{0x41}, int64(b.most)), []byte{0x4b, 0x04, emptyBlock, 0x00, 0x0b}, // above the bound: unreachable
-		[]byte{0x02}, b.blockType(is.results))
+		get, appendSLEB([]byte{0x41}, int64(b.maxStack)), []byte{0x4b, 0x04, emptyBlock, 0x00, 0x0b}, // trap above the limit
+		[]byte{0x02}, b.blockType(sig.results))
 	r = reader{b: f, at: start}
-	if _, err := r.instructions(&out); err != nil {
+	if _, err := r.scanInstructions(&out); err != nil {
 		return nil, err
 	}
 	return slices.Concat(out, get, add, []byte{0x6b}, set, []byte{0x0b}), nil
--- a/plugin/bounds/bounds_test.go
+++ b/plugin/bounds/bounds_test.go
@@ -23,10 +23,10 @@
 type fn struct {
 	params, results int // of i32
 	locals          byte
-	code            []byte // without the closing end
+	code            []byte // without the final end
 }
 
-// module puts functions together; the first is exported as run. A table has all of them.
+// module assembles a module from functions. The first is exported as run, and a table holds all.
 func module(fns ...fn) []byte {
 	vec := func(items ...[]byte) []byte {
 		return append([]byte{byte(len(items))}, slices.Concat(items...)...)
@@ -50,7 +50,7 @@
 		section(7, vec(append([]byte{3, 'r', 'u', 'n'}, 0, 0))), section(9, elements), section(10, vec(bodies...)))
 }
 
-// run calls run of a module.
+// run calls the export run and returns its results and the final value of the depth counter.
 func run(t *testing.T, m []byte, args ...uint64) ([]uint64, uint64, error) {
 	t.Helper()
 	ctx := t.Context()
@@ -63,13 +63,13 @@
 	got, err := x.ExportedFunction("run").Call(ctx, args...)
 	got = slices.Clone(got)
 	left := uint64(0)
-	if g := x.ExportedGlobal(bounds.Export); g != nil {
+	if g := x.ExportedGlobal(bounds.DepthExport); g != nil {
 		left = g.Get()
 	}
 	return got, left, err
 }
 
-// Instructions.
+// Encoded instructions.
 var (
 	get  = func(n byte) []byte { return []byte{0x20, n} }
 	set  = func(n byte) []byte { return []byte{0x21, n} }
@@ -81,8 +81,8 @@
 	end  = []byte{0x0b}
 )
 
-// Programs that return from within blocks, loops and branches, with one result, several and
-// none, come to the same as before, and leave the counter at 0.
+// Rewritten functions that return from within blocks, loops and branches, with no result, one or
+// several, return the same as before, and the counter is 0 at the end.
 func TestSameMeaning(t *testing.T) {
 	j := plugintest.Join
 	fib := fn{1, 1, 1, j(get(0), num(2), []byte{0x49, 0x04, 0x40}, get(0), ret, end, // n < 2: return n
@@ -121,8 +121,8 @@
 	}
 }
 
-// Recursion traps at the bound and not before, by call, by the table and in turns, and what
-// comes back before it goes on.
+// Recursion traps at the limit and not below it: direct, mutual, through the table and with large
+// frames.
 func TestBound(t *testing.T) {
 	j := plugintest.Join
 	down := fn{1, 1, 0, j(get(0), []byte{0x45, 0x04, 0x40}, num(0), ret, end, get(0), num(1), sub, call(0))}
@@ -141,7 +141,7 @@
 		}
 	}
 	if deepest < 100 || deepest > 64<<10/64 {
-		t.Errorf("traps at a depth of %d", deepest)
+		t.Errorf("trapped at a depth of %d", deepest)
 	}
 	for name, fns := range map[string][]fn{
 		"itself":       {{1, 1, 0, j(get(0), call(0))}},
@@ -159,7 +159,7 @@
 	}
 }
 
-// Tables grow to their bound, and no further.
+// Tables grow up to their maximum and no further.
 func TestTables(t *testing.T) {
 	grow := fn{1, 1, 0, plugintest.Join([]byte{0xd0, 0x70}, get(0), []byte{0xfc, 15, 0})}
 	m, err := bounds.Apply(module(grow), 1<<20)
@@ -173,7 +173,7 @@
 	}
 }
 
-// What is no module, or has what is not known here, is refused.
+// Malformed modules and those with unsupported instructions are refused.
 func TestRefused(t *testing.T) {
 	sound := module(fn{1, 1, 0, plugintest.Join(get(0), call(0))})
 	for name, c := range map[string]struct {
@@ -199,7 +199,8 @@
 	}
 }
 
-// FuzzApply: nothing panics, and what the engine takes it takes afterwards as well.
+// FuzzApply checks that Apply does not panic and that a module which the engine accepts is still
+// accepted after the rewriting.
 func FuzzApply(f *testing.F) {
 	for _, name := range slices.Sorted(maps.Keys(plugintest.Bad())) {
 		f.Add(plugintest.Bad()[name].Build())
@@ -209,17 +210,17 @@
 	r := wazero.NewRuntimeWithConfig(ctx, wazero.NewRuntimeConfigInterpreter().WithMemoryLimitPages(16))
 	f.Fuzz(func(t *testing.T, m []byte) {
 		rewritten, err := bounds.Apply(m, 1<<20)
-		if err != nil { // the engine is not to see it: it may make room for what is not there
+		if err != nil { // keep it from the engine, which allocates by unchecked counts
 			return
 		}
-		x, was := r.CompileModule(ctx, m)
-		if was != nil {
+		x, compileErr := r.CompileModule(ctx, m)
+		if compileErr != nil {
 			return
 		}
 		defer x.Close(ctx)
 		y, err := r.CompileModule(ctx, rewritten)
 		if err != nil && !strings.Contains(err.Error(), "duplicate") && !strings.Contains(err.Error(), "already") {
-			t.Fatalf("not valid any more: %v", err)
+			t.Fatalf("invalid after the rewriting: %v", err)
 		}
 		if err == nil {
 			y.Close(ctx)
@@ -227,8 +228,8 @@
 	})
 }
 
-// BenchmarkApply is what a bound costs: calls of a small function by itself, and the rewriting
-// of a module of the Go tool chain.
+// BenchmarkApply measures recursive calls of a small function with and without the limit, and the
+// rewriting of a module built by the Go tool chain.
 func BenchmarkApply(b *testing.B) {
 	fib := module(fn{1, 1, 1, plugintest.Join(get(0), num(2), []byte{0x49, 0x04, 0x40}, get(0), ret, end,
 		get(0), num(1), sub, call(0), get(0), num(2), sub, call(0), add)})
@@ -264,7 +265,7 @@
 	})
 }
 
-// friday is the example, built with the SDK.
+// friday builds the Friday example with the SDK and returns the module.
 func friday(t testing.TB) []byte {
 	path := filepath.Join(t.TempDir(), "friday.wasm")
 	build := exec.Command("go", "build", "-buildmode=c-shared", "-o", path, "example.org/madderdrum/examples/plugins/friday")
@@ -279,8 +280,8 @@
 	return m
 }
 
-// A module of the Go tool chain, with all that a run time has, can still be loaded and
-// started.
+// A module built by the Go tool chain, with its whole runtime, can still be loaded and started
+// after the rewriting.
 func TestGoModule(t *testing.T) {
 	m, err := bounds.Apply(friday(t), 4<<20)
 	if err != nil {
--- a/plugin/bounds/instructions.go
+++ b/plugin/bounds/instructions.go
@@ -2,13 +2,14 @@
 
 import "fmt"
 
-// reader reads the binary format. After the first mistake all that it gives is 0.
+// reader reads the binary format. After the first error it returns only zero values.
 type reader struct {
 	b   []byte
 	at  int
 	err error
 }
 
+// fail records the first error and skips the rest of the input.
 func (r *reader) fail(what string) {
 	if r.err == nil {
 		r.err = fmt.Errorf("%w: %s at %d", ErrLayout, what, r.at)
@@ -16,6 +17,7 @@
 	r.at = len(r.b)
 }
 
+// byte reads one byte.
 func (r *reader) byte() byte {
 	if r.at >= len(r.b) {
 		r.fail("its end")
@@ -25,6 +27,7 @@
 	return r.b[r.at-1]
 }
 
+// take reads n bytes.
 func (r *reader) take(n int) []byte {
 	if n < 0 || n > len(r.b)-r.at {
 		r.fail("its end")
@@ -34,7 +37,7 @@
 	return r.b[r.at-n : r.at]
 }
 
-// u32 is a number of up to 32 bits (LEB128).
+// u32 reads an unsigned LEB128 number of up to 32 bits.
 func (r *reader) u32() (n uint32) {
 	for shift := 0; shift < 35; shift += 7 {
 		c := r.byte()
@@ -49,7 +52,7 @@
 	return 0
 }
 
-// count is how many things follow, each of a byte at least.
+// count reads a number of entries and checks it against the bytes left, at least one per entry.
 func (r *reader) count() uint32 {
 	n := r.u32()
 	if int64(n) > int64(len(r.b)-r.at) {
@@ -59,9 +62,9 @@
 	return n
 }
 
-// skipNumber passes a number of up to so many bytes over.
-func (r *reader) skipNumber(most int) {
-	for range most {
+// skipNumber skips a LEB128 number of at most maxBytes bytes.
+func (r *reader) skipNumber(maxBytes int) {
+	for range maxBytes {
 		if r.byte() < 0x80 {
 			return
 		}
@@ -69,7 +72,8 @@
 	r.fail("a number too long")
 }
 
-func (r *reader) limits() {
+// skipLimits skips the minimum and optional maximum of a table or memory.
+func (r *reader) skipLimits() {
 	flag := r.byte()
 	r.u32()
 	if flag&1 != 0 {
@@ -77,33 +81,34 @@
 	}
 }
 
-// constant passes over an expression of constants.
-func (r *reader) constant() {
+// skipConstantExpression skips a constant expression with its end.
+func (r *reader) skipConstantExpression() {
 	for r.err == nil {
 		op := r.byte()
 		if op == opEnd {
 			return
 		}
-		r.plain(op)
+		r.skipImmediates(op)
 	}
 }
 
-// elements checks the counts of what tables are filled with (section 5.5.12).
-func (r *reader) elements() {
+// checkElements checks the counts of the element section, which initializes tables (section
+// 5.5.12 of the specification).
+func (r *reader) checkElements() {
 	for n := r.count(); n > 0 && r.err == nil; n-- {
 		flag := r.u32()
 		if flag&3 == 2 {
 			r.u32() // table
 		}
 		if flag&1 == 0 {
-			r.constant()
+			r.skipConstantExpression()
 		}
 		if flag&3 != 0 {
 			r.byte() // kind
 		}
 		for k := r.count(); k > 0 && r.err == nil; k-- {
 			if flag&4 != 0 {
-				r.constant()
+				r.skipConstantExpression()
 			} else {
 				r.u32()
 			}
@@ -111,21 +116,22 @@
 	}
 }
 
-// data checks the counts of what memories are filled with (section 5.5.14).
-func (r *reader) data() {
+// checkData checks the counts of the data section, which initializes memories (section 5.5.14).
+func (r *reader) checkData() {
 	for n := r.count(); n > 0 && r.err == nil; n-- {
 		flag := r.u32()
 		if flag == 2 {
 			r.u32() // memory
 		}
 		if flag != 1 {
-			r.constant()
+			r.skipConstantExpression()
 		}
 		r.take(int(r.u32()))
 	}
 }
 
-func uleb(to []byte, n uint32) []byte {
+// appendULEB appends a number as unsigned LEB128.
+func appendULEB(to []byte, n uint32) []byte {
 	for n >= 0x80 {
 		to = append(to, byte(n)|0x80)
 		n >>= 7
@@ -133,7 +139,8 @@
 	return append(to, byte(n))
 }
 
-func sleb(to []byte, n int64) []byte {
+// appendSLEB appends a number as signed LEB128.
+func appendSLEB(to []byte, n int64) []byte {
 	for {
 		c := byte(n & 0x7f)
 		n >>= 7
@@ -144,17 +151,18 @@
 	}
 }
 
+// Opcodes that scanInstructions and skipImmediates share or write.
 const (
 	opReturn = 0x0f
 	opBranch = 0x0c
 	opEnd    = 0x0b
 )
 
-// instructions reads a function's code to its end and tells whether it calls anything. If
-// out is set, the code is appended to it with each return as a branch out of the
-// outermost block: the one that the function has become.
-func (r *reader) instructions(out *[]byte) (calls bool, err error) {
-	copied := r.at // up to here
+// scanInstructions reads a function's code to its end and reports whether it contains calls. If
+// out is set, it appends the code to out with each return replaced by a branch out of the
+// outermost block, into which rewriteFunction puts the body.
+func (r *reader) scanInstructions(out *[]byte) (calls bool, err error) {
+	copied := r.at // the code before this offset is in out
 	for nested := uint32(0); ; {
 		from := r.at
 		op := r.byte()
@@ -175,7 +183,7 @@
 			nested--
 		case op == opReturn:
 			if out != nil {
-				*out = uleb(append(append(*out, r.b[copied:from]...), opBranch), nested)
+				*out = appendULEB(append(append(*out, r.b[copied:from]...), opBranch), nested)
 				copied = r.at
 			}
 		case op == 0x10: // call
@@ -186,7 +194,7 @@
 			r.u32()
 			r.u32()
 		default:
-			r.plain(op)
+			r.skipImmediates(op)
 		}
 		if r.err != nil {
 			return calls, r.err
@@ -194,8 +202,8 @@
 	}
 }
 
-// plain passes over what an instruction has behind its opcode (section 5.4).
-func (r *reader) plain(op byte) {
+// skipImmediates skips the immediate arguments of an instruction after its opcode (section 5.4).
+func (r *reader) skipImmediates(op byte) {
 	switch {
 	case op == 0x00, op == 0x01, op == 0x05, op == 0x1a, op == 0x1b, op >= 0x45 && op <= 0xc4, op == 0xd1:
 	case op == opBranch, op == 0x0d, op >= 0x20 && op <= 0x26, op == 0x3f, op == 0x40, op == 0xd2:
@@ -208,7 +216,7 @@
 	case op == 0x1c: // select with types
 		r.take(int(r.u32()))
 	case op >= 0x28 && op <= 0x3e:
-		r.memory()
+		r.skipMemoryArgument()
 	case op == 0x41:
 		r.skipNumber(5)
 	case op == 0x42:
@@ -220,28 +228,29 @@
 	case op == 0xd0: // ref.null
 		r.skipNumber(5)
 	case op == 0xfc:
-		r.bulk(r.u32())
+		r.skipBulkImmediates(r.u32())
 	case op == 0xfd:
-		r.vector(r.u32())
+		r.skipVectorImmediates(r.u32())
 	default:
-		r.unknown(uint32(op))
+		r.failUnknownOpcode(uint32(op))
 	}
 }
 
-func (r *reader) unknown(op uint32) {
+// failUnknownOpcode records an unsupported opcode.
+func (r *reader) failUnknownOpcode(op uint32) {
 	if r.err == nil {
 		r.err = fmt.Errorf("%w: 0x%x", ErrOpcode, op)
 	}
 }
 
-// memory passes over alignment and offset.
-func (r *reader) memory() {
+// skipMemoryArgument skips alignment and offset of a memory access.
+func (r *reader) skipMemoryArgument() {
 	r.u32()
 	r.skipNumber(10)
 }
 
-// bulk are conversions and operations on whole memories and tables.
-func (r *reader) bulk(op uint32) {
+// skipBulkImmediates handles saturating conversions and bulk operations on memories and tables.
+func (r *reader) skipBulkImmediates(op uint32) {
 	switch {
 	case op <= 7:
 	case op == 8, op == 10, op == 12, op == 14:
@@ -250,24 +259,24 @@
 	case op == 9, op == 11, op == 13, op >= 15 && op <= 17:
 		r.u32()
 	default:
-		r.unknown(0xfc00 | op)
+		r.failUnknownOpcode(0xfc00 | op)
 	}
 }
 
-// vector are operations on 128 bits.
-func (r *reader) vector(op uint32) {
+// skipVectorImmediates handles the 128-bit vector (SIMD) instructions.
+func (r *reader) skipVectorImmediates(op uint32) {
 	switch {
 	case op <= 11, op == 92, op == 93:
-		r.memory()
+		r.skipMemoryArgument()
 	case op == 12, op == 13:
 		r.take(16)
 	case op >= 21 && op <= 34:
 		r.byte()
 	case op >= 84 && op <= 91:
-		r.memory()
+		r.skipMemoryArgument()
 		r.byte()
 	case op <= 255:
 	default:
-		r.unknown(0xfd0000 | op)
+		r.failUnknownOpcode(0xfd0000 | op)
 	}
 }
