--- a/plugin/plugintest/asm.go
+++ b/plugin/plugintest/asm.go
@@ -1,6 +1,6 @@
-// Package plugintest puts modules of WebAssembly together by hand, so that tests of plug-ins
-// and of what runs them need no other tool chain: sound ones, and ones that break off, lie or
-// run on. Nothing of it is in the program.
+// Package plugintest assembles WebAssembly modules from instructions, so that tests of plug-ins
+// and their host need no other tool chain. Some modules are valid plug-ins; others trap, return
+// invalid advice or never end. The program itself does not use it.
 package plugintest
 
 import (
@@ -8,37 +8,38 @@
 	"math"
 )
 
-// Types of WebAssembly (WebAssembly Core Specification 1.0, 5.3).
+// Encoded value types (WebAssembly Core Specification 1.0, 5.3).
 const (
 	I32 byte = 0x7f
 	I64 byte = 0x7e
 	F64 byte = 0x7c
 )
 
-// Import is a function that a module imports.
+// Import is a function that a module imports, with its parameter and result types.
 type Import struct {
-	From, Name    string
-	Params, Gives []byte
+	From, Name      string
+	Params, Results []byte
 }
 
-// Module is a module under test, put together by hand: what its three exports do, as
-// instructions without the closing end.
+// Module describes a module under test. ABI, Input, Advise, Extra and Wants are function bodies:
+// encoded instructions without the final end.
 type Module struct {
-	Imports []Import
-	Pages   byte   // memory at the start
-	Most    byte   // 0: no limit of its own
-	ABI     []byte // default: version 1
-	Input   []byte // default: at 1024
-	Advise  []byte // default: no opinion
-	More    []byte // a fourth function, () -> (), called by index 3 + imports
-	Locals  byte   // of advise, I32
-	Start   bool   // more is the start function
-	Data    []byte // at 0
-	Without string // an export that is left out
-	Wrong   bool   // advise has other types
-	Wants   []byte // the manifest, () -> i32; nil: not exported
+	Imports      []Import
+	Pages        byte   // initial memory in pages of 64 KiB; at least 1
+	MaxPages     byte   // maximum memory in pages; 0: none declared
+	ABI          []byte // madderdrum_abi; default: version 1
+	Input        []byte // madderdrum_input; default: address 1024
+	Advise       []byte // madderdrum_advise; default: no advice
+	Extra        []byte // a fourth function, () -> (), with the index 3 + len(Imports)
+	AdviseLocals byte   // number of I32 locals of Advise
+	Start        bool   // Extra is the start function
+	Data         []byte // initial memory contents at address 0
+	Without      string // name of an export to leave out
+	WrongTypes   bool   // madderdrum_advise gets wrong parameter types
+	Wants        []byte // madderdrum_wants, the manifest, () -> i32; nil: not exported
 }
 
+// uleb encodes a number as unsigned LEB128.
 func uleb(n uint64) (b []byte) {
 	for {
 		c := byte(n & 0x7f)
@@ -49,6 +50,7 @@
 	}
 }
 
+// sleb encodes a number as signed LEB128.
 func sleb(n int64) (b []byte) {
 	for {
 		c := byte(n & 0x7f)
@@ -60,7 +62,8 @@
 	}
 }
 
-func vec(items ...[]byte) []byte {
+// encodeVector encodes a list with its length.
+func encodeVector(items ...[]byte) []byte {
 	b := uleb(uint64(len(items)))
 	for _, i := range items {
 		b = append(b, i...)
@@ -68,13 +71,15 @@
 	return b
 }
 
-func text(s string) []byte { return append(uleb(uint64(len(s))), s...) }
+// encodeName encodes a string with its length.
+func encodeName(s string) []byte { return append(uleb(uint64(len(s))), s...) }
 
-func section(id byte, body []byte) []byte {
+// encodeSection encodes a section with its number and length.
+func encodeSection(id byte, body []byte) []byte {
 	return append(append([]byte{id}, uleb(uint64(len(body)))...), body...)
 }
 
-// Join puts instructions one after another.
+// Join concatenates encoded instructions.
 func Join(parts ...[]byte) (b []byte) {
 	for _, p := range parts {
 		b = append(b, p...)
@@ -82,70 +87,71 @@
 	return b
 }
 
-// ConstI32 puts a number on the stack.
+// ConstI32 encodes i32.const, which pushes n onto the stack.
 func ConstI32(n int32) []byte { return append([]byte{0x41}, sleb(int64(n))...) }
 
-// ConstI64 puts a number on the stack.
+// ConstI64 encodes i64.const, which pushes n onto the stack.
 func ConstI64(n int64) []byte { return append([]byte{0x42}, sleb(n)...) }
 
-// ConstF64 puts a number on the stack.
+// ConstF64 encodes f64.const, which pushes x onto the stack.
 func ConstF64(x float64) []byte {
 	return binary.LittleEndian.AppendUint64([]byte{0x44}, math.Float64bits(x))
 }
 
-// Call calls a function by its index: imports first, then the three exports, then More.
+// Call encodes a call of the function with index n. Imports come first, then the three exports,
+// then Extra.
 func Call(n int) []byte { return append([]byte{0x10}, uleb(uint64(n))...) }
 
-// Forever repeats a body without an end.
+// Forever encodes an endless loop around body.
 func Forever(body ...[]byte) []byte {
 	return Join([]byte{0x03, 0x40}, Join(body...), []byte{0x0c, 0x00, 0x0b})
 }
 
-// Single instructions, and having no opinion.
+// Trap and Drop are single instructions. None is the result of a call that gives no advice.
 var (
 	Trap = []byte{0x00}
 	Drop = []byte{0x1a}
 	None = ConstI64(0)
 )
 
-// Says returns advice that lies at an address.
+// Says encodes the result of a call whose advice is in memory at address at.
 func Says(at, size uint32) []byte { return ConstI64(int64(uint64(at)<<32 | uint64(size))) }
 
-// Build returns the module.
+// Build returns the encoded module.
 func (a Module) Build() []byte {
-	or := func(b, d []byte) []byte {
+	orDefault := func(b, d []byte) []byte {
 		if b == nil {
 			return d
 		}
 		return b
 	}
 	types := [][]byte{{0x60, 0, 1, I32}, {0x60, 1, I32, 1, I32}, {0x60, 1, I32, 1, I64}, {0x60, 0, 0}}
-	if a.Wrong {
+	if a.WrongTypes {
 		types[2] = []byte{0x60, 1, I64, 1, I64}
 	}
 	var imports [][]byte
 	for k, i := range a.Imports {
-		types = append(types, Join([]byte{0x60}, vec(split(i.Params)...), vec(split(i.Gives)...)))
-		imports = append(imports, Join(text(i.From), text(i.Name), []byte{0x00}, uleb(uint64(4+k))))
+		types = append(types, Join([]byte{0x60}, encodeVector(splitBytes(i.Params)...), encodeVector(splitBytes(i.Results)...)))
+		imports = append(imports, Join(encodeName(i.From), encodeName(i.Name), []byte{0x00}, uleb(uint64(4+k))))
 	}
-	n := uint64(len(imports))
+	importCount := uint64(len(imports))
 	var exports [][]byte
 	for k, name := range []string{"madderdrum_abi", "madderdrum_input", "madderdrum_advise"} {
 		if name != a.Without {
-			exports = append(exports, Join(text(name), []byte{0x00}, uleb(n+uint64(k))))
+			exports = append(exports, Join(encodeName(name), []byte{0x00}, uleb(importCount+uint64(k))))
 		}
 	}
 	if a.Without != "memory" {
-		exports = append(exports, Join(text("memory"), []byte{0x02, 0x00}))
+		exports = append(exports, Join(encodeName("memory"), []byte{0x02, 0x00}))
 	}
 	bodies := 4
 	if a.Wants != nil {
-		exports = append(exports, Join(text("madderdrum_wants"), []byte{0x00}, uleb(n+4)))
+		exports = append(exports, Join(encodeName("madderdrum_wants"), []byte{0x00}, uleb(importCount+4)))
 		bodies = 5
 	}
 	memory := []byte{0x00, max(1, a.Pages)}
-	if a.Most > 0 {
-		memory = []byte{0x01, max(1, a.Pages), a.Most}
+	if a.MaxPages > 0 {
+		memory = []byte{0x01, max(1, a.Pages), a.MaxPages}
 	}
 	body := func(locals byte, code []byte) []byte {
 		l := []byte{0}
@@ -155,24 +161,25 @@
 		b := Join(l, code, []byte{0x0b})
 		return append(uleb(uint64(len(b))), b...)
 	}
-	m := Join([]byte("\x00asm\x01\x00\x00\x00"), section(1, vec(types...)))
+	module := Join([]byte("\x00asm\x01\x00\x00\x00"), encodeSection(1, encodeVector(types...)))
 	if len(imports) > 0 {
-		m = append(m, section(2, vec(imports...))...)
+		module = append(module, encodeSection(2, encodeVector(imports...))...)
 	}
-	m = Join(m, section(3, vec([][]byte{{0}, {1}, {2}, {3}, {0}}[:bodies]...)), section(5, vec(memory)), section(7, vec(exports...)))
+	module = Join(module, encodeSection(3, encodeVector([][]byte{{0}, {1}, {2}, {3}, {0}}[:bodies]...)), encodeSection(5, encodeVector(memory)), encodeSection(7, encodeVector(exports...)))
 	if a.Start {
-		m = append(m, section(8, uleb(n+3))...)
+		module = append(module, encodeSection(8, uleb(importCount+3))...)
 	}
-	code := [][]byte{body(0, or(a.ABI, ConstI32(1))), body(0, or(a.Input, ConstI32(1024))),
-		body(a.Locals, or(a.Advise, None)), body(0, a.More), body(0, a.Wants)}
-	m = append(m, section(10, vec(code[:bodies]...))...)
+	code := [][]byte{body(0, orDefault(a.ABI, ConstI32(1))), body(0, orDefault(a.Input, ConstI32(1024))),
+		body(a.AdviseLocals, orDefault(a.Advise, None)), body(0, a.Extra), body(0, a.Wants)}
+	module = append(module, encodeSection(10, encodeVector(code[:bodies]...))...)
 	if len(a.Data) > 0 {
-		m = append(m, section(11, vec(Join([]byte{0x00}, ConstI32(0), []byte{0x0b}, text(string(a.Data)))))...)
+		module = append(module, encodeSection(11, encodeVector(Join([]byte{0x00}, ConstI32(0), []byte{0x0b}, encodeName(string(a.Data)))))...)
 	}
-	return m
+	return module
 }
 
-func split(b []byte) (all [][]byte) {
+// splitBytes returns each byte as a slice of its own.
+func splitBytes(b []byte) (all [][]byte) {
 	for _, c := range b {
 		all = append(all, []byte{c})
 	}
--- a/plugin/plugintest/bad.go
+++ b/plugin/plugintest/bad.go
@@ -2,7 +2,7 @@
 
 import "example.org/madderdrum/advice"
 
-// Host functions, as modules import them.
+// Imports of the host functions.
 var (
 	Count  = Import{"madderdrum", "count", []byte{I32, I32, F64, F64}, []byte{F64}}
 	Log    = Import{"madderdrum", "log", []byte{I32, I32}, nil}
@@ -11,7 +11,7 @@
 	yield  = Import{"wasi_snapshot_preview1", "sched_yield", nil, []byte{I32}}
 )
 
-// Bad are modules that can be loaded and fail at every call, each in another way.
+// Bad returns modules that can be loaded and whose calls all fail, each in a different way.
 func Bad() map[string]Module {
 	grow := Join(ConstI32(1), []byte{0x40, 0x00}, Drop)
 	return map[string]Module{
@@ -19,7 +19,7 @@
 		"loops with a host call":  {Imports: []Import{Now}, Advise: Join(Forever(Call(0), Drop), None)},
 		"random without end":      {Imports: []Import{Random}, Advise: Join(Forever(Call(0), Drop), None)},
 		"loops in wasi":           {Imports: []Import{yield}, Advise: Join(Forever(Call(0), Drop), None)},
-		"recurses":                {Advise: Join(Call(3), None), More: Call(3)},
+		"recurses":                {Advise: Join(Call(3), None), Extra: Call(3)},
 		"traps":                   {Advise: Trap},
 		"divides by 0":            {Advise: Join(ConstI64(1), ConstI64(0), []byte{0x7f})},
 		"reads beyond its memory": {Advise: Join(ConstI32(-8), []byte{0x29, 0x03, 0x00})},
@@ -35,8 +35,8 @@
 	}
 }
 
-// Saying is a module that gives the same advice to each request.
+// Saying returns a module that gives the same advice for each request.
 func Saying(a advice.Advice) Module {
-	b := a.Append(nil)
-	return Module{Advise: Says(0, uint32(len(b))), Data: b}
+	encoded := a.Append(nil)
+	return Module{Advise: Says(0, uint32(len(encoded))), Data: encoded}
 }
