--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -1,17 +1,18 @@
-// Package capacity bounds from above what any policy could have served of given requests with
-// a given supply of work, and says what a unit of work was worth at each time. It does no input
-// or output and reads no clock.
+// Package capacity computes an upper bound on the worth that any policy could have served of given
+// requests with a given supply of work, and the price of a unit of work at each time. It also
+// forecasts demand and plans fleet sizes. It does no I/O and reads no clock.
 //
-// The model is a linear programme: requests, split at will, take work from steps of time within
-// which they earn something, and units from their account's bucket. It is relaxed against the
-// world in every respect, so that no policy can do better: boxes are one supply, requests wait
-// and cross rooms at no cost, and an account's units need not be taken at once.
+// The model is a linear program: requests, which may be split, take work from the time steps in
+// which they earn something, and units from their account's bucket. It is a relaxation in every
+// respect, so that no policy can do better: all boxes are one supply, requests wait and move
+// between rooms at no cost, and an account's units need not be taken at once.
 //
-// It is not put into a tableau. The work of a step has a price (a Lagrange multiplier); given
-// prices, each account is a problem of its own that a greedy choice solves, and any prices that
-// are not below 0 give a bound (weak duality). Prices come from the steps that are short at each
-// density of worth, and a subgradient method mends them until the bound and a plan that keeps
-// all constraints are near enough, or time is up: a bound that is stopped early still holds.
+// The solver uses Lagrangian relaxation. The work of each step has a price (a multiplier). Given
+// the prices, each account is a separate problem that a greedy choice solves, and any
+// non-negative prices give a valid bound (weak duality). The initial prices come from the steps
+// that are short of supply at each density of worth (worth per unit of work). A subgradient method
+// improves them until the bound is close enough to the worth of a feasible plan, or until it is
+// stopped; a bound of a stopped run is still valid.
 package capacity
 
 import (
@@ -20,53 +21,53 @@
 	"slices"
 )
 
-// Need is one request, or several that are alike. Times are in seconds, work in seconds of one
-// core at speed 1.
+// Need is one request, or several equal ones. Times are in seconds, work in seconds of one core
+// at speed 1.
 type Need struct {
-	At       float64 // it is asked for
-	Aim      float64 // an answer this long after that earns Worth
-	Deadline float64 // one up to this long earns Worth * Late
+	At       float64 // time of arrival
+	Aim      float64 // an answer within this time of At earns Worth
+	Deadline float64 // a later answer within this time earns Worth * Late
 	Work     float64
 	Worth    float64 // within its account's quota
-	Late     float64 // share
-	Beyond   float64 // worth without units from the quota; below 0 counts as 0
-	Units    float64
-	Account  int // in Problem.Quotas; -1: none binds it
+	Late     float64 // share of the worth that a late answer earns
+	Beyond   float64 // worth of an answer without units from the quota; negative counts as 0
+	Units    float64 // taken from the account's quota
+	Account  int     // index into Problem.Quotas; -1: no quota applies
 }
 
-// Quota is an account's bucket: units that it starts with and holds at most, and a second.
+// Quota is an account's token bucket: Rate units per second, up to Burst, which it starts with.
 type Quota struct{ Rate, Burst float64 }
 
-// Supply is the work that can be done in each step from time 0 on.
+// Supply is the work that the boxes can do in each time step from time 0 on.
 type Supply struct {
 	Step float64   // seconds
-	Work []float64 // by step, in seconds of work
-	Core []float64 // by step: work that one core can do at most, 0: unbounded
+	Work []float64 // per step, in seconds of work
+	Core []float64 // per step: the most work that one core can do; empty: unlimited
 }
 
-// Problem is what a bound is wanted of. It is only read.
+// Problem is the input of Solve, which does not change it.
 type Problem struct {
 	Supply Supply
 	Needs  []Need
 	Quotas []Quota
 }
 
-// Options bound the work of a solver. The zero value is a sound choice.
+// Options limits the effort of Solve. The zero value uses the defaults.
 type Options struct {
-	Rounds int         // of the subgradient method at most; 0: 100
-	Gap    float64     // near enough, as a share of the bound; 0: 0.002
-	Stop   func() bool // asked once a round; nil: never
+	Rounds int         // maximum rounds of the subgradient method; 0: 100
+	Gap    float64     // relative gap at which to stop; 0: 0.002
+	Stop   func() bool // called every tenth round to stop early; nil: never stop
 }
 
-// Bound is what Solve found.
+// Bound is the result of Solve: an upper bound and the worth of a feasible plan.
 type Bound struct {
-	Value   float64   // nothing earns more
-	Reached float64   // some plan within all constraints of the model earns this
-	Prices  []float64 // by step: worth of one second of work more
-	Rounds  int
+	Value   float64   // upper bound: no policy earns more
+	Reached float64   // lower bound: a plan that keeps all constraints of the model earns this
+	Prices  []float64 // per step: worth of one more second of work
+	Rounds  int       // rounds of the subgradient method that were run
 }
 
-// Gap is how far the bound may be off, as a share of it.
+// Gap returns the relative distance between the upper bound and the plan that was found.
 func (b *Bound) Gap() float64 {
 	if b.Value <= 0 {
 		return 0
@@ -74,30 +75,30 @@
 	return max(0, 1-b.Reached/b.Value)
 }
 
-// levels is by how many densities of worth the steps that are short are looked for.
-const levels = 48
+// densityLevels is the number of density levels at which startPrices looks for short steps.
+const densityLevels = 48
 
-// solver is the state of a run.
+// solver is the state of one Solve call.
 type solver struct {
-	p        *Problem
-	needs    []item
-	accounts [][]int // needs by account that its bucket may bind, in the order of time
-	steps    int
-	load     []float64 // of the last evaluation, by step
-	take     []float64 // of each need, of the last evaluation: the share within quota ...
-	extra    []float64 // ... and the share beyond it
-	place    []int     // the step that its work is best put in
-	profit   []float64
-	bonus    []float64 // profit without the quota
+	problem      *Problem
+	needs        []timedNeed // in the order of time
+	accounts     [][]int     // for each account whose quota may bind: its needs in the order of time
+	steps        int
+	load         []float64 // work chosen by the last evaluation, per step
+	take         []float64 // per need, chosen by the last evaluation: the share within the quota ...
+	beyondShare  []float64 // ... and the share beyond the quota
+	bestStep     []int     // per need: the step that earns most
+	profit       []float64 // per need: best worth minus the price of its work
+	beyondProfit []float64 // per need: worth beyond the quota minus the price of its work
 }
 
-// item is a need with its windows as steps.
-type item struct {
+// timedNeed is a need with its time limits as steps.
+type timedNeed struct {
 	*Need
-	from, aim, end int // steps: from..aim earns in full, from..end late
+	from, aimStep, deadlineStep int // steps from..aimStep earn full worth, from..deadlineStep that of a late answer
 }
 
-// Solve bounds what can be earned.
+// Solve computes a bound on the worth that can be earned from p.
 func Solve(p *Problem, o Options) *Bound {
 	s := newSolver(p)
 	rounds, gap := cmp.Or(o.Rounds, 100), cmp.Or(o.Gap, 0.002)
@@ -116,13 +117,13 @@
 			copy(best, prices)
 		}
 		if b.Rounds%10 == 0 {
-			b.Reached = max(b.Reached, s.plan(prices))
+			b.Reached = max(b.Reached, s.feasibleWorth(prices))
 			if b.Gap() <= gap || o.Stop != nil && o.Stop() {
 				b.Rounds++
 				break
 			}
 		}
-		// Polyak's step towards what is known to be reached, from the best prices so far.
+		// Polyak step size, which aims at the worth of the best plan so far.
 		norm := 0.0
 		for k, w := range s.load {
 			g := p.Supply.Work[k] - w
@@ -142,65 +143,66 @@
 		}
 	}
 	s.evaluate(best)
-	b.Reached = min(b.Value, max(b.Reached, s.plan(best)))
+	b.Reached = min(b.Value, max(b.Reached, s.feasibleWorth(best)))
 	b.Prices = best
 	return b
 }
 
-func newSolver(p *Problem) *solver {
-	s := &solver{p: p, steps: len(p.Supply.Work)}
-	step := func(at float64) int { return int(math.Floor(at / p.Supply.Step)) }
-	for i := range p.Needs {
-		n := &p.Needs[i]
-		x := item{Need: n, from: step(n.At), aim: min(s.steps-1, step(n.At+n.Aim)), end: min(s.steps-1, step(n.At+max(n.Aim, n.Deadline)))}
+// newSolver drops the needs that can earn nothing and finds the accounts whose quotas may bind.
+func newSolver(problem *Problem) *solver {
+	s := &solver{problem: problem, steps: len(problem.Supply.Work)}
+	step := func(at float64) int { return int(math.Floor(at / problem.Supply.Step)) }
+	for i := range problem.Needs {
+		n := &problem.Needs[i]
+		x := timedNeed{Need: n, from: step(n.At), aimStep: min(s.steps-1, step(n.At+n.Aim)), deadlineStep: min(s.steps-1, step(n.At+max(n.Aim, n.Deadline)))}
 		if x.from < 0 || x.from >= s.steps || n.Work < 0 || !(n.Worth > 0 || n.Beyond > 0) {
-			continue // nothing can be earned by it
+			continue // it can't earn anything
 		}
-		// One core at a time works on a request.
-		if !s.fits(n.Work, x.from, x.aim) {
-			x.aim = x.from - 1 // late at best
+		// Only one core at a time works on a request.
+		if !s.fits(n.Work, x.from, x.aimStep) {
+			x.aimStep = x.from - 1 // it can only be late
 		}
-		if n.Late <= 0 || !s.fits(n.Work, x.from, x.end) {
-			x.end = x.from - 1
+		if n.Late <= 0 || !s.fits(n.Work, x.from, x.deadlineStep) {
+			x.deadlineStep = x.from - 1
 		}
-		if x.aim >= x.from || x.end >= x.from {
+		if x.aimStep >= x.from || x.deadlineStep >= x.from {
 			s.needs = append(s.needs, x)
 		}
 	}
-	slices.SortStableFunc(s.needs, func(a, b item) int { return cmp.Compare(a.At, b.At) })
-	of := make([][]int, len(p.Quotas))
+	slices.SortStableFunc(s.needs, func(a, b timedNeed) int { return cmp.Compare(a.At, b.At) })
+	byAccount := make([][]int, len(problem.Quotas))
 	for i := range s.needs {
-		if a := s.needs[i].Account; a >= 0 && a < len(of) {
-			of[a] = append(of[a], i)
+		if a := s.needs[i].Account; a >= 0 && a < len(byAccount) {
+			byAccount[a] = append(byAccount[a], i)
 		}
 	}
-	for a, all := range of {
-		if len(all) > 0 && s.binds(p.Quotas[a], all) {
+	for a, all := range byAccount {
+		if len(all) > 0 && s.quotaBinds(problem.Quotas[a], all) {
 			s.accounts = append(s.accounts, all)
 		}
 	}
 	n := len(s.needs)
-	s.load, s.take, s.extra, s.place = make([]float64, s.steps), make([]float64, n), make([]float64, n), make([]int, n)
-	s.profit, s.bonus = make([]float64, n), make([]float64, n)
+	s.load, s.take, s.beyondShare, s.bestStep = make([]float64, s.steps), make([]float64, n), make([]float64, n), make([]int, n)
+	s.profit, s.beyondProfit = make([]float64, n), make([]float64, n)
 	return s
 }
 
-// fits tells whether one core could do so much work in some steps.
+// fits reports whether one core can do the work in the given steps.
 func (s *solver) fits(work float64, from, to int) bool {
-	if len(s.p.Supply.Core) == 0 {
+	if len(s.problem.Supply.Core) == 0 {
 		return from <= to
 	}
 	for k := from; k <= to; k++ {
-		if work -= s.p.Supply.Core[k]; work <= 0 {
+		if work -= s.problem.Supply.Core[k]; work <= 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// wait is how long an account's units may be taken after a request was asked for: a policy may
-// send it on so much later. By so much more than its burst may pass in a span.
-func (s *solver) wait(all []int) (longest float64) {
+// longestWait returns the longest time for which a policy may delay a request of an account. Its
+// units may be taken that much later, so a span may take the refill of this time above the burst.
+func (s *solver) longestWait(all []int) (longest float64) {
 	for _, i := range all {
 		n := s.needs[i].Need
 		longest = max(longest, n.Aim)
@@ -211,13 +213,13 @@
 	return longest
 }
 
-// binds tells whether an account's bucket ever keeps anything back.
-func (s *solver) binds(q Quota, all []int) bool {
-	most := q.Burst + q.Rate*s.wait(all)
-	level, at := most, 0.0
+// quotaBinds reports whether an account's bucket would ever limit its requests.
+func (s *solver) quotaBinds(q Quota, all []int) bool {
+	burst := q.Burst + q.Rate*s.longestWait(all)
+	level, at := burst, 0.0
 	for _, i := range all {
 		n := s.needs[i].Need
-		level = min(most, level+q.Rate*(n.At-at)) - n.Units
+		level = min(burst, level+q.Rate*(n.At-at)) - n.Units
 		if at = n.At; level < -1e-9 {
 			return true
 		}
@@ -225,103 +227,104 @@
 	return false
 }
 
-// best returns what a need earns at most for its work at the prices, and the step to put it in.
-func (s *solver) best(n *item, worth float64, prices []float64) (profit float64, place int) {
-	place = n.from
+// bestProfit returns the most that a need earns beyond the price of its work, and the step for it.
+func (s *solver) bestProfit(n *timedNeed, worth float64, prices []float64) (profit float64, step int) {
+	step = n.from
 	try := func(worth float64, to int) {
 		if worth <= 0 || to < n.from {
 			return
 		}
-		cheap := n.from
+		cheapest := n.from
 		for k := n.from + 1; k <= to; k++ {
-			if prices[k] < prices[cheap] {
-				cheap = k
+			if prices[k] < prices[cheapest] {
+				cheapest = k
 			}
 		}
-		if x := worth - n.Work*prices[cheap]; x > profit {
-			profit, place = x, cheap
+		if x := worth - n.Work*prices[cheapest]; x > profit {
+			profit, step = x, cheapest
 		}
 	}
-	try(worth, n.aim)
-	try(worth*n.Late, n.end)
-	return profit, place
+	try(worth, n.aimStep)
+	try(worth*n.Late, n.deadlineStep)
+	return profit, step
 }
 
-// evaluate returns the bound that prices give, and leaves what is chosen by them.
+// evaluate returns the bound at the given prices and stores the choices that attain it.
 func (s *solver) evaluate(prices []float64) float64 {
 	clear(s.load)
 	value := 0.0
-	for k, c := range s.p.Supply.Work {
+	for k, c := range s.problem.Supply.Work {
 		value += prices[k] * c
 	}
 	for i := range s.needs {
 		n := &s.needs[i]
 		var at int
-		s.profit[i], s.place[i] = s.best(n, n.Worth, prices)
-		if s.bonus[i], at = s.best(n, n.Beyond, prices); s.bonus[i] > s.profit[i] {
-			s.profit[i], s.place[i] = s.bonus[i], at
+		s.profit[i], s.bestStep[i] = s.bestProfit(n, n.Worth, prices)
+		if s.beyondProfit[i], at = s.bestProfit(n, n.Beyond, prices); s.beyondProfit[i] > s.profit[i] {
+			s.profit[i], s.bestStep[i] = s.beyondProfit[i], at
 		}
-		s.take[i], s.extra[i] = 1, 0
+		s.take[i], s.beyondShare[i] = 1, 0
 	}
 	for _, all := range s.accounts {
-		s.ration(s.p.Quotas[s.needs[all[0]].Account], all)
+		s.ration(s.problem.Quotas[s.needs[all[0]].Account], all)
 	}
 	for i := range s.needs {
 		n := &s.needs[i]
-		value += s.take[i]*s.profit[i] + s.extra[i]*s.bonus[i]
-		if share := s.take[i]*btof(s.profit[i] > 0) + s.extra[i]*btof(s.bonus[i] > 0); share > 0 {
-			s.load[s.place[i]] += share * n.Work
+		value += s.take[i]*s.profit[i] + s.beyondShare[i]*s.beyondProfit[i]
+		if share := s.take[i]*boolToFloat(s.profit[i] > 0) + s.beyondShare[i]*boolToFloat(s.beyondProfit[i] > 0); share > 0 {
+			s.load[s.bestStep[i]] += share * n.Work
 		}
 	}
 	return value
 }
 
-// block is how many of an account's needs are rationed together: more are taken for several
-// accounts with a full bucket each, which relaxes the bound and keeps its cost linear.
-const block = 4096
+// rationBlock is the number of an account's needs that are rationed together. More needs are
+// treated as several accounts with a full bucket each. That relaxes the bound and keeps the cost
+// linear.
+const rationBlock = 4096
 
-// ration divides an account's bucket among its needs, by what a unit earns. Buckets are
-// polymatroids, so the greedy choice is the best one (J. Edmonds, 1970).
+// ration divides an account's bucket among its needs in the order of their gain per unit. The
+// bucket's constraints form a polymatroid, so the greedy choice is optimal (J. Edmonds, 1970).
 func (s *solver) ration(q Quota, all []int) {
-	for len(all) > block {
-		s.ration(q, all[:block])
-		all = all[block:]
+	for len(all) > rationBlock {
+		s.ration(q, all[:rationBlock])
+		all = all[rationBlock:]
 	}
 	order := make([]int, 0, len(all))
 	for k, i := range all {
-		s.take[i], s.extra[i] = 0, 1
-		if s.profit[i] > s.bonus[i] {
+		s.take[i], s.beyondShare[i] = 0, 1
+		if s.profit[i] > s.beyondProfit[i] {
 			order = append(order, k)
 		}
 	}
 	gain := func(k int) float64 {
 		i := all[k]
-		return (s.profit[i] - s.bonus[i]) / max(1e-12, s.needs[i].Units)
+		return (s.profit[i] - s.beyondProfit[i]) / max(1e-12, s.needs[i].Units)
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(gain(b), gain(a)) })
-	most := q.Burst + q.Rate*s.wait(all)
+	burst := q.Burst + q.Rate*s.longestWait(all)
 	b := newBucket(q.Rate, func(k int) float64 { return s.needs[all[k]].At }, len(all))
 	for _, k := range order {
 		n := &s.needs[all[k]]
-		if room := b.left(k, most); room > 0 {
+		if room := b.available(k, burst); room > 0 {
 			taken, share := min(n.Units, room), 1.0
 			if n.Units > 0 {
 				share = taken / n.Units
 				b.take(k, taken)
 			}
-			s.take[all[k]], s.extra[all[k]] = share, 1-share
+			s.take[all[k]], s.beyondShare[all[k]] = share, 1-share
 		}
 	}
 }
 
-// startPrices looks, at each density of worth, for the steps that those needs alone fill: a
-// step's price is the highest density at which it is short.
+// startPrices adds needs in descending density of worth and sets the price of each step to the
+// first density at which the step is short of supply.
 func (s *solver) startPrices() []float64 {
 	prices := make([]float64, s.steps)
-	s.evaluate(prices) // without prices: what quotas leave
+	s.evaluate(prices) // at price 0 only the quotas limit the needs
 	var order []int
 	for i := range s.needs {
-		if n := &s.needs[i]; n.Work > 0 && n.aim >= n.from && s.take[i] > 0 {
+		if n := &s.needs[i]; n.Work > 0 && n.aimStep >= n.from && s.take[i] > 0 {
 			order = append(order, i)
 		}
 	}
@@ -330,14 +333,14 @@
 	}
 	density := func(i int) float64 { return s.needs[i].Worth / s.needs[i].Work }
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(density(b), density(a)) })
-	e := newFlow(s)
-	for level := 1; level <= levels; level++ {
-		from, to := len(order)*(level-1)/levels, len(order)*level/levels
+	assignment := newFlow(s)
+	for level := 1; level <= densityLevels; level++ {
+		from, to := len(order)*(level-1)/densityLevels, len(order)*level/densityLevels
 		if from == to {
 			continue
 		}
-		e.add(order[from:to])
-		for k, short := range e.short() {
+		assignment.add(order[from:to])
+		for k, short := range assignment.short() {
 			if short && prices[k] == 0 {
 				prices[k] = density(order[(from+to)/2])
 			}
@@ -346,12 +349,13 @@
 	return prices
 }
 
-// plan earns what can be earned of what the last evaluation chose, within all constraints.
-func (s *solver) plan(prices []float64) float64 {
+// feasibleWorth returns the worth of a plan within all constraints, built greedily from the needs
+// that evaluate chooses at the prices.
+func (s *solver) feasibleWorth(prices []float64) float64 {
 	s.evaluate(prices)
 	order := make([]int, 0, len(s.needs))
 	for i := range s.needs {
-		if s.take[i]+s.extra[i] > 0 && (s.profit[i] > 0 || s.bonus[i] > 0 || s.needs[i].Worth > 0) {
+		if s.take[i]+s.beyondShare[i] > 0 && (s.profit[i] > 0 || s.beyondProfit[i] > 0 || s.needs[i].Worth > 0) {
 			order = append(order, i)
 		}
 	}
@@ -360,7 +364,8 @@
 	return newFlow(s).earn(order)
 }
 
-func btof(b bool) float64 {
+// boolToFloat returns 1 for true and 0 for false.
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// tiny is a random problem of a few needs and steps: units and work of any size, ties, needs
-// that nothing fits, accounts with much and little.
-func tiny(r *rand.Rand) *Problem {
+// randomProblem returns a problem with a few needs and steps: units and work of various sizes, ties,
+// needs that can't be served, and large and small quotas.
+func randomProblem(r *rand.Rand) *Problem {
 	p := &Problem{Supply: Supply{Step: 1}}
-	scale := math.Pow(10, float64(r.IntN(10)-4)) // of work, worth and units
+	scale := math.Pow(10, float64(r.IntN(10)-4)) // scale of work, worth and units
 	for range 1 + r.IntN(5) {
 		p.Supply.Work = append(p.Supply.Work, scale*float64(r.IntN(5)))
 	}
@@ -34,7 +34,7 @@
 	return p
 }
 
-// choice is what is done with a need.
+// choice is one way to treat a need: skip it, or serve it in time or late, within or beyond the quota.
 type choice int
 
 const (
@@ -46,12 +46,12 @@
 	choices
 )
 
-// brute is the most that any choice earns which can be carried out: all needs whole, work done
-// by the earliest deadline, units taken at once when a need is asked for.
-func brute(p *Problem) (best float64) {
+// bruteForce returns the most that any feasible choice earns. Needs are served whole, work is done by
+// earliest deadline first, and units are taken on arrival.
+func bruteForce(p *Problem) (best float64) {
 	chosen := make([]choice, len(p.Needs))
 	for {
-		if worth := earns(p, chosen); worth > best {
+		if worth := choiceWorth(p, chosen); worth > best {
 			best = worth
 		}
 		k := 0
@@ -67,8 +67,8 @@
 	}
 }
 
-// earns is what a choice earns; below 0 if it can't be carried out.
-func earns(p *Problem, chosen []choice) (worth float64) {
+// choiceWorth returns the worth of a choice, or -1 if it is not feasible.
+func choiceWorth(p *Problem, chosen []choice) (worth float64) {
 	type job struct{ from, to, left float64 }
 	var jobs []job
 	order := make([]int, len(p.Needs))
@@ -87,9 +87,9 @@
 		if c == skip {
 			continue
 		}
-		until := n.At + n.Aim
+		deadline := n.At + n.Aim
 		if c == late || c == beyondLate {
-			until = n.At + max(n.Aim, n.Deadline)
+			deadline = n.At + max(n.Aim, n.Deadline)
 		}
 		gain := n.Worth
 		if c == beyondInTime || c == beyondLate {
@@ -109,10 +109,10 @@
 			gain *= n.Late
 		}
 		worth += gain
-		jobs = append(jobs, job{n.At, until, n.Work})
+		jobs = append(jobs, job{n.At, deadline, n.Work})
 	}
-	// Hall's condition over all spans between ends of jobs: supply flows evenly within a step.
-	done := func(t float64) (sum float64) {
+	// Hall's condition for all spans between job boundaries; supply is constant within a step.
+	supplied := func(t float64) (sum float64) {
 		for k, w := range p.Supply.Work {
 			sum += w * max(0, min(1, t-float64(k)))
 		}
@@ -126,12 +126,12 @@
 					need += j.left
 				}
 			}
-			if a.from < b.to && need > done(b.to)-done(a.from)+1e-9*need || a.from >= b.to && need > 0 {
+			if a.from < b.to && need > supplied(b.to)-supplied(a.from)+1e-9*need || a.from >= b.to && need > 0 {
 				return -1
 			}
 		}
 	}
-	if len(p.Supply.Core) > 0 { // one core at a time works on each
+	if len(p.Supply.Core) > 0 { // only one core at a time works on each job
 		for _, j := range jobs {
 			could := 0.0
 			for k, w := range p.Supply.Core {
@@ -145,15 +145,15 @@
 	return worth
 }
 
-// No choice that can be carried out earns more than the bound, however early it is stopped;
-// and a bound that is wrong by a little is found.
+// No feasible choice earns more than the bound, even if the solver stops after one round. As a check
+// of the test itself, slightly wrong problems must give bounds that some choice exceeds.
 func TestNeverBelowBruteForce(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	found := map[string]int{}
 	sum, gap, tight := 0, 0.0, 0
 	for range 1500 {
-		p := tiny(r)
-		best := brute(p)
+		p := randomProblem(r)
+		best := bruteForce(p)
 		for _, rounds := range []int{1, 0} {
 			b := Solve(p, Options{Rounds: rounds})
 			if best > b.Value*(1+1e-9)+1e-12 {
@@ -165,7 +165,7 @@
 			if rounds == 0 && b.Value > 0 {
 				sum++
 				gap += b.Gap()
-				tight += int(btof(best > b.Value*0.999))
+				tight += int(boolToFloat(best > b.Value*0.999))
 			}
 		}
 		for name, wrong := range map[string]func(q *Problem){
@@ -202,45 +202,46 @@
 			}
 		}
 	}
-	t.Logf("%d problems of worth, mean gap to a plan %.2f%%, %d times a choice of whole needs reaches the bound; wrong bounds found %v", sum, 100*gap/float64(sum), tight, found)
+	t.Logf("%d problems with a positive bound, mean gap to a plan %.2f%%, %d times a choice of whole needs reaches the bound; wrong bounds detected %v", sum, 100*gap/float64(sum), tight, found)
 	if len(found) != 5 || tight < sum/4 {
-		t.Errorf("wrong bounds found: %v; tight %d of %d", found, tight, sum)
+		t.Errorf("wrong bounds detected: %v; tight %d of %d", found, tight, sum)
 	}
 }
 
-// Nothing to do, nothing to do it with, needs that are all alike, demand of five fleets, and
-// sizes from 1e-3 to 1e6 in one problem.
+// Extreme problems: no needs, no supply, equal needs with five times the supply as demand, sizes from
+// 1e-3 to 1e6 in one problem, and a run that is stopped at once.
 func TestExtremes(t *testing.T) {
 	if b := Solve(&Problem{}, Options{}); b.Value != 0 || b.Gap() != 0 {
-		t.Errorf("of nothing: %+v", b)
+		t.Errorf("empty problem: %+v", b)
 	}
 	p := &Problem{Supply: Supply{Step: 1, Work: make([]float64, 4)}, Needs: []Need{{Work: 1, Worth: 1, Aim: 2, Account: -1}, {Work: 0, Worth: 3, Aim: 2, Account: -1}}}
 	if b := Solve(p, Options{}); math.Abs(b.Value-3) > 0.01 {
-		t.Errorf("without supply only what takes no work is served: %+v", b)
+		t.Errorf("without supply only needs without work can be served: %+v", b)
 	}
 	p = &Problem{Supply: Supply{Step: 1, Work: []float64{10, 10, 10, 10}}}
-	for i := range 200 { // five times as much as there is, all alike
+	for i := range 200 { // five times the supply, all equal
 		p.Needs = append(p.Needs, Need{At: float64(i) / 50, Aim: 0.9, Work: 1, Worth: 2, Account: -1})
 	}
 	if b := Solve(p, Options{}); b.Value < 80 || b.Value > 80.5 || b.Gap() > 0.01 {
-		t.Errorf("five fleets: %+v", b)
+		t.Errorf("five times the supply: %+v", b)
 	}
 	p = &Problem{Supply: Supply{Step: 1, Work: []float64{1e6, 1e-3}}, Needs: []Need{{Work: 1e6, Worth: 1e6, Aim: 0.5, Account: 0, Units: 1e6},
 		{At: 1.1, Work: 1e-3, Worth: 1e-3, Aim: 0.5, Account: 0, Units: 1e-3}}, Quotas: []Quota{{Rate: 1e-3, Burst: 1e6}}}
 	if b := Solve(p, Options{}); b.Value < 1e6+0.9e-3 || b.Value > 1e6*1.001 {
-		t.Errorf("of all sizes: %+v", b)
+		t.Errorf("mixed sizes: %+v", b)
 	}
-	p = busy(3, 60, 20, 5)
+	p = busyProblem(3, 60, 20, 5)
 	whole := Solve(p, Options{Gap: 1e-12})
 	asked := 0
 	b := Solve(p, Options{Gap: 1e-12, Stop: func() bool { asked++; return true }})
 	if asked != 1 || b.Rounds != 1 || b.Value < whole.Reached || whole.Value > b.Value {
-		t.Errorf("stopped: %v to %v, asked %d times; not stopped %v to %v", b.Reached, b.Value, asked, whole.Reached, whole.Value)
+		t.Errorf("stopped: %v to %v, Stop called %d times; not stopped: %v to %v", b.Reached, b.Value, asked, whole.Reached, whole.Value)
 	}
 }
 
-// busy is a day of a busy fleet in steps, with so many boxes and accounts.
-func busy(boxes, steps, perStep, accounts int) *Problem {
+// busyProblem returns a problem with varying supply, perStep needs in each step and a quota for each
+// account.
+func busyProblem(boxes, steps, perStep, accounts int) *Problem {
 	r := rand.New(rand.NewPCG(7, 7))
 	p := &Problem{Supply: Supply{Step: 1}}
 	for k := range steps {
@@ -258,10 +259,11 @@
 	return p
 }
 
+// BenchmarkSolve measures Solve by boxes, steps and needs, with the gap that it reaches.
 func BenchmarkSolve(b *testing.B) {
 	for _, c := range []struct{ boxes, steps, perStep int }{{10, 600, 20}, {100, 600, 200}, {10, 6000, 20}, {10, 60_000, 20}} {
 		b.Run(fmt.Sprintf("boxes-%d/steps-%d/needs-%d", c.boxes, c.steps, c.steps*c.perStep), func(b *testing.B) {
-			p := busy(c.boxes, c.steps, c.perStep, 1000)
+			p := busyProblem(c.boxes, c.steps, c.perStep, 1000)
 			var got *Bound
 			for b.Loop() {
 				got = Solve(p, Options{Rounds: 60, Gap: 0.005})
@@ -272,7 +274,7 @@
 	}
 }
 
-// What a bucket leaves is what a look at all spans finds.
+// The units that a bucket reports as available equal the minimum over all spans.
 func TestBucket(t *testing.T) {
 	r := rand.New(rand.NewPCG(2, 2))
 	for range 300 {
@@ -295,7 +297,7 @@
 					want = min(want, burst+rate*(at[j]-at[i])-sum)
 				}
 			}
-			if got := b.left(k, burst); math.Abs(got-want) > 1e-9 {
+			if got := b.available(k, burst); math.Abs(got-want) > 1e-9 {
 				t.Fatalf("left %v, want %v", got, want)
 			}
 			u := max(0, want*r.Float64())
--- a/capacity/flow.go
+++ b/capacity/flow.go
@@ -5,54 +5,57 @@
 	"slices"
 )
 
-// flow puts needs into steps by the earliest deadline, which serves all where that can be done.
+// flow assigns needs to steps by earliest deadline first, which serves all if that is possible.
 type flow struct {
-	s     *solver
-	needs []int
-	first [][]int // of the needs, by the step that they begin in
-	done  []span  // of each need: the steps that it was served in
-	left  []float64
+	s         *solver
+	needs     []int
+	arrivals  [][]int   // needs by their first step
+	served    []span    // per need: the first and last step that served it
+	remaining []float64 // per need: work not yet served
 }
 
+// span is an inclusive range of steps.
 type span struct{ from, to int }
 
+// newFlow returns a flow without needs.
 func newFlow(s *solver) *flow {
-	return &flow{s: s, first: make([][]int, s.steps), done: make([]span, len(s.needs)), left: make([]float64, len(s.needs))}
+	return &flow{s: s, arrivals: make([][]int, s.steps), served: make([]span, len(s.needs)), remaining: make([]float64, len(s.needs))}
 }
 
+// add includes further needs in the next run.
 func (f *flow) add(needs []int) {
 	f.needs = append(f.needs, needs...)
 	for _, i := range needs {
 		n := &f.s.needs[i]
-		f.first[n.from] = append(f.first[n.from], i)
+		f.arrivals[n.from] = append(f.arrivals[n.from], i)
 	}
 }
 
-// short tells which steps are filled by what was added and can't take more of it, so that some
-// is left that could have gone there: the needs that are left, the steps that they could have
-// gone to, the needs that are there in their place, the steps that these could have gone to.
+// short runs the added needs and reports for each step whether it is short of supply: all steps that
+// an unserved need could have used, and, repeatedly, all steps that the needs served there
+// could have used instead.
 func (f *flow) short() []bool {
 	f.run()
 	short := make([]bool, f.s.steps)
-	mark := func(n *item) (news bool) {
-		for k := n.from; k <= n.aim; k++ {
-			news = news || !short[k]
+	mark := func(n *timedNeed) (changed bool) {
+		for k := n.from; k <= n.aimStep; k++ {
+			changed = changed || !short[k]
 			short[k] = true
 		}
-		return news
+		return changed
 	}
 	for _, i := range f.needs {
-		if f.left[i] > 1e-9 {
+		if f.remaining[i] > 1e-9 {
 			mark(&f.s.needs[i])
 		}
 	}
-	for news := true; news; {
-		news = false
+	for changed := true; changed; {
+		changed = false
 		for _, i := range f.needs {
-			d, n := f.done[i], &f.s.needs[i]
-			for k := d.from; k <= d.to && d.from >= 0; k++ {
+			done, n := f.served[i], &f.s.needs[i]
+			for k := done.from; k <= done.to && done.from >= 0; k++ {
 				if short[k] {
-					news = mark(n) || news
+					changed = mark(n) || changed
 					break
 				}
 			}
@@ -61,61 +64,61 @@
 	return short
 }
 
-// run serves what was added by the earliest deadline, in proportion to what quotas leave of it.
+// run serves the added needs by earliest deadline first, each with its share within the quota.
 func (f *flow) run() {
 	for _, i := range f.needs {
-		f.left[i], f.done[i] = f.s.needs[i].Work*f.s.take[i], span{-1, -2}
+		f.remaining[i], f.served[i] = f.s.needs[i].Work*f.s.take[i], span{-1, -2}
 	}
-	var open []int
+	var waiting []int
 	for k := range f.s.steps {
-		open = append(open, f.first[k]...)
-		open = slices.DeleteFunc(open, func(i int) bool { return f.left[i] <= 1e-12 || f.s.needs[i].aim < k })
-		slices.SortStableFunc(open, func(a, b int) int { return cmp.Compare(f.s.needs[a].aim, f.s.needs[b].aim) })
-		room := f.s.p.Supply.Work[k]
-		for _, i := range open {
-			if room <= 0 {
+		waiting = append(waiting, f.arrivals[k]...)
+		waiting = slices.DeleteFunc(waiting, func(i int) bool { return f.remaining[i] <= 1e-12 || f.s.needs[i].aimStep < k })
+		slices.SortStableFunc(waiting, func(a, b int) int { return cmp.Compare(f.s.needs[a].aimStep, f.s.needs[b].aimStep) })
+		supply := f.s.problem.Supply.Work[k]
+		for _, i := range waiting {
+			if supply <= 0 {
 				break
 			}
-			x := min(room, f.left[i])
-			room -= x
-			f.left[i] -= x
-			if f.done[i].from < 0 {
-				f.done[i].from = k
+			work := min(supply, f.remaining[i])
+			supply -= work
+			f.remaining[i] -= work
+			if f.served[i].from < 0 {
+				f.served[i].from = k
 			}
-			f.done[i].to = k
+			f.served[i].to = k
 		}
 	}
 }
 
-// earn puts needs into what is left of the steps one after the other, the first ones first, and
-// returns what they earn: a plan, though not always the best one.
+// earn assigns the needs to free steps in the given order and returns their worth. The result is a
+// feasible plan but not always an optimal one.
 func (f *flow) earn(order []int) (worth float64) {
 	s := f.s
-	room := slices.Clone(s.p.Supply.Work)
-	put := func(n *item, to int, share float64) (part float64) {
-		want := n.Work * share
-		if want <= 0 {
+	room := slices.Clone(s.problem.Supply.Work)
+	put := func(n *timedNeed, to int, share float64) (part float64) {
+		unserved := n.Work * share
+		if unserved <= 0 {
 			return share
 		}
-		for k := to; k >= n.from && want > 0; k-- { // the latest steps first: earlier ones serve others too
-			x := min(room[k], want)
-			room[k] -= x
-			want -= x
+		for k := to; k >= n.from && unserved > 0; k-- { // latest steps first: more needs can use the earlier ones
+			work := min(room[k], unserved)
+			room[k] -= work
+			unserved -= work
 		}
-		return share - want/n.Work
+		return share - unserved/n.Work
 	}
 	for _, i := range order {
 		n := &s.needs[i]
-		in := put(n, n.aim, s.take[i])
-		worth += in * n.Worth
-		if rest := s.take[i] - in; rest > 1e-12 && n.end >= n.from {
-			worth += put(n, n.end, rest) * n.Worth * n.Late
+		onTime := put(n, n.aimStep, s.take[i])
+		worth += onTime * n.Worth
+		if late := s.take[i] - onTime; late > 1e-12 && n.deadlineStep >= n.from {
+			worth += put(n, n.deadlineStep, late) * n.Worth * n.Late
 		}
 	}
 	for _, i := range order {
 		n := &s.needs[i]
-		if n.Beyond > 0 && s.extra[i] > 0 {
-			worth += put(n, n.aim, s.extra[i]) * n.Beyond
+		if n.Beyond > 0 && s.beyondShare[i] > 0 {
+			worth += put(n, n.aimStep, s.beyondShare[i]) * n.Beyond
 		}
 	}
 	return worth
--- a/capacity/forecast.go
+++ b/capacity/forecast.go
@@ -6,42 +6,44 @@
 	"slices"
 )
 
-// History is what was asked for in bins of equal length, by kind: a class and plan, or whatever
-// the caller tells apart.
+// History is a record of requests in bins of equal length, by kind. A kind is a class and plan, or
+// any other grouping of the caller.
 type History struct {
 	Bin   float64     // seconds
-	Begin float64     // seconds from a Monday 00:00 to the first bin, by the local clock
+	Begin float64     // seconds from a Monday 00:00 local time to the first bin
 	Kinds [][]float64 // requests by kind and bin
 }
 
 const (
-	hour = 3600.0
+	hour = 3600.0 // seconds
 	day  = 24 * hour
 	week = 7 * day
-	// leastHole is how long nothing at all has to be asked for to count as a hole in the record.
-	leastHole = 0.5 * hour
-	// oddDay is by how many median deviations from like days a day's sum has to differ to count
-	// as out of the ordinary, and oddShare by what share of their median at least.
-	oddDay, oddShare = 6.0, 0.3
+	// minGap is the time in seconds without any request that counts as a gap in the record.
+	minGap = 0.5 * hour
+	// A day is an outlier if its total differs from the median of comparable days by more than
+	// outlierDeviations median absolute deviations and by more than outlierShare of that median.
+	outlierDeviations, outlierShare = 6.0, 0.3
 )
 
-// Forecast is what is expected to be asked for at each hour.
+// Forecast is the expected demand of each hour of a repeating period.
 type Forecast struct {
 	Slots  []Slot
-	Period float64 // seconds over which slots repeat: a week, a day, or 0 if there is one slot for all
-	Holes  []Span  // that the record has, left out
-	Odd    []Span  // days out of the ordinary, left out
-	// Coverage is the share of the bins of the last quarter of the record that stay under the
-	// level at Confidence when it is forecast from the rest; NaN where there is too little.
+	Period float64 // seconds after which slots repeat: a week, a day, or 0 for a single slot
+	Holes  []Span  // gaps of the record, which are ignored
+	Odd    []Span  // outlier days, which are ignored
+	// Coverage is the share of the bins in the last quarter of the record that stay below the
+	// level at Confidence when that quarter is forecast from the rest; NaN if the record is too short.
 	Coverage, Confidence float64
 }
 
-// Span is a stretch of time, in seconds from the Monday before the record.
+// Span is an interval in seconds from the Monday before the record.
 type Span struct{ From, To float64 }
 
+// String returns both ends by day and hour.
 func (s Span) String() string { return Clock(s.From) + " to " + Clock(s.To) }
 
-// Clock names a time by day and hour.
+// Clock formats a time in seconds from a Monday 00:00 as weekday, hour and minute, with the number
+// of the week from the second on.
 func Clock(at float64) string {
 	names := [...]string{"Mon", "Tue", "Wed", "Thu", "Fri", "Sat", "Sun"}
 	w, s := int(math.Floor(at/week)), math.Mod(math.Mod(at, week)+week, week)
@@ -52,15 +54,15 @@
 	return text
 }
 
-// Slot is one hour of the period.
+// Slot is the demand of one hour of the period.
 type Slot struct {
 	From float64   // seconds from the beginning of the period
-	Mean []float64 // requests a second by kind
-	High []float64 // the same at the confidence
-	Bins int       // that it is learnt from
+	Mean []float64 // requests per second, by kind
+	High []float64 // the same at the forecast's confidence
+	Bins int       // number of bins of the record that it is computed from
 }
 
-// At is the slot of a time, in seconds from a Monday 00:00.
+// At returns the slot for a time in seconds from a Monday 00:00.
 func (f *Forecast) At(at float64) *Slot {
 	if f.Period == 0 {
 		return &f.Slots[0]
@@ -68,9 +70,10 @@
 	return &f.Slots[int(math.Mod(math.Mod(at, f.Period)+f.Period, f.Period)/hour)]
 }
 
-// NewForecast learns from a record the levels that a share of the bins stays under, such as
-// 0.95. Two weeks tell hours of the week apart, two days hours of the day; less is one level.
-// An hour without bins takes the level of the hour before it.
+// NewForecast computes from a record the demand that a share of the bins, such as 0.95, does not
+// exceed. It distinguishes the hours of the week from two weeks of records on and the hours of the
+// day from two days on; a shorter record gives a single level. An hour without bins takes the level
+// of the hour before it.
 func NewForecast(h *History, confidence float64) (*Forecast, error) {
 	n := 0
 	if len(h.Kinds) > 0 {
@@ -82,18 +85,18 @@
 	case !(confidence > 0 && confidence < 1):
 		return nil, fmt.Errorf("capacity: confidence %g: from 0 to 1, such as 0.95", confidence)
 	}
-	f := learn(h, n, confidence)
+	f := fitForecast(h, n, confidence)
 	f.Coverage = math.NaN()
 	if from := n * 3 / 4; from > 0 && from < n {
-		past := learn(h, from, confidence)
-		if past.Period == f.Period { // else the rest says less than the whole
-			f.Coverage = past.covered(h, from, f)
+		past := fitForecast(h, from, confidence)
+		if past.Period == f.Period { // otherwise the shorter record can't distinguish the same hours
+			f.Coverage = past.coverage(h, from, f)
 		}
 	}
 	return f, nil
 }
 
-// sums are requests by bin over all kinds.
+// sums returns the requests of all kinds per bin.
 func (h *History) sums(n int) []float64 {
 	sums := make([]float64, n)
 	for _, kind := range h.Kinds {
@@ -104,16 +107,17 @@
 	return sums
 }
 
-func learn(h *History, n int, confidence float64) *Forecast {
+// fitForecast computes a forecast, without its coverage, from the first n bins of the record.
+func fitForecast(h *History, n int, confidence float64) *Forecast {
 	f := &Forecast{Confidence: confidence}
 	sums, skip := h.sums(n), make([]bool, n)
 	at := func(i int) float64 { return h.Begin + float64(i)*h.Bin }
-	for i := 0; i < n; i++ { // holes: nothing of any kind, between bins with something
+	for i := 0; i < n; i++ { // gaps: no request of any kind, between bins that have some
 		j := i
 		for j < n && sums[j] == 0 {
 			j++
 		}
-		if i > 0 && j < n && float64(j-i)*h.Bin >= leastHole {
+		if i > 0 && j < n && float64(j-i)*h.Bin >= minGap {
 			f.Holes = append(f.Holes, Span{at(i), at(j)})
 			for k := i; k < j; k++ {
 				skip[k] = true
@@ -121,7 +125,7 @@
 		}
 		i = max(i, j-1)
 	}
-	f.oddDays(h, sums, skip)
+	f.skipOutlierDays(h, sums, skip)
 	length := float64(n) * h.Bin
 	switch {
 	case length >= 2*week:
@@ -131,7 +135,7 @@
 	}
 	count := max(1, int(f.Period/hour))
 	f.Slots = make([]Slot, count)
-	totals := make([][]float64, count) // by slot
+	totals := make([][]float64, count) // sums of the bins of each slot
 	for s := range f.Slots {
 		f.Slots[s].From = float64(s) * hour
 		f.Slots[s].Mean, f.Slots[s].High = make([]float64, len(h.Kinds)), make([]float64, len(h.Kinds))
@@ -160,7 +164,8 @@
 		for _, x := range all {
 			mean += x / float64(len(all))
 		}
-		// All kinds rise together: the sum of each one's own level would be asked for never.
+		// Scale all kinds by the rise of their total: the sum of their separate high levels would be
+		// far more than the total ever reaches.
 		rise := 1.0
 		if mean > 0 {
 			rise = max(1, all[min(len(all)-1, int(math.Ceil(confidence*float64(len(all))))-1)]/mean)
@@ -170,7 +175,7 @@
 			slot.High[k] = slot.Mean[k] * rise
 		}
 	}
-	for s := range f.Slots { // hours that the record lacks
+	for s := range f.Slots { // hours missing from the record
 		for back := 1; f.Slots[s].Bins == 0 && back < count; back++ {
 			if o := f.Slots[(s-back+count)%count]; o.Bins > 0 {
 				f.Slots[s].Mean, f.Slots[s].High = o.Mean, o.High
@@ -181,10 +186,11 @@
 	return f
 }
 
-// oddDays leaves out whole days that differ from others of their weekday; where there are fewer
-// than three of it, from all days, and from those there are. A weekday that is there once says
-// nothing.
-func (f *Forecast) oddDays(h *History, sums []float64, skip []bool) {
+// skipOutlierDays marks whole days to ignore whose total differs from that of the other days with
+// the same weekday. If there are fewer than three of these, the day must differ both from them and
+// from all other days. A weekday that occurs only once is never an outlier, nor is any
+// day among fewer than six full ones.
+func (f *Forecast) skipOutlierDays(h *History, sums []float64, skip []bool) {
 	days := map[int]float64{}
 	bins := map[int]int{}
 	dayOf := func(i int) int { return int((h.Begin + float64(i)*h.Bin) / day) }
@@ -199,30 +205,30 @@
 		if bins[d] < full {
 			continue
 		}
-		var like, all []float64
+		var sameWeekday, all []float64
 		for e, other := range days {
 			if e == d || bins[e] < full {
 				continue
 			}
 			if all = append(all, other); (e-d)%7 == 0 {
-				like = append(like, other)
+				sameWeekday = append(sameWeekday, other)
 			}
 		}
 		switch {
-		case len(like) == 0 || len(all) < 5:
+		case len(sameWeekday) == 0 || len(all) < 5:
 			continue
-		case len(like) < 3:
-			if m := median(like); math.Abs(sum-m) <= oddShare*m {
+		case len(sameWeekday) < 3:
+			if dayMedian := median(sameWeekday); math.Abs(sum-dayMedian) <= outlierShare*dayMedian {
 				continue
 			}
-			like = all
+			sameWeekday = all
 		}
-		middle := median(like)
-		apart := make([]float64, len(like))
-		for i, x := range like {
-			apart[i] = math.Abs(x - middle)
+		center := median(sameWeekday)
+		deviations := make([]float64, len(sameWeekday))
+		for i, x := range sameWeekday {
+			deviations[i] = math.Abs(x - center)
 		}
-		if away := math.Abs(sum - middle); away > oddDay*median(apart) && away > oddShare*middle {
+		if deviation := math.Abs(sum - center); deviation > outlierDeviations*median(deviations) && deviation > outlierShare*center {
 			f.Odd = append(f.Odd, Span{float64(d) * day, float64(d+1) * day})
 			for i := range sums {
 				skip[i] = skip[i] || dayOf(i) == d
@@ -232,16 +238,17 @@
 	slices.SortFunc(f.Odd, func(a, b Span) int { return int(a.From - b.From) })
 }
 
+// median returns the median of a non-empty list.
 func median(all []float64) float64 {
 	sorted := slices.Sorted(slices.Values(all))
 	return (sorted[len(sorted)/2] + sorted[(len(sorted)-1)/2]) / 2
 }
 
-// covered is the share of the bins from one on, out of the ordinary ones left out, whose kinds
-// together stay under the level.
-func (f *Forecast) covered(h *History, from int, whole *Forecast) float64 {
+// coverage returns the share of the bins from index from on whose total stays below the forecast's
+// high level, ignoring the gaps and outlier days of whole.
+func (f *Forecast) coverage(h *History, from int, whole *Forecast) float64 {
 	sums := h.sums(len(h.Kinds[0]))
-	under, n := 0.0, 0.0
+	covered, counted := 0.0, 0.0
 	for i := from; i < len(sums); i++ {
 		at := h.Begin + float64(i)*h.Bin
 		if slices.ContainsFunc(append(whole.Holes, whole.Odd...), func(s Span) bool { return at >= s.From && at < s.To }) {
@@ -251,11 +258,11 @@
 		for _, x := range f.At(at).High {
 			level += x
 		}
-		n++
-		under += btof(sums[i]/h.Bin <= level+1e-9)
+		counted++
+		covered += boolToFloat(sums[i]/h.Bin <= level+1e-9)
 	}
-	if n == 0 {
+	if counted == 0 {
 		return math.NaN()
 	}
-	return under / n
+	return covered / counted
 }
--- a/capacity/plan_test.go
+++ b/capacity/plan_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// record is a record of so many days in bins of 5 minutes: an ordinary day has a wave, weekends
-// half of it, with chance about it.
+// record returns a record of the given days in bins of 5 minutes. The rate follows a daily wave, is
+// halved at weekends and has random noise; change can alter it.
 func record(days int, change func(at, rate float64) float64) *History {
 	r := rand.New(rand.NewPCG(5, 5))
 	h := &History{Bin: 300, Kinds: make([][]float64, 2)}
@@ -30,6 +30,7 @@
 	return h
 }
 
+// forecast returns the forecast of a record at a confidence of 0.95.
 func forecast(t *testing.T, h *History) *Forecast {
 	t.Helper()
 	f, err := NewForecast(h, 0.95)
@@ -39,12 +40,12 @@
 	return f
 }
 
-// Levels follow the hours of the week, a holiday and a day that is missing are named and left
-// out, and the held-back part stays under the level about as often as is claimed.
+// The forecast follows the hours of the week. It reports and ignores a holiday and a missing day, and
+// the last quarter of the record stays below the level about as often as the confidence says.
 func TestForecast(t *testing.T) {
 	f := forecast(t, record(42, nil))
 	if f.Period != week || len(f.Slots) != 168 || len(f.Holes)+len(f.Odd) > 0 || f.Coverage < 0.85 || f.Coverage > 0.99 {
-		t.Errorf("period %v, %d slots, holes %v, odd %v, coverage %v", f.Period, len(f.Slots), f.Holes, f.Odd, f.Coverage)
+		t.Errorf("period %v, %d slots, gaps %v, outlier days %v, coverage %v", f.Period, len(f.Slots), f.Holes, f.Odd, f.Coverage)
 	}
 	for _, c := range []struct{ at, want float64 }{{6*hour + 1800, 25}, {18*hour + 1800, 5}, {5*day + 6*hour + 1800, 12.5}, {week + 6*hour + 1800, 25}} {
 		if s := f.At(c.at); math.Abs(s.Mean[0]-c.want) > 0.05*c.want || s.High[0] < s.Mean[0] {
@@ -61,17 +62,17 @@
 		return rate
 	}))
 	if len(holiday.Odd) != 1 || holiday.Odd[0].String() != "Thu 00:00 of week 3 to Fri 00:00 of week 3" {
-		t.Errorf("odd days: %v", holiday.Odd)
+		t.Errorf("outlier days: %v", holiday.Odd)
 	}
 	if len(holiday.Holes) != 1 || holiday.Holes[0].From != 30*day || holiday.Holes[0].To != 31*day {
-		t.Errorf("holes: %v", holiday.Holes)
+		t.Errorf("gaps: %v", holiday.Holes)
 	}
 	if a, b := holiday.At(3*day + 6*hour).Mean[0], f.At(3*day + 6*hour).Mean[0]; math.Abs(a-b) > 0.05*b {
 		t.Errorf("a Thursday is %v, with a holiday in the record %v", b, a)
 	}
-	// Two weeks have two of each day: a weekend is like the other one, and a holiday is not.
+	// Two weeks have each weekday twice: a weekend resembles the other one, a holiday does not.
 	if f := forecast(t, record(14, nil)); len(f.Odd) > 0 || f.Period != week {
-		t.Errorf("two weeks: odd days %v, period %v", f.Odd, f.Period)
+		t.Errorf("two weeks: outlier days %v, period %v", f.Odd, f.Period)
 	}
 	two := forecast(t, record(14, func(at, rate float64) float64 {
 		if int(at/day) == 9 {
@@ -80,9 +81,9 @@
 		return rate
 	}))
 	if len(two.Odd) != 1 || two.Odd[0].From != 9*day {
-		t.Errorf("two weeks with a holiday: odd days %v", two.Odd)
+		t.Errorf("two weeks with a holiday: outlier days %v", two.Odd)
 	}
-	// A record that can't tell hours apart is one level, and says nothing of itself.
+	// A record too short to distinguish hours gives a single level and no coverage.
 	if f := forecast(t, record(1, nil)); f.Period != 0 || len(f.Slots) != 1 {
 		t.Errorf("one day: %+v", f)
 	}
@@ -96,21 +97,22 @@
 		}
 	}
 	if _, err := NewForecast(short, 1); err == nil {
-		t.Error("a confidence of 1")
+		t.Error("no error for a confidence of 1")
 	}
 }
 
-func planned() *Fleet {
+// testFleet returns a fleet of two equal rooms and two kinds of requests.
+func testFleet() *Fleet {
 	return &Fleet{
 		Kinds: []Kind{{Name: "check", Work: 0.04, Square: 0.003, Aim: 0.3, Worth: 2}, {Name: "bulk", Work: 0.12, Square: 0.03, Aim: 1.2, Worth: 5}},
 		Rooms: []Room{{Name: "a", Boxes: 6, Each: 2}, {Name: "b", Boxes: 6, Each: 2}},
 	}
 }
 
-// A plan's boxes serve the goal and one fewer does not; the hour that binds is the busiest one,
-// and one more box is worth something there and nothing where there is room.
+// The planned boxes serve the goal and one box fewer does not. One more box adds worth in the busiest
+// hour and nothing in hours that are served fully.
 func TestPlan(t *testing.T) {
-	f := planned()
+	f := testFleet()
 	h := record(42, nil)
 	for k := range h.Kinds {
 		for i := range h.Kinds[k] {
@@ -123,7 +125,7 @@
 		if x.Work > hours[busiest].Work {
 			busiest = i
 		}
-		got, fewer := f.Served(x.Slot.High, float64(x.Boxes)*f.each()), f.Served(x.Slot.High, float64(x.Boxes-1)*f.each())
+		got, fewer := f.Served(x.Slot.High, float64(x.Boxes)*f.meanBoxWork()), f.Served(x.Slot.High, float64(x.Boxes-1)*f.meanBoxWork())
 		if got < 0.97-1e-6 || fewer >= 0.97 {
 			t.Fatalf("%s: %d boxes serve %v, one fewer %v", Clock(x.Slot.From), x.Boxes, got, fewer)
 		}
@@ -136,26 +138,26 @@
 	}
 	x := hours[busiest]
 	if x.ServedUp != x.Served {
-		t.Errorf("a room that is back warm: %v of %v", x.ServedUp, x.Served)
+		t.Errorf("returned room, warm: served %v, want %v", x.ServedUp, x.Served)
 	}
 	for i := range f.Rooms {
 		f.Rooms[i].Cold = 0.02
 	}
 	if y := f.Plan(forecast(t, h), 0.97)[busiest]; y.ServedUp <= y.ServedIn || y.ServedUp >= y.Served {
-		t.Errorf("a room that is back cold: %v, without it %v, with it %v", y.ServedUp, y.ServedIn, y.Served)
+		t.Errorf("returned room, cold: served %v, without it %v, with it %v", y.ServedUp, y.ServedIn, y.Served)
 	}
 	if s := Clock(x.Slot.From); !strings.HasSuffix(s, " 05:00") && !strings.HasSuffix(s, " 06:00") || x.Lost == "" || x.ServedIn >= 0.97 || x.OneMore <= 0 {
-		t.Errorf("the hour that binds: %s, %+v", s, x)
+		t.Errorf("busiest hour: %s, %+v", s, x)
 	}
 	if f.Served([]float64{0, 0}, 0) != 1 || f.Served([]float64{1, 1}, 0) != 0 {
-		t.Error("nothing asked is served whole, something by nothing not at all")
+		t.Error("no demand must count as fully served, demand without capacity as not served")
 	}
 }
 
-// Promises that fit alone and not together, one in a quiet hour and one at the peak, one that
-// is longer than what the forecast knows, and what is no promise.
+// Two promises that fit alone but not together, one at the peak that does not fit, one longer than
+// the forecast's period, and invalid promises.
 func TestAdmit(t *testing.T) {
-	f, fc := planned(), forecast(t, record(42, nil))
+	f, fc := testFleet(), forecast(t, record(42, nil))
 	one := Promise{Name: "clinic", From: day + 14*hour, To: day + 18*hour, Units: 4 * 3600 * 40, Rate: 40, Work: 0.1}
 	v := f.Admit(fc, nil, one, 0.9)
 	if !v.Fits || math.Abs(v.Units-one.Units) > 1 {
@@ -165,7 +167,7 @@
 	two.Name = "shop"
 	two.Rate, two.Units = 60, 4*3600*60
 	if v = f.Admit(fc, nil, two, 0.9); !v.Fits {
-		t.Fatalf("the other alone: %+v", v)
+		t.Fatalf("the second alone: %+v", v)
 	}
 	v = f.Admit(fc, []Promise{one}, two, 0.9)
 	if v.Fits || v.Units >= two.Units || v.Units <= 0 || !strings.Contains(v.Why, "room for") {
@@ -174,7 +176,7 @@
 	best := two
 	best.Units, best.Rate = math.Floor(v.Units), v.Units/(4*hour)+20
 	if w := f.Admit(fc, []Promise{one}, best, 0.9); !w.Fits {
-		t.Errorf("the best that could be had does not fit: %+v, then %+v", v, w)
+		t.Errorf("the units that Admit offered do not fit: %+v, then %+v", v, w)
 	}
 	peak := one
 	peak.From, peak.To, peak.Rate, peak.Units = day+4*hour, day+8*hour, 100, 4*3600*100
@@ -192,7 +194,7 @@
 	}
 }
 
-// BenchmarkPlan is a forecast and a plan of weeks in minutes, by kinds of requests and boxes.
+// BenchmarkPlan measures a forecast and a plan from bins of a minute, by weeks, kinds and boxes.
 func BenchmarkPlan(b *testing.B) {
 	for _, c := range []struct{ weeks, kinds, boxes int }{{1, 9, 12}, {1, 150, 1000}, {4, 150, 1000}} {
 		b.Run(fmt.Sprintf("weeks-%d/kinds-%d/boxes-%d", c.weeks, c.kinds, c.boxes), func(b *testing.B) {
--- a/plugin/breaker.go
+++ b/plugin/breaker.go
@@ -10,7 +10,7 @@
 	consecutiveFaults int
 	inFlight          int // allowed calls that have not ended yet
 	pause             time.Duration
-	until             time.Duration
+	until             time.Duration // end of the pause
 	benched           bool
 	trialRunning      bool // a trial call is in flight
 }
