--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -24,15 +24,15 @@
 // Need is one request, or several equal ones. Times are in seconds, work in seconds of one core
 // at speed 1.
 type Need struct {
-	At       float64 // time of arrival
-	Aim      float64 // an answer within this time of At earns Worth
-	Deadline float64 // a later answer within this time earns Worth * Late
-	Work     float64
-	Worth    float64 // within its account's quota
-	Late     float64 // share of the worth that a late answer earns
-	Beyond   float64 // worth of an answer without units from the quota; negative counts as 0
-	Units    float64 // taken from the account's quota
-	Account  int     // index into Problem.Quotas; -1: no quota applies
+	At               float64 // time of arrival
+	Aim              float64 // an answer within this time of At earns Worth
+	Deadline         float64 // a later answer within this time earns Worth * Late
+	Work             float64
+	Worth            float64 // within its account's quota
+	Late             float64 // share of the worth that a late answer earns
+	WorthBeyondQuota float64 // worth of an answer without units from the quota; negative counts as 0
+	Units            float64 // taken from the account's quota
+	Account          int     // index into Problem.Quotas; -1: no quota applies
 }
 
 // Quota is an account's token bucket: Rate units per second, up to Burst, which it starts with.
@@ -155,7 +155,7 @@
 	for i := range problem.Needs {
 		n := &problem.Needs[i]
 		x := timedNeed{Need: n, from: step(n.At), aimStep: min(s.steps-1, step(n.At+n.Aim)), deadlineStep: min(s.steps-1, step(n.At+max(n.Aim, n.Deadline)))}
-		if x.from < 0 || x.from >= s.steps || n.Work < 0 || !(n.Worth > 0 || n.Beyond > 0) {
+		if x.from < 0 || x.from >= s.steps || n.Work < 0 || !(n.Worth > 0 || n.WorthBeyondQuota > 0) {
 			continue // it can't earn anything
 		}
 		// Only one core at a time works on a request.
@@ -260,7 +260,7 @@
 		n := &s.needs[i]
 		var at int
 		s.profit[i], s.bestStep[i] = s.bestProfit(n, n.Worth, prices)
-		if s.beyondProfit[i], at = s.bestProfit(n, n.Beyond, prices); s.beyondProfit[i] > s.profit[i] {
+		if s.beyondProfit[i], at = s.bestProfit(n, n.WorthBeyondQuota, prices); s.beyondProfit[i] > s.profit[i] {
 			s.profit[i], s.bestStep[i] = s.beyondProfit[i], at
 		}
 		s.take[i], s.beyondShare[i] = 1, 0
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -28,7 +28,7 @@
 		n := Need{At: float64(r.IntN(len(p.Supply.Work))) + r.Float64(), Aim: 2 * r.Float64(), Work: scale * float64(r.IntN(4)),
 			Worth: scale * float64(r.IntN(5)), Units: scale * float64(1+r.IntN(3)), Account: r.IntN(len(p.Quotas)+1) - 1}
 		n.Deadline = n.Aim + 2*r.Float64()
-		n.Late, n.Beyond = 0.5*float64(r.IntN(2)), n.Worth*(r.Float64()-0.5)
+		n.Late, n.WorthBeyondQuota = 0.5*float64(r.IntN(2)), n.Worth*(r.Float64()-0.5)
 		p.Needs = append(p.Needs, n)
 	}
 	return p
@@ -93,7 +93,7 @@
 		}
 		gain := n.Worth
 		if c == beyondInTime || c == beyondLate {
-			gain = max(0, n.Beyond)
+			gain = max(0, n.WorthBeyondQuota)
 		} else if n.Account >= 0 {
 			q := p.Quotas[n.Account]
 			if _, have := levels[n.Account]; !have {
@@ -181,7 +181,7 @@
 			},
 			"nothing beyond quotas": func(q *Problem) {
 				for i := range q.Needs {
-					q.Needs[i].Beyond = 0
+					q.Needs[i].WorthBeyondQuota = 0
 				}
 			},
 			"bursts of half": func(q *Problem) {
--- a/capacity/flow.go
+++ b/capacity/flow.go
@@ -117,8 +117,8 @@
 	}
 	for _, i := range order {
 		n := &s.needs[i]
-		if n.Beyond > 0 && s.beyondShare[i] > 0 {
-			worth += put(n, n.aimStep, s.beyondShare[i]) * n.Beyond
+		if n.WorthBeyondQuota > 0 && s.beyondShare[i] > 0 {
+			worth += put(n, n.aimStep, s.beyondShare[i]) * n.WorthBeyondQuota
 		}
 	}
 	return worth
--- a/capacity/plan.go
+++ b/capacity/plan.go
@@ -9,19 +9,19 @@
 
 // Kind describes the requests of one kind. Work is in seconds of one core at speed 1.
 type Kind struct {
-	Name   string
-	Work   float64 // mean per request
-	Square float64 // mean of the squared work
-	Aim    float64 // target response time, seconds
-	Worth  float64 // of one request
+	Name           string
+	Work           float64 // mean per request
+	MeanSquareWork float64 // mean of the squared work
+	Aim            float64 // target response time, seconds
+	Worth          float64 // of one request
 }
 
 // Room is a group of boxes that can fail together.
 type Room struct {
-	Name  string
-	Boxes int
-	Each  float64 // work per second of one box
-	Cold  float64 // share of Each that a box can do just after its start; 0: all
+	Name       string
+	Boxes      int
+	WorkPerBox float64 // work per second of one box
+	ColdShare  float64 // share of Each that a box can do just after its start; 0: all
 }
 
 // Fleet is the boxes and the kinds of requests that a plan is made for.
@@ -30,7 +30,7 @@
 	Rooms []Room
 	// Surges is the number of standard deviations by which the work that arrives within the target
 	// response time may exceed its mean without being late; 0 means 1, a value from replays.
-	Surges float64
+	SurgeDeviations float64
 }
 
 // surgeReserve returns the work per second that a fleet needs above the mean demand to serve random
@@ -40,14 +40,14 @@
 	variance, weightedAim, work := 0.0, 0.0, 0.0
 	for k, r := range rates {
 		kind := &f.Kinds[k]
-		variance += r * kind.Square
+		variance += r * kind.MeanSquareWork
 		weightedAim += r * kind.Work * kind.Aim
 		work += r * kind.Work
 	}
 	if work <= 0 {
 		return 0
 	}
-	return cmp.Or(f.Surges, 1) * math.Sqrt(variance/(weightedAim/work))
+	return cmp.Or(f.SurgeDeviations, 1) * math.Sqrt(variance/(weightedAim/work))
 }
 
 // Served returns the share of the demand's worth that a fleet with the given capacity, in work per
@@ -85,7 +85,7 @@
 func (f *Fleet) workRate(without int, more int) (sum float64) {
 	for i, r := range f.Rooms {
 		if i != without {
-			sum += float64(r.Boxes) * r.Each
+			sum += float64(r.Boxes) * r.WorkPerBox
 		}
 	}
 	if more != 0 && len(f.Rooms) > 0 {
@@ -98,7 +98,7 @@
 func (f *Fleet) meanBoxWork() float64 {
 	sum, n := 0.0, 0.0
 	for _, r := range f.Rooms {
-		sum += float64(r.Boxes) * r.Each
+		sum += float64(r.Boxes) * r.WorkPerBox
 		n += float64(r.Boxes)
 	}
 	if n == 0 {
@@ -109,17 +109,17 @@
 
 // Hour is the part of a plan for one slot of the forecast.
 type Hour struct {
-	Slot      *Slot
-	Work      float64 // demand per second at the forecast's confidence
-	Use       float64 // utilization of the fleet as it is
-	Served    float64 // share of the worth served by the fleet as it is
-	Lost      string  // the room whose loss costs most ...
-	ServedIn  float64 // ... and the share served without it
-	ServedUp  float64 // share served when that room has returned but is still cold
-	Boxes     int     // boxes needed for the goal with all rooms available
-	WithLoss  int     // boxes needed so that any one room may fail, in the same number of rooms of equal size
-	OneMore   float64 // increase of ServedIn by one more box
-	NeedWorks float64 // work per second needed for the goal
+	Slot              *Slot
+	Work              float64 // demand per second at the forecast's confidence
+	Use               float64 // utilization of the fleet as it is
+	Served            float64 // share of the worth served by the fleet as it is
+	LostRoom          string  // the room whose loss costs most ...
+	ServedAfterLoss   float64 // ... and the share served without it
+	ServedAfterReturn float64 // share served when that room has returned but is still cold
+	Boxes             int     // boxes needed for the goal with all rooms available
+	BoxesWithLoss     int     // boxes needed so that any one room may fail, in the same number of rooms of equal size
+	OneMore           float64 // increase of ServedIn by one more box
+	RequiredWork      float64 // work per second needed for the goal
 }
 
 // Plan computes for each slot the share of the worth that the fleet serves and the boxes needed to
@@ -128,7 +128,7 @@
 	var hours []Hour
 	for i := range forecast.Slots {
 		slot := &forecast.Slots[i]
-		h := Hour{Slot: slot, ServedIn: 2}
+		h := Hour{Slot: slot, ServedAfterLoss: 2}
 		for k, r := range slot.High {
 			h.Work += r * f.Kinds[k].Work
 		}
@@ -136,21 +136,21 @@
 		h.Use, h.Served = h.Work/max(1e-12, fullRate), f.Served(slot.High, fullRate)
 		worst := -1
 		for room := range f.Rooms {
-			if served := f.Served(slot.High, f.workRate(room, 0)); served < h.ServedIn {
-				h.ServedIn, h.Lost, worst = served, f.Rooms[room].Name, room
+			if served := f.Served(slot.High, f.workRate(room, 0)); served < h.ServedAfterLoss {
+				h.ServedAfterLoss, h.LostRoom, worst = served, f.Rooms[room].Name, room
 			}
 		}
-		h.ServedUp = h.ServedIn
+		h.ServedAfterReturn = h.ServedAfterLoss
 		if worst >= 0 {
 			r := f.Rooms[worst]
-			h.ServedUp = f.Served(slot.High, f.workRate(worst, 0)+float64(r.Boxes)*r.Each*cmp.Or(r.Cold, 1))
+			h.ServedAfterReturn = f.Served(slot.High, f.workRate(worst, 0)+float64(r.Boxes)*r.WorkPerBox*cmp.Or(r.ColdShare, 1))
 		}
-		h.OneMore = f.Served(slot.High, f.workRate(worst, 1)) - h.ServedIn
-		h.NeedWorks = f.requiredWork(slot.High, goal)
-		h.Boxes = int(math.Ceil(h.NeedWorks/f.meanBoxWork() - 1e-9))
-		h.WithLoss = h.Boxes
+		h.OneMore = f.Served(slot.High, f.workRate(worst, 1)) - h.ServedAfterLoss
+		h.RequiredWork = f.requiredWork(slot.High, goal)
+		h.Boxes = int(math.Ceil(h.RequiredWork/f.meanBoxWork() - 1e-9))
+		h.BoxesWithLoss = h.Boxes
 		if n := len(f.Rooms); n > 1 { // the other rooms must suffice: n-1 rooms hold the boxes needed
-			h.WithLoss = n * int(math.Ceil(float64(h.Boxes)/float64(n-1)))
+			h.BoxesWithLoss = n * int(math.Ceil(float64(h.Boxes)/float64(n-1)))
 		}
 		hours = append(hours, h)
 	}
--- a/capacity/plan_test.go
+++ b/capacity/plan_test.go
@@ -104,8 +104,8 @@
 // testFleet returns a fleet of two equal rooms and two kinds of requests.
 func testFleet() *Fleet {
 	return &Fleet{
-		Kinds: []Kind{{Name: "check", Work: 0.04, Square: 0.003, Aim: 0.3, Worth: 2}, {Name: "bulk", Work: 0.12, Square: 0.03, Aim: 1.2, Worth: 5}},
-		Rooms: []Room{{Name: "a", Boxes: 6, Each: 2}, {Name: "b", Boxes: 6, Each: 2}},
+		Kinds: []Kind{{Name: "check", Work: 0.04, MeanSquareWork: 0.003, Aim: 0.3, Worth: 2}, {Name: "bulk", Work: 0.12, MeanSquareWork: 0.03, Aim: 1.2, Worth: 5}},
+		Rooms: []Room{{Name: "a", Boxes: 6, WorkPerBox: 2}, {Name: "b", Boxes: 6, WorkPerBox: 2}},
 	}
 }
 
@@ -129,24 +129,24 @@
 		if got < 0.97-1e-6 || fewer >= 0.97 {
 			t.Fatalf("%s: %d boxes serve %v, one fewer %v", Clock(x.Slot.From), x.Boxes, got, fewer)
 		}
-		if x.WithLoss < x.Boxes || x.WithLoss/2 < x.Boxes {
-			t.Fatalf("%d boxes, %d with the loss of one of two rooms", x.Boxes, x.WithLoss)
+		if x.BoxesWithLoss < x.Boxes || x.BoxesWithLoss/2 < x.Boxes {
+			t.Fatalf("%d boxes, %d with the loss of one of two rooms", x.Boxes, x.BoxesWithLoss)
 		}
-		if x.ServedIn > x.Served+1e-12 || x.OneMore < -1e-12 || x.ServedIn == 1 && x.OneMore > 1e-12 {
+		if x.ServedAfterLoss > x.Served+1e-12 || x.OneMore < -1e-12 || x.ServedAfterLoss == 1 && x.OneMore > 1e-12 {
 			t.Fatalf("%+v", x)
 		}
 	}
 	x := hours[busiest]
-	if x.ServedUp != x.Served {
-		t.Errorf("returned room, warm: served %v, want %v", x.ServedUp, x.Served)
+	if x.ServedAfterReturn != x.Served {
+		t.Errorf("returned room, warm: served %v, want %v", x.ServedAfterReturn, x.Served)
 	}
 	for i := range f.Rooms {
-		f.Rooms[i].Cold = 0.02
+		f.Rooms[i].ColdShare = 0.02
 	}
-	if y := f.Plan(forecast(t, h), 0.97)[busiest]; y.ServedUp <= y.ServedIn || y.ServedUp >= y.Served {
-		t.Errorf("returned room, cold: served %v, without it %v, with it %v", y.ServedUp, y.ServedIn, y.Served)
+	if y := f.Plan(forecast(t, h), 0.97)[busiest]; y.ServedAfterReturn <= y.ServedAfterLoss || y.ServedAfterReturn >= y.Served {
+		t.Errorf("returned room, cold: served %v, without it %v, with it %v", y.ServedAfterReturn, y.ServedAfterLoss, y.Served)
 	}
-	if s := Clock(x.Slot.From); !strings.HasSuffix(s, " 05:00") && !strings.HasSuffix(s, " 06:00") || x.Lost == "" || x.ServedIn >= 0.97 || x.OneMore <= 0 {
+	if s := Clock(x.Slot.From); !strings.HasSuffix(s, " 05:00") && !strings.HasSuffix(s, " 06:00") || x.LostRoom == "" || x.ServedAfterLoss >= 0.97 || x.OneMore <= 0 {
 		t.Errorf("busiest hour: %s, %+v", s, x)
 	}
 	if f.Served([]float64{0, 0}, 0) != 1 || f.Served([]float64{1, 1}, 0) != 0 {
@@ -200,9 +200,9 @@
 		b.Run(fmt.Sprintf("weeks-%d/kinds-%d/boxes-%d", c.weeks, c.kinds, c.boxes), func(b *testing.B) {
 			r := rand.New(rand.NewPCG(1, 1))
 			h := &History{Bin: 60, Kinds: make([][]float64, c.kinds)}
-			f := &Fleet{Rooms: []Room{{Name: "a", Boxes: c.boxes / 2, Each: 2, Cold: 0.25}, {Name: "b", Boxes: c.boxes / 2, Each: 2, Cold: 0.25}}}
+			f := &Fleet{Rooms: []Room{{Name: "a", Boxes: c.boxes / 2, WorkPerBox: 2, ColdShare: 0.25}, {Name: "b", Boxes: c.boxes / 2, WorkPerBox: 2, ColdShare: 0.25}}}
 			for k := range h.Kinds {
-				f.Kinds = append(f.Kinds, Kind{Work: 0.02 + 0.1*r.Float64(), Square: 0.01, Aim: 0.5, Worth: 1 + r.Float64()})
+				f.Kinds = append(f.Kinds, Kind{Work: 0.02 + 0.1*r.Float64(), MeanSquareWork: 0.01, Aim: 0.5, Worth: 1 + r.Float64()})
 				for range c.weeks * 7 * 24 * 60 {
 					h.Kinds[k] = append(h.Kinds[k], 60*float64(c.boxes)/float64(c.kinds)*10*r.Float64())
 				}
--- a/cmd/madderdrum/plugin.go
+++ b/cmd/madderdrum/plugin.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Module, err)
 	}
-	fmt.Printf("%s: %d bytes, memory from %d KiB on\n", c.Module, r.Bytes, r.LeastMemory>>10)
+	fmt.Printf("%s: %d bytes, memory from %d KiB on\n", c.Module, r.Bytes, r.MinMemory>>10)
 	for _, x := range r.Imports {
 		fmt.Println("  imports", x)
 	}
--- a/cmd/madderdrum/pluginauthor.go
+++ b/cmd/madderdrum/pluginauthor.go
@@ -132,6 +132,6 @@
 	if err != nil {
 		return fmt.Errorf("%s was built, but as a plug-in it %w", c.Out, err)
 	}
-	fmt.Printf("%s: %d KiB, memory of an instance from %d KiB on; it fits the ABI\n", c.Out, r.Bytes>>10, r.LeastMemory>>10)
+	fmt.Printf("%s: %d KiB, memory of an instance from %d KiB on; it fits the ABI\n", c.Out, r.Bytes>>10, r.MinMemory>>10)
 	return nil
 }
--- a/cmd/madderdrum/plugins.go
+++ b/cmd/madderdrum/plugins.go
@@ -66,7 +66,7 @@
 	old := p.now
 	p.now = next
 	p.mu.Unlock()
-	if err := old.Leave(next); err != nil {
+	if err := old.CloseUnused(next); err != nil {
 		p.log.Warn("a plug-in was not unloaded in order", "err", err)
 	}
 }
@@ -119,7 +119,7 @@
 		report.RefusePlugin(c, e.Name, e)
 	}
 	if set != nil {
-		set.Leave(nil)
+		set.CloseUnused(nil)
 	}
 }
 
@@ -162,5 +162,5 @@
 	if err != nil {
 		return nil, fmt.Errorf("--plugin: %w", err)
 	}
-	return all, set.Leave(nil)
+	return all, set.CloseUnused(nil)
 }
--- a/cmd/madderdrum/plugins_bench_test.go
+++ b/cmd/madderdrum/plugins_bench_test.go
@@ -45,7 +45,7 @@
 	}{
 		{"without", nil}, {"1 without opinion", [][]byte{quiet}}, {"5 without opinion", slices.Repeat([][]byte{quiet}, 5)},
 		{"1 by the Go tool chain", [][]byte{goModule}}, {"1 that loops", [][]byte{loops}}, {"10 that loop", slices.Repeat([][]byte{loops}, 10)},
-		{"every bad one", bad()}, {"1 that says the worst", [][]byte{plugintest.Saying(advice.Advice{Priority: 1e300, Label: strings.Repeat("l", 200), Prefer: "x", Avoid: "y"}).Build()}},
+		{"every bad one", bad()}, {"1 that says the worst", [][]byte{plugintest.WithAdvice(advice.Advice{Priority: 1e300, Label: strings.Repeat("l", 200), Prefer: "x", Avoid: "y"}).Build()}},
 	} {
 		b.Run(c.name, func(b *testing.B) { benchPlugins(b, bin, c.modules) })
 	}
--- a/cmd/madderdrum/plugins_test.go
+++ b/cmd/madderdrum/plugins_test.go
@@ -78,7 +78,7 @@
 func TestBadPluginsOverSockets(t *testing.T) {
 	bin, dir := program(t), t.TempDir()
 	bad := plugintest.Bad()
-	bad["worst"] = plugintest.Saying(advice.Advice{Refuse: true, WaitMs: 1e9, Priority: 1e300, Label: "lie", Prefer: "nowhere", Avoid: "main"})
+	bad["worst"] = plugintest.WithAdvice(advice.Advice{Refuse: true, WaitMs: 1e9, Priority: 1e300, Label: "lie", Prefer: "nowhere", Avoid: "main"})
 	var blocks strings.Builder
 	files := map[string]plugintest.Module{}
 	for k, name := range slices.Sorted(maps.Keys(bad)) {
@@ -333,7 +333,7 @@
 // refuses when it fails, and is let back by hand; and a reload replaces it.
 func TestPluginsServed(t *testing.T) {
 	bin := program(t)
-	no := plugintest.Saying(advice.Advice{Refuse: true, WaitMs: 250, Reason: "not on Fridays", Label: "friday"})
+	no := plugintest.WithAdvice(advice.Advice{Refuse: true, WaitMs: 250, Reason: "not on Fridays", Label: "friday"})
 	x := newOneLimiter(t, bin, `
 plugin "no" {
  file = "no.wasm"
--- a/cmd/madderdrum/reload_test.go
+++ b/cmd/madderdrum/reload_test.go
@@ -177,7 +177,7 @@
 	defer cancel()
 	const reloads = 1000
 	limiters := make([]*reloadable, 3)
-	writeModules(t, dir, map[string]plugintest.Module{"first": plugintest.Saying(advice.Advice{Label: "one", Priority: 0.5}), "second": {Imports: []plugintest.Import{plugintest.Count},
+	writeModules(t, dir, map[string]plugintest.Module{"first": plugintest.WithAdvice(advice.Advice{Label: "one", Priority: 0.5}), "second": {Imports: []plugintest.Import{plugintest.Count},
 		Advise: plugintest.Join(plugintest.ConstI32(0), plugintest.ConstI32(8), plugintest.ConstF64(1), plugintest.ConstF64(500), plugintest.Call(0), plugintest.Drop, plugintest.None)}})
 	f := config.Bluebird()
 	over, reloaded := make(chan struct{}), make(chan error, 1)
--- a/config/broken_test.go
+++ b/config/broken_test.go
@@ -50,7 +50,7 @@
 			t.Fatalf("%s: a limit %q", path, name)
 		}
 	}
-	files := fstest.MapFS{"base.hcl": {Data: base}, "sound.wasm": {Data: plugintest.Module{}.Build()}, "no-advise.wasm": {Data: plugintest.Module{Without: "madderdrum_advise"}.Build()},
+	files := fstest.MapFS{"base.hcl": {Data: base}, "sound.wasm": {Data: plugintest.Module{}.Build()}, "no-advise.wasm": {Data: plugintest.Module{OmitExport: "madderdrum_advise"}.Build()},
 		"opens-files.wasm": {Data: plugintest.Module{Imports: []plugintest.Import{{From: "env", Name: "open", Params: []byte{plugintest.I32}}}}.Build()}}
 	for _, f := range a.Files {
 		if f.Name == "want" {
--- a/internal/best/best.go
+++ b/internal/best/best.go
@@ -189,7 +189,7 @@
 			continue
 		}
 		p.Needs = append(p.Needs, capacity.Need{At: c.At.Seconds(), Aim: class.Aim.Seconds(), Deadline: class.Deadline.Seconds(), Work: c.Work.Seconds(),
-			Worth: c.Worth, Late: class.Late, Beyond: c.Worth * (plan.BeyondEarns - plan.OverrunCost), Units: c.Units, Account: a})
+			Worth: c.Worth, Late: class.Late, WorthBeyondQuota: c.Worth * (plan.BeyondEarns - plan.OverrunCost), Units: c.Units, Account: a})
 	}
 	return p
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -86,7 +86,7 @@
 	for _, p := range f.Plans {
 		for _, c := range f.Classes {
 			w := c.Work.Seconds()
-			all = append(all, capacity.Kind{Name: c.Name + " of " + p.Name, Work: w, Square: w * w * (1 + c.Spread*c.Spread), Aim: c.Aim.Seconds(), Worth: c.Worth * p.Price * c.Units})
+			all = append(all, capacity.Kind{Name: c.Name + " of " + p.Name, Work: w, MeanSquareWork: w * w * (1 + c.Spread*c.Spread), Aim: c.Aim.Seconds(), Worth: c.Worth * p.Price * c.Units})
 		}
 	}
 	return all
@@ -100,13 +100,13 @@
 		for _, b := range f.Boxes {
 			if b.Room == i {
 				r.Boxes++
-				r.Each += b.Cores * b.Speed
-				r.Cold += b.ColdFrom
+				r.WorkPerBox += b.Cores * b.Speed
+				r.ColdShare += b.ColdFrom
 			}
 		}
 		if r.Boxes > 0 {
-			r.Each /= float64(r.Boxes)
-			r.Cold /= float64(r.Boxes)
+			r.WorkPerBox /= float64(r.Boxes)
+			r.ColdShare /= float64(r.Boxes)
 			total += r.Boxes
 			all = append(all, r)
 		}
@@ -201,10 +201,10 @@
 		r.Odd = append(r.Odd, s.String())
 	}
 	for _, x := range c.Rooms {
-		r.Rooms = append(r.Rooms, Room{x.Name, x.Boxes, x.Each})
+		r.Rooms = append(r.Rooms, Room{x.Name, x.Boxes, x.WorkPerBox})
 	}
 	for i, x := range r.plan {
-		hour := Hour{From: capacity.Clock(x.Slot.From), Work: x.Work, Use: x.Use, Served: x.Served, WorstRoom: x.Lost, ServedLoss: x.ServedIn, ServedCold: x.ServedUp, Boxes: x.Boxes, BoxesLoss: x.WithLoss, OneMore: x.OneMore}
+		hour := Hour{From: capacity.Clock(x.Slot.From), Work: x.Work, Use: x.Use, Served: x.Served, WorstRoom: x.LostRoom, ServedLoss: x.ServedAfterLoss, ServedCold: x.ServedAfterReturn, Boxes: x.Boxes, BoxesLoss: x.BoxesWithLoss, OneMore: x.OneMore}
 		if forecast.Period == 0 {
 			hour.From = "all of it"
 		}
@@ -212,7 +212,7 @@
 			hour.Requests += v
 		}
 		r.Hours = append(r.Hours, hour)
-		if x.NeedWorks > r.plan[r.Binding].NeedWorks {
+		if x.RequiredWork > r.plan[r.Binding].RequiredWork {
 			r.Binding = i
 		}
 	}
--- a/internal/replay/plugins.go
+++ b/internal/replay/plugins.go
@@ -36,7 +36,7 @@
 // Close ends them, and tells what became of them.
 func (a *advisers) Close() error {
 	a.done(a.set.States())
-	return a.set.Leave(nil)
+	return a.set.CloseUnused(nil)
 }
 
 // advise has the limiters of a run ask the plan's plug-ins. What it returns gives their sums
--- a/plugin/inspect.go
+++ b/plugin/inspect.go
@@ -17,7 +17,7 @@
 type Report struct {
 	Bytes            int
 	Imports, Exports []string // names with their function types
-	LeastMemory      int      // initial memory, bytes
+	MinMemory        int      // initial memory, bytes
 	Problem          error    // why it can't be loaded; nil if its imports and exports fit the ABI
 }
 
@@ -43,7 +43,7 @@
 	}
 	for name, exported := range compiled.ExportedMemories() {
 		report.Exports = append(report.Exports, name+" (memory)")
-		report.LeastMemory = max(report.LeastMemory, int(exported.Min())<<16)
+		report.MinMemory = max(report.MinMemory, int(exported.Min())<<16)
 	}
 	slices.Sort(report.Exports)
 	return report, nil
--- a/plugin/plugintest/asm.go
+++ b/plugin/plugintest/asm.go
@@ -34,7 +34,7 @@
 	AdviseLocals byte   // number of I32 locals of Advise
 	Start        bool   // Extra is the start function
 	Data         []byte // initial memory contents at address 0
-	Without      string // name of an export to leave out
+	OmitExport   string // name of an export to leave out
 	WrongTypes   bool   // madderdrum_advise gets wrong parameter types
 	Wants        []byte // madderdrum_wants, the manifest, () -> i32; nil: not exported
 }
@@ -137,11 +137,11 @@
 	importCount := uint64(len(imports))
 	var exports [][]byte
 	for k, name := range []string{"madderdrum_abi", "madderdrum_input", "madderdrum_advise"} {
-		if name != a.Without {
+		if name != a.OmitExport {
 			exports = append(exports, Join(encodeName(name), []byte{0x00}, uleb(importCount+uint64(k))))
 		}
 	}
-	if a.Without != "memory" {
+	if a.OmitExport != "memory" {
 		exports = append(exports, Join(encodeName("memory"), []byte{0x02, 0x00}))
 	}
 	bodies := 4
--- a/plugin/set.go
+++ b/plugin/set.go
@@ -136,7 +136,7 @@
 
 // Leave closes the plug-ins that the next set does not reuse and waits for their running calls.
 // If next is nil, it closes all.
-func (s *Set) Leave(next *Set) error {
+func (s *Set) CloseUnused(next *Set) error {
 	var errs []error
 	for i := range s.loaded {
 		if entry := &s.loaded[i]; next.find(entry.name, entry.identity) != entry.Plugin {
--- a/plugin/set_test.go
+++ b/plugin/set_test.go
@@ -35,7 +35,7 @@
 
 	b.Grant.Label = false // a changed grant needs no new load
 	second := set(first, a, b)
-	if err := first.Leave(second); err != nil {
+	if err := first.CloseUnused(second); err != nil {
 		t.Fatal(err)
 	}
 	if second.States()[1].Counters != 1 || second.States()[0].Calls != 1 {
@@ -56,7 +56,7 @@
 
 	a.Limits.Memory = 1 << 20 // changed limits make it a different plug-in
 	third := set(second, a)
-	if err := second.Leave(third); err != nil {
+	if err := second.CloseUnused(third); err != nil {
 		t.Fatal(err)
 	}
 	if third.States()[0].Counters != 0 {
@@ -70,7 +70,7 @@
 	if third.Reset("nobody") || !third.Reset("a") {
 		t.Error("reset")
 	}
-	if err := third.Leave(nil); err != nil {
+	if err := third.CloseUnused(nil); err != nil {
 		t.Fatal(err)
 	}
 }
