--- a/capacity/plan.go
+++ b/capacity/plan.go
@@ -28,7 +28,7 @@
 type Fleet struct {
 	Kinds []Kind
 	Rooms []Room
-	// Surges is the number of standard deviations by which the work that arrives within the target
+	// SurgeDeviations is the number of standard deviations by which the work that arrives within the target
 	// response time may exceed its mean without being late; 0 means 1, a value from replays.
 	SurgeDeviations float64
 }
@@ -118,7 +118,7 @@
 	ServedAfterReturn float64 // share served when that room has returned but is still cold
 	Boxes             int     // boxes needed for the goal with all rooms available
 	BoxesWithLoss     int     // boxes needed so that any one room may fail, in the same number of rooms of equal size
-	OneMore           float64 // increase of ServedIn by one more box
+	OneMore           float64 // increase of ServedAfterLoss by one more box
 	RequiredWork      float64 // work per second needed for the goal
 }
 
--- a/grant/desk.go
+++ b/grant/desk.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// Bounds of a [Desk].
+// Bounds of a [LeaseManager].
 const (
-	// SeenFor is how long a repetition of an attempt that was granted without a lease is
+	// RepeatWindow is how long a repetition of an attempt that was granted without a lease is
 	// recognized; maxRemembered bounds the number of remembered attempts and tokens.
 	RepeatWindow  = 5 * time.Second
 	maxRemembered = 100_000
 	// maxQueuedLeases bounds the leases waiting to be reported to one limiter. Leases beyond
 	// it are not reported and expire at their limiter.
 	maxQueuedLeases = 4 * MaxNoticeLeases
-	// LongestLease is the longest allowed lease. MaxClockSkew is the largest clock difference
+	// MaxLease is the longest allowed lease. MaxClockSkew is the largest clock difference
 	// between limiters at which a token of another limiter is still accepted.
 	MaxLease     = 30 * time.Second
 	MaxClockSkew = 30 * time.Second
 )
 
-// Try identifies one attempt of a proxy to obtain a grant; repetitions of it are equal.
+// Attempt identifies one attempt of a proxy to obtain a grant; repetitions of it are equal.
 type Attempt struct {
 	Proxy, ID string
 	Terms     Terms
 }
 
-// Desk manages grants for one limiter: it recognizes repeated attempts, redeems tokens and
+// LeaseManager manages grants for one limiter: it recognizes repeated attempts, redeems tokens and
 // exchanges notices of redeemed leases with other limiters. Like [Leases], it does no I/O and
 // reads no clock: times are durations since a common start, and the validity of a token is
 // passed as its remaining time.
@@ -46,15 +46,15 @@
 	expiresAt time.Duration
 }
 
-// NewDesk returns the manager of the limiter at the given position, for at most the given number of open leases.
+// NewLeaseManager returns the manager of the limiter at the given position, for at most the given number of open leases.
 func NewLeaseManager(position, limiters, leases int) *LeaseManager {
 	return &LeaseManager{position: position, limiters: limiters, table: New(leases), remembered: map[any]*list.Element{}, pendingNotices: map[int][]ID{}}
 }
 
-// Book returns the leases that this limiter has granted.
+// Leases returns the leases that this limiter has granted.
 func (d *LeaseManager) Leases() *Leases { return d.table }
 
-// Again reports whether an attempt was granted recently, and returns its token.
+// FindRepeat reports whether an attempt was granted recently, and returns its token.
 func (d *LeaseManager) FindRepeat(now time.Duration, t Attempt) (token string, repeated bool) {
 	if entry := d.lookup(now, t); entry != nil {
 		return entry.token, true
@@ -62,7 +62,7 @@
 	return "", false
 }
 
-// Granted records a granted attempt, so that repetitions before until get the same answer.
+// RecordGrant records a granted attempt, so that repetitions before until get the same answer.
 func (d *LeaseManager) RecordGrant(now time.Duration, t Attempt, token string, until time.Duration) {
 	d.remember(now, rememberedEntry{t, token, until})
 }
@@ -120,7 +120,7 @@
 	return 0, true
 }
 
-// Words passes the pending notices to send, one datagram for each other limiter, in the order
+// SendNotices passes the pending notices to send, one datagram for each other limiter, in the order
 // of their positions.
 func (d *LeaseManager) SendNotices(send func(limiter int, data []byte)) {
 	for to := range d.limiters {
--- a/grant/grant.go
+++ b/grant/grant.go
@@ -27,7 +27,7 @@
 	return t.Account == m.Account && t.Plan == m.Plan && t.Class == m.Class && m.Units <= t.Units
 }
 
-// Ending is the reason why a lease ended.
+// EndReason is the reason why a lease ended.
 type EndReason int
 
 // The reasons why a lease ends.
@@ -39,7 +39,7 @@
 	Moved                      // its message arrived at another limiter, which has paid: the units return
 )
 
-// Returns reports whether the units of the lease go back to the account.
+// ReturnsUnits reports whether the units of the lease go back to the account.
 func (e EndReason) ReturnsUnits() bool { return e == Cancelled || e == Expired || e == Moved }
 
 // Errors of lease operations.
@@ -68,13 +68,13 @@
 // New returns a table for at most limit open leases.
 func New(limit int) *Leases { return &Leases{limit: limit, leases: map[ID]*lease{}} }
 
-// Open returns the number of open leases.
+// OpenCount returns the number of open leases.
 func (b *Leases) OpenCount() int { return len(b.leases) }
 
 // Count returns the number of leases that ended for the given reason.
 func (b *Leases) Count(e EndReason) int { return b.counts[e] }
 
-// Room reports whether another lease may be opened.
+// HasRoom reports whether another lease may be opened.
 func (b *Leases) HasRoom() bool { return len(b.leases) < b.limit }
 
 // Grant opens a lease that expires at expiresAt.
@@ -126,7 +126,7 @@
 	}
 }
 
-// Next returns when the next lease expires; ok is false if none is open.
+// NextExpiry returns when the next lease expires; ok is false if none is open.
 func (b *Leases) NextExpiry() (at time.Duration, ok bool) {
 	if len(b.expiryQueue) == 0 {
 		return 0, false
--- a/grant/token.go
+++ b/grant/token.go
@@ -130,12 +130,12 @@
 	return t, nil
 }
 
-// Word is a notice from one limiter to another about leases of the receiver: their messages
+// RedeemNotice is a notice from one limiter to another about leases of the receiver: their messages
 // arrived at the sender, which has paid for them. If a notice is lost, the units return
 // only when the lease expires.
 type RedeemNotice struct{ Leases []ID }
 
-// WordMagic is the first byte of a notice. It differs from the first byte of all messages
+// NoticeMagic is the first byte of a notice. It differs from the first byte of all messages
 // between decision modules.
 const NoticeMagic = 0x6d
 
--- a/internal/agreement/core.go
+++ b/internal/agreement/core.go
@@ -216,11 +216,11 @@
 	return c.propose(rosterEntry, id, data)
 }
 
-// Read asks the leader for its commit index (Raft's read index). [Core.ReadDone] reports, for the same mark,
+// ReadBarrier asks the leader for its commit index (Raft's read index). [Core.ReadDone] reports, for the same mark,
 // when the log is applied here up to that index.
 func (c *Core) ReadBarrier(mark string) { c.node.ReadIndex([]byte(mark)) }
 
-// ReadDone reports whether all entries that were committed when [Core.Read] was called with this mark are
+// ReadDone reports whether all entries that were committed when [Core.ReadBarrier] was called with this mark are
 // applied here. It returns true once for each mark.
 func (c *Core) ReadDone(mark string) bool {
 	index, ok := c.readIndexes[mark]
--- a/internal/agreement/host.go
+++ b/internal/agreement/host.go
@@ -458,7 +458,7 @@
 	return h.propose(ctx, func(id uint64) error { return h.core.Propose(id, data) })
 }
 
-// Want requests that a limiter becomes a voter, or a learner again. It returns once the request is committed;
+// RequestVoterChange requests that a limiter becomes a voter, or a learner again. It returns once the request is committed;
 // the leader then changes the members one step at a time.
 func (h *Host) RequestVoterChange(ctx context.Context, w VoterRequest) error {
 	return h.propose(ctx, func(id uint64) error { return h.core.ProposeRoster(id, w) })
@@ -500,7 +500,7 @@
 	return nil
 }
 
-// Read is a linearizable read barrier: it returns once all entries that were committed when it was called
+// ReadBarrier is a linearizable read barrier: it returns once all entries that were committed when it was called
 // are applied here.
 func (h *Host) ReadBarrier(ctx context.Context) error {
 	mark, done := fmt.Sprint(rand.Uint64()), make(chan struct{})
@@ -523,7 +523,7 @@
 	}
 }
 
-// Fence returns the highest fencing epoch of each duty that this limiter has seen as a receiver.
+// FencingEpochs returns the highest fencing epoch of each duty that this limiter has seen as a receiver.
 func (h *Host) FencingEpochs(ctx context.Context) (map[string]uint64, error) {
 	return runOnDriver(ctx, h, func() (map[string]uint64, error) {
 		if h.dataFolder == nil {
@@ -533,7 +533,7 @@
 	})
 }
 
-// Raise stores a fencing epoch of a duty; it is synced to disk when Raise returns.
+// RaiseFencingEpoch stores a fencing epoch of a duty; it is synced to disk when Raise returns.
 func (h *Host) RaiseFencingEpoch(ctx context.Context, duty string, epoch uint64) error {
 	return h.runOnDriver(ctx, func() error {
 		if h.core == nil {
@@ -552,7 +552,7 @@
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, net.ErrClosed)
 }
 
-// HandOver transfers the leadership, if this member has it, to the voter with the longest log, and waits
+// TransferLeadership transfers the leadership, if this member has it, to the voter with the longest log, and waits
 // until this member is no longer the leader or ctx is done.
 func (h *Host) TransferLeadership(ctx context.Context) {
 	transferring := func() bool {
--- a/internal/agreement/hostbegin.go
+++ b/internal/agreement/hostbegin.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 )
 
-// Begin initializes a new fleet with this limiter as the only voter; the listed voters are added once they
+// Bootstrap initializes a new fleet with this limiter as the only voter; the listed voters are added once they
 // join.
 func (h *Host) Bootstrap(ctx context.Context, voters []string) error {
 	return h.startFleet(ctx, func() error {
@@ -18,7 +18,7 @@
 	})
 }
 
-// BeginAnew re-initializes the fleet as a new generation with this limiter as the only voter, after a
+// ForceNewFleet re-initializes the fleet as a new generation with this limiter as the only voter, after a
 // majority of voters is lost. The state is that of this limiter: committed entries that it has not received
 // are lost. before is called first and may change the state machine.
 func (h *Host) ForceNewFleet(ctx context.Context, before func(generation uint64)) error {
--- a/internal/agreement/roster.go
+++ b/internal/agreement/roster.go
@@ -15,7 +15,7 @@
 	Wanted  map[string]uint64 // member ID by name of a wanted voter; 0: the first member that joins under the name
 }
 
-// Wish is an operator's request to add or remove a voter; one field is set.
+// VoterRequest is an operator's request to add or remove a voter; one field is set.
 type VoterRequest struct {
 	Add, Remove string // a limiter's name
 }
--- a/internal/memory/show.go
+++ b/internal/memory/show.go
@@ -25,7 +25,7 @@
 	Err     error // why Memory is nil although there is a snapshot
 }
 
-// Look reads a folder without changing it: that of one limiter, or that of a tier with a subfolder
+// Inspect reads a folder without changing it: that of one limiter, or that of a tier with a subfolder
 // for each limiter.
 func Inspect(folder string) ([]View, error) {
 	entries, err := os.ReadDir(folder)
@@ -87,7 +87,7 @@
 	return f
 }
 
-// Sound returns the errors of damaged files. A truncated log, as a killed or running process leaves
+// Check returns the errors of damaged files. A truncated log, as a killed or running process leaves
 // it, is no error.
 func (v *View) Check() error {
 	var errs []error
@@ -99,7 +99,7 @@
 	return errors.Join(append(errs, v.Err)...)
 }
 
-// Ills returns the servers with a problem: down, ejected or failing for a class, warming up after an
+// UnhealthyBoxes returns the servers with a problem: down, ejected or failing for a class, warming up after an
 // outage, or at least 1.5 times as slow as usual.
 func (v *View) UnhealthyBoxes() (all []limiter.BoxMemory) {
 	for _, b := range v.Trusted.Boxes {
--- a/internal/node/ceilings.go
+++ b/internal/node/ceilings.go
@@ -9,7 +9,7 @@
 	return n.limiter.Demands()
 }
 
-// Hold sets how much of the ceilings this limiter may use from now on; see [limiter.Parts].
+// UseShares sets how much of the ceilings this limiter may use from now on; see [limiter.Parts].
 func (n *Node) UseShares(shares map[uint64]float64, rest float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/looks.go
+++ b/internal/node/looks.go
@@ -8,21 +8,21 @@
 	"example.org/madderdrum/limiter"
 )
 
-// Looks shares probes and discovery watches among limiters, so that other limiters probe servers and follow
+// ProbeSharing shares probes and discovery watches among limiters, so that other limiters probe servers and follow
 // agents for this one. Its methods are called under the node's mutex: they must neither block nor call the
 // node.
 type ProbeSharing interface {
-	// Want reports that this limiter considers a server unhealthy and needs probe results; false: this limiter
+	// ReportUnhealthy reports that this limiter considers a server unhealthy and needs probe results; false: this limiter
 	// has to probe by itself.
 	ReportUnhealthy(server uint64) bool
-	// Looked reports the result of one of this limiter's own probes; healthy is meaningless if it was not conclusive.
+	// ProbeFinished reports the result of one of this limiter's own probes; healthy is meaningless if it was not conclusive.
 	ProbeFinished(server uint64, healthy, conclusive bool)
-	// Failed reports that an attempt failed at a server.
+	// AttemptFailed reports that an attempt failed at a server.
 	AttemptFailed(server uint64)
-	// Listed reports an answer of a pool's discovery agent: all its hosts, or the changes, in the agent's
+	// AgentListed reports an answer of a pool's discovery agent: all its hosts, or the changes, in the agent's
 	// format.
 	AgentListed(pool string, seq int64, complete bool, hosts []byte)
-	// Lost reports that a pool's discovery agent does not answer.
+	// AgentLost reports that a pool's discovery agent does not answer.
 	AgentLost(pool string)
 }
 
@@ -49,10 +49,10 @@
 	}
 }
 
-// Look makes this limiter probe a server itself.
+// Probe makes this limiter probe a server itself.
 func (n *Node) Probe(server uint64) { go n.probe(server) }
 
-// Word applies another limiter's probe result for a server that this one considers unhealthy.
+// ApplyVerdict applies another limiter's probe result for a server that this one considers unhealthy.
 func (n *Node) ApplyVerdict(server uint64, healthy bool) {
 	ev := limiter.Probed{Server: server, Result: limiter.NoRoute, Load: noLoad}
 	if healthy {
@@ -79,7 +79,7 @@
 	return all
 }
 
-// Whole returns a pool's complete list as known to this limiter, in its agent's format; ok is false until a
+// FullList returns a pool's complete list as known to this limiter, in its agent's format; ok is false until a
 // list is known.
 func (n *Node) FullList(pool string) (seq int64, hosts []byte, ok bool) {
 	n.mu.Lock()
@@ -97,7 +97,7 @@
 	return s.index.seq, hosts, err == nil
 }
 
-// Told applies a list or changes of a pool's servers that another limiter received from the pool's agent. It
+// ApplyList applies a list or changes of a pool's servers that another limiter received from the pool's agent. It
 // returns an error if hosts can't be decoded.
 func (n *Node) ApplyList(pool string, seq int64, complete bool, hosts []byte) error {
 	list := serverList{Seq: seq, Whole: complete}
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// Follow makes this limiter watch a pool's agent itself, which may hold each call for the given time; with 0
+// PollAgent makes this limiter watch a pool's agent itself, which may hold each call for the given time; with 0
 // another limiter reports the agent's answers. Initially the limiter watches itself, with calls of watchHold.
 func (n *Node) PollAgent(pool string, hold time.Duration) {
 	n.mu.Lock()
--- a/internal/node/remember.go
+++ b/internal/node/remember.go
@@ -2,7 +2,7 @@
 
 import "example.org/madderdrum/limiter"
 
-// Begun returns a channel that is closed once the module has its first server list and the state passed to
+// Started returns a channel that is closed once the module has its first server list and the state passed to
 // Recall.
 func (n *Node) Started() <-chan struct{} { return n.started }
 
--- a/internal/nodesettings/nodesettings.go
+++ b/internal/nodesettings/nodesettings.go
@@ -111,7 +111,7 @@
 // pollInterval is the polling interval: the file may change without a signal.
 const pollInterval = 2 * time.Second
 
-// Follow watches the settings file until ctx is done and calls changed with the new settings after each
+// Watch watches the settings file until ctx is done and calls changed with the new settings after each
 // change of its contents. SIGHUP triggers an immediate check. For an invalid file it calls invalid with the
 // error, and the current settings stay in effect.
 func (s *Settings) Watch(ctx context.Context, changed func(*Settings), invalid func(error)) {
@@ -282,7 +282,7 @@
 	ProxyPort       = 2
 )
 
-// Internal returns the address of an internal port, given as an offset such as [ProxyPort], on the machine
+// InternalAddress returns the address of an internal port, given as an offset such as [ProxyPort], on the machine
 // with that IP address.
 func (s *Settings) InternalAddress(ip string, port int) string {
 	return ip + ":" + strconv.Itoa(s.Ports[0]+port)
@@ -298,7 +298,7 @@
 	return host
 }
 
-// Cores returns the IP addresses of the core machines listed as seeds, including this machine if it is
+// CoreIPs returns the IP addresses of the core machines listed as seeds, including this machine if it is
 // one of them.
 func (s *Settings) CoreIPs() []string {
 	var ips []string
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -34,15 +34,15 @@
 	Resume() error
 	// Leave starts a clean shutdown of the process.
 	Leave()
-	// Standing returns the current status.
+	// LimiterStatus returns the current status.
 	LimiterStatus() LimiterStatus
-	// Asked returns the demand of accounts with ceilings. Hold sets the shares of their ceilings
+	// DemandReports returns the demand of accounts with ceilings. UseShares sets the shares of their ceilings
 	// that this limiter may use: by account, and the share of all others.
 	DemandReports() []parts.Report
 	UseShares(of map[uint64]float64, rest float64)
 }
 
-// Standing is a limiter's status as it reports it to the rest of the fleet.
+// LimiterStatus is a limiter's status as it reports it to the rest of the fleet.
 type LimiterStatus struct {
 	Fleet    string // its fleet's ID; empty: none
 	Start    uint64 // number of its process
@@ -131,7 +131,7 @@
 	return s, err
 }
 
-// Lookout returns this limiter's part in the shared probing of its room; nil: it probes on its own.
+// Watcher returns this limiter's part in the shared probing of its room; nil: it probes on its own.
 func (s *Service) Watcher() *RoomWatcher { return s.watcher }
 
 // Start returns the random number of this process, which the limiter's Standing must report.
--- a/internal/ownership/watch.go
+++ b/internal/ownership/watch.go
@@ -25,16 +25,16 @@
 // Prober makes this limiter's own probes of servers and of service discovery, and applies what the leader of
 // the room reports. A box is a server.
 type Prober interface {
-	// Look starts a probe of a server; its end is reported to RoomWatcher.Looked.
+	// Probe starts a probe of a server; its end is reported to RoomWatcher.ProbeFinished.
 	Probe(box uint64)
-	// Word applies the leader's verdict on a server.
+	// ApplyVerdict applies the leader's verdict on a server.
 	ApplyVerdict(box uint64, well bool)
 	Pools() []string
-	// Whole returns this limiter's full server list of a pool.
+	// FullList returns this limiter's full server list of a pool.
 	FullList(pool string) (seq int64, hosts []byte, ok bool)
-	// Told applies a server list of the leader: the full list, or the changes to it.
+	// ApplyList applies a server list of the leader: the full list, or the changes to it.
 	ApplyList(pool string, seq int64, whole bool, hosts []byte) error
-	// Follow makes this limiter poll the discovery agent of a pool itself, with long polls of the
+	// PollAgent makes this limiter poll the discovery agent of a pool itself, with long polls of the
 	// given length; 0: the leader sends the lists.
 	PollAgent(pool string, hold time.Duration)
 }
@@ -107,7 +107,7 @@
 	}
 }
 
-// Want reports that this limiter considers a server unhealthy; false: the queue is full.
+// ReportUnhealthy reports that this limiter considers a server unhealthy; false: the queue is full.
 func (l *RoomWatcher) ReportUnhealthy(box uint64) bool {
 	l.mu.Lock()
 	full := len(l.events) >= maxQueuedEvents
@@ -118,7 +118,7 @@
 	return !full
 }
 
-// Looked reports the result of this limiter's own probe; made is false if there was none.
+// ProbeFinished reports the result of this limiter's own probe; made is false if there was none.
 func (l *RoomWatcher) ProbeFinished(box uint64, well, made bool) {
 	verdict := map[bool]watch.Verdict{true: watch.Healthy, false: watch.Unhealthy}[well]
 	if !made {
@@ -127,19 +127,19 @@
 	l.enqueue(func(at time.Duration) { l.watcher.FinishProbe(at, box, verdict) })
 }
 
-// Failed reports a failed attempt at a server.
+// AttemptFailed reports a failed attempt at a server.
 func (l *RoomWatcher) AttemptFailed(box uint64) {
 	l.enqueue(func(at time.Duration) { l.watcher.AttemptFailed(at, box) })
 }
 
-// Listed reports a server list that the discovery agent of a pool has sent to this limiter.
+// AgentListed reports a server list that the discovery agent of a pool has sent to this limiter.
 func (l *RoomWatcher) AgentListed(pool string, seq int64, whole bool, hosts []byte) {
 	l.enqueue(func(time.Duration) {
 		l.watcher.HandleAgentList(watch.List{Pool: pool, Seq: seq, Whole: whole, Hosts: hosts})
 	})
 }
 
-// Lost reports that the discovery agent of a pool does not answer this limiter.
+// AgentLost reports that the discovery agent of a pool does not answer this limiter.
 func (l *RoomWatcher) AgentLost(pool string) {
 	l.enqueue(func(at time.Duration) { l.watcher.Lost(at, pool) })
 }
--- a/internal/proxy/loans.go
+++ b/internal/proxy/loans.go
@@ -20,7 +20,7 @@
 	datagramTokenRequest byte = 3 // a tokenRequest, in CBOR
 	datagramTokenReply   byte = 4 // a tokenReply, in CBOR
 	datagramProbe        byte = 5 // a probeMessage, in CBOR
-	datagramLoad         byte = 6 // a loadreports.Word, in CBOR
+	datagramLoad         byte = 6 // a loadreports.Report, in CBOR
 )
 
 const loanInterval = 400 * time.Millisecond
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -82,7 +82,7 @@
 	callRepair = "registry.repair"
 )
 
-// Pull asks for the catalog records and the register that the caller lacks. Limiters and other registries send it.
+// PullRequest asks for the catalog records and the register that the caller lacks. Limiters and other registries send it.
 type PullRequest struct {
 	Vector       catalog.Vector  `cbor:"1,keyasint,omitempty"`
 	Seq          uint64          `cbor:"2,keyasint,omitempty"` // version of the caller's register
@@ -93,23 +93,23 @@
 	// it asks for the whole register.
 	Version      uint64 `cbor:"6,keyasint,omitempty"`
 	FullRegister bool   `cbor:"7,keyasint,omitempty"`
-	// LoansMs is the number of milliseconds after which nobody uses more of this limiter's share than the register
+	// LoansEndInMs is the number of milliseconds after which nobody uses more of this limiter's share than the register
 	// of Seq allows. From then on the limiter and the borrowers of its share apply that register or a later one.
 	LoansEndInMs uint64 `cbor:"9,keyasint,omitempty"`
-	// Done means that a limiter that is shutting down sends no more requests upstream, so its place can be released.
+	// Stopped means that a limiter that is shutting down sends no more requests upstream, so its place can be released.
 	Stopped bool `cbor:"10,keyasint,omitempty"`
 }
 
-// Pulled carries what is newer than the state of the caller.
+// PullResponse carries what is newer than the state of the caller.
 type PullResponse struct {
 	Register *controlstate.Register `cbor:"1,keyasint,omitempty"`
 	Records  []catalog.Record       `cbor:"2,keyasint,omitempty"`
 	Vector   catalog.Vector         `cbor:"3,keyasint,omitempty"` // only if there are newer records
 	Source   string                 `cbor:"4,keyasint,omitempty"`
-	// ProofMs is the age of the latest proof that a majority has chosen nothing newer than this register.
+	// ProofAgeMs is the age of the latest proof that a majority has chosen nothing newer than this register.
 	ProofAgeMs uint64 `cbor:"5,keyasint,omitempty"`
 	Proven     bool   `cbor:"6,keyasint,omitempty"`
-	// Apart means that this registry has no contact with a majority of the registries.
+	// Isolated means that this registry has no contact with a majority of the registries.
 	Isolated bool   `cbor:"7,keyasint,omitempty"`
 	HeldMs   uint64 `cbor:"8,keyasint,omitempty"`
 	// Register comes without the parts that the caller has, such as a configuration of the same version. Places,
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -196,7 +196,7 @@
 	}
 }
 
-// Patience is a net.Dialer's Control function that closes a connection whose sent data stays unacknowledged.
+// SetUserTimeout is a net.Dialer's Control function that closes a connection whose sent data stays unacknowledged.
 func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var optionErr error
 	if err := raw.Control(func(fd uintptr) {
@@ -221,7 +221,7 @@
 	}
 }
 
-// Asking returns a Handler for calls without arguments.
+// NoBodyHandler returns a Handler for calls without arguments.
 func NoBodyHandler(handle func(context.Context) (any, error)) Handler {
 	return func(ctx context.Context, _ []byte) (any, error) { return handle(ctx) }
 }
--- a/internal/testring/places.go
+++ b/internal/testring/places.go
@@ -116,7 +116,7 @@
 			running[places.HolderOf(limiterName(r.ID), limiterName(r.ID))] = true
 		}
 	})
-	// A process cut off from the majority must not expire records; see catalog.Book.Expire. A catalog is empty at
+	// A process cut off from the majority must not expire records; see catalog.Catalog.Expire. A catalog is empty at
 	// first, so nobody is released for silence in the first 2 s.
 	if w.reachesMajority(c) {
 		c.book.Expire(w.now, 4*heartbeatMs, 3200, func(source string) bool { return w.reachesSource(c, source) })
--- a/internal/testring/testring.go
+++ b/internal/testring/testring.go
@@ -447,7 +447,7 @@
 	}
 }
 
-// Out counts the pairs of running limiters of a region of which the first wrongly considers the second
+// CountFalseUnreachable counts the pairs of running limiters of a region of which the first wrongly considers the second
 // unreachable.
 func (w *World) CountFalseUnreachable() (wrong int) {
 	for _, n := range w.nodes {
@@ -460,7 +460,7 @@
 	return wrong
 }
 
-// Over returns the largest excess of any tenant over its quota in any window, in requests; it is 0 or less
+// MaxQuotaExcess returns the largest excess of any tenant over its quota in any window, in requests; it is 0 or less
 // if all limiters together keep the quotas. The limit is that of the operators' rule: the rate times the
 // window plus the burst, times one plus the overshoot, plus the slack.
 func (w *World) MaxQuotaExcess() float64 {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,13 +9,13 @@
 	"example.org/madderdrum/limiter"
 )
 
-// Pairs holds settings by path, as on a BEGIN line. It records the first error of all reads.
+// SettingValues holds settings by path, as on a BEGIN line. It records the first error of all reads.
 type SettingValues struct {
 	values map[string]string
 	err    error
 }
 
-// NewPairs returns Pairs that read from values.
+// NewSettingValues returns SettingValues that read from values.
 func NewSettingValues(values map[string]string) *SettingValues { return &SettingValues{values: values} }
 
 // Err returns the first error of the reads so far.
--- a/lifecycle/lifecycle.go
+++ b/lifecycle/lifecycle.go
@@ -31,7 +31,7 @@
 	// FrontReactionTime is how long new connections still arrive after /healthz turns
 	// unhealthy: the front load balancer polls ten times a second and acts 0.2 s later.
 	FrontReactionTime = 300 * time.Millisecond
-	// KeepAccepting is how long connections are accepted after SIGTERM: new ones keep
+	// AcceptAfterStop is how long connections are accepted after SIGTERM: new ones keep
 	// arriving for up to 0.4 s.
 	AcceptAfterStop = 500 * time.Millisecond
 	// unusedTimeout is how long a connection may have no request while clients are being
@@ -51,7 +51,7 @@
 	ErrStarting    = errors.New("the limiter is starting: it knows no servers yet")
 )
 
-// Life is the state machine of one limiter process. It is not safe for concurrent use.
+// Process is the state machine of one limiter process. It is not safe for concurrent use.
 type Process struct {
 	phase         Phase
 	serversKnown  bool // discovery has found a server
@@ -65,10 +65,10 @@
 // Phase returns the current phase.
 func (l *Process) Phase() Phase { return l.phase }
 
-// Listed records that discovery has found at least one server.
+// MarkServersKnown records that discovery has found at least one server.
 func (l *Process) MarkServersKnown(now time.Time) { l.serversKnown = true; l.startServing(now) }
 
-// Taking records that client connections are being accepted.
+// MarkAccepting records that client connections are being accepted.
 func (l *Process) MarkAccepting(now time.Time) { l.accepting = true; l.startServing(now) }
 
 func (l *Process) startServing(now time.Time) {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// HandBack returns to the phase before the handover, as the new process has failed.
+// AbortHandover returns to the phase before the handover, as the new process has failed.
 func (l *Process) AbortHandover(now time.Time) {
 	if l.phase != HandingOver {
 		return
@@ -149,13 +149,13 @@
 	l.stopDeadline = now.Add(min(longest, maxDeadline) + stopMargin)
 }
 
-// StopBy returns the time by which all requests must be finished; zero before Stop.
+// StopDeadline returns the time by which all requests must be finished; zero before Stop.
 func (l *Process) StopDeadline() time.Time { return l.stopDeadline }
 
-// Closing reports whether answers carry Connection: close.
+// ClosesConnections reports whether answers carry Connection: close.
 func (l *Process) ClosesConnections() bool { return l.phase > Serving }
 
-// Unused returns how long a connection may be idle now: before its first request (fresh) and
+// IdleTimeouts returns how long a connection may be idle now: before its first request (fresh) and
 // between requests (idle); bounded is false if there is no limit. The result may change within
 // a phase, so call it regularly.
 func (l *Process) IdleTimeouts(now time.Time) (fresh, idle time.Duration, bounded bool) {
--- a/limiter/api.go
+++ b/limiter/api.go
@@ -24,7 +24,7 @@
 	PeerInPerS       float64 // peer messages that a limiter accepts per second
 	TrueUp           bool    // units are an estimate, corrected by the cost in the outcome
 	CrossPrice       float64 // price of an attempt at a server in another zone
-	// IllMostMs bounds how long a server is ejected for a class: the time doubles each time that the
+	// MaxEjectionMs bounds how long a server is ejected for a class: the time doubles each time that the
 	// server fails the class again soon after an ejection. 0: it does not grow.
 	MaxEjectionMs float64
 	AskWithin     float64 // ms within which the server list must be requested again
@@ -98,7 +98,7 @@
 
 // Event is an input of the state machine. The event types are [Submit], [Ask],
 // [Settle], [Outcome], [Aborted], [Progress], [FirstByte], [Alarm], [Endpoints],
-// [Probed], [PeerMessage], [Sighting], [Occupied], [Recall], [Parts] and [Reconfigure].
+// [Probed], [PeerMessage], [PeerFailure], [Occupancies], [Recall], [Parts] and [Reconfigure].
 type Event interface{ event() }
 
 // Submit is a client's request, which gets exactly one final answer.
@@ -117,7 +117,7 @@
 	// Leased is the number of units that an [Ask] has leased here for this request. The lease pays for
 	// the request and ends with it. 0: the request is charged itself.
 	Leased float64
-	// Vouched means that another limiter has leased units for the request and checked the quota. The
+	// QuotaChecked means that another limiter has leased units for the request and checked the quota. The
 	// request is charged here as well, and the ceiling here must have room for it.
 	QuotaChecked bool
 	Advice       Advice // of plug-ins
@@ -191,12 +191,12 @@
 	Data []byte
 }
 
-// Occupied reports how many requests servers have besides those that this limiter has sent to them by
+// Occupancies reports how many requests servers have besides those that this limiter has sent to them by
 // their IDs here: those of other limiters, and its own through other pools. A figure is valid until the
 // next one for the server.
 type Occupancies struct{ Servers []Occupancy }
 
-// InHand is the reported occupancy of one server.
+// Occupancy is the reported occupancy of one server.
 type Occupancy struct {
 	Server uint64
 	Others float64 // requests from elsewhere; a fraction if estimated
--- a/limiter/reason.go
+++ b/limiter/reason.go
@@ -40,7 +40,7 @@
 	return QuotaShort
 }
 
-// Regard is a limiter's view of whether a server can be used.
+// Availability is a limiter's view of whether a server can be used.
 type Availability int
 
 // The views of a server.
--- a/limiter/sighting.go
+++ b/limiter/sighting.go
@@ -1,6 +1,6 @@
 package limiter
 
-// Sighting reports that a request of a class failed at a server for another limiter. It counts towards
+// PeerFailure reports that a request of a class failed at a server for another limiter. It counts towards
 // ejecting the server for the class like a failure seen here, and has no other effect.
 type PeerFailure struct {
 	Server uint64
--- a/peering/budget.go
+++ b/peering/budget.go
@@ -16,7 +16,7 @@
 // level of an account, given the number of messages that each limiter can receive. It is not
 // safe for concurrent use.
 type Budget struct {
-	// Pause is the time in ms between two announcements of the level of an account.
+	// PauseMs is the time in ms between two announcements of the level of an account.
 	PauseMs      float64
 	credit       float64 // messages that may be sent
 	received     float64 // messages received since the last tick
@@ -36,7 +36,7 @@
 	b.PauseMs = 1000 * pauseMessages / inPerS * math.Exp(pauseSteepness*max(0, b.receiveRatio-0.5))
 }
 
-// Heard counts a level announcement that was received.
+// CountReceived counts a level announcement that was received.
 func (b *Budget) CountReceived() { b.received++ }
 
 // Take uses one message of the budget and reports whether one was available.
--- a/plugin/plugintest/bad.go
+++ b/plugin/plugintest/bad.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// Saying returns a module that gives the same advice for each request.
+// WithAdvice returns a module that gives the same advice for each request.
 func WithAdvice(a advice.Advice) Module {
 	encoded := a.Append(nil)
 	return Module{Advise: Says(0, uint32(len(encoded))), Data: encoded}
--- a/plugin/set.go
+++ b/plugin/set.go
@@ -134,7 +134,7 @@
 	return c
 }
 
-// Leave closes the plug-ins that the next set does not reuse and waits for their running calls.
+// CloseUnused closes the plug-ins that the next set does not reuse and waits for their running calls.
 // If next is nil, it closes all.
 func (s *Set) CloseUnused(next *Set) error {
 	var errs []error
--- a/recall/recall.go
+++ b/recall/recall.go
@@ -44,7 +44,7 @@
 	minEvidence = 0.5
 )
 
-// Names lists the names of a configuration's classes, by class index.
+// ClassNames lists the names of a configuration's classes, by class index.
 type ClassNames []string
 
 // decayFactor returns the fraction of the evidence that remains after age. A negative age,
@@ -53,7 +53,7 @@
 	return math.Exp2(-float64(max(0, age)) / float64(halfLife))
 }
 
-// Found describes a saved memory and how the limiter that wrote it ended.
+// SnapshotInfo describes a saved memory and how the limiter that wrote it ended.
 type SnapshotInfo struct {
 	Age   time.Duration // since it was saved
 	Clean bool          // its limiter ended cleanly, and no other process continued or continues from it
@@ -82,7 +82,7 @@
 	return len(boxes) == 1 || 2*impaired <= len(boxes)
 }
 
-// Aged returns what remains of a saved memory, mapped from the classes from to the classes to.
+// Decay returns what remains of a saved memory, mapped from the classes from to the classes to.
 // The quota state is used only if the limiter is known to have ended, or if it limited its
 // spending to the saved headroom until then, and no other process has used it. m is not
 // modified.
--- a/reserve/reserve.go
+++ b/reserve/reserve.go
@@ -9,7 +9,7 @@
 // the headroom, and requests at the rate of the ceiling still pass.
 package reserve
 
-// Line is a level that rises at a constant rate up to a maximum, like a token bucket without withdrawals.
+// RisingLevel is a level that rises at a constant rate up to a maximum, like a token bucket without withdrawals.
 type RisingLevel struct {
 	Level    float64 // units
 	SinceMs  float64 // the time of Level, in ms
@@ -17,7 +17,7 @@
 	Max      float64 // units
 }
 
-// On returns the level at a time; before At, as after a clock was set back, it is the level at At.
+// LevelAt returns the level at a time; before SinceMs, as after a clock was set back, it is the level at At.
 func (l RisingLevel) LevelAt(now float64) float64 {
 	return min(l.Max, l.Level+max(0, now-l.SinceMs)/1000*l.RatePerS)
 }
@@ -48,7 +48,7 @@
 	return max(a.written.LevelAt(now), a.pending.LevelAt(now))
 }
 
-// Write records that write seq, which contains next, has started. Until it is on disk, the
+// BeginWrite records that write seq, which contains next, has started. Until it is on disk, the
 // file may state either line; after a failed write it may state any of the three.
 func (a *Account) BeginWrite(now float64, next RisingLevel, seq, kept uint64) {
 	if a.seq <= kept {
@@ -59,6 +59,6 @@
 	a.pending, a.seq = next, seq
 }
 
-// Begin returns an Account that the file does not name yet. unnamed is the line that a
+// NewAccount returns an Account that the file does not name yet. unnamed is the line that a
 // successor would assume for it.
 func NewAccount(unnamed RisingLevel) *Account { return &Account{written: unnamed, pending: unnamed} }
--- a/route/route.go
+++ b/route/route.go
@@ -168,7 +168,7 @@
 	return ok
 }
 
-// Both returns the conditions of the requests that match both m and n, and whether there can
+// Intersect returns the conditions of the requests that match both m and n, and whether there can
 // be such a request. The result has the priority of m.
 func (m *Match) Intersect(n *Match) (Match, bool) {
 	b := Match{Priority: m.Priority}
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -133,7 +133,7 @@
 	return t
 }
 
-// Spill sets the spill share of each tier and keeps everything observed about the tiers.
+// SetSpill sets the spill share of each tier and keeps everything observed about the tiers.
 func (t *Tiers) SetSpill(spill []float64) {
 	for k := range t.tiers {
 		t.tiers[k].spill = spill[k]
@@ -143,7 +143,7 @@
 // Len returns the number of tiers.
 func (t *Tiers) Len() int { return len(t.tiers) }
 
-// See records how many boxes of tier k are listed, how many of them are usable now, and
+// UpdateBoxes records how many boxes of tier k are listed, how many of them are usable now, and
 // how many of the usable ones are still warming up. Call it for each tier about every 50 ms,
 // followed by Step.
 func (t *Tiers) UpdateBoxes(now float64, k, boxes, usable, warmingUp int) {
@@ -354,7 +354,7 @@
 	return t.order
 }
 
-// Enter reports whether a request may be tried at tier k; u is a random number from 0 to
+// Admit reports whether a request may be tried at tier k; u is a random number from 0 to
 // 1. What a returning tier does not take goes on to the next tier and does not count as
 // spill. once marks requests that must not be repeated: unless the tier is proven, they are
 // admitted only for the periodic probe.
@@ -376,7 +376,7 @@
 	return true
 }
 
-// Leave reports whether a request may spill to the next tier when tier k has usable boxes
+// AllowSpill reports whether a request may spill to the next tier when tier k has usable boxes
 // but no room. worth is the request's value per unit of work relative to the mean. A request
 // that may not spill has to be refused. When the spill share is nearly used up, requests
 // worth less than the mean are refused first.
@@ -407,20 +407,20 @@
 	return true
 }
 
-// Resort reports whether a request that no tier has taken may be tried at a slow or returning
+// AllowLastResort reports whether a request that no tier has taken may be tried at a slow or returning
 // tier beyond its share. This serves the request and gives evidence about the tier.
 func (t *Tiers) AllowLastResort(k int, once bool) bool {
 	x := &t.tiers[k]
 	return !t.inPanic() && x.usable > 0 && (x.phase == Slow || t.Recovering(k) && (x.proven() || !once))
 }
 
-// Proving reports whether a tier is returning, so that its requests test what it can take.
+// Recovering reports whether a tier is returning, so that its requests test what it can take.
 func (t *Tiers) Recovering(k int) bool {
 	p := t.tiers[k].phase
 	return p == Returning || p == Held
 }
 
-// Proved records an answer of tier k: whether it was successful, and its duration (or the time
+// RecordAnswer records an answer of tier k: whether it was successful, and its duration (or the time
 // waited for it) relative to the typical one. A failure halves the share of a returning tier.
 func (t *Tiers) RecordAnswer(now float64, k int, good bool, slowness float64) {
 	x := &t.tiers[k]
