--- a/config/broken_test.go
+++ b/config/broken_test.go
@@ -17,11 +17,11 @@
 
 var update = flag.Bool("update", false, "write what the checker says into testdata; read it before it is committed")
 
-// brokenCase is a file of testdata/broken: what people get wrong, and what they are told.
+// brokenCase is a file of testdata/broken: an invalid configuration and its expected report.
 type brokenCase struct {
 	archive *txtar.Archive
 	want    string
-	within  bounds
+	limits  loadLimits
 }
 
 func readBroken(t *testing.T, path string) (brokenCase, []Root) {
@@ -34,18 +34,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := brokenCase{archive: a, within: usualBounds}
+	c := brokenCase{archive: a, limits: defaultLimits}
 	if _, list, ok := strings.Cut(string(a.Comment), "limits: "); ok {
 		name, value, _ := strings.Cut(strings.Fields(list)[0], "=")
 		var n int64
 		fmt.Sscan(strings.TrimSuffix(value, "."), &n)
 		switch name {
 		case "depth":
-			c.within.depth = int(n)
+			c.limits.includeDepth = int(n)
 		case "files":
-			c.within.files = int(n)
+			c.limits.files = int(n)
 		case "file":
-			c.within.file = n
+			c.limits.fileBytes = n
 		default:
 			t.Fatalf("%s: a limit %q", path, name)
 		}
@@ -62,8 +62,8 @@
 	return c, []Root{{FS: files, Name: "main.hcl"}}
 }
 
-// Every broken file is told of in full: place, what, what to write. And every diagnostic
-// that the checker can give stands in one of them.
+// Every broken file gives the expected report, with position, problem and fix. Every
+// diagnostic of the catalogue is triggered by at least one file.
 func TestBrokenFiles(t *testing.T) {
 	paths, err := filepath.Glob("testdata/broken/*.txtar")
 	if err != nil || len(paths) < 120 {
@@ -74,7 +74,7 @@
 		name := strings.TrimSuffix(filepath.Base(path), ".txtar")
 		t.Run(name, func(t *testing.T) {
 			c, roots := readBroken(t, path)
-			cfg, report := load(roots, nil, c.within)
+			cfg, report := load(roots, nil, c.limits)
 			var got bytes.Buffer
 			report.Write(&got)
 			if *update {
@@ -113,7 +113,7 @@
 	}
 }
 
-// The sound file that the others are broken from has nothing wrong with it.
+// The valid file that the broken ones are derived from gives no diagnostics.
 func TestBaseIsSound(t *testing.T) {
 	data, err := os.ReadFile("testdata/base.hcl")
 	if err != nil {
--- a/config/config.go
+++ b/config/config.go
@@ -1,11 +1,11 @@
-// Package config is the language that deployments are written in: HCL with units,
+// Package config implements the configuration language of deployments: HCL with units,
 // includes, variables, routes, pools and policies. It reads files from an [fs.FS],
-// resolves and checks them as a whole, and tells every mistake with its place and with
-// what to write instead. [Diff] says what two versions change in meaning, [Format]
-// writes a file in the one usual form.
+// resolves references, validates the configuration as a whole, and reports every error
+// with its position and a suggested fix. [Diff] compares the meaning of two versions, and
+// [Format] writes a file in its canonical layout.
 //
-// All that a file may hold is in one schema, which the checker, the diff and the
-// reference page go by.
+// A single schema defines all blocks and fields. The checker, the diff and the reference
+// page are driven by it.
 package config
 
 import (
@@ -25,69 +25,71 @@
 	"example.org/madderdrum/route"
 )
 
-// Config is a configuration that was read and checked. It must not be changed.
+// Config is a configuration that was loaded and validated. It is immutable.
 type Config struct {
 	Fleet       *fleet.Fleet
 	Pools       []Pool
 	Routes      []Route
 	Listeners   []Listener
 	ForwardAuth []ForwardAuth
-	Plugins     []plugin.Spec // by name
+	Plugins     []plugin.Spec // sorted by name
 	Memory      Memory
 	Duties      Duties
-	Files       []string // that were read, as they are shown
+	Files       []string // display names of the files read, in reading order
 
-	facts  []fact
-	places map[string]hcl.Range
+	settings []setting
+	places   map[string]hcl.Range
 }
 
-// Pool is a set of boxes that takes requests of its own.
+// Pool is a group of backend boxes that routes send requests to.
 type Pool struct {
 	Name      string
-	Boxes     []int       // of the fleet, rising
-	Discovery string      // of an agent that tells of more; empty: none
-	Tiers     fleet.Tiers // by rank; none: all boxes are alike
+	Boxes     []int       // indexes into Fleet.Boxes, ascending
+	Discovery string      // address of the discovery agent that lists further boxes; empty: none
+	Tiers     fleet.Tiers // sorted by rank; empty: all boxes are equally preferred
 }
 
-// Route takes the requests that meet its conditions to a pool.
+// Route sends the requests that match its conditions to a pool.
 type Route struct {
 	Name     string
 	Match    route.Match
-	Pool     int           // of Pools; -1 where there are none
-	Class    int           // of the fleet, for requests that name none; -1: none
-	Deadline time.Duration // 0: the class's
-	Attempts int           // 0: what the rules allow
-	MaxBody  int           // bytes; -1: what the protocol allows
-	Plugins  []string      // that are asked; nil: all
+	Pool     int           // index into Config.Pools; -1 if no pools are defined
+	Class    int           // index into Fleet.Classes, for requests that name no class; -1: none
+	Deadline time.Duration // 0: the deadline of the class
+	Attempts int           // 0: the limit of the rules block
+	MaxBody  int           // bytes; -1: the protocol's limit
+	Plugins  []string      // names of the plug-ins to call; nil: all
 }
 
-// Listener is a further address of a limiter.
+// Listener is an additional client-facing address of a limiter.
 type Listener struct {
 	Name, Address string
 	Limiter       int
 }
 
-// Memory is where limiters keep what they have learnt; no folder: nowhere.
+// Memory configures how limiters persist their learned state. Without a folder nothing is
+// persisted.
 type Memory struct {
 	Folder  string
 	Every   time.Duration
 	MaxSize int64 // bytes
 }
 
-// Duties is how limiters agree on who owns duties of the whole fleet; no folder: not at all.
+// Duties configures how limiters agree on the owners of fleet-wide duties. Without a
+// folder they do not.
 type Duties struct {
 	Label  string
 	Folder string
-	Voters []string // when the fleet begins
+	Voters []string // initial voting members
 	Term   time.Duration
 	Drift  float64
-	// Parts of ceilings: "equal", or "steward".
+	// How ceilings are divided among limiters: "equal", or "steward".
 	Ceilings string
-	// Looks at ill boxes and at discovery: "each" limiter for itself, or one of a "room".
+	// Who runs health checks and discovery: "each" limiter for itself, or one per "room".
 	Watch string
 }
 
-// ForwardAuth is where other proxies ask a limiter.
+// ForwardAuth is the listener where other proxies send authorization requests to a limiter.
 type ForwardAuth struct {
 	Limiter, Listen, Keys string
 	Leases, Pending       int
@@ -95,41 +97,40 @@
 	Proxies               []Proxy
 }
 
-// TLS are the files of a listener's certificate.
+// TLS names the certificate, key and client CA files of a listener.
 type TLS struct{ Cert, Key, ClientCA string }
 
-// Proxy is one kind of asker.
+// Proxy describes one kind of proxy that sends authorization requests.
 type Proxy struct {
 	Name, Dialect, Mode, Secret, Header, Prefix string
 	From, Certs                                 []string
 	Lease, Wait                                 time.Duration
-	Names                                       map[string]string // by field of the block headers
+	Names                                       map[string]string // header names, keyed by the field of the headers block
 	Routes                                      []ProxyRoute
 }
 
-// ProxyRoute says what requests under a path are.
+// ProxyRoute gives the class, plan and units of requests under a path that lack the headers.
 type ProxyRoute struct {
 	Path, Method, Class, Plan string
 	Units                     float64
 }
 
-// Load reads and checks a configuration, which may have several first files. vars are
-// values of variables by name. The Config is nil if the report has errors; a report is
-// returned always. It takes time and memory in proportion to the files, which are
-// bounded.
+// Load reads and validates a configuration that may have several root files. vars maps
+// variable names to values. The Config is nil if the report has errors; the report is
+// never nil. Time and memory are proportional to the size of the files, which is bounded.
 func Load(roots []Root, vars map[string]string) (*Config, *Report) {
-	return load(roots, vars, usualBounds)
+	return load(roots, vars, defaultLimits)
 }
 
-func load(roots []Root, vars map[string]string, within bounds) (*Config, *Report) {
+func load(roots []Root, vars map[string]string, within loadLimits) (*Config, *Report) {
 	r := newReport()
-	l := &loader{Report: r, bounds: within, from: map[string]hcl.Range{}}
+	l := &loader{Report: r, loadLimits: within, includedAt: map[string]hcl.Range{}}
 	for _, root := range roots {
-		l.load(root, root.Name, nil, hcl.Range{})
+		l.loadFile(root, root.Name, nil, hcl.Range{})
 	}
-	d := &decoder{scope: &scope{Report: r, vars: map[string]*named{}, locals: map[string]*named{}}, named: map[string]map[string]*object{}}
+	d := &decoder{scope: &scope{Report: r, vars: map[string]*namedValue{}, locals: map[string]*namedValue{}}, byName: map[string]map[string]*parsedBlock{}}
 	for name, text := range vars {
-		d.vars[name] = &named{value: textValue(text), state: 2}
+		d.vars[name] = &namedValue{value: textValue(text), state: 2}
 	}
 	unread := len(r.Diagnostics) > 0
 	d.decode(l.files)
@@ -142,9 +143,9 @@
 			d.add("unknown-variable", at, fmt.Sprintf("add variable %q {}, or take --var %s away", name, name), "a value is given for the variable %q, which is not defined", name)
 		}
 	}
-	c := (&builder{decoder: d, files: l.files, partial: unread}).build()
+	c := (&builder{decoder: d, files: l.files, incomplete: unread}).build()
 	for _, f := range l.files {
-		c.Files = append(c.Files, f.show)
+		c.Files = append(c.Files, f.displayName)
 	}
 	r.sort()
 	if r.Err() != nil {
@@ -153,12 +154,12 @@
 	return c, r
 }
 
-// LoadFiles is Load for files of the system. Of each, what lies below its folder can
-// be included, also through links, and nothing else.
+// LoadFiles is Load for files of the operating system. Each file can include only what is
+// below its own folder; symbolic links are followed within that folder.
 func LoadFiles(paths []string, vars map[string]string) (*Config, *Report, error) {
 	var roots []Root
 	for _, p := range paths {
-		p = filepath.Clean(p) // one file by two spellings is told as such
+		p = filepath.Clean(p) // so that two spellings of one path are reported as a duplicate
 		dir, name := filepath.Split(p)
 		root, err := os.OpenRoot(filepath.Clean("./" + dir))
 		if filepath.IsAbs(p) {
@@ -173,7 +174,7 @@
 			err = errors.New("a folder; write the first file in it")
 		}
 		if err != nil {
-			return nil, nil, fmt.Errorf("configuration: %s: %w", p, cause(err))
+			return nil, nil, fmt.Errorf("configuration: %s: %w", p, withoutPath(err))
 		}
 		roots = append(roots, Root{FS: root.FS(), Name: name, Show: dir})
 	}
@@ -181,7 +182,7 @@
 	return c, r, nil
 }
 
-// LoadFleet reads the fleet of a file, for what needs no more of it.
+// LoadFleet loads a configuration file and returns only its fleet.
 func LoadFleet(path string) (*fleet.Fleet, error) {
 	c, r, err := LoadFiles([]string{path}, nil)
 	if err != nil {
@@ -193,19 +194,21 @@
 	return c.Fleet, nil
 }
 
-// Bluebird returns the fleet that is built into the program, deploy/bluebird.hcl.
+// Bluebird returns the fleet of deploy/bluebird.hcl, which is embedded in the program.
 func Bluebird() *fleet.Fleet {
-	c, r := Load([]Root{{FS: oneFile{"bluebird.hcl", deploy.Bluebird}, Name: "bluebird.hcl", Show: "built in "}}, nil)
+	c, r := Load([]Root{{FS: singleFileFS{"bluebird.hcl", deploy.Bluebird}, Name: "bluebird.hcl", Show: "built in "}}, nil)
 	if err := r.Err(); err != nil {
-		panic(err) // a mistake in the program itself, which its tests find
+		panic(err) // the embedded file is invalid, which the tests detect
 	}
 	return c.Fleet
 }
 
-// Place is where a block is defined, by kind and name; zero if it is not.
-func (c *Config) Place(kind, name string) Place { return placeOf(c.places[kind+" "+name]) }
+// Place returns the position of the block of a kind and name, or the zero Place if it is
+// not defined.
+func (c *Config) Place(kind, name string) Place { return placeFromRange(c.places[kind+" "+name]) }
 
-// Listens are the addresses where clients of a limiter connect.
+// Listens returns the addresses where clients connect to the limiter at an index of
+// Fleet.Limiters.
 func (c *Config) Listens(position int) []string {
 	var all []string
 	if a := c.Fleet.Limiters[position].Listen; a != "" {
@@ -219,7 +222,7 @@
 	return all
 }
 
-// PoolOf is the pool of each box of the fleet; -1: none.
+// PoolOf returns, for each box of the fleet, the index of its pool, or -1 if it has none.
 func (c *Config) PoolOf() []int {
 	of := make([]int, len(c.Fleet.Boxes))
 	for i := range of {
@@ -233,7 +236,7 @@
 	return of
 }
 
-// Matches are the conditions of the routes, in their order.
+// Matches returns the match conditions of the routes, in the order of Routes.
 func (c *Config) Matches() []route.Match {
 	m := make([]route.Match, len(c.Routes))
 	for i := range c.Routes {
@@ -242,15 +245,15 @@
 	return m
 }
 
-// oneFile is a file system with one file, which needs no disk.
-type oneFile struct {
+// singleFileFS is an in-memory file system that contains one file.
+type singleFileFS struct {
 	name string
 	data []byte
 }
 
-// parseSyntax reads one file's syntax, without what it includes.
+// parseSyntax parses the syntax of one file without following its includes.
 func parseSyntax(data []byte, name string) (*hclsyntax.Body, *Report) {
-	l := &loader{Report: newReport(), from: map[string]hcl.Range{}}
+	l := &loader{Report: newReport(), includedAt: map[string]hcl.Range{}}
 	l.sources[name] = data
 	return l.parse(data, name), l.Report
 }
--- a/config/diff.go
+++ b/config/diff.go
@@ -10,19 +10,19 @@
 	"example.org/madderdrum/route"
 )
 
-// Grade says what a change asks of those who roll it out.
+// Grade is the risk of a change for those who roll it out.
 type Grade string
 
-// The grades.
+// Grades of changes, from the lowest risk to the highest.
 const (
-	Safe   Grade = "safe"       // nobody is worse off
-	Care   Grade = "needs care" // some requests fare otherwise than before
-	Breaks Grade = "breaks"     // some requests that were good are turned away
+	Safe      Grade = "safe"       // no request is treated worse
+	NeedsCare Grade = "needs care" // some requests are treated differently
+	Breaking  Grade = "breaks"     // some requests that were accepted are rejected
 )
 
-func (g Grade) weight() int { return slices.Index([]Grade{Safe, Care, Breaks}, g) }
+func (g Grade) rank() int { return slices.Index([]Grade{Safe, NeedsCare, Breaking}, g) }
 
-// Change is one difference in meaning.
+// Change is one semantic difference: an added, removed or changed block or field.
 type Change struct {
 	Block   string `json:"block"` // "plan business"
 	Field   string `json:"field,omitempty"`
@@ -30,10 +30,10 @@
 	After   string `json:"after,omitempty"`
 	Effect  string `json:"effect"`
 	Grade   Grade  `json:"grade"`
-	Restart bool   `json:"restart"` // takes effect at the next start only
+	Restart bool   `json:"restart"` // takes effect only after a restart
 }
 
-// String is a change in one line.
+// String formats a change as one line.
 func (c *Change) String() string {
 	text := c.Block + ": "
 	switch {
@@ -53,7 +53,7 @@
 	return text
 }
 
-// Move is about requests that fare otherwise, by one of them.
+// Move describes a group of requests that are routed differently, by an example.
 type Move struct {
 	Example string `json:"example"`
 	Before  string `json:"before"`
@@ -61,38 +61,38 @@
 	Grade   Grade  `json:"grade"`
 }
 
-// Difference is what two configurations differ in.
+// Difference is the semantic difference between two configurations.
 type Difference struct {
 	Changes []Change `json:"changes"`
 	Moves   []Move   `json:"moves"`
-	Unmoved int      `json:"unmoved,omitempty"` // examples left out past mostMoves
+	Unmoved int      `json:"unmoved,omitempty"` // number of moves omitted beyond maxMoves
 }
 
-// Empty tells that both mean the same.
+// Empty reports whether both configurations have the same meaning.
 func (d *Difference) Empty() bool { return len(d.Changes) == 0 && len(d.Moves) == 0 }
 
-// Restart tells whether some change takes effect at the next start only.
+// Restart reports whether some change takes effect only after a restart.
 func (d *Difference) Restart() bool {
 	return slices.ContainsFunc(d.Changes, func(c Change) bool { return c.Restart })
 }
 
-// Grade is the worst of all changes.
+// Grade returns the highest grade of all changes and moves.
 func (d *Difference) Grade() Grade {
 	worst := Safe
 	for _, c := range d.Changes {
-		if c.Grade.weight() > worst.weight() {
+		if c.Grade.rank() > worst.rank() {
 			worst = c.Grade
 		}
 	}
 	for _, m := range d.Moves {
-		if m.Grade.weight() > worst.weight() {
+		if m.Grade.rank() > worst.rank() {
 			worst = m.Grade
 		}
 	}
 	return worst
 }
 
-// Write tells the difference, a line each.
+// Write writes the changes and moves, one per line, and a summary.
 func (d *Difference) Write(w io.Writer) {
 	if d.Empty() {
 		fmt.Fprintln(w, "no difference in meaning")
@@ -114,118 +114,119 @@
 	fmt.Fprintf(w, "%d changes: %s%s\n", len(d.Changes), d.Grade(), restart)
 }
 
-// startKinds are blocks whose coming and going takes effect at the next start only.
-var startKinds = []string{"limiter", "listener", "forward_auth", "room", "memory", "fleet"}
+// restartKinds lists the kinds of blocks whose addition or removal requires a restart.
+var restartKinds = []string{"limiter", "listener", "forward_auth", "room", "memory", "fleet"}
 
-// Diff says what b changes against a, in meaning: how a file is laid out, includes,
-// the order of blocks, variables, policies and spellings of units do not matter.
+// Diff returns how the meaning of b differs from that of a. Layout, includes, the order of
+// blocks, the use of variables and policies, and the spelling of units make no difference.
 func Diff(a, b *Config) *Difference {
 	d := &Difference{}
-	before, after := map[string]*fact{}, map[string]*fact{}
-	for i := range a.facts {
-		before[a.facts[i].key()] = &a.facts[i]
+	before, after := map[string]*setting{}, map[string]*setting{}
+	for i := range a.settings {
+		before[a.settings[i].key()] = &a.settings[i]
 	}
-	for i := range b.facts {
-		after[b.facts[i].key()] = &b.facts[i]
+	for i := range b.settings {
+		after[b.settings[i].key()] = &b.settings[i]
 	}
-	block := func(f *fact) string { return strings.TrimSpace(f.kind + " " + f.name + " " + f.in) }
-	there := func(all map[string]*fact, f *fact) bool {
-		top := fact{kind: f.kind, name: f.name}
+	block := func(f *setting) string { return strings.TrimSpace(f.kind + " " + f.name + " " + f.path) }
+	there := func(all map[string]*setting, f *setting) bool {
+		top := setting{kind: f.kind, name: f.name}
 		if all[top.key()] == nil && slices.Contains([]string{"rules", "network", "traffic", "limits"}, f.kind) {
 			return true
 		}
-		sub := fact{kind: f.kind, name: f.name, in: f.in}
-		return all[top.key()] != nil && (f.in == "" || all[sub.key()] != nil)
+		sub := setting{kind: f.kind, name: f.name, path: f.path}
+		return all[top.key()] != nil && (f.path == "" || all[sub.key()] != nil)
 	}
-	for i := range a.facts {
-		f := &a.facts[i]
+	for i := range a.settings {
+		f := &a.settings[i]
 		g := after[f.key()]
 		switch {
-		case g == nil && f.field == "" && (f.in == "" || there(after, &fact{kind: f.kind, name: f.name})):
-			effect, grade := gone(f, a)
-			d.Changes = append(d.Changes, Change{Block: block(f), Effect: "is gone: " + effect, Grade: grade, Restart: slices.Contains(startKinds, f.kind)})
+		case g == nil && f.field == "" && (f.path == "" || there(after, &setting{kind: f.kind, name: f.name})):
+			effect, grade := removalEffect(f, a)
+			d.Changes = append(d.Changes, Change{Block: block(f), Effect: "is gone: " + effect, Grade: grade, Restart: slices.Contains(restartKinds, f.kind)})
 		case g == nil && f.field != "" && there(after, f):
-			d.Changes = append(d.Changes, change(block(f), f, nil))
+			d.Changes = append(d.Changes, fieldChange(block(f), f, nil))
 		case g != nil && g.text != f.text:
-			d.Changes = append(d.Changes, change(block(f), f, g))
+			d.Changes = append(d.Changes, fieldChange(block(f), f, g))
 		}
 	}
-	for i := range b.facts {
-		g := &b.facts[i]
+	for i := range b.settings {
+		g := &b.settings[i]
 		if before[g.key()] != nil {
 			continue
 		}
 		switch {
-		case g.field == "" && (g.in == "" || there(before, &fact{kind: g.kind, name: g.name})):
-			effect, grade := come(g)
-			d.Changes = append(d.Changes, Change{Block: block(g), Effect: "is new: " + effect, Grade: grade, Restart: slices.Contains(startKinds, g.kind)})
+		case g.field == "" && (g.path == "" || there(before, &setting{kind: g.kind, name: g.name})):
+			effect, grade := additionEffect(g)
+			d.Changes = append(d.Changes, Change{Block: block(g), Effect: "is new: " + effect, Grade: grade, Restart: slices.Contains(restartKinds, g.kind)})
 		case g.field != "" && there(before, g):
-			d.Changes = append(d.Changes, change(block(g), nil, g))
+			d.Changes = append(d.Changes, fieldChange(block(g), nil, g))
 		}
 	}
-	d.moves(a, b)
+	d.findMoves(a, b)
 	return d
 }
 
-// gone says what the end of a block does.
-func gone(f *fact, a *Config) (string, Grade) {
+// removalEffect describes and grades the removal of a block.
+func removalEffect(f *setting, a *Config) (string, Grade) {
 	switch f.kind {
 	case "class":
-		return "requests that name it are answered 400; those in hand end as they began", Breaks
+		return "requests that name it are answered 400; those in hand end as they began", Breaking
 	case "plan":
-		return "requests that name it are answered 400; its accounts keep their balance for the plan that they come with", Breaks
+		return "requests that name it are answered 400; its accounts keep their balance for the plan that they come with", Breaking
 	case "box":
-		return "its requests go to the others; those in hand end there", Care
+		return "its requests go to the others; those in hand end there", NeedsCare
 	case "pool":
-		return "see below where its requests go", Care
+		return "see below where its requests go", NeedsCare
 	case "route":
 		return "see below where its requests go", Safe
 	case "limiter":
-		return "the others divide quotas among fewer", Care
+		return "the others divide quotas among fewer", NeedsCare
 	case "forward_auth":
-		return "proxies can't ask it any more", Breaks
+		return "proxies can't ask it any more", Breaking
 	}
-	return "nothing of it holds any more", Care
+	return "nothing of it holds any more", NeedsCare
 }
 
-// come says what a new block does.
-func come(g *fact) (string, Grade) {
+// additionEffect describes and grades the addition of a block.
+func additionEffect(g *setting) (string, Grade) {
 	switch g.kind {
 	case "class", "plan":
 		return "requests may name it", Safe
 	case "box":
-		return "it takes a part of the requests", Care
+		return "it takes a part of the requests", NeedsCare
 	case "route":
 		return "see below which requests it takes", Safe
 	case "pool":
-		return "its boxes take the requests that routes lead there", Care
+		return "its boxes take the requests that routes lead there", NeedsCare
 	case "limiter":
-		return "all limiters divide quotas among more", Care
+		return "all limiters divide quotas among more", NeedsCare
 	}
-	return "holds from now on", Care
+	return "holds from now on", NeedsCare
 }
 
-// change is a field that is another one.
-func change(block string, f, g *fact) Change {
-	c := Change{Block: block, Grade: Care}
+// fieldChange describes and grades the change of a field from f to g. One of them is nil if
+// the field is new or gone.
+func fieldChange(block string, f, g *setting) Change {
+	c := Change{Block: block, Grade: NeedsCare}
 	is := (*field)(nil)
 	if f != nil {
-		c.Before, is, c.Field = f.text, f.is, f.field
+		c.Before, is, c.Field = f.text, f.schema, f.field
 	}
 	if g != nil {
-		c.After, is, c.Field = g.text, g.is, g.field
+		c.After, is, c.Field = g.text, g.schema, g.field
 	}
-	e := is.change
+	e := is.onChange
 	if f != nil && g != nil && f.num != g.num {
-		if e = is.up; g.num < f.num {
-			e = is.down
+		if e = is.onIncrease; g.num < f.num {
+			e = is.onDecrease
 		}
 	}
 	if e.text == "" && f == nil {
-		e = is.down // a bound that is new
+		e = is.onDecrease // a new bound acts like a lowered one
 	}
 	if e.text == "" && g == nil {
-		e = is.up
+		e = is.onIncrease
 	}
 	switch {
 	case e.text != "" && strings.Contains(e.text, "%s"):
@@ -234,7 +235,7 @@
 		c.Effect, c.Grade = e.text, e.grade
 	case is.restart:
 		c.Effect = "holds from the next start on"
-	case condition(block, c.Field):
+	case isRouteCondition(block, c.Field):
 		c.Effect, c.Grade = "see below which requests fare otherwise", Safe
 	default:
 		c.Effect = "is another one: " + strings.TrimSuffix(is.doc, ".")
@@ -244,19 +245,20 @@
 	return c
 }
 
-// condition tells that a field of a route is about which requests it takes.
-func condition(block, field string) bool {
+// isRouteCondition reports whether a field of a route decides which requests it takes or
+// where they go.
+func isRouteCondition(block, field string) bool {
 	return strings.HasPrefix(block, "route ") && (field == "pool" || schema.find("policy").field(field) == nil)
 }
 
-// mostMoves bounds the examples that are told, mostPairs the pairs of routes looked at.
+// maxMoves bounds the examples reported, and maxRoutePairs the pairs of routes compared.
 const (
-	mostMoves = 100
-	mostPairs = 200_000
+	maxMoves      = 100
+	maxRoutePairs = 200_000
 )
 
-// fate is how a request is routed, in words.
-func (c *Config) fate(t *route.Table, q *route.Request) (string, bool) {
+// routingOutcome describes how a request is routed, and reports whether a route takes it.
+func (c *Config) routingOutcome(t *route.Table, q *route.Request) (string, bool) {
 	if len(c.Routes) == 0 {
 		if len(c.Pools) == 1 {
 			return "pool " + c.Pools[0].Name, true
@@ -282,15 +284,15 @@
 		to += fmt.Sprintf(", attempts %d", r.Attempts)
 	}
 	if r.MaxBody >= 0 {
-		to += ", max_body " + canonical(float64(r.MaxBody), kSize)
+		to += ", max_body " + formatQuantity(float64(r.MaxBody), kindSize)
 	}
 	return to, true
 }
 
-// moves finds requests that fare otherwise: by an example of what each route takes, and
-// of what each changed route has in common with every other one. All regions in which
-// the two tables can differ are cut out by such pairs.
-func (d *Difference) moves(a, b *Config) {
+// findMoves finds requests that are routed differently. It tries a sample request of each
+// route, and of the intersection of each changed route with every other route. These pairs
+// cover all regions in which the two routing tables can differ.
+func (d *Difference) findMoves(a, b *Config) {
 	ta, tb := route.New(a.Matches()), route.New(b.Matches())
 	old := map[string]route.Match{}
 	for _, r := range a.Routes {
@@ -315,20 +317,20 @@
 	seen := map[[2]string]bool{}
 	try := func(m *route.Match) {
 		q := m.Sample()
-		before, was := a.fate(ta, &q)
-		after, is := b.fate(tb, &q)
+		before, was := a.routingOutcome(ta, &q)
+		after, is := b.routingOutcome(tb, &q)
 		if before == after || seen[[2]string{before, after}] && len(d.Moves) > 20 {
 			return
 		}
-		if len(d.Moves) >= mostMoves {
+		if len(d.Moves) >= maxMoves {
 			d.Unmoved++
 			return
 		}
 		seen[[2]string{before, after}] = true
-		grade := Care
+		grade := NeedsCare
 		switch {
 		case was && !is:
-			grade = Breaks
+			grade = Breaking
 		case !was:
 			grade = Safe
 		}
@@ -350,7 +352,7 @@
 	pairs := 0
 	for i := range changed {
 		for k := range all {
-			if pairs++; pairs > mostPairs {
+			if pairs++; pairs > maxRoutePairs {
 				break
 			}
 			if both, ok := changed[i].Intersect(&all[k]); ok {
@@ -358,13 +360,13 @@
 			}
 		}
 	}
-	if a.fateOfRest() != b.fateOfRest() {
+	if a.unroutedOutcome() != b.unroutedOutcome() {
 		try(&route.Match{Host: "no-route.invalid", Path: "/no-route"})
 	}
 }
 
-// fateOfRest is what befalls requests that no route takes.
-func (c *Config) fateOfRest() string {
-	f, _ := c.fate(route.New(nil), &route.Request{})
+// unroutedOutcome describes what happens to requests that no route takes.
+func (c *Config) unroutedOutcome() string {
+	f, _ := c.routingOutcome(route.New(nil), &route.Request{})
 	return f
 }
--- a/config/diff_test.go
+++ b/config/diff_test.go
@@ -25,8 +25,8 @@
 	return c
 }
 
-// However a configuration is written, it means the same; and so it does when all of its
-// files have been formatted.
+// Equivalent spellings of a configuration give no difference, also after all files have
+// been formatted, and formatting is idempotent.
 func TestSameMeaning(t *testing.T) {
 	for seed := range uint64(400) {
 		r := rand.New(rand.NewPCG(seed, 1))
@@ -55,7 +55,7 @@
 	}
 }
 
-// mutate changes the meaning of a sample in one place, and says which.
+// mutate changes one random field of a sample and returns its block and name.
 func (s *sample) mutate(r *rand.Rand) (block, field string) {
 	for {
 		b := &s.blocks[r.IntN(len(s.blocks))]
@@ -66,7 +66,7 @@
 		block, field = strings.TrimSpace(b.kind+" "+b.name), f.name
 		switch {
 		case f.name == "share", f.unit == "map", f.name == "room", f.name == "members":
-			continue // would need another change to be sound
+			continue // would need a second change to stay valid
 		case f.unit == "list":
 			f.list = append(slices.Clone(f.list), "PUT")
 		case f.name == "repeat":
@@ -91,8 +91,8 @@
 	}
 }
 
-// A single change of meaning, in a configuration that is written in quite another way, is
-// told as that one, and of routes which requests it moves.
+// A single change of meaning is reported as exactly one change, even if the two versions are
+// written differently; for routes, the moved requests are reported as well.
 func TestOneChange(t *testing.T) {
 	kinds := map[string]int{}
 	for seed := range uint64(600) {
@@ -124,7 +124,7 @@
 	}
 }
 
-// What changes mean, in operators' words.
+// The report on a change has the exact text shown to operators.
 func TestEffects(t *testing.T) {
 	base, err := os.ReadFile("testdata/base.hcl")
 	if err != nil {
@@ -136,7 +136,7 @@
 	before := loadText(t, map[string]string{"main.hcl": text})
 	for _, c := range []struct {
 		name, from, to string
-		want           string // all that is told
+		want           string // the whole report
 	}{
 		{"a lower ceiling", `ceiling_rate  = "15/s"`, `ceiling_rate = "9/s"`, "plan business: ceiling_rate 15/s -> 9/s: accounts above 9/s are cut [needs care]\n1 changes: needs care\n"},
 		{"a higher one", `ceiling_rate  = "15/s"`, `ceiling_rate = "1200/m"`, "plan business: ceiling_rate 15/s -> 20/s: accounts may use up to 20/s [safe]\n1 changes: safe\n"},
@@ -162,7 +162,7 @@
 	}
 }
 
-// Formatting keeps what it must.
+// Format normalizes the layout and preserves comments, heredocs and templates.
 func TestFormat(t *testing.T) {
 	for _, c := range []struct{ name, in, want string }{
 		{"columns", "a \"x\" {\nb=1\n  long_name  =   2 # why\n}\n", "a \"x\" {\n  b         = 1\n  long_name = 2 # why\n}\n"},
@@ -186,7 +186,7 @@
 	}
 }
 
-// All files that come with the program are in the usual form.
+// All configuration files in the repository are in canonical layout.
 func TestDeployFilesAreFormatted(t *testing.T) {
 	paths, err := filepath.Glob("../deploy/*.hcl")
 	if err != nil {
@@ -211,7 +211,7 @@
 	}
 }
 
-// BenchmarkCheck checks files with more and more routes.
+// BenchmarkCheck measures Load with 100 to 100,000 routes.
 func BenchmarkCheck(b *testing.B) {
 	base, err := os.ReadFile("testdata/base.hcl")
 	if err != nil {
--- a/config/eval.go
+++ b/config/eval.go
@@ -15,40 +15,40 @@
 )
 
 const (
-	maxText  = 16 << 10 // bytes of one value
-	maxRefs  = 64       // references in one expression
-	maxChain = 1000     // locals that refer to one another in a row
+	maxTextBytes  = 16 << 10 // in one string value
+	maxReferences = 64       // references in one expression
+	maxLocalChain = 1000     // depth of locals that refer to one another
 )
 
-// named is a variable or a local.
-type named struct {
+// namedValue is a variable or a local, evaluated on first use.
+type namedValue struct {
 	expr  hclsyntax.Expression
 	at    hcl.Range
 	value cty.Value
-	state int // 0 not yet, 1 under way, 2 known, 3 wrong
+	state int // 0: not evaluated, 1: being evaluated, 2: evaluated, 3: failed
 	used  bool
 }
 
 // scope holds the variables and locals of all files.
 type scope struct {
 	*Report
-	vars, locals map[string]*named
-	chain        []string // locals under way
+	vars, locals map[string]*namedValue
+	evaluating   []string // names being evaluated, outermost first; detects cycles
 }
 
-// values evaluates an expression. What is wrong is told; ok is false then.
-func (s *scope) value(e hclsyntax.Expression) (v cty.Value, ok bool) {
-	if !s.plain(e) {
+// evaluate evaluates an expression. On an error it adds a diagnostic and ok is false.
+func (s *scope) evaluate(e hclsyntax.Expression) (v cty.Value, ok bool) {
+	if !s.checkNoLoops(e) {
 		return v, false
 	}
 	refs := e.Variables()
-	if len(refs) > maxRefs {
+	if len(refs) > maxReferences {
 		s.add("too-large", e.Range(), "take a part of it out into a local", "an expression with %d references", len(refs))
 		return v, false
 	}
 	vars, locals := map[string]cty.Value{}, map[string]cty.Value{}
 	for _, ref := range refs {
-		if !s.resolve(ref, vars, locals) {
+		if !s.resolveReference(ref, vars, locals) {
 			return v, false
 		}
 	}
@@ -67,16 +67,16 @@
 		s.add("bad-expression", e.Range(), "leave the field out instead of writing null", "the value is null")
 		return v, false
 	}
-	if v.Type() == cty.String && len(v.AsString()) > maxText {
-		s.add("too-large", e.Range(), fmt.Sprintf("a value has %d KiB at most", maxText>>10), "a value of %d bytes", len(v.AsString()))
+	if v.Type() == cty.String && len(v.AsString()) > maxTextBytes {
+		s.add("too-large", e.Range(), fmt.Sprintf("a value has %d KiB at most", maxTextBytes>>10), "a value of %d bytes", len(v.AsString()))
 		return v, false
 	}
 	return v, true
 }
 
-// plain tells that an expression has no loops. They would make small files cost much,
-// and files hard to read.
-func (s *scope) plain(e hclsyntax.Expression) bool {
+// checkNoLoops reports whether an expression has no for expressions, splats or function
+// calls. They would let small files take much time and memory, and make files hard to read.
+func (s *scope) checkNoLoops(e hclsyntax.Expression) bool {
 	ok := true
 	hclsyntax.VisitAll(e, func(n hclsyntax.Node) hcl.Diagnostics {
 		switch n := n.(type) {
@@ -95,8 +95,9 @@
 	return ok
 }
 
-// resolve looks one reference up.
-func (s *scope) resolve(ref hcl.Traversal, vars, locals map[string]cty.Value) bool {
+// resolveReference evaluates the variable or local that ref names, and stores its value in
+// vars or locals.
+func (s *scope) resolveReference(ref hcl.Traversal, vars, locals map[string]cty.Value) bool {
 	root := ref.RootName()
 	from, into := s.vars, vars
 	switch root {
@@ -106,7 +107,7 @@
 	default:
 		word := root
 		if len(ref) > 1 {
-			if a, ok := ref[1].(hcl.TraverseAttr); ok { // as other languages name a block
+			if a, ok := ref[1].(hcl.TraverseAttr); ok { // kind.name, the block reference syntax of other languages
 				word = a.Name
 			}
 		}
@@ -122,7 +123,7 @@
 	}
 	n := from[name]
 	if n == nil {
-		fix := instead(name, slices.Sorted(maps.Keys(from)))
+		fix := suggestFix(name, slices.Sorted(maps.Keys(from)))
 		if fix == "" {
 			fix = map[string]string{"var": fmt.Sprintf("add variable %q { default = ... }", name), "local": fmt.Sprintf("add locals { %s = ... }", name)}[root]
 		}
@@ -130,19 +131,20 @@
 		return false
 	}
 	n.used = true
-	if !s.known(root+"."+name, n) {
+	if !s.evaluateNamed(root+"."+name, n) {
 		return false
 	}
 	into[name] = n.value
 	return true
 }
 
-// known evaluates a variable or local once.
-func (s *scope) known(name string, n *named) bool {
+// evaluateNamed evaluates a variable or local once and caches the result. It reports cycles
+// and unset variables.
+func (s *scope) evaluateNamed(name string, n *namedValue) bool {
 	switch n.state {
 	case 1:
-		i := slices.Index(s.chain, name)
-		s.add("variable-cycle", n.at, "write one of them out", "%s refers to itself: %s -> %s", name, strings.Join(s.chain[i:], " -> "), name)
+		i := slices.Index(s.evaluating, name)
+		s.add("variable-cycle", n.at, "write one of them out", "%s refers to itself: %s -> %s", name, strings.Join(s.evaluating[i:], " -> "), name)
 		n.state = 3
 		return false
 	case 2:
@@ -155,15 +157,15 @@
 		n.state = 3
 		return false
 	}
-	if len(s.chain) >= maxChain {
-		s.add("too-deep", n.at, "write some of them out", "more than %d locals refer to one another in a row", maxChain)
+	if len(s.evaluating) >= maxLocalChain {
+		s.add("too-deep", n.at, "write some of them out", "more than %d locals refer to one another in a row", maxLocalChain)
 		n.state = 3
 		return false
 	}
 	n.state = 1
-	s.chain = append(s.chain, name)
-	v, ok := s.value(n.expr)
-	s.chain = s.chain[:len(s.chain)-1]
+	s.evaluating = append(s.evaluating, name)
+	v, ok := s.evaluate(n.expr)
+	s.evaluating = s.evaluating[:len(s.evaluating)-1]
 	if n.state == 3 || !ok {
 		n.state = 3
 		return false
@@ -172,46 +174,46 @@
 	return true
 }
 
-// value is what a field holds.
+// value is the evaluated value of a field.
 type value struct {
-	set     bool
-	num     float64
-	text    string
-	list    []string // sorted
-	headers [][2]string
-	at      hcl.Range
-	items   []hcl.Range // of a list, in the order written
-	raw     []string    // and its entries
+	valid      bool
+	num        float64
+	text       string
+	list       []string // sorted
+	headers    [][2]string
+	at         hcl.Range
+	itemRanges []hcl.Range // positions of the list entries, in written order
+	entries    []string    // list entries in written order
 }
 
-// read evaluates and checks a field.
-func (s *scope) read(f *field, name string, e hclsyntax.Expression) value {
+// readField evaluates the expression of a field and checks it against the schema.
+func (s *scope) readField(f *field, name string, e hclsyntax.Expression) value {
 	out := value{at: e.Range()}
-	v, ok := s.value(e)
+	v, ok := s.evaluate(e)
 	if !ok {
 		return out
 	}
-	if f.kind == kHeaders {
-		return s.headers(name, v, e)
+	if f.kind == kindHeaders {
+		return s.readHeaders(name, v, e)
 	}
 	if !f.list {
 		if t := v.Type(); !t.IsPrimitiveType() {
-			fix := "write " + kinds[f.kind].takes + ", such as " + f.like()
+			fix := "write " + kinds[f.kind].takes + ", such as " + f.exampleText()
 			if t.IsTupleType() && v.LengthInt() == 1 {
 				fix += "; it takes one value, without brackets"
 			}
 			s.add("wrong-type", e.Range(), fix, "%s takes one %s", name, kinds[f.kind].name)
 			return out
 		}
-		out.num, out.text, out.set = s.one(f, name, v, e.Range())
+		out.num, out.text, out.valid = s.readScalar(f, name, v, e.Range())
 		return out
 	}
 	if !v.Type().IsTupleType() && !v.Type().IsListType() {
-		s.add("wrong-type", e.Range(), fmt.Sprintf("write it in brackets, such as [%s]", f.like()), "%s takes a list", name)
+		s.add("wrong-type", e.Range(), fmt.Sprintf("write it in brackets, such as [%s]", f.exampleText()), "%s takes a list", name)
 		return out
 	}
 	tuple, _ := e.(*hclsyntax.TupleConsExpr)
-	out.set = true
+	out.valid = true
 	for i, item := range v.AsValueSlice() {
 		at := e.Range()
 		if tuple != nil && i < len(tuple.Exprs) {
@@ -219,27 +221,27 @@
 		}
 		if !item.Type().IsPrimitiveType() {
 			s.add("wrong-type", at, "write "+kinds[f.kind].takes, "%s takes a list of %ss", name, kinds[f.kind].name)
-			out.set = false
+			out.valid = false
 			continue
 		}
-		_, text, ok := s.one(f, name, item, at)
+		_, text, ok := s.readScalar(f, name, item, at)
 		if !ok {
-			out.set = false
+			out.valid = false
 			continue
 		}
-		if slices.Contains(out.raw, text) {
+		if slices.Contains(out.entries, text) {
 			s.add("listed-twice", at, "take it out", "%s lists %q twice", name, text)
 			continue
 		}
-		out.raw, out.items = append(out.raw, text), append(out.items, at)
+		out.entries, out.itemRanges = append(out.entries, text), append(out.itemRanges, at)
 	}
-	out.list = slices.Sorted(slices.Values(out.raw))
+	out.list = slices.Sorted(slices.Values(out.entries))
 	return out
 }
 
-// headers reads conditions on headers.
-func (s *scope) headers(name string, v cty.Value, e hclsyntax.Expression) value {
-	out := value{at: e.Range(), set: true}
+// readHeaders converts a map of header names to the values that a route matches.
+func (s *scope) readHeaders(name string, v cty.Value, e hclsyntax.Expression) value {
+	out := value{at: e.Range(), valid: true}
 	if !v.Type().IsObjectType() && !v.Type().IsMapType() {
 		s.add("wrong-type", e.Range(), `write it in braces, such as { "X-Tenant" = "north" }`, "%s takes names and values", name)
 		return value{at: e.Range()}
@@ -258,23 +260,23 @@
 		case slices.ContainsFunc(out.headers, func(h [2]string) bool { return h[0] == key }):
 			s.add("bad-header", e.Range(), "write the name once", "header %q stands there in two spellings", key)
 		default:
-			if secretName(key) {
+			if looksSecret(key) {
 				s.add("secret-likely", e.Range(), "let the proxy before the limiter check it, or match another header", "header %q is matched by its value in clear", key)
 			}
 			out.headers = append(out.headers, [2]string{key, text.AsString()})
 			continue
 		}
-		out.set = false
+		out.valid = false
 	}
 	slices.SortFunc(out.headers, func(a, b [2]string) int { return strings.Compare(a[0], b[0]) })
 	return out
 }
 
-// one reads a single value: its figure, and its text in the canonical form.
-func (s *scope) one(f *field, name string, v cty.Value, at hcl.Range) (num float64, text string, ok bool) {
+// readScalar converts a single value to its number, in the base unit, and its canonical text.
+func (s *scope) readScalar(f *field, name string, v cty.Value, at hcl.Range) (num float64, text string, ok bool) {
 	k := kinds[f.kind]
 	wrong := func(code, mean, what string, args ...any) (float64, string, bool) {
-		fix := "write " + k.takes + ", such as " + f.like()
+		fix := "write " + k.takes + ", such as " + f.exampleText()
 		if mean != "" {
 			fix += "; " + mean
 		}
@@ -282,63 +284,63 @@
 		return 0, "", false
 	}
 	switch f.kind {
-	case kNumber, kCount:
+	case kindNumber, kindCount:
 		if v.Type() == cty.String {
-			if m := mismatch(v.AsString(), kNumber); m != nil {
-				return wrong(m.code, m.mean, "%s = %q is not a %s", name, v.AsString(), k.name)
+			if m := unitMismatch(v.AsString(), kindNumber); m != nil {
+				return wrong(m.code, m.hint, "%s = %q is not a %s", name, v.AsString(), k.name)
 			}
 			mean := ""
-			if _, unit, isNumber := split(v.AsString()); isNumber && unit == "" {
+			if _, unit, isNumber := splitNumber(v.AsString()); isNumber && unit == "" {
 				mean = "take the quotes away"
 			}
 			return wrong("wrong-type", mean, "%s = %q is not a %s", name, v.AsString(), k.name)
 		}
 		if v.Type() != cty.Number {
-			return wrong("wrong-type", "", "%s takes %s", name, article(k.name))
+			return wrong("wrong-type", "", "%s takes %s", name, withArticle(k.name))
 		}
 		num, _ = v.AsBigFloat().Float64()
-		if f.kind == kCount && num != math.Trunc(num) {
+		if f.kind == kindCount && num != math.Trunc(num) {
 			return wrong("bad-quantity", "", "%s = %g is not whole", name, num)
 		}
-		return s.within(f, name, "", num, at)
-	case kDuration, kRate, kSize, kShare:
+		return s.checkRange(f, name, "", num, at)
+	case kindDuration, kindRate, kindSize, kindShare:
 		if v.Type() == cty.Number {
 			x, _ := v.AsBigFloat().Float64()
-			_, m := parseQuantity(canonical(x, kNumber), f.kind)
+			_, m := parseQuantity(formatQuantity(x, kindNumber), f.kind)
 			mean := ""
 			if m != nil {
-				mean = m.mean
+				mean = m.hint
 			}
 			return wrong("unit-missing", mean, "%s = %g has no unit", name, x)
 		}
 		if v.Type() != cty.String {
-			return wrong("wrong-type", "", "%s takes %s", name, article(k.name))
+			return wrong("wrong-type", "", "%s takes %s", name, withArticle(k.name))
 		}
 		x, m := parseQuantity(v.AsString(), f.kind)
 		if m != nil {
-			return wrong(m.code, m.mean, "%s = %q is not a %s", name, v.AsString(), k.name)
+			return wrong(m.code, m.hint, "%s = %q is not a %s", name, v.AsString(), k.name)
 		}
-		if f.kind == kSize && x != math.Trunc(x) {
+		if f.kind == kindSize && x != math.Trunc(x) {
 			return wrong("bad-quantity", "", "%s = %q is not a whole number of bytes", name, v.AsString())
 		}
-		return s.within(f, name, v.AsString(), x, at)
+		return s.checkRange(f, name, v.AsString(), x, at)
 	}
 	if v.Type() != cty.String {
 		mean := ""
 		if v.Type() == cty.Number {
 			mean = "put it in quotes"
 		}
-		return wrong("wrong-type", mean, "%s takes %s", name, article(k.name))
+		return wrong("wrong-type", mean, "%s takes %s", name, withArticle(k.name))
 	}
 	text = v.AsString()
 	switch f.kind {
-	case kWord:
-		if !slices.Contains(f.words, text) {
-			s.add("unknown-word", at, instead(text, f.words), "%s = %q is not known", name, text)
+	case kindEnum:
+		if !slices.Contains(f.enumValues, text) {
+			s.add("unknown-word", at, suggestFix(text, f.enumValues), "%s = %q is not known", name, text)
 			return 0, "", false
 		}
-	case kAddress:
-		a, ok := addressOf(text)
+	case kindAddress:
+		a, ok := parseAddress(text)
 		if !ok {
 			mean := ""
 			if host, port, found := strings.Cut(text, ":"); found && (host == "" || host == "*") {
@@ -351,15 +353,15 @@
 			return wrong("bad-address", mean, "%s = %q is not an address", name, text)
 		}
 		text = a
-	case kNetwork:
-		p, ok := networkOf(text)
+	case kindNetwork:
+		p, ok := parseNetwork(text)
 		if !ok {
 			return wrong("bad-network", "", "%s has %q, which is no network", name, text)
 		}
 		text = p.String()
-	case kHost:
+	case kindHost:
 		h := strings.TrimSuffix(strings.ToLower(text), ".")
-		if !goodHost(h) {
+		if !validHost(h) {
 			mean := ""
 			switch {
 			case strings.Contains(h, "://"):
@@ -372,17 +374,17 @@
 			return wrong("bad-host", mean, "%s = %q is no host", name, text)
 		}
 		text = h
-	case kPath:
-		if why := badPath(text); why != "" {
+	case kindPath:
+		if why := pathProblem(text); why != "" {
 			return wrong("bad-path", why, "%s = %q is no path that a request can have", name, text)
 		}
-	case kAccount:
-		a, ok := accountOf(text)
+	case kindAccount:
+		a, ok := parseAccount(text)
 		if !ok {
 			return wrong("bad-account", "", "%s has %q, which is no account", name, text)
 		}
 		text = fmt.Sprintf("%016x", a)
-	case kMethod:
+	case kindMethod:
 		if text == "" || strings.ContainsFunc(text, func(c rune) bool { return c < 'A' || c > 'Z' }) || len(text) > 32 {
 			mean := ""
 			if up := strings.ToUpper(text); up != text {
@@ -391,39 +393,40 @@
 			return wrong("unknown-word", mean, "%s has %q, which is no method", name, text)
 		}
 	default:
-		if text == "" || !printable(text) && f.kind != kFile || strings.ContainsAny(text, "\x00\n\r") {
+		if text == "" || !printable(text) && f.kind != kindFile || strings.ContainsAny(text, "\x00\n\r") {
 			return wrong("wrong-type", "", "%s = %q is empty or has what can't be written there", name, text)
 		}
 	}
 	return 0, text, true
 }
 
-// within holds a figure against the bounds of its field.
-func (s *scope) within(f *field, name, written string, x float64, at hcl.Range) (float64, string, bool) {
-	c := canonical(x, f.kind)
-	if !(x >= f.least && x <= f.most) || f.open && x <= f.least || f.open && x < 1/highestRate || math.IsNaN(x) || math.IsInf(x, 0) {
-		from := "from " + canonical(f.least, f.kind)
-		if f.open {
-			from = "above " + canonical(f.least, f.kind)
+// checkRange checks a number against the bounds of its field, and returns it with its
+// canonical text.
+func (s *scope) checkRange(f *field, name, written string, x float64, at hcl.Range) (float64, string, bool) {
+	c := formatQuantity(x, f.kind)
+	if !(x >= f.min && x <= f.max) || f.minExclusive && x <= f.min || f.minExclusive && x < 1/maxRate || math.IsNaN(x) || math.IsInf(x, 0) {
+		from := "from " + formatQuantity(f.min, f.kind)
+		if f.minExclusive {
+			from = "above " + formatQuantity(f.min, f.kind)
 		}
 		if c = fmt.Sprint(x); written != "" {
 			c = strconv.Quote(written)
 		}
-		s.add("out-of-range", at, fmt.Sprintf("write a %s %s to %s", kinds[f.kind].name, from, canonical(f.most, f.kind)), "%s = %s is out of range", name, c)
+		s.add("out-of-range", at, fmt.Sprintf("write a %s %s to %s", kinds[f.kind].name, from, formatQuantity(f.max, f.kind)), "%s = %s is out of range", name, c)
 		return 0, "", false
 	}
 	return x, c, true
 }
 
-// article puts a or an before a word.
-func article(word string) string {
+// withArticle prefixes a word with "a" or "an".
+func withArticle(word string) string {
 	if strings.ContainsRune("aeiou", rune(word[0])) {
 		return "an " + word
 	}
 	return "a " + word
 }
 
-// printable tells that a text holds visible ASCII and spaces within it.
+// printable reports whether a text is printable ASCII without leading or trailing spaces.
 func printable(text string) bool {
 	for _, c := range []byte(text) {
 		if c < ' ' || c > '~' {
@@ -433,7 +436,8 @@
 	return text == strings.TrimSpace(text)
 }
 
-// canonicalHeader is a header's name as net/http has it, or "".
+// canonicalHeader returns the canonical form of a header name as net/http has it, or "" if
+// the name is invalid.
 func canonicalHeader(name string) string {
 	if name == "" || len(name) > 64 {
 		return ""
@@ -455,7 +459,7 @@
 	return string(b)
 }
 
-func goodHost(h string) bool {
+func validHost(h string) bool {
 	h = strings.TrimPrefix(h, "*.")
 	if h == "" || len(h) > 253 {
 		return false
@@ -470,8 +474,8 @@
 	return true
 }
 
-// badPath says why a path is none that a request can have, or "".
-func badPath(p string) string {
+// pathProblem returns why no request can have a path, or "" if the path is valid.
+func pathProblem(p string) string {
 	switch {
 	case !strings.HasPrefix(p, "/"):
 		return `it begins with "/"`
@@ -487,8 +491,8 @@
 	return ""
 }
 
-// secretName tells that a name looks like that of a secret.
-func secretName(name string) bool {
+// looksSecret reports whether a name suggests that its value is a secret.
+func looksSecret(name string) bool {
 	n := strings.ToLower(name)
 	for _, s := range []string{"secret", "password", "passwd", "token", "apikey", "api_key", "api-key", "authorization", "private_key", "cookie"} {
 		if strings.Contains(n, s) {
--- a/config/format.go
+++ b/config/format.go
@@ -10,20 +10,20 @@
 	"github.com/hashicorp/hcl/v2/hclwrite"
 )
 
-// Format writes a file in the usual form: two spaces a level, equal signs in a column,
-// one blank line at most, one newline at the end. Comments stay, and what the file
-// means: the result is read again and held against the file. name stands for it in
-// mistakes, which come as a *Failure.
+// Format returns a file in its canonical layout: an indent of two spaces, aligned equal
+// signs, at most one blank line in a row, and a final newline. Comments and meaning are
+// preserved: the result is parsed again and compared with the input. Syntax errors are
+// returned as a *Failure, with name as the file name.
 func Format(data []byte, name string) ([]byte, error) {
 	_, report := parseSyntax(data, name)
 	if err := report.Err(); err != nil {
 		return nil, err
 	}
 	out := data
-	if !bytes.Contains(data, []byte("<<")) { // within a here-document every line counts
+	if !bytes.Contains(data, []byte("<<")) { // a heredoc is kept byte for byte
 		out = bytes.ReplaceAll(out, []byte("\r\n"), []byte("\n"))
 	}
-	out = blankLines(out, name)
+	out = normalizeBlankLines(out, name)
 	for range 4 {
 		next := hclwrite.Format(out)
 		if bytes.Equal(next, out) {
@@ -33,15 +33,16 @@
 	}
 	again, _ := parseSyntax(out, name)
 	if again == nil || !sameTokens(data, out, name) {
-		return nil, fmt.Errorf("%s: %w", name, errFormat)
+		return nil, fmt.Errorf("%s: %w", name, errMeaningChanged)
 	}
 	return out, nil
 }
 
-var errFormat = errors.New("formatting would change what the file means; it is left as it is")
+var errMeaningChanged = errors.New("formatting would change what the file means; it is left as it is")
 
-// blankLines leaves one blank line at most, none at the ends and within braces' edges.
-func blankLines(data []byte, name string) []byte {
+// normalizeBlankLines reduces runs of blank lines to one, and removes them at the start and
+// end of the file and just inside braces.
+func normalizeBlankLines(data []byte, name string) []byte {
 	tokens, diags := hclsyntax.LexConfig(data, name, hcl.InitialPos)
 	if diags.HasErrors() {
 		return data
@@ -91,29 +92,29 @@
 	return append(text, '\n')
 }
 
-// sameTokens tells that two texts differ in blanks alone.
+// sameTokens reports whether two texts differ only in white space.
 func sameTokens(a, b []byte, name string) bool {
-	x, y := meaning(a, name), meaning(b, name)
+	x, y := significantTokens(a, name), significantTokens(b, name)
 	if len(x) != len(y) {
 		return false
 	}
 	for i := range x {
-		if x[i].Type != y[i].Type || !bytes.Equal(trim(x[i]), trim(y[i])) {
+		if x[i].Type != y[i].Type || !bytes.Equal(tokenText(x[i]), tokenText(y[i])) {
 			return false
 		}
 	}
 	return true
 }
 
-func trim(t hclsyntax.Token) []byte {
+func tokenText(t hclsyntax.Token) []byte {
 	if t.Type == hclsyntax.TokenComment {
 		return bytes.TrimRight(t.Bytes, " \t\r\n")
 	}
 	return t.Bytes
 }
 
-// meaning are the tokens of a text without repeated newlines.
-func meaning(data []byte, name string) []hclsyntax.Token {
+// significantTokens returns the tokens of a text without redundant newlines.
+func significantTokens(data []byte, name string) []hclsyntax.Token {
 	tokens, _ := hclsyntax.LexConfig(data, name, hcl.InitialPos)
 	var all []hclsyntax.Token
 	for _, t := range tokens {
--- a/config/fuzz_test.go
+++ b/config/fuzz_test.go
@@ -16,9 +16,9 @@
 	"example.org/madderdrum/limiter"
 )
 
-// FuzzLoad goes the whole way with any files: nothing panics, a sound configuration is
-// one that a limiter takes, formatting keeps its meaning, and it is no different from
-// itself. Its seeds are the broken files.
+// FuzzLoad loads, formats and compares arbitrary files. Nothing panics, limiters accept
+// every valid configuration, and formatting is idempotent and preserves the meaning. The
+// seeds are the broken files.
 func FuzzLoad(f *testing.F) {
 	paths, err := filepath.Glob("testdata/broken/*.txtar")
 	if err != nil {
@@ -77,7 +77,8 @@
 	})
 }
 
-// Files made to cost much cost little: they are refused within bounds of time and memory.
+// Files crafted to exhaust time or memory, such as nested includes and doubling strings, are
+// processed within a memory bound.
 func TestBombs(t *testing.T) {
 	base, err := os.ReadFile("testdata/base.hcl")
 	if err != nil {
@@ -88,7 +89,7 @@
 		doubling += fmt.Sprintf("  a%d = \"${local.a%d}${local.a%d}\"\n", i+1, i, i)
 	}
 	includes := fstest.MapFS{"main.hcl": {Data: []byte("include \"a/*.hcl\" {}\n")}}
-	for i := range 40 { // each includes all others: a walk of all ways would never end
+	for i := range 40 { // each includes all others: following every path would take exponential time
 		includes[fmt.Sprintf("a/%d.hcl", i)] = &fstest.MapFile{Data: []byte("include \"*.hcl\" {}\n")}
 	}
 	deepIncludes := fstest.MapFS{"main.hcl": {Data: []byte("include \"0.hcl\" {}\n")}}
@@ -134,11 +135,11 @@
 			begun := time.Now()
 			_, r := Load([]Root{{FS: c.files, Name: "main.hcl"}}, nil)
 			runtime.ReadMemStats(&after)
-			const most = 2 << 30 // allocated in all, not at once
+			const most = 2 << 30 // bytes allocated in total, not at once
 			if got := after.TotalAlloc - before.TotalAlloc; got > most {
 				t.Errorf("%d MiB allocated", got>>20)
 			}
-			if len(r.Diagnostics) > mostDiagnostics {
+			if len(r.Diagnostics) > maxDiagnostics {
 				t.Errorf("%d diagnostics", len(r.Diagnostics))
 			}
 			t.Logf("%v, %d MiB, %d diagnostics", time.Since(begun).Round(time.Millisecond), (after.TotalAlloc-before.TotalAlloc)>>20, len(r.Diagnostics)+r.Left)
--- a/config/onefile.go
+++ b/config/onefile.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Open opens the one file.
-func (f oneFile) Open(name string) (fs.File, error) {
+// Open returns the file, or fs.ErrNotExist for any other name.
+func (f singleFileFS) Open(name string) (fs.File, error) {
 	if name != f.name {
 		return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 	}
@@ -15,18 +15,18 @@
 }
 
 type openFile struct {
-	info oneFile
+	info singleFileFS
 	*bytes.Reader
 }
 
 func (f *openFile) Stat() (fs.FileInfo, error) { return f.info, nil }
 func (f *openFile) Close() error               { return nil }
 
-// A oneFile describes itself.
+// The following methods make singleFileFS its own fs.FileInfo.
 
-func (f oneFile) Name() string       { return f.name }
-func (f oneFile) Size() int64        { return int64(len(f.data)) }
-func (f oneFile) Mode() fs.FileMode  { return 0o444 }
-func (f oneFile) ModTime() time.Time { return time.Time{} }
-func (f oneFile) IsDir() bool        { return false }
-func (f oneFile) Sys() any           { return nil }
+func (f singleFileFS) Name() string       { return f.name }
+func (f singleFileFS) Size() int64        { return int64(len(f.data)) }
+func (f singleFileFS) Mode() fs.FileMode  { return 0o444 }
+func (f singleFileFS) ModTime() time.Time { return time.Time{} }
+func (f singleFileFS) IsDir() bool        { return false }
+func (f singleFileFS) Sys() any           { return nil }
--- a/config/plugins.go
+++ b/config/plugins.go
@@ -16,25 +16,25 @@
 	"example.org/madderdrum/plugin"
 )
 
-// mostModule bounds the module of a plug-in, in bytes.
-const mostModule = 8 << 20
+// maxModuleBytes bounds the size of a plug-in's module.
+const maxModuleBytes = 8 << 20
 
-// failures are the ways of failing by their words.
-var failures = map[string]advice.Failures{"fault": advice.OnFault, "benched": advice.OnBenched, "busy": advice.OnBusy}
+// refuseConditions maps the values of refuse_when to plug-in failures.
+var refuseConditions = map[string]advice.Failures{"fault": advice.OnFault, "benched": advice.OnBenched, "busy": advice.OnBusy}
 
-// plugins reads the blocks and the modules that they name. What a module does when it is
-// started is not looked at here: [plugin.LoadSet] refuses it then.
-func (b *builder) plugins() {
-	orders := map[int]*object{}
-	for _, o := range b.sorted("plugin") {
-		order := o.whole("order")
-		if first := orders[order]; first != nil && o.given("order") {
-			b.add("plugin-order", o.place("order"), "give each plug-in an order of its own", "plug-ins %q and %q have the same order", first.label, o.label).also(first.place("order"))
+// buildPlugins converts the plugin blocks and reads their modules. Errors when a module
+// starts are not detected here, but by [plugin.LoadSet].
+func (b *builder) buildPlugins() {
+	orders := map[int]*parsedBlock{}
+	for _, o := range b.blocksByName("plugin") {
+		order := o.integer("order")
+		if first := orders[order]; first != nil && o.isSet("order") {
+			b.add("plugin-order", o.fieldRange("order"), "give each plug-in an order of its own", "plug-ins %q and %q have the same order", first.label, o.label).addRelated(first.fieldRange("order"))
 		}
 		orders[order] = o
-		p := plugin.Spec{Name: o.label, Order: order, Seed: uint64(o.whole("seed")),
-			Limits: plugin.Limits{Call: o.dur("time"), Start: o.dur("start_time"), PerSecond: int(o.num("calls")), Memory: int(o.num("memory")),
-				HostCalls: o.whole("host_calls"), Counters: o.whole("counters"), LogBytes: int(o.num("log")), Instances: o.whole("instances"), Module: mostModule},
+		p := plugin.Spec{Name: o.label, Order: order, Seed: uint64(o.integer("seed")),
+			Limits: plugin.Limits{Call: o.duration("time"), Start: o.duration("start_time"), PerSecond: int(o.num("calls")), Memory: int(o.num("memory")),
+				HostCalls: o.integer("host_calls"), Counters: o.integer("counters"), LogBytes: int(o.num("log")), Instances: o.integer("instances"), Module: maxModuleBytes},
 			Sight: advice.Sight{Body: o.text("body") == "yes"}}
 		may := o.list("may")
 		p.Grant.Refuse, p.Grant.Label, p.Grant.Tiers = slices.Contains(may, "refuse"), slices.Contains(may, "label"), slices.Contains(may, "tiers")
@@ -46,35 +46,36 @@
 			p.Grant.Raise = o.num("raise")
 		}
 		for _, x := range [][2]string{{"longest_wait", "refuse"}, {"lower", "lower"}, {"raise", "raise"}} {
-			if o.given(x[0]) && o.vals[x[0]].at.Filename != "" && !slices.Contains(may, x[1]) {
-				b.add("plugin-grant", o.place(x[0]), fmt.Sprintf("add %q to may, or take it out", x[1]), "plug-in %q may not %s, so that %s bounds nothing", o.label, x[1], x[0])
+			if o.isSet(x[0]) && o.values[x[0]].at.Filename != "" && !slices.Contains(may, x[1]) {
+				b.add("plugin-grant", o.fieldRange(x[0]), fmt.Sprintf("add %q to may, or take it out", x[1]), "plug-in %q may not %s, so that %s bounds nothing", o.label, x[1], x[0])
 			}
 		}
 		for _, how := range o.list("refuse_when") {
-			p.Grant.RefuseOn |= failures[how]
+			p.Grant.RefuseOn |= refuseConditions[how]
 		}
-		for i, name := range o.vals["headers"].raw {
+		for i, name := range o.values["headers"].entries {
 			canonical := http.CanonicalHeaderKey(name)
 			switch {
 			case name == "" || strings.ContainsFunc(name, func(c rune) bool { return c <= ' ' || c > '~' || strings.ContainsRune("()<>@,;:\\\"/[]?={}", c) }):
-				b.add("bad-header", o.vals["headers"].items[i], `write names such as "X-Tenant"`, "%q is no name of a header", name)
-			case advice.Secret(canonical) || secretName(name):
-				b.add("plugin-secret", o.vals["headers"].items[i], "take it out: plug-ins see no secrets", "the header %s holds a secret", canonical)
+				b.add("bad-header", o.values["headers"].itemRanges[i], `write names such as "X-Tenant"`, "%q is no name of a header", name)
+			case advice.Secret(canonical) || looksSecret(name):
+				b.add("plugin-secret", o.values["headers"].itemRanges[i], "take it out: plug-ins see no secrets", "the header %s holds a secret", canonical)
 			default:
 				p.Sight.Headers = append(p.Sight.Headers, canonical)
 			}
 		}
-		if o.given("file") {
-			p.Module = b.module(o)
+		if o.isSet("file") {
+			p.Module = b.readModule(o)
 		}
-		b.c.Plugins = append(b.c.Plugins, p)
+		b.cfg.Plugins = append(b.cfg.Plugins, p)
 	}
 }
 
-// module reads the module of a plug-in, relative to the file that names it.
-func (b *builder) module(o *object) []byte {
-	at, name := o.place("file"), o.text("file")
-	k := slices.IndexFunc(b.files, func(f source) bool { return f.show == o.at.Filename })
+// readModule reads and inspects the module of a plug-in. Its path is relative to the file
+// that names it.
+func (b *builder) readModule(o *parsedBlock) []byte {
+	at, name := o.fieldRange("file"), o.text("file")
+	k := slices.IndexFunc(b.files, func(f sourceFile) bool { return f.displayName == o.at.Filename })
 	if k < 0 {
 		return nil
 	}
@@ -91,15 +92,15 @@
 		return nil
 	case err == nil && info.IsDir():
 		err = errors.New("a folder")
-	case err == nil && info.Size() > mostModule:
-		err = fmt.Errorf("%d bytes, %d at most", info.Size(), mostModule)
+	case err == nil && info.Size() > maxModuleBytes:
+		err = fmt.Errorf("%d bytes, %d at most", info.Size(), maxModuleBytes)
 	}
 	var data []byte
 	if err == nil {
 		data, err = fs.ReadFile(from.root.FS, full)
 	}
 	if err != nil {
-		b.add("plugin-file", at, "see to it that it is a file that can be read, and a module of a plug-in", "%q can't be read: %v", from.root.Show+full, cause(err))
+		b.add("plugin-file", at, "see to it that it is a file that can be read, and a module of a plug-in", "%q can't be read: %v", from.root.Show+full, withoutPath(err))
 		return nil
 	}
 	r, err := plugin.Inspect(context.Background(), data)
@@ -114,42 +115,43 @@
 	return data
 }
 
-// askedBy are the plug-ins that a route has asked, and whether it says so.
-func (b *builder) askedBy(o *object) (names []string, said bool) {
-	v, ok := b.merged(o, "plugins")
-	return v.raw, ok
+// routePlugins returns the plug-ins that a route lists, and whether it has a list at all.
+func (b *builder) routePlugins(o *parsedBlock) (names []string, said bool) {
+	v, ok := b.routeField(o, "plugins")
+	return v.entries, ok
 }
 
-// unusedPlugins tells of plug-ins that no route has asked.
-func (b *builder) unusedPlugins() {
-	routes := b.each("route")
-	if len(routes) == 0 || b.partial {
+// checkUnusedPlugins reports plug-ins that no route uses.
+func (b *builder) checkUnusedPlugins() {
+	routes := b.blocksOf("route")
+	if len(routes) == 0 || b.incomplete {
 		return
 	}
 	used := map[string]bool{}
 	for _, o := range routes {
-		names, said := b.askedBy(o)
+		names, said := b.routePlugins(o)
 		if !said {
-			return // all are asked
+			return // a route without a list uses all plug-ins
 		}
 		for _, name := range names {
 			used[name] = true
 		}
 	}
-	for _, o := range b.sorted("plugin") {
+	for _, o := range b.blocksByName("plugin") {
 		if !used[o.label] {
 			b.add("unused", o.at, "take it out, or add it to the plugins of a route", "no route has plug-in %q asked", o.label)
 		}
 	}
 }
 
-// moduleSum is a module in a difference: its name alone does not tell that it is another.
-func moduleSum(name string, module []byte) string {
+// moduleLabel returns a module's name with a digest of its contents, so that a diff shows a
+// changed module under the same name.
+func moduleLabel(name string, module []byte) string {
 	sum := sha256.Sum256(module)
 	return fmt.Sprintf("%s (%s)", name, hex.EncodeToString(sum[:4]))
 }
 
-// RefusePlugin adds to a report that a plug-in of its configuration can't be loaded.
+// RefusePlugin adds an error to the report: a plug-in of the configuration can't be loaded.
 func (r *Report) RefusePlugin(c *Config, name string, why error) {
 	r.add("plugin-module", c.places["plugin "+name], "see madderdrum plugin inspect, and docs/plugins-abi.md for what a module needs", "%v", why)
 }
--- a/config/random_test.go
+++ b/config/random_test.go
@@ -7,8 +7,7 @@
 	"strings"
 )
 
-// sample is a configuration that a test makes at random, and writes in any of the forms
-// that mean the same.
+// sample is a randomly generated configuration that can be written in many equivalent forms.
 type sample struct {
 	blocks []sampleBlock
 }
@@ -26,19 +25,19 @@
 	list []string
 }
 
-func (b *sampleBlock) set(name, unit string, num float64) {
+func (b *sampleBlock) setNumber(name, unit string, num float64) {
 	b.fields = append(b.fields, sampleField{name: name, unit: unit, num: num})
 }
 
-func (b *sampleBlock) say(name, text string) {
+func (b *sampleBlock) setText(name, text string) {
 	b.fields = append(b.fields, sampleField{name: name, unit: "text", text: text})
 }
 
-func (b *sampleBlock) listed(name string, list ...string) {
+func (b *sampleBlock) setList(name string, list ...string) {
 	b.fields = append(b.fields, sampleField{name: name, unit: "list", list: list})
 }
 
-// randomSample is a valid configuration: its routes differ in their paths, so that none
+// randomSample returns a valid configuration. Its routes have different paths, so that none
 // hides another.
 func randomSample(r *rand.Rand) *sample {
 	s := &sample{}
@@ -50,76 +49,76 @@
 	classes := 1 + r.IntN(3)
 	for i := range classes {
 		b := add("class", fmt.Sprint("c", i))
-		b.set("aim", "ms", float64(100+r.IntN(900)))
-		b.set("deadline", "ms", float64(1000+r.IntN(3000)))
-		b.set("worth", "", float64(1+r.IntN(5)))
-		b.say("repeat", []string{"safe", "unsafe"}[r.IntN(2)])
-		b.set("share", "%", 100/float64(classes))
-		b.set("work", "ms", float64(1+r.IntN(100)))
+		b.setNumber("aim", "ms", float64(100+r.IntN(900)))
+		b.setNumber("deadline", "ms", float64(1000+r.IntN(3000)))
+		b.setNumber("worth", "", float64(1+r.IntN(5)))
+		b.setText("repeat", []string{"safe", "unsafe"}[r.IntN(2)])
+		b.setNumber("share", "%", 100/float64(classes))
+		b.setNumber("work", "ms", float64(1+r.IntN(100)))
 		if r.IntN(2) == 0 {
-			b.set("units", "", float64(1+r.IntN(3)))
+			b.setNumber("units", "", float64(1+r.IntN(3)))
 		}
 	}
 	plans := 1 + r.IntN(3)
 	for i := range plans {
 		b := add("plan", fmt.Sprint("p", i))
-		b.set("rate", "/s", float64(1+r.IntN(20)))
-		b.set("burst", "", float64(10+r.IntN(50)))
-		b.set("share", "%", 100/float64(plans))
+		b.setNumber("rate", "/s", float64(1+r.IntN(20)))
+		b.setNumber("burst", "", float64(10+r.IntN(50)))
+		b.setNumber("share", "%", 100/float64(plans))
 		if r.IntN(2) == 0 {
-			b.set("ceiling_rate", "/s", float64(30+r.IntN(50)))
-			b.set("ceiling_burst", "", float64(100+r.IntN(50)))
+			b.setNumber("ceiling_rate", "/s", float64(30+r.IntN(50)))
+			b.setNumber("ceiling_burst", "", float64(100+r.IntN(50)))
 		}
 	}
 	for i := range 2 {
 		b := add("limiter", fmt.Sprint("n", i))
-		b.say("room", "r0")
-		b.say("listen", fmt.Sprintf("127.0.0.1:%d", 8000+i))
+		b.setText("room", "r0")
+		b.setText("listen", fmt.Sprintf("127.0.0.1:%d", 8000+i))
 	}
 	boxes := 2 + r.IntN(4)
 	for i := range boxes {
 		b := add("box", fmt.Sprint("b", i))
-		b.say("room", "r0")
-		b.say("dial", fmt.Sprintf("127.0.0.1:%d", 9000+i))
-		b.set("cores", "", 2)
-		b.set("slots", "", float64(8+r.IntN(8)))
-		b.set("queue", "", float64(r.IntN(40)))
+		b.setText("room", "r0")
+		b.setText("dial", fmt.Sprintf("127.0.0.1:%d", 9000+i))
+		b.setNumber("cores", "", 2)
+		b.setNumber("slots", "", float64(8+r.IntN(8)))
+		b.setNumber("queue", "", float64(r.IntN(40)))
 	}
 	pool := add("pool", "main")
-	pool.listed("members", "b0")
+	pool.setList("members", "b0")
 	other := add("pool", "rest")
 	for i := 1; i < boxes; i++ {
-		other.fields = append(other.fields[:0], sampleField{name: "members", unit: "list", list: append(slices.Clone(listOf(other)), fmt.Sprint("b", i))})
+		other.fields = append(other.fields[:0], sampleField{name: "members", unit: "list", list: append(slices.Clone(listField(other)), fmt.Sprint("b", i))})
 	}
 	for i := range 2 + r.IntN(5) {
 		b := add("route", fmt.Sprint("t", i))
-		b.say("path", fmt.Sprintf("/s%d/", i))
-		b.say("pool", []string{"main", "rest"}[(i+r.IntN(2))%2])
+		b.setText("path", fmt.Sprintf("/s%d/", i))
+		b.setText("pool", []string{"main", "rest"}[(i+r.IntN(2))%2])
 		if r.IntN(2) == 0 {
-			b.set("deadline", "ms", float64(5000+r.IntN(3000)))
+			b.setNumber("deadline", "ms", float64(5000+r.IntN(3000)))
 		}
 		if r.IntN(2) == 0 {
-			b.set("attempts", "", float64(1+r.IntN(3)))
+			b.setNumber("attempts", "", float64(1+r.IntN(3)))
 		}
 		if r.IntN(3) == 0 {
-			b.listed("methods", "GET", "POST")
+			b.setList("methods", "GET", "POST")
 		}
 		if r.IntN(3) == 0 {
 			b.fields = append(b.fields, sampleField{name: "headers", unit: "map", list: []string{"X-A", "1", "X-B", "2"}})
 		}
 		if r.IntN(3) == 0 {
-			b.set("max_body", "B", float64(1024*(1+r.IntN(32))))
+			b.setNumber("max_body", "B", float64(1024*(1+r.IntN(32))))
 		}
 	}
 	if r.IntN(2) == 0 {
 		b := add("rules", "")
-		b.set("attempts", "", float64(1+r.IntN(5)))
-		b.set("drain_grace", "ms", float64(100+r.IntN(900)))
+		b.setNumber("attempts", "", float64(1+r.IntN(5)))
+		b.setNumber("drain_grace", "ms", float64(100+r.IntN(900)))
 	}
 	return s
 }
 
-func listOf(b *sampleBlock) []string {
+func listField(b *sampleBlock) []string {
 	for _, f := range b.fields {
 		if f.unit == "list" {
 			return f.list
@@ -128,9 +127,9 @@
 	return nil
 }
 
-// write writes the sample; with r, in a random form: any order, layout and comments,
-// any spelling of units, values in locals and variables, routes' settings in policies,
-// blocks in files that are included.
+// write returns the files of the sample. If r is not nil, the form is random: order, layout,
+// comments, spelling of units, values in locals and variables, route settings in policies,
+// and blocks in included files.
 func (s *sample) write(r *rand.Rand) map[string]string {
 	files := map[string]*strings.Builder{"main.hcl": {}}
 	names := []string{"main.hcl"}
@@ -221,7 +220,8 @@
 	w.WriteString("}\n")
 }
 
-// write writes a value in one of its spellings, perhaps by a local or a variable.
+// write returns a value in a random spelling, possibly as a reference to a local or variable
+// that it defines in w.
 func (f *sampleField) write(r *rand.Rand, w *strings.Builder, extra *int) string {
 	pick := func(spellings ...string) string {
 		if r == nil {
@@ -229,7 +229,7 @@
 		}
 		return spellings[r.IntN(len(spellings))]
 	}
-	n := func(v float64) string { return canonical(v, kNumber) }
+	n := func(v float64) string { return formatQuantity(v, kindNumber) }
 	var text string
 	switch f.unit {
 	case "ms":
--- a/config/reference.go
+++ b/config/reference.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// Reference is the reference page of the language, docs/config-reference.md, in
-// Markdown. It is made of the schema that the checker goes by.
+// Reference returns the reference page of the language, docs/config-reference.md, in
+// Markdown. It is generated from the schema that the checker uses.
 func Reference() string {
 	var b strings.Builder
 	b.WriteString("# Configuration reference\n\nMade from the checker's schema: `go test ./config -run Reference -update`. What the language\nis for, and how to work with it, is in [config.md](config.md).\n\n## Quantities\n\n| kind | written as | such as |\n| --- | --- | --- |\n")
-	for k := kText; k <= kHeaders; k++ {
+	for k := kindText; k <= kindHeaders; k++ {
 		fmt.Fprintf(&b, "| %s | %s | `%s` |\n", kinds[k].name, kinds[k].takes, kinds[k].example)
 	}
 	b.WriteString("\nA value may be `var.NAME` or `local.NAME`, put texts together as `\"${local.a}-b\"`, and\nreckon with bare numbers. There are no loops and no functions.\n\n## Blocks\n")
 	for _, x := range schema.blocks {
-		x.describe(&b, "", "###")
+		x.writeSection(&b, "", "###")
 	}
 	b.WriteString("\n## Which route takes a request\n\nOf the routes whose conditions a request meets, the one with the higher priority; then the\nmore exact host (a name, then `*.` with more labels, then any); then the more exact path (a\nwhole path, then the longer prefix); then one with accounts, with plans, with more headers,\nwith methods. The order in the file never counts: two routes that are equal in all of this\nand can meet in one request are a mistake (`route-ambiguous`), and so is a route that a\nhigher priority hides (`route-unreachable`).\n")
 	b.WriteString("\n## Diagnostics\n\n| code | | meaning |\n| --- | --- | --- |\n")
@@ -25,11 +25,12 @@
 	return b.String()
 }
 
-// describe writes the section of a block.
-func (x *block) describe(b *strings.Builder, in, head string) {
+// writeSection writes the section of a block and, one heading level deeper, those of its
+// nested blocks.
+func (x *block) writeSection(b *strings.Builder, in, head string) {
 	name := x.kind
-	if x.label != "" {
-		name += fmt.Sprintf(" \"%s\"", strings.ToUpper(x.label))
+	if x.labelMeaning != "" {
+		name += fmt.Sprintf(" \"%s\"", strings.ToUpper(x.labelMeaning))
 	}
 	fmt.Fprintf(b, "\n%s `%s`", head, strings.TrimSpace(name))
 	if in != "" {
@@ -43,28 +44,28 @@
 		b.WriteString("\n| field | takes | if left out | |\n| --- | --- | --- | --- |\n")
 		for i := range x.fields {
 			f := &x.fields[i]
-			fmt.Fprintf(b, "| `%s` | %s | %s | %s |\n", f.name, f.takes(), f.without(), strings.ReplaceAll(f.doc, "|", "\\|"))
+			fmt.Fprintf(b, "| `%s` | %s | %s | %s |\n", f.name, f.valueDescription(), f.defaultDescription(), strings.ReplaceAll(f.doc, "|", "\\|"))
 		}
 	}
 	for _, sub := range x.blocks {
-		sub.describe(b, x.kind, head+"#")
+		sub.writeSection(b, x.kind, head+"#")
 	}
 }
 
-// takes tells what a field takes, with its bounds.
-func (f *field) takes() string {
+// valueDescription describes the values that a field accepts, with their bounds.
+func (f *field) valueDescription() string {
 	name := kinds[f.kind].name
 	switch f.kind {
-	case kWord:
-		name = "`" + strings.Join(f.words, "`, `") + "`"
-	case kRef:
-		name = "the name of a " + f.ref
-	case kDuration, kRate, kSize, kShare, kNumber, kCount:
-		from := canonical(f.least, f.kind)
-		if f.open {
+	case kindEnum:
+		name = "`" + strings.Join(f.enumValues, "`, `") + "`"
+	case kindReference:
+		name = "the name of a " + f.refKind
+	case kindDuration, kindRate, kindSize, kindShare, kindNumber, kindCount:
+		from := formatQuantity(f.min, f.kind)
+		if f.minExclusive {
 			from = "above " + from
 		}
-		name += fmt.Sprintf(", %s to %s", from, canonical(f.most, f.kind))
+		name += fmt.Sprintf(", %s to %s", from, formatQuantity(f.max, f.kind))
 	}
 	if f.list {
 		name = "list: " + name
@@ -72,13 +73,13 @@
 	return name
 }
 
-// without tells what holds where a field is left out.
-func (f *field) without() string {
+// defaultDescription describes what applies if a field is omitted.
+func (f *field) defaultDescription() string {
 	switch {
 	case f.required:
 		return "needed"
-	case f.def != "":
-		return "`" + f.def + "`"
+	case f.defaultText != "":
+		return "`" + f.defaultText + "`"
 	}
 	return ""
 }
--- a/config/reference_test.go
+++ b/config/reference_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The reference page says what the checker goes by.
+// The reference page is up to date with the schema.
 func TestReferenceIsFresh(t *testing.T) {
 	const path = "../docs/config-reference.md"
 	want := Reference()
@@ -30,7 +30,7 @@
 	}
 }
 
-// Every file that comes with the program is sound, without a warning.
+// All configuration files in the repository are valid and give no warnings.
 func TestDeployFilesAreSound(t *testing.T) {
 	paths, err := filepath.Glob("../deploy/examples/*/main.hcl")
 	if err != nil || len(paths) < 3 {
@@ -57,8 +57,8 @@
 	}
 }
 
-// Files of the system: links that lead out of the folder or in a circle are told, and a
-// variable's value comes from the command line.
+// LoadFiles reports symbolic links that leave the folder or form a cycle, and sets variables
+// to the values passed by the caller.
 func TestLoadFiles(t *testing.T) {
 	dir := t.TempDir()
 	base, err := os.ReadFile("testdata/base.hcl")
--- a/config/report.go
+++ b/config/report.go
@@ -13,17 +13,17 @@
 	"github.com/hashicorp/hcl/v2"
 )
 
-// Severity says what a diagnostic stands in the way of.
+// Severity says whether a diagnostic prevents the use of the configuration.
 type Severity string
 
-// The severities.
+// Severities of diagnostics.
 const (
 	Error   Severity = "error"   // the configuration can't be used
-	Warning Severity = "warning" // it can, but hardly as it was meant
+	Warning Severity = "warning" // the configuration can be used, but is probably not what was intended
 )
 
-// Place is a place in a file. Line and Column count from 1; Column counts characters
-// as a reader does.
+// Place is a position in a file. Line and Column count from 1; Column counts characters,
+// not bytes.
 type Place struct {
 	File   string `json:"file"`
 	Line   int    `json:"line"`
@@ -32,21 +32,21 @@
 
 func (p Place) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column) }
 
-func placeOf(r hcl.Range) Place { return Place{r.Filename, r.Start.Line, r.Start.Column} }
+func placeFromRange(r hcl.Range) Place { return Place{r.Filename, r.Start.Line, r.Start.Column} }
 
-// Diagnostic is one thing that is wrong.
+// Diagnostic is one error or warning about a configuration.
 type Diagnostic struct {
-	Code     string   `json:"code"` // of the catalogue, see Codes
+	Code     string   `json:"code"` // one of Codes
 	Severity Severity `json:"severity"`
 	Place
 	What string  `json:"what"`
-	Fix  string  `json:"fix"`            // what to write instead
-	Also []Place `json:"also,omitempty"` // other places that it is about
+	Fix  string  `json:"fix"`            // suggested correction
+	Also []Place `json:"also,omitempty"` // other positions involved
 
-	at hcl.Range
+	sourceRange hcl.Range
 }
 
-// String is the diagnostic in one line, file:line:column: what; what to write.
+// String formats the diagnostic as one line: "file:line:column: what; fix".
 func (d *Diagnostic) String() string {
 	text := fmt.Sprintf("%s: %s", d.Place, d.What)
 	if d.Severity == Warning {
@@ -58,17 +58,17 @@
 	return text
 }
 
-// mostDiagnostics bounds a report: of a file that is no configuration at all nobody
-// reads more.
-const mostDiagnostics = 500
+// maxDiagnostics bounds a report. A file that is not a configuration at all can cause many
+// more, which would not be useful.
+const maxDiagnostics = 500
 
-// Report is all that is wrong with a configuration.
+// Report collects the diagnostics of a configuration.
 type Report struct {
 	Diagnostics []Diagnostic
-	Left        int // diagnostics past mostDiagnostics, counted only
+	Left        int // number of diagnostics omitted beyond maxDiagnostics
 
 	sources map[string][]byte
-	order   map[string]int // of the files
+	order   map[string]int // reading order of the files
 }
 
 func newReport() *Report { return &Report{sources: map[string][]byte{}, order: map[string]int{}} }
@@ -93,10 +93,10 @@
 	return &Failure{r}
 }
 
-// Failure is a report with errors, as an error.
+// Failure is the error type for a report that contains errors.
 type Failure struct{ *Report }
 
-// Error lists the errors, one a line; warnings are left out.
+// Error lists the errors, one per line, without the warnings.
 func (f *Failure) Error() string {
 	var lines []string
 	for i := range f.Diagnostics {
@@ -115,7 +115,7 @@
 	for i := range r.Diagnostics {
 		d := &r.Diagnostics[i]
 		fmt.Fprintf(w, "%s: %s: %s [%s]\n", d.Place, d.Severity, d.What, d.Code)
-		if line, pad, width, ok := r.excerpt(d.at); ok {
+		if line, pad, width, ok := r.excerpt(d.sourceRange); ok {
 			fmt.Fprintf(w, "  %s\n  %s%s\n", line, pad, strings.Repeat("^", width))
 		}
 		if d.Fix != "" {
@@ -130,11 +130,11 @@
 	}
 }
 
-// mostLine bounds a line of the source that is shown.
-const mostLine = 160
+// maxLineBytes bounds a source line in a diagnostic.
+const maxLineBytes = 160
 
-// excerpt is the line that a range begins in, what stands under it before the caret,
-// and the caret's width.
+// excerpt returns the source line in which a range begins, the padding before the caret on
+// the line below, and the caret's width.
 func (r *Report) excerpt(at hcl.Range) (line, pad string, width int, ok bool) {
 	src := r.sources[at.Filename]
 	if at.Start.Byte > len(src) || len(src) == 0 {
@@ -147,12 +147,12 @@
 	}
 	end := min(max(at.End.Byte, at.Start.Byte+1), to)
 	before := string(src[from:at.Start.Byte])
-	if len(before) > mostLine {
+	if len(before) > maxLineBytes {
 		return "", "", 0, false
 	}
 	line = strings.TrimRight(string(src[from:to]), "\r")
-	if len(line) > mostLine {
-		line = strings.ToValidUTF8(line[:mostLine], "") + "..."
+	if len(line) > maxLineBytes {
+		line = strings.ToValidUTF8(line[:maxLineBytes], "") + "..."
 	}
 	pad = strings.Map(func(c rune) rune {
 		if c == '\t' {
@@ -161,10 +161,10 @@
 		return ' '
 	}, before)
 	width = max(1, utf8.RuneCountInString(string(src[at.Start.Byte:max(end, at.Start.Byte)])))
-	return strings.Map(printableRune, line), pad, min(width, mostLine), true
+	return strings.Map(printableRune, line), pad, min(width, maxLineBytes), true
 }
 
-// printableRune keeps control characters of a file off a terminal.
+// printableRune replaces control characters, so that a file can't send them to a terminal.
 func printableRune(c rune) rune {
 	if c < ' ' && c != '\t' || c == 0x7f {
 		return '?'
@@ -172,19 +172,19 @@
 	return c
 }
 
-// add adds a diagnostic of the catalogue.
+// add appends a diagnostic with a code of the catalogue.
 func (r *Report) add(code string, at hcl.Range, fix, what string, args ...any) *Diagnostic {
 	entry, known := codes[code]
 	if !known {
-		panic("config: no such diagnostic: " + code) // a mistake of this package; a test gives them all
+		panic("config: no such diagnostic: " + code) // a bug in this package; TestBrokenFiles triggers every code
 	}
-	r.Diagnostics = append(r.Diagnostics, Diagnostic{Code: code, Severity: entry.severity, Place: placeOf(at),
-		What: clean(fmt.Sprintf(what, args...)), Fix: clean(fix), at: at})
+	r.Diagnostics = append(r.Diagnostics, Diagnostic{Code: code, Severity: entry.severity, Place: placeFromRange(at),
+		What: singleLine(fmt.Sprintf(what, args...)), Fix: singleLine(fix), sourceRange: at})
 	return &r.Diagnostics[len(r.Diagnostics)-1]
 }
 
-// clean makes one line of a text.
-func clean(text string) string {
+// singleLine collapses a text to a single line of printable characters and bounds its length.
+func singleLine(text string) string {
 	text = strings.Join(strings.Fields(strings.Map(printableRune, strings.ToValidUTF8(text, "?"))), " ")
 	if len(text) > 400 {
 		text = strings.ToValidUTF8(text[:400], "") + "..."
@@ -192,32 +192,33 @@
 	return text
 }
 
-func (d *Diagnostic) also(at ...hcl.Range) {
+func (d *Diagnostic) addRelated(at ...hcl.Range) {
 	for _, a := range at {
-		d.Also = append(d.Also, placeOf(a))
+		d.Also = append(d.Also, placeFromRange(a))
 	}
 }
 
-// sort puts the diagnostics into the order of the files, and drops what is told twice.
+// sort orders the diagnostics by file and position, removes duplicates, and truncates the
+// list to maxDiagnostics.
 func (r *Report) sort() {
 	slices.SortStableFunc(r.Diagnostics, func(a, b Diagnostic) int {
-		return cmp.Or(cmp.Compare(r.order[a.File], r.order[b.File]), cmp.Compare(a.at.Start.Byte, b.at.Start.Byte), cmp.Compare(a.Code, b.Code), cmp.Compare(a.What, b.What))
+		return cmp.Or(cmp.Compare(r.order[a.File], r.order[b.File]), cmp.Compare(a.sourceRange.Start.Byte, b.sourceRange.Start.Byte), cmp.Compare(a.Code, b.Code), cmp.Compare(a.What, b.What))
 	})
 	r.Diagnostics = slices.CompactFunc(r.Diagnostics, func(a, b Diagnostic) bool { return a.Place == b.Place && a.Code == b.Code && a.What == b.What })
-	if n := len(r.Diagnostics); n > mostDiagnostics {
-		r.Left = n - mostDiagnostics
-		r.Diagnostics = r.Diagnostics[:mostDiagnostics]
+	if n := len(r.Diagnostics); n > maxDiagnostics {
+		r.Left = n - maxDiagnostics
+		r.Diagnostics = r.Diagnostics[:maxDiagnostics]
 	}
 }
 
-// Code is an entry of the catalogue of diagnostics.
+// Code is an entry of the catalogue of diagnostics, for the reference page.
 type Code struct {
 	Name     string
 	Severity Severity
 	Meaning  string
 }
 
-// Codes lists the catalogue by name: every diagnostic that can be given.
+// Codes returns the catalogue of all possible diagnostics, sorted by name.
 func Codes() []Code {
 	var all []Code
 	for _, name := range slices.Sorted(maps.Keys(codes)) {
@@ -226,7 +227,8 @@
 	return all
 }
 
-// nearest is the known name that a mistyped one is most like, or "".
+// nearest returns the known name with the smallest edit distance to a mistyped one, or "" if
+// none is close.
 func nearest(name string, known []string) string {
 	best, least := "", max(1, min(3, (len(name)+1)/2))+1
 	for _, k := range known {
@@ -240,8 +242,8 @@
 	return best
 }
 
-// instead says what to write for a name that is not known.
-func instead(name string, known []string) string {
+// suggestFix returns a suggestion for an unknown name, or "" if no names are known.
+func suggestFix(name string, known []string) string {
 	if len(known) == 0 {
 		return ""
 	}
@@ -259,7 +261,7 @@
 	meaning  string
 }
 
-// codes is the catalogue of diagnostics.
+// codes is the catalogue of diagnostics, keyed by code. Reports may contain no others.
 var codes = map[string]codeEntry{
 	"syntax":             {Error, "the file can't be read as HCL"},
 	"too-deep":           {Error, "brackets or templates are nested too deep"},
--- a/config/source.go
+++ b/config/source.go
@@ -13,112 +13,113 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// Bounds of what is read, far above any deployment that the language is meant for.
+// Limits on expressions, far above what any realistic deployment needs.
 const (
-	maxNesting = 100 // brackets and templates within each other, and operators in a row
-	maxChoices = 1000
+	maxNesting      = 100 // depth of brackets and templates, and consecutive unary operators
+	maxConditionals = 1000
 )
 
-// bounds are those of the files.
-type bounds struct {
-	file, bytes int64 // of one file, of all together
-	files       int
-	depth       int // of includes within includes
+// loadLimits bounds the files that one load may read.
+type loadLimits struct {
+	fileBytes, totalBytes int64 // of one file and of all files together
+	files                 int
+	includeDepth          int // nesting of includes
 }
 
-var usualBounds = bounds{file: 16 << 20, bytes: 64 << 20, files: 1000, depth: 16}
+var defaultLimits = loadLimits{fileBytes: 16 << 20, totalBytes: 64 << 20, files: 1000, includeDepth: 16}
 
-// Root is a first file. What it includes is looked up in FS alone.
+// Root is a top-level file of a configuration. Its includes are resolved only within FS.
 type Root struct {
 	FS   fs.FS
-	Name string // in FS
-	Show string // put before names of FS where they are shown
+	Name string // path within FS
+	Show string // prefix of the names of FS in diagnostics
 }
 
-// source is a file that was read.
-type source struct {
-	show string
-	body *hclsyntax.Body
-	root Root
-	name string // in root
+// sourceFile is a parsed file.
+type sourceFile struct {
+	displayName string
+	body        *hclsyntax.Body
+	root        Root
+	name        string // path within root.FS
 }
 
-// loader reads files and what they include.
+// loader reads files and, recursively, the files that they include.
 type loader struct {
 	*Report
-	bounds
-	files []source
-	read  int64                // bytes
-	from  map[string]hcl.Range // where a file that was read is included
+	loadLimits
+	files      []sourceFile
+	bytesRead  int64                // total size of the files read
+	includedAt map[string]hcl.Range // position of the include of each file read, by display name
 }
 
-// step is a file on the way to the one that is read now.
-type step struct {
+// includeStep is one file in the chain of includes that leads to the current file.
+type includeStep struct {
 	name string
-	at   hcl.Range // of the include in it that leads on
+	at   hcl.Range // of its include block that continues the chain
 }
 
-// load reads a file and what it includes. at is the include that names it, if any.
-func (l *loader) load(root Root, name string, chain []step, at hcl.Range) {
+// loadFile reads a file and its includes. at is the include that names it, if any.
+func (l *loader) loadFile(root Root, name string, chain []includeStep, at hcl.Range) {
 	show := root.Show + name
 	if at.Filename == "" {
 		at = hcl.Range{Filename: show, Start: hcl.InitialPos, End: hcl.InitialPos}
 	}
-	if first, done := l.from[show]; done {
+	if first, done := l.includedAt[show]; done {
 		d := l.add("include-twice", at, "include it once: everything in it is defined by the first", "%s is included a second time", name)
-		d.also(first)
+		d.addRelated(first)
 		return
 	}
-	if len(l.from) >= l.bounds.files {
-		l.add("include-count", at, "join files, or include fewer", "more than %d files", l.bounds.files)
+	if len(l.includedAt) >= l.loadLimits.files {
+		l.add("include-count", at, "join files, or include fewer", "more than %d files", l.loadLimits.files)
 		return
 	}
-	data, ok := l.open(root, name, at)
+	data, ok := l.readFile(root, name, at)
 	if !ok {
 		return
 	}
-	l.from[show] = at
+	l.includedAt[show] = at
 	l.sources[show], l.order[show] = data, len(l.order)
 	body := l.parse(data, show)
 	if body == nil {
 		return
 	}
-	l.files = append(l.files, source{show, body, root, name})
+	l.files = append(l.files, sourceFile{show, body, root, name})
 	for _, b := range body.Blocks {
 		if b.Type == "include" {
-			l.include(root, name, b, append(slices.Clone(chain), step{name, b.DefRange()}))
+			l.include(root, name, b, append(slices.Clone(chain), includeStep{name, b.DefRange()}))
 		}
 	}
 }
 
-// open reads a file within the bounds.
-func (l *loader) open(root Root, name string, at hcl.Range) ([]byte, bool) {
+// readFile returns the contents of a file, or reports a diagnostic if it is missing,
+// unreadable or over the size limits.
+func (l *loader) readFile(root Root, name string, at hcl.Range) ([]byte, bool) {
 	info, err := fs.Stat(root.FS, name)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		l.add("include-missing", at, "write a path relative to this file, or take the include out", "there is no file %q", root.Show+name)
 		return nil, false
 	case err != nil:
-		l.add("include-unreadable", at, "see to it that the file can be read, and that no link leads out of the folder or in a circle", "%q can't be read: %v", root.Show+name, cause(err))
+		l.add("include-unreadable", at, "see to it that the file can be read, and that no link leads out of the folder or in a circle", "%q can't be read: %v", root.Show+name, withoutPath(err))
 		return nil, false
 	case info.IsDir():
 		l.add("include-unreadable", at, fmt.Sprintf("write %q for the files in it", name+"/*.hcl"), "%q is a folder", root.Show+name)
 		return nil, false
-	case info.Size() > l.file || l.read+info.Size() > l.bytes:
-		l.add("too-large", at, fmt.Sprintf("a file has %s at most, and all together %s", canonical(float64(l.file), kSize), canonical(float64(l.bytes), kSize)), "%q has %d bytes", root.Show+name, info.Size())
+	case info.Size() > l.fileBytes || l.bytesRead+info.Size() > l.totalBytes:
+		l.add("too-large", at, fmt.Sprintf("a file has %s at most, and all together %s", formatQuantity(float64(l.fileBytes), kindSize), formatQuantity(float64(l.totalBytes), kindSize)), "%q has %d bytes", root.Show+name, info.Size())
 		return nil, false
 	}
 	data, err := fs.ReadFile(root.FS, name)
 	if err != nil {
-		l.add("include-unreadable", at, "see to it that the file can be read", "%q can't be read: %v", root.Show+name, cause(err))
+		l.add("include-unreadable", at, "see to it that the file can be read", "%q can't be read: %v", root.Show+name, withoutPath(err))
 		return nil, false
 	}
-	l.read += int64(len(data))
+	l.bytesRead += int64(len(data))
 	return data, true
 }
 
-// cause is an error without the path, which the message has already.
-func cause(err error) error {
+// withoutPath unwraps a PathError, because the diagnostic already contains the path.
+func withoutPath(err error) error {
 	var p *fs.PathError
 	if errors.As(err, &p) {
 		return p.Err
@@ -126,10 +127,10 @@
 	return err
 }
 
-// include reads what one include block names.
-func (l *loader) include(root Root, name string, b *hclsyntax.Block, chain []step) {
+// include loads the files that an include block names, and detects include cycles.
+func (l *loader) include(root Root, name string, b *hclsyntax.Block, chain []includeStep) {
 	if len(b.Labels) != 1 {
-		return // told by the checker of blocks
+		return // reported by decoder.checkLabels
 	}
 	at := b.LabelRanges[0]
 	pattern := b.Labels[0]
@@ -159,28 +160,29 @@
 		}
 	}
 	for _, n := range names {
-		if i := slices.IndexFunc(chain, func(s step) bool { return s.name == n }); i >= 0 {
+		if i := slices.IndexFunc(chain, func(s includeStep) bool { return s.name == n }); i >= 0 {
 			var way []string
 			for _, s := range chain[i:] {
 				way = append(way, fmt.Sprintf("%s:%d", root.Show+s.name, s.at.Start.Line))
 			}
 			d := l.add("include-cycle", at, "take one of these includes out", "files include each other in a circle: %s -> %s", strings.Join(way, " -> "), root.Show+n)
 			for _, s := range chain[i : len(chain)-1] {
-				d.also(s.at)
+				d.addRelated(s.at)
 			}
 			continue
 		}
-		if len(chain) > l.depth {
-			l.add("include-depth", at, "include the file from one further up", "includes are nested more than %d deep", l.depth)
+		if len(chain) > l.includeDepth {
+			l.add("include-depth", at, "include the file from one further up", "includes are nested more than %d deep", l.includeDepth)
 			continue
 		}
-		l.load(root, n, chain, at)
+		l.loadFile(root, n, chain, at)
 	}
 }
 
-// parse reads the syntax of a file.
+// parse parses a file and converts HCL's syntax errors into diagnostics with a fix. It
+// returns nil on an error.
 func (l *loader) parse(data []byte, show string) *hclsyntax.Body {
-	if !l.shallow(data, show) {
+	if !l.checkNesting(data, show) {
 		return nil
 	}
 	file, diags := hclsyntax.ParseConfig(data, show, hcl.InitialPos)
@@ -209,7 +211,7 @@
 				fix = fmt.Sprintf("write %s = %s", name, strings.TrimSuffix(strings.TrimSpace(value), ";"))
 			}
 		case "Invalid expression", "Missing newline after argument":
-			fix += unquoted(data, at)
+			fix += quoteHint(data, at)
 		}
 		l.add("syntax", at, fix, "%s", what)
 	}
@@ -219,9 +221,9 @@
 	return file.Body.(*hclsyntax.Body)
 }
 
-// unquoted is a hint for a value that was written without its quotes, as most other
-// servers take it.
-func unquoted(data []byte, at hcl.Range) string {
+// quoteHint returns a hint for a value written without quotes, as most other servers accept
+// it, or "".
+func quoteHint(data []byte, at hcl.Range) string {
 	name, value, ok := strings.Cut(lineOf(data, at), "=")
 	value = strings.Trim(strings.TrimSuffix(strings.TrimSpace(value), ";"), "' ")
 	if !ok || value == "" || strings.ContainsAny(value, "\"[]{}()") || len(value) > 60 {
@@ -230,11 +232,11 @@
 	return fmt.Sprintf(` Did you mean %s = %q?`, strings.TrimSpace(name), value)
 }
 
-// lineOf is the line in which a range begins, as far as anyone reads it.
+// lineOf returns the line in which a range begins, cut to maxLineBytes.
 func lineOf(data []byte, at hcl.Range) string {
 	from := bytes.LastIndexByte(data[:min(at.Start.Byte, len(data))], '\n') + 1
 	line, _, _ := bytes.Cut(data[from:], []byte("\n"))
-	return string(line[:min(len(line), mostLine)])
+	return string(line[:min(len(line), maxLineBytes)])
 }
 
 func firstSentence(text string) string {
@@ -244,9 +246,9 @@
 	return text
 }
 
-// shallow tells whether a file can be parsed within bounded memory: HCL's parser calls
-// itself for what is nested, and would run out of stack.
-func (l *loader) shallow(data []byte, show string) bool {
+// checkNesting reports whether the nesting of a file is within the limits. HCL's parser is
+// recursive, so deeper nesting could exhaust the stack.
+func (l *loader) checkNesting(data []byte, show string) bool {
 	tokens, _ := hclsyntax.LexConfig(data, show, hcl.InitialPos)
 	depth, signs, choices := 0, 0, 0
 	for _, t := range tokens {
@@ -263,7 +265,7 @@
 		} else {
 			signs = 0
 		}
-		if depth > maxNesting || signs > maxNesting || choices > maxChoices {
+		if depth > maxNesting || signs > maxNesting || choices > maxConditionals {
 			l.add("too-deep", t.Range, "write it flatter", "expressions are nested more than %d deep", maxNesting)
 			return false
 		}
