--- a/config/broken_test.go
+++ b/config/broken_test.go
@@ -69,25 +69,25 @@
 	if err != nil || len(paths) < 120 {
 		t.Fatalf("%d broken files, %v", len(paths), err)
 	}
-	given := map[string]int{}
+	countByCode := map[string]int{}
 	for _, path := range paths {
 		name := strings.TrimSuffix(filepath.Base(path), ".txtar")
 		t.Run(name, func(t *testing.T) {
-			c, roots := readBroken(t, path)
-			cfg, report := load(roots, nil, c.limits)
+			tc, roots := readBroken(t, path)
+			cfg, report := load(roots, nil, tc.limits)
 			var got bytes.Buffer
 			report.Write(&got)
 			if *update {
-				for i := range c.archive.Files {
-					if c.archive.Files[i].Name == "want" {
-						c.archive.Files[i].Data = got.Bytes()
+				for i := range tc.archive.Files {
+					if tc.archive.Files[i].Name == "want" {
+						tc.archive.Files[i].Data = got.Bytes()
 					}
 				}
-				if err := os.WriteFile(path, txtar.Format(c.archive), 0o644); err != nil {
+				if err := os.WriteFile(path, txtar.Format(tc.archive), 0o644); err != nil {
 					t.Fatal(err)
 				}
-			} else if got.String() != c.want {
-				t.Errorf("got:\n%s\nwant:\n%s", got.String(), c.want)
+			} else if got.String() != tc.want {
+				t.Errorf("got:\n%s\nwant:\n%s", got.String(), tc.want)
 			}
 			if len(report.Diagnostics) == 0 {
 				t.Error("nothing is wrong with it")
@@ -96,7 +96,7 @@
 				t.Errorf("%d errors, and a configuration: %v", errors, cfg != nil)
 			}
 			for _, d := range report.Diagnostics {
-				given[d.Code]++
+				countByCode[d.Code]++
 				if d.Line < 1 || d.Column < 1 || d.File == "" || d.Fix == "" {
 					t.Errorf("no place or no fix: %+v", d)
 				}
@@ -107,7 +107,7 @@
 		})
 	}
 	for code := range codes {
-		if given[code] == 0 {
+		if countByCode[code] == 0 {
 			t.Errorf("no broken file is told %q", code)
 		}
 	}
--- a/config/build.go
+++ b/config/build.go
@@ -87,16 +87,17 @@
 	return at
 }
 
+// build runs all conversions and checks. The Config is valid only if the report has no errors.
 func (b *builder) build() *Config {
-	f := &fleet.Fleet{}
-	b.cfg = &Config{Fleet: f, places: map[string]hcl.Range{}}
+	fl := &fleet.Fleet{}
+	b.cfg = &Config{Fleet: fl, places: map[string]hcl.Range{}}
 	b.roomIndex = map[string]int{}
 	for _, o := range b.blocks {
 		b.cfg.places[o.block.kind+" "+o.label] = o.at
 	}
 	for i, o := range b.blocksOf("room") {
 		b.roomIndex[o.label] = i
-		f.Rooms = append(f.Rooms, o.label)
+		fl.Rooms = append(fl.Rooms, o.label)
 		if !o.used {
 			b.add("unused", o.at, "take it out, or place a limiter or box in it", "room %q has neither limiters nor boxes", o.label)
 		}
@@ -113,7 +114,7 @@
 	b.buildClasses()
 	b.buildPlans()
 	for _, o := range b.blocksOf("limiter") {
-		f.Limiters = append(f.Limiters, fleet.Limiter{Name: o.label, Room: b.roomIndex[o.text("room")], Listen: o.text("listen"), Peer: o.text("peer"), Admin: o.text("admin"), Fleet: o.text("fleet")})
+		fl.Limiters = append(fl.Limiters, fleet.Limiter{Name: o.label, Room: b.roomIndex[o.text("room")], Listen: o.text("listen"), Peer: o.text("peer"), Admin: o.text("admin"), Fleet: o.text("fleet")})
 	}
 	b.buildBoxes()
 	b.buildSingletons()
@@ -151,138 +152,140 @@
 	return true
 }
 
+// buildClasses converts the class blocks and checks aims, windows and shares.
 func (b *builder) buildClasses() {
-	f, sum, whole := b.cfg.Fleet, 0.0, true
+	fl, sum, allValid := b.cfg.Fleet, 0.0, true
 	for _, o := range b.blocksOf("class") {
-		c := fleet.Class{Name: o.label, Share: o.num("share"), Work: o.duration("work"), Spread: o.num("spread"), Aim: o.duration("aim"),
+		class := fleet.Class{Name: o.label, Share: o.num("share"), Work: o.duration("work"), Spread: o.num("spread"), Aim: o.duration("aim"),
 			Deadline: o.duration("deadline"), Worth: o.num("worth"), Late: o.num("late"), Units: o.num("units"),
 			Repeat: repeatPolicies[o.text("repeat")], Group: dedupGroups[o.text("group")], Window: o.duration("window")}
-		if fieldsValid(o, "aim", "deadline") && c.Aim > c.Deadline {
-			b.add("aim-over-deadline", o.fieldRange("aim"), fmt.Sprintf("write an aim of %q or less", c.Deadline), "the aim of %v is longer than the deadline of %v", c.Aim, c.Deadline)
+		if fieldsValid(o, "aim", "deadline") && class.Aim > class.Deadline {
+			b.add("aim-over-deadline", o.fieldRange("aim"), fmt.Sprintf("write an aim of %q or less", class.Deadline), "the aim of %v is longer than the deadline of %v", class.Aim, class.Deadline)
 		}
-		if _, have := o.values["window"]; c.Repeat == limiter.Keyed && !have && o.isSet("repeat") {
+		if _, hasWindow := o.values["window"]; class.Repeat == limiter.Keyed && !hasWindow && o.isSet("repeat") {
 			b.add("no-window", o.at, `add window = "1s": how long boxes drop repeats of a key`, "keyed class %q has no window", o.label)
 		}
-		whole = whole && fieldsValid(o, "share")
-		sum += c.Share
-		f.Classes = append(f.Classes, c)
+		allValid = allValid && fieldsValid(o, "share")
+		sum += class.Share
+		fl.Classes = append(fl.Classes, class)
 	}
-	b.checkShares("class", sum, whole)
+	b.checkShares("class", sum, allValid)
 }
 
 // checkShares checks that the shares of a kind of block add up to 100%.
-func (b *builder) checkShares(kind string, sum float64, whole bool) {
+func (b *builder) checkShares(kind string, sum float64, allValid bool) {
 	all := b.blocksOf(kind)
-	if whole && len(all) > 0 && !b.incomplete && math.Abs(sum-1) > 0.001 {
+	if allValid && len(all) > 0 && !b.incomplete && math.Abs(sum-1) > 0.001 {
 		b.add("shares-sum", all[0].fieldRange("share"), "change them so that they add up to 100%", "the shares of all %s blocks add up to %.4g%%", kind, sum*100)
 	}
 }
 
+// buildPlans converts the plan blocks and checks ceilings, bursts and shares.
 func (b *builder) buildPlans() {
-	f, sum, whole := b.cfg.Fleet, 0.0, true
-	largest, units := "", 0.0
+	fl, sum, allValid := b.cfg.Fleet, 0.0, true
+	largestClass, maxUnits := "", 0.0
 	for i, o := range b.blocksOf("class") {
-		if u := f.Classes[i].Units; u > units && fieldsValid(o, "units") {
-			largest, units = o.label, u
+		if u := fl.Classes[i].Units; u > maxUnits && fieldsValid(o, "units") {
+			largestClass, maxUnits = o.label, u
 		}
 	}
 	for _, o := range b.blocksOf("plan") {
-		p := fleet.Plan{Name: o.label, Share: o.num("share"), Rate: o.num("rate"), Burst: o.num("burst"), CeilingRate: o.num("ceiling_rate"),
+		plan := fleet.Plan{Name: o.label, Share: o.num("share"), Rate: o.num("rate"), Burst: o.num("burst"), CeilingRate: o.num("ceiling_rate"),
 			CeilingBurst: o.num("ceiling_burst"), Price: o.num("price"), BeyondEarns: o.num("beyond_earns"), OverrunCost: o.num("overrun_cost")}
 		if fieldsValid(o, "ceiling_rate", "ceiling_burst") {
 			switch {
-			case (p.CeilingRate > 0) != (p.CeilingBurst > 0):
+			case (plan.CeilingRate > 0) != (plan.CeilingBurst > 0):
 				b.add("half-ceiling", o.at, "give both ceiling_rate and ceiling_burst, or neither", "plan %q has half a ceiling", o.label)
-			case p.CeilingRate > 0 && fieldsValid(o, "rate") && p.CeilingRate < p.Rate:
-				b.add("ceiling-under-rate", o.fieldRange("ceiling_rate"), fmt.Sprintf("write %q or more", formatQuantity(p.Rate, kindRate)), "plan %q has a ceiling of %s below its rate of %s", o.label, formatQuantity(p.CeilingRate, kindRate), formatQuantity(p.Rate, kindRate))
-			case p.CeilingRate > 0 && fieldsValid(o, "burst") && p.CeilingBurst < p.Burst:
-				b.add("ceiling-under-rate", o.fieldRange("ceiling_burst"), fmt.Sprintf("write %g or more", p.Burst), "plan %q has a ceiling_burst of %g below its burst of %g", o.label, p.CeilingBurst, p.Burst)
+			case plan.CeilingRate > 0 && fieldsValid(o, "rate") && plan.CeilingRate < plan.Rate:
+				b.add("ceiling-under-rate", o.fieldRange("ceiling_rate"), fmt.Sprintf("write %q or more", formatQuantity(plan.Rate, kindRate)), "plan %q has a ceiling of %s below its rate of %s", o.label, formatQuantity(plan.CeilingRate, kindRate), formatQuantity(plan.Rate, kindRate))
+			case plan.CeilingRate > 0 && fieldsValid(o, "burst") && plan.CeilingBurst < plan.Burst:
+				b.add("ceiling-under-rate", o.fieldRange("ceiling_burst"), fmt.Sprintf("write %g or more", plan.Burst), "plan %q has a ceiling_burst of %g below its burst of %g", o.label, plan.CeilingBurst, plan.Burst)
 			}
 		}
-		if fieldsValid(o, "burst") && p.Burst < units {
-			b.add("burst-under-units", o.fieldRange("burst"), fmt.Sprintf("write %g or more", units), "plan %q holds %g units at most, and a request of class %q takes %g: it could never pass", o.label, p.Burst, largest, units)
+		if fieldsValid(o, "burst") && plan.Burst < maxUnits {
+			b.add("burst-under-units", o.fieldRange("burst"), fmt.Sprintf("write %g or more", maxUnits), "plan %q holds %g units at most, and a request of class %q takes %g: it could never pass", o.label, plan.Burst, largestClass, maxUnits)
 		}
-		whole = whole && fieldsValid(o, "share")
-		sum += p.Share
-		f.Plans = append(f.Plans, p)
+		allValid = allValid && fieldsValid(o, "share")
+		sum += plan.Share
+		fl.Plans = append(fl.Plans, plan)
 	}
-	b.checkShares("plan", sum, whole)
+	b.checkShares("plan", sum, allValid)
 }
 
 // buildBoxes expands each box block into count boxes, which differ in name, pod and port.
 func (b *builder) buildBoxes() {
-	f := b.cfg.Fleet
+	fl := b.cfg.Fleet
 	b.boxBlocks = map[string]*parsedBlock{}
-	names := b.boxBlocks
+	blockByName := b.boxBlocks
 	rules := b.singleton("rules")
 	for _, o := range b.blocksOf("box") {
-		n := max(1, o.integer("count"))
-		x := fleet.Box{Name: o.label, Room: b.roomIndex[o.text("room")], Labels: o.list("labels"), Pod: o.integer("pod"), Dial: o.text("dial"), Cores: o.num("cores"), Speed: o.num("speed"),
+		count := max(1, o.integer("count"))
+		box := fleet.Box{Name: o.label, Room: b.roomIndex[o.text("room")], Labels: o.list("labels"), Pod: o.integer("pod"), Dial: o.text("dial"), Cores: o.num("cores"), Speed: o.num("speed"),
 			Slots: o.integer("slots"), Queue: o.integer("queue"), Thrash: o.num("thrash"), ThrashAt: o.num("thrash_at"), Connections: o.integer("connections"),
 			Handshake: o.duration("handshake"), ColdFrom: o.num("cold_from"), ColdFor: o.duration("cold_for"), WarmAfter: o.integer("warm_after"),
 			Report:    fleet.Report{Every: o.duration("report_every"), Delay: o.duration("report_delay"), Noise: o.num("report_noise")},
 			ErrorRate: o.num("error_rate")}
-		if fieldsValid(o, "cold_from", "cold_for") && x.ColdFor > 0 {
+		if fieldsValid(o, "cold_from", "cold_for") && box.ColdFor > 0 {
 			switch {
-			case x.ColdFrom <= 0:
+			case box.ColdFrom <= 0:
 				b.add("cold-ramp", o.fieldRange("cold_from"), `write cold_from = "18%" or so`, "box %q starts with no capacity: what can do nothing can't be warmed", o.label)
-			case x.ColdFrom >= 1:
-				b.add("cold-ramp", o.fieldRange("cold_for"), `write cold_from = "25%" or so, or take cold_for out`, "box %q is cold for %v, but starts with all its capacity", o.label, x.ColdFor)
-			case fieldsValid(rules, "fall_for") && x.ColdFor < rules.duration("fall_for"):
-				b.add("cold-ramp", o.fieldRange("cold_for"), fmt.Sprintf("write %q or more, or shorten fall_for", rules.duration("fall_for")), "box %q warms up in %v, within the %v over which the rules look at a cold box", o.label, x.ColdFor, rules.duration("fall_for"))
+			case box.ColdFrom >= 1:
+				b.add("cold-ramp", o.fieldRange("cold_for"), `write cold_from = "25%" or so, or take cold_for out`, "box %q is cold for %v, but starts with all its capacity", o.label, box.ColdFor)
+			case fieldsValid(rules, "fall_for") && box.ColdFor < rules.duration("fall_for"):
+				b.add("cold-ramp", o.fieldRange("cold_for"), fmt.Sprintf("write %q or more, or shorten fall_for", rules.duration("fall_for")), "box %q warms up in %v, within the %v over which the rules look at a cold box", o.label, box.ColdFor, rules.duration("fall_for"))
 			}
 		}
 		dial := netip.AddrPort{}
-		if x.Dial != "" {
-			dial = netip.MustParseAddrPort(x.Dial)
-			if int(dial.Port())+n-1 > math.MaxUint16 {
-				b.add("port-range", o.fieldRange("dial"), fmt.Sprintf("start at port %d or below", math.MaxUint16-n+1), "%d boxes from port %d on have no room", n, dial.Port())
+		if box.Dial != "" {
+			dial = netip.MustParseAddrPort(box.Dial)
+			if int(dial.Port())+count-1 > math.MaxUint16 {
+				b.add("port-range", o.fieldRange("dial"), fmt.Sprintf("start at port %d or below", math.MaxUint16-count+1), "%d boxes from port %d on have no room", count, dial.Port())
 				continue
 			}
 		}
-		size, first := max(1, o.integer("pod_size")), x.Pod
-		for i := range n {
-			if n > 1 {
-				x.Name = o.label + strconv.Itoa(i)
+		podSize, firstPod := max(1, o.integer("pod_size")), box.Pod
+		for i := range count {
+			if count > 1 {
+				box.Name = o.label + strconv.Itoa(i)
 			}
-			if x.Dial != "" {
-				x.Dial = netip.AddrPortFrom(dial.Addr(), dial.Port()+uint16(i)).String()
+			if box.Dial != "" {
+				box.Dial = netip.AddrPortFrom(dial.Addr(), dial.Port()+uint16(i)).String()
 			}
-			x.Pod = first + i/size
-			if other := names[x.Name]; other != nil {
-				b.addDuplicate("box", x.Name, o.at, other.at)
+			box.Pod = firstPod + i/podSize
+			if other := blockByName[box.Name]; other != nil {
+				b.addDuplicate("box", box.Name, o.at, other.at)
 				break
 			}
-			if len(f.Boxes) >= maxCount {
+			if len(fl.Boxes) >= maxCount {
 				b.add("too-large", o.at, "split the deployment", "more than %d boxes", maxCount)
 				return
 			}
-			names[x.Name] = o
-			b.cfg.places["box "+x.Name] = o.at
-			f.Boxes = append(f.Boxes, x)
+			blockByName[box.Name] = o
+			b.cfg.places["box "+box.Name] = o.at
+			fl.Boxes = append(fl.Boxes, box)
 		}
 	}
 }
 
 // buildSingletons converts the blocks that occur at most once.
 func (b *builder) buildSingletons() {
-	f := b.cfg.Fleet
+	fl := b.cfg.Fleet
 	o := b.singleton("rules")
-	f.Rules = fleet.Rules{DrainGrace: o.duration("drain_grace"), FallFactor: o.num("fall_factor"), FallFor: o.duration("fall_for"),
+	fl.Rules = fleet.Rules{DrainGrace: o.duration("drain_grace"), FallFactor: o.num("fall_factor"), FallFor: o.duration("fall_for"),
 		CeilingSlack: o.num("ceiling_slack"), Attempts: o.integer("attempts")}
 	o = b.singleton("network")
-	f.Network = fleet.Network{SameRoom: o.duration("same_room"), CrossRoom: o.duration("cross_room"), Client: o.duration("client"), Jitter: o.num("jitter"),
+	fl.Network = fleet.Network{SameRoom: o.duration("same_room"), CrossRoom: o.duration("cross_room"), Client: o.duration("client"), Jitter: o.num("jitter"),
 		Connect: o.duration("connect_timeout"), Idle: o.duration("idle_timeout"), PeerLeast: o.duration("peer_least"), PeerMost: o.duration("peer_most"),
 		PeerLoss: o.num("peer_loss"), PeerIn: o.num("peer_in"), ListLeast: o.duration("list_least"), ListMost: o.duration("list_most"),
 		SilentNotice: o.duration("silent_notice"), FrontNotice: o.duration("front_notice")}
 	for _, name := range []string{"peer", "list"} {
-		least, most := o.duration(name+"_least"), o.duration(name+"_most")
-		if fieldsValid(o, name+"_least", name+"_most") && least > most {
-			b.add("least-over-most", o.fieldRange(name+"_most"), fmt.Sprintf("write %q or more", least), "%s_most = %v is below %s_least = %v", name, most, name, least)
+		low, high := o.duration(name+"_least"), o.duration(name+"_most")
+		if fieldsValid(o, name+"_least", name+"_most") && low > high {
+			b.add("least-over-most", o.fieldRange(name+"_most"), fmt.Sprintf("write %q or more", low), "%s_most = %v is below %s_least = %v", name, high, name, low)
 		}
 	}
 	o = b.singleton("traffic")
-	f.Traffic = fleet.Traffic{Accounts: o.integer("accounts"), Rate: o.num("rate"), Swing: o.num("swing"), Retries: o.integer("retries"),
+	fl.Traffic = fleet.Traffic{Accounts: o.integer("accounts"), Rate: o.num("rate"), Swing: o.num("swing"), Retries: o.integer("retries"),
 		TryShare: o.num("try_share"), Backoff: o.duration("backoff"), Heed: o.num("heed"), MaxAdvice: o.duration("max_advice"), SpreadMin: o.num("spread_least"),
 		Skew: o.num("skew"), Shift: o.duration("shift"), Heavy: o.num("heavy"), HeavyX: o.num("heavy_times")}
 	if o := b.byName["memory"][""]; o != nil {
@@ -292,40 +295,42 @@
 		b.buildDuties(all[0])
 	}
 	o = b.singleton("limits")
-	f.Limits = fleet.Limits{Cores: o.num("cores"), MemoryMB: int(o.num("memory")) >> 20, Sockets: o.integer("sockets")}
+	fl.Limits = fleet.Limits{Cores: o.num("cores"), MemoryMB: int(o.num("memory")) >> 20, Sockets: o.integer("sockets")}
 }
 
 // buildDuties converts the fleet block.
 func (b *builder) buildDuties(o *parsedBlock) {
-	d := Duties{o.label, o.text("folder"), o.list("voters"), o.duration("term"), o.num("drift"), o.text("ceilings"), o.text("watch")}
-	if n := len(d.Voters); o.isSet("voters") && n%2 == 0 {
+	duties := Duties{o.label, o.text("folder"), o.list("voters"), o.duration("term"), o.num("drift"), o.text("ceilings"), o.text("watch")}
+	if n := len(duties.Voters); o.isSet("voters") && n%2 == 0 {
 		b.add("voters-even", o.fieldRange("voters"), "name three, five or one", "%d limiters vote: an even number survives no more losses than one less", n)
 	}
-	b.cfg.Duties = d
+	b.cfg.Duties = duties
 }
 
+// buildPools converts the pool blocks, expands member patterns, and checks that each box is
+// in exactly one pool.
 func (b *builder) buildPools() {
-	f := b.cfg.Fleet
+	fl := b.cfg.Fleet
 	var names []string
-	for _, x := range f.Boxes {
-		names = append(names, x.Name)
+	for _, box := range fl.Boxes {
+		names = append(names, box.Name)
 	}
-	owner, whole := make([]*parsedBlock, len(f.Boxes)), true
+	owner, complete := make([]*parsedBlock, len(fl.Boxes)), true
 	for _, o := range b.blocksByName("pool") {
-		p := Pool{Name: o.label, Discovery: o.text("discovery")}
-		p.Tiers = b.buildTiers(o)
-		v := o.values["members"]
-		for k, pattern := range v.entries {
-			at, found := v.itemRanges[k], false
+		pool := Pool{Name: o.label, Discovery: o.text("discovery")}
+		pool.Tiers = b.buildTiers(o)
+		members := o.values["members"]
+		for entry, pattern := range members.entries {
+			at, patternMatched := members.itemRanges[entry], false
 			for i, name := range names {
-				fits, err := path.Match(pattern, name)
+				matched, err := path.Match(pattern, name)
 				if err != nil {
 					break
 				}
-				if !fits {
+				if !matched {
 					continue
 				}
-				found = true
+				patternMatched = true
 				switch {
 				case owner[i] == o:
 				case owner[i] != nil:
@@ -333,34 +338,34 @@
 						"box %q is a member of pool %q already", name, owner[i].label).addRelated(owner[i].fieldRange("members"))
 				default:
 					owner[i] = o
-					p.Boxes = append(p.Boxes, i)
+					pool.Boxes = append(pool.Boxes, i)
 				}
 			}
-			whole = whole && found
-			if !found && !b.incomplete {
+			complete = complete && patternMatched
+			if !patternMatched && !b.incomplete {
 				b.add("unknown-name", at, suggestFix(pattern, names), "no box fits %q", pattern)
 			}
 		}
-		_, have := o.values["members"]
-		_, found := o.values["discovery"]
-		empty := v.valid && len(v.entries) == 0 || !have && !o.maybeMisspelled("members")
-		whole = whole && (v.valid && len(v.entries) > 0 || found && !have)
-		if empty && !found {
+		_, hasMembers := o.values["members"]
+		_, hasDiscovery := o.values["discovery"]
+		empty := members.valid && len(members.entries) == 0 || !hasMembers && !o.maybeMisspelled("members")
+		complete = complete && (members.valid && len(members.entries) > 0 || hasDiscovery && !hasMembers)
+		if empty && !hasDiscovery {
 			b.add("pool-empty", o.at, `write the boxes that it has, such as members = ["a*"], or discovery = "127.0.0.1:8500"`, "pool %q has no members", o.label)
 		}
-		slices.Sort(p.Boxes)
-		b.cfg.Pools = append(b.cfg.Pools, p)
+		slices.Sort(pool.Boxes)
+		b.cfg.Pools = append(b.cfg.Pools, pool)
 	}
-	if len(b.cfg.Pools) == 1 && len(b.cfg.Pools[0].Boxes) == len(f.Boxes) {
-		f.Tiers = b.cfg.Pools[0].Tiers
+	if len(b.cfg.Pools) == 1 && len(b.cfg.Pools[0].Boxes) == len(fl.Boxes) {
+		fl.Tiers = b.cfg.Pools[0].Tiers
 	}
-	told := map[*parsedBlock]bool{}
-	if whole && len(b.cfg.Pools) > 0 && !b.incomplete {
+	reported := map[*parsedBlock]bool{}
+	if complete && len(b.cfg.Pools) > 0 && !b.incomplete {
 		for i, o := range owner {
-			from := b.cfg.places["box "+names[i]]
-			if in := b.boxBlocks[names[i]]; o == nil && !told[in] {
-				told[in] = true
-				b.add("box-without-pool", from, "make it a member of a pool, or take it out", "box %q is in no pool and takes no requests", names[i])
+			boxRange := b.cfg.places["box "+names[i]]
+			if block := b.boxBlocks[names[i]]; o == nil && !reported[block] {
+				reported[block] = true
+				b.add("box-without-pool", boxRange, "make it a member of a pool, or take it out", "box %q is in no pool and takes no requests", names[i])
 			}
 		}
 	}
@@ -368,49 +373,49 @@
 
 // buildTiers returns the tiers of a pool, sorted by rank.
 func (b *builder) buildTiers(o *parsedBlock) fleet.Tiers {
-	var subs []*parsedBlock
-	ranks, rooms, labels, known := map[int]*parsedBlock{}, map[string]*parsedBlock{}, map[string]*parsedBlock{}, map[string]bool{}
+	var tierBlocks []*parsedBlock
+	ranks, rooms, labels, knownLabels := map[int]*parsedBlock{}, map[string]*parsedBlock{}, map[string]*parsedBlock{}, map[string]bool{}
 	for _, x := range b.cfg.Fleet.Boxes {
 		for _, label := range x.Labels {
-			known[label] = true
+			knownLabels[label] = true
 		}
 	}
-	for _, s := range o.children {
-		subs = append(subs, s)
-		if other := ranks[s.integer("rank")]; other != nil && s.isSet("rank") {
-			b.add("tier-overlap", s.fieldRange("rank"), "give each tier a rank of its own", "tiers %q and %q have the same rank", other.label, s.label).addRelated(other.fieldRange("rank"))
+	for _, tierBlock := range o.children {
+		tierBlocks = append(tierBlocks, tierBlock)
+		if other := ranks[tierBlock.integer("rank")]; other != nil && tierBlock.isSet("rank") {
+			b.add("tier-overlap", tierBlock.fieldRange("rank"), "give each tier a rank of its own", "tiers %q and %q have the same rank", other.label, tierBlock.label).addRelated(other.fieldRange("rank"))
 		}
-		ranks[s.integer("rank")] = s
-		for i, room := range s.values["rooms"].entries {
+		ranks[tierBlock.integer("rank")] = tierBlock
+		for i, room := range tierBlock.values["rooms"].entries {
 			if other := rooms[room]; other != nil {
-				b.add("tier-overlap", s.values["rooms"].itemRanges[i], "take it out of one of them", "room %q is in tiers %q and %q", room, other.label, s.label).addRelated(other.fieldRange("rooms"))
+				b.add("tier-overlap", tierBlock.values["rooms"].itemRanges[i], "take it out of one of them", "room %q is in tiers %q and %q", room, other.label, tierBlock.label).addRelated(other.fieldRange("rooms"))
 			}
-			rooms[room] = s
+			rooms[room] = tierBlock
 		}
-		for i, label := range s.values["labels"].entries {
+		for i, label := range tierBlock.values["labels"].entries {
 			if other := labels[label]; other != nil {
-				b.add("tier-overlap", s.values["labels"].itemRanges[i], "take it out of one of them", "label %q is in tiers %q and %q", label, other.label, s.label).addRelated(other.fieldRange("labels"))
+				b.add("tier-overlap", tierBlock.values["labels"].itemRanges[i], "take it out of one of them", "label %q is in tiers %q and %q", label, other.label, tierBlock.label).addRelated(other.fieldRange("labels"))
 			}
-			if labels[label] = s; !known[label] && !b.incomplete {
+			if labels[label] = tierBlock; !knownLabels[label] && !b.incomplete {
 				fix := fmt.Sprintf("add labels = [%q] to the boxes that the tier is to have", label)
-				if len(known) > 0 {
-					fix = suggestFix(label, slices.Sorted(maps.Keys(known)))
+				if len(knownLabels) > 0 {
+					fix = suggestFix(label, slices.Sorted(maps.Keys(knownLabels)))
 				}
-				b.add("unknown-name", s.values["labels"].itemRanges[i], fix, "no box has the label %q", label)
+				b.add("unknown-name", tierBlock.values["labels"].itemRanges[i], fix, "no box has the label %q", label)
 			}
 		}
-		if len(s.list("rooms")) == 0 && len(s.list("labels")) == 0 && s.text("own_room") != "yes" && (s.isSet("rooms") || !s.maybeMisspelled("rooms")) {
-			b.add("tier-empty", s.at, `add rooms = ["room-a"], labels = ["rack-7"] or own_room = "yes"`, "tier %q has no boxes", s.label)
+		if len(tierBlock.list("rooms")) == 0 && len(tierBlock.list("labels")) == 0 && tierBlock.text("own_room") != "yes" && (tierBlock.isSet("rooms") || !tierBlock.maybeMisspelled("rooms")) {
+			b.add("tier-empty", tierBlock.at, `add rooms = ["room-a"], labels = ["rack-7"] or own_room = "yes"`, "tier %q has no boxes", tierBlock.label)
 		}
 	}
-	slices.SortStableFunc(subs, func(x, y *parsedBlock) int { return x.integer("rank") - y.integer("rank") })
+	slices.SortStableFunc(tierBlocks, func(x, y *parsedBlock) int { return x.integer("rank") - y.integer("rank") })
 	var tiers fleet.Tiers
-	for _, s := range subs {
-		t := fleet.Tier{Name: s.label, Labels: s.list("labels"), OwnRoom: s.text("own_room") == "yes", Spill: s.num("spill")}
-		for _, room := range s.list("rooms") {
-			t.Rooms = append(t.Rooms, b.roomIndex[room])
+	for _, tierBlock := range tierBlocks {
+		tier := fleet.Tier{Name: tierBlock.label, Labels: tierBlock.list("labels"), OwnRoom: tierBlock.text("own_room") == "yes", Spill: tierBlock.num("spill")}
+		for _, room := range tierBlock.list("rooms") {
+			tier.Rooms = append(tier.Rooms, b.roomIndex[room])
 		}
-		tiers = append(tiers, t)
+		tiers = append(tiers, tier)
 	}
 	return tiers
 }
@@ -439,18 +444,18 @@
 // the addresses that a served deployment needs.
 func (b *builder) checkAddresses() {
 	var tcp, udp, boxes []listenAddress
-	served, peers := false, 0
+	served, withPeer := false, 0
 	limiters := b.blocksOf("limiter")
-	more := map[string]bool{}
+	hasListener := map[string]bool{}
 	for _, o := range b.blocksByName("listener") {
-		b.cfg.Listeners = append(b.cfg.Listeners, Listener{Name: o.label, Address: o.text("address"), Limiter: max(0, slices.IndexFunc(limiters, func(l *parsedBlock) bool { return l.label == o.text("limiter") }))})
-		more[o.text("limiter")] = true
+		b.cfg.Listeners = append(b.cfg.Listeners, Listener{Name: o.label, Address: o.text("address"), Limiter: max(0, slices.IndexFunc(limiters, func(limiter *parsedBlock) bool { return limiter.label == o.text("limiter") }))})
+		hasListener[o.text("limiter")] = true
 		tcp = appendAddress(tcp, fmt.Sprintf("listener %q", o.label), o, "address")
 	}
 	for _, o := range limiters {
-		served = served || o.isSet("listen") || more[o.label]
+		served = served || o.isSet("listen") || hasListener[o.label]
 		if o.isSet("peer") {
-			peers++
+			withPeer++
 		}
 		tcp = appendAddress(tcp, fmt.Sprintf("limiter %q", o.label), o, "admin")
 		tcp = appendAddress(tcp, fmt.Sprintf("limiter %q", o.label), o, "fleet")
@@ -459,72 +464,73 @@
 	for _, o := range b.blocksByName("forward_auth") {
 		tcp = appendAddress(tcp, fmt.Sprintf("forward_auth %q", o.label), o, "listen")
 	}
-	for _, x := range b.cfg.Fleet.Boxes {
-		if x.Dial != "" {
-			at := b.cfg.places["box "+x.Name]
-			boxes = append(boxes, listenAddress{fmt.Sprintf("box %q", x.Name), at, netip.MustParseAddrPort(x.Dial)})
+	for _, box := range b.cfg.Fleet.Boxes {
+		if box.Dial != "" {
+			at := b.cfg.places["box "+box.Name]
+			boxes = append(boxes, listenAddress{fmt.Sprintf("box %q", box.Name), at, netip.MustParseAddrPort(box.Dial)})
 		}
 	}
 	b.checkAddressConflicts(append(tcp, boxes...))
 	b.checkAddressConflicts(udp)
-	fleets := b.blocksOf("fleet")
+	fleetBlocks := b.blocksOf("fleet")
 	for _, o := range limiters {
-		_, listen := o.values["listen"]
-		if _, has := o.values["fleet"]; !has && len(fleets) > 0 {
+		_, hasListen := o.values["listen"]
+		if _, hasFleet := o.values["fleet"]; !hasFleet && len(fleetBlocks) > 0 {
 			b.add("address-missing", o.at, `add fleet = "127.0.0.1:7990"`, "limiter %q has no address for the fleet's duties, and there is a fleet block", o.label)
 		}
-		_, peer := o.values["peer"]
-		if served && !listen && !more[o.label] {
+		_, hasPeer := o.values["peer"]
+		if served && !hasListen && !hasListener[o.label] {
 			b.add("address-missing", o.at, `add listen = "127.0.0.1:8080"`, "limiter %q has no address for clients, while others have", o.label)
 		}
-		if peers > 0 && !peer {
+		if withPeer > 0 && !hasPeer {
 			b.add("peers-half", o.at, `add peer = "127.0.0.1:7946", or take peer out of all limiters`, "limiter %q has no address for its peers, while others have", o.label)
 		}
 	}
 	if served {
 		for _, o := range b.blocksOf("box") {
-			if _, have := o.values["dial"]; !have {
+			if _, hasDial := o.values["dial"]; !hasDial {
 				b.add("address-missing", o.at, `add dial = "127.0.0.1:9000"`, "box %q has no address, while limiters listen for clients", o.label)
 			}
 		}
 	}
 }
 
-func appendAddress(all []listenAddress, what string, o *parsedBlock, field string) []listenAddress {
+// appendAddress appends the address in a field, if the field is set.
+func appendAddress(all []listenAddress, owner string, o *parsedBlock, field string) []listenAddress {
 	if !o.isSet(field) {
 		return all
 	}
-	return append(all, listenAddress{what, o.fieldRange(field), netip.MustParseAddrPort(o.text(field))})
+	return append(all, listenAddress{owner, o.fieldRange(field), netip.MustParseAddrPort(o.text(field))})
 }
 
 // checkAddressConflicts reports addresses that are used twice. The unspecified addresses
 // 0.0.0.0 and :: conflict with every address on the same port.
 func (b *builder) checkAddressConflicts(all []listenAddress) {
 	byPort := map[uint16][]listenAddress{}
-	for _, x := range all {
-		byPort[x.addr.Port()] = append(byPort[x.addr.Port()], x)
+	for _, address := range all {
+		byPort[address.addr.Port()] = append(byPort[address.addr.Port()], address)
 	}
 	for _, port := range slices.Sorted(maps.Keys(byPort)) {
-		seen, wild := map[netip.Addr]*listenAddress{}, (*listenAddress)(nil)
-		list := byPort[port]
-		for i := range list {
-			if x := &list[i]; wild == nil && x.addr.Addr().IsUnspecified() {
-				wild = x
+		seen, unspecified := map[netip.Addr]*listenAddress{}, (*listenAddress)(nil)
+		samePort := byPort[port]
+		for i := range samePort {
+			if address := &samePort[i]; unspecified == nil && address.addr.Addr().IsUnspecified() {
+				unspecified = address
 			}
 		}
-		for i := range list {
-			x := &list[i]
-			other := seen[x.addr.Addr()]
-			if other == nil && wild != nil && wild != x {
-				other = wild
+		for i := range samePort {
+			address := &samePort[i]
+			other := seen[address.addr.Addr()]
+			if other == nil && unspecified != nil && unspecified != address {
+				other = unspecified
 			}
-			if seen[x.addr.Addr()] == nil {
-				seen[x.addr.Addr()] = x
+			if seen[address.addr.Addr()] == nil {
+				seen[address.addr.Addr()] = address
 			}
 			if other == nil {
 				continue
 			}
-			b.add("address-taken", x.at, "use another port", "%s takes %s, which is %s's", x.what, x.addr, other.what).addRelated(other.at)
+			b.add("address-taken", address.at, "use another port", "%s takes %s, which is %s's", address.what, address.addr, other.what).addRelated(other.at)
 		}
 	}
 }
--- a/config/config.go
+++ b/config/config.go
@@ -122,48 +122,48 @@
 	return load(roots, vars, defaultLimits)
 }
 
-func load(roots []Root, vars map[string]string, within loadLimits) (*Config, *Report) {
-	r := newReport()
-	l := &loader{Report: r, loadLimits: within, includedAt: map[string]hcl.Range{}}
+func load(roots []Root, vars map[string]string, limits loadLimits) (*Config, *Report) {
+	report := newReport()
+	ld := &loader{Report: report, loadLimits: limits, includedAt: map[string]hcl.Range{}}
 	for _, root := range roots {
-		l.loadFile(root, root.Name, nil, hcl.Range{})
+		ld.loadFile(root, root.Name, nil, hcl.Range{})
 	}
-	d := &decoder{scope: &scope{Report: r, vars: map[string]*namedValue{}, locals: map[string]*namedValue{}}, byName: map[string]map[string]*parsedBlock{}}
+	dec := &decoder{scope: &scope{Report: report, vars: map[string]*namedValue{}, locals: map[string]*namedValue{}}, byName: map[string]map[string]*parsedBlock{}}
 	for name, text := range vars {
-		d.vars[name] = &namedValue{value: textValue(text), state: 2}
+		dec.vars[name] = &namedValue{value: textValue(text), state: 2}
 	}
-	unread := len(r.Diagnostics) > 0
-	d.decode(l.files)
+	unreadable := len(report.Diagnostics) > 0
+	dec.decode(ld.files)
 	for name := range vars {
-		if d.vars[name].at.Filename == "" {
+		if dec.vars[name].at.Filename == "" {
 			at := hcl.Range{Start: hcl.InitialPos, End: hcl.InitialPos}
 			if len(roots) > 0 {
 				at.Filename = roots[0].Show + roots[0].Name
 			}
-			d.add("unknown-variable", at, fmt.Sprintf("add variable %q {}, or take --var %s away", name, name), "a value is given for the variable %q, which is not defined", name)
+			dec.add("unknown-variable", at, fmt.Sprintf("add variable %q {}, or take --var %s away", name, name), "a value is given for the variable %q, which is not defined", name)
 		}
 	}
-	c := (&builder{decoder: d, files: l.files, incomplete: unread}).build()
-	for _, f := range l.files {
-		c.Files = append(c.Files, f.displayName)
+	cfg := (&builder{decoder: dec, files: ld.files, incomplete: unreadable}).build()
+	for _, f := range ld.files {
+		cfg.Files = append(cfg.Files, f.displayName)
 	}
-	r.sort()
-	if r.Err() != nil {
-		return nil, r
+	report.sort()
+	if report.Err() != nil {
+		return nil, report
 	}
-	return c, r
+	return cfg, report
 }
 
 // LoadFiles is Load for files of the operating system. Each file can include only what is
 // below its own folder; symbolic links are followed within that folder.
 func LoadFiles(paths []string, vars map[string]string) (*Config, *Report, error) {
 	var roots []Root
-	for _, p := range paths {
-		p = filepath.Clean(p) // so that two spellings of one path are reported as a duplicate
-		dir, name := filepath.Split(p)
-		root, err := os.OpenRoot(filepath.Clean("./" + dir))
-		if filepath.IsAbs(p) {
-			root, err = os.OpenRoot(filepath.Clean(dir))
+	for _, path := range paths {
+		path = filepath.Clean(path) // so that two spellings of one path are reported as a duplicate
+		folder, name := filepath.Split(path)
+		root, err := os.OpenRoot(filepath.Clean("./" + folder))
+		if filepath.IsAbs(path) {
+			root, err = os.OpenRoot(filepath.Clean(folder))
 		}
 		if err != nil {
 			return nil, nil, fmt.Errorf("configuration: %w", err)
@@ -174,33 +174,33 @@
 			err = errors.New("a folder; write the first file in it")
 		}
 		if err != nil {
-			return nil, nil, fmt.Errorf("configuration: %s: %w", p, withoutPath(err))
+			return nil, nil, fmt.Errorf("configuration: %s: %w", path, withoutPath(err))
 		}
-		roots = append(roots, Root{FS: root.FS(), Name: name, Show: dir})
+		roots = append(roots, Root{FS: root.FS(), Name: name, Show: folder})
 	}
-	c, r := Load(roots, vars)
-	return c, r, nil
+	cfg, report := Load(roots, vars)
+	return cfg, report, nil
 }
 
 // LoadFleet loads a configuration file and returns only its fleet.
 func LoadFleet(path string) (*fleet.Fleet, error) {
-	c, r, err := LoadFiles([]string{path}, nil)
+	cfg, report, err := LoadFiles([]string{path}, nil)
 	if err != nil {
 		return nil, err
 	}
-	if err := r.Err(); err != nil {
+	if err := report.Err(); err != nil {
 		return nil, err
 	}
-	return c.Fleet, nil
+	return cfg.Fleet, nil
 }
 
 // Bluebird returns the fleet of deploy/bluebird.hcl, which is embedded in the program.
 func Bluebird() *fleet.Fleet {
-	c, r := Load([]Root{{FS: singleFileFS{"bluebird.hcl", deploy.Bluebird}, Name: "bluebird.hcl", Show: "built in "}}, nil)
-	if err := r.Err(); err != nil {
+	cfg, report := Load([]Root{{FS: singleFileFS{"bluebird.hcl", deploy.Bluebird}, Name: "bluebird.hcl", Show: "built in "}}, nil)
+	if err := report.Err(); err != nil {
 		panic(err) // the embedded file is invalid, which the tests detect
 	}
-	return c.Fleet
+	return cfg.Fleet
 }
 
 // Place returns the position of the block of a kind and name, or the zero Place if it is
@@ -211,8 +211,8 @@
 // Fleet.Limiters.
 func (c *Config) Listens(position int) []string {
 	var all []string
-	if a := c.Fleet.Limiters[position].Listen; a != "" {
-		all = append(all, a)
+	if address := c.Fleet.Limiters[position].Listen; address != "" {
+		all = append(all, address)
 	}
 	for _, l := range c.Listeners {
 		if l.Limiter == position {
@@ -224,25 +224,25 @@
 
 // PoolOf returns, for each box of the fleet, the index of its pool, or -1 if it has none.
 func (c *Config) PoolOf() []int {
-	of := make([]int, len(c.Fleet.Boxes))
-	for i := range of {
-		of[i] = -1
+	pools := make([]int, len(c.Fleet.Boxes))
+	for i := range pools {
+		pools[i] = -1
 	}
 	for i, p := range c.Pools {
 		for _, b := range p.Boxes {
-			of[b] = i
+			pools[b] = i
 		}
 	}
-	return of
+	return pools
 }
 
 // Matches returns the match conditions of the routes, in the order of Routes.
 func (c *Config) Matches() []route.Match {
-	m := make([]route.Match, len(c.Routes))
+	matches := make([]route.Match, len(c.Routes))
 	for i := range c.Routes {
-		m[i] = c.Routes[i].Match
+		matches[i] = c.Routes[i].Match
 	}
-	return m
+	return matches
 }
 
 // singleFileFS is an in-memory file system that contains one file.
--- a/config/decode.go
+++ b/config/decode.go
@@ -51,35 +51,35 @@
 	}
 	for _, f := range files {
 		fields, kinds := schema.childNames()
-		for _, a := range sortedAttributes(f.body) {
-			if slices.Contains(kinds, a.Name) {
-				name := a.Name
-				if schema.find(a.Name).labelMeaning != "" {
+		for _, attribute := range sortedAttributes(f.body) {
+			if slices.Contains(kinds, attribute.Name) {
+				name := attribute.Name
+				if schema.find(attribute.Name).labelMeaning != "" {
 					name += ` "NAME"`
 				}
-				d.add("not-a-block", a.NameRange, fmt.Sprintf("write %s { ... } without =", name), "%s is a block", a.Name)
+				d.add("not-a-block", attribute.NameRange, fmt.Sprintf("write %s { ... } without =", name), "%s is a block", attribute.Name)
 			} else {
-				d.addUnknownField(schema, a, fields)
+				d.addUnknownField(schema, attribute, fields)
 			}
 		}
 		for _, b := range f.body.Blocks {
 			if b.Type == "variable" || b.Type == "locals" {
 				continue
 			}
-			if o := d.decodeBlock(schema, b); o != nil && b.Type != "include" {
-				d.blocks = append(d.blocks, o)
+			if parsed := d.decodeBlock(schema, b); parsed != nil && b.Type != "include" {
+				d.blocks = append(d.blocks, parsed)
 			}
 		}
 	}
 	d.resolveReferences()
-	for _, x := range []struct {
+	for _, list := range []struct {
 		kind string
 		all  map[string]*namedValue
 	}{{"variable", d.vars}, {"local", d.locals}} {
-		for _, name := range slices.Sorted(maps.Keys(x.all)) {
-			if n := x.all[name]; !n.used {
-				d.add("unused", n.at, "take it out, or use it", "%s %q is used nowhere", x.kind, name)
-				d.evaluateNamed(map[string]string{"variable": "var.", "local": "local."}[x.kind]+name, n) // evaluated only to report its errors
+		for _, name := range slices.Sorted(maps.Keys(list.all)) {
+			if variable := list.all[name]; !variable.used {
+				d.add("unused", variable.at, "take it out, or use it", "%s %q is used nowhere", list.kind, name)
+				d.evaluateNamed(map[string]string{"variable": "var.", "local": "local."}[list.kind]+name, variable) // evaluated only to report its errors
 			}
 		}
 	}
@@ -100,19 +100,19 @@
 		d.addDuplicate("variable", name, b.DefRange(), first.at)
 		return
 	}
-	n := d.vars[name]
-	if n == nil {
-		n = &namedValue{}
-		d.vars[name] = n
+	variable := d.vars[name]
+	if variable == nil {
+		variable = &namedValue{}
+		d.vars[name] = variable
 	}
-	n.at = b.DefRange()
+	variable.at = b.DefRange()
 	for _, a := range sortedAttributes(b.Body) {
 		if a.Name != "default" {
 			d.addUnknownField(schema.find("variable"), a, []string{"default"})
 			continue
 		}
-		if n.state == 0 {
-			n.expr = a.Expr
+		if variable.state == 0 {
+			variable.expr = a.Expr
 		}
 		if looksSecret(name) {
 			d.add("secret-likely", a.Expr.Range(), "leave the default out and start with --var, or name a file in a field such as secret_file", "variable %q holds what looks like a secret", name)
@@ -149,54 +149,54 @@
 }
 
 // addUnknownField reports a field that the schema does not define for a block.
-func (d *decoder) addUnknownField(in *block, a *hclsyntax.Attribute, fields []string) {
-	of := "a file"
-	if in.kind != "" {
-		of = in.kind
-	}
-	if looksSecret(a.Name) {
-		file := strings.TrimSuffix(a.Name, "s") + "_file"
-		d.add("secret-clear", a.NameRange, fmt.Sprintf("put it into a file and name that, such as %s = \"/etc/madderdrum/NAME\"", file), "%s has no field %q: secrets don't stand in this file", of, a.Name)
+func (d *decoder) addUnknownField(parent *block, attribute *hclsyntax.Attribute, fields []string) {
+	blockName := "a file"
+	if parent.kind != "" {
+		blockName = parent.kind
+	}
+	if looksSecret(attribute.Name) {
+		file := strings.TrimSuffix(attribute.Name, "s") + "_file"
+		d.add("secret-clear", attribute.NameRange, fmt.Sprintf("put it into a file and name that, such as %s = \"/etc/madderdrum/NAME\"", file), "%s has no field %q: secrets don't stand in this file", blockName, attribute.Name)
 		return
 	}
-	fix := suggestFix(a.Name, fields)
-	if in.find(a.Name) != nil {
-		d.add("not-a-block", a.NameRange, fmt.Sprintf("write %s { ... } without =", a.Name), "%s is a block", a.Name)
+	fix := suggestFix(attribute.Name, fields)
+	if parent.find(attribute.Name) != nil {
+		d.add("not-a-block", attribute.NameRange, fmt.Sprintf("write %s { ... } without =", attribute.Name), "%s is a block", attribute.Name)
 		return
 	}
-	if fix == "" && in.kind == "" {
-		fix = "put it into a block, or into locals { ... } to use it as local." + a.Name
+	if fix == "" && parent.kind == "" {
+		fix = "put it into a block, or into locals { ... } to use it as local." + attribute.Name
 	} else if fix == "" {
 		fix = "take it out"
 	}
-	d.add("unknown-field", a.NameRange, fix, "%s has no field %q", of, a.Name)
+	d.add("unknown-field", attribute.NameRange, fix, "%s has no field %q", blockName, attribute.Name)
 }
 
 // checkLabels reports whether a block has the number and form of labels that its schema
 // requires.
-func (d *decoder) checkLabels(is *block, b *hclsyntax.Block) bool {
-	want := 0
-	if is.labelMeaning != "" {
-		want = 1
-	}
-	if len(b.Labels) != want {
-		fix := fmt.Sprintf("write %s { ... }", is.kind)
-		if want == 1 {
-			fix = fmt.Sprintf("write %s \"NAME\" { ... }: its label is the %s", is.kind, is.labelMeaning)
+func (d *decoder) checkLabels(schemaBlock *block, hclBlock *hclsyntax.Block) bool {
+	wantLabels := 0
+	if schemaBlock.labelMeaning != "" {
+		wantLabels = 1
+	}
+	if len(hclBlock.Labels) != wantLabels {
+		fix := fmt.Sprintf("write %s { ... }", schemaBlock.kind)
+		if wantLabels == 1 {
+			fix = fmt.Sprintf("write %s \"NAME\" { ... }: its label is the %s", schemaBlock.kind, schemaBlock.labelMeaning)
 		}
-		what := fmt.Sprintf("%d labels", len(b.Labels))
-		if len(b.Labels) == 1 {
+		what := fmt.Sprintf("%d labels", len(hclBlock.Labels))
+		if len(hclBlock.Labels) == 1 {
 			what = "a label"
 		}
-		d.add("label", b.DefRange(), fix, "%s with %s", is.kind, what)
+		d.add("label", hclBlock.DefRange(), fix, "%s with %s", schemaBlock.kind, what)
 		return false
 	}
-	if want == 1 && !is.freeLabel {
-		name := b.Labels[0]
+	if wantLabels == 1 && !schemaBlock.freeLabel {
+		name := hclBlock.Labels[0]
 		if name == "" || len(name) > 128 || strings.ContainsFunc(name, func(c rune) bool {
 			return !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_' || c == '.')
 		}) {
-			d.add("bad-name", b.LabelRanges[0], "use up to 128 letters, digits, dashes, dots and underscores", "%s %q can't be a name", is.kind, name)
+			d.add("bad-name", hclBlock.LabelRanges[0], "use up to 128 letters, digits, dashes, dots and underscores", "%s %q can't be a name", schemaBlock.kind, name)
 			return false
 		}
 	}
@@ -210,45 +210,45 @@
 
 // decodeBlock decodes a block nested in the schema block in. It returns nil if the block is
 // unknown, badly labelled or a duplicate.
-func (d *decoder) decodeBlock(in *block, b *hclsyntax.Block) *parsedBlock {
-	is := in.find(b.Type)
-	if is == nil {
-		_, known := in.childNames()
-		of := "a file"
-		if in.kind != "" {
-			of = in.kind
+func (d *decoder) decodeBlock(parent *block, hclBlock *hclsyntax.Block) *parsedBlock {
+	def := parent.find(hclBlock.Type)
+	if def == nil {
+		_, known := parent.childNames()
+		parentName := "a file"
+		if parent.kind != "" {
+			parentName = parent.kind
 		}
-		if f := in.field(b.Type); f != nil {
-			d.add("not-a-block", b.DefRange(), fmt.Sprintf("write %s = %s", b.Type, kinds[f.kind].example), "%s is a field", b.Type)
+		if f := parent.field(hclBlock.Type); f != nil {
+			d.add("not-a-block", hclBlock.DefRange(), fmt.Sprintf("write %s = %s", hclBlock.Type, kinds[f.kind].example), "%s is a field", hclBlock.Type)
 			return nil
 		}
-		fix := suggestFix(b.Type, known)
+		fix := suggestFix(hclBlock.Type, known)
 		switch {
-		case foreignBlockNames[b.Type] != "" && in == schema:
-			fix = fmt.Sprintf("it is called %s here", foreignBlockNames[b.Type])
-		case in != schema && schema.find(b.Type) != nil:
-			fix = fmt.Sprintf("move it out of the %s: it stands by itself", in.kind)
+		case foreignBlockNames[hclBlock.Type] != "" && parent == schema:
+			fix = fmt.Sprintf("it is called %s here", foreignBlockNames[hclBlock.Type])
+		case parent != schema && schema.find(hclBlock.Type) != nil:
+			fix = fmt.Sprintf("move it out of the %s: it stands by itself", parent.kind)
 		case fix == "":
 			fix = "take it out"
 		}
-		d.add("unknown-block", b.DefRange(), fix, "%s has no block %q", of, b.Type)
+		d.add("unknown-block", hclBlock.DefRange(), fix, "%s has no block %q", parentName, hclBlock.Type)
 		return nil
 	}
-	labelled := d.checkLabels(is, b)
-	o := &parsedBlock{block: is, at: b.DefRange(), values: map[string]value{}}
-	if len(b.Labels) > 0 {
-		o.label = b.Labels[0]
+	labelsOK := d.checkLabels(def, hclBlock)
+	parsed := &parsedBlock{block: def, at: hclBlock.DefRange(), values: map[string]value{}}
+	if len(hclBlock.Labels) > 0 {
+		parsed.label = hclBlock.Labels[0]
 	}
-	fields, _ := is.childNames()
-	for _, a := range sortedAttributes(b.Body) {
-		f := is.field(a.Name)
+	fields, _ := def.childNames()
+	for _, a := range sortedAttributes(hclBlock.Body) {
+		f := def.field(a.Name)
 		if f == nil {
-			d.addUnknownField(is, a, fields)
-			o.misspelled = append(o.misspelled, nearest(a.Name, fields))
+			d.addUnknownField(def, a, fields)
+			parsed.misspelled = append(parsed.misspelled, nearest(a.Name, fields))
 			continue
 		}
 		v := d.readField(f, a.Name, a.Expr)
-		o.values[a.Name] = v
+		parsed.values[a.Name] = v
 		if f.kind == kindReference && v.valid {
 			if f.list {
 				for i, name := range v.entries {
@@ -259,12 +259,12 @@
 			}
 		}
 	}
-	for i := range is.fields {
-		f := &is.fields[i]
-		if _, have := o.values[f.name]; have {
+	for i := range def.fields {
+		f := &def.fields[i]
+		if _, have := parsed.values[f.name]; have {
 			continue
 		}
-		if f.required && !o.maybeMisspelled(f.name) {
+		if f.required && !parsed.maybeMisspelled(f.name) {
 			example := f.exampleText()
 			if f.kind == kindEnum {
 				example = fmt.Sprintf("%q", f.enumValues[0])
@@ -272,35 +272,35 @@
 			if f.list {
 				example = "[" + example + "]"
 			}
-			d.add("missing-field", b.DefRange(), fmt.Sprintf("add %s = %s: %s", f.name, example, f.doc), "%s has no %s", describeBlock(is, o.label), f.name)
+			d.add("missing-field", hclBlock.DefRange(), fmt.Sprintf("add %s = %s: %s", f.name, example, f.doc), "%s has no %s", describeBlock(def, parsed.label), f.name)
 		}
 		if f.defaultText != "" {
-			o.values[f.name] = d.defaultValue(f)
+			parsed.values[f.name] = d.defaultValue(f)
 		}
 	}
 	seen := map[string]hcl.Range{}
-	for _, sub := range b.Body.Blocks {
-		x := d.decodeBlock(is, sub)
-		if x == nil {
+	for _, childBlock := range hclBlock.Body.Blocks {
+		child := d.decodeBlock(def, childBlock)
+		if child == nil {
 			continue
 		}
-		key := x.block.kind + " " + x.label
-		if first, again := seen[key]; again && !(x.block.kind == "route") {
-			d.addDuplicate(x.block.kind, x.label, x.at, first)
+		key := child.block.kind + " " + child.label
+		if first, again := seen[key]; again && !(child.block.kind == "route") {
+			d.addDuplicate(child.block.kind, child.label, child.at, first)
 			continue
 		}
-		seen[key] = x.at
-		o.children = append(o.children, x)
+		seen[key] = child.at
+		parsed.children = append(parsed.children, child)
 	}
-	if !labelled {
+	if !labelsOK {
 		return nil
 	}
-	if in == schema && is.kind != "include" {
-		if !d.register(o) {
+	if parent == schema && def.kind != "include" {
+		if !d.register(parsed) {
 			return nil
 		}
 	}
-	return o
+	return parsed
 }
 
 // defaultValue returns the default value of a field that was omitted.
@@ -359,11 +359,11 @@
 }
 
 // describeBlock returns the kind and label of a block as diagnostics show them.
-func describeBlock(is *block, label string) string {
-	if is.labelMeaning == "" {
-		return is.kind
+func describeBlock(def *block, label string) string {
+	if def.labelMeaning == "" {
+		return def.kind
 	}
-	return fmt.Sprintf("%s %q", is.kind, label)
+	return fmt.Sprintf("%s %q", def.kind, label)
 }
 
 // textValue converts a variable's value from the command line to a number if it parses as
--- a/config/diff.go
+++ b/config/diff.go
@@ -120,7 +120,7 @@
 // Diff returns how the meaning of b differs from that of a. Layout, includes, the order of
 // blocks, the use of variables and policies, and the spelling of units make no difference.
 func Diff(a, b *Config) *Difference {
-	d := &Difference{}
+	diff := &Difference{}
 	before, after := map[string]*setting{}, map[string]*setting{}
 	for i := range a.settings {
 		before[a.settings[i].key()] = &a.settings[i]
@@ -128,47 +128,47 @@
 	for i := range b.settings {
 		after[b.settings[i].key()] = &b.settings[i]
 	}
-	block := func(f *setting) string { return strings.TrimSpace(f.kind + " " + f.name + " " + f.path) }
-	there := func(all map[string]*setting, f *setting) bool {
-		top := setting{kind: f.kind, name: f.name}
-		if all[top.key()] == nil && slices.Contains([]string{"rules", "network", "traffic", "limits"}, f.kind) {
+	blockName := func(s *setting) string { return strings.TrimSpace(s.kind + " " + s.name + " " + s.path) }
+	blockExists := func(all map[string]*setting, s *setting) bool {
+		top := setting{kind: s.kind, name: s.name}
+		if all[top.key()] == nil && slices.Contains([]string{"rules", "network", "traffic", "limits"}, s.kind) {
 			return true
 		}
-		sub := setting{kind: f.kind, name: f.name, path: f.path}
-		return all[top.key()] != nil && (f.path == "" || all[sub.key()] != nil)
+		sub := setting{kind: s.kind, name: s.name, path: s.path}
+		return all[top.key()] != nil && (s.path == "" || all[sub.key()] != nil)
 	}
 	for i := range a.settings {
-		f := &a.settings[i]
-		g := after[f.key()]
+		old := &a.settings[i]
+		updated := after[old.key()]
 		switch {
-		case g == nil && f.field == "" && (f.path == "" || there(after, &setting{kind: f.kind, name: f.name})):
-			effect, grade := removalEffect(f, a)
-			d.Changes = append(d.Changes, Change{Block: block(f), Effect: "is gone: " + effect, Grade: grade, Restart: slices.Contains(restartKinds, f.kind)})
-		case g == nil && f.field != "" && there(after, f):
-			d.Changes = append(d.Changes, fieldChange(block(f), f, nil))
-		case g != nil && g.text != f.text:
-			d.Changes = append(d.Changes, fieldChange(block(f), f, g))
+		case updated == nil && old.field == "" && (old.path == "" || blockExists(after, &setting{kind: old.kind, name: old.name})):
+			effect, grade := removalEffect(old, a)
+			diff.Changes = append(diff.Changes, Change{Block: blockName(old), Effect: "is gone: " + effect, Grade: grade, Restart: slices.Contains(restartKinds, old.kind)})
+		case updated == nil && old.field != "" && blockExists(after, old):
+			diff.Changes = append(diff.Changes, fieldChange(blockName(old), old, nil))
+		case updated != nil && updated.text != old.text:
+			diff.Changes = append(diff.Changes, fieldChange(blockName(old), old, updated))
 		}
 	}
 	for i := range b.settings {
-		g := &b.settings[i]
-		if before[g.key()] != nil {
+		updated := &b.settings[i]
+		if before[updated.key()] != nil {
 			continue
 		}
 		switch {
-		case g.field == "" && (g.path == "" || there(before, &setting{kind: g.kind, name: g.name})):
-			effect, grade := additionEffect(g)
-			d.Changes = append(d.Changes, Change{Block: block(g), Effect: "is new: " + effect, Grade: grade, Restart: slices.Contains(restartKinds, g.kind)})
-		case g.field != "" && there(before, g):
-			d.Changes = append(d.Changes, fieldChange(block(g), nil, g))
+		case updated.field == "" && (updated.path == "" || blockExists(before, &setting{kind: updated.kind, name: updated.name})):
+			effect, grade := additionEffect(updated)
+			diff.Changes = append(diff.Changes, Change{Block: blockName(updated), Effect: "is new: " + effect, Grade: grade, Restart: slices.Contains(restartKinds, updated.kind)})
+		case updated.field != "" && blockExists(before, updated):
+			diff.Changes = append(diff.Changes, fieldChange(blockName(updated), nil, updated))
 		}
 	}
-	d.findMoves(a, b)
-	return d
+	diff.findMoves(a, b)
+	return diff
 }
 
 // removalEffect describes and grades the removal of a block.
-func removalEffect(f *setting, a *Config) (string, Grade) {
+func removalEffect(f *setting, before *Config) (string, Grade) {
 	switch f.kind {
 	case "class":
 		return "requests that name it are answered 400; those in hand end as they began", Breaking
@@ -189,8 +189,8 @@
 }
 
 // additionEffect describes and grades the addition of a block.
-func additionEffect(g *setting) (string, Grade) {
-	switch g.kind {
+func additionEffect(f *setting) (string, Grade) {
+	switch f.kind {
 	case "class", "plan":
 		return "requests may name it", Safe
 	case "box":
@@ -205,44 +205,44 @@
 	return "holds from now on", NeedsCare
 }
 
-// fieldChange describes and grades the change of a field from f to g. One of them is nil if
-// the field is new or gone.
-func fieldChange(block string, f, g *setting) Change {
-	c := Change{Block: block, Grade: NeedsCare}
-	is := (*field)(nil)
-	if f != nil {
-		c.Before, is, c.Field = f.text, f.schema, f.field
-	}
-	if g != nil {
-		c.After, is, c.Field = g.text, g.schema, g.field
-	}
-	e := is.onChange
-	if f != nil && g != nil && f.num != g.num {
-		if e = is.onIncrease; g.num < f.num {
-			e = is.onDecrease
+// fieldChange describes and grades the change of a field from before to after. One of them is
+// nil if the field is new or gone.
+func fieldChange(block string, before, after *setting) Change {
+	result := Change{Block: block, Grade: NeedsCare}
+	def := (*field)(nil)
+	if before != nil {
+		result.Before, def, result.Field = before.text, before.schema, before.field
+	}
+	if after != nil {
+		result.After, def, result.Field = after.text, after.schema, after.field
+	}
+	eff := def.onChange
+	if before != nil && after != nil && before.num != after.num {
+		if eff = def.onIncrease; after.num < before.num {
+			eff = def.onDecrease
 		}
 	}
-	if e.text == "" && f == nil {
-		e = is.onDecrease // a new bound acts like a lowered one
+	if eff.text == "" && before == nil {
+		eff = def.onDecrease // a new bound acts like a lowered one
 	}
-	if e.text == "" && g == nil {
-		e = is.onIncrease
+	if eff.text == "" && after == nil {
+		eff = def.onIncrease
 	}
 	switch {
-	case e.text != "" && strings.Contains(e.text, "%s"):
-		c.Effect, c.Grade = fmt.Sprintf(e.text, cmp.Or(c.After, "what it is without")), e.grade
-	case e.text != "":
-		c.Effect, c.Grade = e.text, e.grade
-	case is.restart:
-		c.Effect = "holds from the next start on"
-	case isRouteCondition(block, c.Field):
-		c.Effect, c.Grade = "see below which requests fare otherwise", Safe
+	case eff.text != "" && strings.Contains(eff.text, "%s"):
+		result.Effect, result.Grade = fmt.Sprintf(eff.text, cmp.Or(result.After, "what it is without")), eff.grade
+	case eff.text != "":
+		result.Effect, result.Grade = eff.text, eff.grade
+	case def.restart:
+		result.Effect = "holds from the next start on"
+	case isRouteCondition(block, result.Field):
+		result.Effect, result.Grade = "see below which requests fare otherwise", Safe
 	default:
-		c.Effect = "is another one: " + strings.TrimSuffix(is.doc, ".")
-		c.Grade = Safe
+		result.Effect = "is another one: " + strings.TrimSuffix(def.doc, ".")
+		result.Grade = Safe
 	}
-	c.Restart = is.restart
-	return c
+	result.Restart = def.restart
+	return result
 }
 
 // isRouteCondition reports whether a field of a route decides which requests it takes or
@@ -258,42 +258,42 @@
 )
 
 // routingOutcome describes how a request is routed, and reports whether a route takes it.
-func (c *Config) routingOutcome(t *route.Table, q *route.Request) (string, bool) {
+func (c *Config) routingOutcome(table *route.Table, request *route.Request) (string, bool) {
 	if len(c.Routes) == 0 {
 		if len(c.Pools) == 1 {
 			return "pool " + c.Pools[0].Name, true
 		}
 		return "all boxes", true
 	}
-	i := t.Find(q)
+	i := table.Find(request)
 	if i < 0 {
 		return "404", false
 	}
-	r := &c.Routes[i]
-	to := "all boxes"
-	if r.Pool >= 0 {
-		to = "pool " + c.Pools[r.Pool].Name
+	rt := &c.Routes[i]
+	outcome := "all boxes"
+	if rt.Pool >= 0 {
+		outcome = "pool " + c.Pools[rt.Pool].Name
 	}
-	if r.Class >= 0 {
-		to += ", class " + c.Fleet.Classes[r.Class].Name
+	if rt.Class >= 0 {
+		outcome += ", class " + c.Fleet.Classes[rt.Class].Name
 	}
-	if r.Deadline > 0 {
-		to += ", deadline " + r.Deadline.String()
+	if rt.Deadline > 0 {
+		outcome += ", deadline " + rt.Deadline.String()
 	}
-	if r.Attempts > 0 {
-		to += fmt.Sprintf(", attempts %d", r.Attempts)
+	if rt.Attempts > 0 {
+		outcome += fmt.Sprintf(", attempts %d", rt.Attempts)
 	}
-	if r.MaxBody >= 0 {
-		to += ", max_body " + formatQuantity(float64(r.MaxBody), kindSize)
+	if rt.MaxBody >= 0 {
+		outcome += ", max_body " + formatQuantity(float64(rt.MaxBody), kindSize)
 	}
-	return to, true
+	return outcome, true
 }
 
 // findMoves finds requests that are routed differently. It tries a sample request of each
 // route, and of the intersection of each changed route with every other route. These pairs
 // cover all regions in which the two routing tables can differ.
 func (d *Difference) findMoves(a, b *Config) {
-	ta, tb := route.New(a.Matches()), route.New(b.Matches())
+	tableA, tableB := route.New(a.Matches()), route.New(b.Matches())
 	old := map[string]route.Match{}
 	for _, r := range a.Routes {
 		old[r.Name] = r.Match
@@ -301,8 +301,8 @@
 	var all, changed []route.Match
 	same := map[string]bool{}
 	for _, r := range b.Routes {
-		m, have := old[r.Name]
-		if have && m.String() == r.Match.String() && m.Priority == r.Match.Priority {
+		m, ok := old[r.Name]
+		if ok && m.String() == r.Match.String() && m.Priority == r.Match.Priority {
 			same[r.Name] = true
 		} else {
 			changed = append(changed, r.Match)
@@ -315,10 +315,10 @@
 		}
 	}
 	seen := map[[2]string]bool{}
-	try := func(m *route.Match) {
-		q := m.Sample()
-		before, was := a.routingOutcome(ta, &q)
-		after, is := b.routingOutcome(tb, &q)
+	compare := func(m *route.Match) {
+		sample := m.Sample()
+		before, routedBefore := a.routingOutcome(tableA, &sample)
+		after, routedAfter := b.routingOutcome(tableB, &sample)
 		if before == after || seen[[2]string{before, after}] && len(d.Moves) > 20 {
 			return
 		}
@@ -329,17 +329,17 @@
 		seen[[2]string{before, after}] = true
 		grade := NeedsCare
 		switch {
-		case was && !is:
+		case routedBefore && !routedAfter:
 			grade = Breaking
-		case !was:
+		case !routedBefore:
 			grade = Safe
 		}
 		example := m.String()
 		if len(m.Methods) == 0 {
-			example = q.Method + " " + example
+			example = sample.Method + " " + example
 		}
-		if q.Path != m.Path {
-			example = strings.Replace(example, cmp.Or(m.Path, "/"), q.Path, 1)
+		if sample.Path != m.Path {
+			example = strings.Replace(example, cmp.Or(m.Path, "/"), sample.Path, 1)
 		}
 		move := Move{Example: example, Before: before, After: after, Grade: grade}
 		if !slices.Contains(d.Moves, move) {
@@ -347,7 +347,7 @@
 		}
 	}
 	for i := range all {
-		try(&all[i])
+		compare(&all[i])
 	}
 	pairs := 0
 	for i := range changed {
@@ -355,13 +355,13 @@
 			if pairs++; pairs > maxRoutePairs {
 				break
 			}
-			if both, ok := changed[i].Intersect(&all[k]); ok {
-				try(&both)
+			if overlap, ok := changed[i].Intersect(&all[k]); ok {
+				compare(&overlap)
 			}
 		}
 	}
 	if a.unroutedOutcome() != b.unroutedOutcome() {
-		try(&route.Match{Host: "no-route.invalid", Path: "/no-route"})
+		compare(&route.Match{Host: "no-route.invalid", Path: "/no-route"})
 	}
 }
 
--- a/config/diff_test.go
+++ b/config/diff_test.go
@@ -30,9 +30,9 @@
 func TestSameMeaning(t *testing.T) {
 	for seed := range uint64(400) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		s := randomSample(r)
-		plain := loadText(t, s.write(nil))
-		files := s.write(r)
+		original := randomSample(r)
+		plain := loadText(t, original.write(nil))
+		files := original.write(r)
 		if d := Diff(plain, loadText(t, files)); !d.Empty() {
 			t.Fatalf("seed %d: %+v\n%v", seed, d, files)
 		}
@@ -94,7 +94,7 @@
 // A single change of meaning is reported as exactly one change, even if the two versions are
 // written differently; for routes, the moved requests are reported as well.
 func TestOneChange(t *testing.T) {
-	kinds := map[string]int{}
+	changedFields := map[string]int{}
 	for seed := range uint64(600) {
 		r := rand.New(rand.NewPCG(seed, 2))
 		s := randomSample(r)
@@ -108,8 +108,8 @@
 		if c := d.Changes[0]; c.Effect == "" || c.Grade == "" || c.Before == c.After || strings.Contains(c.String(), "%!") {
 			t.Fatalf("seed %d: %+v", seed, c)
 		}
-		if back := Diff(after, before); len(back.Changes) != 1 {
-			t.Fatalf("seed %d: backwards %+v", seed, back.Changes)
+		if reverse := Diff(after, before); len(reverse.Changes) != 1 {
+			t.Fatalf("seed %d: backwards %+v", seed, reverse.Changes)
 		}
 		if strings.HasPrefix(block, "route ") && (field == "pool" || field == "path" || field == "deadline") && len(d.Moves) == 0 {
 			t.Fatalf("seed %d: %s of %s moves no request", seed, field, block)
@@ -117,10 +117,10 @@
 		if !strings.HasPrefix(block, "route ") && len(d.Moves) > 0 {
 			t.Fatalf("seed %d: %s of %s moves requests: %+v", seed, field, block, d.Moves)
 		}
-		kinds[strings.Fields(block)[0]+"."+field]++
+		changedFields[strings.Fields(block)[0]+"."+field]++
 	}
-	if len(kinds) < 20 {
-		t.Errorf("only %d kinds of changes were tried: %v", len(kinds), kinds)
+	if len(changedFields) < 20 {
+		t.Errorf("only %d kinds of changes were tried: %v", len(changedFields), changedFields)
 	}
 }
 
@@ -134,7 +134,7 @@
 		"route \"all\" {\n  pool = \"main\"\n}\nroute \"api\" {\n  path = \"/api/\"\n  pool = \"main\"\n}\nroute \"bulk\" {\n  path = \"/api/bulk/\"\n  pool = \"bulk\"\n}\n"
 	text := string(base) + pools
 	before := loadText(t, map[string]string{"main.hcl": text})
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name, from, to string
 		want           string // the whole report
 	}{
@@ -151,12 +151,12 @@
 		{"a box moves", `["a2", "a3"]`, `["a3"]`, "pool bulk: members a2, a3 -> a3: its requests go to a3 [needs care]\n1 changes: needs care\n"},
 		{"fewer attempts", `path = "/api/bulk/"`, "path = \"/api/bulk/\"\n  attempts = 1", "route bulk: attempts = 1 is new: no more than 1 attempts [needs care]\nrequests such as GET */api/bulk/any: pool bulk -> pool bulk, attempts 1 [needs care]\n1 changes: needs care\n"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			changed := strings.Replace(text, c.from, c.to, 1)
+		t.Run(tc.name, func(t *testing.T) {
+			changed := strings.Replace(text, tc.from, tc.to, 1)
 			var got bytes.Buffer
 			Diff(before, loadText(t, map[string]string{"main.hcl": changed})).Write(&got)
-			if got.String() != c.want {
-				t.Errorf("got:\n%s\nwant:\n%s", got.String(), c.want)
+			if got.String() != tc.want {
+				t.Errorf("got:\n%s\nwant:\n%s", got.String(), tc.want)
 			}
 		})
 	}
@@ -164,7 +164,7 @@
 
 // Format normalizes the layout and preserves comments, heredocs and templates.
 func TestFormat(t *testing.T) {
-	for _, c := range []struct{ name, in, want string }{
+	for _, tc := range []struct{ name, in, want string }{
 		{"columns", "a \"x\" {\nb=1\n  long_name  =   2 # why\n}\n", "a \"x\" {\n  b         = 1\n  long_name = 2 # why\n}\n"},
 		{"blank lines", "\n\n\na {\n\n\n  b = 1\n\n\n\n  c = 2\n\n}\n\n\n\nd {}\n\n\n", "a {\n  b = 1\n\n  c = 2\n}\n\nd {}\n"},
 		{"comments", "# first\n\n\n# second\na {} // third\n/* fourth */\n", "# first\n\n# second\na {} // third\n/* fourth */\n"},
@@ -174,10 +174,10 @@
 		{"here-document", "a {\n  b = <<E\n\n\n  kept  \n\nE\n}\n", "a {\n  b = <<E\n\n\n  kept  \n\nE\n}\n"},
 		{"template", "a {\n  b = \"x${ local.y }z\"\n}\n", "a {\n  b = \"x${local.y}z\"\n}\n"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			got, err := Format([]byte(c.in), "f.hcl")
-			if err != nil || string(got) != c.want {
-				t.Errorf("%v\n%q\nwant\n%q", err, got, c.want)
+		t.Run(tc.name, func(t *testing.T) {
+			got, err := Format([]byte(tc.in), "f.hcl")
+			if err != nil || string(got) != tc.want {
+				t.Errorf("%v\n%q\nwant\n%q", err, got, tc.want)
 			}
 		})
 	}
@@ -192,11 +192,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	more, err := filepath.Glob("../deploy/examples/*/*.hcl")
+	examples, err := filepath.Glob("../deploy/examples/*/*.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	paths = append(paths, more...)
+	paths = append(paths, examples...)
 	for _, path := range append(paths, "testdata/base.hcl") {
 		data, err := os.ReadFile(path)
 		if err != nil {
--- a/config/eval.go
+++ b/config/eval.go
@@ -99,11 +99,11 @@
 // vars or locals.
 func (s *scope) resolveReference(ref hcl.Traversal, vars, locals map[string]cty.Value) bool {
 	root := ref.RootName()
-	from, into := s.vars, vars
+	from, results := s.vars, vars
 	switch root {
 	case "var":
 	case "local":
-		from, into = s.locals, locals
+		from, results = s.locals, locals
 	default:
 		word := root
 		if len(ref) > 1 {
@@ -121,8 +121,8 @@
 			name = a.Name
 		}
 	}
-	n := from[name]
-	if n == nil {
+	variable := from[name]
+	if variable == nil {
 		fix := suggestFix(name, slices.Sorted(maps.Keys(from)))
 		if fix == "" {
 			fix = map[string]string{"var": fmt.Sprintf("add variable %q { default = ... }", name), "local": fmt.Sprintf("add locals { %s = ... }", name)}[root]
@@ -130,11 +130,11 @@
 		s.add("unknown-variable", ref.SourceRange(), fix, "%s.%s is not defined", root, name)
 		return false
 	}
-	n.used = true
-	if !s.evaluateNamed(root+"."+name, n) {
+	variable.used = true
+	if !s.evaluateNamed(root+"."+name, variable) {
 		return false
 	}
-	into[name] = n.value
+	results[name] = variable.value
 	return true
 }
 
@@ -188,10 +188,10 @@
 
 // readField evaluates the expression of a field and checks it against the schema.
 func (s *scope) readField(f *field, name string, e hclsyntax.Expression) value {
-	out := value{at: e.Range()}
+	result := value{at: e.Range()}
 	v, ok := s.evaluate(e)
 	if !ok {
-		return out
+		return result
 	}
 	if f.kind == kindHeaders {
 		return s.readHeaders(name, v, e)
@@ -203,17 +203,17 @@
 				fix += "; it takes one value, without brackets"
 			}
 			s.add("wrong-type", e.Range(), fix, "%s takes one %s", name, kinds[f.kind].name)
-			return out
+			return result
 		}
-		out.num, out.text, out.valid = s.readScalar(f, name, v, e.Range())
-		return out
+		result.num, result.text, result.valid = s.readScalar(f, name, v, e.Range())
+		return result
 	}
 	if !v.Type().IsTupleType() && !v.Type().IsListType() {
 		s.add("wrong-type", e.Range(), fmt.Sprintf("write it in brackets, such as [%s]", f.exampleText()), "%s takes a list", name)
-		return out
+		return result
 	}
 	tuple, _ := e.(*hclsyntax.TupleConsExpr)
-	out.valid = true
+	result.valid = true
 	for i, item := range v.AsValueSlice() {
 		at := e.Range()
 		if tuple != nil && i < len(tuple.Exprs) {
@@ -221,33 +221,33 @@
 		}
 		if !item.Type().IsPrimitiveType() {
 			s.add("wrong-type", at, "write "+kinds[f.kind].takes, "%s takes a list of %ss", name, kinds[f.kind].name)
-			out.valid = false
+			result.valid = false
 			continue
 		}
 		_, text, ok := s.readScalar(f, name, item, at)
 		if !ok {
-			out.valid = false
+			result.valid = false
 			continue
 		}
-		if slices.Contains(out.entries, text) {
+		if slices.Contains(result.entries, text) {
 			s.add("listed-twice", at, "take it out", "%s lists %q twice", name, text)
 			continue
 		}
-		out.entries, out.itemRanges = append(out.entries, text), append(out.itemRanges, at)
+		result.entries, result.itemRanges = append(result.entries, text), append(result.itemRanges, at)
 	}
-	out.list = slices.Sorted(slices.Values(out.entries))
-	return out
+	result.list = slices.Sorted(slices.Values(result.entries))
+	return result
 }
 
 // readHeaders converts a map of header names to the values that a route matches.
 func (s *scope) readHeaders(name string, v cty.Value, e hclsyntax.Expression) value {
-	out := value{at: e.Range(), valid: true}
+	result := value{at: e.Range(), valid: true}
 	if !v.Type().IsObjectType() && !v.Type().IsMapType() {
 		s.add("wrong-type", e.Range(), `write it in braces, such as { "X-Tenant" = "north" }`, "%s takes names and values", name)
 		return value{at: e.Range()}
 	}
-	for it := v.ElementIterator(); it.Next(); {
-		k, item := it.Element()
+	for entries := v.ElementIterator(); entries.Next(); {
+		k, item := entries.Element()
 		key := canonicalHeader(k.AsString())
 		text, err := convert.Convert(item, cty.String)
 		switch {
@@ -257,28 +257,28 @@
 			s.add("bad-header", e.Range(), "write a header's name, such as \"X-Tenant\"; for Host there is the field host", "%q is no header that a route can look at", k.AsString())
 		case !printable(text.AsString()) || text.AsString() == "":
 			s.add("bad-header", e.Range(), "write a value of visible ASCII characters", "header %q has a value that no request has: %q", key, text.AsString())
-		case slices.ContainsFunc(out.headers, func(h [2]string) bool { return h[0] == key }):
+		case slices.ContainsFunc(result.headers, func(h [2]string) bool { return h[0] == key }):
 			s.add("bad-header", e.Range(), "write the name once", "header %q stands there in two spellings", key)
 		default:
 			if looksSecret(key) {
 				s.add("secret-likely", e.Range(), "let the proxy before the limiter check it, or match another header", "header %q is matched by its value in clear", key)
 			}
-			out.headers = append(out.headers, [2]string{key, text.AsString()})
+			result.headers = append(result.headers, [2]string{key, text.AsString()})
 			continue
 		}
-		out.valid = false
+		result.valid = false
 	}
-	slices.SortFunc(out.headers, func(a, b [2]string) int { return strings.Compare(a[0], b[0]) })
-	return out
+	slices.SortFunc(result.headers, func(a, b [2]string) int { return strings.Compare(a[0], b[0]) })
+	return result
 }
 
 // readScalar converts a single value to its number, in the base unit, and its canonical text.
 func (s *scope) readScalar(f *field, name string, v cty.Value, at hcl.Range) (num float64, text string, ok bool) {
-	k := kinds[f.kind]
-	wrong := func(code, mean, what string, args ...any) (float64, string, bool) {
-		fix := "write " + k.takes + ", such as " + f.exampleText()
-		if mean != "" {
-			fix += "; " + mean
+	info := kinds[f.kind]
+	fail := func(code, hint, what string, args ...any) (float64, string, bool) {
+		fix := "write " + info.takes + ", such as " + f.exampleText()
+		if hint != "" {
+			fix += "; " + hint
 		}
 		s.add(code, at, fix, what, args...)
 		return 0, "", false
@@ -286,51 +286,51 @@
 	switch f.kind {
 	case kindNumber, kindCount:
 		if v.Type() == cty.String {
-			if m := unitMismatch(v.AsString(), kindNumber); m != nil {
-				return wrong(m.code, m.hint, "%s = %q is not a %s", name, v.AsString(), k.name)
+			if qerr := unitMismatch(v.AsString(), kindNumber); qerr != nil {
+				return fail(qerr.code, qerr.hint, "%s = %q is not a %s", name, v.AsString(), info.name)
 			}
-			mean := ""
+			hint := ""
 			if _, unit, isNumber := splitNumber(v.AsString()); isNumber && unit == "" {
-				mean = "take the quotes away"
+				hint = "take the quotes away"
 			}
-			return wrong("wrong-type", mean, "%s = %q is not a %s", name, v.AsString(), k.name)
+			return fail("wrong-type", hint, "%s = %q is not a %s", name, v.AsString(), info.name)
 		}
 		if v.Type() != cty.Number {
-			return wrong("wrong-type", "", "%s takes %s", name, withArticle(k.name))
+			return fail("wrong-type", "", "%s takes %s", name, withArticle(info.name))
 		}
 		num, _ = v.AsBigFloat().Float64()
 		if f.kind == kindCount && num != math.Trunc(num) {
-			return wrong("bad-quantity", "", "%s = %g is not whole", name, num)
+			return fail("bad-quantity", "", "%s = %g is not whole", name, num)
 		}
 		return s.checkRange(f, name, "", num, at)
 	case kindDuration, kindRate, kindSize, kindShare:
 		if v.Type() == cty.Number {
-			x, _ := v.AsBigFloat().Float64()
-			_, m := parseQuantity(formatQuantity(x, kindNumber), f.kind)
-			mean := ""
-			if m != nil {
-				mean = m.hint
+			quantity, _ := v.AsBigFloat().Float64()
+			_, qerr := parseQuantity(formatQuantity(quantity, kindNumber), f.kind)
+			hint := ""
+			if qerr != nil {
+				hint = qerr.hint
 			}
-			return wrong("unit-missing", mean, "%s = %g has no unit", name, x)
+			return fail("unit-missing", hint, "%s = %g has no unit", name, quantity)
 		}
 		if v.Type() != cty.String {
-			return wrong("wrong-type", "", "%s takes %s", name, withArticle(k.name))
+			return fail("wrong-type", "", "%s takes %s", name, withArticle(info.name))
 		}
-		x, m := parseQuantity(v.AsString(), f.kind)
-		if m != nil {
-			return wrong(m.code, m.hint, "%s = %q is not a %s", name, v.AsString(), k.name)
+		quantity, qerr := parseQuantity(v.AsString(), f.kind)
+		if qerr != nil {
+			return fail(qerr.code, qerr.hint, "%s = %q is not a %s", name, v.AsString(), info.name)
 		}
-		if f.kind == kindSize && x != math.Trunc(x) {
-			return wrong("bad-quantity", "", "%s = %q is not a whole number of bytes", name, v.AsString())
+		if f.kind == kindSize && quantity != math.Trunc(quantity) {
+			return fail("bad-quantity", "", "%s = %q is not a whole number of bytes", name, v.AsString())
 		}
-		return s.checkRange(f, name, v.AsString(), x, at)
+		return s.checkRange(f, name, v.AsString(), quantity, at)
 	}
 	if v.Type() != cty.String {
-		mean := ""
+		hint := ""
 		if v.Type() == cty.Number {
-			mean = "put it in quotes"
+			hint = "put it in quotes"
 		}
-		return wrong("wrong-type", mean, "%s takes %s", name, withArticle(k.name))
+		return fail("wrong-type", hint, "%s takes %s", name, withArticle(info.name))
 	}
 	text = v.AsString()
 	switch f.kind {
@@ -342,59 +342,59 @@
 	case kindAddress:
 		a, ok := parseAddress(text)
 		if !ok {
-			mean := ""
+			hint := ""
 			if host, port, found := strings.Cut(text, ":"); found && (host == "" || host == "*") {
-				mean = fmt.Sprintf("did you mean %q for all addresses of the machine?", "0.0.0.0:"+port)
+				hint = fmt.Sprintf("did you mean %q for all addresses of the machine?", "0.0.0.0:"+port)
 			} else if host == "localhost" && found {
-				mean = fmt.Sprintf("did you mean %q?", "127.0.0.1:"+port)
+				hint = fmt.Sprintf("did you mean %q?", "127.0.0.1:"+port)
 			} else if !found {
-				mean = "the port is missing"
+				hint = "the port is missing"
 			}
-			return wrong("bad-address", mean, "%s = %q is not an address", name, text)
+			return fail("bad-address", hint, "%s = %q is not an address", name, text)
 		}
 		text = a
 	case kindNetwork:
 		p, ok := parseNetwork(text)
 		if !ok {
-			return wrong("bad-network", "", "%s has %q, which is no network", name, text)
+			return fail("bad-network", "", "%s has %q, which is no network", name, text)
 		}
 		text = p.String()
 	case kindHost:
-		h := strings.TrimSuffix(strings.ToLower(text), ".")
-		if !validHost(h) {
-			mean := ""
+		host := strings.TrimSuffix(strings.ToLower(text), ".")
+		if !validHost(host) {
+			hint := ""
 			switch {
-			case strings.Contains(h, "://"):
-				mean = "leave the scheme and the path out"
-			case strings.Contains(h, ":"):
-				mean = "leave the port out"
-			case strings.Contains(h, "*"):
-				mean = `a "*" stands for the first labels alone`
+			case strings.Contains(host, "://"):
+				hint = "leave the scheme and the path out"
+			case strings.Contains(host, ":"):
+				hint = "leave the port out"
+			case strings.Contains(host, "*"):
+				hint = `a "*" stands for the first labels alone`
 			}
-			return wrong("bad-host", mean, "%s = %q is no host", name, text)
+			return fail("bad-host", hint, "%s = %q is no host", name, text)
 		}
-		text = h
+		text = host
 	case kindPath:
-		if why := pathProblem(text); why != "" {
-			return wrong("bad-path", why, "%s = %q is no path that a request can have", name, text)
+		if problem := pathProblem(text); problem != "" {
+			return fail("bad-path", problem, "%s = %q is no path that a request can have", name, text)
 		}
 	case kindAccount:
 		a, ok := parseAccount(text)
 		if !ok {
-			return wrong("bad-account", "", "%s has %q, which is no account", name, text)
+			return fail("bad-account", "", "%s has %q, which is no account", name, text)
 		}
 		text = fmt.Sprintf("%016x", a)
 	case kindMethod:
 		if text == "" || strings.ContainsFunc(text, func(c rune) bool { return c < 'A' || c > 'Z' }) || len(text) > 32 {
-			mean := ""
-			if up := strings.ToUpper(text); up != text {
-				mean = fmt.Sprintf("did you mean %q?", up)
+			hint := ""
+			if upper := strings.ToUpper(text); upper != text {
+				hint = fmt.Sprintf("did you mean %q?", upper)
 			}
-			return wrong("unknown-word", mean, "%s has %q, which is no method", name, text)
+			return fail("unknown-word", hint, "%s has %q, which is no method", name, text)
 		}
 	default:
 		if text == "" || !printable(text) && f.kind != kindFile || strings.ContainsAny(text, "\x00\n\r") {
-			return wrong("wrong-type", "", "%s = %q is empty or has what can't be written there", name, text)
+			return fail("wrong-type", "", "%s = %q is empty or has what can't be written there", name, text)
 		}
 	}
 	return 0, text, true
@@ -402,20 +402,20 @@
 
 // checkRange checks a number against the bounds of its field, and returns it with its
 // canonical text.
-func (s *scope) checkRange(f *field, name, written string, x float64, at hcl.Range) (float64, string, bool) {
-	c := formatQuantity(x, f.kind)
-	if !(x >= f.min && x <= f.max) || f.minExclusive && x <= f.min || f.minExclusive && x < 1/maxRate || math.IsNaN(x) || math.IsInf(x, 0) {
+func (s *scope) checkRange(f *field, name, written string, number float64, at hcl.Range) (float64, string, bool) {
+	text := formatQuantity(number, f.kind)
+	if !(number >= f.min && number <= f.max) || f.minExclusive && number <= f.min || f.minExclusive && number < 1/maxRate || math.IsNaN(number) || math.IsInf(number, 0) {
 		from := "from " + formatQuantity(f.min, f.kind)
 		if f.minExclusive {
 			from = "above " + formatQuantity(f.min, f.kind)
 		}
-		if c = fmt.Sprint(x); written != "" {
-			c = strconv.Quote(written)
+		if text = fmt.Sprint(number); written != "" {
+			text = strconv.Quote(written)
 		}
-		s.add("out-of-range", at, fmt.Sprintf("write a %s %s to %s", kinds[f.kind].name, from, formatQuantity(f.max, f.kind)), "%s = %s is out of range", name, c)
+		s.add("out-of-range", at, fmt.Sprintf("write a %s %s to %s", kinds[f.kind].name, from, formatQuantity(f.max, f.kind)), "%s = %s is out of range", name, text)
 		return 0, "", false
 	}
-	return x, c, true
+	return number, text, true
 }
 
 // withArticle prefixes a word with "a" or "an".
@@ -443,28 +443,28 @@
 		return ""
 	}
 	b := []byte(name)
-	up := true
+	upper := true
 	for i, c := range b {
 		switch {
-		case c >= 'a' && c <= 'z' && up:
+		case c >= 'a' && c <= 'z' && upper:
 			b[i] = c - 'a' + 'A'
-		case c >= 'A' && c <= 'Z' && !up:
+		case c >= 'A' && c <= 'Z' && !upper:
 			b[i] = c - 'A' + 'a'
 		case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9', c == '-', c == '_':
 		default:
 			return ""
 		}
-		up = c == '-'
+		upper = c == '-'
 	}
 	return string(b)
 }
 
-func validHost(h string) bool {
-	h = strings.TrimPrefix(h, "*.")
-	if h == "" || len(h) > 253 {
+func validHost(host string) bool {
+	host = strings.TrimPrefix(host, "*.")
+	if host == "" || len(host) > 253 {
 		return false
 	}
-	for label := range strings.SplitSeq(h, ".") {
+	for label := range strings.SplitSeq(host, ".") {
 		if label == "" || len(label) > 63 || strings.ContainsFunc(label, func(c rune) bool {
 			return !(c >= 'a' && c <= 'z' || c >= '0' && c <= '9' || c == '-' || c == '_')
 		}) {
@@ -475,17 +475,17 @@
 }
 
 // pathProblem returns why no request can have a path, or "" if the path is valid.
-func pathProblem(p string) string {
+func pathProblem(path string) string {
 	switch {
-	case !strings.HasPrefix(p, "/"):
+	case !strings.HasPrefix(path, "/"):
 		return `it begins with "/"`
-	case strings.HasSuffix(p, "/*") || strings.HasSuffix(p, "/**"):
-		return fmt.Sprintf("did you mean %q?", strings.TrimRight(p, "*"))
-	case strings.ContainsAny(p, "*?#\\%") || !printable(p) || strings.Contains(p, " "):
+	case strings.HasSuffix(path, "/*") || strings.HasSuffix(path, "/**"):
+		return fmt.Sprintf("did you mean %q?", strings.TrimRight(path, "*"))
+	case strings.ContainsAny(path, "*?#\\%") || !printable(path) || strings.Contains(path, " "):
 		return `it has no "*": a "/" at the end stands for all below; and no query, "\", "%" or space`
-	case strings.Contains(p, "//"), strings.Contains(p, "/./"), strings.Contains(p, "/../"), strings.HasSuffix(p, "/."), strings.HasSuffix(p, "/.."):
+	case strings.Contains(path, "//"), strings.Contains(path, "/./"), strings.Contains(path, "/../"), strings.HasSuffix(path, "/."), strings.HasSuffix(path, "/.."):
 		return `it has no "//", "." or ".." parts: requests with them are turned away`
-	case len(p) > 1024:
+	case len(path) > 1024:
 		return "it has up to 1,024 characters"
 	}
 	return ""
--- a/config/format.go
+++ b/config/format.go
@@ -48,14 +48,14 @@
 		return data
 	}
 	var out bytes.Buffer
-	at, newlines, opened := 0, 2, true
+	offset, newlines, afterOpenBrace := 0, 2, true
 	for _, t := range tokens {
 		from, to := t.Range.Start.Byte, t.Range.End.Byte
-		gap := data[at:from]
-		at = to
+		gap := data[offset:from]
+		offset = to
 		switch t.Type {
 		case hclsyntax.TokenNewline:
-			if newlines++; newlines > 2 || opened && newlines > 1 && out.Len() > 0 || out.Len() == 0 {
+			if newlines++; newlines > 2 || afterOpenBrace && newlines > 1 && out.Len() > 0 || out.Len() == 0 {
 				continue
 			}
 			out.Write(bytes.TrimRight(gap, " \t"))
@@ -64,13 +64,13 @@
 		case hclsyntax.TokenComment:
 			out.Write(gap)
 			text := t.Bytes
-			ends := bytes.HasSuffix(text, []byte("\n"))
+			endsLine := bytes.HasSuffix(text, []byte("\n"))
 			out.Write(bytes.TrimRight(text, " \t\r\n"))
-			if newlines = 0; ends {
+			if newlines = 0; endsLine {
 				out.WriteByte('\n')
 				newlines = 1
 			}
-			opened = false
+			afterOpenBrace = false
 			continue
 		case hclsyntax.TokenEOF:
 			out.Write(gap)
@@ -83,7 +83,7 @@
 		}
 		out.Write(gap)
 		out.Write(t.Bytes)
-		newlines, opened = 0, t.Type == hclsyntax.TokenOBrace
+		newlines, afterOpenBrace = 0, t.Type == hclsyntax.TokenOBrace
 	}
 	text := bytes.TrimRight(out.Bytes(), " \t\n")
 	if len(text) == 0 {
@@ -94,12 +94,12 @@
 
 // sameTokens reports whether two texts differ only in white space.
 func sameTokens(a, b []byte, name string) bool {
-	x, y := significantTokens(a, name), significantTokens(b, name)
-	if len(x) != len(y) {
+	tokensA, tokensB := significantTokens(a, name), significantTokens(b, name)
+	if len(tokensA) != len(tokensB) {
 		return false
 	}
-	for i := range x {
-		if x[i].Type != y[i].Type || !bytes.Equal(tokenText(x[i]), tokenText(y[i])) {
+	for i := range tokensA {
+		if tokensA[i].Type != tokensB[i].Type || !bytes.Equal(tokenText(tokensA[i]), tokenText(tokensB[i])) {
 			return false
 		}
 	}
--- a/config/fuzz_test.go
+++ b/config/fuzz_test.go
@@ -25,41 +25,41 @@
 		f.Fatal(err)
 	}
 	for _, p := range paths {
-		a, err := txtar.ParseFile(p)
+		archive, err := txtar.ParseFile(p)
 		if err != nil {
 			f.Fatal(err)
 		}
-		f.Add(a.Files[0].Data, []byte("# included\n"))
+		f.Add(archive.Files[0].Data, []byte("# included\n"))
 	}
 	base, err := os.ReadFile("testdata/base.hcl")
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(base, []byte("include \"main.hcl\" {}\n"))
-	f.Fuzz(func(t *testing.T, main, more []byte) {
-		begun := time.Now()
+	f.Fuzz(func(t *testing.T, main, included []byte) {
+		start := time.Now()
 		defer func() {
-			if took := time.Since(begun); took > 5*time.Second {
-				t.Errorf("took %v for %d bytes", took, len(main)+len(more))
+			if elapsed := time.Since(start); elapsed > 5*time.Second {
+				t.Errorf("took %v for %d bytes", elapsed, len(main)+len(included))
 			}
 		}()
-		files := fstest.MapFS{"main.hcl": {Data: main}, "more.hcl": {Data: more}, "base.hcl": {Data: base}}
-		c, r := Load([]Root{{FS: files, Name: "main.hcl"}}, nil)
+		files := fstest.MapFS{"main.hcl": {Data: main}, "more.hcl": {Data: included}, "base.hcl": {Data: base}}
+		cfg, r := Load([]Root{{FS: files, Name: "main.hcl"}}, nil)
 		r.Write(&bytes.Buffer{})
 		out, err := Format(main, "main.hcl")
 		if err == nil {
-			if again, err := Format(out, "main.hcl"); err != nil || !bytes.Equal(out, again) {
-				t.Errorf("formatted twice: %v\n%q\n%q", err, out, again)
+			if twice, err := Format(out, "main.hcl"); err != nil || !bytes.Equal(out, twice) {
+				t.Errorf("formatted twice: %v\n%q\n%q", err, out, twice)
 			}
 		}
-		if c == nil {
+		if cfg == nil {
 			if r.Err() == nil {
 				t.Error("no configuration and no error")
 			}
 			return
 		}
-		for i := range c.Fleet.Limiters {
-			if _, err := limiter.New(c.Fleet.Settings(i), 1); err != nil {
+		for i := range cfg.Fleet.Limiters {
+			if _, err := limiter.New(cfg.Fleet.Settings(i), 1); err != nil {
 				t.Errorf("accepted, but a limiter does not take it: %v", err)
 			}
 		}
@@ -67,11 +67,11 @@
 			t.Errorf("sound, but can't be formatted: %v", err)
 		}
 		files["main.hcl"] = &fstest.MapFile{Data: out}
-		again, r := Load([]Root{{FS: files, Name: "main.hcl"}}, nil)
+		reloaded, r := Load([]Root{{FS: files, Name: "main.hcl"}}, nil)
 		if err := r.Err(); err != nil {
 			t.Fatalf("sound, but not when it is formatted: %v", err)
 		}
-		if d := Diff(c, again); !d.Empty() {
+		if d := Diff(cfg, reloaded); !d.Empty() {
 			t.Errorf("formatting changes the meaning: %+v", d)
 		}
 	})
@@ -96,27 +96,27 @@
 	for i := range 2000 {
 		deepIncludes[fmt.Sprintf("%d.hcl", i)] = &fstest.MapFile{Data: []byte(fmt.Sprintf("include \"%d.hcl\" {}\n", i+1))}
 	}
-	one := func(text string) fstest.MapFS { return fstest.MapFS{"main.hcl": {Data: []byte(text)}} }
+	singleFile := func(text string) fstest.MapFS { return fstest.MapFS{"main.hcl": {Data: []byte(text)}} }
 	routes := func(n int, format string) fstest.MapFS {
 		var b strings.Builder
 		b.Write(base)
 		for i := range n {
 			fmt.Fprintf(&b, format, i)
 		}
-		return one(b.String())
+		return singleFile(b.String())
 	}
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name  string
 		files fstest.MapFS
 	}{
-		{"doubling", one(doubling + "}\nroute \"r\" {\n  path = \"/${local.a200}\"\n}\n")},
+		{"doubling", singleFile(doubling + "}\nroute \"r\" {\n  path = \"/${local.a200}\"\n}\n")},
 		{"includes of all by all", includes},
 		{"includes in a row", deepIncludes},
-		{"brackets", one("locals {\n  x = " + strings.Repeat("[", 1<<20) + "\n}\n")},
-		{"blocks in blocks", one(strings.Repeat("a {\n", 1<<18))},
-		{"signs", one("locals {\n  x = " + strings.Repeat("-", 1<<20) + "1\n}\n")},
-		{"choices", one("locals {\n  x = " + strings.Repeat("true ? 1 : ", 1<<17) + "1\n}\n")},
-		{"templates", one("locals {\n  x = " + strings.Repeat("\"${", 1<<17) + "\n}\n")},
+		{"brackets", singleFile("locals {\n  x = " + strings.Repeat("[", 1<<20) + "\n}\n")},
+		{"blocks in blocks", singleFile(strings.Repeat("a {\n", 1<<18))},
+		{"signs", singleFile("locals {\n  x = " + strings.Repeat("-", 1<<20) + "1\n}\n")},
+		{"choices", singleFile("locals {\n  x = " + strings.Repeat("true ? 1 : ", 1<<17) + "1\n}\n")},
+		{"templates", singleFile("locals {\n  x = " + strings.Repeat("\"${", 1<<17) + "\n}\n")},
 		{"routes all alike", routes(2000, "route \"t%d\" {\n}\n")},
 		{"routes, each of one account", routes(20_000, "route \"t%d\" {\n  accounts = [\"%[1]x\"]\n}\n")},
 		{"a cycle of many locals", func() fstest.MapFS {
@@ -125,24 +125,24 @@
 			for i := range 5000 {
 				fmt.Fprintf(&b, "  a%d = local.a%d\n", i, (i+1)%5000)
 			}
-			return one(b.String() + "}\n")
+			return singleFile(b.String() + "}\n")
 		}()},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			begun := time.Now()
-			_, r := Load([]Root{{FS: c.files, Name: "main.hcl"}}, nil)
+			start := time.Now()
+			_, r := Load([]Root{{FS: tc.files, Name: "main.hcl"}}, nil)
 			runtime.ReadMemStats(&after)
-			const most = 2 << 30 // bytes allocated in total, not at once
-			if got := after.TotalAlloc - before.TotalAlloc; got > most {
+			const maxAllocated = 2 << 30 // bytes allocated in total, not at once
+			if got := after.TotalAlloc - before.TotalAlloc; got > maxAllocated {
 				t.Errorf("%d MiB allocated", got>>20)
 			}
 			if len(r.Diagnostics) > maxDiagnostics {
 				t.Errorf("%d diagnostics", len(r.Diagnostics))
 			}
-			t.Logf("%v, %d MiB, %d diagnostics", time.Since(begun).Round(time.Millisecond), (after.TotalAlloc-before.TotalAlloc)>>20, len(r.Diagnostics)+r.Left)
+			t.Logf("%v, %d MiB, %d diagnostics", time.Since(start).Round(time.Millisecond), (after.TotalAlloc-before.TotalAlloc)>>20, len(r.Diagnostics)+r.Left)
 		})
 	}
 }
--- a/config/normal.go
+++ b/config/normal.go
@@ -25,10 +25,10 @@
 // or on the order of blocks.
 func (b *builder) normalize() []setting {
 	var all []setting
-	there := func(kind, name string) { all = append(all, setting{kind: kind, name: name}) }
+	addBlock := func(kind, name string) { all = append(all, setting{kind: kind, name: name}) }
 	for _, kind := range []string{"room", "class", "plan", "limiter", "listener"} {
 		for _, o := range b.blocksOf(kind) {
-			there(kind, o.label)
+			addBlock(kind, o.label)
 			all = append(all, blockSettings(o, kind, o.label, "")...)
 		}
 	}
@@ -36,8 +36,8 @@
 		all = append(all, blockSettings(b.singleton(kind), kind, "", "")...)
 	}
 	boxes := map[*parsedBlock][]int{}
-	for i, x := range b.cfg.Fleet.Boxes {
-		boxes[b.boxBlocks[x.Name]] = append(boxes[b.boxBlocks[x.Name]], i)
+	for i, box := range b.cfg.Fleet.Boxes {
+		boxes[b.boxBlocks[box.Name]] = append(boxes[b.boxBlocks[box.Name]], i)
 	}
 	for _, o := range b.blocksOf("box") {
 		base := blockSettings(o, "box", o.label, "")
@@ -45,20 +45,20 @@
 			return slices.Contains([]string{"count", "pod", "pod_size", "dial"}, f.field)
 		})
 		for _, i := range boxes[o] {
-			x := b.cfg.Fleet.Boxes[i]
-			there("box", x.Name)
+			box := b.cfg.Fleet.Boxes[i]
+			addBlock("box", box.Name)
 			for _, f := range base {
-				f.name = x.Name
+				f.name = box.Name
 				all = append(all, f)
 			}
-			all = append(all, setting{kind: "box", name: x.Name, field: "pod", text: fmt.Sprint(x.Pod), num: float64(x.Pod), schema: o.block.field("pod")})
-			if x.Dial != "" {
-				all = append(all, setting{kind: "box", name: x.Name, field: "dial", text: x.Dial, schema: o.block.field("dial")})
+			all = append(all, setting{kind: "box", name: box.Name, field: "pod", text: fmt.Sprint(box.Pod), num: float64(box.Pod), schema: o.block.field("pod")})
+			if box.Dial != "" {
+				all = append(all, setting{kind: "box", name: box.Name, field: "dial", text: box.Dial, schema: o.block.field("dial")})
 			}
 		}
 	}
 	for _, p := range b.cfg.Pools {
-		there("pool", p.Name)
+		addBlock("pool", p.Name)
 		var names []string
 		for _, i := range p.Boxes {
 			names = append(names, b.cfg.Fleet.Boxes[i].Name)
@@ -67,22 +67,22 @@
 		if p.Discovery != "" {
 			all = append(all, setting{kind: "pool", name: p.Name, field: "discovery", text: p.Discovery, schema: schema.find("pool").field("discovery")})
 		}
-		for _, s := range b.byName["pool"][p.Name].children {
-			all = append(all, setting{kind: "pool", name: p.Name, path: "tier " + s.label})
-			all = append(all, blockSettings(s, "pool", p.Name, "tier "+s.label)...)
+		for _, tierBlock := range b.byName["pool"][p.Name].children {
+			all = append(all, setting{kind: "pool", name: p.Name, path: "tier " + tierBlock.label})
+			all = append(all, blockSettings(tierBlock, "pool", p.Name, "tier "+tierBlock.label)...)
 		}
 		all = append(all, setting{kind: "pool", name: p.Name, field: "members", text: strings.Join(names, ", "), schema: schema.find("pool").field("members")})
 	}
 	for i, o := range b.blocksByName("route") {
-		there("route", o.label)
-		r := b.cfg.Routes[i]
+		addBlock("route", o.label)
+		resolved := b.cfg.Routes[i]
 		for _, f := range blockSettings(o, "route", o.label, "") {
 			if f.field != "policy" && f.field != "pool" && schema.find("policy").field(f.field) == nil {
 				all = append(all, f)
 			}
 		}
-		if r.Pool >= 0 {
-			all = append(all, setting{kind: "route", name: o.label, field: "pool", text: b.cfg.Pools[r.Pool].Name, schema: o.block.field("pool")})
+		if resolved.Pool >= 0 {
+			all = append(all, setting{kind: "route", name: o.label, field: "pool", text: b.cfg.Pools[resolved.Pool].Name, schema: o.block.field("pool")})
 		}
 		for k := range policyFields {
 			f := &policyFields[k]
@@ -96,15 +96,15 @@
 		}
 	}
 	for _, o := range b.blocksOf("memory") {
-		there("memory", "")
+		addBlock("memory", "")
 		all = append(all, blockSettings(o, "memory", "", "")...)
 	}
 	for _, o := range b.blocksOf("fleet") {
-		there("fleet", o.label)
+		addBlock("fleet", o.label)
 		all = append(all, blockSettings(o, "fleet", o.label, "")...)
 	}
 	for i, o := range b.blocksByName("plugin") {
-		there("plugin", o.label)
+		addBlock("plugin", o.label)
 		for _, f := range blockSettings(o, "plugin", o.label, "") {
 			if f.field == "file" {
 				f.text = moduleLabel(f.text, b.cfg.Plugins[i].Module)
@@ -113,54 +113,54 @@
 		}
 	}
 	for _, o := range b.blocksOf("forward_auth") {
-		there("forward_auth", o.label)
+		addBlock("forward_auth", o.label)
 		all = append(all, nestedSettings(o, "forward_auth", o.label, "")...)
 	}
 	return all
 }
 
 // nestedSettings returns the settings of a block and, recursively, of the blocks in it.
-func nestedSettings(o *parsedBlock, kind, name, in string) []setting {
-	all := blockSettings(o, kind, name, in)
+func nestedSettings(o *parsedBlock, kind, name, parentPath string) []setting {
+	all := blockSettings(o, kind, name, parentPath)
 	routes := 0
-	for _, s := range o.children {
-		at := s.block.kind
-		if s.block.kind == "route" { // the first match wins, so the position is part of the meaning
-			at, routes = fmt.Sprintf("route %d %s", routes+1, s.label), routes+1
-		} else if s.label != "" {
-			at += " " + s.label
+	for _, child := range o.children {
+		childPath := child.block.kind
+		if child.block.kind == "route" { // the first match wins, so the position is part of the meaning
+			childPath, routes = fmt.Sprintf("route %d %s", routes+1, child.label), routes+1
+		} else if child.label != "" {
+			childPath += " " + child.label
 		}
-		at = strings.TrimSpace(in + " " + at)
-		all = append(all, setting{kind: kind, name: name, path: at})
-		all = append(all, nestedSettings(s, kind, name, at)...)
+		childPath = strings.TrimSpace(parentPath + " " + childPath)
+		all = append(all, setting{kind: kind, name: name, path: childPath})
+		all = append(all, nestedSettings(child, kind, name, childPath)...)
 	}
 	return all
 }
 
 // blockSettings returns the settings of a block's own fields.
-func blockSettings(o *parsedBlock, kind, name, in string) []setting {
+func blockSettings(o *parsedBlock, kind, name, path string) []setting {
 	var all []setting
 	for i := range o.block.fields {
 		f := &o.block.fields[i]
-		v, have := o.values[f.name]
-		if !have {
+		v, ok := o.values[f.name]
+		if !ok {
 			continue
 		}
-		x := setting{kind: kind, name: name, path: in, field: f.name, text: v.text, num: v.num, schema: f}
+		entry := setting{kind: kind, name: name, path: path, field: f.name, text: v.text, num: v.num, schema: f}
 		switch {
 		case f.list:
-			x.text = strings.Join(v.list, ", ")
+			entry.text = strings.Join(v.list, ", ")
 		case f.kind == kindHeaders:
 			var parts []string
 			for _, h := range v.headers {
 				parts = append(parts, h[0]+": "+h[1])
 			}
-			x.text = strings.Join(parts, ", ")
+			entry.text = strings.Join(parts, ", ")
 		}
-		if x.text == "" && (f.list || f.kind == kindHeaders) {
+		if entry.text == "" && (f.list || f.kind == kindHeaders) {
 			continue // an empty list means the same as an omitted field
 		}
-		all = append(all, x)
+		all = append(all, entry)
 	}
 	return all
 }
--- a/config/plugins.go
+++ b/config/plugins.go
@@ -32,26 +32,26 @@
 			b.add("plugin-order", o.fieldRange("order"), "give each plug-in an order of its own", "plug-ins %q and %q have the same order", first.label, o.label).addRelated(first.fieldRange("order"))
 		}
 		orders[order] = o
-		p := plugin.Spec{Name: o.label, Order: order, Seed: uint64(o.integer("seed")),
+		spec := plugin.Spec{Name: o.label, Order: order, Seed: uint64(o.integer("seed")),
 			Limits: plugin.Limits{Call: o.duration("time"), Start: o.duration("start_time"), PerSecond: int(o.num("calls")), Memory: int(o.num("memory")),
 				HostCalls: o.integer("host_calls"), Counters: o.integer("counters"), LogBytes: int(o.num("log")), Instances: o.integer("instances"), Module: maxModuleBytes},
 			Sight: advice.Sight{Body: o.text("body") == "yes"}}
-		may := o.list("may")
-		p.Grant.Refuse, p.Grant.Label, p.Grant.Tiers = slices.Contains(may, "refuse"), slices.Contains(may, "label"), slices.Contains(may, "tiers")
-		p.Grant.MostWaitMs = o.num("longest_wait") * 1000
-		if slices.Contains(may, "lower") {
-			p.Grant.Lower = o.num("lower")
+		allowed := o.list("may")
+		spec.Grant.Refuse, spec.Grant.Label, spec.Grant.Tiers = slices.Contains(allowed, "refuse"), slices.Contains(allowed, "label"), slices.Contains(allowed, "tiers")
+		spec.Grant.MostWaitMs = o.num("longest_wait") * 1000
+		if slices.Contains(allowed, "lower") {
+			spec.Grant.Lower = o.num("lower")
 		}
-		if slices.Contains(may, "raise") {
-			p.Grant.Raise = o.num("raise")
+		if slices.Contains(allowed, "raise") {
+			spec.Grant.Raise = o.num("raise")
 		}
-		for _, x := range [][2]string{{"longest_wait", "refuse"}, {"lower", "lower"}, {"raise", "raise"}} {
-			if o.isSet(x[0]) && o.values[x[0]].at.Filename != "" && !slices.Contains(may, x[1]) {
-				b.add("plugin-grant", o.fieldRange(x[0]), fmt.Sprintf("add %q to may, or take it out", x[1]), "plug-in %q may not %s, so that %s bounds nothing", o.label, x[1], x[0])
+		for _, bound := range [][2]string{{"longest_wait", "refuse"}, {"lower", "lower"}, {"raise", "raise"}} {
+			if o.isSet(bound[0]) && o.values[bound[0]].at.Filename != "" && !slices.Contains(allowed, bound[1]) {
+				b.add("plugin-grant", o.fieldRange(bound[0]), fmt.Sprintf("add %q to may, or take it out", bound[1]), "plug-in %q may not %s, so that %s bounds nothing", o.label, bound[1], bound[0])
 			}
 		}
-		for _, how := range o.list("refuse_when") {
-			p.Grant.RefuseOn |= refuseConditions[how]
+		for _, condition := range o.list("refuse_when") {
+			spec.Grant.RefuseOn |= refuseConditions[condition]
 		}
 		for i, name := range o.values["headers"].entries {
 			canonical := http.CanonicalHeaderKey(name)
@@ -61,13 +61,13 @@
 			case advice.Secret(canonical) || looksSecret(name):
 				b.add("plugin-secret", o.values["headers"].itemRanges[i], "take it out: plug-ins see no secrets", "the header %s holds a secret", canonical)
 			default:
-				p.Sight.Headers = append(p.Sight.Headers, canonical)
+				spec.Sight.Headers = append(spec.Sight.Headers, canonical)
 			}
 		}
 		if o.isSet("file") {
-			p.Module = b.readModule(o)
+			spec.Module = b.readModule(o)
 		}
-		b.cfg.Plugins = append(b.cfg.Plugins, p)
+		b.cfg.Plugins = append(b.cfg.Plugins, spec)
 	}
 }
 
@@ -75,20 +75,20 @@
 // that names it.
 func (b *builder) readModule(o *parsedBlock) []byte {
 	at, name := o.fieldRange("file"), o.text("file")
-	k := slices.IndexFunc(b.files, func(f sourceFile) bool { return f.displayName == o.at.Filename })
-	if k < 0 {
+	index := slices.IndexFunc(b.files, func(f sourceFile) bool { return f.displayName == o.at.Filename })
+	if index < 0 {
 		return nil
 	}
-	from := b.files[k]
-	full := path.Join(path.Dir(from.name), name)
-	if path.IsAbs(name) || !fs.ValidPath(full) {
+	file := b.files[index]
+	fullPath := path.Join(path.Dir(file.name), name)
+	if path.IsAbs(name) || !fs.ValidPath(fullPath) {
 		b.add("plugin-file", at, "put the module into the folder of the first file or below, and write a path relative to this file", "%q is not below the folder of the first file", name)
 		return nil
 	}
-	info, err := fs.Stat(from.root.FS, full)
+	info, err := fs.Stat(file.root.FS, fullPath)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		b.add("plugin-file", at, "write a path relative to this file, or build the module (madderdrum plugin build)", "there is no file %q", from.root.Show+full)
+		b.add("plugin-file", at, "write a path relative to this file, or build the module (madderdrum plugin build)", "there is no file %q", file.root.Show+fullPath)
 		return nil
 	case err == nil && info.IsDir():
 		err = errors.New("a folder")
@@ -97,26 +97,26 @@
 	}
 	var data []byte
 	if err == nil {
-		data, err = fs.ReadFile(from.root.FS, full)
+		data, err = fs.ReadFile(file.root.FS, fullPath)
 	}
 	if err != nil {
-		b.add("plugin-file", at, "see to it that it is a file that can be read, and a module of a plug-in", "%q can't be read: %v", from.root.Show+full, withoutPath(err))
+		b.add("plugin-file", at, "see to it that it is a file that can be read, and a module of a plug-in", "%q can't be read: %v", file.root.Show+fullPath, withoutPath(err))
 		return nil
 	}
-	r, err := plugin.Inspect(context.Background(), data)
+	inspection, err := plugin.Inspect(context.Background(), data)
 	if err == nil {
-		err = r.Problem
+		err = inspection.Problem
 	}
 	if err != nil {
-		why, _, _ := strings.Cut(err.Error(), "\n")
-		b.add("plugin-module", at, "see madderdrum plugin inspect, and docs/plugins-abi.md for what a module needs", "plug-in %q can't be loaded: %s", o.label, why)
+		reason, _, _ := strings.Cut(err.Error(), "\n")
+		b.add("plugin-module", at, "see madderdrum plugin inspect, and docs/plugins-abi.md for what a module needs", "plug-in %q can't be loaded: %s", o.label, reason)
 		return nil
 	}
 	return data
 }
 
 // routePlugins returns the plug-ins that a route lists, and whether it has a list at all.
-func (b *builder) routePlugins(o *parsedBlock) (names []string, said bool) {
+func (b *builder) routePlugins(o *parsedBlock) (names []string, listed bool) {
 	v, ok := b.routeField(o, "plugins")
 	return v.entries, ok
 }
@@ -129,8 +129,8 @@
 	}
 	used := map[string]bool{}
 	for _, o := range routes {
-		names, said := b.routePlugins(o)
-		if !said {
+		names, listed := b.routePlugins(o)
+		if !listed {
 			return // a route without a list uses all plug-ins
 		}
 		for _, name := range names {
--- a/config/random_test.go
+++ b/config/random_test.go
@@ -41,14 +41,14 @@
 // hides another.
 func randomSample(r *rand.Rand) *sample {
 	s := &sample{}
-	add := func(kind, name string) *sampleBlock {
+	addBlock := func(kind, name string) *sampleBlock {
 		s.blocks = append(s.blocks, sampleBlock{kind: kind, name: name})
 		return &s.blocks[len(s.blocks)-1]
 	}
-	add("room", "r0")
+	addBlock("room", "r0")
 	classes := 1 + r.IntN(3)
 	for i := range classes {
-		b := add("class", fmt.Sprint("c", i))
+		b := addBlock("class", fmt.Sprint("c", i))
 		b.setNumber("aim", "ms", float64(100+r.IntN(900)))
 		b.setNumber("deadline", "ms", float64(1000+r.IntN(3000)))
 		b.setNumber("worth", "", float64(1+r.IntN(5)))
@@ -61,7 +61,7 @@
 	}
 	plans := 1 + r.IntN(3)
 	for i := range plans {
-		b := add("plan", fmt.Sprint("p", i))
+		b := addBlock("plan", fmt.Sprint("p", i))
 		b.setNumber("rate", "/s", float64(1+r.IntN(20)))
 		b.setNumber("burst", "", float64(10+r.IntN(50)))
 		b.setNumber("share", "%", 100/float64(plans))
@@ -71,27 +71,27 @@
 		}
 	}
 	for i := range 2 {
-		b := add("limiter", fmt.Sprint("n", i))
+		b := addBlock("limiter", fmt.Sprint("n", i))
 		b.setText("room", "r0")
 		b.setText("listen", fmt.Sprintf("127.0.0.1:%d", 8000+i))
 	}
 	boxes := 2 + r.IntN(4)
 	for i := range boxes {
-		b := add("box", fmt.Sprint("b", i))
+		b := addBlock("box", fmt.Sprint("b", i))
 		b.setText("room", "r0")
 		b.setText("dial", fmt.Sprintf("127.0.0.1:%d", 9000+i))
 		b.setNumber("cores", "", 2)
 		b.setNumber("slots", "", float64(8+r.IntN(8)))
 		b.setNumber("queue", "", float64(r.IntN(40)))
 	}
-	pool := add("pool", "main")
+	pool := addBlock("pool", "main")
 	pool.setList("members", "b0")
-	other := add("pool", "rest")
+	rest := addBlock("pool", "rest")
 	for i := 1; i < boxes; i++ {
-		other.fields = append(other.fields[:0], sampleField{name: "members", unit: "list", list: append(slices.Clone(listField(other)), fmt.Sprint("b", i))})
+		rest.fields = append(rest.fields[:0], sampleField{name: "members", unit: "list", list: append(slices.Clone(listField(rest)), fmt.Sprint("b", i))})
 	}
 	for i := range 2 + r.IntN(5) {
-		b := add("route", fmt.Sprint("t", i))
+		b := addBlock("route", fmt.Sprint("t", i))
 		b.setText("path", fmt.Sprintf("/s%d/", i))
 		b.setText("pool", []string{"main", "rest"}[(i+r.IntN(2))%2])
 		if r.IntN(2) == 0 {
@@ -111,7 +111,7 @@
 		}
 	}
 	if r.IntN(2) == 0 {
-		b := add("rules", "")
+		b := addBlock("rules", "")
 		b.setNumber("attempts", "", float64(1+r.IntN(5)))
 		b.setNumber("drain_grace", "ms", float64(100+r.IntN(900)))
 	}
@@ -136,7 +136,7 @@
 	if r != nil && r.IntN(2) == 0 {
 		files["more/one.hcl"], files["more/two.hcl"], names = &strings.Builder{}, &strings.Builder{}, []string{"main.hcl", "more/one.hcl", "more/two.hcl"}
 	}
-	to := func() *strings.Builder {
+	randomFile := func() *strings.Builder {
 		if r == nil {
 			return files["main.hcl"]
 		}
@@ -150,7 +150,7 @@
 			files["more/one.hcl"].WriteString("include \"two.hcl\" {}\n")
 		}
 	}
-	blocks, extra := slices.Clone(s.blocks), 0
+	blocks, extraNames := slices.Clone(s.blocks), 0
 	if r != nil {
 		r.Shuffle(len(blocks), func(i, k int) { blocks[i], blocks[k] = blocks[k], blocks[i] })
 	}
@@ -171,19 +171,19 @@
 		}
 		var lines []string
 		for _, f := range fields {
-			lines = append(lines, f.name+" = "+f.write(r, to(), &extra))
+			lines = append(lines, f.name+" = "+f.write(r, randomFile(), &extraNames))
 		}
 		if len(policy) > 0 {
-			extra++
-			name := fmt.Sprint("policy-", extra)
+			extraNames++
+			name := fmt.Sprint("policy-", extraNames)
 			lines = append(lines, fmt.Sprintf("policy = %q", name))
 			var inner []string
 			for _, f := range policy {
-				inner = append(inner, f.name+" = "+f.write(r, to(), &extra))
+				inner = append(inner, f.name+" = "+f.write(r, randomFile(), &extraNames))
 			}
-			writeBlock(to(), r, "policy", name, inner)
+			writeBlock(randomFile(), r, "policy", name, inner)
 		}
-		writeBlock(to(), r, b.kind, b.name, lines)
+		writeBlock(randomFile(), r, b.kind, b.name, lines)
 	}
 	out := map[string]string{}
 	for name, b := range files {
@@ -222,30 +222,30 @@
 
 // write returns a value in a random spelling, possibly as a reference to a local or variable
 // that it defines in w.
-func (f *sampleField) write(r *rand.Rand, w *strings.Builder, extra *int) string {
+func (f *sampleField) write(r *rand.Rand, w *strings.Builder, extraNames *int) string {
 	pick := func(spellings ...string) string {
 		if r == nil {
 			return spellings[0]
 		}
 		return spellings[r.IntN(len(spellings))]
 	}
-	n := func(v float64) string { return formatQuantity(v, kindNumber) }
+	formatNumber := func(v float64) string { return formatQuantity(v, kindNumber) }
 	var text string
 	switch f.unit {
 	case "ms":
-		text = pick(fmt.Sprintf("%q", n(f.num)+"ms"), fmt.Sprintf("%q", n(f.num/1000)+"s"), fmt.Sprintf("%q", n(f.num*1000)+"us"), fmt.Sprintf(`"%sms%dus"`, n(f.num), 0))
+		text = pick(fmt.Sprintf("%q", formatNumber(f.num)+"ms"), fmt.Sprintf("%q", formatNumber(f.num/1000)+"s"), fmt.Sprintf("%q", formatNumber(f.num*1000)+"us"), fmt.Sprintf(`"%sms%dus"`, formatNumber(f.num), 0))
 	case "/s":
-		text = pick(fmt.Sprintf("%q", n(f.num)+"/s"), fmt.Sprintf("%q", n(f.num*60)+"/m"), fmt.Sprintf("%q", n(f.num*3600)+"/h"))
+		text = pick(fmt.Sprintf("%q", formatNumber(f.num)+"/s"), fmt.Sprintf("%q", formatNumber(f.num*60)+"/m"), fmt.Sprintf("%q", formatNumber(f.num*3600)+"/h"))
 	case "%":
-		text = pick(fmt.Sprintf("%q", n(f.num)+"%"), fmt.Sprintf("%q", n(f.num)+" %"))
+		text = pick(fmt.Sprintf("%q", formatNumber(f.num)+"%"), fmt.Sprintf("%q", formatNumber(f.num)+" %"))
 	case "B":
-		text = pick(fmt.Sprintf("%q", n(f.num)+"B"), fmt.Sprintf("%q", n(f.num/1024)+"KiB"))
+		text = pick(fmt.Sprintf("%q", formatNumber(f.num)+"B"), fmt.Sprintf("%q", formatNumber(f.num/1024)+"KiB"))
 	case "":
 		point := ".0"
-		if strings.Contains(n(f.num), ".") {
+		if strings.Contains(formatNumber(f.num), ".") {
 			point = "0"
 		}
-		text = pick(n(f.num), n(f.num)+point, fmt.Sprintf("%s + 1", n(f.num-1)), "("+n(f.num)+")")
+		text = pick(formatNumber(f.num), formatNumber(f.num)+point, fmt.Sprintf("%s + 1", formatNumber(f.num-1)), "("+formatNumber(f.num)+")")
 	case "text":
 		text = fmt.Sprintf("%q", f.text)
 	case "list":
@@ -268,13 +268,13 @@
 	if r == nil || r.IntN(6) > 0 || strings.Contains(text, "\n") {
 		return text
 	}
-	*extra++
+	*extraNames++
 	if r.IntN(2) == 0 || f.unit == "list" || f.unit == "map" {
-		name := fmt.Sprint("l", *extra)
+		name := fmt.Sprint("l", *extraNames)
 		fmt.Fprintf(w, "locals {\n  %s = %s\n}\n", name, text)
 		return "local." + name
 	}
-	name := fmt.Sprint("v", *extra)
+	name := fmt.Sprint("v", *extraNames)
 	fmt.Fprintf(w, "variable %q {\n  default = %s\n}\n", name, text)
 	return "var." + name
 }
--- a/config/reference.go
+++ b/config/reference.go
@@ -27,28 +27,28 @@
 
 // writeSection writes the section of a block and, one heading level deeper, those of its
 // nested blocks.
-func (x *block) writeSection(b *strings.Builder, in, head string) {
+func (x *block) writeSection(out *strings.Builder, parent, heading string) {
 	name := x.kind
 	if x.labelMeaning != "" {
 		name += fmt.Sprintf(" \"%s\"", strings.ToUpper(x.labelMeaning))
 	}
-	fmt.Fprintf(b, "\n%s `%s`", head, strings.TrimSpace(name))
-	if in != "" {
-		fmt.Fprintf(b, " in `%s`", in)
+	fmt.Fprintf(out, "\n%s `%s`", heading, strings.TrimSpace(name))
+	if parent != "" {
+		fmt.Fprintf(out, " in `%s`", parent)
 	}
 	if x.single {
-		b.WriteString(" (once)")
+		out.WriteString(" (once)")
 	}
-	fmt.Fprintf(b, "\n\n%s\n", x.doc)
+	fmt.Fprintf(out, "\n\n%s\n", x.doc)
 	if len(x.fields) > 0 {
-		b.WriteString("\n| field | takes | if left out | |\n| --- | --- | --- | --- |\n")
+		out.WriteString("\n| field | takes | if left out | |\n| --- | --- | --- | --- |\n")
 		for i := range x.fields {
 			f := &x.fields[i]
-			fmt.Fprintf(b, "| `%s` | %s | %s | %s |\n", f.name, f.valueDescription(), f.defaultDescription(), strings.ReplaceAll(f.doc, "|", "\\|"))
+			fmt.Fprintf(out, "| `%s` | %s | %s | %s |\n", f.name, f.valueDescription(), f.defaultDescription(), strings.ReplaceAll(f.doc, "|", "\\|"))
 		}
 	}
-	for _, sub := range x.blocks {
-		sub.writeSection(b, x.kind, head+"#")
+	for _, child := range x.blocks {
+		child.writeSection(out, x.kind, heading+"#")
 	}
 }
 
--- a/config/reference_test.go
+++ b/config/reference_test.go
@@ -36,22 +36,22 @@
 	if err != nil || len(paths) < 3 {
 		t.Fatalf("%v, %v", paths, err)
 	}
-	sets := [][]string{{"../deploy/bluebird.hcl"}, {"../deploy/bluebird.hcl", "../deploy/forwardauth.hcl"}}
+	fileSets := [][]string{{"../deploy/bluebird.hcl"}, {"../deploy/bluebird.hcl", "../deploy/forwardauth.hcl"}}
 	for _, p := range paths {
-		sets = append(sets, []string{p})
+		fileSets = append(fileSets, []string{p})
 	}
-	for _, set := range sets {
-		c, r, err := LoadFiles(set, nil)
+	for _, files := range fileSets {
+		cfg, report, err := LoadFiles(files, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(r.Diagnostics) > 0 {
-			t.Errorf("%v: %v", set, r.Diagnostics)
+		if len(report.Diagnostics) > 0 {
+			t.Errorf("%v: %v", files, report.Diagnostics)
 			continue
 		}
-		for i := range c.Fleet.Limiters {
-			if len(c.Listens(i)) == 0 {
-				t.Errorf("%v: limiter %d listens nowhere", set, i)
+		for i := range cfg.Fleet.Limiters {
+			if len(cfg.Listens(i)) == 0 {
+				t.Errorf("%v: limiter %d listens nowhere", files, i)
 			}
 		}
 	}
@@ -66,10 +66,10 @@
 		t.Fatal(err)
 	}
 	outside := filepath.Join(t.TempDir(), "secret.hcl")
-	sub := filepath.Join(dir, "conf")
-	main := filepath.Join(sub, "main.hcl")
-	for path, text := range map[string]string{outside: "# outside\n", filepath.Join(sub, "base.hcl"): string(base), filepath.Join(sub, "plans", "a.hcl"): "",
-		main: "include \"base.hcl\" {}\ninclude \"plans/*.hcl\" {}\nvariable \"patience\" {}\nroute \"r\" {\n  deadline = var.patience\n}\n"} {
+	confDir := filepath.Join(dir, "conf")
+	mainPath := filepath.Join(confDir, "main.hcl")
+	for path, text := range map[string]string{outside: "# outside\n", filepath.Join(confDir, "base.hcl"): string(base), filepath.Join(confDir, "plans", "a.hcl"): "",
+		mainPath: "include \"base.hcl\" {}\ninclude \"plans/*.hcl\" {}\nvariable \"patience\" {}\nroute \"r\" {\n  deadline = var.patience\n}\n"} {
 		if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 			t.Fatal(err)
 		}
@@ -78,33 +78,33 @@
 		}
 	}
 	load := func(vars map[string]string) (*Config, string) {
-		c, r, err := LoadFiles([]string{main}, vars)
+		c, report, err := LoadFiles([]string{mainPath}, vars)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var all []string
-		for i := range r.Diagnostics {
-			all = append(all, r.Diagnostics[i].String())
+		for i := range report.Diagnostics {
+			all = append(all, report.Diagnostics[i].String())
 		}
 		return c, strings.Join(all, "\n")
 	}
-	c, told := load(map[string]string{"patience": "2s"})
-	if c == nil || told != "" || c.Routes[0].Deadline.Seconds() != 2 || len(c.Files) != 3 || c.Files[0] != main {
-		t.Fatalf("%s", told)
+	c, reported := load(map[string]string{"patience": "2s"})
+	if c == nil || reported != "" || c.Routes[0].Deadline.Seconds() != 2 || len(c.Files) != 3 || c.Files[0] != mainPath {
+		t.Fatalf("%s", reported)
 	}
-	if _, told := load(map[string]string{"patience": "2/s"}); !strings.Contains(told, main+`:5:14: deadline = "2/s" is not a time`) {
-		t.Error(told)
+	if _, reported := load(map[string]string{"patience": "2/s"}); !strings.Contains(reported, mainPath+`:5:14: deadline = "2/s" is not a time`) {
+		t.Error(reported)
 	}
-	if _, told := load(map[string]string{"patience": "2s", "speed": "1"}); !strings.Contains(told, `the variable "speed", which is not defined`) {
-		t.Error(told)
+	if _, reported := load(map[string]string{"patience": "2s", "speed": "1"}); !strings.Contains(reported, `the variable "speed", which is not defined`) {
+		t.Error(reported)
 	}
 	for name, to := range map[string]string{"out.hcl": outside, "loop.hcl": "loop.hcl", "up.hcl": "../../x"} {
-		link := filepath.Join(sub, "plans", name)
+		link := filepath.Join(confDir, "plans", name)
 		if err := os.Symlink(to, link); err != nil {
 			t.Fatal(err)
 		}
-		if c, told := load(map[string]string{"patience": "2s"}); c != nil || !strings.Contains(told, main+":2:9: ") || !strings.Contains(told, name) {
-			t.Errorf("a link %s -> %s: %s", name, to, told)
+		if c, reported := load(map[string]string{"patience": "2s"}); c != nil || !strings.Contains(reported, mainPath+":2:9: ") || !strings.Contains(reported, name) {
+			t.Errorf("a link %s -> %s: %s", name, to, reported)
 		}
 		if err := os.Remove(link); err != nil {
 			t.Fatal(err)
--- a/config/report.go
+++ b/config/report.go
@@ -135,22 +135,22 @@
 
 // excerpt returns the source line in which a range begins, the padding before the caret on
 // the line below, and the caret's width.
-func (r *Report) excerpt(at hcl.Range) (line, pad string, width int, ok bool) {
-	src := r.sources[at.Filename]
-	if at.Start.Byte > len(src) || len(src) == 0 {
+func (r *Report) excerpt(rng hcl.Range) (line, pad string, width int, ok bool) {
+	source := r.sources[rng.Filename]
+	if rng.Start.Byte > len(source) || len(source) == 0 {
 		return "", "", 0, false
 	}
-	from := strings.LastIndexByte(string(src[:at.Start.Byte]), '\n') + 1
-	to := len(src)
-	if n := strings.IndexByte(string(src[at.Start.Byte:]), '\n'); n >= 0 {
-		to = at.Start.Byte + n
+	from := strings.LastIndexByte(string(source[:rng.Start.Byte]), '\n') + 1
+	to := len(source)
+	if n := strings.IndexByte(string(source[rng.Start.Byte:]), '\n'); n >= 0 {
+		to = rng.Start.Byte + n
 	}
-	end := min(max(at.End.Byte, at.Start.Byte+1), to)
-	before := string(src[from:at.Start.Byte])
+	end := min(max(rng.End.Byte, rng.Start.Byte+1), to)
+	before := string(source[from:rng.Start.Byte])
 	if len(before) > maxLineBytes {
 		return "", "", 0, false
 	}
-	line = strings.TrimRight(string(src[from:to]), "\r")
+	line = strings.TrimRight(string(source[from:to]), "\r")
 	if len(line) > maxLineBytes {
 		line = strings.ToValidUTF8(line[:maxLineBytes], "") + "..."
 	}
@@ -160,7 +160,7 @@
 		}
 		return ' '
 	}, before)
-	width = max(1, utf8.RuneCountInString(string(src[at.Start.Byte:max(end, at.Start.Byte)])))
+	width = max(1, utf8.RuneCountInString(string(source[rng.Start.Byte:max(end, rng.Start.Byte)])))
 	return strings.Map(printableRune, line), pad, min(width, maxLineBytes), true
 }
 
@@ -230,13 +230,13 @@
 // nearest returns the known name with the smallest edit distance to a mistyped one, or "" if
 // none is close.
 func nearest(name string, known []string) string {
-	best, least := "", max(1, min(3, (len(name)+1)/2))+1
-	for _, k := range known {
-		if strings.EqualFold(k, name) {
-			return k
+	best, minDistance := "", max(1, min(3, (len(name)+1)/2))+1
+	for _, candidate := range known {
+		if strings.EqualFold(candidate, name) {
+			return candidate
 		}
-		if d := levenshtein.Distance(strings.ToLower(name), strings.ToLower(k), nil); d < least {
-			best, least = k, d
+		if distance := levenshtein.Distance(strings.ToLower(name), strings.ToLower(candidate), nil); distance < minDistance {
+			best, minDistance = candidate, distance
 		}
 	}
 	return best
@@ -247,8 +247,8 @@
 	if len(known) == 0 {
 		return ""
 	}
-	if k := nearest(name, known); k != "" {
-		return fmt.Sprintf("did you mean %q?", k)
+	if candidate := nearest(name, known); candidate != "" {
+		return fmt.Sprintf("did you mean %q?", candidate)
 	}
 	if len(known) > 12 {
 		return fmt.Sprintf("write one of: %s and %d more", strings.Join(known[:12], " "), len(known)-12)
@@ -256,6 +256,7 @@
 	return "write one of: " + strings.Join(known, " ")
 }
 
+// codeEntry is the severity and description of a diagnostic code.
 type codeEntry struct {
 	severity Severity
 	meaning  string
--- a/config/source.go
+++ b/config/source.go
@@ -132,22 +132,22 @@
 	if len(b.Labels) != 1 {
 		return // reported by decoder.checkLabels
 	}
-	at := b.LabelRanges[0]
+	labelRange := b.LabelRanges[0]
 	pattern := b.Labels[0]
 	if pattern == "" || strings.ContainsAny(pattern, "\\\x00") || path.IsAbs(pattern) {
-		l.add("include-pattern", at, `write a path relative to this file, such as "plans/*.hcl"`, "include %q is no relative path", pattern)
+		l.add("include-pattern", labelRange, `write a path relative to this file, such as "plans/*.hcl"`, "include %q is no relative path", pattern)
 		return
 	}
-	full := path.Join(path.Dir(name), pattern)
-	if !fs.ValidPath(full) {
-		l.add("include-outside", at, "move the file below the folder of the first file", "include %q leaves the folder of the first file", pattern)
+	fullPattern := path.Join(path.Dir(name), pattern)
+	if !fs.ValidPath(fullPattern) {
+		l.add("include-outside", labelRange, "move the file below the folder of the first file", "include %q leaves the folder of the first file", pattern)
 		return
 	}
-	names := []string{full}
+	names := []string{fullPattern}
 	if strings.ContainsAny(pattern, "*?[") {
 		var err error
-		if names, err = fs.Glob(root.FS, full); err != nil {
-			l.add("include-pattern", at, "write * for any letters and ? for one", "include %q is no pattern", pattern)
+		if names, err = fs.Glob(root.FS, fullPattern); err != nil {
+			l.add("include-pattern", labelRange, "write * for any letters and ? for one", "include %q is no pattern", pattern)
 			return
 		}
 		names = slices.DeleteFunc(names, func(n string) bool {
@@ -156,26 +156,26 @@
 		})
 		slices.Sort(names)
 		if len(names) == 0 {
-			l.add("include-empty", at, "write another pattern, or take the include out", "no file fits %q", pattern)
+			l.add("include-empty", labelRange, "write another pattern, or take the include out", "no file fits %q", pattern)
 		}
 	}
 	for _, n := range names {
 		if i := slices.IndexFunc(chain, func(s includeStep) bool { return s.name == n }); i >= 0 {
-			var way []string
+			var cycle []string
 			for _, s := range chain[i:] {
-				way = append(way, fmt.Sprintf("%s:%d", root.Show+s.name, s.at.Start.Line))
+				cycle = append(cycle, fmt.Sprintf("%s:%d", root.Show+s.name, s.at.Start.Line))
 			}
-			d := l.add("include-cycle", at, "take one of these includes out", "files include each other in a circle: %s -> %s", strings.Join(way, " -> "), root.Show+n)
+			d := l.add("include-cycle", labelRange, "take one of these includes out", "files include each other in a circle: %s -> %s", strings.Join(cycle, " -> "), root.Show+n)
 			for _, s := range chain[i : len(chain)-1] {
 				d.addRelated(s.at)
 			}
 			continue
 		}
 		if len(chain) > l.includeDepth {
-			l.add("include-depth", at, "include the file from one further up", "includes are nested more than %d deep", l.includeDepth)
+			l.add("include-depth", labelRange, "include the file from one further up", "includes are nested more than %d deep", l.includeDepth)
 			continue
 		}
-		l.loadFile(root, n, chain, at)
+		l.loadFile(root, n, chain, labelRange)
 	}
 }
 
@@ -250,7 +250,7 @@
 // recursive, so deeper nesting could exhaust the stack.
 func (l *loader) checkNesting(data []byte, show string) bool {
 	tokens, _ := hclsyntax.LexConfig(data, show, hcl.InitialPos)
-	depth, signs, choices := 0, 0, 0
+	depth, unaryOperators, conditionals := 0, 0, 0
 	for _, t := range tokens {
 		switch t.Type {
 		case hclsyntax.TokenOBrace, hclsyntax.TokenOBrack, hclsyntax.TokenOParen, hclsyntax.TokenTemplateInterp, hclsyntax.TokenTemplateControl:
@@ -258,14 +258,14 @@
 		case hclsyntax.TokenCBrace, hclsyntax.TokenCBrack, hclsyntax.TokenCParen, hclsyntax.TokenTemplateSeqEnd:
 			depth--
 		case hclsyntax.TokenQuestion:
-			choices++
+			conditionals++
 		}
 		if t.Type == hclsyntax.TokenMinus || t.Type == hclsyntax.TokenBang {
-			signs++
+			unaryOperators++
 		} else {
-			signs = 0
+			unaryOperators = 0
 		}
-		if depth > maxNesting || signs > maxNesting || choices > maxConditionals {
+		if depth > maxNesting || unaryOperators > maxNesting || conditionals > maxConditionals {
 			l.add("too-deep", t.Range, "write it flatter", "expressions are nested more than %d deep", maxNesting)
 			return false
 		}
--- a/config/units.go
+++ b/config/units.go
@@ -34,13 +34,13 @@
 // splitNumber splits a quantity into its leading number and the unit that follows.
 func splitNumber(text string) (number float64, unit string, ok bool) {
 	text = strings.TrimSpace(text)
-	i := 0
-	for i < len(text) && (text[i] >= '0' && text[i] <= '9' || strings.IndexByte("+-.", text[i]) >= 0 ||
-		(text[i] == 'e' || text[i] == 'E') && i > 0 && i+1 < len(text) && strings.IndexByte("+-0123456789", text[i+1]) >= 0) {
-		i++
+	end := 0
+	for end < len(text) && (text[end] >= '0' && text[end] <= '9' || strings.IndexByte("+-.", text[end]) >= 0 ||
+		(text[end] == 'e' || text[end] == 'E') && end > 0 && end+1 < len(text) && strings.IndexByte("+-0123456789", text[end+1]) >= 0) {
+		end++
 	}
-	v, err := strconv.ParseFloat(text[:i], 64)
-	return v, strings.TrimSpace(text[i:]), (err == nil || math.IsInf(v, 0)) && i > 0
+	parsed, err := strconv.ParseFloat(text[:end], 64)
+	return parsed, strings.TrimSpace(text[end:]), (err == nil || math.IsInf(parsed, 0)) && end > 0
 }
 
 // guessKind guesses the kind of a quantity from its unit.
@@ -67,22 +67,22 @@
 
 // unitMismatch returns an error if a text is a quantity of another kind than want, else nil.
 func unitMismatch(text string, want kind) *quantityError {
-	is, known := guessKind(text)
-	if !known || is == want {
+	actual, known := guessKind(text)
+	if !known || actual == want {
 		return nil
 	}
-	m := &quantityError{code: "unit-mismatch", hint: fmt.Sprintf("%s is a %s", strings.TrimSpace(text), kinds[is].name)}
-	v, unit, _ := splitNumber(text)
-	d, _ := time.ParseDuration(strings.TrimSpace(text))
+	mismatch := &quantityError{code: "unit-mismatch", hint: fmt.Sprintf("%s is a %s", strings.TrimSpace(text), kinds[actual].name)}
+	number, unit, _ := splitNumber(text)
+	duration, _ := time.ParseDuration(strings.TrimSpace(text))
 	switch {
-	case want == kindRate && is == kindDuration && d > 0:
-		m.hint = fmt.Sprintf("one every %s is %q", d, fmt.Sprintf("%g/s", roundTo(1/d.Seconds())))
-	case want == kindDuration && is == kindRate && v > 0:
-		m.hint = fmt.Sprintf("%s is a rate: one every %s", strings.TrimSpace(text), time.Duration(rateUnits[unit[1:]]/v*1e9).Round(time.Microsecond))
-	case want == kindNumber && is == kindShare:
-		m.hint = fmt.Sprintf("%s as a bare number is %g", strings.TrimSpace(text), roundTo(v/100))
-	}
-	return m
+	case want == kindRate && actual == kindDuration && duration > 0:
+		mismatch.hint = fmt.Sprintf("one every %s is %q", duration, fmt.Sprintf("%g/s", roundTo(1/duration.Seconds())))
+	case want == kindDuration && actual == kindRate && number > 0:
+		mismatch.hint = fmt.Sprintf("%s is a rate: one every %s", strings.TrimSpace(text), time.Duration(rateUnits[unit[1:]]/number*1e9).Round(time.Microsecond))
+	case want == kindNumber && actual == kindShare:
+		mismatch.hint = fmt.Sprintf("%s as a bare number is %g", strings.TrimSpace(text), roundTo(number/100))
+	}
+	return mismatch
 }
 
 func roundTo(v float64) float64 { return math.Round(v*1e6) / 1e6 }
@@ -98,15 +98,15 @@
 			return d.Seconds(), nil
 		}
 	}
-	v, unit, ok := splitNumber(trimmed)
+	number, unit, ok := splitNumber(trimmed)
 	if !ok {
 		return 0, &quantityError{code: "bad-quantity"}
 	}
 	if strings.HasPrefix(unit, ",") {
 		return 0, &quantityError{code: "bad-quantity", hint: fmt.Sprintf("did you mean %q?", strings.Replace(trimmed, ",", ".", 1))}
 	}
-	if short := rateAliases[strings.ToLower(unit)]; want == kindRate && short != "" { // spellings of rates in other servers' configurations
-		return 0, &quantityError{code: "bad-quantity", hint: fmt.Sprintf("did you mean %q?", fmt.Sprintf("%g%s", v, short))}
+	if alias := rateAliases[strings.ToLower(unit)]; want == kindRate && alias != "" { // spellings of rates in other servers' configurations
+		return 0, &quantityError{code: "bad-quantity", hint: fmt.Sprintf("did you mean %q?", fmt.Sprintf("%g%s", number, alias))}
 	}
 	if unit == "" {
 		m := &quantityError{code: "unit-missing"}
@@ -117,18 +117,18 @@
 			m.hint = fmt.Sprintf("did you mean %q?", trimmed+"/s")
 		case kindShare:
 			m.hint = fmt.Sprintf("did you mean %q?", trimmed+"%")
-			if v > 0 && v < 1 {
-				m.hint = fmt.Sprintf("did you mean %q?", fmt.Sprintf("%g%%", roundTo(v*100)))
+			if number > 0 && number < 1 {
+				m.hint = fmt.Sprintf("did you mean %q?", fmt.Sprintf("%g%%", roundTo(number*100)))
 			}
 		case kindSize:
 			m.hint = fmt.Sprintf("did you mean %q?", trimmed+"B")
 		}
 		return 0, m
 	}
-	units, per := timeUnits, ""
+	units, prefix := timeUnits, ""
 	switch want {
 	case kindRate:
-		units, per = rateUnits, "/"
+		units, prefix = rateUnits, "/"
 		after, found := strings.CutPrefix(unit, "/")
 		if !found {
 			return 0, &quantityError{code: "bad-quantity"}
@@ -136,7 +136,7 @@
 		unit = strings.TrimSpace(after)
 	case kindShare:
 		if unit == "%" {
-			return v / 100, nil
+			return number / 100, nil
 		}
 		return 0, &quantityError{code: "bad-quantity"}
 	case kindSize:
@@ -144,17 +144,17 @@
 	}
 	if factor, known := units[unit]; known {
 		if want == kindRate {
-			return v / factor, nil
+			return number / factor, nil
 		}
-		return v * factor, nil
+		return number * factor, nil
 	}
 	m := &quantityError{code: "bad-quantity"}
-	if short, known := unitAliases[unit]; known {
-		if _, fits := units[short]; fits {
+	if alias, known := unitAliases[unit]; known {
+		if _, fits := units[alias]; fits {
 			if unit == "d" || unit == "day" || unit == "days" {
-				v *= 24
+				number *= 24
 			}
-			m.hint = fmt.Sprintf("did you mean %q?", fmt.Sprintf("%g%s%s", v, per, short))
+			m.hint = fmt.Sprintf("did you mean %q?", fmt.Sprintf("%g%s%s", number, prefix, alias))
 		}
 	}
 	return 0, m
