--- a/config/broken_test.go
+++ b/config/broken_test.go
@@ -17,11 +17,11 @@
 
 var update = flag.Bool("update", false, "write what the checker says into testdata; read it before it is committed")
 
-// brokenCase is a file of testdata/broken: what people get wrong, and what they are told.
+// brokenCase is a file of testdata/broken: an invalid configuration and its expected report.
 type brokenCase struct {
 	archive *txtar.Archive
 	want    string
-	within  bounds
+	limits  loadLimits
 }
 
 func readBroken(t *testing.T, path string) (brokenCase, []Root) {
@@ -34,18 +34,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := brokenCase{archive: a, within: usualBounds}
+	c := brokenCase{archive: a, limits: defaultLimits}
 	if _, list, ok := strings.Cut(string(a.Comment), "limits: "); ok {
 		name, value, _ := strings.Cut(strings.Fields(list)[0], "=")
 		var n int64
 		fmt.Sscan(strings.TrimSuffix(value, "."), &n)
 		switch name {
 		case "depth":
-			c.within.depth = int(n)
+			c.limits.includeDepth = int(n)
 		case "files":
-			c.within.files = int(n)
+			c.limits.files = int(n)
 		case "file":
-			c.within.file = n
+			c.limits.fileBytes = n
 		default:
 			t.Fatalf("%s: a limit %q", path, name)
 		}
@@ -62,32 +62,32 @@
 	return c, []Root{{FS: files, Name: "main.hcl"}}
 }
 
-// Every broken file is told of in full: place, what, what to write. And every diagnostic
-// that the checker can give stands in one of them.
+// Every broken file gives the expected report, with position, problem and fix. Every
+// diagnostic of the catalogue is triggered by at least one file.
 func TestBrokenFiles(t *testing.T) {
 	paths, err := filepath.Glob("testdata/broken/*.txtar")
 	if err != nil || len(paths) < 120 {
 		t.Fatalf("%d broken files, %v", len(paths), err)
 	}
-	given := map[string]int{}
+	countByCode := map[string]int{}
 	for _, path := range paths {
 		name := strings.TrimSuffix(filepath.Base(path), ".txtar")
 		t.Run(name, func(t *testing.T) {
-			c, roots := readBroken(t, path)
-			cfg, report := load(roots, nil, c.within)
+			tc, roots := readBroken(t, path)
+			cfg, report := load(roots, nil, tc.limits)
 			var got bytes.Buffer
 			report.Write(&got)
 			if *update {
-				for i := range c.archive.Files {
-					if c.archive.Files[i].Name == "want" {
-						c.archive.Files[i].Data = got.Bytes()
+				for i := range tc.archive.Files {
+					if tc.archive.Files[i].Name == "want" {
+						tc.archive.Files[i].Data = got.Bytes()
 					}
 				}
-				if err := os.WriteFile(path, txtar.Format(c.archive), 0o644); err != nil {
+				if err := os.WriteFile(path, txtar.Format(tc.archive), 0o644); err != nil {
 					t.Fatal(err)
 				}
-			} else if got.String() != c.want {
-				t.Errorf("got:\n%s\nwant:\n%s", got.String(), c.want)
+			} else if got.String() != tc.want {
+				t.Errorf("got:\n%s\nwant:\n%s", got.String(), tc.want)
 			}
 			if len(report.Diagnostics) == 0 {
 				t.Error("nothing is wrong with it")
@@ -96,7 +96,7 @@
 				t.Errorf("%d errors, and a configuration: %v", errors, cfg != nil)
 			}
 			for _, d := range report.Diagnostics {
-				given[d.Code]++
+				countByCode[d.Code]++
 				if d.Line < 1 || d.Column < 1 || d.File == "" || d.Fix == "" {
 					t.Errorf("no place or no fix: %+v", d)
 				}
@@ -107,13 +107,13 @@
 		})
 	}
 	for code := range codes {
-		if given[code] == 0 {
+		if countByCode[code] == 0 {
 			t.Errorf("no broken file is told %q", code)
 		}
 	}
 }
 
-// The sound file that the others are broken from has nothing wrong with it.
+// The valid file that the broken ones are derived from gives no diagnostics.
 func TestBaseIsSound(t *testing.T) {
 	data, err := os.ReadFile("testdata/base.hcl")
 	if err != nil {
