--- a/internal/replay/plan.go
+++ b/internal/replay/plan.go
@@ -259,7 +259,7 @@
 		c := r.Counts()
 		r.Close()
 		bytes += c.Bytes
-		f := FileReport{Schema: in.Schema.Name, Source: in.Schema.Source, Rows: c.Rows, Records: c.Records, Moved: c.Moved, Dropped: c.Dropped, Passed: c.Passed}
+		f := FileReport{Schema: in.Schema.Name, Source: in.Schema.Source, Rows: c.Rows, Records: c.Records, Moved: c.Reordered, Dropped: c.Dropped, Passed: c.Skipped}
 		for _, file := range in.Files {
 			f.Files = append(f.Files, file.Name)
 		}
@@ -289,7 +289,7 @@
 func (p *Plan) step() time.Duration {
 	most := time.Duration(0)
 	for _, in := range p.Options.Inputs {
-		most = max(most, in.Schema.Step)
+		most = max(most, in.Schema.TimeStep)
 	}
 	return most
 }
@@ -333,12 +333,12 @@
 func (p *Plan) arrival(s *scan, rec *trace.Record) *trace.Problem {
 	f := p.Options.Fleet
 	if rec.Class != "" && classOf(f, rec.Class) < 0 {
-		return &trace.Problem{File: rec.File, Line: rec.Line, Column: "class", What: fmt.Sprintf("the fleet has no class %q", rec.Class),
-			Do: "name one of its classes in the mapping: " + join(f.Classes, func(c fleet.Class) string { return c.Name })}
+		return &trace.Problem{File: rec.File, Line: rec.Line, Column: "class", Message: fmt.Sprintf("the fleet has no class %q", rec.Class),
+			Remedy: "name one of its classes in the mapping: " + join(f.Classes, func(c fleet.Class) string { return c.Name })}
 	}
 	if rec.Plan != "" && planOf(f, rec.Plan) < 0 {
-		return &trace.Problem{File: rec.File, Line: rec.Line, Column: "plan", What: fmt.Sprintf("the fleet has no plan %q", rec.Plan),
-			Do: "name one of its plans in the mapping: " + join(f.Plans, func(p fleet.Plan) string { return p.Name })}
+		return &trace.Problem{File: rec.File, Line: rec.Line, Column: "plan", Message: fmt.Sprintf("the fleet has no plan %q", rec.Plan),
+			Remedy: "name one of its plans in the mapping: " + join(f.Plans, func(p fleet.Plan) string { return p.Name })}
 	}
 	s.arrivals++
 	if rec.Size > 0 {
@@ -353,12 +353,12 @@
 
 // machineKnown checks that the boxes that a mapping names are in the fleet.
 func (p *Plan) machineKnown(in Input, rec *trace.Record) *trace.Problem {
-	if !in.Schema.Present || boxOf(p.Options.Fleet, rec.Machine) >= 0 {
+	if !in.Schema.MachinesPresent || boxOf(p.Options.Fleet, rec.Machine) >= 0 {
 		return nil
 	}
 	names := join(p.Options.Fleet.Boxes[:min(12, len(p.Options.Fleet.Boxes))], func(b fleet.Box) string { return b.Name })
-	return &trace.Problem{File: rec.File, Line: rec.Line, Column: "box", What: fmt.Sprintf("the fleet has no box %q", rec.Machine),
-		Do: "name one of its boxes: " + names}
+	return &trace.Problem{File: rec.File, Line: rec.Line, Column: "box", Message: fmt.Sprintf("the fleet has no box %q", rec.Machine),
+		Remedy: "name one of its boxes: " + names}
 }
 
 func classOf(f *fleet.Fleet, name string) int {
@@ -390,13 +390,13 @@
 // slowness is the factor by which a machine's usage makes a box slower, in whole
 // steps, so that small changes are none.
 func slowness(rec *trace.Record) float64 {
-	if rec.Slow > 0 {
-		return rec.Slow
+	if rec.SlowFactor > 0 {
+		return rec.SlowFactor
 	}
-	if rec.Busy < nearTop {
+	if rec.Utilization < nearTop {
 		return 1
 	}
-	f := 1 + (topSlow-1)*(rec.Busy-nearTop)/(1-nearTop)
+	f := 1 + (topSlow-1)*(rec.Utilization-nearTop)/(1-nearTop)
 	return max(1+slowStep, float64(int(f/slowStep+0.5))*slowStep)
 }
 
--- a/internal/trace/functions.go
+++ b/internal/trace/functions.go
@@ -15,9 +15,9 @@
 	// chunk is how many minutes are gathered in one reading of the files: a table of
 	// functions by minutes has to be turned over, and whole days don't fit. Memory is
 	// bounded by the functions that are called in so many minutes, time by the readings.
-	chunk = 10
+	minutesPerPass = 10
 	// mostAMinute bounds the invocations of one function in one minute.
-	mostAMinute = 1e6
+	maxInvocationsPerMinute = 1e6
 )
 
 func functionsHeader() []string {
@@ -32,120 +32,120 @@
 // The rows are checked whole in a first reading; the minutes then come chunk by
 // chunk, each by another reading. Within a minute the moments of each function are
 // drawn one after the other, so that memory holds functions, not invocations.
-type functions struct {
-	files   []Source
-	schema  *Schema
-	o       Options
-	n       Counts
-	rng     *rand.Rand
-	in      *lines // of the first reading; nil once that is done
-	day     int
-	minute  int // of the day: the next to be played
-	read    int // minutes before this are gathered
-	minutes [chunk][]invocations
-	now     calls // of the minute that is played
+type functionStream struct {
+	files         []Source
+	schema        *Schema
+	options       Options
+	totals        Counts
+	rng           *rand.Rand
+	firstPass     *lineReader // of the first reading; nil once that is done
+	day           int
+	minute        int // of the day: the next to be played
+	gatheredUntil int // minutes before this are gathered
+	minutes       [minutesPerPass][]invocations
+	currentMinute invocationHeap // of the minute that is played
 }
 
 // invocations are those of one function in one minute.
 type invocations struct {
 	owner, function, file string
 	line                  int
-	left                  int
-	at                    float64 // the next moment, as a share of the minute
+	remaining             int
+	position              float64 // the next moment, as a share of the minute
 }
 
 // step draws the next of the moments that are left: the least of so many
 // uniform ones beyond the last (order statistics, drawn in order).
-func (v *invocations) step(rng *rand.Rand) {
-	v.at += (1 - v.at) * (1 - math.Pow(rng.Float64(), 1/float64(v.left)))
-	v.left--
+func (v *invocations) drawNext(rng *rand.Rand) {
+	v.position += (1 - v.position) * (1 - math.Pow(rng.Float64(), 1/float64(v.remaining)))
+	v.remaining--
 }
 
 // calls is a heap by the next moment.
-type calls []invocations
+type invocationHeap []invocations
 
-func (c calls) Len() int { return len(c) }
-func (c calls) Less(i, j int) bool {
-	return c[i].at < c[j].at || c[i].at == c[j].at && c[i].line < c[j].line
+func (c invocationHeap) Len() int { return len(c) }
+func (c invocationHeap) Less(i, j int) bool {
+	return c[i].position < c[j].position || c[i].position == c[j].position && c[i].line < c[j].line
 }
-func (c calls) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
-func (c *calls) Push(x any)   { *c = append(*c, x.(invocations)) }
-func (c *calls) Pop() any {
+func (c invocationHeap) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
+func (c *invocationHeap) Push(x any)   { *c = append(*c, x.(invocations)) }
+func (c *invocationHeap) Pop() any {
 	last := (*c)[len(*c)-1]
 	*c = (*c)[:len(*c)-1]
 	return last
 }
 
-func openFunctions(files []Source, s *Schema, o Options) (stream, error) {
-	f := &functions{files: files, schema: s, o: o, in: newLines(files)}
+func openFunctions(files []Source, s *Schema, o Options) (recordStream, error) {
+	f := &functionStream{files: files, schema: s, options: o, firstPass: newLines(files)}
 	f.minute = int(o.From / time.Minute)
-	f.day, f.minute = f.minute/minutesADay, f.minute%minutesADay/chunk*chunk
-	f.read = f.minute
+	f.day, f.minute = f.minute/minutesADay, f.minute%minutesADay/minutesPerPass*minutesPerPass
+	f.gatheredUntil = f.minute
 	return f, nil
 }
 
-func (f *functions) counts() *Counts {
-	if f.in != nil {
-		return &f.in.n
+func (f *functionStream) counts() *Counts {
+	if f.firstPass != nil {
+		return &f.firstPass.totals
 	}
-	return &f.n
+	return &f.totals
 }
 
-func (f *functions) close() error {
-	if f.in != nil {
-		return f.in.close()
+func (f *functionStream) close() error {
+	if f.firstPass != nil {
+		return f.firstPass.close()
 	}
 	return nil
 }
 
-func (f *functions) next() (Record, error) {
-	if f.in != nil {
-		err := f.check(f.in, func(int, int, float64) {}, 0, minutesADay)
+func (f *functionStream) next() (Record, error) {
+	if f.firstPass != nil {
+		err := f.readRows(f.firstPass, func(int, int, float64) {}, 0, minutesADay)
 		if !errors.Is(err, io.EOF) {
 			return Record{}, err
 		}
-		f.n, f.in = f.in.n, nil
+		f.totals, f.firstPass = f.firstPass.totals, nil
 	}
-	for len(f.now) == 0 {
-		if f.day >= len(f.files) || f.o.Until > 0 && f.time(f.minute) >= f.o.Until {
+	for len(f.currentMinute) == 0 {
+		if f.day >= len(f.files) || f.options.Until > 0 && f.minuteStart(f.minute) >= f.options.Until {
 			return Record{}, io.EOF
 		}
-		if f.minute >= f.read {
-			if err := f.gather(); err != nil {
+		if f.minute >= f.gatheredUntil {
+			if err := f.readMinutes(); err != nil {
 				return Record{}, err
 			}
 		}
 		// Each minute draws by itself, so that its moments are the same wherever the
 		// reading begins.
-		f.rng = rand.New(rand.NewPCG(f.o.Seed, uint64(f.day*minutesADay+f.minute)))
-		f.now = f.minutes[f.minute%chunk]
-		for i := range f.now {
-			f.now[i].step(f.rng)
+		f.rng = rand.New(rand.NewPCG(f.options.Seed, uint64(f.day*minutesADay+f.minute)))
+		f.currentMinute = f.minutes[f.minute%minutesPerPass]
+		for i := range f.currentMinute {
+			f.currentMinute[i].drawNext(f.rng)
 		}
-		heap.Init(&f.now)
+		heap.Init(&f.currentMinute)
 		if f.minute++; f.minute >= minutesADay {
-			f.day, f.minute, f.read = f.day+1, 0, 0
+			f.day, f.minute, f.gatheredUntil = f.day+1, 0, 0
 		}
 	}
-	v := &f.now[0]
-	start := f.time(f.minute) - time.Minute // of the minute that is played
-	r := Record{At: start + time.Duration(v.at*float64(time.Minute)), Account: v.owner, Label: v.function, File: v.file, Line: v.line}
-	if v.left > 0 {
-		v.step(f.rng)
-		heap.Fix(&f.now, 0)
+	v := &f.currentMinute[0]
+	start := f.minuteStart(f.minute) - time.Minute // of the minute that is played
+	r := Record{At: start + time.Duration(v.position*float64(time.Minute)), Account: v.owner, Label: v.function, File: v.file, Line: v.line}
+	if v.remaining > 0 {
+		v.drawNext(f.rng)
+		heap.Fix(&f.currentMinute, 0)
 	} else {
-		heap.Pop(&f.now)
+		heap.Pop(&f.currentMinute)
 	}
 	return r, nil
 }
 
 // time is when a minute of the day begins.
-func (f *functions) time(minute int) time.Duration {
+func (f *functionStream) minuteStart(minute int) time.Duration {
 	return time.Duration(f.day*minutesADay+minute) * time.Minute
 }
 
 // gather reads the next chunk of minutes of a day.
-func (f *functions) gather() error {
+func (f *functionStream) readMinutes() error {
 	l := newLines(f.files[f.day : f.day+1])
 	defer l.close()
 	for i := range f.minutes {
@@ -153,16 +153,16 @@
 	}
 	row, owner, function := 0, "", ""
 	for {
-		err := f.check(l, func(minute, line int, count float64) {
+		err := f.readRows(l, func(minute, line int, count float64) {
 			if count < 1 {
 				return
 			}
 			if row != line { // one pair of names for a row
 				row, owner, function = line, string(l.fields[0]), string(l.fields[2])
 			}
-			m := &f.minutes[minute%chunk]
-			*m = append(*m, invocations{owner: owner, function: function, file: l.file, line: line, left: int(count)})
-		}, f.minute, min(f.minute+chunk, minutesADay))
+			m := &f.minutes[minute%minutesPerPass]
+			*m = append(*m, invocations{owner: owner, function: function, file: l.fileName, line: line, remaining: int(count)})
+		}, f.minute, min(f.minute+minutesPerPass, minutesADay))
 		if errors.Is(err, io.EOF) {
 			break
 		}
@@ -171,39 +171,39 @@
 			return err
 		}
 	}
-	f.read = f.minute + chunk
+	f.gatheredUntil = f.minute + minutesPerPass
 	return nil
 }
 
 // check reads rows until one is wrong or the end, and gives the invocations of
 // some minutes away.
-func (f *functions) check(l *lines, give func(minute, line int, count float64), from, to int) error {
+func (f *functionStream) readRows(l *lineReader, give func(minute, line int, count float64), from, to int) error {
 	for {
-		if err := l.row(); err != nil {
+		if err := l.readRow(); err != nil {
 			return err
 		}
-		if l.first {
-			l.first = false
-			l.n.Rows--
-			if p := f.schema.head(l); p != nil {
+		if l.atFileStart {
+			l.atFileStart = false
+			l.totals.Rows--
+			if p := f.schema.checkHeader(l); p != nil {
 				return p
 			}
 			continue
 		}
-		if p := f.schema.columns(l); p != nil {
+		if p := f.schema.checkColumns(l); p != nil {
 			return p
 		}
 		if len(l.fields[0]) == 0 || len(l.fields[2]) == 0 {
-			return l.wrong("HashOwner", "fill it in, or remove the row", "empty")
+			return l.problem("HashOwner", "fill it in, or remove the row", "empty")
 		}
 		for m := from; m < to; m++ {
 			text := l.fields[4+m]
 			if len(text) == 1 && text[0] == '0' {
 				continue
 			}
-			count, p := l.number(4+m, strconv.Itoa(m+1), 0, mostAMinute)
+			count, p := l.parseNumber(4+m, strconv.Itoa(m+1), 0, maxInvocationsPerMinute)
 			if p == nil && count != float64(int(count)) {
-				p = l.wrong(strconv.Itoa(m+1), "write a whole number", "%q invocations", clip(text))
+				p = l.problem(strconv.Itoa(m+1), "write a whole number", "%q invocations", truncate(text))
 			}
 			if p != nil {
 				return p
--- a/internal/trace/mapping.go
+++ b/internal/trace/mapping.go
@@ -57,7 +57,7 @@
 	}
 )
 
-var units = map[string]time.Duration{"ns": time.Nanosecond, "us": time.Microsecond, "ms": time.Millisecond, "s": time.Second, "m": time.Minute}
+var timeUnits = map[string]time.Duration{"ns": time.Nanosecond, "us": time.Microsecond, "ms": time.Millisecond, "s": time.Second, "m": time.Minute}
 
 // LoadMapping reads a mapping: HCL that says which column of any other CSV file
 // is what. An error lists every mistake with file, line and what to write.
@@ -83,8 +83,8 @@
 	if err := m.Err(); err != nil {
 		return nil, err
 	}
-	s := &Schema{Name: m.raw.Name, Source: name, Header: m.raw.Columns, Columns: m.count, parse: m.parse, open: openRows,
-		Present: true, Clock: m.raw.Time.Format != "", Reads: "what the mapping names"}
+	s := &Schema{Name: m.raw.Name, Source: name, Header: m.raw.Columns, Columns: m.columnCount, parseRow: m.parseRow, openStream: openRows,
+		MachinesPresent: true, Clock: m.raw.Time.Format != "", Reads: "what the mapping names"}
 	return s, nil
 }
 
@@ -92,19 +92,19 @@
 type mapping struct {
 	raw rawTrace
 	diag.List
-	count                                int
-	time, account, class, plan, un, work int
-	unit, workUnit                       time.Duration
-	events                               []mappedEvent
+	columnCount                                                                 int
+	timeColumn, accountColumn, classColumn, planColumn, unitsColumn, workColumn int
+	timeUnit, workUnit                                                          time.Duration
+	events                                                                      []mappedEvent
 }
 
 type mappedEvent struct {
 	rawEvent
-	column, box, factor int
+	columnIndex, boxIndex, factorIndex int
 }
 
 // column finds a column by its name or number.
-func (m *mapping) column(at hcl.Range, what, name string) int {
+func (m *mapping) findColumn(at hcl.Range, what, name string) int {
 	if name == "" {
 		return -1
 	}
@@ -113,50 +113,50 @@
 			return i
 		}
 	}
-	if n, err := strconv.Atoi(name); err == nil && m.raw.Columns == nil && n >= 1 && n <= m.count {
+	if n, err := strconv.Atoi(name); err == nil && m.raw.Columns == nil && n >= 1 && n <= m.columnCount {
 		return n - 1
 	}
 	if m.raw.Columns != nil {
 		m.Wrong(at, "write one of: "+strings.Join(m.raw.Columns, " "), "%s: no column %q", what, name)
 	} else {
-		m.Wrong(at, fmt.Sprintf(`write a number from "1" to "%d", as there is no header`, m.count), "%s: no column %q", what, name)
+		m.Wrong(at, fmt.Sprintf(`write a number from "1" to "%d", as there is no header`, m.columnCount), "%s: no column %q", what, name)
 	}
 	return -1
 }
 
 func (m *mapping) resolve() {
 	t := m.raw
-	if m.count = len(t.Columns); m.count == 0 {
-		m.count = t.Count
+	if m.columnCount = len(t.Columns); m.columnCount == 0 {
+		m.columnCount = t.Count
 	}
-	if m.count <= 0 || m.count > 10_000 {
+	if m.columnCount <= 0 || m.columnCount > 10_000 {
 		m.Wrong(t.At, `add columns = ["time", "user"] as in the header, or column_count = 5 if there is none`, "trace %q has no columns", t.Name)
 		return
 	}
-	m.time = m.column(t.Time.At, "time", t.Time.Column)
-	if m.time < 0 {
+	m.timeColumn = m.findColumn(t.Time.At, "time", t.Time.Column)
+	if m.timeColumn < 0 {
 		m.Wrong(t.Time.At, "name the column that has the time", "trace %q has no time", t.Name)
 	}
-	switch unit, known := units[t.Time.Unit]; {
+	switch unit, known := timeUnits[t.Time.Unit]; {
 	case (t.Time.Unit == "") == (t.Time.Format == ""):
 		m.Wrong(t.Time.At, `give unit = "ms" for numbers, or format = "2006-01-02 15:04:05" for wall-clock times`, "time needs one of unit and format")
 	case t.Time.Unit != "" && !known:
 		m.Wrong(t.Time.At, "write one of: ns us ms s m", "time unit %q is not known", t.Time.Unit)
 	default:
-		m.unit = unit
+		m.timeUnit = unit
 	}
-	m.account, m.un, m.work = m.column(t.At, "account", t.Account), m.column(t.At, "units", t.Units), m.column(t.At, "work", t.Work)
+	m.accountColumn, m.unitsColumn, m.workColumn = m.findColumn(t.At, "account", t.Account), m.findColumn(t.At, "units", t.Units), m.findColumn(t.At, "work", t.Work)
 	if t.WorkUnit != "" {
-		if m.workUnit = units[t.WorkUnit]; m.workUnit == 0 {
+		if m.workUnit = timeUnits[t.WorkUnit]; m.workUnit == 0 {
 			m.Wrong(t.At, "write one of: ns us ms s m", "work_unit %q is not known", t.WorkUnit)
 		}
 	}
-	m.class, m.plan = -1, -1
+	m.classColumn, m.planColumn = -1, -1
 	if t.Class != nil {
-		m.class = m.column(t.Class.At, "class", t.Class.Column)
+		m.classColumn = m.findColumn(t.Class.At, "class", t.Class.Column)
 	}
 	if t.Plan != nil {
-		m.plan = m.column(t.Plan.At, "plan", t.Plan.Column)
+		m.planColumn = m.findColumn(t.Plan.At, "plan", t.Plan.Column)
 	}
 	for _, e := range t.Events {
 		if e.Kind != "down" && e.Kind != "up" && e.Kind != "slow" {
@@ -165,59 +165,59 @@
 		if (e.Factor != "") != (e.Kind == "slow") {
 			m.Wrong(e.At, `a slow event, and no other, names the column of its factor: factor = "slow"`, "event %q: factor", e.Kind)
 		}
-		m.events = append(m.events, mappedEvent{e, m.column(e.At, "column", e.Column), m.column(e.At, "box", e.Box), m.column(e.At, "factor", e.Factor)})
+		m.events = append(m.events, mappedEvent{e, m.findColumn(e.At, "column", e.Column), m.findColumn(e.At, "box", e.Box), m.findColumn(e.At, "factor", e.Factor)})
 	}
 }
 
 // parse reads a row: an event of a box if one matches, else an arrival.
-func (m *mapping) parse(l *lines) (r Record, v verdict, p *Problem) {
+func (m *mapping) parseRow(l *lineReader) (r Record, v rowAction, p *Problem) {
 	if m.raw.Time.Format != "" {
-		r.At, p = l.clock(m.time, m.raw.Time.Column, m.raw.Time.Format)
+		r.At, p = l.parseWallClock(m.timeColumn, m.raw.Time.Column, m.raw.Time.Format)
 	} else {
-		r.At, p = l.time(m.time, m.raw.Time.Column, m.unit)
+		r.At, p = l.parseTime(m.timeColumn, m.raw.Time.Column, m.timeUnit)
 	}
 	if p != nil {
 		return r, v, p
 	}
 	for _, e := range m.events {
 		for _, value := range e.Equals {
-			if string(l.fields[e.column]) == value {
-				return m.event(l, r, e)
+			if string(l.fields[e.columnIndex]) == value {
+				return m.parseEvent(l, r, e)
 			}
 		}
 	}
-	if m.account >= 0 {
-		if r.Account = string(l.fields[m.account]); r.Account == "" {
-			return r, v, l.wrong(m.raw.Account, "fill it in, or remove the row", "empty")
+	if m.accountColumn >= 0 {
+		if r.Account = string(l.fields[m.accountColumn]); r.Account == "" {
+			return r, v, l.problem(m.raw.Account, "fill it in, or remove the row", "empty")
 		}
 	}
-	if m.class >= 0 {
-		if r.Class, p = named(l, m.class, m.raw.Class); p != nil {
+	if m.classColumn >= 0 {
+		if r.Class, p = mappedName(l, m.classColumn, m.raw.Class); p != nil {
 			return r, v, p
 		}
 	}
-	if m.plan >= 0 {
-		if r.Plan, p = named(l, m.plan, m.raw.Plan); p != nil {
+	if m.planColumn >= 0 {
+		if r.Plan, p = mappedName(l, m.planColumn, m.raw.Plan); p != nil {
 			return r, v, p
 		}
 	}
-	if m.un >= 0 {
-		if r.Units, p = l.number(m.un, m.raw.Units, 1e-6, 1e6); p != nil {
+	if m.unitsColumn >= 0 {
+		if r.Units, p = l.parseNumber(m.unitsColumn, m.raw.Units, 1e-6, 1e6); p != nil {
 			return r, v, p
 		}
 	}
 	switch {
-	case m.work >= 0 && m.workUnit > 0:
-		r.Work, p = l.time(m.work, m.raw.Work, m.workUnit)
-	case m.work >= 0:
-		r.Size, p = l.number(m.work, m.raw.Work, 0, 1e12)
+	case m.workColumn >= 0 && m.workUnit > 0:
+		r.Work, p = l.parseTime(m.workColumn, m.raw.Work, m.workUnit)
+	case m.workColumn >= 0:
+		r.Size, p = l.parseNumber(m.workColumn, m.raw.Work, 0, 1e12)
 	}
-	return r, use, p
+	return r, keepRow, p
 }
 
-func (m *mapping) event(l *lines, r Record, e mappedEvent) (Record, verdict, *Problem) {
-	if r.Machine = string(l.fields[e.box]); r.Machine == "" {
-		return r, use, l.wrong(e.Box, "fill it in, or remove the row", "empty")
+func (m *mapping) parseEvent(l *lineReader, r Record, e mappedEvent) (Record, rowAction, *Problem) {
+	if r.Machine = string(l.fields[e.boxIndex]); r.Machine == "" {
+		return r, keepRow, l.problem(e.Box, "fill it in, or remove the row", "empty")
 	}
 	switch e.Kind {
 	case "up":
@@ -227,22 +227,22 @@
 	case "slow":
 		r.Kind = Usage
 		var p *Problem
-		if r.Slow, p = l.number(e.factor, e.Factor, 0.01, 1000); p != nil {
-			return r, use, p
+		if r.SlowFactor, p = l.parseNumber(e.factorIndex, e.Factor, 0.01, 1000); p != nil {
+			return r, keepRow, p
 		}
 	}
-	return r, use, nil
+	return r, keepRow, nil
 }
 
 // named is a value by the mapping's names, or as it stands where it has none.
-func named(l *lines, i int, n *rawNames) (string, *Problem) {
+func mappedName(l *lineReader, i int, n *rawNames) (string, *Problem) {
 	text := string(l.fields[i])
 	if len(n.Names) == 0 {
 		return text, nil
 	}
 	name, ok := n.Names[text]
 	if !ok {
-		return "", l.wrong(n.Column, "add it to names in the mapping", "%q has no name there", clip(l.fields[i]))
+		return "", l.problem(n.Column, "add it to names in the mapping", "%q has no name there", truncate(l.fields[i]))
 	}
 	return name, nil
 }
--- a/internal/trace/schemas.go
+++ b/internal/trace/schemas.go
@@ -16,27 +16,27 @@
 
 // Schema is the layout of one kind of file.
 type Schema struct {
-	Name    string
-	Source  string        // where the layout is described
-	Header  []string      // names of the columns in the first line; nil: no such line
-	Columns int           // of every row
-	Reads   string        // what a replay reads from it, for people
-	Step    time.Duration // times are told in whole steps of so much; 0: as fine as can be
-	Clock   bool          // times are of the wall clock
-	Present bool          // machines are there from the start, without a row that adds them
-
-	parse func(l *lines) (Record, verdict, *Problem)
-	key   []int // columns that must be numbers (counted from 0): how files are told apart
-	words []int // and those that must not be
-	open  func([]Source, *Schema, Options) (stream, error)
+	Name            string
+	Source          string        // where the layout is described
+	Header          []string      // names of the columns in the first line; nil: no such line
+	Columns         int           // of every row
+	Reads           string        // what a replay reads from it, for people
+	TimeStep        time.Duration // times are told in whole steps of so much; 0: as fine as can be
+	Clock           bool          // times are of the wall clock
+	MachinesPresent bool          // machines are there from the start, without a row that adds them
+
+	parseRow       func(l *lineReader) (Record, rowAction, *Problem)
+	numericColumns []int // columns that must be numbers (counted from 0): how files are told apart
+	textColumns    []int // and those that must not be
+	openStream     func([]Source, *Schema, Options) (recordStream, error)
 }
 
 // verdict is whether a row means something.
-type verdict int
+type rowAction int
 
 const (
-	use      verdict = iota
-	passOver         // counted already
+	keepRow rowAction = iota
+	skipRow           // counted already
 )
 
 // Known are the public layouts, in the order in which they are tried.
@@ -60,59 +60,59 @@
 // J. Hellerstein: Google cluster-usage traces: format + schema, 2011, revised
 // 2014): no header, 13 columns, microseconds. Time 0 is before the trace, 2^63-1
 // after it. Event type 0 is SUBMIT.
-var googleTasks = &Schema{Name: "google-2011-task-events", Columns: 13, key: []int{0, 2, 3, 5},
+var googleTasks = &Schema{Name: "google-2011-task-events", Columns: 13, numericColumns: []int{0, 2, 3, 5},
 	Source: "Google ClusterData2011_2, task_events: github.com/google/cluster-data",
-	Reads:  "arrivals: time, account (user), size (CPU request)", open: openRows,
-	parse: func(l *lines) (r Record, v verdict, p *Problem) {
-		event, p := l.number(5, "event type", 0, 8)
+	Reads:  "arrivals: time, account (user), size (CPU request)", openStream: openRows,
+	parseRow: func(l *lineReader) (r Record, v rowAction, p *Problem) {
+		event, p := l.parseNumber(5, "event type", 0, 8)
 		if p != nil {
 			return r, v, p
 		}
-		if r.At, v, p = googleTime(l); p != nil || v == passOver {
+		if r.At, v, p = googleTime(l); p != nil || v == skipRow {
 			return r, v, p
 		}
 		if event != 0 {
-			l.pass("not a SUBMIT event")
-			return r, passOver, nil
+			l.countSkipped("not a SUBMIT event")
+			return r, skipRow, nil
 		}
 		if r.At == 0 { // what was there already, all at once
-			l.pass("submitted before the trace (time 0)")
-			return r, passOver, nil
+			l.countSkipped("submitted before the trace (time 0)")
+			return r, skipRow, nil
 		}
 		r.Account = string(l.fields[6])
 		if len(l.fields[9]) > 0 { // may be missing, as the format says
-			if r.Size, p = l.number(9, "CPU request", 0, 1e6); p != nil {
+			if r.Size, p = l.parseNumber(9, "CPU request", 0, 1e6); p != nil {
 				return r, v, p
 			}
 		}
-		return r, use, nil
+		return r, keepRow, nil
 	}}
 
 // googleTime reads the first column of the Google layouts.
-func googleTime(l *lines) (time.Duration, verdict, *Problem) {
+func googleTime(l *lineReader) (time.Duration, rowAction, *Problem) {
 	if string(l.fields[0]) == "9223372036854775807" {
-		l.pass("after the end of the trace (time 2^63-1)")
-		return 0, passOver, nil
+		l.countSkipped("after the end of the trace (time 2^63-1)")
+		return 0, skipRow, nil
 	}
-	at, p := l.time(0, "time", time.Microsecond)
-	return at, use, p
+	at, p := l.parseTime(0, "time", time.Microsecond)
+	return at, keepRow, p
 }
 
 // googleMachines is machine_events of the same trace: no header, 6 columns,
 // microseconds. Event type 0 is ADD, 1 REMOVE, 2 UPDATE.
-var googleMachines = &Schema{Name: "google-2011-machine-events", Columns: 6, key: []int{0, 1, 2},
+var googleMachines = &Schema{Name: "google-2011-machine-events", Columns: 6, numericColumns: []int{0, 1, 2},
 	Source: "Google ClusterData2011_2, machine_events: github.com/google/cluster-data",
-	Reads:  "machines that come and go", open: openRows,
-	parse: func(l *lines) (r Record, v verdict, p *Problem) {
-		if r.At, v, p = googleTime(l); p != nil || v == passOver {
+	Reads:  "machines that come and go", openStream: openRows,
+	parseRow: func(l *lineReader) (r Record, v rowAction, p *Problem) {
+		if r.At, v, p = googleTime(l); p != nil || v == skipRow {
 			return r, v, p
 		}
-		event, p := l.number(2, "event type", 0, 2)
+		event, p := l.parseNumber(2, "event type", 0, 2)
 		if p != nil {
 			return r, v, p
 		}
 		if r.Machine = string(l.fields[1]); r.Machine == "" {
-			return r, v, l.wrong("machine ID", "fill it in, or remove the row", "empty")
+			return r, v, l.problem("machine ID", "fill it in, or remove the row", "empty")
 		}
 		switch event {
 		case 0:
@@ -120,173 +120,173 @@
 		case 1:
 			r.Kind = MachineDown
 		default:
-			l.pass("an UPDATE of a machine")
-			return r, passOver, nil
+			l.countSkipped("an UPDATE of a machine")
+			return r, skipRow, nil
 		}
-		return r, use, nil
+		return r, keepRow, nil
 	}}
 
 // alibabaTask is batch_task of Alibaba cluster-trace-v2018 (its schema.txt): no
 // header, 9 columns, seconds: task_name, instance_num, job_name, task_type,
 // status, start_time, end_time, plan_cpu, plan_mem.
-var alibabaTask = &Schema{Name: "alibaba-2018-batch-task", Columns: 9, key: []int{1}, words: []int{4},
+var alibabaTask = &Schema{Name: "alibaba-2018-batch-task", Columns: 9, numericColumns: []int{1}, textColumns: []int{4},
 	Source: "Alibaba cluster-trace-v2018, batch_task: github.com/alibaba/clusterdata",
-	Reads:  "arrivals: time, account (job), size (duration x CPU)", Step: time.Second, open: openRows,
-	parse: func(l *lines) (Record, verdict, *Problem) { return batch(l, 2, 4, 5, 6, 7) }}
+	Reads:  "arrivals: time, account (job), size (duration x CPU)", TimeStep: time.Second, openStream: openRows,
+	parseRow: func(l *lineReader) (Record, rowAction, *Problem) { return parseBatchRow(l, 2, 4, 5, 6, 7) }}
 
 // alibabaInstance is batch_instance of the same trace: no header, 14 columns,
 // seconds: instance_name, task_name, job_name, task_type, status, start_time,
 // end_time, machine_id, seq_no, total_seq_no, cpu_avg, cpu_max, mem_avg, mem_max.
-var alibabaInstance = &Schema{Name: "alibaba-2018-batch-instance", Columns: 14, key: []int{8, 9}, words: []int{4},
+var alibabaInstance = &Schema{Name: "alibaba-2018-batch-instance", Columns: 14, numericColumns: []int{8, 9}, textColumns: []int{4},
 	Source: "Alibaba cluster-trace-v2018, batch_instance: github.com/alibaba/clusterdata",
-	Reads:  "arrivals: time, account (job), size (duration x mean CPU)", Step: time.Second, open: openRows,
-	parse: func(l *lines) (Record, verdict, *Problem) { return batch(l, 2, 4, 5, 6, 10) }}
+	Reads:  "arrivals: time, account (job), size (duration x mean CPU)", TimeStep: time.Second, openStream: openRows,
+	parseRow: func(l *lineReader) (Record, rowAction, *Problem) { return parseBatchRow(l, 2, 4, 5, 6, 10) }}
 
 // batch reads what the two batch layouts share. Work that has not started has no
 // times.
-func batch(l *lines, account, status, start, end, cpu int) (r Record, v verdict, p *Problem) {
+func parseBatchRow(l *lineReader, account, status, start, end, cpu int) (r Record, v rowAction, p *Problem) {
 	if s := string(l.fields[status]); (s == "Waiting" || s == "Ready") && (len(l.fields[start]) == 0 || string(l.fields[start]) == "0") {
-		l.pass("not started (status " + s + ")")
-		return r, passOver, nil
+		l.countSkipped("not started (status " + s + ")")
+		return r, skipRow, nil
 	}
-	if r.At, p = l.time(start, "start_time", time.Second); p != nil {
+	if r.At, p = l.parseTime(start, "start_time", time.Second); p != nil {
 		return r, v, p
 	}
 	if r.Account = string(l.fields[account]); r.Account == "" {
-		return r, v, l.wrong("job_name", "fill it in, or remove the row", "empty")
+		return r, v, l.problem("job_name", "fill it in, or remove the row", "empty")
 	}
 	if len(l.fields[end]) > 0 && string(l.fields[end]) != "0" { // 0: still running at the end
-		until, p := l.time(end, "end_time", time.Second)
+		until, p := l.parseTime(end, "end_time", time.Second)
 		if p != nil {
 			return r, v, p
 		}
 		if until < r.At {
-			return r, v, l.wrong("end_time", "correct it, or remove the row", "ends at %v, before it starts at %v", until, r.At)
+			return r, v, l.problem("end_time", "correct it, or remove the row", "ends at %v, before it starts at %v", until, r.At)
 		}
 		r.Size = max(until-r.At, time.Second/2).Seconds()
 		if len(l.fields[cpu]) > 0 {
-			c, p := l.number(cpu, "CPU", 0, 1e6)
+			c, p := l.parseNumber(cpu, "CPU", 0, 1e6)
 			if p != nil {
 				return r, v, p
 			}
 			r.Size *= max(c, 1) / 100
 		}
 	}
-	return r, use, nil
+	return r, keepRow, nil
 }
 
 // alibabaMeta is machine_meta of the same trace: no header, 7 columns, seconds:
 // machine_id, time_stamp, failure_domain_1, failure_domain_2, cpu_num, mem_size,
 // status. A machine is in service while its status is USING. It has a row at
 // every change, also of other things.
-var alibabaMeta = &Schema{Name: "alibaba-2018-machine-meta", Columns: 7, key: []int{1, 2, 4},
+var alibabaMeta = &Schema{Name: "alibaba-2018-machine-meta", Columns: 7, numericColumns: []int{1, 2, 4},
 	Source: "Alibaba cluster-trace-v2018, machine_meta: github.com/alibaba/clusterdata",
-	Reads:  "machines that come and go, by their status", open: openStates,
-	parse: func(l *lines) (r Record, v verdict, p *Problem) {
-		if r.At, p = l.time(1, "time_stamp", time.Second); p != nil {
+	Reads:  "machines that come and go, by their status", openStream: openStates,
+	parseRow: func(l *lineReader) (r Record, v rowAction, p *Problem) {
+		if r.At, p = l.parseTime(1, "time_stamp", time.Second); p != nil {
 			return r, v, p
 		}
 		if r.Machine = string(l.fields[0]); r.Machine == "" {
-			return r, v, l.wrong("machine_id", "fill it in, or remove the row", "empty")
+			return r, v, l.problem("machine_id", "fill it in, or remove the row", "empty")
 		}
 		r.Kind = MachineDown
 		if string(l.fields[6]) == "USING" {
 			r.Kind = MachineUp
 		} else if len(l.fields[6]) == 0 {
-			return r, v, l.wrong("status", "fill it in, or remove the row", "empty")
+			return r, v, l.problem("status", "fill it in, or remove the row", "empty")
 		}
-		return r, use, nil
+		return r, keepRow, nil
 	}}
 
 // alibabaUsage is machine_usage of the same trace: no header, 9 columns, seconds:
 // machine_id, time_stamp, cpu_util_percent, mem_util_percent, mem_gps, mkpi,
 // net_in, net_out, disk_io_percent. Its description gives -1 and 101 for values
 // that could not be measured.
-var alibabaUsage = &Schema{Name: "alibaba-2018-machine-usage", Columns: 9, key: []int{1, 2},
+var alibabaUsage = &Schema{Name: "alibaba-2018-machine-usage", Columns: 9, numericColumns: []int{1, 2},
 	Source: "Alibaba cluster-trace-v2018, machine_usage: github.com/alibaba/clusterdata",
-	Reads:  "slowdowns: machines whose CPU is near the top", open: openRows,
-	parse: func(l *lines) (r Record, v verdict, p *Problem) {
+	Reads:  "slowdowns: machines whose CPU is near the top", openStream: openRows,
+	parseRow: func(l *lineReader) (r Record, v rowAction, p *Problem) {
 		r.Kind = Usage
-		if r.At, p = l.time(1, "time_stamp", time.Second); p != nil {
+		if r.At, p = l.parseTime(1, "time_stamp", time.Second); p != nil {
 			return r, v, p
 		}
 		if r.Machine = string(l.fields[0]); r.Machine == "" {
-			return r, v, l.wrong("machine_id", "fill it in, or remove the row", "empty")
+			return r, v, l.problem("machine_id", "fill it in, or remove the row", "empty")
 		}
-		busy, p := l.number(2, "cpu_util_percent", -1, 101)
+		busy, p := l.parseNumber(2, "cpu_util_percent", -1, 101)
 		if p != nil {
 			return r, v, p
 		}
 		if busy < 0 || busy > 100 {
-			l.pass("usage not measured (-1 or 101)")
-			return r, passOver, nil
+			l.countSkipped("usage not measured (-1 or 101)")
+			return r, skipRow, nil
 		}
-		r.Busy = busy / 100
-		return r, use, nil
+		r.Utilization = busy / 100
+		return r, keepRow, nil
 	}}
 
 // alibabaCalls is MSCallGraph of Alibaba cluster-trace-microservices-v2021 (its
 // README): a header whose first name is empty, 9 columns, milliseconds. A call is
 // recorded by both of its sides: with a negative rt by the one that answers it.
-var alibabaCalls = &Schema{Name: "alibaba-2021-ms-callgraph", Columns: 9, key: []int{2},
+var alibabaCalls = &Schema{Name: "alibaba-2021-ms-callgraph", Columns: 9, numericColumns: []int{2},
 	Header: []string{"", "traceid", "timestamp", "rpcid", "um", "rpctype", "dm", "interface", "rt"},
 	Source: "Alibaba cluster-trace-microservices-v2021, MSCallGraph: github.com/alibaba/clusterdata",
-	Reads:  "arrivals: time, account (calling service um), kind (interface), size (rt)", Step: time.Millisecond, open: openRows,
-	parse: func(l *lines) (r Record, v verdict, p *Problem) {
-		if r.At, p = l.time(2, "timestamp", time.Millisecond); p != nil {
+	Reads:  "arrivals: time, account (calling service um), kind (interface), size (rt)", TimeStep: time.Millisecond, openStream: openRows,
+	parseRow: func(l *lineReader) (r Record, v rowAction, p *Problem) {
+		if r.At, p = l.parseTime(2, "timestamp", time.Millisecond); p != nil {
 			return r, v, p
 		}
-		rt, p := l.number(8, "rt", -1e9, 1e9)
+		rt, p := l.parseNumber(8, "rt", -1e9, 1e9)
 		if p != nil {
 			return r, v, p
 		}
 		if rt < 0 {
-			l.pass("the same call seen from its other side (rt below 0)")
-			return r, passOver, nil
+			l.countSkipped("the same call seen from its other side (rt below 0)")
+			return r, skipRow, nil
 		}
 		r.Account, r.Label, r.Size = string(l.fields[4]), string(l.fields[7]), max(rt, 0.5)
-		return r, use, nil
+		return r, keepRow, nil
 	}}
 
 // azureFunctions is invocations_per_function_md of the Azure Functions trace 2019
 // (M. Shahrad et al.: Serverless in the Wild, USENIX ATC 2020): a header, then for
 // each function the number of its invocations in each minute of a day.
-var azureFunctions = &Schema{Name: "azure-functions-2019", Columns: 4 + minutesADay, key: []int{4, 5},
-	Header: functionsHeader(), open: openFunctions,
+var azureFunctions = &Schema{Name: "azure-functions-2019", Columns: 4 + minutesADay, numericColumns: []int{4, 5},
+	Header: functionsHeader(), openStream: openFunctions,
 	Source: "Azure Functions trace 2019, invocations_per_function_md: github.com/Azure/AzurePublicDataset",
 	Reads:  "arrivals: the minute, account (HashOwner), kind (HashFunction); the moment within the minute is drawn"}
 
 // azureLLM is the Azure LLM inference trace 2023 (P. Patel et al.: Splitwise,
 // ISCA 2024): a header, wall-clock times with seven decimals.
-var azureLLM = &Schema{Name: "azure-llm-2023", Columns: 3, Clock: true, key: []int{1, 2},
+var azureLLM = &Schema{Name: "azure-llm-2023", Columns: 3, Clock: true, numericColumns: []int{1, 2},
 	Header: []string{"TIMESTAMP", "ContextTokens", "GeneratedTokens"},
 	Source: "Azure LLM inference trace 2023: github.com/Azure/AzurePublicDataset",
-	Reads:  "arrivals: time, size (tokens)", open: openRows,
-	parse: func(l *lines) (r Record, v verdict, p *Problem) {
-		if r.At, p = l.clock(0, "TIMESTAMP", "2006-01-02 15:04:05.9999999"); p != nil {
+	Reads:  "arrivals: time, size (tokens)", openStream: openRows,
+	parseRow: func(l *lineReader) (r Record, v rowAction, p *Problem) {
+		if r.At, p = l.parseWallClock(0, "TIMESTAMP", "2006-01-02 15:04:05.9999999"); p != nil {
 			return r, v, p
 		}
-		in, p := l.number(1, "ContextTokens", 0, 1e9)
+		in, p := l.parseNumber(1, "ContextTokens", 0, 1e9)
 		if p != nil {
 			return r, v, p
 		}
-		out, p := l.number(2, "GeneratedTokens", 0, 1e9)
+		out, p := l.parseNumber(2, "GeneratedTokens", 0, 1e9)
 		r.Size = max(1, in+out)
-		return r, use, p
+		return r, keepRow, p
 	}}
 
 // clock reads a wall-clock time, as the time since 1970.
-func (l *lines) clock(i int, name, layout string) (time.Duration, *Problem) {
+func (l *lineReader) parseWallClock(i int, name, layout string) (time.Duration, *Problem) {
 	text := string(l.fields[i])
 	if text == "" {
-		return 0, l.wrong(name, "fill it in, or remove the row", "empty where a time belongs")
+		return 0, l.problem(name, "fill it in, or remove the row", "empty where a time belongs")
 	}
 	t, err := time.Parse(layout, text)
 	if err != nil {
-		return 0, l.wrong(name, fmt.Sprintf("write it as %q", layout), "%q is not a time", clip(l.fields[i]))
+		return 0, l.problem(name, fmt.Sprintf("write it as %q", layout), "%q is not a time", truncate(l.fields[i]))
 	}
 	if t.Year() < 1971 || t.Year() > 2200 {
-		return 0, l.wrong(name, "write a year from 1971 to 2200", "the time %q is out of range", clip(l.fields[i]))
+		return 0, l.problem(name, "write a year from 1971 to 2200", "the time %q is out of range", truncate(l.fields[i]))
 	}
 	return time.Duration(t.UnixNano()), nil
 }
@@ -294,66 +294,66 @@
 // ---- Rows in the order of the file ----
 
 // rows reads a layout with one record a line at most.
-type rows struct {
-	*lines
+type rowStream struct {
+	*lineReader
 	schema *Schema
 }
 
-func openRows(files []Source, s *Schema, _ Options) (stream, error) {
-	r := &rows{newLines(files), s}
+func openRows(files []Source, s *Schema, _ Options) (recordStream, error) {
+	r := &rowStream{newLines(files), s}
 	return r, nil
 }
 
-func (r *rows) next() (Record, error) {
+func (r *rowStream) next() (Record, error) {
 	for {
-		if err := r.row(); err != nil {
+		if err := r.readRow(); err != nil {
 			return Record{}, err
 		}
-		if r.first {
-			r.first = false
-			if p := r.schema.head(r.lines); p != nil {
+		if r.atFileStart {
+			r.atFileStart = false
+			if p := r.schema.checkHeader(r.lineReader); p != nil {
 				return Record{}, p
 			}
 			if r.schema.Header != nil {
-				r.n.Rows--
+				r.totals.Rows--
 				continue
 			}
 		}
-		if p := r.schema.columns(r.lines); p != nil {
+		if p := r.schema.checkColumns(r.lineReader); p != nil {
 			return Record{}, p
 		}
-		rec, v, p := r.schema.parse(r.lines)
+		rec, v, p := r.schema.parseRow(r.lineReader)
 		if p != nil {
 			return rec, p
 		}
-		if v == use {
-			rec.File, rec.Line = r.file, r.line
+		if v == keepRow {
+			rec.File, rec.Line = r.fileName, r.line
 			return rec, nil
 		}
 	}
 }
 
-func (s *Schema) columns(l *lines) *Problem {
+func (s *Schema) checkColumns(l *lineReader) *Problem {
 	if n := len(l.fields); n != s.Columns {
 		what := "too few"
 		if n > s.Columns {
 			what = "too many"
 		}
-		return l.wrong("", "correct it, or remove the row", "%d columns where %s has %d: %s", n, s.Name, s.Columns, what)
+		return l.problem("", "correct it, or remove the row", "%d columns where %s has %d: %s", n, s.Name, s.Columns, what)
 	}
 	return nil
 }
 
 // head checks the first line of a file against the header that belongs there.
-func (s *Schema) head(l *lines) *Problem {
+func (s *Schema) checkHeader(l *lineReader) *Problem {
 	if s.Header == nil {
 		if looksLikeHeader(l.fields) {
-			return l.wrong("", "remove the line", "a header, where %s has none", s.Name)
+			return l.problem("", "remove the line", "a header, where %s has none", s.Name)
 		}
 		return nil
 	}
 	if !looksLikeHeader(l.fields) {
-		return l.wrong("", "put this line before it: "+strings.Join(s.Header[:min(len(s.Header), 8)], ","), "no header, where %s has one", s.Name)
+		return l.problem("", "put this line before it: "+strings.Join(s.Header[:min(len(s.Header), 8)], ","), "no header, where %s has one", s.Name)
 	}
 	for i, want := range s.Header {
 		if i < len(l.fields) && string(l.fields[i]) == want {
@@ -367,18 +367,18 @@
 		}
 		switch {
 		case place >= 0:
-			return l.wrong(want, fmt.Sprintf("move it to place %d", i+1), "column %d, where %s has it as column %d", place+1, s.Name, i+1)
+			return l.problem(want, fmt.Sprintf("move it to place %d", i+1), "column %d, where %s has it as column %d", place+1, s.Name, i+1)
 		case i >= len(l.fields):
-			return l.wrong(want, "add the column", "missing from the header")
+			return l.problem(want, "add the column", "missing from the header")
 		}
 		got := string(l.fields[i])
 		if len(l.fields) == len(s.Header) || levenshtein.Distance(got, want, nil) <= 1+len(want)/3 {
-			return l.wrong(want, fmt.Sprintf("call it %q, or write a mapping (--schema FILE.hcl)", want), "column %d is called %q", i+1, got)
+			return l.problem(want, fmt.Sprintf("call it %q, or write a mapping (--schema FILE.hcl)", want), "column %d is called %q", i+1, got)
 		}
-		return l.wrong(want, "add the column", "missing from the header")
+		return l.problem(want, "add the column", "missing from the header")
 	}
 	if len(l.fields) > len(s.Header) {
-		return l.wrong("", "remove the columns behind "+s.Header[len(s.Header)-1], "%d columns in the header, where %s has %d",
+		return l.problem("", "remove the columns behind "+s.Header[len(s.Header)-1], "%d columns in the header, where %s has %d",
 			len(l.fields), s.Name, len(s.Header))
 	}
 	return nil
@@ -404,7 +404,7 @@
 }
 
 // like tells whether a line can be of a layout.
-func (s *Schema) like(fields [][]byte) bool {
+func (s *Schema) matches(fields [][]byte) bool {
 	if len(fields) != s.Columns {
 		return false
 	}
@@ -416,12 +416,12 @@
 		}
 		return true
 	}
-	for _, i := range s.key {
+	for _, i := range s.numericColumns {
 		if v, err := strconv.ParseFloat(string(fields[i]), 64); err != nil || math.IsNaN(v) {
 			return false
 		}
 	}
-	for _, i := range s.words {
+	for _, i := range s.textColumns {
 		if _, err := strconv.ParseFloat(string(fields[i]), 64); err == nil || len(fields[i]) == 0 {
 			return false
 		}
@@ -433,12 +433,12 @@
 func Detect(f Source) ([]*Schema, error) {
 	l := newLines([]Source{f})
 	defer l.close()
-	if err := l.row(); err != nil {
+	if err := l.readRow(); err != nil {
 		return nil, err
 	}
 	var all []*Schema
 	for _, s := range Known() {
-		if s.like(l.fields) {
+		if s.matches(l.fields) {
 			all = append(all, s)
 		}
 	}
@@ -446,7 +446,7 @@
 }
 
 // fits tells early of a file of another layout, and of which one.
-func fits(f Source, s *Schema) error {
+func checkLayout(f Source, s *Schema) error {
 	others, err := Detect(f)
 	var p *Problem
 	if errors.As(err, &p) || err == nil && (slices.Contains(others, s) || len(others) == 0) {
@@ -469,30 +469,30 @@
 
 // states reads a layout that has a machine's state in each row and passes on the
 // changes. Its memory grows with the machines, not with the rows.
-type states struct {
-	*rows
-	up map[string]bool
+type stateStream struct {
+	*rowStream
+	inService map[string]bool
 }
 
-func openStates(files []Source, s *Schema, o Options) (stream, error) {
+func openStates(files []Source, s *Schema, o Options) (recordStream, error) {
 	r, err := openRows(files, s, o)
 	if err != nil {
 		return nil, err
 	}
-	return &states{r.(*rows), map[string]bool{}}, nil
+	return &stateStream{r.(*rowStream), map[string]bool{}}, nil
 }
 
-func (s *states) next() (Record, error) {
+func (s *stateStream) next() (Record, error) {
 	for {
-		r, err := s.rows.next()
+		r, err := s.rowStream.next()
 		if err != nil {
 			return r, err
 		}
-		up, known := s.up[r.Machine]
+		up, known := s.inService[r.Machine]
 		now := r.Kind == MachineUp
-		s.up[r.Machine] = now
+		s.inService[r.Machine] = now
 		if known && up == now || !known && !now {
-			s.pass("a machine's state as before")
+			s.countSkipped("a machine's state as before")
 			continue
 		}
 		return r, nil
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -42,9 +42,9 @@
 	Size    float64       // how much work it is, against the others
 	Work    time.Duration // how much work it is, on one core
 
-	Machine string
-	Busy    float64 // of Usage: 0 to 1
-	Slow    float64 // of Usage, by a mapping: the factor by which all is slower; 0: by Busy
+	Machine     string
+	Utilization float64 // of Usage: 0 to 1
+	SlowFactor  float64 // of Usage, by a mapping: the factor by which all is slower; 0: by Busy
 
 	File string
 	Line int
@@ -52,11 +52,11 @@
 
 // Problem is something in a file that can't be used as it is.
 type Problem struct {
-	File   string
-	Line   int    // from 1; 0: the whole file
-	Column string // name or number; empty: the whole line
-	What   string
-	Do     string // what to do about it
+	File    string
+	Line    int    // from 1; 0: the whole file
+	Column  string // name or number; empty: the whole line
+	Message string
+	Remedy  string // what to do about it
 }
 
 // Error is file:line: column: what; what to do.
@@ -69,7 +69,7 @@
 	if p.Column != "" {
 		fmt.Fprintf(&b, ": %s", p.Column)
 	}
-	fmt.Fprintf(&b, ": %s; %s", p.What, p.Do)
+	fmt.Fprintf(&b, ": %s; %s", p.Message, p.Remedy)
 	return b.String()
 }
 
@@ -131,18 +131,18 @@
 
 // Counts are what came of the rows.
 type Counts struct {
-	Rows    int
-	Bytes   int64 // of the text, after gzip
-	Records int
-	Moved   int            // put in order
-	Dropped int            // duplicates
-	Passed  map[string]int // passed over, by reason
+	Rows      int
+	Bytes     int64 // of the text, after gzip
+	Records   int
+	Reordered int            // put in order
+	Dropped   int            // duplicates
+	Skipped   map[string]int // passed over, by reason
 }
 
 // Reasons lists why rows were passed over, the most frequent first.
 func (c *Counts) Reasons() []string {
-	keys := slices.Sorted(maps.Keys(c.Passed))
-	slices.SortStableFunc(keys, func(a, b string) int { return c.Passed[b] - c.Passed[a] })
+	keys := slices.Sorted(maps.Keys(c.Skipped))
+	slices.SortStableFunc(keys, func(a, b string) int { return c.Skipped[b] - c.Skipped[a] })
 	return keys
 }
 
@@ -155,7 +155,7 @@
 // stream gives records in no checked order. It returns io.EOF at the end, a
 // *Problem for a row that can't be used (and goes on after it), or another error
 // that ends it.
-type stream interface {
+type recordStream interface {
 	next() (Record, error)
 	counts() *Counts
 	close() error
@@ -164,14 +164,14 @@
 // Reader gives the records of files of one layout, in the order of their times.
 // It is not safe for concurrent use.
 type Reader struct {
-	from  stream
-	opt   Options
-	order order
-	count Counts
-	there map[string]bool // machines
-	away  map[string]bool // machines that were there from the start and are gone
-	from0 bool            // machines are there from the start
-	ended bool
+	input            recordStream
+	options          Options
+	order            reorderBuffer
+	counts           Counts
+	present          map[string]bool // machines
+	removed          map[string]bool // machines that were there from the start and are gone
+	initiallyPresent bool            // machines are there from the start
+	ended            bool
 }
 
 // Open returns a Reader of files in order. What is wrong with the first lines
@@ -181,20 +181,20 @@
 	if len(files) == 0 {
 		return nil, errors.New("no trace file")
 	}
-	if err := fits(files[0], s); err != nil {
+	if err := checkLayout(files[0], s); err != nil {
 		return nil, err
 	}
-	from, err := s.open(files, s, o)
+	from, err := s.openStream(files, s, o)
 	if err != nil {
 		return nil, err
 	}
-	return &Reader{from: from, opt: o, there: map[string]bool{}, away: map[string]bool{}, from0: s.Present, order: order{window: o.Reorder, dups: o.Duplicates}}, nil
+	return &Reader{input: from, options: o, present: map[string]bool{}, removed: map[string]bool{}, initiallyPresent: s.MachinesPresent, order: reorderBuffer{window: o.Reorder, duplicates: o.Duplicates}}, nil
 }
 
 // Counts are those of the rows read so far.
 func (r *Reader) Counts() Counts {
-	c := *r.from.counts()
-	c.Records, c.Moved, c.Dropped = r.count.Records, r.order.moved, r.order.dropped
+	c := *r.input.counts()
+	c.Records, c.Reordered, c.Dropped = r.counts.Records, r.order.moved, r.order.dropped
 	return c
 }
 
@@ -202,28 +202,28 @@
 // may be called again for the rest.
 func (r *Reader) Next() (Record, error) {
 	for {
-		rec, err := r.sorted()
+		rec, err := r.nextInOrder()
 		if err != nil {
 			return rec, err
 		}
 		if rec.Kind != Arrival {
-			if p := r.machine(&rec); p != nil {
+			if p := r.checkMachine(&rec); p != nil {
 				return rec, p
 			}
 		}
-		if rec.At < r.opt.From {
+		if rec.At < r.options.From {
 			continue
 		}
-		if r.opt.Until > 0 && rec.At >= r.opt.Until {
+		if r.options.Until > 0 && rec.At >= r.options.Until {
 			return rec, io.EOF
 		}
-		r.count.Records++
+		r.counts.Records++
 		return rec, nil
 	}
 }
 
 // sorted returns the next record in the order of time.
-func (r *Reader) sorted() (Record, error) {
+func (r *Reader) nextInOrder() (Record, error) {
 	for {
 		if rec, ok := r.order.pop(r.ended); ok {
 			return rec, nil
@@ -231,7 +231,7 @@
 		if r.ended {
 			return Record{}, io.EOF
 		}
-		rec, err := r.from.next()
+		rec, err := r.input.next()
 		if errors.Is(err, io.EOF) {
 			r.ended = true
 			continue
@@ -239,11 +239,11 @@
 		if err != nil {
 			return rec, err
 		}
-		ok, p := r.order.accept(&rec, r.from)
+		ok, p := r.order.accept(&rec, r.input)
 		switch {
 		case p != nil:
 			return rec, p
-		case ok && r.opt.Reorder == 0: // nothing can come before it
+		case ok && r.options.Reorder == 0: // nothing can come before it
 			return rec, nil
 		case ok:
 			r.order.push(rec)
@@ -252,26 +252,26 @@
 }
 
 // machine checks that machines come before they go.
-func (r *Reader) machine(rec *Record) *Problem {
-	if r.from0 && rec.Kind != Usage && !r.there[rec.Machine] && !r.away[rec.Machine] { // first heard of
-		r.there[rec.Machine] = rec.Kind == MachineDown
+func (r *Reader) checkMachine(rec *Record) *Problem {
+	if r.initiallyPresent && rec.Kind != Usage && !r.present[rec.Machine] && !r.removed[rec.Machine] { // first heard of
+		r.present[rec.Machine] = rec.Kind == MachineDown
 	}
 	switch rec.Kind {
 	case MachineUp:
-		if r.there[rec.Machine] {
+		if r.present[rec.Machine] {
 			return &Problem{rec.File, rec.Line, "machine", fmt.Sprintf("%q is added a second time", rec.Machine),
 				"remove the row, or add the one that removes the machine in between"}
 		}
-		r.there[rec.Machine] = true
+		r.present[rec.Machine] = true
 	case MachineDown:
-		if !r.there[rec.Machine] {
+		if !r.present[rec.Machine] {
 			return &Problem{rec.File, rec.Line, "machine", fmt.Sprintf("%q is removed before it was added", rec.Machine),
 				"give the file that adds it first, in the order of their times"}
 		}
-		r.there[rec.Machine], r.away[rec.Machine] = false, true
+		r.present[rec.Machine], r.removed[rec.Machine] = false, true
 	}
 	return nil
 }
 
 // Close ends the reading.
-func (r *Reader) Close() error { return r.from.close() }
+func (r *Reader) Close() error { return r.input.close() }
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -16,11 +16,11 @@
 )
 
 // text is a file in memory.
-func text(name, content string) Source {
+func memoryFile(name, content string) Source {
 	return Source{name, func() (io.ReadCloser, error) { return io.NopCloser(strings.NewReader(content)), nil }}
 }
 
-func zipped(t testing.TB, content string) string {
+func gzipped(t testing.TB, content string) string {
 	t.Helper()
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
@@ -101,7 +101,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			content := example(t, c.name)
 			s := schema(t, c.name)
-			all, counts, problems := readAll(t, s, Options{Seed: 1}, text("x.csv", content))
+			all, counts, problems := readAll(t, s, Options{Seed: 1}, memoryFile("x.csv", content))
 			if len(problems.List) > 0 {
 				t.Fatal(problems)
 			}
@@ -115,16 +115,16 @@
 				last = r.At
 			}
 			if c.records > 0 && (len(all) != c.records || kinds != c.kinds) {
-				t.Errorf("%d records %v, want %d %v; passed over %v", len(all), kinds, c.records, c.kinds, counts.Passed)
+				t.Errorf("%d records %v, want %d %v; passed over %v", len(all), kinds, c.records, c.kinds, counts.Skipped)
 			}
 			if len(all) == 0 {
 				t.Error("no records")
 			}
-			again, _, problems := readAll(t, s, Options{Seed: 1}, Source{"x.csv.gz", text("", zipped(t, content)).Open})
+			again, _, problems := readAll(t, s, Options{Seed: 1}, Source{"x.csv.gz", memoryFile("", gzipped(t, content)).Open})
 			if len(problems.List) > 0 || len(again) != len(all) || again[len(again)-1].At != last {
 				t.Errorf("gzip: %d records, %v", len(again), problems)
 			}
-			found, err := Detect(text("x.csv", content))
+			found, err := Detect(memoryFile("x.csv", content))
 			if err != nil || len(found) != 1 || found[0] != s {
 				t.Errorf("detected %v, %v", found, err)
 			}
@@ -136,15 +136,15 @@
 }
 
 func TestWhatIsRead(t *testing.T) {
-	all, _, _ := readAll(t, googleTasks, Options{}, text("x", "5000000,,9,0,,0,ann,2,9,0.0125,0.01,0.0001,0\n"))
+	all, _, _ := readAll(t, googleTasks, Options{}, memoryFile("x", "5000000,,9,0,,0,ann,2,9,0.0125,0.01,0.0001,0\n"))
 	if r := all[0]; r.At != 5*time.Second || r.Account != "ann" || r.Size != 0.0125 {
 		t.Errorf("%+v", r)
 	}
-	all, _, _ = readAll(t, alibabaTask, Options{}, text("x", "t,2,j_1,3,Terminated,86400,86410,200.0,0.5\n"))
+	all, _, _ = readAll(t, alibabaTask, Options{}, memoryFile("x", "t,2,j_1,3,Terminated,86400,86410,200.0,0.5\n"))
 	if r := all[0]; r.At != 24*time.Hour || r.Account != "j_1" || r.Size != 20 {
 		t.Errorf("%+v", r)
 	}
-	all, _, _ = readAll(t, azureLLM, Options{}, text("x", "TIMESTAMP,ContextTokens,GeneratedTokens\n2023-11-16 18:17:03.9799600,4808,10\n"))
+	all, _, _ = readAll(t, azureLLM, Options{}, memoryFile("x", "TIMESTAMP,ContextTokens,GeneratedTokens\n2023-11-16 18:17:03.9799600,4808,10\n"))
 	if r := all[0]; r.Size != 4818 || time.Unix(0, int64(r.At)).UTC().Format(time.RFC3339Nano) != "2023-11-16T18:17:03.97996Z" {
 		t.Errorf("%+v", r)
 	}
@@ -166,7 +166,7 @@
 			want[m] += n
 		}
 	}
-	all, _, _ := readAll(t, azureFunctions, Options{Seed: 1}, text("1", content), text("2", content))
+	all, _, _ := readAll(t, azureFunctions, Options{Seed: 1}, memoryFile("1", content), memoryFile("2", content))
 	got := map[int]int{}
 	for _, r := range all {
 		got[int(r.At/time.Minute)]++
@@ -176,7 +176,7 @@
 			t.Errorf("minute %d: %d and %d on the second day, want %d", m, got[m], got[m+minutesADay], n)
 		}
 	}
-	part, _, _ := readAll(t, azureFunctions, Options{Seed: 1, From: 20 * time.Minute, Until: 40 * time.Minute}, text("1", content))
+	part, _, _ := readAll(t, azureFunctions, Options{Seed: 1, From: 20 * time.Minute, Until: 40 * time.Minute}, memoryFile("1", content))
 	n := 0
 	for m := 20; m < 40; m++ {
 		n += want[m]
@@ -214,7 +214,7 @@
 		{"open quote", tasks, good + "5000001,,9,0,,0,\"ann,2,9,,,,0\n" + good, `x.csv:2: 7: a quote that never closes; close it on the same line`},
 		{"quote inside", tasks, good + "5000001,,9,0,,0,a\"nn,2,9,,,,0\n", `x.csv:2: 7: a quote inside a field`},
 		{"invalid UTF-8", tasks, good + "5000001,,9,0,,0,a\xffnn,2,9,,,,0\n", `x.csv:2: not valid UTF-8; save the file as UTF-8`},
-		{"truncated gzip", tasks, zipped(t, strings.Repeat(good, 1))[:30], `the gzip file is cut off or damaged`},
+		{"truncated gzip", tasks, gzipped(t, strings.Repeat(good, 1))[:30], `the gzip file is cut off or damaged`},
 		{"empty", tasks, "", `x.csv: the file has no rows`},
 		{"header where none belongs", tasks, "time,missing,job,task,machine,event,user,class,priority,cpu,mem,disk,diff\n" + good, `x.csv:1: a header, where google-2011-task-events has none; remove the line`},
 		{"no header", llm, "2023-11-16 18:17:03.9799600,4808,10\n", `x.csv:1: no header, where azure-llm-2023 has one; put this line before it: TIMESTAMP,ContextTokens,GeneratedTokens`},
@@ -226,10 +226,10 @@
 		{"machine removed first", "google-2011-machine-events", "0,1,0,p,1,1\n5,2,1,p,,\n", `x.csv:2: machine: "2" is removed before it was added`},
 		{"machine added twice", "google-2011-machine-events", "0,1,0,p,1,1\n5,1,0,p,1,1\n", `x.csv:2: machine: "1" is added a second time`},
 		{"ends before it starts", "alibaba-2018-batch-task", "t,2,j_1,3,Terminated,50,40,200.0,0.5\n", `x.csv:1: end_time: ends at 40s, before it starts at 50s`},
-		{"long line", tasks, good + strings.Repeat("5", maxLine+100_000) + "\n" + good, `x.csv:2: a line of more than 1048576 bytes`},
+		{"long line", tasks, good + strings.Repeat("5", maxLineBytes+100_000) + "\n" + good, `x.csv:2: a line of more than 1048576 bytes`},
 	} {
 		t.Run(strings.ReplaceAll(c.name, " ", "-"), func(t *testing.T) {
-			_, _, problems := readAll(t, schema(t, c.schema), Options{}, text("x.csv", c.content))
+			_, _, problems := readAll(t, schema(t, c.schema), Options{}, memoryFile("x.csv", c.content))
 			if len(problems.List) == 0 || !strings.Contains(problems.List[0].Error(), c.want) {
 				t.Errorf("got %v\nwant %s", problems, c.want)
 			}
@@ -241,9 +241,9 @@
 // the last line, empty lines.
 func TestHarmless(t *testing.T) {
 	content := "\xef\xbb\xbf0,,8,0,,0,old,2,9,,,,0\r\n5000000,,9,0,,0,\"a,\"\"nn\",2,9,0.0125,0.01,0.0001,0\r\n\r\n5000001,,9,0,,0,ann,2,9,,,,0"
-	all, counts, problems := readAll(t, googleTasks, Options{}, text("x", content))
-	if len(problems.List) > 0 || len(all) != 2 || all[0].Account != `a,"nn` || counts.Passed["empty line"] != 1 ||
-		counts.Passed["submitted before the trace (time 0)"] != 1 {
+	all, counts, problems := readAll(t, googleTasks, Options{}, memoryFile("x", content))
+	if len(problems.List) > 0 || len(all) != 2 || all[0].Account != `a,"nn` || counts.Skipped["empty line"] != 1 ||
+		counts.Skipped["submitted before the trace (time 0)"] != 1 {
 		t.Errorf("%+v %v %v", all, problems, counts)
 	}
 }
@@ -251,20 +251,20 @@
 func TestReorder(t *testing.T) {
 	row := func(s int) string { return fmt.Sprintf("%d000000,,9,0,,0,ann,2,9,0.0125,0.01,0.0001,0\n", s) }
 	content := row(10) + row(13) + row(9) + row(12) + row(20) + row(11)
-	all, counts, problems := readAll(t, googleTasks, Options{Reorder: 5 * time.Second}, text("x", content))
+	all, counts, problems := readAll(t, googleTasks, Options{Reorder: 5 * time.Second}, memoryFile("x", content))
 	var got []int
 	for _, r := range all {
 		got = append(got, int(r.At/time.Second))
 	}
-	if fmt.Sprint(got) != "[9 10 12 13 20]" || counts.Moved != 2 || len(problems.List) != 1 || problems.List[0].Line != 6 {
-		t.Errorf("%v, moved %d, %v", got, counts.Moved, problems)
+	if fmt.Sprint(got) != "[9 10 12 13 20]" || counts.Reordered != 2 || len(problems.List) != 1 || problems.List[0].Line != 6 {
+		t.Errorf("%v, moved %d, %v", got, counts.Reordered, problems)
 	}
 }
 
 func TestDuplicates(t *testing.T) {
 	content := strings.Repeat("5000000,,9,0,,0,ann,2,9,0.0125,0.01,0.0001,0\n", 3)
-	kept, _, _ := readAll(t, googleTasks, Options{Duplicates: KeepDuplicates}, text("x", content))
-	dropped, counts, _ := readAll(t, googleTasks, Options{Duplicates: DropDuplicates}, text("x", content))
+	kept, _, _ := readAll(t, googleTasks, Options{Duplicates: KeepDuplicates}, memoryFile("x", content))
+	dropped, counts, _ := readAll(t, googleTasks, Options{Duplicates: DropDuplicates}, memoryFile("x", content))
 	if len(kept) != 3 || len(dropped) != 1 || counts.Dropped != 2 {
 		t.Errorf("kept %d, dropped to %d, %+v", len(kept), len(dropped), counts)
 	}
@@ -272,7 +272,7 @@
 
 // The first thousand problems are listed, the rest counted.
 func TestManyProblems(t *testing.T) {
-	_, _, problems := readAll(t, googleTasks, Options{}, text("x", "5000000,,9,0,,0,ann,2,9,0.0125,0.01,0.0001,0\n"+strings.Repeat("1,2\n", 1500)))
+	_, _, problems := readAll(t, googleTasks, Options{}, memoryFile("x", "5000000,,9,0,,0,ann,2,9,0.0125,0.01,0.0001,0\n"+strings.Repeat("1,2\n", 1500)))
 	if len(problems.List) != MostProblems || problems.More != 500 || !strings.HasSuffix(problems.Error(), "\nand 500 more") {
 		t.Errorf("%d listed, %d more", len(problems.List), problems.More)
 	}
@@ -283,7 +283,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	all, _, problems := readAll(t, s, Options{}, text("x", example(t, "mapping")))
+	all, _, problems := readAll(t, s, Options{}, memoryFile("x", example(t, "mapping")))
 	if len(problems.List) > 0 || len(all) != 8 {
 		t.Fatalf("%d records, %v", len(all), problems)
 	}
@@ -293,10 +293,10 @@
 	if r := all[2]; r.Kind != MachineDown || r.Machine != "b3" || r.At != 150*time.Millisecond {
 		t.Errorf("%+v", r)
 	}
-	if r := all[4]; r.Kind != Usage || r.Machine != "b4" || r.Slow != 2.5 {
+	if r := all[4]; r.Kind != Usage || r.Machine != "b4" || r.SlowFactor != 2.5 {
 		t.Errorf("%+v", r)
 	}
-	_, _, problems = readAll(t, s, Options{}, text("x", strings.Replace(example(t, "mapping"), "Ben,bulk", "Ben,huge", 1)))
+	_, _, problems = readAll(t, s, Options{}, memoryFile("x", strings.Replace(example(t, "mapping"), "Ben,bulk", "Ben,huge", 1)))
 	if len(problems.List) != 1 || !strings.Contains(problems.Error(), `x:3: kind: "huge" has no name there; add it to names in the mapping`) {
 		t.Errorf("%v", problems)
 	}
@@ -436,7 +436,7 @@
 		if int(which) < len(Known()) {
 			s = Known()[which]
 		}
-		r, err := Open([]Source{text("x", string(data))}, s, Options{Until: 24 * time.Hour, Reorder: time.Second})
+		r, err := Open([]Source{memoryFile("x", string(data))}, s, Options{Until: 24 * time.Hour, Reorder: time.Second})
 		if err != nil {
 			return
 		}
@@ -448,7 +448,7 @@
 			case errors.Is(err, io.EOF):
 				return
 			case errors.As(err, &p):
-				if p.What == "" || p.Do == "" {
+				if p.Message == "" || p.Remedy == "" {
 					t.Fatalf("a problem without a remedy: %v", p)
 				}
 			case err != nil:
