--- a/internal/replay/best_test.go
+++ b/internal/replay/best_test.go
@@ -17,8 +17,8 @@
 	"example.org/madderdrum/internal/virtual"
 )
 
-// troubles are up to three random troubles of a day.
-func troubles(r *rand.Rand, length time.Duration) string {
+// randomFaults returns a scenario of up to three random faults.
+func randomFaults(r *rand.Rand, length time.Duration) string {
 	var b strings.Builder
 	for range r.IntN(4) {
 		from := time.Duration(r.Int64N(int64(length)))
@@ -49,8 +49,8 @@
 	return b.String()
 }
 
-// No policy comes out above the bound, on random days with random troubles and loads: a
-// defect of the bound by definition. BEST_DAYS=200 plays more of them.
+// No policy earns more than the upper bound, in random runs with random faults and loads; one
+// that does shows a defect of the bound. BEST_DAYS=200 plays more runs.
 func TestNoPolicyOverTheBound(t *testing.T) {
 	days, longest := 3, 8 // in seconds, above 8
 	if n := os.Getenv("BEST_DAYS"); n != "" {
@@ -64,7 +64,7 @@
 		f.Traffic.Rate *= 0.5 + 1.8*r.Float64()
 		f.Traffic.Heavy, f.Traffic.HeavyX = 0.3*r.Float64(), 1+4*r.Float64()
 		length := time.Duration(8+r.IntN(longest)) * time.Second
-		text := troubles(r, length)
+		text := randomFaults(r, length)
 		p, err := Prepare(t.Context(), Options{Fleet: f, Length: length, Scenario: text, Speed: 1, Best: true}, nil)
 		if err != nil {
 			t.Fatalf("%v\n%s", err, text)
@@ -92,15 +92,15 @@
 	}
 }
 
-// A bound that is too low is found out in every run.
+// A bound below the service of a run is reported as an error.
 func TestOverTheBoundIsAnError(t *testing.T) {
 	f := config.Bluebird()
 	p, err := Prepare(t.Context(), Options{Fleet: f, Length: 10 * time.Second, Speed: 1, Best: true}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The bound takes its boxes from the plan's faults: one that says that they were all away
-	// is wrong on a day on which they were there.
+	// The bound derives the available boxes from the plan's faults: with faults that take all
+	// of them down it is too low for a run in which they were up.
 	if run, err := Virtual(t.Context(), p, "limiter", 1, false, nil); err != nil || run.Best == nil || run.Best.Share < 0.8 {
 		t.Fatalf("%+v, %v", run.Best, err)
 	}
@@ -114,7 +114,7 @@
 	}
 }
 
-// watchedRun plays a plan with a watcher.
+// watchedRun plays a plan with seed 1 and returns the watcher of that run.
 func watchedRun(t *testing.T, p *Plan) *best.Watcher {
 	t.Helper()
 	source, err := p.Source(1)
@@ -130,7 +130,7 @@
 	return x
 }
 
-// The page of a run with a bound shows the causes over time.
+// The page of a run with an upper bound shows the causes of lost worth over time.
 func TestBestOnThePage(t *testing.T) {
 	p, err := Prepare(t.Context(), Options{Fleet: config.Bluebird(), Length: 10 * time.Second, Speed: 1, Best: true}, nil)
 	if err != nil {
--- a/internal/replay/builtin/generate.go
+++ b/internal/replay/builtin/generate.go
@@ -1,9 +1,9 @@
 //go:build ignore
 
-// Command generate writes friday.csv.gz: a made-up Friday morning in 90 seconds.
-// The clinics' reminders swell, shops announce a sale from 30 s to 50 s, box b2
-// crashes at 20 s, a4 is slow from 55 s to 63 s, and room-b is lost at 68 s and
-// back at 76 s.
+// Command generate writes friday.csv.gz: a synthetic Friday morning of 90 seconds.
+// The rate of the clinics' reminders swings, shops announce a sale from 30 s to 50 s,
+// box b2 is down from 20 s to 28 s, a4 is slow from 55 s to 63 s, and all boxes of
+// room-b are down from 68 s to 76 s.
 package main
 
 import (
--- a/internal/replay/compare.go
+++ b/internal/replay/compare.go
@@ -10,17 +10,17 @@
 	"example.org/madderdrum/internal/policies"
 )
 
-// Change is how one figure of two reports differs over the seeds that both have.
+// Change is the difference of one figure between two reports, over their common seeds.
 type Change struct {
-	Name       string
-	A, B       float64 // means
-	Difference float64 // B - A
-	Noise      float64 // the mean difference that chance alone stays under 19 times in 20
-	Seeds      int
-	Real       bool // more than noise
+	Name        string
+	A, B        float64 // means over the seeds
+	Difference  float64 // B - A
+	Noise       float64 // bound that a mean difference by chance alone stays below with 95% probability
+	Seeds       int
+	Significant bool // Difference exceeds Noise
 }
 
-// figures are what is compared of each run.
+// figures lists the quantities of a run that Compare compares.
 var figures = []struct {
 	name string
 	of   func(*Run) float64
@@ -29,12 +29,12 @@
 	{"service, whole run", func(r *Run) float64 { return r.Service.Whole }},
 	{"service, worst 10 s", func(r *Run) float64 { return r.Service.Worst10s }},
 	{"service, worst plan", func(r *Run) float64 { return r.Service.WorstPlan }},
-	{"refused within quota", func(r *Run) float64 { return share(r.Total.RefusedWithin, r.Total.Within) }},
-	{"failed", func(r *Run) float64 { return share(r.Total.Failed+r.Total.Expired, r.Total.Asked) }},
-	{"late", func(r *Run) float64 { return share(r.Total.Late, r.Total.Asked) }},
-	{"retries a request", func(r *Run) float64 { return share(r.Total.Retries, r.Total.Asked) }},
-	{"attempts a request", func(r *Run) float64 { return share(r.Traffic.Attempts, r.Total.Asked) }},
-	{"messages a request", func(r *Run) float64 { return share(r.Traffic.Messages, r.Total.Asked) }},
+	{"refused within quota", func(r *Run) float64 { return ratio(r.Total.RefusedWithin, r.Total.Within) }},
+	{"failed", func(r *Run) float64 { return ratio(r.Total.Failed+r.Total.Expired, r.Total.Asked) }},
+	{"late", func(r *Run) float64 { return ratio(r.Total.Late, r.Total.Asked) }},
+	{"retries a request", func(r *Run) float64 { return ratio(r.Total.Retries, r.Total.Asked) }},
+	{"attempts a request", func(r *Run) float64 { return ratio(r.Traffic.Attempts, r.Total.Asked) }},
+	{"messages a request", func(r *Run) float64 { return ratio(r.Traffic.Messages, r.Total.Asked) }},
 	{"broken rules", func(r *Run) float64 {
 		n := 0
 		for _, rule := range r.Rules {
@@ -44,13 +44,13 @@
 	}},
 }
 
-func share(n, of int) float64 { return float64(n) / float64(max(1, of)) }
+func ratio(n, of int) float64 { return float64(n) / float64(max(1, of)) }
 
-// Compare holds the runs of the same seeds against each other, in pairs: what a
-// day brings is the same on both sides and drops out. The runs are those of the
-// limiter, or of the first policy where it did not play.
+// Compare compares two reports by pairs of runs with the same seed, so that variation
+// between seeds, which affects both runs of a pair alike, cancels out. It uses the
+// runs of the limiter, or those of the first policy if a report has none.
 func Compare(a, b *Report) ([]Change, error) {
-	runsA, runsB := bySeed(a), bySeed(b)
+	runsA, runsB := runsBySeed(a), runsBySeed(b)
 	var seeds []uint64
 	for _, r := range a.Runs {
 		if runsA[r.Seed] == r && runsB[r.Seed] != nil {
@@ -72,14 +72,15 @@
 			c.Difference += (y - x) / n
 		}
 		if c.Noise = paired.Noise(differences); len(seeds) > 1 {
-			c.Real = math.Abs(c.Difference) > max(c.Noise, 1e-9)
+			c.Significant = math.Abs(c.Difference) > max(c.Noise, 1e-9)
 		}
 		all = append(all, c)
 	}
 	return all, nil
 }
 
-func bySeed(r *Report) map[uint64]*Run {
+// runsBySeed returns the first run of each seed, of the policy that Compare uses.
+func runsBySeed(r *Report) map[uint64]*Run {
 	policy := r.Runs[0].Policy
 	for _, run := range r.Runs {
 		if run.Policy == policies.Names()[0] {
@@ -95,7 +96,7 @@
 	return all
 }
 
-// WriteCompare compares two reports for people.
+// WriteCompare writes a comparison of two reports as a table of text.
 func WriteCompare(out io.Writer, nameA, nameB string, a, b *Report) error {
 	changes, err := Compare(a, b)
 	if err != nil {
@@ -110,7 +111,7 @@
 			verdict = "one seed can't tell; play both with --seeds 5"
 		case c.Difference == 0:
 			verdict = "the same"
-		case c.Real:
+		case c.Significant:
 			verdict = "more than noise"
 		}
 		fmt.Fprintf(w, "%s\t%.4f\t%.4f\t%+.4f\t%.4f\t%s\n", c.Name, c.A, c.B, c.Difference, c.Noise, verdict)
--- a/internal/replay/friday.go
+++ b/internal/replay/friday.go
@@ -11,17 +11,17 @@
 //go:generate sh -c "cd builtin && go run generate.go"
 
 //go:embed builtin/friday.csv.gz
-var friday []byte
+var fridayTrace []byte
 
 //go:embed builtin/friday.hcl
 var fridayMapping []byte
 
-// Friday is the trace that is built in: a made-up Friday morning in 90 seconds.
+// Friday returns the built-in trace: a synthetic Friday morning of 90 seconds.
 func Friday() Input {
 	s, err := trace.ParseMapping(fridayMapping, "friday.hcl (built in)")
 	if err != nil {
-		panic(err) // a test reads it
+		panic(err) // the embedded file is parsed by tests
 	}
 	return Input{Schema: s, Files: []trace.Source{{Name: "friday.csv.gz (built in)",
-		Open: func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(friday)), nil }}}}
+		Open: func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(fridayTrace)), nil }}}}
 }
--- a/internal/replay/growth_test.go
+++ b/internal/replay/growth_test.go
@@ -13,10 +13,10 @@
 	"example.org/madderdrum/internal/world"
 )
 
-// BenchmarkGrowth plays the built-in fleet as it is, ten and a hundred times as
-// large, in each direction and in all together, and tells what a request costs:
-// the cost should stay about the same. The largest has 200 limiters, 1,000 boxes
-// and a million accounts. One play a size: -benchtime 1x.
+// BenchmarkGrowth plays the built-in fleet at its own size, ten and a hundred times
+// as large, in each dimension and in all together, and reports the cost per request,
+// which should stay about the same. The largest has 200 limiters, 1,000 boxes and a
+// million accounts. Use -benchtime 1x for one run per size.
 func BenchmarkGrowth(b *testing.B) {
 	for _, c := range []struct {
 		name                      string
@@ -71,8 +71,8 @@
 	}
 }
 
-// BenchmarkInFlight tells what a request in flight holds of memory: clients and a
-// policy that refuses nothing pile up requests before boxes that hang.
+// BenchmarkInFlight reports the memory per request in flight: a policy that refuses
+// nothing accumulates requests while all boxes hang.
 func BenchmarkInFlight(b *testing.B) {
 	for _, rate := range []float64{500, 5000, 50_000} {
 		b.Run(fmt.Sprintf("%g-a-second", rate), func(b *testing.B) {
--- a/internal/replay/html.go
+++ b/internal/replay/html.go
@@ -11,19 +11,19 @@
 )
 
 //go:embed report.html
-var page string
+var pageSource string
 
 var pageTemplate = template.Must(template.New("report").Funcs(template.FuncMap{
 	"percent": func(x float64) string { return fmt.Sprintf("%.1f%%", 100*x) },
 	"style":   func() template.CSS { return template.CSS(chart.Style) },
 	"figure":  func(x float64) string { return fmt.Sprintf("%.3f", x) },
-}).Parse(page))
+}).Parse(pageSource))
 
-const mostRows = 64 // boxes drawn one by one; beyond, rooms alone
+const maxHeatRows = 64 // further boxes count only in the chart of rooms
 
-// heat is one row for each box: how busy it was, and its conditions.
-func heat(run *Run) template.HTML {
-	boxes := run.Boxes[:min(len(run.Boxes), mostRows)]
+// heatChart draws one row per box: its utilization and condition over time.
+func heatChart(run *Run) template.HTML {
+	boxes := run.Boxes[:min(len(run.Boxes), maxHeatRows)]
 	c := chart.New(run.LengthS, 0, chart.RowHeight*float64(len(boxes)), "")
 	for k, box := range boxes {
 		cells := make([]chart.Cell, len(box.Busy))
@@ -31,14 +31,14 @@
 			letter := box.Condition[i]
 			cells[i] = chart.Cell{Busy: busy, Away: strings.IndexByte("xvfh", letter) >= 0, Mark: letter == 'c' || letter == 'd',
 				Title: fmt.Sprintf("%s (%s) %.0f s: %.0f%% busy, %d in hand, %d arrived%s", box.Name, box.Room,
-					float64(i)*run.SampleS, 100*busy, box.Held[i], box.Arrived[i], condition(letter))}
+					float64(i)*run.SampleS, 100*busy, box.Held[i], box.Arrived[i], conditionSuffix(letter))}
 		}
 		c.Row(k, box.Name, run.SampleS, cells)
 	}
 	return c.SVG()
 }
 
-// chartNotes are the notes of a run as charts take them.
+// chartNotes converts the notes of a run to notes of a chart.
 func chartNotes(run *Run) (all []chart.Note) {
 	for _, n := range run.Notes {
 		all = append(all, chart.Note{At: n.AtS, Text: n.Text})
@@ -46,23 +46,25 @@
 	return all
 }
 
-func condition(letter byte) string {
-	if s := states(string(letter)); s != "" {
+// conditionSuffix returns a comma and the name of a condition, or nothing for a running box.
+func conditionSuffix(letter byte) string {
+	if s := conditionNames(string(letter)); s != "" {
 		return ", " + s
 	}
 	return ""
 }
 
-// drawnCauses are so many as have colours.
-const drawnCauses = 4
+// maxDrawnCauses is the number of line colours in the style sheet.
+const maxDrawnCauses = 4
 
-// lost draws the worth that was not earned, each second, by its largest causes.
-func lost(run *Run) (template.HTML, []string) {
+// lostWorthChart draws the worth not earned in each second by its largest causes, and
+// returns the names of the causes drawn.
+func lostWorthChart(run *Run) (template.HTML, []string) {
 	var names []string
 	var lines [][]float64
 	most := 1e-9
 	for i, c := range run.Best.Causes {
-		if c.Worth <= 0 || len(names) == drawnCauses {
+		if c.Worth <= 0 || len(names) == maxDrawnCauses {
 			continue
 		}
 		names, lines = append(names, c.Text()), append(lines, run.Best.Seconds[i])
@@ -78,7 +80,7 @@
 	return c.SVG(), names
 }
 
-// HTML writes the report as one page that needs nothing else.
+// HTML writes the report as one self-contained page, with no external resources.
 func (r *Report) HTML(path string) error {
 	run := r.Runs[0]
 	type data struct {
@@ -92,9 +94,9 @@
 		Others                        []*Run
 		Reasons                       []string
 		Lost                          template.HTML
-		LostBy                        []string // the causes that are drawn
+		LostBy                        []string // names of the causes in the chart Lost
 	}
-	d := data{Report: r, Run: run, Others: r.Runs, Reasons: reasons(run.Why)}
+	d := data{Report: r, Run: run, Others: r.Runs, Reasons: sortedReasons(run.Why)}
 	for _, rule := range run.Rules {
 		d.Broken += rule.Broken
 	}
@@ -145,14 +147,14 @@
 			}
 			rooms.Line(fmt.Sprintf("room%d", k%4), run.SampleS, sum)
 		}
-		d.Rooms, d.Heat, d.Left = rooms.SVG(), heat(run), max(0, len(run.Boxes)-mostRows)
+		d.Rooms, d.Heat, d.Left = rooms.SVG(), heatChart(run), max(0, len(run.Boxes)-maxHeatRows)
 	}
 	if run.Best != nil {
-		d.Lost, d.LostBy = lost(run)
+		d.Lost, d.LostBy = lostWorthChart(run)
 	}
 	var b bytes.Buffer
 	if err := pageTemplate.Execute(&b, d); err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	return writeWhole(path, b.Bytes())
+	return writeAtomically(path, b.Bytes())
 }
--- a/internal/replay/plan.go
+++ b/internal/replay/plan.go
@@ -1,5 +1,5 @@
-// Package replay turns traces into days that can be played against a fleet, and
-// what came of them into reports.
+// Package replay fits traces of requests and machines to a fleet, plays them against
+// it in virtual time or on sockets, and reports the results.
 package replay
 
 import (
@@ -19,53 +19,53 @@
 	"example.org/madderdrum/plugin"
 )
 
-// Input is the files of one layout, in order.
+// Input is a list of trace files of one layout, in order of time.
 type Input struct {
 	Files  []trace.Source
 	Schema *trace.Schema
 }
 
-// Options say what is to be played.
+// Options select the fleet, the trace and the part of it to play, and the extras of a run.
 type Options struct {
 	Fleet      *fleet.Fleet
 	FleetName  string
-	Inputs     []Input // none: the fleet file's own traffic, for Length
+	Inputs     []Input // none: synthetic traffic of the fleet file, for Length
 	Length     time.Duration
 	Reorder    time.Duration
 	Duplicates trace.Duplicates
-	Speed      float64       // the trace's time passes so many times as fast
-	From, For  time.Duration // what of the trace is played, from its first arrival; For 0: to its end
-	Rate       float64       // requests a second; 0: the fleet file's; below 0: the trace's own
-	Seed       uint64        // draws what the trace leaves open of times, for the check
-	Asked      float64       // share of the requests whose proxy only asks; in virtual time
-	Scenario   string        // faults besides the trace's own
-	Plugins    []plugin.Spec // asked in runs WithPlugins
-	Best       bool          // bound what any policy could have earned
-	Steward    bool          // parts of ceilings move to where requests arrive
-	Remember   time.Duration // limiters keep what they have learnt so often; 0: they forget at a restart
+	Speed      float64       // factor by which the trace's time is sped up
+	From, For  time.Duration // part of the trace to play, relative to its first arrival; For 0: to its end
+	Rate       float64       // requests per second; 0: the fleet file's; below 0: the trace's own
+	Seed       uint64        // for random times where the trace has only counts per minute
+	Asked      float64       // fraction of requests whose proxy asks the limiter and forwards itself; virtual time only
+	Scenario   string        // fault scenario, in addition to the faults in the trace
+	Plugins    []plugin.Spec // consulted in runs of the policy WithPlugins
+	Best       bool          // compute an upper bound on the service of any policy
+	Steward    bool          // move parts of the ceilings to the limiters where requests arrive
+	Remember   time.Duration // interval at which limiters save learned state; 0: lost at a restart
 }
 
-// Origin says where a quantity comes from.
+// Origin is the source of one quantity of the played requests.
 type Origin struct {
 	Quantity string `json:"quantity"`
 	How      string `json:"how"` // read, drawn or fleet
 	Detail   string `json:"detail"`
 }
 
-// Scale says how the trace was fitted to the fleet.
+// Scale describes how the trace was scaled to the fleet.
 type Scale struct {
 	Speed      float64 `json:"speed"`
 	FromS      float64 `json:"from_s"`
-	ForS       float64 `json:"for_s"` // of the trace's time
+	ForS       float64 `json:"for_s"` // in the trace's time
 	TraceRate  float64 `json:"trace_requests_per_s"`
 	PlayedRate float64 `json:"played_requests_per_s"`
-	Copies     float64 `json:"copies"` // of each arrival: below 1 some are left out, above 1 some come again under other accounts
+	Copies     float64 `json:"copies"` // per arrival: below 1 some are left out, above 1 some are repeated with other accounts
 	MeanSize   float64 `json:"mean_size"`
-	Machines   int     `json:"machines"` // in the trace, with events in what is played
-	Boxes      int     `json:"boxes"`    // that stand for the most eventful of them
+	Machines   int     `json:"machines"` // machines of the trace that have events
+	Boxes      int     `json:"boxes"`    // boxes that take the events of a machine; those with the most events first
 }
 
-// FileReport is what was read of one input.
+// FileReport is the row counts of one input, from the check of its files.
 type FileReport struct {
 	Files   []string       `json:"files"`
 	Schema  string         `json:"schema"`
@@ -77,7 +77,7 @@
 	Passed  map[string]int `json:"passed_over"`
 }
 
-// Plan is a day that is ready to be played, any number of times.
+// Plan is a checked trace that is scaled to a fleet; it can be played any number of times.
 type Plan struct {
 	Options Options
 	Faults  []world.Fault
@@ -86,18 +86,18 @@
 	Files   []FileReport
 	Length  time.Duration
 
-	zero, until time.Duration // of what is played, on the trace's clock
+	startTime, endTime time.Duration // of the part to play, on the trace's clock
 }
 
-// Errors of a plan.
+// Errors returned by Prepare.
 var (
 	ErrNoArrivals = errors.New("the trace has no arrivals in what is to be played")
 	ErrClocks     = errors.New("wall-clock and relative times can't be played together")
 )
 
-// Prepare checks the inputs, whole up to the end of what is played, and works
-// out how they fit the fleet. What is wrong with the files comes as
-// *trace.Problems. Progress, if set, is called with the bytes read.
+// Prepare checks the inputs from the start to the end of the part to play, and
+// computes how they are scaled to the fleet. Mistakes in the files are returned as
+// *trace.Problems. progress, if set, is called with the number of bytes read.
 func Prepare(ctx context.Context, o Options, progress func(bytes int64)) (*Plan, error) {
 	o.Speed = cmp.Or(o.Speed, 1)
 	p := &Plan{Options: o}
@@ -120,14 +120,14 @@
 		return nil, err
 	}
 	if s.arrivals == 0 {
-		return nil, fmt.Errorf("%w: %s", ErrNoArrivals, s.span())
+		return nil, fmt.Errorf("%w: %s", ErrNoArrivals, s.arrivalRange())
 	}
-	length := p.until - p.zero
+	length := p.endTime - p.startTime
 	p.Length = time.Duration(float64(length) / o.Speed)
 	p.Scale = Scale{Speed: o.Speed, FromS: o.From.Seconds(), ForS: length.Seconds(),
 		TraceRate: float64(s.arrivals) / length.Seconds(), Machines: len(s.machines), Copies: 1}
-	if s.sized > 0 {
-		p.Scale.MeanSize = s.sizes / float64(s.sized)
+	if s.sizedArrivals > 0 {
+		p.Scale.MeanSize = s.sizeSum / float64(s.sizedArrivals)
 	}
 	played := p.Scale.TraceRate * o.Speed
 	switch {
@@ -137,39 +137,41 @@
 		p.Scale.Copies = fleetRate / played
 	}
 	p.Scale.PlayedRate = played * p.Scale.Copies
-	p.faults(s, own)
-	p.origins(s)
+	p.addFaults(s, own)
+	p.addOrigins(s)
 	return p, nil
 }
 
-// scan is what the check of the inputs gathers.
+// scan is the data collected by the check of the inputs.
 type scan struct {
-	arrivals, sized                          int
-	sizes                                    float64
-	account, label, class, plan, units, work bool
-	any                                      bool // some arrival, also before what is played
-	first, last                              time.Duration
-	machines                                 map[string][]machineEvent
-	names                                    []string // of machines in the order of their first event
+	arrivals, sizedArrivals                                    int
+	sizeSum                                                    float64
+	hasAccount, hasLabel, hasClass, hasPlan, hasUnits, hasWork bool
+	seenArrival                                                bool // any arrival, including those before the part to play
+	first, last                                                time.Duration
+	machines                                                   map[string][]machineEvent
+	machineNames                                               []string // names of the machines, by first event
 }
 
+// machineEvent is a machine's change of state or of slowdown, on the trace's clock.
 type machineEvent struct {
-	at   time.Duration
-	kind trace.Kind
-	slow float64
+	at         time.Duration
+	kind       trace.Kind
+	slowFactor float64
 }
 
-// mostMachineEvents bounds what is kept of machines.
-const mostMachineEvents = 2_000_000
+// maxMachineEvents bounds the memory for machine events.
+const maxMachineEvents = 2_000_000
 
-func (s *scan) span() string {
-	if !s.any {
+// arrivalRange describes the times of the arrivals read, for an error.
+func (s *scan) arrivalRange() string {
+	if !s.seenArrival {
 		return "it has none at all"
 	}
 	return fmt.Sprintf("those up to there are from %v to %v", s.first, s.last)
 }
 
-// scan reads all inputs once.
+// scan reads and checks all inputs, and sets the start and end of the part to play.
 func (p *Plan) scan(ctx context.Context, progress func(int64)) (*scan, error) {
 	o := p.Options
 	s := &scan{machines: map[string][]machineEvent{}}
@@ -183,10 +185,10 @@
 	if err != nil {
 		return nil, err
 	}
-	p.zero = zero + o.From
+	p.startTime = zero + o.From
 	until := time.Duration(0)
 	if o.For > 0 {
-		until = p.zero + o.For
+		until = p.startTime + o.For
 	}
 	events := 0
 	slow := map[string]float64{}
@@ -195,7 +197,7 @@
 		r, err := trace.Open(in.Files, in.Schema, trace.Options{Reorder: o.Reorder, Duplicates: o.Duplicates, Seed: o.Seed, Until: until})
 		var problem *trace.Problem
 		if errors.As(err, &problem) {
-			add(problems, problem)
+			addProblem(problems, problem)
 			continue
 		}
 		if err != nil {
@@ -207,7 +209,7 @@
 				break
 			}
 			if errors.As(err, &problem) {
-				add(problems, problem)
+				addProblem(problems, problem)
 				continue
 			}
 			if err != nil {
@@ -224,36 +226,36 @@
 				}
 			}
 			if rec.Kind == trace.Arrival {
-				if !s.any || rec.At < s.first {
+				if !s.seenArrival || rec.At < s.first {
 					s.first = rec.At
 				}
-				s.any, s.last = true, max(s.last, rec.At)
-				if rec.At < p.zero {
+				s.seenArrival, s.last = true, max(s.last, rec.At)
+				if rec.At < p.startTime {
 					continue
 				}
-				if problem := p.arrival(s, &rec); problem != nil {
-					add(problems, problem)
+				if problem := p.checkArrival(s, &rec); problem != nil {
+					addProblem(problems, problem)
 				}
 				continue
 			}
-			if problem := p.machineKnown(in, &rec); problem != nil {
-				add(problems, problem)
+			if problem := p.checkBox(in, &rec); problem != nil {
+				addProblem(problems, problem)
 				continue
 			}
 			e := machineEvent{rec.At, rec.Kind, 1}
 			if rec.Kind == trace.Usage {
-				if e.slow = slowness(&rec); e.slow == slow[rec.Machine] || e.slow == 1 && slow[rec.Machine] == 0 {
+				if e.slowFactor = slowFactor(&rec); e.slowFactor == slow[rec.Machine] || e.slowFactor == 1 && slow[rec.Machine] == 0 {
 					continue
 				}
-				slow[rec.Machine] = e.slow
+				slow[rec.Machine] = e.slowFactor
 			}
 			if s.machines[rec.Machine] == nil {
-				s.names = append(s.names, rec.Machine)
+				s.machineNames = append(s.machineNames, rec.Machine)
 			}
 			s.machines[rec.Machine] = append(s.machines[rec.Machine], e)
-			if events++; events > mostMachineEvents {
+			if events++; events > maxMachineEvents {
 				r.Close()
-				return nil, fmt.Errorf("%s: more than %d events of machines; play less with --for", in.Files[0].Name, mostMachineEvents)
+				return nil, fmt.Errorf("%s: more than %d events of machines; play less with --for", in.Files[0].Name, maxMachineEvents)
 			}
 		}
 		c := r.Counts()
@@ -269,15 +271,15 @@
 		return nil, problems
 	}
 	if !found {
-		return nil, fmt.Errorf("%w: %s", ErrNoArrivals, s.span())
+		return nil, fmt.Errorf("%w: %s", ErrNoArrivals, s.arrivalRange())
 	}
-	if p.until = until; until == 0 {
-		p.until = s.last + max(time.Second, p.step())
+	if p.endTime = until; until == 0 {
+		p.endTime = s.last + max(time.Second, p.timeStep())
 	}
 	return s, nil
 }
 
-func add(all *trace.Problems, p *trace.Problem) {
+func addProblem(all *trace.Problems, p *trace.Problem) {
 	if len(all.List) < trace.MostProblems {
 		all.List = append(all.List, p)
 	} else {
@@ -285,8 +287,8 @@
 	}
 }
 
-// step is the coarsest step of the inputs' times.
-func (p *Plan) step() time.Duration {
+// timeStep is the coarsest time resolution of the inputs.
+func (p *Plan) timeStep() time.Duration {
 	most := time.Duration(0)
 	for _, in := range p.Options.Inputs {
 		most = max(most, in.Schema.TimeStep)
@@ -294,7 +296,8 @@
 	return most
 }
 
-// firstArrival is where the trace's time begins. Problems are left to the scan.
+// firstArrival returns the time of the first arrival in any input. It ignores mistakes in
+// the files, which scan reports.
 func (p *Plan) firstArrival(ctx context.Context) (first time.Duration, found bool, err error) {
 	for _, in := range p.Options.Inputs {
 		r, err := trace.Open(in.Files, in.Schema, trace.Options{Reorder: p.Options.Reorder, Duplicates: trace.KeepDuplicates, Seed: p.Options.Seed})
@@ -329,51 +332,53 @@
 	return first, found, nil
 }
 
-// arrival checks one against the fleet and counts what it says.
-func (p *Plan) arrival(s *scan, rec *trace.Record) *trace.Problem {
+// checkArrival checks an arrival's class and plan against the fleet, and counts the
+// quantities that it has.
+func (p *Plan) checkArrival(s *scan, rec *trace.Record) *trace.Problem {
 	f := p.Options.Fleet
-	if rec.Class != "" && classOf(f, rec.Class) < 0 {
+	if rec.Class != "" && classIndex(f, rec.Class) < 0 {
 		return &trace.Problem{File: rec.File, Line: rec.Line, Column: "class", Message: fmt.Sprintf("the fleet has no class %q", rec.Class),
-			Remedy: "name one of its classes in the mapping: " + join(f.Classes, func(c fleet.Class) string { return c.Name })}
+			Remedy: "name one of its classes in the mapping: " + joinNames(f.Classes, func(c fleet.Class) string { return c.Name })}
 	}
-	if rec.Plan != "" && planOf(f, rec.Plan) < 0 {
+	if rec.Plan != "" && planIndex(f, rec.Plan) < 0 {
 		return &trace.Problem{File: rec.File, Line: rec.Line, Column: "plan", Message: fmt.Sprintf("the fleet has no plan %q", rec.Plan),
-			Remedy: "name one of its plans in the mapping: " + join(f.Plans, func(p fleet.Plan) string { return p.Name })}
+			Remedy: "name one of its plans in the mapping: " + joinNames(f.Plans, func(p fleet.Plan) string { return p.Name })}
 	}
 	s.arrivals++
 	if rec.Size > 0 {
-		s.sized++
-		s.sizes += rec.Size
+		s.sizedArrivals++
+		s.sizeSum += rec.Size
 	}
-	s.work = s.work || rec.Work > 0
-	s.account, s.label = s.account || rec.Account != "", s.label || rec.Label != ""
-	s.class, s.plan, s.units = s.class || rec.Class != "", s.plan || rec.Plan != "", s.units || rec.Units > 0
+	s.hasWork = s.hasWork || rec.Work > 0
+	s.hasAccount, s.hasLabel = s.hasAccount || rec.Account != "", s.hasLabel || rec.Label != ""
+	s.hasClass, s.hasPlan, s.hasUnits = s.hasClass || rec.Class != "", s.hasPlan || rec.Plan != "", s.hasUnits || rec.Units > 0
 	return nil
 }
 
-// machineKnown checks that the boxes that a mapping names are in the fleet.
-func (p *Plan) machineKnown(in Input, rec *trace.Record) *trace.Problem {
-	if !in.Schema.MachinesPresent || boxOf(p.Options.Fleet, rec.Machine) >= 0 {
+// checkBox checks that a box in a file read by a mapping exists in the fleet. Machines of
+// the public layouts are assigned to boxes by addFaults.
+func (p *Plan) checkBox(in Input, rec *trace.Record) *trace.Problem {
+	if !in.Schema.MachinesPresent || boxIndex(p.Options.Fleet, rec.Machine) >= 0 {
 		return nil
 	}
-	names := join(p.Options.Fleet.Boxes[:min(12, len(p.Options.Fleet.Boxes))], func(b fleet.Box) string { return b.Name })
+	names := joinNames(p.Options.Fleet.Boxes[:min(12, len(p.Options.Fleet.Boxes))], func(b fleet.Box) string { return b.Name })
 	return &trace.Problem{File: rec.File, Line: rec.Line, Column: "box", Message: fmt.Sprintf("the fleet has no box %q", rec.Machine),
 		Remedy: "name one of its boxes: " + names}
 }
 
-func classOf(f *fleet.Fleet, name string) int {
+func classIndex(f *fleet.Fleet, name string) int {
 	return slices.IndexFunc(f.Classes, func(c fleet.Class) bool { return c.Name == name })
 }
 
-func planOf(f *fleet.Fleet, name string) int {
+func planIndex(f *fleet.Fleet, name string) int {
 	return slices.IndexFunc(f.Plans, func(p fleet.Plan) bool { return p.Name == name })
 }
 
-func boxOf(f *fleet.Fleet, name string) int {
+func boxIndex(f *fleet.Fleet, name string) int {
 	return slices.IndexFunc(f.Boxes, func(b fleet.Box) bool { return b.Name == name })
 }
 
-func join[T any](all []T, name func(T) string) string {
+func joinNames[T any](all []T, name func(T) string) string {
 	var names []string
 	for _, x := range all {
 		names = append(names, name(x))
@@ -382,32 +387,33 @@
 }
 
 const (
-	nearTop  = 0.9 // usage from which a machine counts as slowed
-	topSlow  = 3.0 // how slow one at full usage is: our choice, the traces don't say
-	slowStep = 0.5
+	slowdownThreshold = 0.9 // utilization from which a machine counts as slowed
+	slowFactorAtFull  = 3.0 // at full utilization; the traces don't contain a figure
+	slowFactorStep    = 0.5
 )
 
-// slowness is the factor by which a machine's usage makes a box slower, in whole
-// steps, so that small changes are none.
-func slowness(rec *trace.Record) float64 {
+// slowFactor returns the slowdown of a box at a machine's utilization, rounded to
+// slowFactorStep, so that small changes of utilization are ignored.
+func slowFactor(rec *trace.Record) float64 {
 	if rec.SlowFactor > 0 {
 		return rec.SlowFactor
 	}
-	if rec.Utilization < nearTop {
+	if rec.Utilization < slowdownThreshold {
 		return 1
 	}
-	f := 1 + (topSlow-1)*(rec.Utilization-nearTop)/(1-nearTop)
-	return max(1+slowStep, float64(int(f/slowStep+0.5))*slowStep)
+	f := 1 + (slowFactorAtFull-1)*(rec.Utilization-slowdownThreshold)/(1-slowdownThreshold)
+	return max(1+slowFactorStep, float64(int(f/slowFactorStep+0.5))*slowFactorStep)
 }
 
-// faults has boxes stand for the machines with the most events.
-func (p *Plan) faults(s *scan, own []world.Fault) {
+// addFaults assigns machines to boxes, by name or else those with the most events first,
+// and turns their events into faults of these boxes.
+func (p *Plan) addFaults(s *scan, own []world.Fault) {
 	f := p.Options.Fleet
 	box := map[string]int{}
-	names := slices.Clone(s.names)
-	slices.SortStableFunc(names, func(a, b string) int { return s.played(p, b) - s.played(p, a) })
+	names := slices.Clone(s.machineNames)
+	slices.SortStableFunc(names, func(a, b string) int { return s.eventsPlayed(p, b) - s.eventsPlayed(p, a) })
 	for _, name := range names {
-		if i := boxOf(f, name); i >= 0 {
+		if i := boxIndex(f, name); i >= 0 {
 			box[name] = i
 		}
 	}
@@ -417,7 +423,7 @@
 	}
 	next := 0
 	for _, name := range names {
-		if _, has := box[name]; has || s.played(p, name) == 0 {
+		if _, has := box[name]; has || s.eventsPlayed(p, name) == 0 {
 			continue
 		}
 		for next < len(f.Boxes) && taken[next] {
@@ -437,25 +443,27 @@
 	p.Faults = append(p.Faults, own...)
 }
 
-// played is how many events of a machine fall into what is played.
-func (s *scan) played(p *Plan, name string) int {
+// eventsPlayed counts the events of a machine within the part to play.
+func (s *scan) eventsPlayed(p *Plan, name string) int {
 	n := 0
 	for _, e := range s.machines[name] {
-		if e.at >= p.zero && e.at < p.until {
+		if e.at >= p.startTime && e.at < p.endTime {
 			n++
 		}
 	}
 	return n
 }
 
+// boxFaults converts a machine's events to faults of a box. Events before the part to play
+// only determine whether the box is down at its start.
 func (p *Plan) boxFaults(box int, events []machineEvent) (all []world.Fault) {
 	name := p.Options.Fleet.Boxes[box].Name
 	up := true
 	for i, e := range events {
-		at := time.Duration(float64(e.at-p.zero) / p.Options.Speed)
-		if e.at < p.zero { // how it stands when the play begins
+		at := time.Duration(float64(e.at-p.startTime) / p.Options.Speed)
+		if e.at < p.startTime { // determines the state at the start
 			up = e.kind != trace.MachineDown && (e.kind == trace.MachineUp || up)
-			if i+1 == len(events) || events[i+1].at >= p.zero {
+			if i+1 == len(events) || events[i+1].at >= p.startTime {
 				if !up {
 					all = append(all, world.Fault{Target: world.AtBox, Index: box, Verb: "dies", Text: "box " + name + " is away from the start (trace)"})
 				}
@@ -469,8 +477,8 @@
 		case trace.MachineUp:
 			x.Verb, x.Text = "joins", "box "+name+" comes (trace)"
 		case trace.Usage:
-			x.Verb, x.Value, x.Text = "slows", e.slow, fmt.Sprintf("box %s is %.3g times slower (trace)", name, e.slow)
-			if e.slow == 1 {
+			x.Verb, x.Value, x.Text = "slows", e.slowFactor, fmt.Sprintf("box %s is %.3g times slower (trace)", name, e.slowFactor)
+			if e.slowFactor == 1 {
 				x.Text = "box " + name + " is as fast as usual again (trace)"
 			}
 		}
@@ -479,8 +487,8 @@
 	return all
 }
 
-// origins says of each quantity whether it was read or drawn.
-func (p *Plan) origins(s *scan) {
+// addOrigins records for each quantity whether it was read from the trace or drawn.
+func (p *Plan) addOrigins(s *scan) {
 	how := func(quantity string, read bool, detail, drawn string) {
 		o := Origin{quantity, "read", detail}
 		if !read {
@@ -489,7 +497,7 @@
 		p.Origins = append(p.Origins, o)
 	}
 	moment := "as it stands"
-	if step := p.step(); step > 0 {
+	if step := p.timeStep(); step > 0 {
 		moment = fmt.Sprintf("to %v; the moment within it is drawn", step)
 	}
 	for _, in := range p.Options.Inputs {
@@ -498,18 +506,18 @@
 		}
 	}
 	how("time", true, moment, "")
-	how("account", s.account, "by its name", "among the accounts of the fleet file")
-	how("plan", s.plan, "by the mapping", "for each account by the shares of the fleet file")
+	how("account", s.hasAccount, "by its name", "among the accounts of the fleet file")
+	how("plan", s.hasPlan, "by the mapping", "for each account by the shares of the fleet file")
 	byLabel := "for each request by the shares of the fleet file"
-	if s.label {
+	if s.hasLabel {
 		byLabel = "for each kind of request of the trace by the shares of the fleet file"
 	}
-	how("class", s.class, "by the mapping", byLabel)
-	how("units", s.units, "by the mapping", "as the class has them in the fleet file")
-	if s.work {
+	how("class", s.hasClass, "by the mapping", byLabel)
+	how("units", s.hasUnits, "by the mapping", "as the class has them in the fleet file")
+	if s.hasWork {
 		how("work", true, "as it stands", "")
 	} else {
-		how("work", s.sized > 0, fmt.Sprintf("its size against the mean of %.4g, times the mean work of the class", p.Scale.MeanSize),
+		how("work", s.sizedArrivals > 0, fmt.Sprintf("its size against the mean of %.4g, times the mean work of the class", p.Scale.MeanSize),
 			"about the mean work of the class")
 	}
 	p.Origins = append(p.Origins, Origin{"deadline", "fleet", "by the class; tries as the fleet file's clients"})
--- a/internal/replay/plugins.go
+++ b/internal/replay/plugins.go
@@ -18,30 +18,31 @@
 	"example.org/madderdrum/plugin"
 )
 
-// WithPlugins is what a run of the limiter with the plug-ins of a plan is called; one of the
-// limiter alone is played beside it.
+// WithPlugins is the policy name of a run of the limiter with the plan's plug-ins. Its effect
+// is measured against a run of the limiter alone.
 const WithPlugins = "limiter with plug-ins"
 
-// replayCall is the least time that a call of a plug-in has in a replay: a busy machine must
-// not make two replays differ.
-const replayCall = time.Second
+// minCallTimeout is the lower limit of the timeout of a plug-in call in a replay, so that a
+// busy machine doesn't make two replays differ.
+const minCallTimeout = time.Second
 
-// advisers are the plug-ins of one life of one limiter.
-type advisers struct {
+// pluginAdviser is the plug-ins of one limiter, from its start to its stop.
+type pluginAdviser struct {
 	plugin.Chain
-	set  *plugin.Set
-	done func([]plugin.State)
+	set    *plugin.Set
+	report func([]plugin.State)
 }
 
-// Close ends them, and tells what became of them.
-func (a *advisers) Close() error {
-	a.done(a.set.States())
+// Close reports the states of the plug-ins and closes them.
+func (a *pluginAdviser) Close() error {
+	a.report(a.set.States())
 	return a.set.CloseUnused(nil)
 }
 
-// advise has the limiters of a run ask the plan's plug-ins. What it returns gives their sums
-// once the run is over, and lets go of what they held.
-func advise(ctx context.Context, p *Plan, o *virtual.Options) (func() []PluginSum, error) {
+// addAdvisers makes the limiters of a run consult the plan's plug-ins. The returned function
+// is called after the run: it returns the totals of each plug-in and releases the compiled
+// modules.
+func addAdvisers(ctx context.Context, p *Plan, o *virtual.Options) (func() []PluginTotals, error) {
 	cache, err := plugin.NewCache("")
 	if err != nil {
 		return nil, fmt.Errorf("replaying with plug-ins: %w", err)
@@ -49,19 +50,19 @@
 	specs := slices.Clone(p.Options.Plugins)
 	for i := range specs {
 		l := &specs[i].Limits
-		l.Call, l.Start = max(l.Call, replayCall), max(l.Start, 10*replayCall)
+		l.Call, l.Start = max(l.Call, minCallTimeout), max(l.Start, 10*minCallTimeout)
 	}
-	sums := map[string]*PluginSum{}
+	sums := map[string]*PluginTotals{}
 	o.Advisers = func(_ int, now func() time.Duration) (virtual.Adviser, error) {
 		set, err := plugin.LoadSet(ctx, specs, nil, plugin.SetOptions{Now: now, Cache: cache, Wait: true})
 		if err != nil {
 			return nil, err
 		}
-		return &advisers{set.Chain(true), set, func(states []plugin.State) {
+		return &pluginAdviser{set.Chain(true), set, func(states []plugin.State) {
 			for _, s := range states {
 				x := sums[s.Name]
 				if x == nil {
-					x = &PluginSum{Name: s.Name}
+					x = &PluginTotals{Name: s.Name}
 					sums[s.Name] = x
 				}
 				x.Calls, x.Refused, x.Faults, x.Skipped, x.Busy = x.Calls+s.Calls, x.Refused+s.Refused, x.Faults+s.Faults, x.Skipped+s.Skipped, x.Busy+s.Busy
@@ -69,7 +70,7 @@
 			}
 		}}, nil
 	}
-	return func() (all []PluginSum) {
+	return func() (all []PluginTotals) {
 		cache.Close()
 		for _, name := range slices.Sorted(maps.Keys(sums)) {
 			all = append(all, *sums[name])
@@ -78,27 +79,27 @@
 	}, nil
 }
 
-// recorder notes what plug-ins would be shown, and has no opinion.
+// recorder is an adviser that records requests and gives no advice.
 type recorder struct {
-	note func(*advice.Request)
-	left *int
+	record    func(*advice.Request)
+	remaining *int
 }
 
-// Advise is the recorder's.
+// Advise records the request, up to the limit, and returns neutral advice.
 func (r recorder) Advise(_ context.Context, s *advice.Subject, _ time.Duration) advice.Combined {
-	if *r.left > 0 {
-		*r.left--
-		r.note(&s.Request)
+	if *r.remaining > 0 {
+		*r.remaining--
+		r.record(&s.Request)
 	}
 	return advice.Start()
 }
 
-// Close does nothing.
+// Close has nothing to release.
 func (recorder) Close() error { return nil }
 
-// Record plays a plan with the limiter in virtual time and hands over what its plug-ins would
-// be shown, in order, most requests at most.
-func Record(ctx context.Context, p *Plan, seed uint64, most int, note func(*advice.Request)) error {
+// Record plays a plan with the limiter in virtual time and calls record with each request as a
+// plug-in would get it, in order, up to limit requests.
+func Record(ctx context.Context, p *Plan, seed uint64, limit int, record func(*advice.Request)) error {
 	source, err := p.Source(seed)
 	if err != nil {
 		return err
@@ -106,62 +107,63 @@
 	defer source.Close()
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	left := most
+	remaining := limit
 	o := virtual.Options{Fleet: p.Options.Fleet, Seed: seed, Source: source, Faults: p.Faults, Asked: p.Options.Asked,
-		Advisers: func(int, func() time.Duration) (virtual.Adviser, error) { return recorder{note, &left}, nil },
+		Advisers: func(int, func() time.Duration) (virtual.Adviser, error) { return recorder{record, &remaining}, nil },
 		Progress: func(time.Duration) {
-			if left == 0 {
+			if remaining == 0 {
 				stop()
 			}
 		}}
-	if _, err := virtual.Run(ctx, o); err != nil && left > 0 {
+	if _, err := virtual.Run(ctx, o); err != nil && remaining > 0 {
 		return fmt.Errorf("recording with seed %d: %w", seed, err)
 	}
 	return nil
 }
 
-// PluginSum is what became of a plug-in in a run, over all limiters.
-type PluginSum struct {
+// PluginTotals are the counters of a plug-in in a run, over all limiters.
+type PluginTotals struct {
 	Name      string `json:"name"`
 	Calls     uint64 `json:"calls"`
-	Refused   uint64 `json:"refused"` // tries that it had refused
+	Refused   uint64 `json:"refused"` // tries refused on its advice
 	Faults    uint64 `json:"faults"`
 	Skipped   uint64 `json:"skipped"`
 	Busy      uint64 `json:"busy"`
 	LastFault string `json:"last_fault,omitempty"`
 }
 
-// LabelSum is how many tries got a label.
-type LabelSum struct {
+// LabelTotals counts the tries that got a label from a plug-in.
+type LabelTotals struct {
 	Label   string `json:"label"`
 	Given   int    `json:"given"`
 	Refused int    `json:"refused_by_plugins"`
 }
 
-// AdviceReport is what plug-ins changed, over the seeds that were played without and with
-// them.
+// AdviceReport is the effect of plug-ins, over the seeds that were played both without and
+// with them.
 type AdviceReport struct {
-	Seeds    int             `json:"seeds"`
-	Changes  []AdviceChange  `json:"changes"`
-	Plugins  []PluginSum     `json:"plugins"`
-	Labels   []LabelSum      `json:"labels"`
-	Accounts []AccountChange `json:"accounts"` // of the first seed; those that changed most
-	Others   int             `json:"accounts_left_out"`
+	Seeds           int             `json:"seeds"`
+	Changes         []AdviceChange  `json:"changes"`
+	Plugins         []PluginTotals  `json:"plugins"`
+	Labels          []LabelTotals   `json:"labels"`
+	Accounts        []AccountChange `json:"accounts"` // of the first seed, with the largest change first
+	OmittedAccounts int             `json:"accounts_left_out"`
 }
 
-// AdviceChange is how all requests, or those of a class or plan, fared.
+// AdviceChange compares the service without and with plug-ins, for all requests or those of
+// a class or plan.
 type AdviceChange struct {
 	Name           string  `json:"name"`
 	Without        float64 `json:"service_without"`
 	With           float64 `json:"service_with"`
 	Difference     float64 `json:"difference"`
-	Noise          float64 `json:"noise"` // that chance alone stays under 19 times in 20; 0 with one seed
+	Noise          float64 `json:"noise"` // bound that a difference by chance alone stays below with 95% probability; 0 with one seed
 	Asked          int     `json:"asked"`
 	RefusedWithout int     `json:"refused_without"`
 	RefusedWith    int     `json:"refused_with"`
 }
 
-// AccountChange is how one account fared.
+// AccountChange compares one account's earned worth and refusals without and with plug-ins.
 type AccountChange struct {
 	Account        string  `json:"account"`
 	Asked          int     `json:"asked"`
@@ -171,11 +173,11 @@
 	RefusedWith    int     `json:"refused_with"`
 }
 
-// mostAccounts bounds the accounts that a report lists.
-const mostAccounts = 20
+// maxListedAccounts bounds AdviceReport.Accounts.
+const maxListedAccounts = 20
 
-// Advised sets what the plug-ins changed, from the runs of the report. It does nothing where
-// none was played with plug-ins.
+// Advised sets Advice from the runs of the report. It does nothing if no seed was played both
+// without and with plug-ins.
 func (r *Report) Advised() {
 	without, with := map[uint64]*Run{}, map[uint64]*Run{}
 	for _, run := range r.Runs {
@@ -191,7 +193,7 @@
 	if len(seeds) == 0 {
 		return
 	}
-	a := &AdviceReport{Seeds: len(seeds), Plugins: []PluginSum{}, Labels: []LabelSum{}, Accounts: []AccountChange{}}
+	a := &AdviceReport{Seeds: len(seeds), Plugins: []PluginTotals{}, Labels: []LabelTotals{}, Accounts: []AccountChange{}}
 	row := func(name string, of func(*Run) *Tally) {
 		x := AdviceChange{Name: name}
 		var differences []float64
@@ -216,7 +218,7 @@
 	}
 	for _, seed := range seeds {
 		for _, p := range with[seed].Plugins {
-			k := slices.IndexFunc(a.Plugins, func(x PluginSum) bool { return x.Name == p.Name })
+			k := slices.IndexFunc(a.Plugins, func(x PluginTotals) bool { return x.Name == p.Name })
 			if k < 0 {
 				a.Plugins = append(a.Plugins, p)
 				continue
@@ -225,7 +227,7 @@
 			x.Calls, x.Refused, x.Faults, x.Skipped, x.Busy = x.Calls+p.Calls, x.Refused+p.Refused, x.Faults+p.Faults, x.Skipped+p.Skipped, x.Busy+p.Busy
 		}
 		for _, p := range with[seed].Labels {
-			k := slices.IndexFunc(a.Labels, func(x LabelSum) bool { return x.Label == p.Label })
+			k := slices.IndexFunc(a.Labels, func(x LabelTotals) bool { return x.Label == p.Label })
 			if k < 0 {
 				a.Labels = append(a.Labels, p)
 				continue
@@ -233,12 +235,12 @@
 			a.Labels[k].Given, a.Labels[k].Refused = a.Labels[k].Given+p.Given, a.Labels[k].Refused+p.Refused
 		}
 	}
-	a.accounts(without[seeds[0]].accounts, first.accounts)
+	a.addAccounts(without[seeds[0]].accounts, first.accounts)
 	r.Advice = a
 }
 
-// accounts lists those that fared most differently.
-func (a *AdviceReport) accounts(before, after map[uint64]*service.Tally) {
+// addAccounts lists the accounts with the largest change of earned worth.
+func (a *AdviceReport) addAccounts(before, after map[uint64]*service.Tally) {
 	none := &service.Tally{}
 	for _, id := range slices.Sorted(maps.Keys(after)) {
 		x, y := before[id], after[id]
@@ -252,14 +254,14 @@
 	slices.SortStableFunc(a.Accounts, func(x, y AccountChange) int {
 		return cmp.Compare(math.Abs(y.With-y.Without), math.Abs(x.With-x.Without))
 	})
-	if n := len(a.Accounts); n > mostAccounts {
-		a.Others = n - mostAccounts
-		a.Accounts = a.Accounts[:mostAccounts]
+	if n := len(a.Accounts); n > maxListedAccounts {
+		a.OmittedAccounts = n - maxListedAccounts
+		a.Accounts = a.Accounts[:maxListedAccounts]
 	}
 }
 
-// text writes what the plug-ins changed.
-func (a *AdviceReport) text(w io.Writer) {
+// writeText writes the effect of the plug-ins as tables of text.
+func (a *AdviceReport) writeText(w io.Writer) {
 	fmt.Fprintf(w, "\nwhat the plug-ins changed, %d seeds\twithout\twith\tdifference\tnoise\tasked\trefused without\twith\n", a.Seeds)
 	for _, x := range a.Changes {
 		noise := fmt.Sprintf("%.4f", x.Noise)
@@ -281,7 +283,7 @@
 	for _, x := range a.Accounts {
 		fmt.Fprintf(w, "%s\t%d\t%.1f\t%.1f\t%d\t%d\n", x.Account, x.Asked, x.Without, x.With, x.RefusedWithout, x.RefusedWith)
 	}
-	if a.Others > 0 {
-		fmt.Fprintf(w, "and %d more accounts, less than these\n", a.Others)
+	if a.OmittedAccounts > 0 {
+		fmt.Fprintf(w, "and %d more accounts, less than these\n", a.OmittedAccounts)
 	}
 }
--- a/internal/replay/plugins_test.go
+++ b/internal/replay/plugins_test.go
@@ -13,18 +13,18 @@
 	"example.org/madderdrum/plugin/plugintest"
 )
 
-// everything is a grant of all there is.
-var everything = advice.Grant{Refuse: true, MostWaitMs: 500, Lower: 0.1, Raise: 10, Label: true, Tiers: true}
+// fullGrant permits every kind of advice.
+var fullGrant = advice.Grant{Refuse: true, MostWaitMs: 500, Lower: 0.1, Raise: 10, Label: true, Tiers: true}
 
-// refusing refuses all, with a label.
-func refusing() []byte {
+// refusingModule returns a module that refuses every request and gives a label.
+func refusingModule() []byte {
 	said := (&advice.Advice{Refuse: true, WaitMs: 100, Reason: "no", Label: "none"}).Append(nil)
 	return plugintest.Module{Advise: plugintest.Says(0, uint32(len(said))), Data: said}.Build()
 }
 
-// advised plays the fleet's own traffic without and with plug-ins, and returns the report as
-// it is written.
-func advised(t *testing.T, specs ...plugin.Spec) (*Report, []byte) {
+// playWithPlugins plays the fleet's own traffic without and with plug-ins, and returns the
+// report and its JSON file.
+func playWithPlugins(t *testing.T, specs ...plugin.Spec) (*Report, []byte) {
 	t.Helper()
 	p := prepare(t, Options{Length: 20 * time.Second, Rate: 250, Plugins: specs, Scenario: "limiter n1 is killed at 5s for 1s\nroom room-b is lost from 8s to 12s\n"})
 	r := NewReport(p)
@@ -46,9 +46,9 @@
 	return r, data
 }
 
-// A plug-in that fails at every call changes nothing: the run with it is the one without.
+// A plug-in that fails at every call changes nothing: the run with it equals the run without.
 func TestFailingPluginChangesNothing(t *testing.T) {
-	r, _ := advised(t, plugin.Spec{Name: "trap", Order: 1, Module: plugintest.Module{Advise: plugintest.Trap}.Build(), Grant: everything})
+	r, _ := playWithPlugins(t, plugin.Spec{Name: "trap", Order: 1, Module: plugintest.Module{Advise: plugintest.Trap}.Build(), Grant: fullGrant})
 	without, with := *r.Runs[0], *r.Runs[1]
 	if p := with.Plugins; len(p) != 1 || p[0].Faults < 3 || p[0].Skipped < 1000 || p[0].LastFault == "" {
 		t.Errorf("%+v", p)
@@ -64,27 +64,27 @@
 	}
 }
 
-// One that refuses all has all refused, one whose failure is to refuse as well; and two
-// replays give the same file.
+// All requests are refused with a plug-in that refuses each, and with one that fails and whose
+// grant refuses on failure. Two replays give the same file.
 func TestRefusingPlugin(t *testing.T) {
-	guard := everything
+	guard := fullGrant
 	guard.RefuseOn = advice.OnFault | advice.OnBenched
 	for name, s := range map[string]plugin.Spec{
-		"says so": {Name: "no", Order: 1, Module: refusing(), Grant: everything},
+		"says so": {Name: "no", Order: 1, Module: refusingModule(), Grant: fullGrant},
 		"guards":  {Name: "no", Order: 1, Module: plugintest.Module{Advise: plugintest.Trap}.Build(), Grant: guard},
 	} {
-		r, data := advised(t, s)
+		r, data := playWithPlugins(t, s)
 		with := r.Runs[1]
 		if with.Total.InTime+with.Total.Late > 0 || with.Total.Refused < 2000 || with.Traffic.Attempts > 0 || r.Runs[0].Total.InTime < 2000 {
 			t.Errorf("%s: %+v, without %+v", name, with.Total, r.Runs[0].Total)
 		}
-		if r.Advice.Plugins[0].Refused == 0 || len(r.Advice.Accounts) != mostAccounts || r.Advice.Others == 0 {
+		if r.Advice.Plugins[0].Refused == 0 || len(r.Advice.Accounts) != maxListedAccounts || r.Advice.OmittedAccounts == 0 {
 			t.Errorf("%s: %+v", name, r.Advice)
 		}
 		if labels := len(r.Advice.Labels); (labels == 1) != (name == "says so") {
 			t.Errorf("%s: %+v", name, r.Advice.Labels)
 		}
-		if _, again := advised(t, s); !bytes.Equal(data, again) {
+		if _, again := playWithPlugins(t, s); !bytes.Equal(data, again) {
 			t.Errorf("%s: two replays differ", name)
 		}
 		var text bytes.Buffer
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -17,7 +17,7 @@
 	"example.org/madderdrum/internal/world"
 )
 
-func text(name, content string) trace.Source {
+func memoryFile(name, content string) trace.Source {
 	return trace.Source{Name: name, Open: func() (io.ReadCloser, error) { return io.NopCloser(strings.NewReader(content)), nil }}
 }
 
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Input{[]trace.Source{text(schema+".csv", content)}, s}
+	return Input{[]trace.Source{memoryFile(schema+".csv", content)}, s}
 }
 
 func example(t testing.TB, schema string) Input {
@@ -60,8 +60,8 @@
 	return r
 }
 
-// saved plays a plan and returns the JSON report.
-func saved(t *testing.T, o Options, seed uint64) []byte {
+// savedReport plays a plan and returns the JSON report.
+func savedReport(t *testing.T, o Options, seed uint64) []byte {
 	t.Helper()
 	p := prepare(t, o)
 	r := NewReport(p)
@@ -80,16 +80,17 @@
 // Two replays with the same seed give the same file, byte for byte.
 func TestSameSeedSameFile(t *testing.T) {
 	o := Options{Inputs: []Input{Friday()}, Rate: -1, For: 30 * time.Second}
-	first := saved(t, o, 3)
-	if again := saved(t, o, 3); !bytes.Equal(first, again) {
+	first := savedReport(t, o, 3)
+	if again := savedReport(t, o, 3); !bytes.Equal(first, again) {
 		t.Error("the same seed gave another file")
 	}
-	if other := saved(t, o, 4); bytes.Equal(first, other) {
+	if other := savedReport(t, o, 4); bytes.Equal(first, other) {
 		t.Error("another seed gave the same file")
 	}
 }
 
-// The built-in trace: every rule is kept, and the troubles in it befall the boxes.
+// On the built-in trace no rule is broken, its faults reach the boxes, and no quantity is
+// drawn.
 func TestFriday(t *testing.T) {
 	p := prepare(t, Options{Inputs: []Input{Friday()}, Rate: -1})
 	r := play(t, p, "limiter", 1)
@@ -108,7 +109,7 @@
 	}
 }
 
-// Arrivals are those of the trace, in its order, at its rate or scaled to another.
+// Arrivals follow the trace in order, at its own rate or scaled to another.
 func TestScaling(t *testing.T) {
 	count := func(o Options) (n int, last time.Duration) {
 		p := prepare(t, o)
@@ -150,8 +151,8 @@
 	}
 }
 
-// Machines that come and go, and that are near the top, befall boxes that stand
-// for them.
+// Machines that are added, removed or highly utilized become faults of the boxes
+// assigned to them.
 func TestMachinesBecomeFaults(t *testing.T) {
 	p := prepare(t, Options{Inputs: []Input{example(t, "google-2011-task-events"), example(t, "google-2011-machine-events")}})
 	var all []string
@@ -235,7 +236,7 @@
 		{"0,down,,,,,,z9,", `box: the fleet has no box "z9"; name one of its boxes: a0 a1`},
 		{"0,up,,,,,,b1,\n1,up,,,,,,b1,", `"b1" is added a second time`},
 	} {
-		f.Files = []trace.Source{text("f.csv", "ms,what,account,class,plan,units,work_us,box,slow\n"+c.row+"\n9,ask,a,status-check,starter,1,5,,\n")}
+		f.Files = []trace.Source{memoryFile("f.csv", "ms,what,account,class,plan,units,work_us,box,slow\n"+c.row+"\n9,ask,a,status-check,starter,1,5,,\n")}
 		if err := prepareErr(Options{Inputs: []Input{f}}); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %s", c.row, err, c.want)
 		}
@@ -255,11 +256,11 @@
 	}
 	calm, rough := report(170, "", 5), report(170, "box a0 fails 80% from 1s to 14s\nroom room-b is lost from 4s to 12s", 5)
 	changes, err := Compare(calm, rough)
-	if err != nil || !changes[0].Real || changes[0].Difference >= 0 || changes[0].Seeds != 5 {
+	if err != nil || !changes[0].Significant || changes[0].Difference >= 0 || changes[0].Seeds != 5 {
 		t.Errorf("calm and rough: %+v, %v", changes[0], err)
 	}
 	same, err := Compare(calm, calm)
-	if err != nil || same[0].Real || same[0].Difference != 0 {
+	if err != nil || same[0].Significant || same[0].Difference != 0 {
 		t.Errorf("a report and itself: %+v, %v", same[0], err)
 	}
 	var out bytes.Buffer
@@ -273,8 +274,8 @@
 	}
 }
 
-// The page needs nothing else and shows what the report has; names from a trace
-// can't bring markup into it.
+// The page refers to no external resource and shows the content of the report; names
+// from a trace are escaped.
 func TestHTML(t *testing.T) {
 	p := prepare(t, Options{Inputs: []Input{Friday()}, Rate: -1, For: 25 * time.Second, FleetName: "<script>alert(1)</script>"})
 	r := NewReport(p)
@@ -322,8 +323,8 @@
 	}
 }
 
-// BenchmarkFleet is the built-in fleet for ten seconds of virtual time; it tells
-// how many times real time that is.
+// BenchmarkFleet plays the built-in fleet for ten seconds of virtual time and reports
+// the ratio of virtual to real time.
 func BenchmarkFleet(b *testing.B) {
 	f := config.Bluebird()
 	const length = 10 * time.Second
--- a/internal/replay/report.go
+++ b/internal/replay/report.go
@@ -22,14 +22,14 @@
 )
 
 // Format and version of the report file. docs/replay.md describes the layout; a
-// field's meaning never changes within a version, new fields may join.
+// field's meaning never changes within a version, new fields may be added.
 const (
 	Format  = "madderdrum-replay"
 	Version = 1
 )
 
-// Report is what came of a replay: one run for each policy and seed. It holds no
-// times of the clock, so that equal replays give equal files.
+// Report is the result of a replay: one run for each policy and seed. It contains no
+// wall-clock times, so that equal replays give equal files.
 type Report struct {
 	Format  string       `json:"format"`
 	Version int          `json:"version"`
@@ -38,11 +38,11 @@
 	Scale   Scale        `json:"scale"`
 	Origins []Origin     `json:"origins"`
 	Runs    []*Run       `json:"runs"`
-	// Advice is what plug-ins changed, where runs without and with them were played.
+	// Advice is the effect of plug-ins, if runs without and with them were played.
 	Advice *AdviceReport `json:"advice,omitempty"`
 }
 
-// FleetReport names the fleet.
+// FleetReport is the name and size of the fleet of a replay.
 type FleetReport struct {
 	Name     string   `json:"name"`
 	Limiters int      `json:"limiters"`
@@ -50,7 +50,7 @@
 	Rooms    []string `json:"rooms"`
 }
 
-// Run is one play of a plan.
+// Run is the result of one play of a plan.
 type Run struct {
 	Driver   string         `json:"driver"` // virtual or sockets
 	Policy   string         `json:"policy"`
@@ -59,26 +59,26 @@
 	Service  Service        `json:"service"`
 	Total    Tally          `json:"total"`
 	Classes  []Tally        `json:"classes"`
-	Ways     []Tally        `json:"ways,omitempty"` // where some of the requests are asked for
+	Ways     []Tally        `json:"ways,omitempty"` // by way of asking; only if some proxies ask instead of forwarding
 	Plans    []Tally        `json:"plans"`
-	Why      map[string]int `json:"why"` // how requests ended that were not served in time
+	Why      map[string]int `json:"why"` // outcomes of requests that were not served in time
 	Rules    []Rule         `json:"rules"`
 	Breaches []string       `json:"breaches"` // the first 100
 	Traffic  Traffic        `json:"traffic"`
-	CPU      *CPU           `json:"cpu,omitempty"` // on sockets alone
+	CPU      *CPU           `json:"cpu,omitempty"` // only of the sockets driver
 	Seconds  []Second       `json:"seconds,omitempty"`
 	Boxes    []BoxSeries    `json:"boxes,omitempty"`
 	SampleS  float64        `json:"sample_s,omitempty"`
 	Notes    []Note         `json:"notes,omitempty"`
 	Best     *best.Best     `json:"best,omitempty"`
-	Plugins  []PluginSum    `json:"plugins,omitempty"`
-	Labels   []LabelSum     `json:"labels,omitempty"` // that plug-ins gave
+	Plugins  []PluginTotals `json:"plugins,omitempty"`
+	Labels   []LabelTotals  `json:"labels,omitempty"` // given by plug-ins
 
 	accounts map[uint64]*service.Tally
 }
 
-// Service is the figure and its parts, each the worth answered in time over the
-// worth asked for within quota.
+// Service is the service figure and its parts, each the worth answered in time over
+// the worth requested within quota.
 type Service struct {
 	Total      float64 `json:"total"` // 65% whole, 20% worst 10 s, 15% worst plan
 	Whole      float64 `json:"whole"`
@@ -88,7 +88,7 @@
 	PlanName   string  `json:"worst_plan_name"`
 }
 
-// Tally counts requests.
+// Tally counts the requests of a run, class, plan or way of asking by outcome.
 type Tally struct {
 	Name          string  `json:"name,omitempty"`
 	Service       float64 `json:"service"`
@@ -106,35 +106,35 @@
 	Earned        float64 `json:"worth_earned"`
 }
 
-// Rule is how often a rule was put to the test, and broken.
+// Rule counts how often an invariant was checked, and violated.
 type Rule struct {
 	Name   string `json:"name"`
 	Tested int    `json:"tested"`
 	Broken int    `json:"broken"`
 }
 
-// Traffic counts what the limiters did.
+// Traffic counts what the limiters sent: attempts, connections, probes and messages.
 type Traffic struct {
 	Attempts  int    `json:"attempts"`
 	Crossings int    `json:"crossings"`
 	Connects  int    `json:"connects"`
 	Probes    int    `json:"probes"`
 	Messages  int    `json:"messages"`
-	Events    uint64 `json:"events"` // of the simulation
+	Events    uint64 `json:"events"` // processed by the simulation
 	Asks      int    `json:"asks,omitempty"`
 	Grants    int    `json:"grants,omitempty"`
 }
 
-// CPU is what the limiters' processes used.
+// CPU is the CPU time and memory used by the limiters' processes.
 type CPU struct {
 	Seconds   []float64 `json:"seconds"`        // of each limiter
-	PerAskUs  float64   `json:"per_request_us"` // over all tries
+	PerAskUs  float64   `json:"per_request_us"` // over first tries and retries
 	MemoryMB  []float64 `json:"memory_mb"`      // resident, at the end
-	LateMs    float64   `json:"driver_late_ms"` // 99th percentile of how late the driver itself acted
-	Unstarted int       `json:"unstarted"`      // tries that the driver could not send
+	LateMs    float64   `json:"driver_late_ms"` // 99th percentile of the driver's own delay
+	Unstarted int       `json:"unstarted"`      // tries that the driver failed to send
 }
 
-// Second is one second of a run.
+// Second counts the requests of one second of a run.
 type Second struct {
 	Asked   int     `json:"asked"`
 	Served  int     `json:"served"`
@@ -144,17 +144,17 @@
 	Earned  float64 `json:"earned"`
 }
 
-// BoxSeries is one box over time, a value for each sample.
+// BoxSeries is the state of one box over time, with a value for each sample.
 type BoxSeries struct {
 	Name      string    `json:"name"`
 	Room      string    `json:"room"`
 	Held      []int     `json:"held"`
 	Arrived   []int     `json:"arrived"`
-	Busy      []float64 `json:"busy"`      // share of its warm capacity
-	Condition string    `json:"condition"` // a letter a sample: . running, c cold, d draining, h hung, x dead, v vanished, f fallen over
+	Busy      []float64 `json:"busy"`      // fraction of its warm capacity
+	Condition string    `json:"condition"` // one letter per sample: . running, c cold, d draining, h hung, x dead, v vanished, f fallen over
 }
 
-// Note is something that happened.
+// Note is an event of the simulation, such as a fault, with its time.
 type Note struct {
 	AtS  float64 `json:"at_s"`
 	Text string  `json:"text"`
@@ -171,8 +171,8 @@
 		Retries: t.Retries, SentBeyond: t.SentBeyond, Worth: round(t.Worth, 3), Earned: round(t.Earned, 3)}
 }
 
-// newRun gathers what a driver leaves. Series are left out where they are not
-// wanted.
+// newRun builds a Run from the state that a driver leaves. It includes the series over
+// time only if series is set.
 func newRun(f *fleet.Fleet, w *world.World, j *judge.Judge, length, sample time.Duration, series bool) *Run {
 	m := w.Meter
 	x := m.Figure()
@@ -207,7 +207,7 @@
 		s := BoxSeries{Name: b.Name, Room: f.Rooms[b.Spec.Room]}
 		letters := make([]byte, 0, len(w.Samples))
 		for _, at := range w.Samples {
-			if i >= len(at.Boxes) { // not there yet
+			if i >= len(at.Boxes) { // not added yet
 				s.Held, s.Arrived, s.Busy, letters = append(s.Held, 0), append(s.Arrived, 0), append(s.Busy, 0), append(letters, 'x')
 				continue
 			}
@@ -227,7 +227,7 @@
 	return r
 }
 
-// NewReport begins the report of a plan.
+// NewReport returns a report of a plan, without runs.
 func NewReport(p *Plan) *Report {
 	f := p.Options.Fleet
 	r := &Report{Format: Format, Version: Version, Files: p.Files, Scale: p.Scale, Origins: p.Origins,
@@ -238,13 +238,14 @@
 	return r
 }
 
-// sampleEvery is how often loads are noted: some 300 times in a run, a second at
-// the least.
-func sampleEvery(length time.Duration) time.Duration {
+// sampleInterval returns the interval between samples of the load: some 300 in a run,
+// at least a second.
+func sampleInterval(length time.Duration) time.Duration {
 	return max(time.Second, (length / 300).Round(time.Second))
 }
 
-// Virtual plays a plan in virtual time with a policy.
+// Virtual plays a plan in virtual time with a policy, or with WithPlugins the limiter and
+// its plug-ins.
 func Virtual(ctx context.Context, p *Plan, policy string, seed uint64, series bool, progress func(done float64)) (*Run, error) {
 	name := policy
 	if policy == WithPlugins {
@@ -261,14 +262,14 @@
 	defer source.Close()
 	o := virtual.Options{Fleet: p.Options.Fleet, Seed: seed, Source: source, Faults: p.Faults, Policy: decide, Asked: p.Options.Asked, Remember: p.Options.Remember, Steward: p.Options.Steward}
 	o.Accounts = len(p.Options.Plugins) > 0
-	plugins := func() []PluginSum { return nil }
+	plugins := func() []PluginTotals { return nil }
 	if policy == WithPlugins {
-		if plugins, err = advise(ctx, p, &o); err != nil {
+		if plugins, err = addAdvisers(ctx, p, &o); err != nil {
 			return nil, err
 		}
 	}
 	if series {
-		o.Sample = sampleEvery(p.Length)
+		o.Sample = sampleInterval(p.Length)
 	}
 	if progress != nil {
 		o.Progress = func(now time.Duration) { progress(min(1, float64(now)/float64(p.Length))) }
@@ -289,7 +290,7 @@
 	run.Driver, run.Policy, run.Seed = "virtual", policy, seed
 	run.Plugins, run.accounts = sums, res.World.Meter.Accounts
 	for _, label := range slices.Sorted(maps.Keys(res.Labels)) {
-		run.Labels = append(run.Labels, LabelSum{label, res.Labels[label].Given, res.Labels[label].Refused})
+		run.Labels = append(run.Labels, LabelTotals{label, res.Labels[label].Given, res.Labels[label].Refused})
 	}
 	c := res.Counts
 	run.Traffic = Traffic{c.Attempts, c.Crossings, c.Connects, c.Probes, c.Messages, res.Events, c.Asks, c.Grants}
@@ -301,7 +302,8 @@
 	return run, nil
 }
 
-// WriteBest writes the bounds and the causes as text, where there are any.
+// WriteBest writes the upper bounds and the causes of lost worth as text, for runs that
+// have them.
 func (r *Report) WriteBest(out io.Writer) error {
 	var rows []best.Row
 	for _, run := range r.Runs {
@@ -312,17 +314,17 @@
 	return best.Write(out, rows)
 }
 
-// Save writes the report as JSON, whole or not at all.
+// Save writes the report as JSON, atomically.
 func (r *Report) Save(path string) error {
 	data, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	return writeWhole(path, append(data, '\n'))
+	return writeAtomically(path, append(data, '\n'))
 }
 
-// writeWhole writes beside the file and renames, so that no half is left.
-func writeWhole(path string, data []byte) error {
+// writeAtomically writes a temporary file and renames it, so that no partial file is left.
+func writeAtomically(path string, data []byte) error {
 	aside := path + ".part"
 	if err := os.WriteFile(aside, data, 0o644); err != nil {
 		return fmt.Errorf("report: %w", err)
@@ -333,10 +335,10 @@
 	return nil
 }
 
-// ErrFormat tells that a file is no report that this program can read.
+// ErrFormat means that a file is not a report, or one of a newer version.
 var ErrFormat = errors.New("not a report of madderdrum replay")
 
-// Load reads a report.
+// Load reads a report and checks its format and version.
 func Load(path string) (*Report, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -357,7 +359,7 @@
 	return &r, nil
 }
 
-// Broken is the number of rules broken over all runs of the limiter.
+// Broken counts the rule violations in all runs of the limiter, with and without plug-ins.
 func (r *Report) Broken() int {
 	n := 0
 	for _, run := range r.Runs {
--- a/internal/replay/sockets.go
+++ b/internal/replay/sockets.go
@@ -10,8 +10,8 @@
 	"example.org/madderdrum/internal/world"
 )
 
-// Sockets plays a plan in real time on loopback sockets, round a built program
-// that is started as the platform starts it.
+// Sockets plays a plan in real time on loopback sockets, against limiters that are
+// processes of the given program, started as the platform starts it.
 func Sockets(ctx context.Context, p *Plan, program string, seed uint64, series bool, progress func(done float64)) (*Run, error) {
 	source, err := p.Source(seed)
 	if err != nil {
@@ -20,7 +20,7 @@
 	defer source.Close()
 	o := loopback.Options{Fleet: p.Options.Fleet, Seed: seed, Source: source, Faults: p.Faults, Program: program}
 	if series {
-		o.Sample = sampleEvery(p.Length)
+		o.Sample = sampleInterval(p.Length)
 	}
 	if progress != nil {
 		last := time.Duration(0)
--- a/internal/replay/source.go
+++ b/internal/replay/source.go
@@ -12,64 +12,65 @@
 	"example.org/madderdrum/internal/world"
 )
 
-// Bounds of a request's work against the mean of its class: a trace of batch jobs
-// has some that are a million times as long as others.
+// Limits of a request's work as a multiple of the mean of its class: a trace of batch
+// jobs has some that are a million times as long as others.
 const (
-	leastWork = 0.05
-	mostWork  = 20
+	minWorkRatio = 0.05
+	maxWorkRatio = 20
 )
 
-// accounts are numbers below 2^33, as the protocol has them.
+// accountBits is the size of an account number in the protocol.
 const accountBits = 33
 
-// Source is the plan's arrivals for a seed, from the beginning. Close ends it.
+// Source returns the plan's arrivals for a seed, from the beginning. The caller closes it.
 func (p *Plan) Source(seed uint64) (*Arrivals, error) {
 	draw := world.NewDrawer(p.Options.Fleet, seed)
 	if len(p.Options.Inputs) == 0 {
 		return &Arrivals{plan: p, synthetic: world.NewSynthetic(p.Options.Fleet, seed, p.Length)}, nil
 	}
-	a := &Arrivals{plan: p, draw: draw, rng: rand.New(rand.NewPCG(seed, 0xa2)), step: p.step()}
+	a := &Arrivals{plan: p, drawer: draw, rng: rand.New(rand.NewPCG(seed, 0xa2)), timeStep: p.timeStep()}
 	for _, in := range p.Options.Inputs {
 		r, err := trace.Open(in.Files, in.Schema, trace.Options{Reorder: p.Options.Reorder, Duplicates: p.Options.Duplicates,
-			Seed: p.Options.Seed, From: p.zero, Until: p.until})
+			Seed: p.Options.Seed, From: p.startTime, Until: p.endTime})
 		if err != nil {
 			a.Close()
 			return nil, err
 		}
-		a.readers = append(a.readers, &head{r: r})
+		a.readers = append(a.readers, &peekedReader{reader: r})
 	}
 	for _, h := range a.readers {
-		a.pull(h)
+		a.advance(h)
 	}
 	return a, nil
 }
 
-// Arrivals is a world.Source of a trace. After the last arrival Err tells whether
-// the trace could be read to its end.
+// Arrivals is a world.Source that reads a trace, or generates the fleet's own traffic
+// if the plan has no trace. After the last arrival, Err returns the error that ended
+// the trace early, if any.
 type Arrivals struct {
 	plan      *Plan
 	synthetic *world.Synthetic
-	draw      *world.Drawer
+	drawer    *world.Drawer
 	rng       *rand.Rand
-	readers   []*head
-	step      time.Duration
+	readers   []*peekedReader
+	timeStep  time.Duration
 	batch     []world.Arrival
-	at        int
+	next      int
 	err       error
 }
 
-// head is a reader with its next arrival.
-type head struct {
-	r   *trace.Reader
-	rec trace.Record
-	ok  bool
+// peekedReader is a trace reader with its next arrival; valid is false after the last.
+type peekedReader struct {
+	reader *trace.Reader
+	record trace.Record
+	valid  bool
 }
 
-// pull reads a reader's next arrival.
-func (a *Arrivals) pull(h *head) {
+// advance reads the next arrival of a reader.
+func (a *Arrivals) advance(h *peekedReader) {
 	for {
-		rec, err := h.r.Next()
-		h.rec, h.ok = rec, err == nil
+		rec, err := h.reader.Next()
+		h.record, h.valid = rec, err == nil
 		if err != nil && !errors.Is(err, io.EOF) {
 			a.err = err
 		}
@@ -79,66 +80,66 @@
 	}
 }
 
-// first is the reader with the earliest arrival.
-func (a *Arrivals) first() *head {
-	var best *head
+// earliest returns the reader with the earliest arrival, or nil after the last one.
+func (a *Arrivals) earliest() *peekedReader {
+	var best *peekedReader
 	for _, h := range a.readers {
-		if h.ok && (best == nil || h.rec.At < best.rec.At) {
+		if h.valid && (best == nil || h.record.At < best.record.At) {
 			best = h
 		}
 	}
 	return best
 }
 
-// Next is the next arrival.
+// Next returns the next arrival in order of time, or false at the end.
 func (a *Arrivals) Next() (world.Arrival, bool) {
 	if a.synthetic != nil {
 		return a.synthetic.Next()
 	}
-	for a.at >= len(a.batch) {
-		if !a.fill() {
+	for a.next >= len(a.batch) {
+		if !a.fillBatch() {
 			return world.Arrival{}, false
 		}
 	}
-	a.at++
-	return a.batch[a.at-1], true
+	a.next++
+	return a.batch[a.next-1], true
 }
 
-// fill takes the arrivals of one time, with their copies. A time that is told in
-// whole steps is any moment of its step; copies come at any moment until the
-// next arrivals.
-func (a *Arrivals) fill() bool {
-	h := a.first()
+// fillBatch reads all arrivals of the next time and adds their copies. If the trace's
+// times have a coarse resolution, an arrival gets a random time within its step; copies
+// get a random time before the next arrivals.
+func (a *Arrivals) fillBatch() bool {
+	h := a.earliest()
 	if h == nil || a.err != nil {
 		return false
 	}
-	a.batch, a.at = a.batch[:0], 0
-	at := h.rec.At
+	a.batch, a.next = a.batch[:0], 0
+	at := h.record.At
 	type copied struct{ from, n int }
 	var copies []copied
-	for h != nil && h.rec.At == at {
+	for h != nil && h.record.At == at {
 		n := int(a.plan.Scale.Copies)
 		if a.rng.Float64() < a.plan.Scale.Copies-float64(n) {
 			n++
 		}
 		copies = append(copies, copied{len(a.batch), n})
 		for k := range n {
-			a.batch = append(a.batch, a.arrival(&h.rec, k))
+			a.batch = append(a.batch, a.newArrival(&h.record, k))
 		}
-		a.pull(h)
-		h = a.first()
+		a.advance(h)
+		h = a.earliest()
 	}
-	gap := a.plan.until - at
+	gap := a.plan.endTime - at
 	if h != nil {
-		gap = h.rec.At - at
+		gap = h.record.At - at
 	}
 	for _, c := range copies {
 		for k := range c.n {
-			over := a.step
+			over := a.timeStep
 			if k > 0 {
 				over = max(over, gap)
 			}
-			moment := at - a.plan.zero
+			moment := at - a.plan.startTime
 			if over > 0 {
 				moment += time.Duration(a.rng.Int64N(int64(over)))
 			}
@@ -149,26 +150,27 @@
 	return true
 }
 
-// arrival fits a record to the fleet. A copy comes from another account.
-func (a *Arrivals) arrival(rec *trace.Record, nth int) (x world.Arrival) {
+// newArrival maps a record to the fleet's classes, plans and accounts. nth is 0 for the
+// arrival itself and counts its copies, which get other accounts.
+func (a *Arrivals) newArrival(rec *trace.Record, nth int) (x world.Arrival) {
 	f := a.plan.Options.Fleet
 	switch {
 	case rec.Class != "":
-		x.Class = classOf(f, rec.Class)
+		x.Class = classIndex(f, rec.Class)
 	case rec.Label != "":
-		x.Class = a.draw.ClassOf(number(rec.Label, 0))
+		x.Class = a.drawer.ClassOf(hashName(rec.Label, 0))
 	default:
-		x.Class = a.draw.Class()
+		x.Class = a.drawer.Class()
 	}
 	if rec.Account != "" {
-		x.Account = number(rec.Account, nth)
-		x.Plan = a.draw.PlanOf(x.Account)
+		x.Account = hashName(rec.Account, nth)
+		x.Plan = a.drawer.PlanOf(x.Account)
 	} else {
-		x.Plan = a.draw.Plan()
-		x.Account = a.draw.Account(x.Plan)
+		x.Plan = a.drawer.Plan()
+		x.Account = a.drawer.Account(x.Plan)
 	}
 	if rec.Plan != "" {
-		x.Plan = planOf(f, rec.Plan)
+		x.Plan = planIndex(f, rec.Plan)
 	}
 	class := f.Classes[x.Class]
 	if x.Units = rec.Units; x.Units <= 0 {
@@ -177,29 +179,30 @@
 	if rec.Work > 0 {
 		x.Work = rec.Work
 	} else if mean := a.plan.Scale.MeanSize; rec.Size > 0 && mean > 0 {
-		x.Work = time.Duration(float64(class.Work) * max(leastWork, min(mostWork, rec.Size/mean)))
+		x.Work = time.Duration(float64(class.Work) * max(minWorkRatio, min(maxWorkRatio, rec.Size/mean)))
 	} else {
-		x.Work = a.draw.Work(x.Class)
+		x.Work = a.drawer.Work(x.Class)
 	}
 	return x
 }
 
-// number is an account's number by its name (FNV-1a); copies have others.
-func number(name string, nth int) uint64 {
+// hashName returns the number of an account or label: the FNV-1a hash of its name and
+// the number of the copy, in accountBits bits.
+func hashName(name string, nth int) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, name)
 	h.Write([]byte{byte(nth), byte(nth >> 8), byte(nth >> 16)})
 	return h.Sum64() & (1<<accountBits - 1)
 }
 
-// Err is what ended the trace early.
+// Err returns the error that ended the trace early.
 func (a *Arrivals) Err() error { return a.err }
 
-// Close ends the reading.
+// Close closes the trace files.
 func (a *Arrivals) Close() error {
 	var all error
 	for _, h := range a.readers {
-		all = errors.Join(all, h.r.Close())
+		all = errors.Join(all, h.reader.Close())
 	}
 	return all
 }
--- a/internal/replay/text.go
+++ b/internal/replay/text.go
@@ -9,13 +9,14 @@
 	"text/tabwriter"
 )
 
-// spark draws values of 0 to 1 as a row of blocks of at most so many.
-func spark(values []float64, most int) string {
+// sparkline draws values from 0 to 1 as a row of at most maxBlocks block characters,
+// each the mean of adjacent values.
+func sparkline(values []float64, maxBlocks int) string {
 	const blocks = "▁▂▃▄▅▆▇█"
 	if len(values) == 0 {
 		return ""
 	}
-	n := min(most, len(values))
+	n := min(maxBlocks, len(values))
 	var b strings.Builder
 	for k := range n {
 		from, to := k*len(values)/n, max(k*len(values)/n+1, (k+1)*len(values)/n)
@@ -29,9 +30,9 @@
 	return b.String()
 }
 
-const sparkWidth = 60
+const sparklineWidth = 60
 
-// Text writes the report for people.
+// Text writes the report as tables of text; details are those of the first run.
 func (r *Report) Text(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	first := r.Runs[0]
@@ -79,7 +80,7 @@
 	if len(first.Why) > 0 {
 		fmt.Fprintf(w, "\nnot served in time, by how it ended\n")
 	}
-	for _, why := range reasons(first.Why) {
+	for _, why := range sortedReasons(first.Why) {
 		fmt.Fprintf(w, "  %d\t%s\n", first.Why[why], why)
 	}
 	t := first.Traffic
@@ -102,10 +103,10 @@
 		fmt.Fprintf(w, "  broken: %s\n", b)
 	}
 	if r.Advice != nil {
-		r.Advice.text(w)
+		r.Advice.writeText(w)
 	}
 	if len(first.Seconds) > 0 {
-		r.charts(w, first)
+		r.writeCharts(w, first)
 	}
 	if err := w.Flush(); err != nil {
 		return fmt.Errorf("report: %w", err)
@@ -113,8 +114,8 @@
 	return nil
 }
 
-// charts draws service and load over time.
-func (r *Report) charts(w io.Writer, run *Run) {
+// writeCharts draws requests, service and load over time, and lists the notes.
+func (r *Report) writeCharts(w io.Writer, run *Run) {
 	var served, asked []float64
 	most := 1.0
 	for _, s := range run.Seconds {
@@ -128,8 +129,8 @@
 		asked = append(asked, float64(s.Asked)/most)
 	}
 	fmt.Fprintf(w, "\nover time, 0 to %.0f s\n", run.LengthS)
-	fmt.Fprintf(w, "  asked\t%s\tup to %.0f a second\n", spark(asked, sparkWidth), most)
-	fmt.Fprintf(w, "  service\t%s\t0 to 1\n", spark(served, sparkWidth))
+	fmt.Fprintf(w, "  asked\t%s\tup to %.0f a second\n", sparkline(asked, sparklineWidth), most)
+	fmt.Fprintf(w, "  service\t%s\t0 to 1\n", sparkline(served, sparklineWidth))
 	for _, room := range r.Fleet.Rooms {
 		var sum []float64
 		n := 0.0
@@ -148,10 +149,10 @@
 		for i := range sum {
 			sum[i] /= n
 		}
-		fmt.Fprintf(w, "  load of %s\t%s\tshare of its cores\n", room, spark(sum, sparkWidth))
+		fmt.Fprintf(w, "  load of %s\t%s\tshare of its cores\n", room, sparkline(sum, sparklineWidth))
 	}
 	for _, b := range run.Boxes[:min(len(run.Boxes), 24)] {
-		fmt.Fprintf(w, "  box %s\t%s\t%s\n", b.Name, spark(b.Busy, sparkWidth), states(b.Condition))
+		fmt.Fprintf(w, "  box %s\t%s\t%s\n", b.Name, sparkline(b.Busy, sparklineWidth), conditionNames(b.Condition))
 	}
 	for i, n := range run.Notes {
 		if i == 40 {
@@ -162,8 +163,9 @@
 	}
 }
 
-// states says in words which conditions a box went through.
-func states(letters string) string {
+// conditionNames lists the conditions of a box in order, from the letters of
+// BoxSeries.Condition. Running is left out.
+func conditionNames(letters string) string {
 	names := map[byte]string{'c': "cold", 'd': "draining", 'h': "hung", 'x': "away", 'v': "vanished", 'f': "fell over"}
 	var all []string
 	last := byte('.')
@@ -178,8 +180,8 @@
 	return strings.Join(all, ", ")
 }
 
-// reasons are the keys of counts, the largest first.
-func reasons(counts map[string]int) []string {
+// sortedReasons returns the keys by falling count.
+func sortedReasons(counts map[string]int) []string {
 	all := slices.Sorted(maps.Keys(counts))
 	slices.SortStableFunc(all, func(a, b string) int { return counts[b] - counts[a] })
 	return all
--- a/internal/trace/functions.go
+++ b/internal/trace/functions.go
@@ -12,11 +12,12 @@
 
 const (
 	minutesADay = 1440
-	// chunk is how many minutes are gathered in one reading of the files: a table of
-	// functions by minutes has to be turned over, and whole days don't fit. Memory is
-	// bounded by the functions that are called in so many minutes, time by the readings.
+	// minutesPerPass is the number of minutes collected by one pass over a file. The table
+	// has to be transposed from functions by minutes to minutes by functions, and a whole
+	// day doesn't fit in memory. Memory grows with the functions called within these
+	// minutes, run time with the number of passes.
 	minutesPerPass = 10
-	// mostAMinute bounds the invocations of one function in one minute.
+	// maxInvocationsPerMinute applies to a single function.
 	maxInvocationsPerMinute = 1e6
 )
 
@@ -28,40 +29,41 @@
 	return h
 }
 
-// functions reads the Azure Functions layout. Several files are days in a row.
-// The rows are checked whole in a first reading; the minutes then come chunk by
-// chunk, each by another reading. Within a minute the moments of each function are
-// drawn one after the other, so that memory holds functions, not invocations.
+// functionStream reads the Azure Functions layout; several files are consecutive
+// days. A first pass validates all rows. Later passes each read minutesPerPass
+// minutes. Within a minute the invocation times of each function are drawn one
+// after the other, so that memory holds functions, not invocations.
 type functionStream struct {
 	files         []Source
 	schema        *Schema
 	options       Options
 	totals        Counts
 	rng           *rand.Rand
-	firstPass     *lineReader // of the first reading; nil once that is done
+	firstPass     *lineReader // of the validating pass; nil once that is done
 	day           int
-	minute        int // of the day: the next to be played
-	gatheredUntil int // minutes before this are gathered
+	minute        int // of the day: the next to return
+	gatheredUntil int // minutes of the day before this one are loaded
 	minutes       [minutesPerPass][]invocations
-	currentMinute invocationHeap // of the minute that is played
+	currentMinute invocationHeap // of the minute being returned
 }
 
-// invocations are those of one function in one minute.
+// invocations are the calls of one function in one minute that are not returned yet.
 type invocations struct {
 	owner, function, file string
 	line                  int
 	remaining             int
-	position              float64 // the next moment, as a share of the minute
+	position              float64 // time of the next one, as a fraction of the minute
 }
 
-// step draws the next of the moments that are left: the least of so many
-// uniform ones beyond the last (order statistics, drawn in order).
+// drawNext draws the next invocation time: the minimum of the remaining times,
+// which are uniform between the last one and the end of the minute (sequential
+// sampling of order statistics).
 func (v *invocations) drawNext(rng *rand.Rand) {
 	v.position += (1 - v.position) * (1 - math.Pow(rng.Float64(), 1/float64(v.remaining)))
 	v.remaining--
 }
 
-// calls is a heap by the next moment.
+// invocationHeap is a heap ordered by the time of the next invocation.
 type invocationHeap []invocations
 
 func (c invocationHeap) Len() int { return len(c) }
@@ -115,8 +117,8 @@
 				return Record{}, err
 			}
 		}
-		// Each minute draws by itself, so that its moments are the same wherever the
-		// reading begins.
+		// Each minute has its own random generator, so that its times don't depend on
+		// the minute at which reading starts.
 		f.rng = rand.New(rand.NewPCG(f.options.Seed, uint64(f.day*minutesADay+f.minute)))
 		f.currentMinute = f.minutes[f.minute%minutesPerPass]
 		for i := range f.currentMinute {
@@ -128,7 +130,7 @@
 		}
 	}
 	v := &f.currentMinute[0]
-	start := f.minuteStart(f.minute) - time.Minute // of the minute that is played
+	start := f.minuteStart(f.minute) - time.Minute // of the minute being returned
 	r := Record{At: start + time.Duration(v.position*float64(time.Minute)), Account: v.owner, Label: v.function, File: v.file, Line: v.line}
 	if v.remaining > 0 {
 		v.drawNext(f.rng)
@@ -139,12 +141,12 @@
 	return r, nil
 }
 
-// time is when a minute of the day begins.
+// minuteStart converts a minute of the current day to a time on the trace's clock.
 func (f *functionStream) minuteStart(minute int) time.Duration {
 	return time.Duration(f.day*minutesADay+minute) * time.Minute
 }
 
-// gather reads the next chunk of minutes of a day.
+// readMinutes loads the next minutesPerPass minutes of the current day.
 func (f *functionStream) readMinutes() error {
 	l := newLines(f.files[f.day : f.day+1])
 	defer l.close()
@@ -157,7 +159,7 @@
 			if count < 1 {
 				return
 			}
-			if row != line { // one pair of names for a row
+			if row != line { // converts the names once for each row
 				row, owner, function = line, string(l.fields[0]), string(l.fields[2])
 			}
 			m := &f.minutes[minute%minutesPerPass]
@@ -167,7 +169,7 @@
 			break
 		}
 		var p *Problem
-		if err != nil && !errors.As(err, &p) { // problems were told by the first reading
+		if err != nil && !errors.As(err, &p) { // the validating pass has reported the problems
 			return err
 		}
 	}
@@ -175,9 +177,10 @@
 	return nil
 }
 
-// check reads rows until one is wrong or the end, and gives the invocations of
-// some minutes away.
-func (f *functionStream) readRows(l *lineReader, give func(minute, line int, count float64), from, to int) error {
+// readRows reads rows up to the first invalid one or the end of the input, and
+// calls visit with each minute in [from, to) and its invocation count; a plain "0" is
+// left out.
+func (f *functionStream) readRows(l *lineReader, visit func(minute, line int, count float64), from, to int) error {
 	for {
 		if err := l.readRow(); err != nil {
 			return err
@@ -208,7 +211,7 @@
 			if p != nil {
 				return p
 			}
-			give(m, l.line, count)
+			visit(m, l.line, count)
 		}
 	}
 }
--- a/internal/trace/lines.go
+++ b/internal/trace/lines.go
@@ -13,26 +13,26 @@
 	"unicode/utf8"
 )
 
-// maxLine is the longest line of any layout here many times over: Azure
-// Functions has the longest, some 10 KB.
+// maxLineBytes is far above the longest lines of the known layouts: those of Azure
+// Functions have some 10 KB.
 const maxLineBytes = 1 << 20
 
-// lines reads the lines of files in order, split at commas. A field in quotes
-// may hold commas and doubled quotes (RFC 4180), but no end of line: none of the
-// layouts has one, and a quote that never closes would take the rest of the file.
+// lineReader reads the lines of files in order and splits them at commas. A quoted
+// field may contain commas and doubled quotes (RFC 4180), but no line break: none of
+// the layouts has one, and an unclosed quote would swallow the rest of the file.
 type lineReader struct {
 	files       []Source
 	fileName    string
 	line        int
 	closer      io.Closer
 	buffered    *bufio.Reader
-	longLine    []byte // a line longer than the buffer
-	text        []byte // the line as it stands
+	longLine    []byte // buffer for a line longer than that of buffered
+	text        []byte // the current line without its line ending
 	fields      [][]byte
-	unquoted    []byte // unquoted fields
+	unquoted    []byte // buffer of the fields that were quoted
 	totals      Counts
-	atFileStart bool // the next line is the first of its file
-	rowsInFile  int  // of this file
+	atFileStart bool // the current line is the first of its file
+	rowsInFile  int  // read from the current file
 }
 
 func newLines(files []Source) *lineReader {
@@ -52,12 +52,13 @@
 	return err
 }
 
-// wrong is a problem with the line at hand.
-func (l *lineReader) problem(column, do, format string, args ...any) *Problem {
-	return &Problem{l.fileName, l.line, column, fmt.Sprintf(format, args...), do}
+// problem returns a Problem at the current line.
+func (l *lineReader) problem(column, remedy, format string, args ...any) *Problem {
+	return &Problem{l.fileName, l.line, column, fmt.Sprintf(format, args...), remedy}
 }
 
-// start opens the next file.
+// openNext opens the next file, unpacks gzip and skips a byte order mark. It returns
+// io.EOF after the last file.
 func (l *lineReader) openNext() error {
 	if len(l.files) == 0 {
 		return io.EOF
@@ -79,14 +80,14 @@
 		}
 		in = bufio.NewReaderSize(gz, 1<<16)
 	}
-	if bom, _ := in.Peek(3); bytes.Equal(bom, []byte("\xef\xbb\xbf")) { // a byte order mark means nothing in UTF-8
+	if bom, _ := in.Peek(3); bytes.Equal(bom, []byte("\xef\xbb\xbf")) { // a byte order mark is redundant in UTF-8
 		in.Discard(3)
 	}
 	l.buffered = in
 	return nil
 }
 
-// read reads one line, without its end.
+// readLine reads the next line that is not empty into l.text, without its line ending.
 func (l *lineReader) readLine() error {
 	for {
 		if l.buffered == nil {
@@ -118,7 +119,7 @@
 				return l.problem("", "fetch the file again", "the gzip file is cut off or damaged (%v)", err)
 			}
 			return l.problem("", "see that the file can be read", "reading: %v", err)
-		case err != nil && len(text) == 0: // the end
+		case err != nil && len(text) == 0: // end of the file
 			empty := l.rowsInFile == 0
 			l.close()
 			if empty {
@@ -136,7 +137,7 @@
 	}
 }
 
-// skip passes over the rest of a line that is too long.
+// discardLine skips the rest of a line that is too long.
 func (l *lineReader) discardLine() {
 	for {
 		if _, err := l.buffered.ReadSlice('\n'); !errors.Is(err, bufio.ErrBufferFull) {
@@ -145,7 +146,7 @@
 	}
 }
 
-// row reads one line and splits it.
+// readRow reads the next line, requires valid UTF-8 and splits it into fields.
 func (l *lineReader) readRow() error {
 	if err := l.readLine(); err != nil {
 		return err
@@ -218,7 +219,7 @@
 
 // ---- Values ----
 
-// number reads a number that must be there, within bounds.
+// parseNumber parses field i, which must be a finite number from least to most.
 func (l *lineReader) parseNumber(i int, name string, least, most float64) (float64, *Problem) {
 	text := l.fields[i]
 	if len(text) == 0 {
@@ -238,13 +239,14 @@
 	return v, nil
 }
 
-// latestTime is the end of times that a time.Duration can hold, less room for sums.
+// latestTime is half of the range of a time.Duration, so that the sum of two times doesn't
+// overflow.
 const latestTime = math.MaxInt64 / 2
 
-// time reads a time in whole or decimal units.
+// parseTime parses field i as an integer or decimal number of units.
 func (l *lineReader) parseTime(i int, name string, unit time.Duration) (time.Duration, *Problem) {
 	text := l.fields[i]
-	if len(text) > 0 && len(text) < 19 { // the usual case: whole, and no sign
+	if len(text) > 0 && len(text) < 19 { // fast path: an unsigned integer
 		v := int64(0)
 		whole := true
 		for _, c := range text {
--- a/internal/trace/mapping.go
+++ b/internal/trace/mapping.go
@@ -14,8 +14,8 @@
 	"example.org/madderdrum/internal/diag"
 )
 
-// The layout of a mapping file. Columns are named as in the header, or by their
-// number from 1 where there is none.
+// The HCL layout of a mapping file. Columns are named as in the header, or by their
+// number from 1 if the file has no header.
 type (
 	rawMapping struct {
 		Trace rawTrace `hcl:"trace,block"`
@@ -31,8 +31,8 @@
 		Plan    *rawNames `hcl:"plan,block"`
 		Units   string    `hcl:"units,optional"`
 		Work    string    `hcl:"work,optional"`
-		// WorkUnit makes Work the time on one core as it stands; without it, work counts
-		// against the mean of all rows.
+		// WorkUnit makes Work the time on one core in this unit. Without it, work is
+		// relative to the mean of all rows.
 		WorkUnit string     `hcl:"work_unit,optional"`
 		Events   []rawEvent `hcl:"event,block"`
 	}
@@ -59,8 +59,8 @@
 
 var timeUnits = map[string]time.Duration{"ns": time.Nanosecond, "us": time.Microsecond, "ms": time.Millisecond, "s": time.Second, "m": time.Minute}
 
-// LoadMapping reads a mapping: HCL that says which column of any other CSV file
-// is what. An error lists every mistake with file, line and what to write.
+// LoadMapping reads a mapping file: HCL that describes the columns of a CSV file of
+// any other layout. An error lists every mistake with file, line and remedy.
 func LoadMapping(path string) (*Schema, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return ParseMapping(data, path)
 }
 
-// ParseMapping is LoadMapping for a text; name stands for it in messages.
+// ParseMapping is LoadMapping for data in memory; messages use name as the file name.
 func ParseMapping(data []byte, name string) (*Schema, error) {
 	file, diags := hclsyntax.ParseConfig(data, name, hcl.InitialPos)
 	var raw rawMapping
@@ -88,7 +88,8 @@
 	return s, nil
 }
 
-// mapping is a mapping with its columns found: -1 for those that are not named.
+// mapping is a mapping file with resolved column indexes, from 0; -1 for a column that
+// it doesn't name.
 type mapping struct {
 	raw rawTrace
 	diag.List
@@ -103,7 +104,8 @@
 	columnIndex, boxIndex, factorIndex int
 }
 
-// column finds a column by its name or number.
+// findColumn returns the index of a column given by name or number. It returns -1 and
+// adds a diagnostic if there is no such column, and -1 alone for an empty name.
 func (m *mapping) findColumn(at hcl.Range, what, name string) int {
 	if name == "" {
 		return -1
@@ -124,6 +126,7 @@
 	return -1
 }
 
+// resolve checks the decoded file and fills in the column indexes and units.
 func (m *mapping) resolve() {
 	t := m.raw
 	if m.columnCount = len(t.Columns); m.columnCount == 0 {
@@ -169,7 +172,7 @@
 	}
 }
 
-// parse reads a row: an event of a box if one matches, else an arrival.
+// parseRow reads a row: a box event if one of the event blocks matches, else an arrival.
 func (m *mapping) parseRow(l *lineReader) (r Record, v rowAction, p *Problem) {
 	if m.raw.Time.Format != "" {
 		r.At, p = l.parseWallClock(m.timeColumn, m.raw.Time.Column, m.raw.Time.Format)
@@ -234,7 +237,8 @@
 	return r, keepRow, nil
 }
 
-// named is a value by the mapping's names, or as it stands where it has none.
+// mappedName translates field i by the mapping's names; without names it returns the
+// field unchanged.
 func mappedName(l *lineReader, i int, n *rawNames) (string, *Problem) {
 	text := string(l.fields[i])
 	if len(n.Names) == 0 {
--- a/internal/trace/order.go
+++ b/internal/trace/order.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// sameMost bounds the rows of one time that are held against each other as
-// duplicates.
+// maxRowsCompared bounds the hashes kept for rows of the same time; duplicates of later
+// rows of that time are not found.
 const maxRowsCompared = 1 << 16
 
-// order puts records in the order of their times within a window, and finds
-// duplicates among those of one time.
+// reorderBuffer sorts records by time within a window, and finds duplicates among
+// rows of the same time.
 type reorderBuffer struct {
 	window     time.Duration
 	duplicates Duplicates
@@ -24,7 +24,7 @@
 	dropped    int
 
 	hashTime   time.Duration
-	lineByHash map[uint64]int // hash of a row at sameAt: its line
+	lineByHash map[uint64]int // line number by the hash of a row at hashTime
 	seed       maphash.Seed
 }
 
@@ -49,8 +49,8 @@
 	return x
 }
 
-// accept checks a record against those before it. It returns false for one that
-// is dropped, and a problem for one that can't be used.
+// accept checks a record against the earlier ones. It returns false for a dropped
+// duplicate, and a problem for a record that is too old or a refused duplicate.
 func (o *reorderBuffer) accept(rec *Record, from recordStream) (bool, *Problem) {
 	if o.started && rec.At < o.latest-o.window {
 		do := "sort the file by time, or accept it with --reorder " + (o.latest - rec.At + time.Second).Round(time.Second).String()
@@ -90,13 +90,14 @@
 	return true, nil
 }
 
-// push keeps a record until nothing can come before it.
+// push holds a record back until no earlier record can follow.
 func (o *reorderBuffer) push(rec Record) {
 	o.seq++
 	heap.Push(&o.heap, queuedRecord{rec, o.seq})
 }
 
-// pop returns the first record that nothing can come before any more.
+// pop returns the earliest record if no earlier one can follow. After the end of the
+// input it returns all that are left.
 func (o *reorderBuffer) pop(ended bool) (Record, bool) {
 	if len(o.heap) == 0 || !ended && o.heap[0].At > o.latest-o.window {
 		return Record{}, false
--- a/internal/trace/schemas.go
+++ b/internal/trace/schemas.go
@@ -14,37 +14,37 @@
 	"github.com/agext/levenshtein"
 )
 
-// Schema is the layout of one kind of file.
+// Schema describes the CSV layout of one type of trace file.
 type Schema struct {
 	Name            string
 	Source          string        // where the layout is described
-	Header          []string      // names of the columns in the first line; nil: no such line
-	Columns         int           // of every row
-	Reads           string        // what a replay reads from it, for people
-	TimeStep        time.Duration // times are told in whole steps of so much; 0: as fine as can be
-	Clock           bool          // times are of the wall clock
-	MachinesPresent bool          // machines are there from the start, without a row that adds them
+	Header          []string      // column names of the header line; nil: no header
+	Columns         int           // number of columns of each row
+	Reads           string        // what a replay uses of it, in the listing of schemas
+	TimeStep        time.Duration // resolution of the times; 0: exact
+	Clock           bool          // times are wall-clock times, not relative to the start
+	MachinesPresent bool          // machines are in service from the start, without a row that adds them
 
 	parseRow       func(l *lineReader) (Record, rowAction, *Problem)
-	numericColumns []int // columns that must be numbers (counted from 0): how files are told apart
-	textColumns    []int // and those that must not be
+	numericColumns []int // indexes of columns that must be numbers, to tell layouts apart
+	textColumns    []int // indexes of columns that must not be numbers or empty
 	openStream     func([]Source, *Schema, Options) (recordStream, error)
 }
 
-// verdict is whether a row means something.
+// rowAction is the decision of a row parser on a valid row.
 type rowAction int
 
 const (
 	keepRow rowAction = iota
-	skipRow           // counted already
+	skipRow           // not a record; the parser has counted the reason
 )
 
-// Known are the public layouts, in the order in which they are tried.
+// Known returns the public layouts, in the order in which they are tried.
 func Known() []*Schema {
 	return []*Schema{googleTasks, googleMachines, alibabaTask, alibabaInstance, alibabaMeta, alibabaUsage, alibabaCalls, azureFunctions, azureLLM}
 }
 
-// ByName returns a known layout.
+// ByName finds a known layout; the error lists all names.
 func ByName(name string) (*Schema, error) {
 	var names []string
 	for _, s := range Known() {
@@ -75,12 +75,12 @@
 			l.countSkipped("not a SUBMIT event")
 			return r, skipRow, nil
 		}
-		if r.At == 0 { // what was there already, all at once
+		if r.At == 0 { // tasks that were running before the trace, all with time 0
 			l.countSkipped("submitted before the trace (time 0)")
 			return r, skipRow, nil
 		}
 		r.Account = string(l.fields[6])
-		if len(l.fields[9]) > 0 { // may be missing, as the format says
+		if len(l.fields[9]) > 0 { // optional by the format description
 			if r.Size, p = l.parseNumber(9, "CPU request", 0, 1e6); p != nil {
 				return r, v, p
 			}
@@ -88,7 +88,7 @@
 		return r, keepRow, nil
 	}}
 
-// googleTime reads the first column of the Google layouts.
+// googleTime parses the first column of the Google layouts, in microseconds.
 func googleTime(l *lineReader) (time.Duration, rowAction, *Problem) {
 	if string(l.fields[0]) == "9223372036854775807" {
 		l.countSkipped("after the end of the trace (time 2^63-1)")
@@ -142,8 +142,8 @@
 	Reads:  "arrivals: time, account (job), size (duration x mean CPU)", TimeStep: time.Second, openStream: openRows,
 	parseRow: func(l *lineReader) (Record, rowAction, *Problem) { return parseBatchRow(l, 2, 4, 5, 6, 10) }}
 
-// batch reads what the two batch layouts share. Work that has not started has no
-// times.
+// parseBatchRow parses a row of either batch layout, given the indexes of the columns
+// that it uses. Work that has not started has no times.
 func parseBatchRow(l *lineReader, account, status, start, end, cpu int) (r Record, v rowAction, p *Problem) {
 	if s := string(l.fields[status]); (s == "Waiting" || s == "Ready") && (len(l.fields[start]) == 0 || string(l.fields[start]) == "0") {
 		l.countSkipped("not started (status " + s + ")")
@@ -155,7 +155,7 @@
 	if r.Account = string(l.fields[account]); r.Account == "" {
 		return r, v, l.problem("job_name", "fill it in, or remove the row", "empty")
 	}
-	if len(l.fields[end]) > 0 && string(l.fields[end]) != "0" { // 0: still running at the end
+	if len(l.fields[end]) > 0 && string(l.fields[end]) != "0" { // 0: still running at the end of the trace
 		until, p := l.parseTime(end, "end_time", time.Second)
 		if p != nil {
 			return r, v, p
@@ -177,8 +177,8 @@
 
 // alibabaMeta is machine_meta of the same trace: no header, 7 columns, seconds:
 // machine_id, time_stamp, failure_domain_1, failure_domain_2, cpu_num, mem_size,
-// status. A machine is in service while its status is USING. It has a row at
-// every change, also of other things.
+// status. A machine is in service while its status is USING. There is a row for
+// every change, including changes of other columns.
 var alibabaMeta = &Schema{Name: "alibaba-2018-machine-meta", Columns: 7, numericColumns: []int{1, 2, 4},
 	Source: "Alibaba cluster-trace-v2018, machine_meta: github.com/alibaba/clusterdata",
 	Reads:  "machines that come and go, by their status", openStream: openStates,
@@ -200,8 +200,8 @@
 
 // alibabaUsage is machine_usage of the same trace: no header, 9 columns, seconds:
 // machine_id, time_stamp, cpu_util_percent, mem_util_percent, mem_gps, mkpi,
-// net_in, net_out, disk_io_percent. Its description gives -1 and 101 for values
-// that could not be measured.
+// net_in, net_out, disk_io_percent. By its description, -1 and 101 mark values that
+// could not be measured.
 var alibabaUsage = &Schema{Name: "alibaba-2018-machine-usage", Columns: 9, numericColumns: []int{1, 2},
 	Source: "Alibaba cluster-trace-v2018, machine_usage: github.com/alibaba/clusterdata",
 	Reads:  "slowdowns: machines whose CPU is near the top", openStream: openRows,
@@ -226,8 +226,8 @@
 	}}
 
 // alibabaCalls is MSCallGraph of Alibaba cluster-trace-microservices-v2021 (its
-// README): a header whose first name is empty, 9 columns, milliseconds. A call is
-// recorded by both of its sides: with a negative rt by the one that answers it.
+// README): a header whose first name is empty, 9 columns, milliseconds. Both caller
+// and callee record a call; the callee's row has a negative rt.
 var alibabaCalls = &Schema{Name: "alibaba-2021-ms-callgraph", Columns: 9, numericColumns: []int{2},
 	Header: []string{"", "traceid", "timestamp", "rpcid", "um", "rpctype", "dm", "interface", "rt"},
 	Source: "Alibaba cluster-trace-microservices-v2021, MSCallGraph: github.com/alibaba/clusterdata",
@@ -249,15 +249,15 @@
 	}}
 
 // azureFunctions is invocations_per_function_md of the Azure Functions trace 2019
-// (M. Shahrad et al.: Serverless in the Wild, USENIX ATC 2020): a header, then for
-// each function the number of its invocations in each minute of a day.
+// (M. Shahrad et al.: Serverless in the Wild, USENIX ATC 2020): a header, then a row
+// per function with the number of its invocations in each minute of a day.
 var azureFunctions = &Schema{Name: "azure-functions-2019", Columns: 4 + minutesADay, numericColumns: []int{4, 5},
 	Header: functionsHeader(), openStream: openFunctions,
 	Source: "Azure Functions trace 2019, invocations_per_function_md: github.com/Azure/AzurePublicDataset",
 	Reads:  "arrivals: the minute, account (HashOwner), kind (HashFunction); the moment within the minute is drawn"}
 
 // azureLLM is the Azure LLM inference trace 2023 (P. Patel et al.: Splitwise,
-// ISCA 2024): a header, wall-clock times with seven decimals.
+// ISCA 2024): a header, wall-clock times with seven decimal places.
 var azureLLM = &Schema{Name: "azure-llm-2023", Columns: 3, Clock: true, numericColumns: []int{1, 2},
 	Header: []string{"TIMESTAMP", "ContextTokens", "GeneratedTokens"},
 	Source: "Azure LLM inference trace 2023: github.com/Azure/AzurePublicDataset",
@@ -275,7 +275,7 @@
 		return r, keepRow, p
 	}}
 
-// clock reads a wall-clock time, as the time since 1970.
+// parseWallClock parses field i as a wall-clock time and returns the time since 1970.
 func (l *lineReader) parseWallClock(i int, name, layout string) (time.Duration, *Problem) {
 	text := string(l.fields[i])
 	if text == "" {
@@ -291,9 +291,9 @@
 	return time.Duration(t.UnixNano()), nil
 }
 
-// ---- Rows in the order of the file ----
+// ---- Layouts with one record per row ----
 
-// rows reads a layout with one record a line at most.
+// rowStream reads a layout in which each row is at most one record.
 type rowStream struct {
 	*lineReader
 	schema *Schema
@@ -333,6 +333,7 @@
 	}
 }
 
+// checkColumns checks the number of columns of the current row.
 func (s *Schema) checkColumns(l *lineReader) *Problem {
 	if n := len(l.fields); n != s.Columns {
 		what := "too few"
@@ -344,7 +345,7 @@
 	return nil
 }
 
-// head checks the first line of a file against the header that belongs there.
+// checkHeader checks the first line of a file against the header of the layout.
 func (s *Schema) checkHeader(l *lineReader) *Problem {
 	if s.Header == nil {
 		if looksLikeHeader(l.fields) {
@@ -384,8 +385,9 @@
 	return nil
 }
 
-// looksLikeHeader tells a line of names from one of values: none is a number and
-// one at least begins with a letter. The layouts all have numbers in each row.
+// looksLikeHeader reports whether a line consists of column names: no field is a
+// number and at least one begins with a letter. Data rows of all layouts contain
+// numbers. The header of Azure Functions has the minutes as numbers.
 func looksLikeHeader(fields [][]byte) bool {
 	letters := false
 	numbers := 0
@@ -403,7 +405,8 @@
 	return letters && (numbers == 0 || numbers > 100 && bytes.HasPrefix(fields[0], []byte("Hash")))
 }
 
-// like tells whether a line can be of a layout.
+// matches reports whether a line can belong to the layout: the exact header if it has one,
+// else numbers and words in the expected columns.
 func (s *Schema) matches(fields [][]byte) bool {
 	if len(fields) != s.Columns {
 		return false
@@ -429,7 +432,7 @@
 	return true
 }
 
-// Detect tells which known layouts the first line of a file can be of.
+// Detect returns the known layouts that the first line of a file matches.
 func Detect(f Source) ([]*Schema, error) {
 	l := newLines([]Source{f})
 	defer l.close()
@@ -445,12 +448,13 @@
 	return all, nil
 }
 
-// fits tells early of a file of another layout, and of which one.
+// checkLayout returns a *Problem if the first line of a file matches other known layouts
+// but not s.
 func checkLayout(f Source, s *Schema) error {
 	others, err := Detect(f)
 	var p *Problem
 	if errors.As(err, &p) || err == nil && (slices.Contains(others, s) || len(others) == 0) {
-		return nil // the reader tells of it with all else
+		return nil // the Reader reports it together with later problems
 	}
 	if err != nil {
 		if errors.Is(err, io.EOF) {
@@ -465,10 +469,10 @@
 	return &Problem{f.Name, 1, "", "does not fit " + s.Name, "it fits --schema " + strings.Join(names, " or ")}
 }
 
-// ---- States ----
+// ---- Layouts with machine states ----
 
-// states reads a layout that has a machine's state in each row and passes on the
-// changes. Its memory grows with the machines, not with the rows.
+// stateStream reads a layout with a machine's state in each row and returns only the
+// changes. Its memory grows with the number of machines, not of rows.
 type stateStream struct {
 	*rowStream
 	inService map[string]bool
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,10 +1,11 @@
 // Package trace reads public cluster traces in CSV, plain or gzip, as a stream
-// of arrivals, of machines that come and go, and of how busy machines are.
+// of arrivals, of machines added and removed, and of machine utilization.
 // Memory does not grow with the files.
 //
-// Nothing is guessed: what a file gets wrong is a [Problem] with file, line,
-// column and what to do. Rows that mean nothing for a replay (a task that
-// finishes, a time outside of the trace) are passed over and counted by reason.
+// Invalid input is never guessed at: each mistake in a file is reported as a
+// [Problem] with file, line, column and remedy. Rows without a meaning for a replay
+// (a task that finishes, a time outside of the trace) are skipped and counted by
+// reason.
 package trace
 
 import (
@@ -17,15 +18,15 @@
 	"time"
 )
 
-// Kind is what a row of a trace tells.
+// Kind is the type of event that a row of a trace describes.
 type Kind int
 
 // The kinds of records.
 const (
 	Arrival     Kind = iota
-	MachineUp        // a machine is there from now on
-	MachineDown      // it is gone
-	Usage            // how busy it is
+	MachineUp        // a machine joins the cluster or returns to it
+	MachineDown      // a machine leaves the cluster
+	Usage            // utilization of a machine
 )
 
 // Record is one row of a trace.
@@ -33,33 +34,33 @@
 	Kind Kind
 	At   time.Duration // on the trace's own clock
 
-	// Of an arrival; empty or 0 where the trace does not say.
+	// Fields of an arrival; empty or 0 if the trace doesn't have them.
 	Account string
-	Label   string        // what kind of request, by the trace's own names
-	Class   string        // the fleet's class, by a mapping
-	Plan    string        // the fleet's plan, by a mapping
-	Units   float64       // that it takes from a quota
-	Size    float64       // how much work it is, against the others
-	Work    time.Duration // how much work it is, on one core
+	Label   string        // type of request, as named in the trace
+	Class   string        // class of the fleet, from a mapping
+	Plan    string        // plan of the fleet, from a mapping
+	Units   float64       // quota units that the request uses
+	Size    float64       // work relative to the other arrivals
+	Work    time.Duration // time on one core
 
 	Machine     string
-	Utilization float64 // of Usage: 0 to 1
-	SlowFactor  float64 // of Usage, by a mapping: the factor by which all is slower; 0: by Busy
+	Utilization float64 // of Usage: CPU, from 0 to 1
+	SlowFactor  float64 // of Usage, from a mapping: the machine's slowdown; 0: derive it from Utilization
 
 	File string
 	Line int
 }
 
-// Problem is something in a file that can't be used as it is.
+// Problem is a mistake in a trace file, with its position and a remedy.
 type Problem struct {
 	File    string
 	Line    int    // from 1; 0: the whole file
 	Column  string // name or number; empty: the whole line
 	Message string
-	Remedy  string // what to do about it
+	Remedy  string // how to correct it
 }
 
-// Error is file:line: column: what; what to do.
+// Error formats the problem as "file:line: column: message; remedy".
 func (p *Problem) Error() string {
 	var b strings.Builder
 	b.WriteString(p.File)
@@ -73,10 +74,10 @@
 	return b.String()
 }
 
-// MostProblems are listed; more are counted.
+// MostProblems is the number of problems kept in a list; further ones are only counted.
 const MostProblems = 1000
 
-// Problems are all that is wrong with the files of a trace.
+// Problems collects the mistakes in the files of a trace as one error.
 type Problems struct {
 	List []*Problem // the first MostProblems
 	More int
@@ -90,7 +91,7 @@
 	}
 }
 
-// Error lists them, one a line.
+// Error lists the problems, one per line.
 func (p *Problems) Error() string {
 	var b strings.Builder
 	for i, x := range p.List {
@@ -105,78 +106,78 @@
 	return b.String()
 }
 
-// Duplicates says what becomes of a row that is byte for byte the same as an
+// Duplicates selects the handling of a row that is byte for byte the same as an
 // earlier one of the same time.
 type Duplicates int
 
-// What may become of duplicate rows.
+// Handling of duplicate rows: report a Problem, return them, or skip and count them.
 const (
 	RefuseDuplicates Duplicates = iota
 	KeepDuplicates
 	DropDuplicates
 )
 
-// Options are how files are read.
+// Options controls order, duplicates and time range when reading trace files.
 type Options struct {
-	// Reorder accepts rows that are at most so much older than the latest before
-	// them, and puts them in order. 0 refuses any that is older.
+	// Reorder is the window within which rows out of order are sorted by time. A row
+	// that is older than the latest one before it by more is a Problem.
 	Reorder    time.Duration
 	Duplicates Duplicates
-	// Seed draws what a layout leaves open about times: the moments within a minute.
+	// Seed determines the random times within a minute where a layout has only counts
+	// per minute.
 	Seed uint64
-	// From and Until bound the records that are returned, on the trace's clock; the
-	// zero Until is no bound. All rows are checked just the same, up to Until.
+	// From and Until limit the returned records, on the trace's clock: From is
+	// inclusive, Until exclusive, 0 for no limit. Rows before From are checked too.
 	From, Until time.Duration
 }
 
-// Counts are what came of the rows.
+// Counts are the totals of the rows read, by outcome.
 type Counts struct {
 	Rows      int
-	Bytes     int64 // of the text, after gzip
+	Bytes     int64 // of uncompressed text
 	Records   int
-	Reordered int            // put in order
-	Dropped   int            // duplicates
-	Skipped   map[string]int // passed over, by reason
+	Reordered int            // accepted out of order and sorted
+	Dropped   int            // duplicates that were skipped
+	Skipped   map[string]int // rows without a meaning for a replay, by reason
 }
 
-// Reasons lists why rows were passed over, the most frequent first.
+// Reasons lists the reasons for skipped rows, the most frequent first.
 func (c *Counts) Reasons() []string {
 	keys := slices.Sorted(maps.Keys(c.Skipped))
 	slices.SortStableFunc(keys, func(a, b string) int { return c.Skipped[b] - c.Skipped[a] })
 	return keys
 }
 
-// Source opens one file of a trace, from its beginning each time.
+// Source is one file of a trace. Each call of Open starts at the beginning of the file.
 type Source struct {
 	Name string
 	Open func() (io.ReadCloser, error)
 }
 
-// stream gives records in no checked order. It returns io.EOF at the end, a
-// *Problem for a row that can't be used (and goes on after it), or another error
-// that ends it.
+// recordStream returns records in the order of the file, without checking their
+// times. next returns io.EOF at the end, a *Problem for an invalid row, after which
+// it may be called again, or any other error, which is final.
 type recordStream interface {
 	next() (Record, error)
 	counts() *Counts
 	close() error
 }
 
-// Reader gives the records of files of one layout, in the order of their times.
+// Reader returns the records of files of one layout, in the order of their times.
 // It is not safe for concurrent use.
 type Reader struct {
 	input            recordStream
 	options          Options
 	order            reorderBuffer
 	counts           Counts
-	present          map[string]bool // machines
-	removed          map[string]bool // machines that were there from the start and are gone
-	initiallyPresent bool            // machines are there from the start
+	present          map[string]bool // machines in service
+	removed          map[string]bool // machines that have been removed at least once
+	initiallyPresent bool            // Schema.MachinesPresent
 	ended            bool
 }
 
-// Open returns a Reader of files in order. What is wrong with the first lines
-// of the first file shows here: a *Problem that says which known layout fits, if
-// one does.
+// Open returns a Reader of files, read in the given order. If the first line of the
+// first file has another known layout, it returns a *Problem that names it.
 func Open(files []Source, s *Schema, o Options) (*Reader, error) {
 	if len(files) == 0 {
 		return nil, errors.New("no trace file")
@@ -191,7 +192,7 @@
 	return &Reader{input: from, options: o, present: map[string]bool{}, removed: map[string]bool{}, initiallyPresent: s.MachinesPresent, order: reorderBuffer{window: o.Reorder, duplicates: o.Duplicates}}, nil
 }
 
-// Counts are those of the rows read so far.
+// Counts returns the totals of the rows read so far.
 func (r *Reader) Counts() Counts {
 	c := *r.input.counts()
 	c.Records, c.Reordered, c.Dropped = r.counts.Records, r.order.moved, r.order.dropped
@@ -222,7 +223,7 @@
 	}
 }
 
-// sorted returns the next record in the order of time.
+// nextInOrder returns the next record by time, before the limits of Options apply.
 func (r *Reader) nextInOrder() (Record, error) {
 	for {
 		if rec, ok := r.order.pop(r.ended); ok {
@@ -243,7 +244,7 @@
 		switch {
 		case p != nil:
 			return rec, p
-		case ok && r.options.Reorder == 0: // nothing can come before it
+		case ok && r.options.Reorder == 0: // no earlier record can follow
 			return rec, nil
 		case ok:
 			r.order.push(rec)
@@ -251,9 +252,10 @@
 	}
 }
 
-// machine checks that machines come before they go.
+// checkMachine checks that a machine is not added twice and not removed before it was
+// added.
 func (r *Reader) checkMachine(rec *Record) *Problem {
-	if r.initiallyPresent && rec.Kind != Usage && !r.present[rec.Machine] && !r.removed[rec.Machine] { // first heard of
+	if r.initiallyPresent && rec.Kind != Usage && !r.present[rec.Machine] && !r.removed[rec.Machine] { // first row of the machine
 		r.present[rec.Machine] = rec.Kind == MachineDown
 	}
 	switch rec.Kind {
@@ -273,5 +275,5 @@
 	return nil
 }
 
-// Close ends the reading.
+// Close closes the open file, if any.
 func (r *Reader) Close() error { return r.input.close() }
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// text is a file in memory.
+// memoryFile returns a Source of a file in memory.
 func memoryFile(name, content string) Source {
 	return Source{name, func() (io.ReadCloser, error) { return io.NopCloser(strings.NewReader(content)), nil }}
 }
@@ -51,7 +51,7 @@
 	return s
 }
 
-// readAll reads to the end and gathers problems.
+// readAll reads to the end and collects the records, counts and problems.
 func readAll(t testing.TB, s *Schema, o Options, files ...Source) ([]Record, Counts, *Problems) {
 	t.Helper()
 	var all []Record
@@ -81,7 +81,8 @@
 	}
 }
 
-// Every known layout is read, in order, and told from the others by its first line.
+// Every known layout is read in order of time, also from gzip, and detected by its
+// first line.
 func TestKnownLayouts(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -150,8 +151,9 @@
 	}
 }
 
-// The invocations of the minutes are all there, spread over their minutes, in
-// order, and the same for a seed.
+// The number of records in each minute equals the sum of the counts in the file, on
+// each of two days; with the same seed a part of the day has the same times as in
+// the whole.
 func TestFunctionsByMinute(t *testing.T) {
 	content := example(t, "azure-functions-2019")
 	want := map[int]int{}
@@ -184,7 +186,7 @@
 	if len(part) != n {
 		t.Errorf("%d records from minute 20 to 40, want %d", len(part), n)
 	}
-	for _, r := range all { // the same moments as in the whole
+	for _, r := range all { // the same times as when reading from the beginning
 		if r.At >= 20*time.Minute && r.At < 40*time.Minute && len(part) > 0 {
 			if r != part[0] {
 				t.Errorf("%+v from the middle on, %+v from the beginning", part[0], r)
@@ -194,7 +196,7 @@
 	}
 }
 
-// Each kind of mistake is told with its place and with what to do.
+// Each type of mistake is reported with its position and a remedy.
 func TestMistakes(t *testing.T) {
 	const tasks, llm = "google-2011-task-events", "azure-llm-2023"
 	const good = "5000000,,9,0,,0,ann,2,9,0.0125,0.01,0.0001,0\n"
@@ -237,8 +239,8 @@
 	}
 }
 
-// What is harmless is taken as it is: a byte order mark, CRLF, quotes, no end of
-// the last line, empty lines.
+// These variations are accepted: a byte order mark, CRLF, quotes, a last line without
+// a line break, empty lines.
 func TestHarmless(t *testing.T) {
 	content := "\xef\xbb\xbf0,,8,0,,0,old,2,9,,,,0\r\n5000000,,9,0,,0,\"a,\"\"nn\",2,9,0.0125,0.01,0.0001,0\r\n\r\n5000001,,9,0,,0,ann,2,9,,,,0"
 	all, counts, problems := readAll(t, googleTasks, Options{}, memoryFile("x", content))
@@ -270,7 +272,7 @@
 	}
 }
 
-// The first thousand problems are listed, the rest counted.
+// The first thousand problems are listed, the rest are only counted.
 func TestManyProblems(t *testing.T) {
 	_, _, problems := readAll(t, googleTasks, Options{}, memoryFile("x", "5000000,,9,0,,0,ann,2,9,0.0125,0.01,0.0001,0\n"+strings.Repeat("1,2\n", 1500)))
 	if len(problems.List) != MostProblems || problems.More != 500 || !strings.HasSuffix(problems.Error(), "\nand 500 more") {
@@ -318,7 +320,7 @@
 	}
 }
 
-// endless is a file made on the fly.
+// endless is a file of left bytes that is generated while it is read.
 type endless struct {
 	left int
 	at   int
@@ -343,7 +345,7 @@
 func (e *endless) Close() error { return nil }
 
 // Memory does not grow with the file: the heap is as large after 64 MB as after
-// 1 MB. TRACE_MB asks for another size (1024 takes some 10 s).
+// 1 MB. TRACE_MB sets another size (1024 takes some 10 s).
 func TestFlatMemory(t *testing.T) {
 	size := 64
 	if text := os.Getenv("TRACE_MB"); text != "" {
@@ -420,7 +422,7 @@
 	})
 }
 
-// No input makes a reader panic, hang or give times out of order.
+// No input makes a reader panic, hang or return records out of order.
 func FuzzReaders(f *testing.F) {
 	for i, s := range Known() {
 		f.Add(uint8(i), []byte(example(f, s.Name)[:min(1200, len(example(f, s.Name)))]))
