--- a/internal/replay/builtin/generate.go
+++ b/internal/replay/builtin/generate.go
@@ -1,7 +1,7 @@
 //go:build ignore
 
 // Command generate writes friday.csv.gz: a synthetic Friday morning of 90 seconds.
-// The rate of the clinics' reminders swings, shops announce a sale from 30 s to 50 s,
+// The rate of the clinics' reminders varies, shops announce a sale from 30 s to 50 s,
 // box b2 is down from 20 s to 28 s, a4 is slow from 55 s to 63 s, and all boxes of
 // room-b are down from 68 s to 76 s.
 package main
--- a/internal/replay/compare.go
+++ b/internal/replay/compare.go
@@ -20,8 +20,8 @@
 	Significant bool // Difference exceeds Noise
 }
 
-// figures lists the quantities of a run that Compare compares.
-var figures = []struct {
+// comparedFigures lists the quantities of a run that Compare compares.
+var comparedFigures = []struct {
 	name string
 	of   func(*Run) float64
 }{
@@ -61,7 +61,7 @@
 		return nil, fmt.Errorf("the reports have no seed in common")
 	}
 	var all []Change
-	for _, f := range figures {
+	for _, f := range comparedFigures {
 		c := Change{Name: f.name, Seeds: len(seeds)}
 		n := float64(len(seeds))
 		var differences []float64
--- a/internal/replay/html.go
+++ b/internal/replay/html.go
@@ -62,17 +62,17 @@
 func lostWorthChart(run *Run) (template.HTML, []string) {
 	var names []string
 	var lines [][]float64
-	most := 1e-9
+	highest := 1e-9
 	for i, c := range run.Best.Causes {
 		if c.Worth <= 0 || len(names) == maxDrawnCauses {
 			continue
 		}
 		names, lines = append(names, c.Text()), append(lines, run.Best.Seconds[i])
 		for _, v := range run.Best.Seconds[i] {
-			most = max(most, v)
+			highest = max(highest, v)
 		}
 	}
-	c := chart.New(run.LengthS, most, chart.Height, "")
+	c := chart.New(run.LengthS, highest, chart.Height, "")
 	c.Notes(chartNotes(run))
 	for k, line := range lines {
 		c.Line(fmt.Sprintf("room%d", k), 1, line)
@@ -106,21 +106,21 @@
 
 	service := chart.New(run.LengthS, 1, chart.Height, "")
 	service.Notes(chartNotes(run))
-	var each []float64
-	asked, layers := 1.0, make([][]float64, 3)
+	var serviceBySecond []float64
+	maxAsked, layers := 1.0, make([][]float64, 3)
 	for _, s := range run.Seconds {
 		v := 1.0
 		if s.Worth > 0 {
 			v = s.Earned / s.Worth
 		}
-		each = append(each, v)
-		asked = max(asked, float64(s.Asked))
+		serviceBySecond = append(serviceBySecond, v)
+		maxAsked = max(maxAsked, float64(s.Asked))
 		layers[0], layers[1], layers[2] = append(layers[0], float64(s.Served)), append(layers[1], float64(s.Refused)), append(layers[2], float64(s.Failed))
 	}
-	service.Line("good", 1, each)
+	service.Line("good", 1, serviceBySecond)
 	d.ServiceChart = service.SVG()
 	if len(run.Seconds) > 0 {
-		requests := chart.New(run.LengthS, asked, chart.Height, "")
+		requests := chart.New(run.LengthS, maxAsked, chart.Height, "")
 		requests.Stack(1, []string{"served", "refused", "failed"}, layers)
 		requests.Notes(chartNotes(run))
 		d.Requests = requests.SVG()
--- a/internal/replay/plan.go
+++ b/internal/replay/plan.go
@@ -37,7 +37,7 @@
 	From, For  time.Duration // part of the trace to play, relative to its first arrival; For 0: to its end
 	Rate       float64       // requests per second; 0: the fleet file's; below 0: the trace's own
 	Seed       uint64        // for random times where the trace has only counts per minute
-	Asked      float64       // fraction of requests whose proxy asks the limiter and forwards itself; virtual time only
+	Asked      float64       // share of requests for which the proxy asks a limiter for permission; virtual time only
 	Scenario   string        // fault scenario, in addition to the faults in the trace
 	Plugins    []plugin.Spec // consulted in runs of the policy WithPlugins
 	Best       bool          // compute an upper bound on the service of any policy
@@ -91,8 +91,8 @@
 
 // Errors returned by Prepare.
 var (
-	ErrNoArrivals = errors.New("the trace has no arrivals in what is to be played")
-	ErrClocks     = errors.New("wall-clock and relative times can't be played together")
+	ErrNoArrivals  = errors.New("the trace has no arrivals in what is to be played")
+	ErrMixedClocks = errors.New("wall-clock and relative times can't be played together")
 )
 
 // Prepare checks the inputs from the start to the end of the part to play, and
@@ -101,14 +101,14 @@
 func Prepare(ctx context.Context, o Options, progress func(bytes int64)) (*Plan, error) {
 	o.Speed = cmp.Or(o.Speed, 1)
 	p := &Plan{Options: o}
-	own, err := world.Scenario(o.Fleet, o.Scenario)
+	scenarioFaults, err := world.Scenario(o.Fleet, o.Scenario)
 	if err != nil {
 		return nil, err
 	}
 	traffic := o.Fleet.Traffic
 	fleetRate := traffic.Rate * (1 + traffic.Heavy*(traffic.HeavyX-1))
 	if len(o.Inputs) == 0 {
-		p.Length, p.Faults = o.Length, own
+		p.Length, p.Faults = o.Length, scenarioFaults
 		p.Scale = Scale{Speed: 1, PlayedRate: fleetRate, Copies: 1, ForS: o.Length.Seconds(), Boxes: len(o.Fleet.Boxes)}
 		for _, q := range []string{"time", "account", "plan", "class", "units", "work"} {
 			p.Origins = append(p.Origins, Origin{q, "drawn", "from the traffic of the fleet file"})
@@ -129,15 +129,15 @@
 	if s.sizedArrivals > 0 {
 		p.Scale.MeanSize = s.sizeSum / float64(s.sizedArrivals)
 	}
-	played := p.Scale.TraceRate * o.Speed
+	playedRate := p.Scale.TraceRate * o.Speed
 	switch {
 	case o.Rate > 0:
-		p.Scale.Copies = o.Rate / played
+		p.Scale.Copies = o.Rate / playedRate
 	case o.Rate == 0:
-		p.Scale.Copies = fleetRate / played
+		p.Scale.Copies = fleetRate / playedRate
 	}
-	p.Scale.PlayedRate = played * p.Scale.Copies
-	p.addFaults(s, own)
+	p.Scale.PlayedRate = playedRate * p.Scale.Copies
+	p.addFaults(s, scenarioFaults)
 	p.addOrigins(s)
 	return p, nil
 }
@@ -148,7 +148,7 @@
 	sizeSum                                                    float64
 	hasAccount, hasLabel, hasClass, hasPlan, hasUnits, hasWork bool
 	seenArrival                                                bool // any arrival, including those before the part to play
-	first, last                                                time.Duration
+	firstArrival, lastArrival                                  time.Duration
 	machines                                                   map[string][]machineEvent
 	machineNames                                               []string // names of the machines, by first event
 }
@@ -168,7 +168,7 @@
 	if !s.seenArrival {
 		return "it has none at all"
 	}
-	return fmt.Sprintf("those up to there are from %v to %v", s.first, s.last)
+	return fmt.Sprintf("those up to there are from %v to %v", s.firstArrival, s.lastArrival)
 }
 
 // scan reads and checks all inputs, and sets the start and end of the part to play.
@@ -177,8 +177,8 @@
 	s := &scan{machines: map[string][]machineEvent{}}
 	problems := &trace.Problems{}
 	for _, in := range o.Inputs[1:] {
-		if in.Schema.Clock != o.Inputs[0].Schema.Clock {
-			return nil, fmt.Errorf("%w: %s and %s", ErrClocks, o.Inputs[0].Schema.Name, in.Schema.Name)
+		if in.Schema.WallClock != o.Inputs[0].Schema.WallClock {
+			return nil, fmt.Errorf("%w: %s and %s", ErrMixedClocks, o.Inputs[0].Schema.Name, in.Schema.Name)
 		}
 	}
 	zero, found, err := p.firstArrival(ctx)
@@ -191,8 +191,8 @@
 		until = p.startTime + o.For
 	}
 	events := 0
-	slow := map[string]float64{}
-	var bytes int64
+	lastSlowFactor := map[string]float64{}
+	var bytesRead int64
 	for _, in := range o.Inputs {
 		r, err := trace.Open(in.Files, in.Schema, trace.Options{Reorder: o.Reorder, Duplicates: o.Duplicates, Seed: o.Seed, Until: until})
 		var problem *trace.Problem
@@ -222,14 +222,14 @@
 					return nil, err
 				}
 				if progress != nil {
-					progress(bytes + r.Counts().Bytes)
+					progress(bytesRead + r.Counts().Bytes)
 				}
 			}
 			if rec.Kind == trace.Arrival {
-				if !s.seenArrival || rec.At < s.first {
-					s.first = rec.At
+				if !s.seenArrival || rec.At < s.firstArrival {
+					s.firstArrival = rec.At
 				}
-				s.seenArrival, s.last = true, max(s.last, rec.At)
+				s.seenArrival, s.lastArrival = true, max(s.lastArrival, rec.At)
 				if rec.At < p.startTime {
 					continue
 				}
@@ -244,10 +244,10 @@
 			}
 			e := machineEvent{rec.At, rec.Kind, 1}
 			if rec.Kind == trace.Usage {
-				if e.slowFactor = slowFactor(&rec); e.slowFactor == slow[rec.Machine] || e.slowFactor == 1 && slow[rec.Machine] == 0 {
+				if e.slowFactor = slowFactor(&rec); e.slowFactor == lastSlowFactor[rec.Machine] || e.slowFactor == 1 && lastSlowFactor[rec.Machine] == 0 {
 					continue
 				}
-				slow[rec.Machine] = e.slowFactor
+				lastSlowFactor[rec.Machine] = e.slowFactor
 			}
 			if s.machines[rec.Machine] == nil {
 				s.machineNames = append(s.machineNames, rec.Machine)
@@ -260,7 +260,7 @@
 		}
 		c := r.Counts()
 		r.Close()
-		bytes += c.Bytes
+		bytesRead += c.Bytes
 		f := FileReport{Schema: in.Schema.Name, Source: in.Schema.Source, Rows: c.Rows, Records: c.Records, Moved: c.Reordered, Dropped: c.Dropped, Passed: c.Skipped}
 		for _, file := range in.Files {
 			f.Files = append(f.Files, file.Name)
@@ -274,26 +274,26 @@
 		return nil, fmt.Errorf("%w: %s", ErrNoArrivals, s.arrivalRange())
 	}
 	if p.endTime = until; until == 0 {
-		p.endTime = s.last + max(time.Second, p.timeStep())
+		p.endTime = s.lastArrival + max(time.Second, p.timeStep())
 	}
 	return s, nil
 }
 
 func addProblem(all *trace.Problems, p *trace.Problem) {
-	if len(all.List) < trace.MostProblems {
+	if len(all.List) < trace.MaxProblems {
 		all.List = append(all.List, p)
 	} else {
-		all.More++
+		all.Omitted++
 	}
 }
 
 // timeStep is the coarsest time resolution of the inputs.
 func (p *Plan) timeStep() time.Duration {
-	most := time.Duration(0)
+	coarsest := time.Duration(0)
 	for _, in := range p.Options.Inputs {
-		most = max(most, in.Schema.TimeStep)
+		coarsest = max(coarsest, in.Schema.TimeStep)
 	}
-	return most
+	return coarsest
 }
 
 // firstArrival returns the time of the first arrival in any input. It ignores mistakes in
@@ -401,13 +401,13 @@
 	if rec.Utilization < slowdownThreshold {
 		return 1
 	}
-	f := 1 + (slowFactorAtFull-1)*(rec.Utilization-slowdownThreshold)/(1-slowdownThreshold)
-	return max(1+slowFactorStep, float64(int(f/slowFactorStep+0.5))*slowFactorStep)
+	factor := 1 + (slowFactorAtFull-1)*(rec.Utilization-slowdownThreshold)/(1-slowdownThreshold)
+	return max(1+slowFactorStep, float64(int(factor/slowFactorStep+0.5))*slowFactorStep)
 }
 
 // addFaults assigns machines to boxes, by name or else those with the most events first,
 // and turns their events into faults of these boxes.
-func (p *Plan) addFaults(s *scan, own []world.Fault) {
+func (p *Plan) addFaults(s *scan, scenarioFaults []world.Fault) {
 	f := p.Options.Fleet
 	box := map[string]int{}
 	names := slices.Clone(s.machineNames)
@@ -423,7 +423,7 @@
 	}
 	next := 0
 	for _, name := range names {
-		if _, has := box[name]; has || s.eventsPlayed(p, name) == 0 {
+		if _, assigned := box[name]; assigned || s.eventsPlayed(p, name) == 0 {
 			continue
 		}
 		for next < len(f.Boxes) && taken[next] {
@@ -440,7 +440,7 @@
 		p.Faults = append(p.Faults, p.boxFaults(box[name], s.machines[name])...)
 	}
 	slices.SortStableFunc(p.Faults, func(a, b world.Fault) int { return cmp.Compare(a.From, b.From) })
-	p.Faults = append(p.Faults, own...)
+	p.Faults = append(p.Faults, scenarioFaults...)
 }
 
 // eventsPlayed counts the events of a machine within the part to play.
@@ -489,35 +489,35 @@
 
 // addOrigins records for each quantity whether it was read from the trace or drawn.
 func (p *Plan) addOrigins(s *scan) {
-	how := func(quantity string, read bool, detail, drawn string) {
+	addOrigin := func(quantity string, read bool, detail, drawn string) {
 		o := Origin{quantity, "read", detail}
 		if !read {
 			o.How, o.Detail = "drawn", drawn
 		}
 		p.Origins = append(p.Origins, o)
 	}
-	moment := "as it stands"
+	timeDetail := "as it stands"
 	if step := p.timeStep(); step > 0 {
-		moment = fmt.Sprintf("to %v; the moment within it is drawn", step)
+		timeDetail = fmt.Sprintf("to %v; the moment within it is drawn", step)
 	}
 	for _, in := range p.Options.Inputs {
 		if in.Schema.Name == "azure-functions-2019" {
-			moment = "to the minute; the moment within it is drawn"
+			timeDetail = "to the minute; the moment within it is drawn"
 		}
 	}
-	how("time", true, moment, "")
-	how("account", s.hasAccount, "by its name", "among the accounts of the fleet file")
-	how("plan", s.hasPlan, "by the mapping", "for each account by the shares of the fleet file")
-	byLabel := "for each request by the shares of the fleet file"
+	addOrigin("time", true, timeDetail, "")
+	addOrigin("account", s.hasAccount, "by its name", "among the accounts of the fleet file")
+	addOrigin("plan", s.hasPlan, "by the mapping", "for each account by the shares of the fleet file")
+	classDetail := "for each request by the shares of the fleet file"
 	if s.hasLabel {
-		byLabel = "for each kind of request of the trace by the shares of the fleet file"
+		classDetail = "for each kind of request of the trace by the shares of the fleet file"
 	}
-	how("class", s.hasClass, "by the mapping", byLabel)
-	how("units", s.hasUnits, "by the mapping", "as the class has them in the fleet file")
+	addOrigin("class", s.hasClass, "by the mapping", classDetail)
+	addOrigin("units", s.hasUnits, "by the mapping", "as the class has them in the fleet file")
 	if s.hasWork {
-		how("work", true, "as it stands", "")
+		addOrigin("work", true, "as it stands", "")
 	} else {
-		how("work", s.sizedArrivals > 0, fmt.Sprintf("its size against the mean of %.4g, times the mean work of the class", p.Scale.MeanSize),
+		addOrigin("work", s.sizedArrivals > 0, fmt.Sprintf("its size against the mean of %.4g, times the mean work of the class", p.Scale.MeanSize),
 			"about the mean work of the class")
 	}
 	p.Origins = append(p.Origins, Origin{"deadline", "fleet", "by the class; tries as the fleet file's clients"})
--- a/internal/replay/plugins.go
+++ b/internal/replay/plugins.go
@@ -79,14 +79,14 @@
 	}, nil
 }
 
-// recorder is an adviser that records requests and gives no advice.
-type recorder struct {
+// requestRecorder is an adviser that records requests and gives no advice.
+type requestRecorder struct {
 	record    func(*advice.Request)
 	remaining *int
 }
 
 // Advise records the request, up to the limit, and returns neutral advice.
-func (r recorder) Advise(_ context.Context, s *advice.Subject, _ time.Duration) advice.Combined {
+func (r requestRecorder) Advise(_ context.Context, s *advice.Subject, _ time.Duration) advice.Combined {
 	if *r.remaining > 0 {
 		*r.remaining--
 		r.record(&s.Request)
@@ -95,7 +95,7 @@
 }
 
 // Close has nothing to release.
-func (recorder) Close() error { return nil }
+func (requestRecorder) Close() error { return nil }
 
 // Record plays a plan with the limiter in virtual time and calls record with each request as a
 // plug-in would get it, in order, up to limit requests.
@@ -109,7 +109,9 @@
 	defer stop()
 	remaining := limit
 	o := virtual.Options{Fleet: p.Options.Fleet, Seed: seed, Source: source, Faults: p.Faults, Asked: p.Options.Asked,
-		Advisers: func(int, func() time.Duration) (virtual.Adviser, error) { return recorder{record, &remaining}, nil },
+		Advisers: func(int, func() time.Duration) (virtual.Adviser, error) {
+			return requestRecorder{record, &remaining}, nil
+		},
 		Progress: func(time.Duration) {
 			if remaining == 0 {
 				stop()
@@ -157,7 +159,7 @@
 	Without        float64 `json:"service_without"`
 	With           float64 `json:"service_with"`
 	Difference     float64 `json:"difference"`
-	Noise          float64 `json:"noise"` // bound that a difference by chance alone stays below with 95% probability; 0 with one seed
+	Noise          float64 `json:"noise"` // 95% bound of a difference by chance; 0 with one seed
 	Asked          int     `json:"asked"`
 	RefusedWithout int     `json:"refused_without"`
 	RefusedWith    int     `json:"refused_with"`
@@ -194,7 +196,7 @@
 		return
 	}
 	a := &AdviceReport{Seeds: len(seeds), Plugins: []PluginTotals{}, Labels: []LabelTotals{}, Accounts: []AccountChange{}}
-	row := func(name string, of func(*Run) *Tally) {
+	addChange := func(name string, of func(*Run) *Tally) {
 		x := AdviceChange{Name: name}
 		var differences []float64
 		for _, seed := range seeds {
@@ -209,12 +211,12 @@
 		a.Changes = append(a.Changes, x)
 	}
 	first := with[seeds[0]]
-	row("all", func(r *Run) *Tally { return &r.Total })
+	addChange("all", func(r *Run) *Tally { return &r.Total })
 	for i := range first.Classes {
-		row(first.Classes[i].Name, func(r *Run) *Tally { return &r.Classes[i] })
+		addChange(first.Classes[i].Name, func(r *Run) *Tally { return &r.Classes[i] })
 	}
 	for i := range first.Plans {
-		row(first.Plans[i].Name, func(r *Run) *Tally { return &r.Plans[i] })
+		addChange(first.Plans[i].Name, func(r *Run) *Tally { return &r.Plans[i] })
 	}
 	for _, seed := range seeds {
 		for _, p := range with[seed].Plugins {
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -30,7 +30,7 @@
 	return Input{[]trace.Source{memoryFile(schema+".csv", content)}, s}
 }
 
-func example(t testing.TB, schema string) Input {
+func exampleTrace(t testing.TB, schema string) Input {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("..", "trace", "testdata", schema+".csv"))
 	if err != nil {
@@ -130,7 +130,7 @@
 		}
 		return n, last
 	}
-	tasks := example(t, "alibaba-2018-batch-task")
+	tasks := exampleTrace(t, "alibaba-2018-batch-task")
 	n, last := count(Options{Inputs: []Input{tasks}, Rate: -1})
 	if n != 120 || last < 90*time.Second {
 		t.Errorf("%d arrivals until %v", n, last)
@@ -154,7 +154,7 @@
 // Machines that are added, removed or highly utilized become faults of the boxes
 // assigned to them.
 func TestMachinesBecomeFaults(t *testing.T) {
-	p := prepare(t, Options{Inputs: []Input{example(t, "google-2011-task-events"), example(t, "google-2011-machine-events")}})
+	p := prepare(t, Options{Inputs: []Input{exampleTrace(t, "google-2011-task-events"), exampleTrace(t, "google-2011-machine-events")}})
 	var all []string
 	for _, x := range p.Faults {
 		all = append(all, fmt.Sprintf("%.0fs %s", x.From.Seconds(), x.Text))
@@ -162,7 +162,7 @@
 	if got := strings.Join(all, "; "); !strings.Contains(got, "box a0 goes") || !strings.Contains(got, "box a0 comes") {
 		t.Errorf("faults: %s", got)
 	}
-	p = prepare(t, Options{Inputs: []Input{example(t, "alibaba-2018-batch-task"), example(t, "alibaba-2018-machine-usage"), example(t, "alibaba-2018-machine-meta")}})
+	p = prepare(t, Options{Inputs: []Input{exampleTrace(t, "alibaba-2018-batch-task"), exampleTrace(t, "alibaba-2018-machine-usage"), exampleTrace(t, "alibaba-2018-machine-meta")}})
 	slow, gone := 0, 0
 	for _, x := range p.Faults {
 		if x.Verb == "slows" {
@@ -184,7 +184,7 @@
 func TestAllLayoutsPlay(t *testing.T) {
 	for _, name := range []string{"google-2011-task-events", "alibaba-2018-batch-task", "alibaba-2018-batch-instance", "alibaba-2021-ms-callgraph",
 		"azure-functions-2019", "azure-llm-2023"} {
-		p := prepare(t, Options{Inputs: []Input{example(t, name)}, For: 20 * time.Second, Rate: 60, Seed: 1})
+		p := prepare(t, Options{Inputs: []Input{exampleTrace(t, name)}, For: 20 * time.Second, Rate: 60, Seed: 1})
 		r := play(t, p, "limiter", 1)
 		if r.Total.Asked < 400 || len(r.Breaches) > 0 {
 			t.Errorf("%s: %+v %v", name, r.Total, r.Breaches)
@@ -213,14 +213,14 @@
 	if !errors.As(err, &problems) || len(problems.List) != 2 {
 		t.Errorf("two mistakes: %v", err)
 	}
-	if err := prepareErr(Options{Inputs: []Input{example(t, "google-2011-machine-events")}}); !errors.Is(err, ErrNoArrivals) {
+	if err := prepareErr(Options{Inputs: []Input{exampleTrace(t, "google-2011-machine-events")}}); !errors.Is(err, ErrNoArrivals) {
 		t.Errorf("machines alone: %v", err)
 	}
-	if err := prepareErr(Options{Inputs: []Input{example(t, "alibaba-2018-batch-task")}, From: time.Hour}); !errors.Is(err, ErrNoArrivals) ||
+	if err := prepareErr(Options{Inputs: []Input{exampleTrace(t, "alibaba-2018-batch-task")}, From: time.Hour}); !errors.Is(err, ErrNoArrivals) ||
 		!strings.Contains(err.Error(), "those up to there are from 24h0m") {
 		t.Errorf("past the end: %v", err)
 	}
-	if err := prepareErr(Options{Inputs: []Input{example(t, "azure-llm-2023"), example(t, "google-2011-machine-events")}}); !errors.Is(err, ErrClocks) {
+	if err := prepareErr(Options{Inputs: []Input{exampleTrace(t, "azure-llm-2023"), exampleTrace(t, "google-2011-machine-events")}}); !errors.Is(err, ErrMixedClocks) {
 		t.Errorf("two clocks: %v", err)
 	}
 	f := Friday()
--- a/internal/replay/report.go
+++ b/internal/replay/report.go
@@ -59,7 +59,7 @@
 	Service  Service        `json:"service"`
 	Total    Tally          `json:"total"`
 	Classes  []Tally        `json:"classes"`
-	Ways     []Tally        `json:"ways,omitempty"` // by way of asking; only if some proxies ask instead of forwarding
+	Ways     []Tally        `json:"ways,omitempty"` // by virtual.WayNames; only if some proxies ask for permission
 	Plans    []Tally        `json:"plans"`
 	Why      map[string]int `json:"why"` // outcomes of requests that were not served in time
 	Rules    []Rule         `json:"rules"`
@@ -88,7 +88,7 @@
 	PlanName   string  `json:"worst_plan_name"`
 }
 
-// Tally counts the requests of a run, class, plan or way of asking by outcome.
+// Tally counts requests by outcome, for a whole run, a class, a plan or one of virtual.WayNames.
 type Tally struct {
 	Name          string  `json:"name,omitempty"`
 	Service       float64 `json:"service"`
@@ -251,7 +251,7 @@
 	if policy == WithPlugins {
 		name = policies.Names()[0]
 	}
-	decide, err := policies.ByName(name)
+	newPolicy, err := policies.ByName(name)
 	if err != nil {
 		return nil, err
 	}
@@ -260,7 +260,7 @@
 		return nil, err
 	}
 	defer source.Close()
-	o := virtual.Options{Fleet: p.Options.Fleet, Seed: seed, Source: source, Faults: p.Faults, Policy: decide, Asked: p.Options.Asked, Remember: p.Options.Remember, Steward: p.Options.Steward}
+	o := virtual.Options{Fleet: p.Options.Fleet, Seed: seed, Source: source, Faults: p.Faults, Policy: newPolicy, Asked: p.Options.Asked, Remember: p.Options.Remember, Steward: p.Options.Steward}
 	o.Accounts = len(p.Options.Plugins) > 0
 	plugins := func() []PluginTotals { return nil }
 	if policy == WithPlugins {
@@ -274,9 +274,9 @@
 	if progress != nil {
 		o.Progress = func(now time.Duration) { progress(min(1, float64(now)/float64(p.Length))) }
 	}
-	var watched *best.Watcher
+	var watcher *best.Watcher
 	if p.Options.Best {
-		watched = best.Watch(p.Options.Fleet, &o)
+		watcher = best.Watch(p.Options.Fleet, &o)
 	}
 	res, err := virtual.Run(ctx, o)
 	sums := plugins()
@@ -294,8 +294,8 @@
 	}
 	c := res.Counts
 	run.Traffic = Traffic{c.Attempts, c.Crossings, c.Connects, c.Probes, c.Messages, res.Events, c.Asks, c.Grants}
-	if watched != nil {
-		if run.Best, err = watched.Best(ctx, p.Faults, seed, res.Length); err != nil {
+	if watcher != nil {
+		if run.Best, err = watcher.Best(ctx, p.Faults, seed, res.Length); err != nil {
 			return nil, fmt.Errorf("replaying %s with seed %d: %w", policy, seed, err)
 		}
 	}
--- a/internal/replay/source.go
+++ b/internal/replay/source.go
@@ -115,14 +115,14 @@
 	}
 	a.batch, a.next = a.batch[:0], 0
 	at := h.record.At
-	type copied struct{ from, n int }
-	var copies []copied
+	type copyGroup struct{ first, count int }
+	var copies []copyGroup
 	for h != nil && h.record.At == at {
 		n := int(a.plan.Scale.Copies)
 		if a.rng.Float64() < a.plan.Scale.Copies-float64(n) {
 			n++
 		}
-		copies = append(copies, copied{len(a.batch), n})
+		copies = append(copies, copyGroup{len(a.batch), n})
 		for k := range n {
 			a.batch = append(a.batch, a.newArrival(&h.record, k))
 		}
@@ -134,25 +134,25 @@
 		gap = h.record.At - at
 	}
 	for _, c := range copies {
-		for k := range c.n {
-			over := a.timeStep
+		for k := range c.count {
+			spread := a.timeStep
 			if k > 0 {
-				over = max(over, gap)
+				spread = max(spread, gap)
 			}
-			moment := at - a.plan.startTime
-			if over > 0 {
-				moment += time.Duration(a.rng.Int64N(int64(over)))
+			offset := at - a.plan.startTime
+			if spread > 0 {
+				offset += time.Duration(a.rng.Int64N(int64(spread)))
 			}
-			a.batch[c.from+k].At = time.Duration(float64(moment) / a.plan.Options.Speed)
+			a.batch[c.first+k].At = time.Duration(float64(offset) / a.plan.Options.Speed)
 		}
 	}
 	slices.SortStableFunc(a.batch, func(x, y world.Arrival) int { return int(x.At - y.At) })
 	return true
 }
 
-// newArrival maps a record to the fleet's classes, plans and accounts. nth is 0 for the
+// newArrival maps a record to the fleet's classes, plans and accounts. copyIndex is 0 for the
 // arrival itself and counts its copies, which get other accounts.
-func (a *Arrivals) newArrival(rec *trace.Record, nth int) (x world.Arrival) {
+func (a *Arrivals) newArrival(rec *trace.Record, copyIndex int) (x world.Arrival) {
 	f := a.plan.Options.Fleet
 	switch {
 	case rec.Class != "":
@@ -163,7 +163,7 @@
 		x.Class = a.drawer.Class()
 	}
 	if rec.Account != "" {
-		x.Account = hashName(rec.Account, nth)
+		x.Account = hashName(rec.Account, copyIndex)
 		x.Plan = a.drawer.PlanOf(x.Account)
 	} else {
 		x.Plan = a.drawer.Plan()
@@ -188,10 +188,10 @@
 
 // hashName returns the number of an account or label: the FNV-1a hash of its name and
 // the number of the copy, in accountBits bits.
-func hashName(name string, nth int) uint64 {
+func hashName(name string, copyIndex int) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, name)
-	h.Write([]byte{byte(nth), byte(nth >> 8), byte(nth >> 16)})
+	h.Write([]byte{byte(copyIndex), byte(copyIndex >> 8), byte(copyIndex >> 16)})
 	return h.Sum64() & (1<<accountBits - 1)
 }
 
--- a/internal/replay/text.go
+++ b/internal/replay/text.go
@@ -117,19 +117,19 @@
 // writeCharts draws requests, service and load over time, and lists the notes.
 func (r *Report) writeCharts(w io.Writer, run *Run) {
 	var served, asked []float64
-	most := 1.0
+	maxAsked := 1.0
 	for _, s := range run.Seconds {
-		most = max(most, float64(s.Asked))
+		maxAsked = max(maxAsked, float64(s.Asked))
 	}
 	for _, s := range run.Seconds {
 		served = append(served, 1)
 		if s.Worth > 0 {
 			served[len(served)-1] = s.Earned / s.Worth
 		}
-		asked = append(asked, float64(s.Asked)/most)
+		asked = append(asked, float64(s.Asked)/maxAsked)
 	}
 	fmt.Fprintf(w, "\nover time, 0 to %.0f s\n", run.LengthS)
-	fmt.Fprintf(w, "  asked\t%s\tup to %.0f a second\n", sparkline(asked, sparklineWidth), most)
+	fmt.Fprintf(w, "  asked\t%s\tup to %.0f a second\n", sparkline(asked, sparklineWidth), maxAsked)
 	fmt.Fprintf(w, "  service\t%s\t0 to 1\n", sparkline(served, sparklineWidth))
 	for _, room := range r.Fleet.Rooms {
 		var sum []float64
--- a/internal/trace/lines.go
+++ b/internal/trace/lines.go
@@ -219,8 +219,8 @@
 
 // ---- Values ----
 
-// parseNumber parses field i, which must be a finite number from least to most.
-func (l *lineReader) parseNumber(i int, name string, least, most float64) (float64, *Problem) {
+// parseNumber parses field i, which must be a finite number from lowest to highest.
+func (l *lineReader) parseNumber(i int, name string, lowest, highest float64) (float64, *Problem) {
 	text := l.fields[i]
 	if len(text) == 0 {
 		return 0, l.problem(name, "fill it in, or remove the row", "empty where a number belongs")
@@ -233,8 +233,8 @@
 		return 0, l.problem(name, "correct it, or remove the row", "%q is not a number", truncate(text))
 	case math.IsNaN(v) || math.IsInf(v, 0):
 		return 0, l.problem(name, "correct it, or remove the row", "%q is not a finite number", truncate(text))
-	case v < least || v > most:
-		return 0, l.problem(name, "correct it, or remove the row", "%q is not within %g to %g", truncate(text), least, most)
+	case v < lowest || v > highest:
+		return 0, l.problem(name, "correct it, or remove the row", "%q is not within %g to %g", truncate(text), lowest, highest)
 	}
 	return v, nil
 }
@@ -248,15 +248,15 @@
 	text := l.fields[i]
 	if len(text) > 0 && len(text) < 19 { // fast path: an unsigned integer
 		v := int64(0)
-		whole := true
+		integer := true
 		for _, c := range text {
 			if c < '0' || c > '9' {
-				whole = false
+				integer = false
 				break
 			}
 			v = v*10 + int64(c-'0')
 		}
-		if whole && v <= latestTime/int64(unit) {
+		if integer && v <= latestTime/int64(unit) {
 			return time.Duration(v) * unit, nil
 		}
 	}
--- a/internal/trace/mapping.go
+++ b/internal/trace/mapping.go
@@ -84,7 +84,7 @@
 		return nil, err
 	}
 	s := &Schema{Name: m.raw.Name, Source: name, Header: m.raw.Columns, Columns: m.columnCount, parseRow: m.parseRow, openStream: openRows,
-		MachinesPresent: true, Clock: m.raw.Time.Format != "", Reads: "what the mapping names"}
+		MachinesPresent: true, WallClock: m.raw.Time.Format != "", Reads: "what the mapping names"}
 	return s, nil
 }
 
--- a/internal/trace/order.go
+++ b/internal/trace/order.go
@@ -20,7 +20,7 @@
 	seq        int
 	latest     time.Duration
 	started    bool
-	moved      int
+	reordered  int
 	dropped    int
 
 	hashTime   time.Duration
@@ -51,30 +51,30 @@
 
 // accept checks a record against the earlier ones. It returns false for a dropped
 // duplicate, and a problem for a record that is too old or a refused duplicate.
-func (o *reorderBuffer) accept(rec *Record, from recordStream) (bool, *Problem) {
+func (o *reorderBuffer) accept(rec *Record, input recordStream) (bool, *Problem) {
 	if o.started && rec.At < o.latest-o.window {
-		do := "sort the file by time, or accept it with --reorder " + (o.latest - rec.At + time.Second).Round(time.Second).String()
+		remedy := "sort the file by time, or accept it with --reorder " + (o.latest - rec.At + time.Second).Round(time.Second).String()
 		if o.window > 0 {
-			do += fmt.Sprintf(" (now %v)", o.window)
+			remedy += fmt.Sprintf(" (now %v)", o.window)
 		}
-		return false, &Problem{rec.File, rec.Line, "time", fmt.Sprintf("%v before the row before it", o.latest-rec.At), do}
+		return false, &Problem{rec.File, rec.Line, "time", fmt.Sprintf("%v before the row before it", o.latest-rec.At), remedy}
 	}
 	if o.started && rec.At < o.latest {
-		o.moved++
+		o.reordered++
 	}
-	var raw uint64
-	if b, ok := from.(interface{ raw() []byte }); ok && o.duplicates != KeepDuplicates {
+	var hash uint64
+	if row, ok := input.(interface{ raw() []byte }); ok && o.duplicates != KeepDuplicates {
 		if o.lineByHash == nil {
 			o.seed, o.lineByHash = maphash.MakeSeed(), map[uint64]int{}
 		}
-		raw = maphash.Bytes(o.seed, b.raw()) | 1
+		hash = maphash.Bytes(o.seed, row.raw()) | 1
 	}
-	if raw != 0 {
+	if hash != 0 {
 		if rec.At != o.hashTime {
 			o.hashTime = rec.At
 			clear(o.lineByHash)
 		}
-		if line, twice := o.lineByHash[raw]; twice {
+		if line, duplicate := o.lineByHash[hash]; duplicate {
 			if o.duplicates == DropDuplicates {
 				o.dropped++
 				return false, nil
@@ -83,7 +83,7 @@
 				"remove it, or say --duplicates keep or --duplicates drop"}
 		}
 		if len(o.lineByHash) < maxRowsCompared {
-			o.lineByHash[raw] = rec.Line
+			o.lineByHash[hash] = rec.Line
 		}
 	}
 	o.latest, o.started = max(o.latest, rec.At), true
--- a/internal/trace/schemas.go
+++ b/internal/trace/schemas.go
@@ -22,7 +22,7 @@
 	Columns         int           // number of columns of each row
 	Reads           string        // what a replay uses of it, in the listing of schemas
 	TimeStep        time.Duration // resolution of the times; 0: exact
-	Clock           bool          // times are wall-clock times, not relative to the start
+	WallClock       bool          // times are wall-clock times, not relative to the start
 	MachinesPresent bool          // machines are in service from the start, without a row that adds them
 
 	parseRow       func(l *lineReader) (Record, rowAction, *Problem)
@@ -156,20 +156,20 @@
 		return r, v, l.problem("job_name", "fill it in, or remove the row", "empty")
 	}
 	if len(l.fields[end]) > 0 && string(l.fields[end]) != "0" { // 0: still running at the end of the trace
-		until, p := l.parseTime(end, "end_time", time.Second)
+		endTime, p := l.parseTime(end, "end_time", time.Second)
 		if p != nil {
 			return r, v, p
 		}
-		if until < r.At {
-			return r, v, l.problem("end_time", "correct it, or remove the row", "ends at %v, before it starts at %v", until, r.At)
+		if endTime < r.At {
+			return r, v, l.problem("end_time", "correct it, or remove the row", "ends at %v, before it starts at %v", endTime, r.At)
 		}
-		r.Size = max(until-r.At, time.Second/2).Seconds()
+		r.Size = max(endTime-r.At, time.Second/2).Seconds()
 		if len(l.fields[cpu]) > 0 {
-			c, p := l.parseNumber(cpu, "CPU", 0, 1e6)
+			cpuPercent, p := l.parseNumber(cpu, "CPU", 0, 1e6)
 			if p != nil {
 				return r, v, p
 			}
-			r.Size *= max(c, 1) / 100
+			r.Size *= max(cpuPercent, 1) / 100
 		}
 	}
 	return r, keepRow, nil
@@ -258,7 +258,7 @@
 
 // azureLLM is the Azure LLM inference trace 2023 (P. Patel et al.: Splitwise,
 // ISCA 2024): a header, wall-clock times with seven decimal places.
-var azureLLM = &Schema{Name: "azure-llm-2023", Columns: 3, Clock: true, numericColumns: []int{1, 2},
+var azureLLM = &Schema{Name: "azure-llm-2023", Columns: 3, WallClock: true, numericColumns: []int{1, 2},
 	Header: []string{"TIMESTAMP", "ContextTokens", "GeneratedTokens"},
 	Source: "Azure LLM inference trace 2023: github.com/Azure/AzurePublicDataset",
 	Reads:  "arrivals: time, size (tokens)", openStream: openRows,
@@ -492,10 +492,10 @@
 		if err != nil {
 			return r, err
 		}
-		up, known := s.inService[r.Machine]
-		now := r.Kind == MachineUp
-		s.inService[r.Machine] = now
-		if known && up == now || !known && !now {
+		before, known := s.inService[r.Machine]
+		inService := r.Kind == MachineUp
+		s.inService[r.Machine] = inService
+		if known && before == inService || !known && !inService {
 			s.countSkipped("a machine's state as before")
 			continue
 		}
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -74,20 +74,20 @@
 	return b.String()
 }
 
-// MostProblems is the number of problems kept in a list; further ones are only counted.
-const MostProblems = 1000
+// MaxProblems is the number of problems kept in a list; further ones are only counted.
+const MaxProblems = 1000
 
 // Problems collects the mistakes in the files of a trace as one error.
 type Problems struct {
-	List []*Problem // the first MostProblems
-	More int
+	List    []*Problem // the first MaxProblems
+	Omitted int
 }
 
 func (p *Problems) add(x *Problem) {
-	if len(p.List) < MostProblems {
+	if len(p.List) < MaxProblems {
 		p.List = append(p.List, x)
 	} else {
-		p.More++
+		p.Omitted++
 	}
 }
 
@@ -100,8 +100,8 @@
 		}
 		b.WriteString(x.Error())
 	}
-	if p.More > 0 {
-		fmt.Fprintf(&b, "\nand %d more", p.More)
+	if p.Omitted > 0 {
+		fmt.Fprintf(&b, "\nand %d more", p.Omitted)
 	}
 	return b.String()
 }
@@ -185,17 +185,17 @@
 	if err := checkLayout(files[0], s); err != nil {
 		return nil, err
 	}
-	from, err := s.openStream(files, s, o)
+	input, err := s.openStream(files, s, o)
 	if err != nil {
 		return nil, err
 	}
-	return &Reader{input: from, options: o, present: map[string]bool{}, removed: map[string]bool{}, initiallyPresent: s.MachinesPresent, order: reorderBuffer{window: o.Reorder, duplicates: o.Duplicates}}, nil
+	return &Reader{input: input, options: o, present: map[string]bool{}, removed: map[string]bool{}, initiallyPresent: s.MachinesPresent, order: reorderBuffer{window: o.Reorder, duplicates: o.Duplicates}}, nil
 }
 
 // Counts returns the totals of the rows read so far.
 func (r *Reader) Counts() Counts {
 	c := *r.input.counts()
-	c.Records, c.Reordered, c.Dropped = r.counts.Records, r.order.moved, r.order.dropped
+	c.Records, c.Reordered, c.Dropped = r.counts.Records, r.order.reordered, r.order.dropped
 	return c
 }
 
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -33,7 +33,7 @@
 	return b.String()
 }
 
-func example(t testing.TB, name string) string {
+func exampleFile(t testing.TB, name string) string {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", name+".csv"))
 	if err != nil {
@@ -42,7 +42,7 @@
 	return string(data)
 }
 
-func schema(t testing.TB, name string) *Schema {
+func mustSchema(t testing.TB, name string) *Schema {
 	t.Helper()
 	s, err := ByName(name)
 	if err != nil {
@@ -100,8 +100,8 @@
 		{"azure-llm-2023", 80, [4]int{80, 0, 0, 0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			content := example(t, c.name)
-			s := schema(t, c.name)
+			content := exampleFile(t, c.name)
+			s := mustSchema(t, c.name)
 			all, counts, problems := readAll(t, s, Options{Seed: 1}, memoryFile("x.csv", content))
 			if len(problems.List) > 0 {
 				t.Fatal(problems)
@@ -155,7 +155,7 @@
 // each of two days; with the same seed a part of the day has the same times as in
 // the whole.
 func TestFunctionsByMinute(t *testing.T) {
-	content := example(t, "azure-functions-2019")
+	content := exampleFile(t, "azure-functions-2019")
 	want := map[int]int{}
 	rows, err := csv.NewReader(strings.NewReader(content)).ReadAll()
 	if err != nil {
@@ -231,7 +231,7 @@
 		{"long line", tasks, good + strings.Repeat("5", maxLineBytes+100_000) + "\n" + good, `x.csv:2: a line of more than 1048576 bytes`},
 	} {
 		t.Run(strings.ReplaceAll(c.name, " ", "-"), func(t *testing.T) {
-			_, _, problems := readAll(t, schema(t, c.schema), Options{}, memoryFile("x.csv", c.content))
+			_, _, problems := readAll(t, mustSchema(t, c.schema), Options{}, memoryFile("x.csv", c.content))
 			if len(problems.List) == 0 || !strings.Contains(problems.List[0].Error(), c.want) {
 				t.Errorf("got %v\nwant %s", problems, c.want)
 			}
@@ -275,8 +275,8 @@
 // The first thousand problems are listed, the rest are only counted.
 func TestManyProblems(t *testing.T) {
 	_, _, problems := readAll(t, googleTasks, Options{}, memoryFile("x", "5000000,,9,0,,0,ann,2,9,0.0125,0.01,0.0001,0\n"+strings.Repeat("1,2\n", 1500)))
-	if len(problems.List) != MostProblems || problems.More != 500 || !strings.HasSuffix(problems.Error(), "\nand 500 more") {
-		t.Errorf("%d listed, %d more", len(problems.List), problems.More)
+	if len(problems.List) != MaxProblems || problems.Omitted != 500 || !strings.HasSuffix(problems.Error(), "\nand 500 more") {
+		t.Errorf("%d listed, %d more", len(problems.List), problems.Omitted)
 	}
 }
 
@@ -285,7 +285,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	all, _, problems := readAll(t, s, Options{}, memoryFile("x", example(t, "mapping")))
+	all, _, problems := readAll(t, s, Options{}, memoryFile("x", exampleFile(t, "mapping")))
 	if len(problems.List) > 0 || len(all) != 8 {
 		t.Fatalf("%d records, %v", len(all), problems)
 	}
@@ -298,7 +298,7 @@
 	if r := all[4]; r.Kind != Usage || r.Machine != "b4" || r.SlowFactor != 2.5 {
 		t.Errorf("%+v", r)
 	}
-	_, _, problems = readAll(t, s, Options{}, memoryFile("x", strings.Replace(example(t, "mapping"), "Ben,bulk", "Ben,huge", 1)))
+	_, _, problems = readAll(t, s, Options{}, memoryFile("x", strings.Replace(exampleFile(t, "mapping"), "Ben,bulk", "Ben,huge", 1)))
 	if len(problems.List) != 1 || !strings.Contains(problems.Error(), `x:3: kind: "huge" has no name there; add it to names in the mapping`) {
 		t.Errorf("%v", problems)
 	}
@@ -320,19 +320,20 @@
 	}
 }
 
-// endless is a file of left bytes that is generated while it is read.
-type endless struct {
-	left int
-	at   int
-	buf  []byte
+// generatedFile is a file whose content is generated while it is read, until remaining
+// bytes are used up.
+type generatedFile struct {
+	remaining int
+	time      int
+	buf       []byte
 }
 
-func (e *endless) Read(p []byte) (int, error) {
-	for len(e.buf) < len(p) && e.left > 0 {
-		e.at += 37
+func (e *generatedFile) Read(p []byte) (int, error) {
+	for len(e.buf) < len(p) && e.remaining > 0 {
+		e.time += 37
 		from := len(e.buf)
-		e.buf = fmt.Appendf(e.buf, "%d,,%d,%d,,0,user%d,2,9,0.0125,0.0155,0.0004,0\n", 600000000+e.at, 6000000000+e.at%977, e.at%13, e.at%501)
-		e.left -= len(e.buf) - from
+		e.buf = fmt.Appendf(e.buf, "%d,,%d,%d,,0,user%d,2,9,0.0125,0.0155,0.0004,0\n", 600000000+e.time, 6000000000+e.time%977, e.time%13, e.time%501)
+		e.remaining -= len(e.buf) - from
 	}
 	if len(e.buf) == 0 {
 		return 0, io.EOF
@@ -342,7 +343,7 @@
 	return n, nil
 }
 
-func (e *endless) Close() error { return nil }
+func (e *generatedFile) Close() error { return nil }
 
 // Memory does not grow with the file: the heap is as large after 64 MB as after
 // 1 MB. TRACE_MB sets another size (1024 takes some 10 s).
@@ -351,7 +352,7 @@
 	if text := os.Getenv("TRACE_MB"); text != "" {
 		fmt.Sscan(text, &size)
 	}
-	r, err := Open([]Source{{"x", func() (io.ReadCloser, error) { return &endless{left: size << 20}, nil }}}, googleTasks, Options{Reorder: time.Millisecond})
+	r, err := Open([]Source{{"x", func() (io.ReadCloser, error) { return &generatedFile{remaining: size << 20}, nil }}}, googleTasks, Options{Reorder: time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -384,7 +385,7 @@
 
 func BenchmarkReader(b *testing.B) {
 	const size = 8 << 20
-	content, err := io.ReadAll(&endless{left: size})
+	content, err := io.ReadAll(&generatedFile{remaining: size})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -425,14 +426,14 @@
 // No input makes a reader panic, hang or return records out of order.
 func FuzzReaders(f *testing.F) {
 	for i, s := range Known() {
-		f.Add(uint8(i), []byte(example(f, s.Name)[:min(1200, len(example(f, s.Name)))]))
+		f.Add(uint8(i), []byte(exampleFile(f, s.Name)[:min(1200, len(exampleFile(f, s.Name)))]))
 	}
 	f.Add(uint8(0), []byte("5000000,,9,0,,0,\"a\"\"\n"))
 	mapping, err := LoadMapping(filepath.Join("testdata", "mapping.hcl"))
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(uint8(99), []byte(example(f, "mapping")))
+	f.Add(uint8(99), []byte(exampleFile(f, "mapping")))
 	f.Fuzz(func(t *testing.T, which uint8, data []byte) {
 		s := mapping
 		if int(which) < len(Known()) {
