--- a/internal/replay/builtin/friday.hcl
+++ b/internal/replay/builtin/friday.hcl
@@ -1,5 +1,5 @@
-# The layout of friday.csv, the trace that is built in: requests, and what befell
-# the boxes.
+# The layout of friday.csv, the built-in trace: requests, and failures and slowdowns
+# of boxes.
 trace "friday" {
   columns = ["ms", "what", "account", "class", "plan", "units", "work_us", "box", "slow"]
   time {
--- a/internal/trace/testdata/mapping.hcl
+++ b/internal/trace/testdata/mapping.hcl
@@ -1,4 +1,4 @@
-# Which column of the gateway's own log is what.
+# The columns of the log of the gateway.
 trace "gateway-log" {
   columns = ["ms", "what", "shop", "kind", "plan", "parts", "cost", "box", "slow"]
   time {
