--- a/internal/judge/attempts.go
+++ b/internal/judge/attempts.go
@@ -7,178 +7,179 @@
 	"example.org/madderdrum/limiter"
 )
 
-// What the judge makes of attempts at boxes: those that may run twice, and what cold boxes are sent.
+// Checks of attempts at boxes: requests that may run twice, and the load that cold boxes are sent.
 
-// Begins tells that a limiter sends the first byte of an attempt of a try to a
-// box. Its driver tells the attempt's arrival next.
+// Begins records that a limiter sent the first byte of an attempt to a box. The driver reports the
+// arrival of the same attempt with Arrived before it begins another attempt of this try.
 func (j *Judge) Begins(now time.Duration, id uint64, box Box) {
-	j.clock(now)
+	j.advanceClock(now)
 	t := j.tries[id]
 	if t == nil {
-		j.breach(now, OneAnswer, -1, id, "sent on a request that nobody asked, or long after its end")
+		j.recordBreach(now, OneAnswer, -1, id, "sent on a request that nobody asked, or long after its end")
 		return
 	}
-	if t.answered && !t.lost && now >= t.answerAt+j.set.Order {
-		j.outOfOrder(t, now, t.answerAt, OneAnswer, "sent on after its final answer")
+	if t.answered && !t.limiterKilled && now >= t.answeredAt+j.settings.Order {
+		j.recordOutOfOrder(t, now, t.answeredAt, OneAnswer, "sent on after its final answer")
 	}
-	t.begunAt = now
+	t.firstByteAt = now
 	j.Seen[DrainsKept]++
-	if at, told := j.told[[2]int{t.Limiter, box.ID}]; told && now > at+j.set.DrainGrace+j.set.Slack {
-		j.breach(now, DrainsKept, t.Limiter, id, "sent to box %d, %v after it was told that the box drains or is gone", box.ID, now-at)
+	if at, told := j.stopTold[[2]int{t.Limiter, box.ID}]; told && now > at+j.settings.DrainGrace+j.settings.Slack {
+		j.recordBreach(now, DrainsKept, t.Limiter, id, "sent to box %d, %v after it was told that the box drains or is gone", box.ID, now-at)
 	}
 }
 
-// Arrived tells that an attempt has come whole to a box: how much work it brings,
-// and how much the box can do by now in seconds of work a second. Cold tells that
-// the box is not warm yet.
+// Arrived records that a box received the whole request of an attempt: the work that it requires,
+// the current capacity of the box in seconds of work per second, and whether the box is still
+// warming up.
 func (j *Judge) Arrived(now time.Duration, attemptID, id uint64, box Box, work time.Duration, capacity float64, cold bool) {
-	j.clock(now)
-	j.pushed(now, id, box, work, capacity, cold)
+	j.advanceClock(now)
+	j.checkColdBox(now, id, box, work, capacity, cold)
 	t := j.tries[id]
 	if t == nil {
-		j.breach(now, OneAnswer, -1, id, "a request came to box %d that nobody asked, or long after its end", box.ID)
+		j.recordBreach(now, OneAnswer, -1, id, "a request came to box %d that nobody asked, or long after its end", box.ID)
 		return
 	}
-	class := j.set.Classes[t.Class]
+	class := j.settings.Classes[t.Class]
 	j.Seen[NothingTwice]++
-	if earlier := t.newest; earlier != nil && !earlier.overlapped {
-		earlier.overlapped, earlier.overlapAt = true, t.begunAt
-		if j.set.Order == 0 {
-			j.breach(now, NothingTwice, t.Limiter, id, "two attempts out at once")
+	if earlier := t.newestAttempt; earlier != nil && !earlier.overlapped {
+		earlier.overlapped, earlier.overlapAt = true, t.firstByteAt
+		if j.settings.Order == 0 {
+			j.recordBreach(now, NothingTwice, t.Limiter, id, "two attempts out at once")
 		}
 	}
-	if t.mayRun && class.Repeat == limiter.Unsafe {
-		j.breach(now, NothingTwice, t.Limiter, id, "unsafe and sent again, though an earlier attempt may have run")
+	if t.mayHaveRun && class.Repeat == limiter.Unsafe {
+		j.recordBreach(now, NothingTwice, t.Limiter, id, "unsafe and sent again, though an earlier attempt may have run")
 	}
-	if t.mayRun && class.Repeat == limiter.Keyed {
+	if t.mayHaveRun && class.Repeat == limiter.Keyed {
 		sentAt := now
-		if j.set.Order > 0 { // what is told now may have come a while ago
-			sentAt = t.begunAt
+		if j.settings.Order > 0 { // the report may be later than the arrival itself
+			sentAt = t.firstByteAt
 		}
-		if due := t.mayAt + class.Window; sentAt > due+j.set.Slack {
-			j.outOfOrder(t, sentAt, due, NothingTwice, fmt.Sprintf("keyed and sent again %v after an attempt that may have run, when repeats are no longer dropped", sentAt-t.mayAt))
+		if due := t.mayHaveRunAt + class.Window; sentAt > due+j.settings.Slack {
+			j.recordOutOfOrder(t, sentAt, due, NothingTwice, fmt.Sprintf("keyed and sent again %v after an attempt that may have run, when repeats are no longer dropped", sentAt-t.mayHaveRunAt))
 		}
-		if class.Group == limiter.GroupCell && box.Pod != t.mayBox.Pod || class.Group == limiter.GroupZone && box.Room != t.mayBox.Room {
-			j.breach(now, NothingTwice, t.Limiter, id, "keyed and sent again to boxes that don't know its key")
+		if class.Group == limiter.GroupCell && box.Pod != t.mayHaveRunBox.Pod || class.Group == limiter.GroupZone && box.Room != t.mayHaveRunBox.Room {
+			j.recordBreach(now, NothingTwice, t.Limiter, id, "keyed and sent again to boxes that don't know its key")
 		}
 	}
-	if t.count++; t.count == 1 {
-		j.spend(now, t)
-	} else if t.count > j.set.Attempts {
-		j.breach(now, NothingTwice, t.Limiter, id, "attempt %d of %d at most", t.count, j.set.Attempts)
+	if t.attemptCount++; t.attemptCount == 1 {
+		j.chargeCeiling(now, t)
+	} else if t.attemptCount > j.settings.Attempts {
+		j.recordBreach(now, NothingTwice, t.Limiter, id, "attempt %d of %d at most", t.attemptCount, j.settings.Attempts)
 	}
-	t.out++
-	t.newest = &attempt{try: t, box: box, at: now}
-	j.attempts[attemptID] = t.newest
+	t.openAttempts++
+	t.newestAttempt = &attempt{try: t, box: box, at: now}
+	j.attempts[attemptID] = t.newestAttempt
 }
 
-// Ran tells that a box executed an attempt's request.
+// Ran records that a box executed the request of an attempt.
 func (j *Judge) Ran(now time.Duration, attemptID uint64) {
 	a := j.attempts[attemptID]
 	if a == nil {
 		return
 	}
-	if a.try.ran++; a.try.ran > 1 && j.set.Classes[a.try.Class].Repeat == limiter.Unsafe {
-		j.breach(now, NothingTwice, a.try.Limiter, a.try.Try, "took effect a second time, at box %d", a.box.ID)
+	if a.try.executions++; a.try.executions > 1 && j.settings.Classes[a.try.Class].Repeat == limiter.Unsafe {
+		j.recordBreach(now, NothingTwice, a.try.Limiter, a.try.Try, "took effect a second time, at box %d", a.box.ID)
 	}
 }
 
-// Ended tells how an attempt ended that had come whole: with its answer
-// written, or with its connection.
+// Ended records the end of an attempt that had arrived: the box wrote its response, or the
+// connection closed.
 func (j *Judge) Ended(now time.Duration, attemptID uint64, v Verdict) {
-	j.clock(now)
+	j.advanceClock(now)
 	a := j.attempts[attemptID]
 	if a == nil {
 		return
 	}
 	delete(j.attempts, attemptID)
 	t := a.try
-	t.out--
+	t.openAttempts--
 	if a.overlapped {
-		j.overlap(now, a, v)
+		j.checkOverlap(now, a, v)
 	}
-	if t.newest == a {
-		t.newest = nil
+	if t.newestAttempt == a {
+		t.newestAttempt = nil
 	}
 	t.served = t.served || v == WasServed
-	if v != NeverRan && !t.mayRun {
-		t.mayRun, t.mayAt, t.mayBox = true, a.at, a.box
+	if v != NeverRan && !t.mayHaveRun {
+		t.mayHaveRun, t.mayHaveRunAt, t.mayHaveRunBox = true, a.at, a.box
 	}
 }
 
-// overlap looks back at an attempt that was out when another of its try came.
-func (j *Judge) overlap(now time.Duration, a *attempt, v Verdict) {
+// checkOverlap checks an attempt that was in flight when another attempt of the same try arrived. It
+// runs at the end of the earlier attempt, when it is known whether the earlier attempt may have run.
+func (j *Judge) checkOverlap(now time.Duration, a *attempt, v Verdict) {
 	t := a.try
-	if j.set.Order > 0 && now > a.overlapAt+j.set.Order {
-		j.outOfOrder(t, now, a.overlapAt, NothingTwice, "two attempts out at once")
+	if j.settings.Order > 0 && now > a.overlapAt+j.settings.Order {
+		j.recordOutOfOrder(t, now, a.overlapAt, NothingTwice, "two attempts out at once")
 	}
-	class := j.set.Classes[t.Class]
-	if v == NeverRan || j.set.Order == 0 {
+	class := j.settings.Classes[t.Class]
+	if v == NeverRan || j.settings.Order == 0 {
 		return
 	}
 	if class.Repeat == limiter.Unsafe {
-		j.breach(a.overlapAt, NothingTwice, t.Limiter, t.Try, "unsafe and sent again, though an earlier attempt may have run")
+		j.recordBreach(a.overlapAt, NothingTwice, t.Limiter, t.Try, "unsafe and sent again, though an earlier attempt may have run")
 	}
-	if later := t.newest; later != nil && class.Repeat == limiter.Keyed &&
+	if later := t.newestAttempt; later != nil && class.Repeat == limiter.Keyed &&
 		(class.Group == limiter.GroupCell && a.box.Pod != later.box.Pod || class.Group == limiter.GroupZone && a.box.Room != later.box.Room) {
-		j.breach(a.overlapAt, NothingTwice, t.Limiter, t.Try, "keyed and sent again to boxes that don't know its key")
+		j.recordBreach(a.overlapAt, NothingTwice, t.Limiter, t.Try, "keyed and sent again to boxes that don't know its key")
 	}
 }
 
-// pushed checks what a cold box is sent, by all limiters together.
-func (j *Judge) pushed(now time.Duration, id uint64, box Box, work time.Duration, capacity float64, cold bool) {
-	p := j.cold[box.ID]
+// checkColdBox checks the load that all limiters together send to a cold box.
+func (j *Judge) checkColdBox(now time.Duration, id uint64, box Box, work time.Duration, capacity float64, cold bool) {
+	p := j.coldBoxes[box.ID]
 	if !cold {
 		if p != nil {
-			delete(j.cold, box.ID)
+			delete(j.coldBoxes, box.ID)
 		}
 		return
 	}
 	if p == nil {
-		p = &push{}
-		j.cold[box.ID] = p
+		p = &coldWork{}
+		j.coldBoxes[box.ID] = p
 	}
 	j.Seen[ColdKept]++
-	p.at, p.work, p.sum = append(p.at, now), append(p.work, work), p.sum+work
+	p.arrivedAt, p.amounts, p.sum = append(p.arrivedAt, now), append(p.amounts, work), p.sum+work
 	n := 0
-	for n < len(p.at) && p.at[n] < now-j.set.FallFor {
-		p.sum -= p.work[n]
+	for n < len(p.arrivedAt) && p.arrivedAt[n] < now-j.settings.FallFor {
+		p.sum -= p.amounts[n]
 		n++
 	}
-	p.at, p.work, p.from = p.at[n:], p.work[n:], max(0, p.from-n)
-	j.push(now, p, capacity)
-	over := p.sum.Seconds() > j.set.FallFactor*capacity*(j.set.FallFor+j.set.Slack).Seconds()
-	if over && !p.told {
+	p.arrivedAt, p.amounts, p.windowStart = p.arrivedAt[n:], p.amounts[n:], max(0, p.windowStart-n)
+	j.measurePush(now, p, capacity)
+	over := p.sum.Seconds() > j.settings.FallFactor*capacity*(j.settings.FallFor+j.settings.Slack).Seconds()
+	if over && !p.reported {
 		limiter := -1
 		if t := j.tries[id]; t != nil {
 			limiter = t.Limiter
 		}
-		j.breach(now, ColdKept, limiter, id, "box %d was sent %.2f s of work in %v, and can do %.2f a second", box.ID, p.sum.Seconds(), j.set.FallFor, capacity)
+		j.recordBreach(now, ColdKept, limiter, id, "box %d was sent %.2f s of work in %v, and can do %.2f a second", box.ID, p.sum.Seconds(), j.settings.FallFor, capacity)
 	}
-	p.told = over
+	p.reported = over
 }
 
-// push measures Push.
-func (j *Judge) push(now time.Duration, p *push, capacity float64) {
-	if j.set.PushFor <= 0 {
+// measurePush updates Push with the work that arrived at a cold box within PushFor.
+func (j *Judge) measurePush(now time.Duration, p *coldWork, capacity float64) {
+	if j.settings.PushFor <= 0 {
 		return
 	}
-	for p.at[p.from] <= now-j.set.PushFor {
-		p.from++
+	for p.arrivedAt[p.windowStart] <= now-j.settings.PushFor {
+		p.windowStart++
 	}
 	var sum, most time.Duration
-	for _, w := range p.work[p.from:] {
+	for _, w := range p.amounts[p.windowStart:] {
 		sum, most = sum+w, max(most, w)
 	}
-	push := (sum - most).Seconds() / (capacity * j.set.PushFor.Seconds())
-	if j.Push = max(j.Push, push); push > j.set.PushMost {
+	push := (sum - most).Seconds() / (capacity * j.settings.PushFor.Seconds())
+	if j.Push = max(j.Push, push); push > j.settings.PushMost {
 		j.PushedOver++
 	}
 	j.Pushes++
 }
 
-// Fell tells that a cold box fell over by what it was sent.
+// Fell records that a cold box crashed under the load it was sent.
 func (j *Judge) Fell(now time.Duration, box int) {
-	j.clock(now)
-	j.breach(now, ColdKept, -1, 0, "box %d was pushed over while it was cold", box)
+	j.advanceClock(now)
+	j.recordBreach(now, ColdKept, -1, 0, "box %d was pushed over while it was cold", box)
 }
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -1,10 +1,10 @@
-// Package judge checks the five rules from what can be seen outside the
-// limiters: what clients sent and got, what came to the boxes, and what
-// discovery told. It is written from the rules and knows nothing of the limiter.
+// Package judge checks the five rules of a fleet from what is visible outside the limiters: the
+// requests and answers of clients, the attempts that arrive at boxes, and the updates from
+// discovery. It depends on the rules only, not on the implementation of the limiter.
 //
-// A [Judge] does no I/O, keeps no goroutine and reads no clock: its driver tells
-// it each thing with its time, which may be out of order by no more than the
-// settings' Slack. It is not safe for concurrent use.
+// A [Judge] does no I/O, starts no goroutine and reads no clock: its driver reports each event with
+// its time. Reports may be out of order by at most the Slack of the settings. A Judge is not safe
+// for concurrent use.
 package judge
 
 import (
@@ -15,16 +15,16 @@
 	"example.org/madderdrum/limiter"
 )
 
-// Rule is one of the five rules.
+// Rule identifies one of the five rules that a fleet of limiters must keep.
 type Rule int
 
-// The rules.
+// The five rules, and their number.
 const (
-	OneAnswer    Rule = iota // every request taken gets one final answer in time, and nothing is sent after it
-	NothingTwice             // nothing takes effect twice, and no two attempts are out at once
-	DrainsKept               // a box that drains or is gone gets nothing new after the grace
-	ColdKept                 // a cold box is not sent more than it can bear
-	CeilingsKept             // an account's hard ceiling holds over all limiters
+	OneAnswer    Rule = iota // each accepted request gets one final answer before its deadline and no attempt after it
+	NothingTwice             // no request takes effect twice, and at most one attempt is in flight at a time
+	DrainsKept               // a box that drains or is gone gets no new request after the grace period
+	ColdKept                 // a cold box is not sent more work than it can handle
+	CeilingsKept             // the hard ceiling of an account holds over all limiters together
 	Rules
 )
 
@@ -32,17 +32,17 @@
 
 func (r Rule) String() string { return ruleNames[r] }
 
-// Class is what the judge must know of a class of requests.
+// Class describes when requests of one class may be repeated, and at which boxes.
 type Class struct {
 	Repeat limiter.Repeat
 	Group  limiter.Group
 	Window time.Duration
 }
 
-// Plan is what it must know of a plan: its ceiling, if it has one.
+// Plan holds the hard ceiling of a plan in units; a CeilingRate of 0 means no ceiling.
 type Plan struct{ CeilingRate, CeilingBurst float64 }
 
-// Settings are the figures of the rules.
+// Settings holds the limits that the rules are checked against.
 type Settings struct {
 	Classes      []Class
 	Plans        []Plan
@@ -50,22 +50,21 @@
 	DrainGrace   time.Duration
 	FallFactor   float64
 	FallFor      time.Duration
-	PushFor      time.Duration // the window of Judge.Push; 0: it is not measured
+	PushFor      time.Duration // window of Judge.Push; 0: not measured
 	PushMost     float64
-	CeilingSlack float64       // share of the ceiling
-	MostUnits    float64       // of the largest request
-	Longest      time.Duration // deadline of any class
-	// Slack is how much later than it was things may be seen to happen: every
-	// limit in time is longer by it, and ceilings are wider by what they give in
-	// three times of it (150 ms for 50 ms).
+	CeilingSlack float64       // tolerated excess, as a share of the ceiling
+	MostUnits    float64       // units of the largest request
+	Longest      time.Duration // longest deadline of any class
+	// Slack is the largest delay between an event and its report. Every time limit is extended by
+	// it, and ceilings by the units that they allow in three times this span (150 ms for 50 ms).
 	Slack time.Duration
-	// Order is by how much things on different connections may be told in another
-	// order than they happened: the end of one attempt and the arrival of the next, an
-	// attempt and an answer. 0 where the driver sees all.
+	// Order is the span within which events of different connections may be reported out of order,
+	// such as the end of one attempt and the arrival of the next, or an attempt and an answer.
+	// 0 where the driver sees all events in order.
 	Order time.Duration
 }
 
-// Request is a try that a client sent and a limiter has taken.
+// Request is a try that a client sent and a limiter accepted.
 type Request struct {
 	Try     uint64
 	Limiter int
@@ -73,41 +72,42 @@
 	Class   int
 	Plan    int
 	Units   float64
-	Until   time.Duration // the client gives up
+	Until   time.Duration // time at which the client stops waiting
 }
 
-// Answer is what a limiter answered to a client.
+// Answer is the kind of a limiter's answer to a client.
 type Answer int
 
-// The answers.
+// Kinds of answers.
 const (
 	Served  Answer = iota
-	Refused        // trying again does no harm
-	Failed         // promises nothing
-	Foreign        // said to be served, with what no box made for this request
+	Refused        // the client may safely retry
+	Failed         // the request may or may not have run
+	Foreign        // reported as served, with a response that no box wrote for this request
 )
 
-// Verdict is how an attempt ended, seen from the boxes.
+// Verdict is the outcome of an attempt as the boxes know it.
 type Verdict int
 
-// The verdicts.
+// Outcomes of an attempt.
 const (
-	NeverRan   Verdict = iota // turned away, or it never came whole
-	MayHaveRun                // lost, or given up, or answered with an error
+	NeverRan   Verdict = iota // rejected, or not completely received
+	MayHaveRun                // lost, abandoned, or answered with an error
 	WasServed
 )
 
-// Breach is a rule that was broken.
+// Breach is one violation of a rule.
 type Breach struct {
 	At      time.Duration
 	Rule    Rule
 	Limiter int
-	Try     uint64 // 0 where it is not about one
+	Try     uint64 // 0 if the breach concerns no single try
 	Text    string
-	// InTime tells that the breach is that an answer came late, which was due then. A driver in real time may know that the machine was at fault; see Excuse.
+	// InTime marks an answer that came after Due. A driver in real time may know that the machine
+	// caused the delay; see Excuse.
 	InTime bool
-	// OutOfOrder tells that the breach is that something which had to come before Due was told at At, later by
-	// more than the settings' Order or Slack.
+	// OutOfOrder marks an event at At that had to happen before Due, with a difference of more than
+	// Order or Slack of the settings.
 	OutOfOrder bool
 	Due        time.Duration
 }
@@ -116,92 +116,92 @@
 	return fmt.Sprintf("%.3fs limiter %d: %s: %s", b.At.Seconds(), b.Limiter, b.Rule, b.Text)
 }
 
-// keptBreaches bounds the breaches of each rule that are kept in full, and late answers
-// by themselves; all are counted.
-const keptBreaches = 100
+// maxKeptBreaches limits the breaches of each rule that are stored in full; late answers have a limit
+// of their own. All are counted.
+const maxKeptBreaches = 100
 
-// Judge keeps what the rules need.
+// Judge holds the tries, attempts, boxes and accounts that the rules are checked on.
 type Judge struct {
-	set      Settings
-	tries    map[uint64]*try
-	queue    []*try // in the order in which they were taken
-	attempts map[uint64]*attempt
-	told     map[[2]int]time.Duration // limiter and box: when it was told to stop
-	dead     map[int]bool             // limiters
-	cold     map[int]*push
-	accounts map[uint64]*ceiling
-	now      time.Duration
-	swept    time.Duration
-
-	kept [Rules]int // of Breaches, but for late answers
-	late int        // late answers among them
-
-	// Push is the most work that came to a cold box within PushFor, but for the largest
-	// job in it, over what the box could do in that time. It is looked at with each of
-	// Pushes arrivals; PushedOver of them found more than PushMost.
+	settings  Settings
+	tries     map[uint64]*try
+	pending   []*try // in order of acceptance
+	attempts  map[uint64]*attempt
+	stopTold  map[[2]int]time.Duration // by limiter and box: when the limiter learned that the box drains or is gone
+	dead      map[int]bool             // by limiter
+	coldBoxes map[int]*coldWork
+	ceilings  map[uint64]*ceiling
+	now       time.Duration
+	sweptAt   time.Duration
+
+	keptCounts      [Rules]int // stored in Breaches, without late answers
+	keptLateAnswers int        // late answers stored in Breaches
+
+	// Push is the largest ratio, over all cold boxes, of the work that arrived within PushFor (without
+	// its largest job) to the work that the box could do in that time. It is measured at each of
+	// Pushes arrivals; PushedOver of them exceeded PushMost.
 	Push               float64
 	Pushes, PushedOver int
 
 	Breaches []Breach
 	Count    [Rules]int
-	Seen     [Rules]int // how often each rule was put to the test
+	Seen     [Rules]int // number of times that each rule was checked
 }
 
 type try struct {
 	Request
-	takenAt  time.Duration
-	carried  *Carried // what its driver measured; nil: not told
-	answered bool
-	answerAt time.Duration
-	lost     bool // its limiter died
-	left     bool // its client went away before the time
-	count    int  // attempts that came whole
-	out      int
-	ran      int // executions
-	served   bool
-	mayRun   bool // an earlier attempt may have run ...
-	mayAt    time.Duration
-	mayBox   Box
-	newest   *attempt
-	begunAt  time.Duration // when the first byte of its newest attempt came
+	takenAt       time.Duration
+	driverTiming  *Carried // as measured by the driver; nil: not measured
+	answered      bool
+	answeredAt    time.Duration
+	limiterKilled bool // its limiter was killed
+	clientLeft    bool // its client disconnected before Until
+	attemptCount  int  // attempts that arrived at a box
+	openAttempts  int
+	executions    int // executions
+	served        bool
+	mayHaveRun    bool // an earlier attempt may have run
+	mayHaveRunAt  time.Duration
+	mayHaveRunBox Box
+	newestAttempt *attempt
+	firstByteAt   time.Duration // when the first byte of its newest attempt was sent
 }
 
-// Box is where an attempt went.
+// Box identifies the box of an attempt, with its pod and room for the scope of keyed requests.
 type Box struct{ ID, Pod, Room int }
 
 type attempt struct {
 	try *try
 	box Box
 	at  time.Duration
-	// Others of the try came while it was out: at first then, which may yet turn out to
-	// be only the order in which it was told.
+	// overlapped is set when another attempt of the try arrived while this one was in flight, first at
+	// overlapAt. The overlap may turn out to be only an inexact order of reports.
 	overlapped bool
 	overlapAt  time.Duration
 }
 
-// push is the work sent to one cold box in the last FallFor.
-type push struct {
-	at   []time.Duration
-	work []time.Duration
-	sum  time.Duration
-	told bool // once for one fall
-	from int  // the first of those within PushFor
+// coldWork is the work sent to one cold box during the last FallFor.
+type coldWork struct {
+	arrivedAt   []time.Duration
+	amounts     []time.Duration
+	sum         time.Duration
+	reported    bool // the current overload has been recorded as a breach
+	windowStart int  // index of the first arrival within PushFor
 }
 
-// ceiling is an account's: two buckets, as the slack is a share or one request,
-// whichever is more.
+// ceiling holds two token buckets of an account, because the tolerance is a share of the ceiling or
+// one largest request, whichever is more.
 type ceiling struct {
-	at          time.Duration
-	wide, exact float64
+	updatedAt                  time.Duration
+	shareBucket, requestBucket float64
 }
 
-// New returns a Judge.
+// New returns a Judge without any recorded events.
 func New(s Settings) *Judge {
-	return &Judge{set: s, tries: map[uint64]*try{}, attempts: map[uint64]*attempt{}, told: map[[2]int]time.Duration{},
-		dead: map[int]bool{}, cold: map[int]*push{}, accounts: map[uint64]*ceiling{}}
+	return &Judge{settings: s, tries: map[uint64]*try{}, attempts: map[uint64]*attempt{}, stopTold: map[[2]int]time.Duration{},
+		dead: map[int]bool{}, coldBoxes: map[int]*coldWork{}, ceilings: map[uint64]*ceiling{}}
 }
 
-// Broken is the number of breaches of all rules.
+// Broken returns the number of breaches of all rules.
 func (j *Judge) Broken() int {
 	n := 0
 	for _, c := range j.Count {
@@ -210,27 +210,27 @@
 	return n
 }
 
-func (j *Judge) breach(at time.Duration, rule Rule, limiter int, try uint64, format string, args ...any) {
-	j.note(Breach{At: at, Rule: rule, Limiter: limiter, Try: try, Text: fmt.Sprintf(format, args...)}, &j.kept[rule])
+func (j *Judge) recordBreach(at time.Duration, rule Rule, limiter int, try uint64, format string, args ...any) {
+	j.record(Breach{At: at, Rule: rule, Limiter: limiter, Try: try, Text: fmt.Sprintf(format, args...)}, &j.keptCounts[rule])
 }
 
-// outOfOrder notes a breach that lies in what of a try was told at one time and had to come before another.
-func (j *Judge) outOfOrder(t *try, at, due time.Duration, rule Rule, text string) {
-	j.note(Breach{At: at, Rule: rule, Limiter: t.Limiter, Try: t.Try, OutOfOrder: true, Due: due,
-		Text: fmt.Sprintf("%s (%v too late)", text, at-due)}, &j.kept[rule])
+// recordOutOfOrder records an event of a try at time at that had to happen before due.
+func (j *Judge) recordOutOfOrder(t *try, at, due time.Duration, rule Rule, text string) {
+	j.record(Breach{At: at, Rule: rule, Limiter: t.Limiter, Try: t.Try, OutOfOrder: true, Due: due,
+		Text: fmt.Sprintf("%s (%v too late)", text, at-due)}, &j.keptCounts[rule])
 }
 
-// note counts a breach, and keeps it if no more than keptBreaches of its kind are kept.
-func (j *Judge) note(b Breach, kept *int) {
+// record counts a breach, and stores it if fewer than maxKeptBreaches of its kind are stored.
+func (j *Judge) record(b Breach, kept *int) {
 	j.Count[b.Rule]++
-	if *kept < keptBreaches {
+	if *kept < maxKeptBreaches {
 		*kept++
 		j.Breaches = append(j.Breaches, b)
 	}
 }
 
-// Excuse takes back those of the kept breaches for which a driver finds that the judge
-// was wrongly told of times, and returns them.
+// Excuse removes and returns the stored breaches for which wrongly returns true, because the driver
+// found that it reported their times incorrectly.
 func (j *Judge) Excuse(wrongly func(Breach) bool) (excused []Breach) {
 	j.Breaches = slices.DeleteFunc(j.Breaches, func(b Breach) bool {
 		if !wrongly(b) {
@@ -245,187 +245,186 @@
 
 // ---- Clients ----
 
-// Taken tells that a limiter has taken a try.
+// Taken records that a limiter accepted a try.
 func (j *Judge) Taken(now time.Duration, r Request) {
-	j.clock(now)
+	j.advanceClock(now)
 	t := &try{Request: r, takenAt: now}
 	j.tries[r.Try] = t
-	j.queue = append(j.queue, t)
+	j.pending = append(j.pending, t)
 	j.Seen[OneAnswer]++
 }
 
-// Carried is what a driver in real time measured of its own part in a try. Its own delays are
-// not its limiter's.
+// Carried holds the times that a driver in real time measured around a try, so that its own delays
+// are not attributed to the limiter.
 type Carried struct {
-	Handed  time.Duration // when the request had been written
-	Left    time.Duration // how long its client still waits, as the request says
-	Arrived time.Duration // when the answer had been read, before the driver waited for anything else
+	Handed  time.Duration // when the request was completely written
+	Left    time.Duration // remaining time of the client, as sent with the request
+	Arrived time.Duration // when the answer was read, before the driver waited for anything else
 }
 
-// due is when the time that the limiter was told is over: later than the client gives up by as
-// much as the driver took between looking at the clock and the write.
-func (c Carried) due() time.Duration { return c.Handed + c.Left }
+// deadline is the end of the time that the request granted the limiter. It is later than Until by
+// the time that the driver took between reading the clock and writing the request.
+func (c Carried) deadline() time.Duration { return c.Handed + c.Left }
 
-// AnsweredTo tells what a limiter answered, and what the driver measured of the way there and back.
+// AnsweredTo is Answered with the times that the driver measured for request and answer.
 func (j *Judge) AnsweredTo(now time.Duration, id uint64, a Answer, c Carried) {
 	if t := j.tries[id]; t != nil && !t.answered {
-		t.Until = max(t.Until, c.due())
-		t.carried = &c
+		t.Until = max(t.Until, c.deadline())
+		t.driverTiming = &c
 	}
 	j.Answered(now, id, a)
 }
 
-// Answered tells what a limiter answered.
+// Answered records the final answer of a limiter and checks it against the attempts of the try.
 func (j *Judge) Answered(now time.Duration, id uint64, a Answer) {
-	j.clock(now)
+	j.advanceClock(now)
 	t := j.tries[id]
 	if t == nil {
-		j.breach(now, OneAnswer, -1, id, "an answer to a request that nobody asked, or long ago")
+		j.recordBreach(now, OneAnswer, -1, id, "an answer to a request that nobody asked, or long ago")
 		return
 	}
 	arrived := now
-	if t.carried != nil {
-		arrived = min(now, t.carried.Arrived)
+	if t.driverTiming != nil {
+		arrived = min(now, t.driverTiming.Arrived)
 	}
 	switch {
 	case t.answered:
-		j.breach(now, OneAnswer, t.Limiter, id, "answered a second time")
+		j.recordBreach(now, OneAnswer, t.Limiter, id, "answered a second time")
 		return
-	case arrived > t.Until+j.set.Slack && !t.left:
-		// Bounded by themselves: they must not crowd out the rest.
-		j.note(Breach{At: arrived, Rule: OneAnswer, Limiter: t.Limiter, Try: id, InTime: true, Due: t.Until,
-			Text: fmt.Sprintf("answered %v after the client gave up", arrived-t.Until)}, &j.late)
+	case arrived > t.Until+j.settings.Slack && !t.clientLeft:
+		// Late answers have a limit of their own so that they don't displace other breaches.
+		j.record(Breach{At: arrived, Rule: OneAnswer, Limiter: t.Limiter, Try: id, InTime: true, Due: t.Until,
+			Text: fmt.Sprintf("answered %v after the client gave up", arrived-t.Until)}, &j.keptLateAnswers)
 	}
-	t.answered, t.answerAt = true, now
-	class := j.set.Classes[t.Class]
+	t.answered, t.answeredAt = true, now
+	class := j.settings.Classes[t.Class]
 	switch a {
 	case Served:
 		if !t.served {
-			j.breach(now, OneAnswer, t.Limiter, id, "served with no answer of a box")
+			j.recordBreach(now, OneAnswer, t.Limiter, id, "served with no answer of a box")
 		}
 	case Foreign:
-		j.breach(now, OneAnswer, t.Limiter, id, "served with what no box made for it")
+		j.recordBreach(now, OneAnswer, t.Limiter, id, "served with what no box made for it")
 	case Refused:
-		if (t.mayRun || t.out > 0) && (class.Repeat == limiter.Unsafe || class.Repeat == limiter.Keyed && class.Group != limiter.GroupAll) {
-			j.breach(now, NothingTwice, t.Limiter, id, "refused as harmless to try again, but an attempt may have run")
+		if (t.mayHaveRun || t.openAttempts > 0) && (class.Repeat == limiter.Unsafe || class.Repeat == limiter.Keyed && class.Group != limiter.GroupAll) {
+			j.recordBreach(now, NothingTwice, t.Limiter, id, "refused as harmless to try again, but an attempt may have run")
 		}
 	}
 }
 
-// Left tells that a client went away by itself before its time was up: it is
-// owed nothing more.
+// Left records that a client disconnected before its deadline. No answer to it is required any
+// more.
 func (j *Judge) Left(now time.Duration, id uint64) {
-	j.clock(now)
+	j.advanceClock(now)
 	if t := j.tries[id]; t != nil && now < t.Until {
-		t.left = true
+		t.clientLeft = true
 	}
 }
 
-// Withdrawn tells that a try that was given as taken never came to a limiter.
+// Withdrawn cancels a Taken: the try did not reach a limiter.
 func (j *Judge) Withdrawn(id uint64) {
 	if t := j.tries[id]; t != nil {
-		t.left = true
+		t.clientLeft = true
 	}
 }
 
 // ---- Limiters ----
 
-// Killed tells that a limiter was killed: what it held is the clients' to retry.
+// Killed records that a limiter was killed. It owes no answer to its open tries; clients retry them.
 func (j *Judge) Killed(now time.Duration, limiter int) {
-	j.clock(now)
-	for _, t := range j.queue {
+	j.advanceClock(now)
+	for _, t := range j.pending {
 		if t.Limiter == limiter && !t.answered {
-			t.lost = true
+			t.limiterKilled = true
 		}
 	}
-	for k := range j.told {
+	for k := range j.stopTold {
 		if k[0] == limiter {
-			delete(j.told, k)
+			delete(j.stopTold, k)
 		}
 	}
 }
 
-// Told tells what a limiter has been told of a box: that it wants something new,
-// or drains or is gone.
+// Told records the state of a box that discovery reported to a limiter: wants is true if the box
+// accepts new requests, and false if it drains or is gone.
 func (j *Judge) Told(now time.Duration, limiter, box int, wants bool) {
-	j.clock(now)
+	j.advanceClock(now)
 	k := [2]int{limiter, box}
 	if wants {
-		delete(j.told, k)
-	} else if _, have := j.told[k]; !have {
-		j.told[k] = now
+		delete(j.stopTold, k)
+	} else if _, have := j.stopTold[k]; !have {
+		j.stopTold[k] = now
 	}
 }
 
-// spend takes a try's units from its account's ceiling.
-func (j *Judge) spend(now time.Duration, t *try) {
-	p := j.set.Plans[t.Plan]
+// chargeCeiling takes the units of a try from the ceiling of its account.
+func (j *Judge) chargeCeiling(now time.Duration, t *try) {
+	p := j.settings.Plans[t.Plan]
 	if p.CeilingRate <= 0 {
 		return
 	}
 	j.Seen[CeilingsKept]++
-	late := p.CeilingRate * 3 * j.set.Slack.Seconds()
-	widest, exactest := p.CeilingBurst*(1+j.set.CeilingSlack)+late, p.CeilingBurst+j.set.MostUnits+late
-	c := j.accounts[t.Account]
+	late := p.CeilingRate * 3 * j.settings.Slack.Seconds()
+	widest, exactest := p.CeilingBurst*(1+j.settings.CeilingSlack)+late, p.CeilingBurst+j.settings.MostUnits+late
+	c := j.ceilings[t.Account]
 	if c == nil {
-		c = &ceiling{at: now, wide: widest, exact: exactest}
-		j.accounts[t.Account] = c
+		c = &ceiling{updatedAt: now, shareBucket: widest, requestBucket: exactest}
+		j.ceilings[t.Account] = c
 	}
-	s := max(0, now-c.at).Seconds()
-	c.at = max(c.at, now)
-	c.wide = min(widest, c.wide+s*p.CeilingRate*(1+j.set.CeilingSlack)) - t.Units
-	c.exact = min(exactest, c.exact+s*p.CeilingRate) - t.Units
-	if c.wide < -1e-9 && c.exact < -1e-9 {
-		j.breach(now, CeilingsKept, t.Limiter, t.Try, "account %d is %.1f units over its ceiling", t.Account, -max(c.wide, c.exact))
-		c.wide, c.exact = max(c.wide, 0), max(c.exact, 0) // each unit over is told once
+	s := max(0, now-c.updatedAt).Seconds()
+	c.updatedAt = max(c.updatedAt, now)
+	c.shareBucket = min(widest, c.shareBucket+s*p.CeilingRate*(1+j.settings.CeilingSlack)) - t.Units
+	c.requestBucket = min(exactest, c.requestBucket+s*p.CeilingRate) - t.Units
+	if c.shareBucket < -1e-9 && c.requestBucket < -1e-9 {
+		j.recordBreach(now, CeilingsKept, t.Limiter, t.Try, "account %d is %.1f units over its ceiling", t.Account, -max(c.shareBucket, c.requestBucket))
+		c.shareBucket, c.requestBucket = max(c.shareBucket, 0), max(c.requestBucket, 0) // each excess unit is reported once
 	}
 }
 
-// Spent tells that units of an account were granted for something that no box here
-// sees: they count against its ceiling as if they had been sent on.
+// Spent records units that were granted for a request that no box of this fleet receives. They count
+// against the ceiling of the account like those of a forwarded request.
 func (j *Judge) Spent(now time.Duration, r Request) {
-	j.clock(now)
-	j.spend(now, &try{Request: r})
+	j.advanceClock(now)
+	j.chargeCeiling(now, &try{Request: r})
 }
 
-// clock forgets what is long over, and finds what was never answered.
-func (j *Judge) clock(now time.Duration) {
+// advanceClock removes old tries, after a check that they were answered, and idle ceilings.
+func (j *Judge) advanceClock(now time.Duration) {
 	j.now = max(j.now, now)
-	if j.now < j.swept+time.Second {
+	if j.now < j.sweptAt+time.Second {
 		return
 	}
-	j.swept = j.now
+	j.sweptAt = j.now
 	n := 0
-	for n < len(j.queue) && j.queue[n].takenAt < j.now-2*j.set.Longest-5*time.Second && j.queue[n].out <= 0 {
-		j.settle(j.queue[n])
-		delete(j.tries, j.queue[n].Try)
-		j.queue[n] = nil
+	for n < len(j.pending) && j.pending[n].takenAt < j.now-2*j.settings.Longest-5*time.Second && j.pending[n].openAttempts <= 0 {
+		j.checkAnswered(j.pending[n])
+		delete(j.tries, j.pending[n].Try)
+		j.pending[n] = nil
 		n++
 	}
-	j.queue = j.queue[n:]
-	for id, c := range j.accounts { // full again: a new record would be the same
-		if j.now-c.at > time.Minute {
-			delete(j.accounts, id)
+	j.pending = j.pending[n:]
+	for id, c := range j.ceilings { // the buckets are full again, as those of a new entry
+		if j.now-c.updatedAt > time.Minute {
+			delete(j.ceilings, id)
 		}
 	}
 }
 
-// settle checks at its end that a try got its answer.
-func (j *Judge) settle(t *try) {
-	if a := t.newest; a != nil && t.out > 1 && j.set.Order > 0 {
-		j.breach(a.at, NothingTwice, t.Limiter, t.Try, "two attempts out at once")
+// checkAnswered checks that a try whose time is over got its answer.
+func (j *Judge) checkAnswered(t *try) {
+	if a := t.newestAttempt; a != nil && t.openAttempts > 1 && j.settings.Order > 0 {
+		j.recordBreach(a.at, NothingTwice, t.Limiter, t.Try, "two attempts out at once")
 	}
-	if !t.answered && !t.lost && !t.left && j.now > t.Until+j.set.Slack {
-		j.breach(t.Until, OneAnswer, t.Limiter, t.Try, "no final answer while the client waited")
+	if !t.answered && !t.limiterKilled && !t.clientLeft && j.now > t.Until+j.settings.Slack {
+		j.recordBreach(t.Until, OneAnswer, t.Limiter, t.Try, "no final answer while the client waited")
 	}
 }
 
-// Close ends the run: all that was taken and whose time is up must have had its
-// answer.
+// Close ends the run and checks that every accepted try whose deadline has passed was answered.
 func (j *Judge) Close(now time.Duration) {
 	j.now = max(j.now, now)
-	for _, t := range j.queue {
-		j.settle(t)
+	for _, t := range j.pending {
+		j.checkAnswered(t)
 	}
-	j.queue = nil
+	j.pending = nil
 }
--- a/internal/judge/judge_test.go
+++ b/internal/judge/judge_test.go
@@ -16,7 +16,7 @@
 		CeilingSlack: 0.1, MostUnits: 4, Longest: 4 * time.Second, Slack: 8 * ms}
 }
 
-// step is something that a test tells the judge.
+// step reports one event to a judge.
 type step func(*Judge)
 
 func taken(at time.Duration, id uint64, class, plan int, units float64) step {
@@ -25,7 +25,7 @@
 	}
 }
 
-// sent is an attempt that comes whole to a box of a pod.
+// sent reports an attempt that arrives at a box of a pod.
 func sent(at time.Duration, attempt, id uint64, box, pod int) step {
 	return func(j *Judge) {
 		j.Begins(at, id, Box{ID: box, Pod: pod})
@@ -41,8 +41,8 @@
 	return func(j *Judge) { j.Answered(at, id, a) }
 }
 
-// carried is an answer by a driver in real time, which measured its own part: it wrote 400 ms before
-// what it told the limiter was over.
+// carried reports an answer with the times that a driver in real time measured. The driver wrote the
+// request 400 ms before the deadline that the request gave the limiter.
 func carried(at time.Duration, id uint64, due, arrived time.Duration) step {
 	const left = 400 * ms
 	return func(j *Judge) {
@@ -112,8 +112,8 @@
 	}
 }
 
-// A ceiling of 10 units a second and 20 at once takes 24 at once, one largest
-// request more than it gives, and no more than that after ten seconds of full use.
+// A ceiling of 10 units per second with a burst of 20 admits 24 at once, which is one largest request
+// above the burst, and the excess does not accumulate over ten seconds of full use.
 func TestCeiling(t *testing.T) {
 	j := New(settings())
 	id := uint64(0)
@@ -133,7 +133,7 @@
 	if j.Broken() > 0 {
 		t.Fatalf("within the slack: %v", j.Breaches)
 	}
-	spend(10*time.Second, 9) // the slack of a share gave 8 more
+	spend(10*time.Second, 9) // the tolerance of a share of the ceiling admits 8 more
 	if j.Count[CeilingsKept] != 1 {
 		t.Errorf("breaches %v", j.Breaches)
 	}
@@ -143,7 +143,7 @@
 	}
 }
 
-// A cold box that can do 0.5 s of work a second bears 2.25 s of it in 1.5 s.
+// A cold box with a capacity of 0.5 s of work per second may be sent 2.25 s of work in 1.5 s.
 func TestCold(t *testing.T) {
 	j := New(settings())
 	push := func(at, work time.Duration, cold bool) {
@@ -151,23 +151,23 @@
 	}
 	push(0, 2*time.Second, true)
 	push(1400*ms, 200*ms, true)
-	push(1600*ms, 2*time.Second, true) // the first is out of the window
+	push(1600*ms, 2*time.Second, true) // the first arrival is outside the window
 	if j.Count[ColdKept] != 0 {
 		t.Fatalf("breaches %v", j.Breaches)
 	}
 	push(1700*ms, 100*ms, true)
-	push(1701*ms, 100*ms, true) // the same fall
+	push(1701*ms, 100*ms, true) // part of the same overload
 	if j.Count[ColdKept] != 1 {
 		t.Errorf("breaches %v", j.Breaches)
 	}
-	push(1702*ms, 9*time.Second, false) // warm: no matter
+	push(1702*ms, 9*time.Second, false) // a warm box is not limited
 	j.Fell(1703*ms, 3)
 	if j.Count[ColdKept] != 2 {
 		t.Errorf("breaches %v", j.Breaches)
 	}
 }
 
-// What is over is forgotten: a long run does not grow.
+// Finished tries are removed, so that the memory of a long run stays bounded.
 func TestForgets(t *testing.T) {
 	j := New(settings())
 	for i := range 100_000 {
@@ -177,13 +177,13 @@
 		ended(at, id, WasServed)(j)
 		answered(at, id, Served)(j)
 	}
-	if len(j.tries) > 2000 || len(j.attempts) > 0 || len(j.accounts) > 10_000 || j.Broken() > 0 {
-		t.Errorf("%d tries, %d attempts, %d accounts kept; %v", len(j.tries), len(j.attempts), len(j.accounts), j.Breaches)
+	if len(j.tries) > 2000 || len(j.attempts) > 0 || len(j.ceilings) > 10_000 || j.Broken() > 0 {
+		t.Errorf("%d tries, %d attempts, %d accounts kept; %v", len(j.tries), len(j.attempts), len(j.ceilings), j.Breaches)
 	}
 }
 
-// Where the order in which things are told is not exact, an attempt whose end is
-// told a little after the next arrived is none too many; one that stays out is.
+// With an inexact order of reports, an attempt whose end is reported shortly after the arrival of the
+// next does not count as overlapping; one that stays in flight does.
 func TestOrder(t *testing.T) {
 	set := settings()
 	set.Order = 50 * ms
@@ -222,14 +222,14 @@
 	}
 }
 
-// What lies in the order of things is told with when the one came that had to be before the other, and goes by
-// when the first byte of an attempt came, not by when that is told.
+// A breach of order carries the time by which the event was due, and is judged by the time of an
+// attempt's first byte, not by the time of its report.
 func TestOutOfOrder(t *testing.T) {
 	set := settings()
 	set.Order = 50 * ms
 	const keyed = 1
 	window := set.Classes[keyed].Window
-	// A first attempt, and a second one of which the first byte came at a time and which is told later.
+	// twice makes a first attempt, and a second one whose first byte is sent at first and reported at told.
 	twice := func(class int, end, first, told time.Duration) []step {
 		return []step{taken(0, 1, class, 0, 1), sent(1*ms, 1, 1, 0, 0), ended(end, 1, MayHaveRun),
 			func(j *Judge) { j.Begins(first, 1, Box{ID: 1}) },
@@ -266,7 +266,7 @@
 	}
 }
 
-// Many late answers do not crowd out one that never came.
+// Many late answers do not displace the breach of a try that was never answered.
 func TestLateAnswersCrowdNothingOut(t *testing.T) {
 	j := New(settings())
 	for id := range uint64(500) {
@@ -283,7 +283,7 @@
 			never++
 		}
 	}
-	if j.Count[OneAnswer] != 501 || late != keptBreaches || never != 1 {
+	if j.Count[OneAnswer] != 501 || late != maxKeptBreaches || never != 1 {
 		t.Errorf("%d counted, %d late and %d never answered are kept", j.Count[OneAnswer], late, never)
 	}
 }
