--- a/internal/world/actions.go
+++ b/internal/world/actions.go
@@ -4,57 +4,57 @@
 	"time"
 )
 
-// AnswerKind is what a client got for a try.
+// AnswerKind is the kind of answer that a client received for a try.
 type AnswerKind int
 
-// What a client may get.
+// Kinds of answers to a try.
 const (
 	GotServed AnswerKind = iota
 	GotRefused
 	GotFailed
-	GotBroken // the connection ended without an answer, or could not be made
+	GotBroken // the connection closed without an answer, or could not be opened
 )
 
-// Wire is what becomes of an answer on its way.
+// Wire is how the network damages a response of a box on its way to the limiter.
 type Wire int
 
-// What may become of an answer.
+// Ways in which a response arrives.
 const (
 	Clean   Wire = iota
-	Garbled      // it can't be read
-	Halved       // it ends in the middle, and the connection with it
-	Stalled      // it begins and does not go on
-	Cut          // the connection is reset in its place
+	Garbled      // it can't be parsed
+	Halved       // it ends in the middle as the connection closes
+	Stalled      // it starts and never completes
+	Cut          // the connection is reset instead
 )
 
-// Health is what discovery says of a box.
+// Health is the state of a box that discovery reports.
 type Health int
 
-// What discovery may say.
+// States of a box in discovery.
 const (
 	Ready Health = iota
 	ToDrain
 	Gone
 )
 
-// Entry is one entry of discovery's list.
+// Entry is one box in the list that discovery sends to limiters.
 type Entry struct {
-	Box    int // in World.Boxes; the name that limiters know goes with it
-	Addr   int // its address: another box may stand there by now
+	Box    int // index in World.Boxes; limiters know the box by its name
+	Addr   int // its address, which a replacement may use by now
 	Health Health
-	Born   time.Duration // when it last started; below 0: long ago
+	Born   time.Duration // last start; negative if before the simulation
 }
 
-// Action is something that the driver is to carry out now.
+// Action is something that the driver must carry out immediately.
 type Action interface{ action() }
 
-// The actions.
+// Kinds of actions.
 type (
-	// ClientSends has a try sent to its limiter.
+	// ClientSends sends a try to its limiter.
 	ClientSends struct{ Try *Try }
-	// ClientLeaves ends a client's waiting for a try.
+	// ClientLeaves is a client that gives up a try at its deadline and disconnects.
 	ClientLeaves struct{ Try *Try }
-	// BoxAnswers is the answer to a job, and what the wire makes of it.
+	// BoxAnswers is the response of a box to a job, and the fault of the network that affects it.
 	BoxAnswers struct {
 		Box     int
 		Done    Done
@@ -62,37 +62,36 @@
 		HasLoad bool
 		Wire    Wire
 	}
-	// BoxStarts is a process that is there from now on, at its address.
+	// BoxStarts is a box whose process now accepts connections at its address.
 	BoxStarts struct{ Box int }
-	// BoxResets ends connections: those of all these jobs, and all idle ones of
-	// the box. A silent one says nothing to anybody: the jobs are lost and the
-	// connections stay open without a word.
+	// BoxResets closes the connections of the given jobs and all idle connections of the box. If
+	// Silent, the jobs are lost but no connection is closed, as when a machine loses power.
 	BoxResets struct {
 		Box    int
 		Jobs   []uint64
 		Silent bool
 	}
-	// BoxFalls is a cold box that was sent too much. BoxResets comes with it.
+	// BoxFalls is a cold box that crashed from overload. A BoxResets follows.
 	BoxFalls struct{ Box int }
-	// Listed is news from discovery for a limiter.
+	// Listed is an update of discovery's list for one limiter.
 	Listed struct {
 		Limiter int
 		Whole   bool
 		Entries []Entry
 	}
-	// PeerHears brings a message to a limiter.
+	// PeerHears delivers a message of another limiter.
 	PeerHears struct {
 		To, From int
 		Data     []byte
 	}
-	// KillLimiter ends a limiter at once, StopLimiter in good order, and
-	// StartLimiter starts it anew.
+	// KillLimiter kills a limiter, StopLimiter shuts it down gracefully, and
+	// StartLimiter starts it again.
 	KillLimiter  struct{ Limiter int }
 	StopLimiter  struct{ Limiter int }
 	StartLimiter struct{ Limiter int }
-	// Due brings back what the driver put on with After.
+	// Due returns the value that the driver scheduled with After.
 	Due struct{ What any }
-	// Happened is a fault that begins or ends, or a box that fell over.
+	// Happened describes a fault that begins or ends, or a box that crashed from overload.
 	Happened struct{ Text string }
 )
 
--- a/internal/world/agenda.go
+++ b/internal/world/agenda.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// event is something that is to happen in the world.
+// event is a scheduled state change of the world.
 type event struct {
-	at   time.Duration
-	seq  uint64 // of two at the same time the one put on first comes first
-	kind eventKind
-	i    int
-	gen  uint32
-	p    any
+	at         time.Duration
+	seq        uint64 // insertion order, for events at the same time
+	kind       eventKind
+	index      int
+	generation uint32
+	payload    any
 }
 
 type eventKind uint8
 
 const (
 	evArrival eventKind = iota
-	evTry               // a client's next try
+	evRetry             // a client retries
 	evGiveUp
 	evBox
-	evList
-	evPeer
+	evDiscoveryNews
+	evPeerMessage
 	evFault
 	evFaultEnds
-	evStart // a box that was replaced or restarted comes up
-	evDue
+	evBoxStart // a replaced or restarted box is up
+	evCallback
 	evSample
 )
 
-// agenda is a heap of events by time, each node with four children: a third
-// fewer moves than with two.
-type agenda struct {
+// eventQueue is a priority queue of events by time: a heap with four children per node, which needs a
+// third fewer moves than a binary heap.
+type eventQueue struct {
 	heap []event
 	seq  uint64
 }
 
 func (a *event) before(b *event) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
-func (a *agenda) add(e event) {
+func (a *eventQueue) add(e event) {
 	a.seq++
 	e.seq = a.seq
 	a.heap = append(a.heap, e)
@@ -53,8 +53,8 @@
 	a.heap[i] = e
 }
 
-// pop takes the first event off; there must be one.
-func (a *agenda) pop() event {
+// pop removes and returns the earliest event. The queue must not be empty.
+func (a *eventQueue) pop() event {
 	first := a.heap[0]
 	n := len(a.heap) - 1
 	last := a.heap[n]
--- a/internal/world/box.go
+++ b/internal/world/box.go
@@ -8,167 +8,166 @@
 	"example.org/madderdrum/internal/fleet"
 )
 
-// Condition is what state a box's process and machine are in.
+// Condition is the state of a box's process and machine.
 type Condition int
 
-// The conditions of a box.
+// States of a box.
 const (
 	Running  Condition = iota
-	Draining           // finishes what it has, turns away what is new
-	Hung               // accepts and says nothing; its work stands still
-	Dead               // the process is gone: connects are refused
-	Vanished           // the machine is gone: connects are never answered
-	Fallen             // pushed over while it was cold: as Dead, and stays so
+	Draining           // finishes its jobs and rejects new requests
+	Hung               // accepts connections but makes no progress and sends nothing
+	Dead               // the process has ended: connects are refused
+	Vanished           // the machine is unreachable: connects time out
+	Fallen             // crashed from overload while cold: as Dead, without a restart
 )
 
 var conditionNames = [...]string{"running", "draining", "hung", "dead", "vanished", "fallen"}
 
 func (c Condition) String() string { return conditionNames[c] }
 
-// Job is a request that has come whole to a box.
+// Job is a request that a box has completely received.
 type Job struct {
-	ID      uint64        // the driver's name for the attempt
-	Work    time.Duration // on one core at speed 1
-	Key     uint64        // of a keyed request; 0: none
-	Window  time.Duration // how long the pod drops repeats of the key
-	Expires time.Duration // the limiter stops waiting; 0: never
+	ID      uint64        // the attempt's id, assigned by the driver
+	Work    time.Duration // CPU time on one core at speed 1
+	Key     uint64        // idempotency key; 0: none
+	Window  time.Duration // how long the pod deduplicates the key
+	Expires time.Duration // when the limiter stops waiting; 0: never
 }
 
-// Result is how a job ended.
+// Result is the outcome of a job.
 type Result int
 
-// The results of jobs.
+// Outcomes of a job.
 const (
 	Served     Result = iota
-	Failed            // ran, and answered with an error
-	TurnedAway        // never ran
+	Failed            // executed, and answered with an error
+	TurnedAway        // rejected without execution
 )
 
-// Done is a job that has its answer.
+// Done is a job whose response is ready.
 type Done struct {
 	ID     uint64
 	Result Result
-	Ran    bool // it ran here, and was not a dropped repeat
+	Ran    bool // it was executed here, and not dropped as a duplicate
 }
 
-// Load is a box's report of its load.
+// Load is the load that a box reports with its responses.
 type Load struct{ InFlight, Queue float64 }
 
-// Connect is what comes of a connect to a box.
+// Connect is the outcome of opening a connection to a box.
 type Connect int
 
-// What comes of a connect.
+// Outcomes of a connect.
 const (
 	Accepted Connect = iota
 	Refused
 	Silent
 )
 
-// fallSlices is in how many parts the time over which a cold box is watched
-// for being pushed over is kept.
-const fallSlices = 30
+// coldWorkSlices is the number of slices of the sliding window (FallFor) over which the work sent to a
+// cold box is summed.
+const coldWorkSlices = 30
 
-// Box is one sender box: cores that the running jobs share equally, slots, a
-// waiting room, and a memory of keys that it shares with its pod. A job's rate
-// falls with what the box holds (thrashing), with its own and the shared
-// slowdown, and while it is cold.
+// Box models one upstream server: cores that the running jobs share equally, a limited number of slots,
+// a bounded queue, and a set of idempotency keys that it shares with its pod. A job runs slower as
+// the box holds more jobs (thrashing), under its own and the shared slowdown, and while it is cold.
 //
-// A Box does no I/O and reads no clock: every call has the time, which never
-// goes back. The caller calls Advance when Next says so, and before any other
-// call at a later time. It is not safe for concurrent use.
+// A Box does no I/O and reads no clock: each call passes the time, which never decreases. The caller
+// calls Advance at the time that Next returns, and before any other call at a later time. A Box is
+// not safe for concurrent use.
 type Box struct {
 	Spec fleet.Box
 	Name string
 
-	rng       *rand.Rand
-	rules     fleet.Rules
-	pod       *pod
-	condition Condition
-	born      time.Duration // when it last started; below 0: long ago
-	answered  int           // requests since then
-	slow      float64       // factor on the time of all work
-	shared    *float64      // the same, of the dependency that all boxes share
-	errors    float64       // share of requests that fail
-	spoils    Wire          // what becomes of some answers on their way ...
-	spoilt    float64       // ... of so many
-
-	at      time.Duration
-	done    float64 // core time that each running job has had, in ns of work
-	debt    float64 // work of handshakes, done before any job's
-	running []runningJob
-	waiting []Job // first come, first served
-	ended   []Done
-	conns   int
-
-	sliceAt time.Duration
-	slices  [fallSlices]float64 // work that came while cold, in ns
-	slice   int
-
-	report   Load
-	reportAt time.Duration // when it was measured
-	older    Load          // the report before, told until the newer one is Delay old
-
-	// What it has done since it was made, for charts.
+	rng                *rand.Rand
+	rules              fleet.Rules
+	pod                *pod
+	condition          Condition
+	startedAt          time.Duration // last start; negative if before the simulation
+	answeredSinceStart int           // requests answered since the last start
+	slowdown           float64       // factor on the duration of all work
+	sharedSlowdown     *float64      // factor of the dependency that all boxes share
+	errorRate          float64       // share of requests that fail
+	responseFault      Wire          // network fault of some of its responses
+	responseFaultShare float64       // share of responses with that fault
+
+	advancedTo    time.Duration
+	workPerJob    float64 // cumulative work done for each running job, in ns
+	handshakeDebt float64 // outstanding work for handshakes, done before that of jobs
+	running       []runningJob
+	waiting       []Job // in order of arrival
+	finished      []Done
+	connections   int
+
+	sliceStart time.Duration
+	coldWork   [coldWorkSlices]float64 // work that arrived while cold, in ns per slice
+	sliceIndex int
+
+	latestReport   Load
+	measuredAt     time.Duration // time of latestReport
+	previousReport Load          // reported until latestReport is Delay old
+
+	// Counts covers the time since the box was created; charts show it.
 	Counts Counts
 }
 
-// Counts are sums since the box was made.
+// Counts holds totals of a box since its creation.
 type Counts struct {
 	Arrived, Ran, Failed, TurnedAway, Repeats, Lost, Connects int
-	Work                                                      time.Duration // done on its cores
+	Work                                                      time.Duration // CPU time used, at speed 1
 }
 
 type runningJob struct {
-	job Job
-	end float64 // it is done when Box.done comes to this
-	bad bool
+	job        Job
+	doneAtWork float64 // the job is done when Box.workPerJob reaches this value
+	willFail   bool
 }
 
-// pod is the memory of keys of boxes that drop each other's repeats.
+// pod holds the idempotency keys that its boxes deduplicate together.
 type pod struct {
-	until map[uint64]time.Duration
-	sweep time.Duration
+	keyExpiry map[uint64]time.Duration
+	sweptAt   time.Duration
 }
 
 func newBox(spec fleet.Box, rules fleet.Rules, p *pod, shared *float64, rng *rand.Rand) *Box {
-	return &Box{Spec: spec, Name: spec.Name, rng: rng, rules: rules, pod: p, born: -1, slow: 1, shared: shared,
-		errors: spec.ErrorRate}
+	return &Box{Spec: spec, Name: spec.Name, rng: rng, rules: rules, pod: p, startedAt: -1, slowdown: 1, sharedSlowdown: shared,
+		errorRate: spec.ErrorRate}
 }
 
-// Condition is the box's condition.
+// Condition returns the current state of the box.
 func (b *Box) Condition() Condition { return b.condition }
 
-// Held is the number of jobs running and waiting.
+// Held returns the number of running and waiting jobs.
 func (b *Box) Held() int { return len(b.running) + len(b.waiting) }
 
-// Born is when the box last started; ok is false if that was long ago.
-func (b *Box) Born() (at time.Duration, ok bool) { return b.born, b.born >= 0 }
+// Born returns the time of the last start; ok is false if the box started before the simulation.
+func (b *Box) Born() (at time.Duration, ok bool) { return b.startedAt, b.startedAt >= 0 }
 
-// Warmth is the share of its capacity that the box has by now.
+// Warmth returns the share of its full capacity that the box has reached during warm-up.
 func (b *Box) Warmth(now time.Duration) float64 {
-	if b.born < 0 || b.Spec.ColdFor <= 0 {
+	if b.startedAt < 0 || b.Spec.ColdFor <= 0 {
 		return 1
 	}
-	share := float64(now-b.born) / float64(b.Spec.ColdFor)
+	share := float64(now-b.startedAt) / float64(b.Spec.ColdFor)
 	if b.Spec.WarmAfter > 0 {
-		share = max(share, float64(b.answered)/float64(b.Spec.WarmAfter))
+		share = max(share, float64(b.answeredSinceStart)/float64(b.Spec.WarmAfter))
 	}
 	return min(1, b.Spec.ColdFrom+(1-b.Spec.ColdFrom)*share)
 }
 
-// Capacity is the work that the box can do by now, in seconds a second, with
-// all its cores busy and nothing in excess.
+// Capacity returns the current throughput in seconds of work per second, with all cores busy and
+// without thrashing.
 func (b *Box) Capacity(now time.Duration) float64 {
-	return b.Spec.Cores * b.Spec.Speed * b.Warmth(now) / (b.slow * *b.shared)
+	return b.Spec.Cores * b.Spec.Speed * b.Warmth(now) / (b.slowdown * *b.sharedSlowdown)
 }
 
-// rates are the speed of all cores together and that of one job.
+// rates returns the current speed of all cores together and of one job.
 func (b *Box) rates(now time.Duration) (all, each float64) {
-	if b.condition == Hung || len(b.running) == 0 && b.debt <= 0 {
+	if b.condition == Hung || len(b.running) == 0 && b.handshakeDebt <= 0 {
 		return 0, 0
 	}
 	excess := max(0, float64(b.Held())/b.Spec.Cores-b.Spec.ThrashAt)
-	one := b.Spec.Speed * b.Warmth(now) / (b.slow * *b.shared * (1 + b.Spec.Thrash*excess))
+	one := b.Spec.Speed * b.Warmth(now) / (b.slowdown * *b.sharedSlowdown * (1 + b.Spec.Thrash*excess))
 	all = one * b.Spec.Cores
 	if len(b.running) > 0 {
 		each = min(one, all/float64(len(b.running)))
@@ -176,161 +175,160 @@
 	return all, each
 }
 
-// forward does the work of the time up to now, with no end of a job in between.
-func (b *Box) forward(now time.Duration) {
-	all, each := b.rates(b.at) // warmth changes little between two events
-	dt := float64(now - b.at)
-	b.at = now
+// applyWork applies the work done until now; no job may end in between.
+func (b *Box) applyWork(now time.Duration) {
+	all, each := b.rates(b.advancedTo) // warm-up is negligible between two events
+	dt := float64(now - b.advancedTo)
+	b.advancedTo = now
 	if all <= 0 || dt <= 0 {
 		return
 	}
-	if b.debt > 0 {
-		paid := min(b.debt, all*dt)
-		b.debt -= paid
+	if b.handshakeDebt > 0 {
+		paid := min(b.handshakeDebt, all*dt)
+		b.handshakeDebt -= paid
 		dt -= paid / all
 	}
-	b.done += each * dt
+	b.workPerJob += each * dt
 	b.Counts.Work += time.Duration(each * dt * float64(len(b.running)))
 }
 
-// Next is when Advance has something to do; ok is false if never.
+// Next returns the time at which the next job ends; ok is false if none does.
 func (b *Box) Next() (at time.Duration, ok bool) {
 	if len(b.running) == 0 {
 		return 0, false
 	}
-	all, each := b.rates(b.at)
+	all, each := b.rates(b.advancedTo)
 	if each <= 0 {
 		return 0, false
 	}
 	first := math.Inf(1)
 	for i := range b.running {
-		first = min(first, b.running[i].end)
+		first = min(first, b.running[i].doneAtWork)
 	}
-	return b.at + time.Duration(math.Ceil(b.debt/all+max(0, first-b.done)/each)), true
+	return b.advancedTo + time.Duration(math.Ceil(b.handshakeDebt/all+max(0, first-b.workPerJob)/each)), true
 }
 
-// Advance brings the box to now and returns the jobs that were done, valid
-// until the next call.
+// Advance simulates the box until now and returns the jobs that ended. The slice is valid until the
+// next call.
 func (b *Box) Advance(now time.Duration) []Done {
-	b.ended = b.ended[:0]
+	b.finished = b.finished[:0]
 	for {
 		next, ok := b.Next()
 		if !ok || next > now {
 			break
 		}
-		b.forward(next)
+		b.applyWork(next)
 		kept := b.running[:0]
 		for _, r := range b.running {
-			if r.end > b.done+1 { // a nanosecond of work: rounding
+			if r.doneAtWork > b.workPerJob+1 { // 1 ns of tolerance for rounding
 				kept = append(kept, r)
 				continue
 			}
 			result := Served
-			if r.bad {
+			if r.willFail {
 				result = Failed
 				b.Counts.Failed++
 			}
-			b.answered++
-			b.ended = append(b.ended, Done{ID: r.job.ID, Result: result, Ran: true})
+			b.answeredSinceStart++
+			b.finished = append(b.finished, Done{ID: r.job.ID, Result: result, Ran: true})
 		}
 		b.running = kept
-		b.fill(next)
+		b.startWaiting(next)
 	}
-	b.forward(now)
-	return b.ended
+	b.applyWork(now)
+	return b.finished
 }
 
-// fill starts waiting jobs while slots are free. A job whose time is up by
-// then is turned away.
-func (b *Box) fill(now time.Duration) {
+// startWaiting starts waiting jobs while slots are free. It rejects jobs that have expired.
+func (b *Box) startWaiting(now time.Duration) {
 	for len(b.waiting) > 0 && len(b.running) < b.Spec.Slots {
 		j := b.waiting[0]
 		b.waiting = b.waiting[1:]
 		if j.Expires > 0 && now >= j.Expires {
 			b.Counts.TurnedAway++
-			b.ended = append(b.ended, Done{ID: j.ID, Result: TurnedAway})
+			b.finished = append(b.finished, Done{ID: j.ID, Result: TurnedAway})
 			continue
 		}
-		b.begin(now, j)
+		b.startJob(now, j)
 	}
 	if len(b.waiting) == 0 {
-		b.waiting = nil // the room of those that have left
+		b.waiting = nil // release the memory of started jobs
 	}
 }
 
-func (b *Box) begin(now time.Duration, j Job) {
-	if j.Key != 0 && b.pod.seen(now, j) {
+func (b *Box) startJob(now time.Duration, j Job) {
+	if j.Key != 0 && b.pod.isRepeat(now, j) {
 		b.Counts.Repeats++
-		b.ended = append(b.ended, Done{ID: j.ID, Result: Served})
+		b.finished = append(b.finished, Done{ID: j.ID, Result: Served})
 		return
 	}
 	b.Counts.Ran++
-	b.running = append(b.running, runningJob{job: j, end: b.done + max(1, float64(j.Work)), bad: b.rng.Float64() < b.errors})
+	b.running = append(b.running, runningJob{job: j, doneAtWork: b.workPerJob + max(1, float64(j.Work)), willFail: b.rng.Float64() < b.errorRate})
 }
 
-// Open is a new connection. The driver counts it back with Close.
+// Open opens a connection, if the box accepts one. The driver releases it with Close.
 func (b *Box) Open(now time.Duration) Connect {
 	switch {
 	case b.condition == Dead || b.condition == Fallen:
 		return Refused
 	case b.condition == Vanished:
 		return Silent
-	case b.conns >= b.Spec.Connections:
+	case b.connections >= b.Spec.Connections:
 		return Refused
 	}
-	b.conns++
+	b.connections++
 	b.Counts.Connects++
-	b.debt += float64(b.Spec.Handshake)
+	b.handshakeDebt += float64(b.Spec.Handshake)
 	return Accepted
 }
 
-// Close counts a connection back that Open accepted.
-func (b *Box) Close() { b.conns = max(0, b.conns-1) }
+// Close releases a connection that Open accepted.
+func (b *Box) Close() { b.connections = max(0, b.connections-1) }
 
-// Arrive takes in a request that has come whole. What it returns was ended by
-// this, and may hold the job itself; valid until the next call. A box that is
-// gone takes nothing in and the caller must not ask.
+// Arrive adds a completely received request. It returns the jobs that end thereby, possibly j itself,
+// in a slice valid until the next call. It must not be called for a box that is dead, fallen or
+// vanished.
 func (b *Box) Arrive(now time.Duration, j Job) []Done {
-	b.ended = b.ended[:0]
+	b.finished = b.finished[:0]
 	b.Counts.Arrived++
 	if b.condition == Draining || len(b.running) >= b.Spec.Slots && len(b.waiting) >= b.Spec.Queue {
 		b.Counts.TurnedAway++
-		b.ended = append(b.ended, Done{ID: j.ID, Result: TurnedAway})
-		return b.ended
+		b.finished = append(b.finished, Done{ID: j.ID, Result: TurnedAway})
+		return b.finished
 	}
 	b.waiting = append(b.waiting, j)
 	if b.condition != Hung {
-		b.fill(now)
+		b.startWaiting(now)
 	}
-	return b.ended
+	return b.finished
 }
 
-// Pushed notes work sent to the box and tells whether it falls over by it: in
-// the last FallFor it was sent more than FallFactor times what it can do now.
-// Warm boxes don't fall.
+// Pushed records work sent to the box and reports whether the box crashes from it. A cold box crashes
+// when the work of the last FallFor exceeds FallFactor times its current capacity; a warm box never
+// does.
 func (b *Box) Pushed(now, work time.Duration) bool {
 	if b.Warmth(now) >= 1 {
 		return false
 	}
-	each := b.rules.FallFor / fallSlices
-	for gone := int((now - b.sliceAt) / max(1, each)); gone > 0; gone-- {
-		if b.slice = (b.slice + 1) % fallSlices; gone > 2*fallSlices {
-			gone = 2 * fallSlices // all are cleared
+	each := b.rules.FallFor / coldWorkSlices
+	for gone := int((now - b.sliceStart) / max(1, each)); gone > 0; gone-- {
+		if b.sliceIndex = (b.sliceIndex + 1) % coldWorkSlices; gone > 2*coldWorkSlices {
+			gone = 2 * coldWorkSlices // enough to clear every slice
 		}
-		b.slices[b.slice] = 0
-		b.sliceAt += each
+		b.coldWork[b.sliceIndex] = 0
+		b.sliceStart += each
 	}
-	b.sliceAt = max(b.sliceAt, now-each)
-	b.slices[b.slice] += float64(work)
+	b.sliceStart = max(b.sliceStart, now-each)
+	b.coldWork[b.sliceIndex] += float64(work)
 	sum := 0.0
-	for _, s := range b.slices {
+	for _, s := range b.coldWork {
 		sum += s
 	}
 	return sum > b.rules.FallFactor*b.Capacity(now)*float64(b.rules.FallFor)
 }
 
-// Set changes the condition. It returns the ids of the jobs that are lost with
-// it. From Dead, Vanished or Fallen a box comes back by Start alone.
+// Set changes the state and returns the ids of the jobs lost by that. Only Start leaves the states
+// Dead, Vanished and Fallen.
 func (b *Box) Set(c Condition) (lost []uint64) {
 	b.condition = c
 	if c != Dead && c != Vanished && c != Fallen {
@@ -343,71 +341,71 @@
 		lost = append(lost, j.ID)
 	}
 	b.Counts.Lost += len(lost)
-	b.running, b.waiting, b.conns, b.debt = b.running[:0], nil, 0, 0
+	b.running, b.waiting, b.connections, b.handshakeDebt = b.running[:0], nil, 0, 0
 	return lost
 }
 
-// Resume ends a hang or a drain. What it returns was ended by this.
+// Resume ends a hang or a drain and returns the jobs that end thereby.
 func (b *Box) Resume(now time.Duration) []Done {
-	b.ended = b.ended[:0]
+	b.finished = b.finished[:0]
 	b.condition = Running
-	b.fill(now)
-	return b.ended
+	b.startWaiting(now)
+	return b.finished
 }
 
-// Start starts the box's process anew, cold or as if it had never been away.
+// Start restarts the process of the box, either cold or already warm.
 func (b *Box) Start(now time.Duration, cold bool) {
 	b.Set(Dead)
-	b.condition, b.answered, b.slices = Running, 0, [fallSlices]float64{}
-	b.born, b.sliceAt, b.at = -1, now, now
+	b.condition, b.answeredSinceStart, b.coldWork = Running, 0, [coldWorkSlices]float64{}
+	b.startedAt, b.sliceStart, b.advancedTo = -1, now, now
 	if cold {
-		b.born = now
+		b.startedAt = now
 	}
-	b.report, b.older = Load{}, Load{}
+	b.latestReport, b.previousReport = Load{}, Load{}
 }
 
-// Slow sets by which factor all work takes longer; 1 is as usual.
-func (b *Box) Slow(factor float64) { b.slow = factor }
+// Slow sets the factor on the duration of all work; 1 is normal speed.
+func (b *Box) Slow(factor float64) { b.slowdown = factor }
 
-// Fail sets the share of requests that fail; below 0: as on an ordinary day.
+// Fail sets the share of requests that fail; a negative share restores the configured ErrorRate.
 func (b *Box) Fail(share float64) {
 	if share < 0 {
 		share = b.Spec.ErrorRate
 	}
-	b.errors = share
+	b.errorRate = share
 }
 
-// Report is the load that an answer tells by now: measured now and then, told
-// late and with noise.
+// Report returns the load that a response carries at this time. It is measured periodically, with noise,
+// and published after a delay.
 func (b *Box) Report(now time.Duration) (l Load, ok bool) {
 	r := b.Spec.Report
 	if r.Every <= 0 {
 		return l, false
 	}
-	if now >= b.reportAt+r.Every {
-		b.older = b.report
+	if now >= b.measuredAt+r.Every {
+		b.previousReport = b.latestReport
 		noise := func(x int) float64 { return max(0, math.Round(float64(x)*(1+r.Noise*b.rng.NormFloat64()))) }
-		b.report, b.reportAt = Load{noise(b.Held()), noise(len(b.waiting))}, now
+		b.latestReport, b.measuredAt = Load{noise(b.Held()), noise(len(b.waiting))}, now
 	}
-	if now < b.reportAt+r.Delay {
-		return b.older, true
+	if now < b.measuredAt+r.Delay {
+		return b.previousReport, true
 	}
-	return b.report, true
+	return b.latestReport, true
 }
 
-// seen notes a key and tells whether the pod has it and drops this repeat.
-func (p *pod) seen(now time.Duration, j Job) bool {
-	if until, ok := p.until[j.Key]; ok && now < until {
+// isRepeat reports whether the pod has seen the key of j within its window, and stores it if not.
+func (p *pod) isRepeat(now time.Duration, j Job) bool {
+	if until, ok := p.keyExpiry[j.Key]; ok && now < until {
 		return true
 	}
-	if now > p.sweep+time.Second { // what is over is forgotten, at a bounded cost for each key
-		p.sweep = now
-		for key, until := range p.until {
+	if now > p.sweptAt+time.Second { // remove expired keys, at most once per second
+		p.sweptAt = now
+		for key, until := range p.keyExpiry {
 			if now >= until {
-				delete(p.until, key)
+				delete(p.keyExpiry, key)
 			}
 		}
 	}
-	p.until[j.Key] = now + j.Window
+	p.keyExpiry[j.Key] = now + j.Window
 	return false
 }
--- a/internal/world/clients.go
+++ b/internal/world/clients.go
@@ -11,8 +11,7 @@
 	"example.org/madderdrum/limiter"
 )
 
-// mix scatters a number over all bits (the finaliser of SplitMix64, Steele,
-// Lea and Flood, OOPSLA 2014).
+// mix is a 64-bit hash: the finalizer of SplitMix64 (Steele, Lea and Flood, OOPSLA 2014).
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -20,36 +19,36 @@
 	return x ^ x>>31
 }
 
-// unit is a number from 0 to 1 by a hash.
-func unit(h uint64) float64 { return float64(h>>11) / (1 << 53) }
+// unitInterval maps a hash to a number from 0 to 1.
+func unitInterval(h uint64) float64 { return float64(h>>11) / (1 << 53) }
 
-// Entrance tells through which limiters an account comes: spread in a row from
-// first on.
+// Entrance returns the limiters that receive the requests of an account: spread consecutive ones,
+// starting at first.
 func (w *World) Entrance(account uint64) (spread, first int) {
 	n, h := len(w.limiters), mix(account^0x5e7)
 	least := w.Fleet.Traffic.SpreadMin
-	spread = int(math.Ceil((least + (1-least)*unit(h)) * float64(n)))
+	spread = int(math.Ceil((least + (1-least)*unitInterval(h)) * float64(n)))
 	return min(n, max(1, spread)), int(mix(h) % uint64(n))
 }
 
-// Pick is the limiter that the front would send an account's request to now.
-func (w *World) Pick(account uint64) int { return w.pick(account) }
+// Pick returns the limiter to which the front sends a request of an account at this time.
+func (w *World) Pick(account uint64) int { return w.pickLimiter(account) }
 
-// pick is the limiter that the front sends an account's next request to. Which
-// of its limiters are its busiest changes every Shift, and abruptly by faults.
-func (w *World) pick(account uint64) int {
+// pickLimiter returns the limiter for the next request of an account. The ranking of an account's
+// limiters by load changes every Shift, and abruptly by the fault "accounts shift".
+func (w *World) pickLimiter(account uint64) int {
 	spread, first := w.Entrance(account)
 	h := mix(account ^ 0xf207)
-	epoch := uint64((w.now + time.Duration(unit(h)*float64(w.Fleet.Traffic.Shift))) / w.Fleet.Traffic.Shift)
+	epoch := uint64((w.now + time.Duration(unitInterval(h)*float64(w.Fleet.Traffic.Shift))) / w.Fleet.Traffic.Shift)
 	turn := mix(h + epoch)
-	for _, s := range w.salts {
-		if unit(mix(h^s.salt)) < s.share {
+	for _, s := range w.shifts {
+		if unitInterval(mix(h^s.salt)) < s.share {
 			turn = mix(turn + s.salt)
 		}
 	}
-	u := w.rng.Float64() * w.cum[spread-1]
-	rank := min(spread-1, sort.SearchFloat64s(w.cum[:spread], u))
-	for k := range spread { // past those that the front knows to be gone
+	u := w.rng.Float64() * w.rankWeights[spread-1]
+	rank := min(spread-1, sort.SearchFloat64s(w.rankWeights[:spread], u))
+	for k := range spread { // skips limiters that the front knows to be down
 		i := (first + (rank+k+int(turn%uint64(spread)))%spread) % len(w.limiters)
 		if l := &w.limiters[i]; l.alive || w.now < l.diedAt+w.Fleet.Network.FrontNotice {
 			return i
@@ -58,99 +57,99 @@
 	return first
 }
 
-// arrive begins a client's request.
-func (w *World) arrive(a Arrival) {
-	w.ids++
-	c := &Call{Request: service.Request{Account: a.Account, Class: a.Class, Plan: a.Plan, Units: a.Units}, ID: w.ids,
-		Work: a.Work, Deadline: w.now + w.Fleet.Classes[a.Class].Deadline, heeds: w.rng.Float64() < w.Fleet.Traffic.Heed}
-	if w.way != nil {
-		c.Way = w.way(c.ID)
+// startCall starts the request of a client.
+func (w *World) startCall(a Arrival) {
+	w.lastID++
+	c := &Call{Request: service.Request{Account: a.Account, Class: a.Class, Plan: a.Plan, Units: a.Units}, ID: w.lastID,
+		Work: a.Work, Deadline: w.now + w.Fleet.Classes[a.Class].Deadline, followsRetryAfter: w.rng.Float64() < w.Fleet.Traffic.Heed}
+	if w.wayOf != nil {
+		c.Way = w.wayOf(c.ID)
 	}
 	w.Meter.Asked(w.now, &c.Request)
-	w.open++
-	w.try(c)
+	w.openCalls++
+	w.sendTry(c)
 }
 
-// try sends a call to a limiter, for the first time or again.
-func (w *World) try(c *Call) {
-	w.ids++
-	t := &Try{ID: w.ids, Call: c, Limiter: w.pick(c.Account), SentAt: w.now, Retry: c.tries > 0}
+// sendTry sends a call to a limiter, as first try or as retry.
+func (w *World) sendTry(c *Call) {
+	w.lastID++
+	t := &Try{ID: w.lastID, Call: c, Limiter: w.pickLimiter(c.Account), SentAt: w.now, Retry: c.tries > 0}
 	share := w.Fleet.Traffic.TryShare
-	share += (1 - share) * unit(mix(c.Account^0x7125))
+	share += (1 - share) * unitInterval(mix(c.Account^0x7125))
 	t.Until = min(c.Deadline, w.now+time.Duration(share*float64(w.Fleet.Classes[c.Class].Deadline)))
 	if c.tries > 0 {
 		w.Meter.Retried(&c.Request)
 	}
 	c.tries++
-	w.agenda.add(event{at: t.Until, kind: evGiveUp, p: t})
-	w.do(ClientSends{t})
+	w.events.add(event{at: t.Until, kind: evGiveUp, payload: t})
+	w.emit(ClientSends{t})
 }
 
-// SentOn tells that a limiter sent a try on, whole, to some box. Only the first
-// time of a try counts.
+// SentOn records that a limiter completely forwarded a try to a box. Only the first attempt of a try
+// counts.
 func (w *World) SentOn(now time.Duration, t *Try) {
-	if !t.sentOn {
-		t.sentOn = true
+	if !t.forwarded {
+		t.forwarded = true
 		w.Meter.SentOn(now, &t.Call.Request)
 	}
 }
 
-// Got is what came to the client for a try; of more than one answer the first
-// counts. Advice is the time that a refusal told it to stay away.
+// Got delivers an answer to the client of a try; only the first answer counts. advice is the Retry-After
+// of a refusal.
 func (w *World) Got(now time.Duration, t *Try, kind AnswerKind, advice time.Duration) {
 	w.now = max(w.now, now)
-	if t.over {
+	if t.ended {
 		return
 	}
-	t.over = true
+	t.ended = true
 	switch kind {
 	case GotServed:
 		end := service.InTime
 		if now-t.Call.At > w.Fleet.Classes[t.Call.Class].Aim {
 			end = service.Late
 		}
-		w.finish(t, end)
+		w.finishCall(t, end)
 	case GotRefused:
-		w.after(t, service.Refused, advice)
+		w.retryOrEnd(t, service.Refused, advice)
 	case GotBroken:
-		t.last = "the limiter was gone"
-		w.after(t, service.Failed, 0)
+		t.lastAttemptEnd = "the limiter was gone"
+		w.retryOrEnd(t, service.Failed, 0)
 	default:
-		w.after(t, service.Failed, 0)
+		w.retryOrEnd(t, service.Failed, 0)
 	}
 }
 
-// leastTry is the least time that a client gives a try: one with less left could
-// not hear an answer over the network.
-const leastTry = 20 * time.Millisecond
+// minTryTime is the shortest remaining time for which a client retries: no answer could arrive over
+// the network in less.
+const minTryTime = 20 * time.Millisecond
 
-// after has the client try again, or ends the call. What may have run and must
-// not run twice is not tried again by clients.
-func (w *World) after(t *Try, end service.End, advice time.Duration) {
+// retryOrEnd schedules a retry of the client, or ends the call. Clients don't retry an unsafe request
+// that may have run.
+func (w *World) retryOrEnd(t *Try, end service.End, advice time.Duration) {
 	c, traffic := t.Call, w.Fleet.Traffic
 	wait := traffic.Backoff
-	if c.heeds && advice > 0 {
+	if c.followsRetryAfter && advice > 0 {
 		wait = min(advice, traffic.MaxAdvice)
 	}
-	if c.tries > traffic.Retries || w.now+wait+leastTry > c.Deadline ||
+	if c.tries > traffic.Retries || w.now+wait+minTryTime > c.Deadline ||
 		end != service.Refused && w.Fleet.Classes[c.Class].Repeat == limiter.Unsafe {
-		w.finish(t, end)
+		w.finishCall(t, end)
 		return
 	}
-	w.agenda.add(event{at: w.now + wait, kind: evTry, p: c})
+	w.events.add(event{at: w.now + wait, kind: evRetry, payload: c})
 }
 
-// finish ends a call with its last try.
-func (w *World) finish(t *Try, end service.End) {
-	w.open--
-	w.Meter.Ended(&t.Call.Request, end, t.why(end))
+// finishCall ends a call with the outcome of its last try.
+func (w *World) finishCall(t *Try, end service.End) {
+	w.openCalls--
+	w.Meter.Ended(&t.Call.Request, end, t.endReason(end))
 }
 
-// Attempted tells how the latest attempt of a try ended, in a word or two.
-func (t *Try) Attempted(how string) { t.last = how }
+// Attempted records a short description of how the latest attempt of a try ended.
+func (t *Try) Attempted(how string) { t.lastAttemptEnd = how }
 
-// why is how a call ended with this try, in words.
-func (t *Try) why(end service.End) string {
+// endReason describes why a call ended with this try, for reports.
+func (t *Try) endReason(end service.End) string {
 	room := "beyond the quota"
 	if t.Call.Within {
 		room = "with room in the quota"
@@ -158,36 +157,36 @@
 	switch {
 	case end == service.Late:
 		return "late: answered after the aim"
-	case end == service.Refused && t.last == "":
+	case end == service.Refused && t.lastAttemptEnd == "":
 		return "refused " + room + ", before an attempt"
 	case end == service.Refused:
-		return "refused: " + t.last
-	case end == service.Expired && t.last == "":
+		return "refused: " + t.lastAttemptEnd
+	case end == service.Expired && t.lastAttemptEnd == "":
 		return "no answer, no attempt ended"
-	case t.last == "":
+	case t.lastAttemptEnd == "":
 		return "failed, no attempt ended"
 	}
-	return end.String() + ": " + t.last
+	return end.String() + ": " + t.lastAttemptEnd
 }
 
-// Drawer draws what a source does not say of a request from the fleet file's
-// shares, by a seed. It is not safe for concurrent use.
+// Drawer draws the properties of a request that its source leaves open, by the shares of the fleet file
+// and a seed. It is not safe for concurrent use.
 type Drawer struct {
-	fleet    *fleet.Fleet
-	rng      *rand.Rand
-	classes  []float64 // summed shares
-	plans    []float64
-	accounts []span64 // of each plan
-	noise    []spread // of the work of each class
+	fleet     *fleet.Fleet
+	rng       *rand.Rand
+	classes   []float64 // cumulative shares
+	plans     []float64
+	accounts  []accountRange // by plan
+	workNoise []logNormal    // distribution of the work, by class
 }
 
-type span64 struct{ from, n uint64 }
+type accountRange struct{ from, n uint64 }
 
-// spread are the parameters of a log-normal distribution.
-type spread struct{ mu, sigma float64 }
+// logNormal holds the parameters of a log-normal distribution.
+type logNormal struct{ mu, sigma float64 }
 
-// NewDrawer returns a Drawer. The accounts are divided among the plans so that
-// one uses as large a part of its quota as another.
+// NewDrawer returns a Drawer for the traffic of a fleet. Accounts are divided among the plans such that
+// the average account of each plan uses the same share of its quota.
 func NewDrawer(f *fleet.Fleet, seed uint64) *Drawer {
 	d := &Drawer{fleet: f, rng: rand.New(rand.NewPCG(seed, 0xd2a))}
 	sum := 0.0
@@ -195,7 +194,7 @@
 		sum += c.Share
 		d.classes = append(d.classes, sum)
 		sigma := math.Sqrt(math.Log(1 + c.Spread*c.Spread))
-		d.noise = append(d.noise, spread{-sigma * sigma / 2, sigma})
+		d.workNoise = append(d.workNoise, logNormal{-sigma * sigma / 2, sigma})
 	}
 	weights, all := 0.0, 0.0
 	sum = 0
@@ -207,34 +206,34 @@
 	for _, p := range f.Plans {
 		from := uint64(weights / all * float64(f.Traffic.Accounts))
 		weights += p.Share / p.Rate
-		d.accounts = append(d.accounts, span64{from, max(1, uint64(weights/all*float64(f.Traffic.Accounts))-from)})
+		d.accounts = append(d.accounts, accountRange{from, max(1, uint64(weights/all*float64(f.Traffic.Accounts))-from)})
 	}
 	return d
 }
 
-func (d *Drawer) among(sums []float64) int {
+func (d *Drawer) pickIndex(sums []float64) int {
 	return min(len(sums)-1, sort.SearchFloat64s(sums, d.rng.Float64()*sums[len(sums)-1]))
 }
 
-// Class draws a class by its share.
-func (d *Drawer) Class() int { return d.among(d.classes) }
+// Class draws a class by the classes' shares of requests.
+func (d *Drawer) Class() int { return d.pickIndex(d.classes) }
 
-// Plan draws a plan by its share.
-func (d *Drawer) Plan() int { return d.among(d.plans) }
+// Plan draws a plan by the plans' shares of requests.
+func (d *Drawer) Plan() int { return d.pickIndex(d.plans) }
 
-// PlanOf draws the plan of an account, always the same.
+// PlanOf returns the plan of an account, which depends on the account's number only.
 func (d *Drawer) PlanOf(account uint64) int {
-	u := unit(mix(account^0x91a)) * d.plans[len(d.plans)-1]
+	u := unitInterval(mix(account^0x91a)) * d.plans[len(d.plans)-1]
 	return min(len(d.plans)-1, sort.SearchFloat64s(d.plans, u))
 }
 
-// ClassOf draws the class of what has a name, always the same.
+// ClassOf returns the class of an item by a hash of its name, independently of the random state.
 func (d *Drawer) ClassOf(name uint64) int {
-	u := unit(mix(name^0xc1a)) * d.classes[len(d.classes)-1]
+	u := unitInterval(mix(name^0xc1a)) * d.classes[len(d.classes)-1]
 	return min(len(d.classes)-1, sort.SearchFloat64s(d.classes, u))
 }
 
-// Account draws one of a plan's accounts: a few of them ask for more.
+// Account draws an account of a plan; heavy accounts send more requests than others.
 func (d *Drawer) Account(plan int) uint64 {
 	a, t := d.accounts[plan], d.fleet.Traffic
 	heavy := uint64(t.Heavy * float64(a.n))
@@ -245,59 +244,59 @@
 	return a.from + min(a.n-1, heavy+d.rng.Uint64N(max(1, a.n-heavy)))
 }
 
-// Work draws a request's work about the mean of its class.
+// Work draws the work of a request from the log-normal distribution of its class.
 func (d *Drawer) Work(class int) time.Duration {
-	c, n := d.fleet.Classes[class], d.noise[class]
+	c, n := d.fleet.Classes[class], d.workNoise[class]
 	return max(10*time.Microsecond, time.Duration(float64(c.Work)*math.Exp(n.mu+n.sigma*d.rng.NormFloat64())))
 }
 
-// Synthetic is a source of the fleet file's own traffic.
+// Synthetic is a source that generates the traffic described in the fleet file.
 type Synthetic struct {
-	draw   *Drawer
-	rate   float64 // a second, with what the heavy accounts ask for beyond
-	length time.Duration
-	at     float64 // seconds
+	drawer   *Drawer
+	rate     float64 // requests per second, including the extra load of heavy accounts
+	duration time.Duration
+	at       float64 // seconds
 }
 
-// NewSynthetic returns traffic of a length, by a seed.
+// NewSynthetic returns a source of traffic of the given length; equal seeds give equal traffic.
 func NewSynthetic(f *fleet.Fleet, seed uint64, length time.Duration) *Synthetic {
 	t := f.Traffic
-	return &Synthetic{draw: NewDrawer(f, seed), rate: t.Rate * (1 + t.Heavy*(t.HeavyX-1)), length: length}
+	return &Synthetic{drawer: NewDrawer(f, seed), rate: t.Rate * (1 + t.Heavy*(t.HeavyX-1)), duration: length}
 }
 
-// Next is the next arrival: a Poisson process whose rate swings in a slow wave.
+// Next returns the next arrival of a Poisson process whose rate follows a slow sine wave.
 func (s *Synthetic) Next() (a Arrival, ok bool) {
-	t := s.draw.fleet.Traffic
+	t := s.drawer.fleet.Traffic
 	most := s.rate * (1 + t.Swing)
 	for {
-		s.at += s.draw.rng.ExpFloat64() / most
+		s.at += s.drawer.rng.ExpFloat64() / most
 		now := s.rate * (1 + t.Swing*math.Sin(2*math.Pi*s.at/20))
-		if s.draw.rng.Float64()*most < now {
+		if s.drawer.rng.Float64()*most < now {
 			break
 		}
 	}
-	if a.At = time.Duration(s.at * float64(time.Second)); a.At >= s.length {
+	if a.At = time.Duration(s.at * float64(time.Second)); a.At >= s.duration {
 		return a, false
 	}
-	a.Plan = s.draw.Plan()
-	a.Account = s.draw.Account(a.Plan)
-	a.Class = s.draw.Class()
-	a.Units = s.draw.fleet.Classes[a.Class].Units
-	a.Work = s.draw.Work(a.Class)
+	a.Plan = s.drawer.Plan()
+	a.Account = s.drawer.Account(a.Plan)
+	a.Class = s.drawer.Class()
+	a.Units = s.drawer.fleet.Classes[a.Class].Units
+	a.Work = s.drawer.Work(a.Class)
 	return a, true
 }
 
-// Until returns a source that ends when a channel is closed, if not before.
-func Until(s Source, over <-chan struct{}) Source { return &until{s, over} }
+// Until returns a source that ends when s ends or the channel over is closed.
+func Until(s Source, over <-chan struct{}) Source { return &untilClosed{s, over} }
 
-type until struct {
+type untilClosed struct {
 	Source
-	over <-chan struct{}
+	closed <-chan struct{}
 }
 
-func (u *until) Next() (Arrival, bool) {
+func (u *untilClosed) Next() (Arrival, bool) {
 	select {
-	case <-u.over:
+	case <-u.closed:
 		return Arrival{}, false
 	default:
 		return u.Source.Next()
--- a/internal/world/scenario.go
+++ b/internal/world/scenario.go
@@ -11,10 +11,10 @@
 	"example.org/madderdrum/internal/fleet"
 )
 
-// Target is what a fault befalls.
+// Target is the kind of component that a fault affects.
 type Target int
 
-// The targets of faults.
+// Targets of faults.
 const (
 	AtBox Target = iota
 	AtRoom
@@ -25,23 +25,23 @@
 	AtAccounts
 )
 
-// Fault is one trouble of a scenario: what befalls whom, from when to when.
+// Fault is one fault of a scenario: its target, effect and time span.
 type Fault struct {
 	Target Target
 	Index  int    // of the box, room or limiter
-	Verb   string // one of the verbs of its target
+	Verb   string // effect, one of faultVerbs of the target
 	Value  float64
-	Other  int // the room that a limiter loses
+	Other  int // the room that a limiter can't reach
 	From   time.Duration
-	To     time.Duration // 0: for good
-	Silent bool          // a lost room vanishes; else its processes die
-	With   bool          // the room's limiters are lost with it
-	Text   string        // as it was written
+	To     time.Duration // 0: permanent
+	Silent bool          // a lost room becomes unreachable; otherwise its processes die
+	With   bool          // the limiters of the room are lost too
+	Text   string        // source line
 }
 
-// verbs are those of each target, with what their value is: "", "factor" or
-// "share"; "room" names a room.
-var verbs = map[Target]map[string]string{
+// faultVerbs lists the verbs of each target with the kind of their value: "" for none, "factor",
+// "share" or "room" (the name of a room).
+var faultVerbs = map[Target]map[string]string{
 	AtBox: {"hangs": "", "dies": "", "vanishes": "", "drains": "", "restarts": "", "replaced": "", "leaves": "", "joins": "",
 		"slows": "factor", "fails": "share", "garbles": "share", "halves": "share", "stalls": "share", "cuts": "share"},
 	AtRoom:     {"lost": "", "parted": "", "unlisted": ""},
@@ -52,29 +52,29 @@
 	AtAccounts: {"shift": "share"},
 }
 
-var wires = map[string]Wire{"garbles": Garbled, "halves": Halved, "stalls": Stalled, "cuts": Cut}
+var responseFaults = map[string]Wire{"garbles": Garbled, "halves": Halved, "stalls": Stalled, "cuts": Cut}
 
-// Scenario reads faults, one a line. Empty lines and those that begin with # are
-// passed over. The words "is" and "are" may stand before a verb:
+// Scenario parses faults, one per line. Empty lines and lines that begin with # are skipped. A verb may
+// be preceded by "is" or "are":
 //
 //	box a3 hangs from 2s to 5s
-//	box a1 fails 60% from 4s to 9s         half-dead: so many requests fail
+//	box a1 fails 60% from 4s to 9s         this share of requests fails
 //	box b2 slows 3 from 4s to 9s
-//	box a1 garbles 20% from 4s to 9s       so many answers can't be read; also halves,
+//	box a1 garbles 20% from 4s to 9s       this share of responses can't be parsed; also halves,
 //	                                       stalls and cuts
-//	box a0 restarts at 5s                  its process ends and starts anew, cold
-//	box a0 is replaced at 5s               another box takes its address
+//	box a0 restarts at 5s                  its process restarts, cold
+//	box a0 is replaced at 5s               another box takes over its address
 //	room room-a is lost from 8s to 20s silently with limiters
-//	room room-a is unlisted from 8s to 20s discovery drops its boxes, which are well
-//	fleet slows 2.5 from 3s to 9s          what all boxes depend on
+//	room room-a is unlisted from 8s to 20s discovery drops its boxes, which are healthy
+//	fleet slows 2.5 from 3s to 9s          the dependency that all boxes share
 //	limiter n2 is killed at 8s for 2s
 //	limiter n0 loses room room-b from 3s to 9s
 //	peers are cut from 3s to 9s
-//	room room-a is parted from 3s to 9s    its limiters and the others' don't hear each other
-//	list is silent from 3s to 9s           discovery tells nothing
-//	accounts shift 40% at 9s               to others of their limiters
+//	room room-a is parted from 3s to 9s    its limiters and those of other rooms can't communicate
+//	list is silent from 3s to 9s           discovery sends no updates
+//	accounts shift 40% at 9s               this share moves to other limiters of theirs
 //
-// An error names the line and what to write.
+// An error names the line and the expected syntax.
 func Scenario(f *fleet.Fleet, text string) ([]Fault, error) {
 	var all []Fault
 	for i, line := range strings.Split(text, "\n") {
@@ -90,7 +90,7 @@
 	return all, nil
 }
 
-// words takes the words of a line in turn.
+// words is the rest of a line, consumed word by word.
 type words []string
 
 func (w *words) next() string {
@@ -133,16 +133,16 @@
 	}
 	var err error
 	if among != nil {
-		if x.Index, err = find(among, w.next()); err != nil {
+		if x.Index, err = indexOf(among, w.next()); err != nil {
 			return x, err
 		}
 	}
 	if x.Verb = w.next(); x.Verb == "is" || x.Verb == "are" {
 		x.Verb = w.next()
 	}
-	takes, known := verbs[x.Target][x.Verb]
+	takes, known := faultVerbs[x.Target][x.Verb]
 	if !known {
-		return x, fmt.Errorf("%q is none of what can happen there: %s", x.Verb, strings.Join(slices.Sorted(maps.Keys(verbs[x.Target])), ", "))
+		return x, fmt.Errorf("%q is none of what can happen there: %s", x.Verb, strings.Join(slices.Sorted(maps.Keys(faultVerbs[x.Target])), ", "))
 	}
 	switch takes {
 	case "share":
@@ -160,22 +160,22 @@
 		if w.next() != "room" {
 			return x, fmt.Errorf("%s takes a room, such as: loses room %s", x.Verb, f.Rooms[0])
 		}
-		if x.Other, err = find(f.Rooms, w.next()); err != nil {
+		if x.Other, err = indexOf(f.Rooms, w.next()); err != nil {
 			return x, err
 		}
 	}
 	for len(w) > 0 {
 		switch word := w.next(); word {
 		case "from", "at":
-			if x.From, err = span(word, w.next()); err != nil {
+			if x.From, err = parseDuration(word, w.next()); err != nil {
 				return x, err
 			}
 		case "to":
-			if x.To, err = span(word, w.next()); err != nil {
+			if x.To, err = parseDuration(word, w.next()); err != nil {
 				return x, err
 			}
 		case "for":
-			d, err := span(word, w.next())
+			d, err := parseDuration(word, w.next())
 			if err != nil {
 				return x, err
 			}
@@ -197,7 +197,7 @@
 	return x, nil
 }
 
-func span(word, text string) (time.Duration, error) {
+func parseDuration(word, text string) (time.Duration, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 {
 		return 0, fmt.Errorf("%s takes a time such as 2s or 1500ms, not %q", word, text)
@@ -205,7 +205,7 @@
 	return d, nil
 }
 
-func find(among []string, name string) (int, error) {
+func indexOf(among []string, name string) (int, error) {
 	for i, n := range among {
 		if n == name {
 			return i, nil
--- a/internal/world/supply.go
+++ b/internal/world/supply.go
@@ -7,17 +7,17 @@
 	"example.org/madderdrum/internal/fleet"
 )
 
-// Supply is the most work that boxes could do in each step, whatever limiters send them: no
-// time is lost, none has more in hand than cores, and cold ones warm up as fast as requests of
-// half the least mean work let them.
+// Supply is an upper bound on the work that all boxes can do in each step, whatever limiters send them.
+// It assumes that no time is lost, that no box thrashes, and that cold boxes warm up as fast as
+// requests of half the smallest mean work allow.
 type Supply struct {
 	Step time.Duration
-	Work []float64 // seconds of work by step
-	Core []float64 // that one core can do at most, by step
+	Work []float64 // seconds of work, by step
+	Core []float64 // most seconds of work of one core, by step
 }
 
-// SupplyOf plays faults without requests. What is true of a box at any moment of a step counts
-// for all of it.
+// SupplyOf simulates faults without requests and returns the resulting Supply. The best state of a box at
+// any moment of a step counts for the whole step.
 func SupplyOf(f *fleet.Fleet, seed uint64, faults []Fault, step, length time.Duration) *Supply {
 	w := New(f, Options{Seed: seed, Faults: faults})
 	n := int((length + step - 1) / step)
@@ -36,7 +36,7 @@
 		answered      float64
 	}
 	states := make([]state, len(w.Boxes))
-	best := make([]float64, len(w.Boxes)) // of the step
+	best := make([]float64, len(w.Boxes)) // work per second of each box, best of the step
 	core := 0.0
 	look := func(now time.Duration) {
 		for len(states) < len(w.Boxes) {
@@ -44,13 +44,13 @@
 		}
 		for i, b := range w.Boxes {
 			x := &states[i]
-			if b.born != x.born {
-				*x = state{born: b.born}
+			if b.startedAt != x.born {
+				*x = state{born: b.startedAt}
 			}
 			if drains := b.condition == Draining; drains != x.drains {
 				x.drains, x.drained = drains, now
 			}
-			// What it had in hand when its drain began may be of worth until its clients leave.
+			// Requests in progress when a drain begins may still be of worth until their deadlines.
 			x.there = b.condition == Running || b.condition == Draining && now < x.drained+longest
 			if !x.there {
 				continue
@@ -59,7 +59,7 @@
 			if warm < 1 && b.Spec.WarmAfter > 0 {
 				warm = max(warm, min(1, b.Spec.ColdFrom+(1-b.Spec.ColdFrom)*x.answered/float64(b.Spec.WarmAfter)))
 			}
-			each := b.Spec.Speed * warm / (b.slow * w.shared)
+			each := b.Spec.Speed * warm / (b.slowdown * w.sharedSlowdown)
 			core, best[i] = max(core, each), max(best[i], each*b.Spec.Cores)
 		}
 	}
@@ -87,11 +87,11 @@
 	return s
 }
 
-// Well tells that a box is there and works as it does on an ordinary day, but for what slows
-// all of them.
+// Well reports whether a box is healthy: it runs without a fault of its own. The shared slowdown is
+// ignored.
 func (b *Box) Well() bool {
-	return b.condition == Running && b.slow < 1.3 && b.errors < b.Spec.ErrorRate+0.05 && (b.spoils == Clean || b.spoilt < 0.05)
+	return b.condition == Running && b.slowdown < 1.3 && b.errorRate < b.Spec.ErrorRate+0.05 && (b.responseFault == Clean || b.responseFaultShare < 0.05)
 }
 
-// Idle tells that a core of a box has nothing to do.
+// Idle reports whether a box holds fewer jobs than it has cores.
 func (b *Box) Idle() bool { return float64(b.Held()) < b.Spec.Cores }
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -1,13 +1,12 @@
-// Package world is the stand-in world round the limiters: sender boxes, the
-// dependency that they share, discovery, the network between limiters, and
-// clients with their front. Faults befall it by a scenario.
+// Package world simulates the environment of the limiters: upstream boxes, the dependency that they
+// share, discovery, the network between limiters, and clients with their front-end load balancer. A
+// scenario injects faults.
 //
-// A [World] is a state machine. A driver tells it the time and what limiters do,
-// and carries out the actions that it returns: in virtual time with the limiters
-// in the same process, or on loopback sockets round the real program. It does no
-// I/O, keeps no goroutine and reads no clock; with equal seeds, sources and
-// calls it returns equal actions. Times count from its beginning. It is not
-// safe for concurrent use.
+// A [World] is a state machine. A driver passes it the time and the actions of limiters, and carries
+// out the actions that it returns: in virtual time with the limiters in the same process, or on
+// loopback sockets with the real program. It does no I/O, starts no goroutine and reads no clock;
+// equal seeds, sources and calls give equal actions. Times are relative to the start of the
+// simulation. A World is not safe for concurrent use.
 package world
 
 import (
@@ -19,7 +18,7 @@
 	"example.org/madderdrum/internal/service"
 )
 
-// Arrival is one request that a client begins.
+// Arrival is a new request of a client, before its first try.
 type Arrival struct {
 	At          time.Duration
 	Account     uint64
@@ -28,139 +27,138 @@
 	Work        time.Duration
 }
 
-// Source gives arrivals in the order of their time. Next returns false at the
-// end, and from then on.
+// Source yields arrivals in order of time. Next returns false at the end and on every later call.
 type Source interface{ Next() (Arrival, bool) }
 
-// Call is a client's request with all its tries.
+// Call is a request of a client across all its tries.
 type Call struct {
 	service.Request
-	ID       uint64
-	Work     time.Duration
-	Deadline time.Duration
-	tries    int
-	heeds    bool // Retry-After
+	ID                uint64
+	Work              time.Duration
+	Deadline          time.Duration
+	tries             int
+	followsRetryAfter bool // the client waits for the Retry-After of a refusal
 }
 
-// Try is one try of a client's request.
+// Try is one try of a Call, sent to one limiter.
 type Try struct {
-	ID      uint64
-	Call    *Call
-	Limiter int // that it is sent to
-	SentAt  time.Duration
-	Until   time.Duration // the client gives up
-	Retry   bool
-	sentOn  bool
-	over    bool
-	last    string // how its latest attempt ended
-}
-
-// Options are what a world is made with, besides the fleet.
+	ID             uint64
+	Call           *Call
+	Limiter        int // index of the receiving limiter
+	SentAt         time.Duration
+	Until          time.Duration // time at which the client stops waiting
+	Retry          bool
+	forwarded      bool
+	ended          bool
+	lastAttemptEnd string // short description of the end of its latest attempt
+}
+
+// Options configures a World in addition to its fleet.
 type Options struct {
 	Seed   uint64
 	Source Source
 	Faults []Fault
-	Sample time.Duration // how often loads are noted for charts; 0: never
-	// Way, if set, says which way a call goes, by its number; see service.Request.
+	Sample time.Duration // interval of load samples for charts; 0: none
+	// Way, if set, returns the Way of a call (see service.Request) by its id.
 	Way func(call uint64) int
 }
 
-// World is the state of everything round the limiters.
+// World holds the simulated boxes, clients, discovery and network.
 type World struct {
 	Fleet   *fleet.Fleet
-	Boxes   []*Box // those that were replaced stay, at their place
+	Boxes   []*Box // replaced boxes stay at their index
 	Meter   *service.Meter
 	Samples []Sample
 	Notes   []Note
 
-	rng      *rand.Rand
-	now      time.Duration
-	agenda   agenda
-	out      []Action
-	source   Source
-	way      func(call uint64) int
-	next     Arrival
-	more     bool
-	sample   time.Duration
-	sampled  []Counts
-	shared   float64
-	pods     map[int]*pod
-	gens     []uint32 // of the boxes' events
-	addrs    []int    // address: the box that stands there
-	addrOf   []int    // box: its address
-	limiters []limiterState
-	cuts     map[[2]int]bool // limiter, room
-	peerLoss float64
-	peersCut bool
-	parted   map[int]bool // rooms whose limiters don't hear those of others
-	listOff  bool
-	held     []event // told when discovery speaks again
-	truth    []Entry // by box
-	listed   []bool
-	open     int // calls
-	ids      uint64
-	cum      []float64 // weights of an account's limiters, summed by rank
-	salts    []shift
-}
-
-// limiterState is what the world knows of a limiter.
+	rng              *rand.Rand
+	now              time.Duration
+	events           eventQueue
+	actions          []Action
+	source           Source
+	wayOf            func(call uint64) int
+	nextArrival      Arrival
+	hasNext          bool
+	sampleInterval   time.Duration
+	sampledCounts    []Counts
+	sharedSlowdown   float64
+	pods             map[int]*pod
+	boxGenerations   []uint32 // generation of each box's scheduled event; events of older generations are void
+	boxAt            []int    // by address: its current box
+	addrOf           []int    // by box: its address
+	limiters         []limiterState
+	cutRooms         map[[2]int]bool // unreachable rooms, by limiter and room
+	peerLoss         float64
+	peersCut         bool
+	partitionedRooms map[int]bool // rooms whose limiters are cut off from those of other rooms
+	discoverySilent  bool
+	heldNews         []event // delivered when discovery resumes
+	actualEntries    []Entry // by box
+	listed           []bool
+	openCalls        int // calls
+	lastID           uint64
+	rankWeights      []float64 // cumulative weights of an account's limiters by rank
+	shifts           []shift
+}
+
+// limiterState is the state of a limiter's process, peer inbox and discovery agent.
 type limiterState struct {
-	alive    bool
-	starting bool
-	diedAt   time.Duration
-	credit   float64 // messages that it may take in
-	at       time.Duration
-	told     []Entry // by box, as last told
-	has      []bool
-	toldAt   time.Duration // when the latest news that is under way comes
+	alive          bool
+	starting       bool
+	diedAt         time.Duration
+	inboxTokens    float64 // token bucket of peer messages that the inbox accepts
+	inboxUpdatedAt time.Duration
+	knownEntries   []Entry // by box, as last delivered
+	knows          []bool
+	nextNewsAt     time.Duration // arrival of the latest pending update, so that updates stay in order
 }
 
-// shift is an abrupt move of a share of accounts to others of their limiters.
+// shift is an abrupt move of a share of the accounts to other limiters of theirs.
 type shift struct {
 	at    time.Duration
 	share float64
 	salt  uint64
 }
 
-// Sample is what the boxes held at one time, and did since the sample before.
+// Sample is a snapshot of all boxes, with their activity since the previous sample.
 type Sample struct {
 	At    time.Duration
 	Boxes []BoxSample
 }
 
-// BoxSample is one box in a sample.
+// BoxSample is the load and state of one box in a Sample.
 type BoxSample struct {
 	Held      int
 	Condition Condition
 	Warmth    float64
-	Arrived   int     // since the sample before
-	Busy      float64 // work done since then over what its cores could do warm
+	Arrived   int     // requests since the previous sample
+	Busy      float64 // work since the previous sample, as a share of warm capacity
 }
 
-// Note is a line of what happened.
+// Note is an entry of the simulation's log of faults.
 type Note struct {
 	At   time.Duration
 	Text string
 }
 
-// New returns a world at time 0 with all boxes warm and all limiters up.
+// New returns a world at time 0 with all boxes warm and all limiters running.
 func New(f *fleet.Fleet, o Options) *World {
-	w := &World{Fleet: f, Meter: service.NewMeter(f), rng: rand.New(rand.NewPCG(o.Seed, 0x77)), source: o.Source, way: o.Way,
-		sample: o.Sample, shared: 1, pods: map[int]*pod{}, limiters: make([]limiterState, len(f.Limiters)), cuts: map[[2]int]bool{}, parted: map[int]bool{}}
+	w := &World{Fleet: f, Meter: service.NewMeter(f), rng: rand.New(rand.NewPCG(o.Seed, 0x77)), source: o.Source, wayOf: o.Way,
+		sampleInterval: o.Sample, sharedSlowdown: 1, pods: map[int]*pod{}, limiters: make([]limiterState, len(f.Limiters)), cutRooms: map[[2]int]bool{}, partitionedRooms: map[int]bool{}}
 	for _, spec := range f.Boxes {
-		w.newBox(spec, len(w.addrs))
+		w.newBox(spec, len(w.boxAt))
 	}
 	sum := 0.0
 	for k := range f.Limiters {
 		sum += math.Pow(float64(k+1), -f.Traffic.Skew)
-		w.cum = append(w.cum, sum)
+		w.rankWeights = append(w.rankWeights, sum)
 	}
 	for i := range w.Boxes {
-		w.truth[i], w.listed[i] = Entry{Box: i, Addr: i, Born: -1}, true
+		w.actualEntries[i], w.listed[i] = Entry{Box: i, Addr: i, Born: -1}, true
 	}
 	absent := map[int]bool{}
 	for _, x := range o.Faults {
-		if x.Target == AtBox && x.Verb == "joins" && !absent[x.Index] { // it is not there before
+		if x.Target == AtBox && x.Verb == "joins" && !absent[x.Index] { // a box that joins later is absent until then
 			absent[x.Index] = true
 			w.Boxes[x.Index].Set(Dead)
 			w.listed[x.Index] = false
@@ -170,17 +168,17 @@
 	}
 	for i := range w.limiters {
 		l := &w.limiters[i]
-		l.alive, l.credit = true, f.Network.PeerIn
-		l.told, l.has = append([]Entry(nil), w.truth...), append([]bool(nil), w.listed...)
+		l.alive, l.inboxTokens = true, f.Network.PeerIn
+		l.knownEntries, l.knows = append([]Entry(nil), w.actualEntries...), append([]bool(nil), w.listed...)
 	}
 	for _, x := range o.Faults {
-		w.agenda.add(event{at: x.From, kind: evFault, p: x})
+		w.events.add(event{at: x.From, kind: evFault, payload: x})
 	}
-	if w.sample > 0 {
-		w.agenda.add(event{at: w.sample, kind: evSample})
+	if w.sampleInterval > 0 {
+		w.events.add(event{at: w.sampleInterval, kind: evSample})
 	}
 	if w.source != nil {
-		w.pull()
+		w.scheduleArrival()
 	}
 	return w
 }
@@ -188,218 +186,216 @@
 func (w *World) newBox(spec fleet.Box, addr int) int {
 	p := w.pods[spec.Pod]
 	if p == nil {
-		p = &pod{until: map[uint64]time.Duration{}}
+		p = &pod{keyExpiry: map[uint64]time.Duration{}}
 		w.pods[spec.Pod] = p
 	}
 	i := len(w.Boxes)
-	w.Boxes = append(w.Boxes, newBox(spec, w.Fleet.Rules, p, &w.shared, rand.New(rand.NewPCG(w.rng.Uint64(), uint64(i)))))
-	w.gens = append(w.gens, 0)
+	w.Boxes = append(w.Boxes, newBox(spec, w.Fleet.Rules, p, &w.sharedSlowdown, rand.New(rand.NewPCG(w.rng.Uint64(), uint64(i)))))
+	w.boxGenerations = append(w.boxGenerations, 0)
 	w.addrOf = append(w.addrOf, addr)
-	w.truth = append(w.truth, Entry{Box: i, Addr: addr})
+	w.actualEntries = append(w.actualEntries, Entry{Box: i, Addr: addr})
 	w.listed = append(w.listed, false)
-	w.sampled = append(w.sampled, Counts{})
-	if addr == len(w.addrs) {
-		w.addrs = append(w.addrs, i)
+	w.sampledCounts = append(w.sampledCounts, Counts{})
+	if addr == len(w.boxAt) {
+		w.boxAt = append(w.boxAt, i)
 	} else {
-		w.addrs[addr] = i
+		w.boxAt[addr] = i
 	}
 	for k := range w.limiters {
 		l := &w.limiters[k]
-		if l.told != nil {
-			l.told, l.has = append(l.told, Entry{}), append(l.has, false)
+		if l.knownEntries != nil {
+			l.knownEntries, l.knows = append(l.knownEntries, Entry{}), append(l.knows, false)
 		}
 	}
 	return i
 }
 
-// pull puts the next arrival on.
-func (w *World) pull() {
-	if w.next, w.more = w.source.Next(); w.more {
-		w.agenda.add(event{at: max(w.now, w.next.At), kind: evArrival})
+// scheduleArrival schedules the next arrival of the source.
+func (w *World) scheduleArrival() {
+	if w.nextArrival, w.hasNext = w.source.Next(); w.hasNext {
+		w.events.add(event{at: max(w.now, w.nextArrival.At), kind: evArrival})
 	}
 }
 
-// Next is when Advance has something to do; ok is false if never.
+// Next returns the time of the next event; ok is false if there is none.
 func (w *World) Next() (at time.Duration, ok bool) {
-	if len(w.agenda.heap) == 0 {
+	if len(w.events.heap) == 0 {
 		return 0, false
 	}
-	return w.agenda.heap[0].at, true
+	return w.events.heap[0].at, true
 }
 
-// Busy tells that calls are open or arrivals are to come.
-func (w *World) Busy() bool { return w.open > 0 || w.more }
+// Busy reports whether calls are open or the source has more arrivals.
+func (w *World) Busy() bool { return w.openCalls > 0 || w.hasNext }
 
-// Open is the number of calls without an end.
-func (w *World) Open() int { return w.open }
+// Open returns the number of calls that have not ended.
+func (w *World) Open() int { return w.openCalls }
 
-// Events is the number of events put on so far.
-func (w *World) Events() uint64 { return w.agenda.seq }
+// Events returns the number of events scheduled so far.
+func (w *World) Events() uint64 { return w.events.seq }
 
-// After has Due come back at a time.
+// After schedules a Due action with the given value.
 func (w *World) After(at time.Duration, what any) {
-	w.agenda.add(event{at: max(at, w.now), kind: evDue, p: what})
+	w.events.add(event{at: max(at, w.now), kind: evCallback, payload: what})
 }
 
-// Advance brings the world to now and returns what is to be done, valid until
-// the next call. Actions of calls in between are among them.
+// Advance processes all events until now and returns the resulting actions, together with those left by
+// other calls. The slice is valid until the next call.
 func (w *World) Advance(now time.Duration) []Action {
-	for len(w.agenda.heap) > 0 && w.agenda.heap[0].at <= now {
-		w.step()
+	for len(w.events.heap) > 0 && w.events.heap[0].at <= now {
+		w.processEvent()
 	}
 	w.now = max(w.now, now)
 	return w.Take()
 }
 
-// Step carries out the first event alone, at its time. It returns nil at the
-// end of the agenda.
+// Step processes the next event alone, at its time. It returns nil and false if there is none.
 func (w *World) Step() ([]Action, bool) {
-	if len(w.agenda.heap) == 0 {
+	if len(w.events.heap) == 0 {
 		return nil, false
 	}
-	w.step()
+	w.processEvent()
 	return w.Take(), true
 }
 
-// Now is the time of the latest event.
+// Now returns the simulated time.
 func (w *World) Now() time.Duration { return w.now }
 
-// Take returns the actions that calls have left, valid until the next call.
+// Take returns the pending actions, in a slice valid until the next call.
 func (w *World) Take() []Action {
-	out := w.out
-	w.out = w.out[len(w.out):]
-	if cap(w.out) < 64 {
-		w.out = make([]Action, 0, 1024)
+	out := w.actions
+	w.actions = w.actions[len(w.actions):]
+	if cap(w.actions) < 64 {
+		w.actions = make([]Action, 0, 1024)
 	}
 	return out
 }
 
-func (w *World) do(a Action) { w.out = append(w.out, a) }
+func (w *World) emit(a Action) { w.actions = append(w.actions, a) }
 
-func (w *World) note(text string) {
+func (w *World) addNote(text string) {
 	w.Notes = append(w.Notes, Note{w.now, text})
-	w.do(Happened{text})
+	w.emit(Happened{text})
 }
 
-func (w *World) step() {
-	e := w.agenda.pop()
+func (w *World) processEvent() {
+	e := w.events.pop()
 	w.now = max(w.now, e.at)
 	switch e.kind {
 	case evArrival:
-		w.arrive(w.next)
-		w.pull()
-	case evTry:
-		w.try(e.p.(*Call))
+		w.startCall(w.nextArrival)
+		w.scheduleArrival()
+	case evRetry:
+		w.sendTry(e.payload.(*Call))
 	case evGiveUp:
-		if t := e.p.(*Try); !t.over {
-			t.over = true
-			w.do(ClientLeaves{t})
-			w.after(t, service.Expired, 0)
+		if t := e.payload.(*Try); !t.ended {
+			t.ended = true
+			w.emit(ClientLeaves{t})
+			w.retryOrEnd(t, service.Expired, 0)
 		}
 	case evBox:
-		if e.gen == w.gens[e.i] {
-			w.answers(e.i, w.Boxes[e.i].Advance(w.now))
-			w.plan(e.i)
+		if e.generation == w.boxGenerations[e.index] {
+			w.emitAnswers(e.index, w.Boxes[e.index].Advance(w.now))
+			w.scheduleBox(e.index)
 		}
-	case evList:
-		w.list(e)
-	case evPeer:
-		m := e.p.(PeerHears)
+	case evDiscoveryNews:
+		w.deliverNews(e)
+	case evPeerMessage:
+		m := e.payload.(PeerHears)
 		if l := &w.limiters[m.To]; l.alive {
-			l.credit = min(w.Fleet.Network.PeerIn, l.credit+(w.now-l.at).Seconds()*w.Fleet.Network.PeerIn)
-			l.at = w.now
-			if l.credit >= 1 { // its inbox drops the rest
-				l.credit--
-				w.do(m)
+			l.inboxTokens = min(w.Fleet.Network.PeerIn, l.inboxTokens+(w.now-l.inboxUpdatedAt).Seconds()*w.Fleet.Network.PeerIn)
+			l.inboxUpdatedAt = w.now
+			if l.inboxTokens >= 1 { // a full inbox drops the message
+				l.inboxTokens--
+				w.emit(m)
 			}
 		}
 	case evFault:
-		w.begin(e.p.(Fault))
+		w.beginFault(e.payload.(Fault))
 	case evFaultEnds:
-		w.end(e.p.(Fault))
-	case evStart:
-		w.start(e.i)
-	case evDue:
-		w.do(Due{e.p})
+		w.endFault(e.payload.(Fault))
+	case evBoxStart:
+		w.startBox(e.index)
+	case evCallback:
+		w.emit(Due{e.payload})
 	case evSample:
-		w.noteSample()
+		w.takeSample()
 		if w.Busy() {
-			w.agenda.add(event{at: w.now + w.sample, kind: evSample})
+			w.events.add(event{at: w.now + w.sampleInterval, kind: evSample})
 		}
 	}
 }
 
 // ---- Boxes ----
 
-// plan puts on when a box has something to do next.
-func (w *World) plan(i int) {
-	w.gens[i]++
+// scheduleBox schedules the next event of a box and invalidates the previous one.
+func (w *World) scheduleBox(i int) {
+	w.boxGenerations[i]++
 	if at, ok := w.Boxes[i].Next(); ok {
-		w.agenda.add(event{at: max(w.now, at), kind: evBox, i: i, gen: w.gens[i]})
+		w.events.add(event{at: max(w.now, at), kind: evBox, index: i, generation: w.boxGenerations[i]})
 	}
 }
 
-func (w *World) answers(i int, done []Done) {
+func (w *World) emitAnswers(i int, done []Done) {
 	for _, d := range done {
 		a := BoxAnswers{Box: i, Done: d}
 		a.Load, a.HasLoad = w.Boxes[i].Report(w.now)
-		if b := w.Boxes[i]; b.spoils != Clean && d.Result == Served && w.rng.Float64() < b.spoilt {
-			a.Wire = b.spoils
+		if b := w.Boxes[i]; b.responseFault != Clean && d.Result == Served && w.rng.Float64() < b.responseFaultShare {
+			a.Wire = b.responseFault
 		}
-		w.do(a)
+		w.emit(a)
 	}
 }
 
-// At is the box that stands at an address.
-func (w *World) At(addr int) int { return w.addrs[addr] }
+// At returns the box that currently uses an address.
+func (w *World) At(addr int) int { return w.boxAt[addr] }
 
-// Addr is the address of a box.
+// Addr returns the address of a box, by the indexes of both.
 func (w *World) Addr(box int) int { return w.addrOf[box] }
 
-// Reaches tells whether a limiter's machine and a box's can talk.
+// Reaches reports whether the network connects a limiter and a box.
 func (w *World) Reaches(limiter, box int) bool {
-	return !w.cuts[[2]int{limiter, w.Boxes[box].Spec.Room}] && w.Boxes[box].condition != Vanished
+	return !w.cutRooms[[2]int{limiter, w.Boxes[box].Spec.Room}] && w.Boxes[box].condition != Vanished
 }
 
-// Connect opens a connection of a limiter to a box, counted back by Disconnect.
+// Connect opens a connection of a limiter to a box; Disconnect releases it.
 func (w *World) Connect(now time.Duration, limiter, box int) Connect {
 	if !w.Reaches(limiter, box) {
 		return Silent
 	}
 	b := w.Boxes[box]
-	w.answers(box, b.Advance(now))
+	w.emitAnswers(box, b.Advance(now))
 	c := b.Open(now)
-	w.plan(box)
+	w.scheduleBox(box)
 	return c
 }
 
-// Disconnect counts a connection back.
+// Disconnect releases a connection that Connect accepted.
 func (w *World) Disconnect(box int) { w.Boxes[box].Close() }
 
-// Request is a request that has come whole to a box. It returns false if nobody
-// is there to take it. An overload that pushes a cold box over shows as
-// BoxResets.
+// Request delivers a complete request to a box. It returns false if the box has no running process. If
+// the load crashes a cold box, BoxFalls and BoxResets follow.
 func (w *World) Request(now time.Duration, box int, j Job) bool {
 	w.now = max(w.now, now)
 	b := w.Boxes[box]
 	if c := b.condition; c == Dead || c == Fallen || c == Vanished {
 		return false
 	}
-	w.answers(box, b.Advance(now))
+	w.emitAnswers(box, b.Advance(now))
 	if b.Pushed(now, j.Work) {
-		w.note("box " + b.Name + " fell over: it was sent too much while it was cold")
-		w.do(BoxFalls{box})
-		w.do(BoxResets{Box: box, Jobs: append(b.Set(Fallen), j.ID)})
+		w.addNote("box " + b.Name + " fell over: it was sent too much while it was cold")
+		w.emit(BoxFalls{box})
+		w.emit(BoxResets{Box: box, Jobs: append(b.Set(Fallen), j.ID)})
 		w.publish(box, Gone, 0)
-		w.plan(box)
+		w.scheduleBox(box)
 		return true
 	}
-	w.answers(box, b.Arrive(now, j))
-	w.plan(box)
+	w.emitAnswers(box, b.Arrive(now, j))
+	w.scheduleBox(box)
 	return true
 }
 
-// Delay is the time from a limiter to a box or back.
+// Delay returns the one-way network delay between a limiter and a box.
 func (w *World) Delay(limiter, box int) time.Duration {
 	n := w.Fleet.Network
 	if w.Fleet.Limiters[limiter].Room == w.Boxes[box].Spec.Room {
@@ -408,7 +404,7 @@
 	return w.jitter(n.CrossRoom)
 }
 
-// ClientDelay is the time from a client to a limiter or back.
+// ClientDelay returns the one-way network delay between a client and a limiter.
 func (w *World) ClientDelay() time.Duration { return w.jitter(w.Fleet.Network.Client) }
 
 func (w *World) jitter(d time.Duration) time.Duration {
@@ -417,43 +413,43 @@
 
 // ---- Discovery ----
 
-// publish changes what is true of a box and has every limiter told later.
+// publish changes the actual entry of a box and schedules its delayed delivery to every limiter.
 func (w *World) publish(box int, h Health, late time.Duration) {
-	e := Entry{Box: box, Addr: w.addrOf[box], Health: h, Born: w.Boxes[box].born}
-	if w.listed[box] && w.truth[box] == e || !w.listed[box] && h == Gone {
+	e := Entry{Box: box, Addr: w.addrOf[box], Health: h, Born: w.Boxes[box].startedAt}
+	if w.listed[box] && w.actualEntries[box] == e || !w.listed[box] && h == Gone {
 		return
 	}
-	w.truth[box], w.listed[box] = e, h != Gone
+	w.actualEntries[box], w.listed[box] = e, h != Gone
 	n := w.Fleet.Network
 	base := w.now + late + n.ListLeast + time.Duration(w.rng.Float64()*float64(n.ListMost-n.ListLeast))
 	for i := range w.limiters {
 		l := &w.limiters[i]
-		l.toldAt = max(l.toldAt, base+time.Duration(w.rng.Float64()*0.1*float64(n.ListMost-n.ListLeast)))
-		w.agenda.add(event{at: l.toldAt, kind: evList, i: i, p: e})
+		l.nextNewsAt = max(l.nextNewsAt, base+time.Duration(w.rng.Float64()*0.1*float64(n.ListMost-n.ListLeast)))
+		w.events.add(event{at: l.nextNewsAt, kind: evDiscoveryNews, index: i, payload: e})
 	}
 }
 
-func (w *World) list(e event) {
-	if w.listOff {
-		w.held = append(w.held, e)
+func (w *World) deliverNews(e event) {
+	if w.discoverySilent {
+		w.heldNews = append(w.heldNews, e)
 		return
 	}
-	l, entry := &w.limiters[e.i], e.p.(Entry)
-	if l.has[entry.Box] && l.told[entry.Box] == entry {
+	l, entry := &w.limiters[e.index], e.payload.(Entry)
+	if l.knows[entry.Box] && l.knownEntries[entry.Box] == entry {
 		return
 	}
-	l.told[entry.Box], l.has[entry.Box] = entry, entry.Health != Gone
+	l.knownEntries[entry.Box], l.knows[entry.Box] = entry, entry.Health != Gone
 	if l.alive {
-		w.do(Listed{Limiter: e.i, Entries: []Entry{entry}})
+		w.emit(Listed{Limiter: e.index, Entries: []Entry{entry}})
 	}
 }
 
-// Known is the whole list as a limiter's agent was last told it.
+// Known returns the complete list as last delivered to a limiter's discovery agent.
 func (w *World) Known(limiter int) []Entry {
 	var all []Entry
-	for i, has := range w.limiters[limiter].has {
+	for i, has := range w.limiters[limiter].knows {
 		if has {
-			all = append(all, w.limiters[limiter].told[i])
+			all = append(all, w.limiters[limiter].knownEntries[i])
 		}
 	}
 	return all
@@ -461,7 +457,7 @@
 
 // ---- Peers ----
 
-// PeerSends is a message from one limiter to another.
+// PeerSends sends a message from one limiter to another; it may be lost or delayed.
 func (w *World) PeerSends(now time.Duration, from, to int, data []byte) {
 	w.now = max(w.now, now)
 	n := w.Fleet.Network
@@ -469,32 +465,32 @@
 		return
 	}
 	a, b := w.Fleet.Limiters[from].Room, w.Fleet.Limiters[to].Room
-	if a != b && (w.parted[a] || w.parted[b]) {
+	if a != b && (w.partitionedRooms[a] || w.partitionedRooms[b]) {
 		return
 	}
 	if w.peersCut || w.rng.Float64() < max(n.PeerLoss, w.peerLoss) {
 		return
 	}
 	delay := n.PeerLeast + time.Duration(w.rng.Float64()*float64(n.PeerMost-n.PeerLeast))
-	w.agenda.add(event{at: now + delay, kind: evPeer, p: PeerHears{To: to, From: from, Data: data}})
+	w.events.add(event{at: now + delay, kind: evPeerMessage, payload: PeerHears{To: to, From: from, Data: data}})
 }
 
 // ---- Limiters ----
 
-// LimiterUp tells that a limiter is ready: the front takes it in.
+// LimiterUp records that a limiter is ready, so that the front sends it requests.
 func (w *World) LimiterUp(limiter int) {
 	l := &w.limiters[limiter]
 	l.alive, l.starting = true, false
 }
 
-// LimiterAlive tells whether a limiter was not killed or stopped.
+// LimiterAlive reports whether a limiter runs, that is, was not killed or stopped.
 func (w *World) LimiterAlive(limiter int) bool { return w.limiters[limiter].alive }
 
-// startLimiter starts a limiter that is away, once.
+// startLimiter starts a limiter unless it is running or starting.
 func (w *World) startLimiter(i int) {
 	if l := &w.limiters[i]; !l.alive && !l.starting {
 		l.starting = true
-		w.do(StartLimiter{i})
+		w.emit(StartLimiter{i})
 	}
 }
 
@@ -504,25 +500,25 @@
 	}
 	w.limiters[i].alive, w.limiters[i].diedAt = false, w.now
 	if gently {
-		w.do(StopLimiter{i})
+		w.emit(StopLimiter{i})
 	} else {
-		w.do(KillLimiter{i})
+		w.emit(KillLimiter{i})
 	}
 }
 
 // ---- Charts ----
 
-func (w *World) noteSample() {
+func (w *World) takeSample() {
 	s := Sample{At: w.now, Boxes: make([]BoxSample, len(w.Boxes))}
 	for i, b := range w.Boxes {
 		if b.condition != Dead && b.condition != Vanished && b.condition != Fallen {
-			w.answers(i, b.Advance(w.now))
-			w.plan(i)
+			w.emitAnswers(i, b.Advance(w.now))
+			w.scheduleBox(i)
 		}
-		c, before := b.Counts, w.sampled[i]
+		c, before := b.Counts, w.sampledCounts[i]
 		s.Boxes[i] = BoxSample{Held: b.Held(), Condition: b.condition, Warmth: b.Warmth(w.now), Arrived: c.Arrived - before.Arrived,
-			Busy: (c.Work - before.Work).Seconds() / (w.sample.Seconds() * b.Spec.Cores * b.Spec.Speed)}
-		w.sampled[i] = c
+			Busy: (c.Work - before.Work).Seconds() / (w.sampleInterval.Seconds() * b.Spec.Cores * b.Spec.Speed)}
+		w.sampledCounts[i] = c
 	}
 	w.Samples = append(w.Samples, s)
 }
@@ -530,12 +526,12 @@
 // ---- Faults ----
 
 const (
-	restartTime = 2 * time.Second // a process that ends to start anew is away so long
-	leaveTime   = 3 * time.Second // a box that leaves is drained so long
+	restartTime = 2 * time.Second // downtime of a process that restarts
+	leaveTime   = 3 * time.Second // drain of a box before it leaves
 )
 
-// lose takes a box away.
-func (w *World) lose(i int, silent bool) {
+// takeDown ends the process of a box, or its machine without notice if silent.
+func (w *World) takeDown(i int, silent bool) {
 	b := w.Boxes[i]
 	if b.condition == Dead || b.condition == Vanished || b.condition == Fallen {
 		return
@@ -544,24 +540,24 @@
 	if silent {
 		c, late = Vanished, w.Fleet.Network.SilentNotice
 	}
-	w.answers(i, b.Advance(w.now))
-	w.do(BoxResets{Box: i, Jobs: b.Set(c), Silent: silent})
+	w.emitAnswers(i, b.Advance(w.now))
+	w.emit(BoxResets{Box: i, Jobs: b.Set(c), Silent: silent})
 	w.publish(i, Gone, late)
-	w.plan(i)
+	w.scheduleBox(i)
 }
 
-// start starts a box that is away, cold. One that is there goes on: faults may
-// overlap, and one that fell over stays down.
-func (w *World) start(i int) {
+// startBox starts a dead or vanished box, cold. It leaves a running box alone, because faults may
+// overlap, and a fallen box down.
+func (w *World) startBox(i int) {
 	b := w.Boxes[i]
 	if b.condition != Dead && b.condition != Vanished {
 		return
 	}
-	if b.condition == Vanished { // what was open to it is reset now
-		w.do(BoxResets{Box: i})
+	if b.condition == Vanished { // its old connections are reset now
+		w.emit(BoxResets{Box: i})
 	}
 	b.Start(w.now, true)
-	w.do(BoxStarts{i})
+	w.emit(BoxStarts{i})
 	w.publish(i, Ready, 0)
-	w.plan(i)
+	w.scheduleBox(i)
 }
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -18,10 +18,10 @@
 		change(&spec)
 	}
 	one := 1.0
-	return newBox(spec, fleet.Rules{FallFactor: 3, FallFor: 1500 * ms}, &pod{until: map[uint64]time.Duration{}}, &one, rand.New(rand.NewPCG(1, 1)))
+	return newBox(spec, fleet.Rules{FallFactor: 3, FallFor: 1500 * ms}, &pod{keyExpiry: map[uint64]time.Duration{}}, &one, rand.New(rand.NewPCG(1, 1)))
 }
 
-// run advances a box event by event and returns when each job ended, and how.
+// run simulates a box event by event and returns the end and result of each job.
 func run(b *Box, until time.Duration) (at map[uint64]time.Duration, how map[uint64]Result) {
 	at, how = map[uint64]time.Duration{}, map[uint64]Result{}
 	for {
@@ -42,8 +42,7 @@
 	}
 }
 
-// Two cores: two jobs run at full speed, four share them, a fifth waits for a
-// slot.
+// Of five jobs on two cores with four slots, four share the cores and the fifth waits for a slot.
 func TestBoxSharesItsCores(t *testing.T) {
 	b := testBox(nil)
 	for id := uint64(1); id <= 5; id++ {
@@ -62,7 +61,7 @@
 	for id := uint64(1); id <= 4; id++ {
 		thrashing.Arrive(0, Job{ID: id, Work: 100 * ms})
 	}
-	at, _ := run(thrashing, time.Hour) // two requests a core, one beyond: 1.5 times as long
+	at, _ := run(thrashing, time.Hour) // two requests per core, one above ThrashAt: 1.5 times as long
 	near(t, "thrashing", at[4], 300*ms)
 
 	cold := testBox(nil)
@@ -157,14 +156,14 @@
 	}
 }
 
-// A cold box that can do 0.5 s a second falls over when it is sent more than
-// 2.25 s of work in 1.5 s, not by the same over a longer time.
+// A cold box with a capacity of 0.5 s of work per second crashes when it is sent more than 2.25 s of
+// work in 1.5 s, but not from the same work over a longer time.
 func TestColdBoxFallsOver(t *testing.T) {
 	slow, fast := testBox(nil), testBox(nil)
 	slow.Start(0, true)
 	fast.Start(0, true)
 	for i := range 15 {
-		if slow.Pushed(time.Duration(i)*400*ms, 300*ms) { // 0.75 s a second, one and a half times what it can do
+		if slow.Pushed(time.Duration(i)*400*ms, 300*ms) { // 0.75 s of work per second, 1.5 times its capacity
 			t.Fatalf("fell over at %d", i)
 		}
 	}
@@ -229,7 +228,7 @@
 	}
 }
 
-// Discovery tells every limiter of a change, late, and each in order.
+// Discovery delivers changes to every limiter with a delay and in order.
 func TestListIsLate(t *testing.T) {
 	f := config.Bluebird()
 	faults, err := Scenario(f, "box a0 drains from 1s to 3s\nlist is silent from 20s to 30s\nbox a1 dies at 21s")
@@ -264,7 +263,7 @@
 	}
 }
 
-// The traffic drawn is what the fleet file says, and the same for a seed.
+// Synthetic traffic matches the fleet file, and equal seeds give equal traffic.
 func TestSyntheticTraffic(t *testing.T) {
 	f := config.Bluebird()
 	s, again := NewSynthetic(f, 3, time.Minute), NewSynthetic(f, 3, time.Minute)
@@ -304,8 +303,8 @@
 	}
 }
 
-// Faults that overlap leave a box as it is when it is there already: its second
-// start would lose what it has in hand without a word.
+// When overlapping faults end, a box that already runs is not started again: a second start would lose
+// its jobs silently.
 func TestOverlappingFaults(t *testing.T) {
 	f := config.Bluebird()
 	faults, err := Scenario(f, `
