--- a/internal/best/best.go
+++ b/internal/best/best.go
@@ -1,5 +1,5 @@
-// Package best holds a run against the most that any policy could have earned on the same day,
-// and tells why the rest was not earned: the host of package capacity.
+// Package best compares a run with an upper bound on what any policy could have earned under the same
+// traffic and faults, and attributes the difference to causes. Package capacity computes the bound.
 package best
 
 import (
@@ -22,68 +22,68 @@
 	"example.org/madderdrum/limiter"
 )
 
-// Best is the most that any policy could have earned on a run's day, had it known the future
-// and kept the rules, and where the run fell short of it.
+// Best is an upper bound on what any policy could have earned under the conditions of a run, with
+// knowledge of the future and within the rules, and the shortfall of the run by cause.
 type Best struct {
-	Total    float64 `json:"total"` // bounds on the figures of Service
+	Total    float64 `json:"total"` // bounds on the values of service.Figure
 	Whole    float64 `json:"whole"`
 	Worst10s float64 `json:"worst_10s"`
 	Plan     float64 `json:"worst_plan"`
-	Gap      float64 `json:"gap"`   // by how much Whole may be too high, as a share of it
-	Share    float64 `json:"share"` // the run's total over the bound's
-	// Causes add up to the worth asked for within quota that the run did not earn.
+	Gap      float64 `json:"gap"`   // possible overestimate of Whole, as a share of it
+	Share    float64 `json:"share"` // total of the run relative to the bound
+	// Causes add up to the worth requested within quota that the run did not earn.
 	Causes  []Cause     `json:"causes"`
-	Prices  []float64   `json:"prices"` // of a second of work, by StepS
+	Prices  []float64   `json:"prices"` // marginal worth of a second of work, by step of StepS
 	StepS   float64     `json:"step_s"`
-	Seconds [][]float64 `json:"lost_by_second"` // by cause
+	Seconds [][]float64 `json:"lost_by_second"` // lost worth by cause and second
 }
 
-// Cause is why worth was not earned.
+// Cause is one reason for lost worth, with the requests and the worth lost to it.
 type Cause struct {
 	Name     string  `json:"name"`
-	Due      bool    `json:"due"` // no policy could have earned it
+	Due      bool    `json:"due"` // unavoidable: no policy could have earned it
 	Requests int     `json:"requests"`
 	Worth    float64 `json:"worth"`
-	Share    float64 `json:"share"` // of the worth asked for within quota
+	Share    float64 `json:"share"` // of the worth requested within quota
 }
 
-// The causes.
+// Names of the causes in reports.
 const (
-	causeDue      = "capacity was not there"
-	causeQuota    = "the quota was split over limiters"
-	causeCeiling  = "the ceiling was split over limiters"
-	causePeers    = "peers were not heard yet"
-	causeCold     = "cold boxes' allowance was used up"
-	causeSpill    = "a bound on spill"
-	causeWellIll  = "a healthy box was taken for ill"
-	causeIllWell  = "an ill box was taken for healthy"
-	causeUnlisted = "a healthy box was not listed yet"
-	causeBusy     = "every healthy box was busy just then"
-	causeRoom     = "refused though a box was idle"
-	causeLate     = "late or failed at a healthy box"
-	causeAway     = "the limiter was away"
-	causeAdvice   = "plug-ins refused it"
-	causeBeyond   = "sent on or served beyond the quota"
+	causeNoCapacity         = "capacity was not there"
+	causeQuota              = "the quota was split over limiters"
+	causeCeiling            = "the ceiling was split over limiters"
+	causePeers              = "peers were not heard yet"
+	causeCold               = "cold boxes' allowance was used up"
+	causeSpill              = "a bound on spill"
+	causeHealthyTakenForIll = "a healthy box was taken for ill"
+	causeIllTakenForHealthy = "an ill box was taken for healthy"
+	causeUnlisted           = "a healthy box was not listed yet"
+	causeBusy               = "every healthy box was busy just then"
+	causeIdleBox            = "refused though a box was idle"
+	causeLate               = "late or failed at a healthy box"
+	causeLimiterGone        = "the limiter was away"
+	causeAdvice             = "plug-ins refused it"
+	causeBeyondQuota        = "sent on or served beyond the quota"
 )
 
-// bestStep is a step of the bound.
-const bestStep = 100 * time.Millisecond
+// boundStep is the time step of the upper bound.
+const boundStep = 100 * time.Millisecond
 
-// Watcher gathers what the bound and the causes need while a run is under way.
+// Watcher records the calls, refusals and attempts of a run for the bound and the causes.
 type Watcher struct {
-	f     *fleet.Fleet
-	w     *world.World
-	calls []*world.Call
-	cause map[*world.Call]string // of its first refusal
-	last  map[*world.Call]string // of what came of its latest attempt, if it fails
+	fleet            *fleet.Fleet
+	world            *world.World
+	calls            []*world.Call
+	refusalCause     map[*world.Call]string // cause of the first refusal
+	lastAttemptCause map[*world.Call]string // cause to report if the latest attempt fails
 }
 
-// Watch has a Watcher see a run that is to be made with options.
+// Watch returns a Watcher and installs its callbacks in the options of a run that has not started.
 func Watch(f *fleet.Fleet, o *virtual.Options) *Watcher {
-	x := &Watcher{f: f, cause: map[*world.Call]string{}, last: map[*world.Call]string{}}
+	x := &Watcher{fleet: f, refusalCause: map[*world.Call]string{}, lastAttemptCause: map[*world.Call]string{}}
 	started, seen := o.Started, o.Watch
 	o.Started = func(w *world.World) {
-		x.w = w
+		x.world = w
 		if started != nil {
 			started(w)
 		}
@@ -98,28 +98,28 @@
 	}
 	o.Refused = x.refused
 	o.SentTo = func(t *world.Try, box int) {
-		b := x.w.Boxes[box]
-		x.last[t.Call] = causeLate
+		b := x.world.Boxes[box]
+		x.lastAttemptCause[t.Call] = causeLate
 		if !b.Well() {
-			x.last[t.Call] = causeIllWell
-		} else if b.Warmth(x.w.Now()) < 1 {
-			x.last[t.Call] = causeCold
+			x.lastAttemptCause[t.Call] = causeIllTakenForHealthy
+		} else if b.Warmth(x.world.Now()) < 1 {
+			x.lastAttemptCause[t.Call] = causeCold
 		}
 	}
 	return x
 }
 
-// regarder is a policy that tells what it takes a server for.
-type regarder interface {
+// availabilityReporter is a policy that reports its view of a server.
+type availabilityReporter interface {
 	Regards(now float64, id uint64, class int) limiter.Availability
 }
 
-// refused finds why a try is refused, by what is true at that moment.
+// refused determines the cause of a refusal from the state of the world at that moment.
 func (x *Watcher) refused(n int, p virtual.Policy, t *world.Try, a limiter.Refuse) {
-	if _, have := x.cause[t.Call]; have {
+	if _, have := x.refusalCause[t.Call]; have {
 		return
 	}
-	cause := causeRoom
+	cause := causeIdleBox
 	switch a.Why {
 	case limiter.QuotaShort, limiter.AtOnceShort:
 		cause = causeQuota
@@ -130,30 +130,30 @@
 	case limiter.Advised:
 		cause = causeAdvice
 	case limiter.AfterAttempts:
-		if cause = x.last[t.Call]; cause == "" {
-			cause = causeRoom
+		if cause = x.lastAttemptCause[t.Call]; cause == "" {
+			cause = causeIdleBox
 		}
 	default:
-		cause = x.room(n, p, t)
+		cause = x.noServerCause(n, p, t)
 	}
-	x.cause[t.Call] = cause
+	x.refusalCause[t.Call] = cause
 }
 
-// room tells why no server was found for a try.
-func (x *Watcher) room(n int, p virtual.Policy, t *world.Try) string {
-	sees, ok := p.(regarder)
+// noServerCause returns the reason why no server was found for a try.
+func (x *Watcher) noServerCause(n int, p virtual.Policy, t *world.Try) string {
+	sees, ok := p.(availabilityReporter)
 	counts := map[limiter.Availability]int{}
 	spill := true
-	for i, b := range x.w.Boxes {
-		if !b.Well() || !b.Idle() || !x.w.Reaches(n, i) {
+	for i, b := range x.world.Boxes {
+		if !b.Well() || !b.Idle() || !x.world.Reaches(n, i) {
 			continue
 		}
 		r := limiter.Usable
 		if ok {
-			r = sees.Regards(virtual.Clock(x.w.Now()), uint64(i+1), t.Call.Class)
+			r = sees.Regards(virtual.Clock(x.world.Now()), uint64(i+1), t.Call.Class)
 		}
 		counts[r]++
-		if r == limiter.Usable && (len(x.f.Tiers) == 0 || x.f.Tiers.Of(b.Spec.Room, b.Spec.Labels, x.f.Limiters[n].Room) == 0) {
+		if r == limiter.Usable && (len(x.fleet.Tiers) == 0 || x.fleet.Tiers.Of(b.Spec.Room, b.Spec.Labels, x.fleet.Limiters[n].Room) == 0) {
 			spill = false
 		}
 	}
@@ -162,23 +162,23 @@
 	case counts[limiter.Usable] > 0 && spill:
 		return causeSpill
 	case counts[limiter.Usable] > 0:
-		return causeRoom
+		return causeIdleBox
 	case counts[limiter.WarmingUp] > 0:
 		return causeCold
 	case ill > 0:
-		return causeWellIll
+		return causeHealthyTakenForIll
 	case counts[limiter.Unlisted] > 0:
 		return causeUnlisted
 	}
 	return causeBusy
 }
 
-// problem is the day as the bound takes it; counts says which requests are of worth in it.
+// problem returns the optimization problem of the run; only calls for which counts is true have worth.
 func (x *Watcher) problem(s *world.Supply, counts func(*world.Call) bool) *capacity.Problem {
 	p := &capacity.Problem{Supply: capacity.Supply{Step: s.Step.Seconds(), Work: s.Work, Core: s.Core}}
 	accounts := map[uint64]int{}
 	for _, c := range x.calls {
-		plan, class := &x.f.Plans[c.Plan], &x.f.Classes[c.Class]
+		plan, class := &x.fleet.Plans[c.Plan], &x.fleet.Classes[c.Class]
 		a, have := accounts[c.Account]
 		if !have {
 			a = len(p.Quotas)
@@ -194,18 +194,17 @@
 	return p
 }
 
-// ErrOverBound tells that a run earned more than the bound says anybody could: a defect of the
-// bound.
+// ErrOverBound means that a run earned more than its upper bound, which is a defect of the bound.
 var ErrOverBound = errors.New("a run earned more than its upper bound")
 
-// Best bounds the day of a run that is over, and finds the causes. It is an error if the run
-// earned more than the bound. A context that ends makes the bound looser, and no less true.
+// Best computes the bound and the causes of a finished run. It returns ErrOverBound if the run earned
+// more than the bound. If the context ends early, the bound is looser but still valid.
 func (x *Watcher) Best(ctx context.Context, faults []world.Fault, seed uint64, length time.Duration) (*Best, error) {
-	m := x.w.Meter
-	for _, c := range x.f.Classes {
+	m := x.world.Meter
+	for _, c := range x.fleet.Classes {
 		length = max(length, time.Duration(len(m.Seconds))*time.Second+c.Deadline)
 	}
-	s := world.SupplyOf(x.f, seed, faults, bestStep, length)
+	s := world.SupplyOf(x.fleet, seed, faults, boundStep, length)
 	stop := func() bool { return ctx.Err() != nil }
 	solve := func(rounds int, counts func(*world.Call) bool) (*capacity.Bound, float64) {
 		asked := 0.0
@@ -217,8 +216,8 @@
 		return capacity.Solve(x.problem(s, counts), capacity.Options{Rounds: rounds, Stop: stop}), max(1e-12, asked)
 	}
 	all, asked := solve(0, func(*world.Call) bool { return true })
-	b := &Best{Whole: all.Value / asked, Gap: round(all.Gap(), 6), StepS: bestStep.Seconds(), Worst10s: math.Inf(1), Plan: math.Inf(1)}
-	// The worst window of any policy is no better than any one window's best.
+	b := &Best{Whole: all.Value / asked, Gap: round(all.Gap(), 6), StepS: boundStep.Seconds(), Worst10s: math.Inf(1), Plan: math.Inf(1)}
+	// The worst window of any policy is at most the bound of any single window.
 	type window struct {
 		from   int
 		earned float64
@@ -251,7 +250,7 @@
 	if math.IsInf(b.Worst10s, 1) {
 		b.Worst10s = b.Whole
 	}
-	for k := range x.f.Plans {
+	for k := range x.fleet.Plans {
 		if m.Plans[k].Asked == 0 {
 			continue
 		}
@@ -264,7 +263,7 @@
 	b.Total = service.WholeWeight*b.Whole + service.WorstWeight*b.Worst10s + service.PlanWeight*b.Plan
 	got := m.Figure()
 	b.Share = got.Total / b.Total
-	x.causes(b, all.Prices, asked)
+	x.attributeLosses(b, all.Prices, asked)
 	for _, p := range all.Prices {
 		b.Prices = append(b.Prices, round(p, 3))
 	}
@@ -278,15 +277,15 @@
 	return b, nil
 }
 
-// causes attributes what was not earned, request by request.
-func (x *Watcher) causes(b *Best, prices []float64, asked float64) {
+// attributeLosses assigns the lost worth of each request to a cause.
+func (x *Watcher) attributeLosses(b *Best, prices []float64, asked float64) {
 	type sum struct {
 		n     int
 		worth float64
 	}
 	sums, by := map[string]*sum{}, map[string][]float64{}
 	for _, c := range x.calls {
-		lost, cause := -c.Earned, causeBeyond
+		lost, cause := -c.Earned, causeBeyondQuota
 		if c.Within {
 			if lost += c.Worth; lost <= 1e-12 {
 				continue
@@ -296,7 +295,7 @@
 			continue
 		}
 		if sums[cause] == nil {
-			sums[cause], by[cause] = &sum{}, make([]float64, len(x.w.Meter.Seconds))
+			sums[cause], by[cause] = &sum{}, make([]float64, len(x.world.Meter.Seconds))
 		}
 		sums[cause].n++
 		sums[cause].worth += lost
@@ -306,7 +305,7 @@
 		return cmp.Or(cmp.Compare(sums[q].worth, sums[p].worth), cmp.Compare(p, q))
 	})
 	for _, name := range names {
-		b.Causes = append(b.Causes, Cause{name, name == causeDue, sums[name].n, round(sums[name].worth, 3), round(sums[name].worth/asked, 6)})
+		b.Causes = append(b.Causes, Cause{name, name == causeNoCapacity, sums[name].n, round(sums[name].worth, 3), round(sums[name].worth/asked, 6)})
 		for i := range by[name] {
 			by[name][i] = round(by[name][i], 3)
 		}
@@ -314,35 +313,35 @@
 	}
 }
 
-// causeOf is why a request did not earn its worth. Where its work cost more than it was worth
-// to the best plan, that is why.
+// causeOf returns the reason why a request did not earn its worth. It is missing capacity if the work
+// of the request cost more, at the prices of the bound, than the request is worth.
 func (x *Watcher) causeOf(c *world.Call, prices []float64) string {
-	class := &x.f.Classes[c.Class]
-	from, to := int(c.At/bestStep), min(len(prices)-1, int((c.At+class.Aim)/bestStep))
+	class := &x.fleet.Classes[c.Class]
+	from, to := int(c.At/boundStep), min(len(prices)-1, int((c.At+class.Aim)/boundStep))
 	cheap := math.Inf(1)
 	for k := from; k <= to; k++ {
 		cheap = min(cheap, prices[k])
 	}
 	if c.Work.Seconds()*cheap >= c.Worth*(1-1e-6) {
-		return causeDue
+		return causeNoCapacity
 	}
-	switch cause := x.cause[c]; {
+	switch cause := x.refusalCause[c]; {
 	case cause != "":
 		return cause
-	case x.last[c] != "":
-		return x.last[c]
+	case x.lastAttemptCause[c] != "":
+		return x.lastAttemptCause[c]
 	}
-	return causeAway
+	return causeLimiterGone
 }
 
-// Row is a run and its bound, for a table.
+// Row is a table row of Write: a run and its bound.
 type Row struct {
 	Name    string
 	Service service.Figure
 	Best    *Best
 }
 
-// Write writes bounds and causes as text.
+// Write writes the bounds and causes of runs as a text table.
 func Write(out io.Writer, rows []Row) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, r := range rows {
@@ -358,7 +357,7 @@
 	return w.Flush()
 }
 
-// Text is the cause in words.
+// Text returns the name of the cause, marked if it is unavoidable.
 func (c Cause) Text() string {
 	if c.Due {
 		return c.Name + " (due)"
