--- a/internal/best/best.go
+++ b/internal/best/best.go
@@ -96,11 +96,11 @@
 			seen(now, a)
 		}
 	}
-	o.Refused = x.refused
-	o.SentTo = func(t *world.Try, box int) {
+	o.Refused = x.recordRefusal
+	o.OnAttempt = func(t *world.Try, box int) {
 		b := x.world.Boxes[box]
 		x.lastAttemptCause[t.Call] = causeLate
-		if !b.Well() {
+		if !b.Healthy() {
 			x.lastAttemptCause[t.Call] = causeIllTakenForHealthy
 		} else if b.Warmth(x.world.Now()) < 1 {
 			x.lastAttemptCause[t.Call] = causeCold
@@ -114,8 +114,8 @@
 	Regards(now float64, id uint64, class int) limiter.Availability
 }
 
-// refused determines the cause of a refusal from the state of the world at that moment.
-func (x *Watcher) refused(n int, p virtual.Policy, t *world.Try, a limiter.Refuse) {
+// recordRefusal determines and records the cause of a refusal from the state of the world at that moment.
+func (x *Watcher) recordRefusal(n int, p virtual.Policy, t *world.Try, a limiter.Refuse) {
 	if _, have := x.refusalCause[t.Call]; have {
 		return
 	}
@@ -145,7 +145,7 @@
 	counts := map[limiter.Availability]int{}
 	spill := true
 	for i, b := range x.world.Boxes {
-		if !b.Well() || !b.Idle() || !x.world.Reaches(n, i) {
+		if !b.Healthy() || !b.Idle() || !x.world.Reaches(n, i) {
 			continue
 		}
 		r := limiter.Usable
@@ -175,7 +175,7 @@
 
 // problem returns the optimization problem of the run; only calls for which counts is true have worth.
 func (x *Watcher) problem(s *world.Supply, counts func(*world.Call) bool) *capacity.Problem {
-	p := &capacity.Problem{Supply: capacity.Supply{Step: s.Step.Seconds(), Work: s.Work, Core: s.Core}}
+	p := &capacity.Problem{Supply: capacity.Supply{Step: s.Step.Seconds(), Work: s.Work, Core: s.PerCore}}
 	accounts := map[uint64]int{}
 	for _, c := range x.calls {
 		plan, class := &x.fleet.Plans[c.Plan], &x.fleet.Classes[c.Class]
@@ -204,7 +204,7 @@
 	for _, c := range x.fleet.Classes {
 		length = max(length, time.Duration(len(m.Seconds))*time.Second+c.Deadline)
 	}
-	s := world.SupplyOf(x.fleet, seed, faults, boundStep, length)
+	s := world.MaxSupply(x.fleet, seed, faults, boundStep, length)
 	stop := func() bool { return ctx.Err() != nil }
 	solve := func(rounds int, counts func(*world.Call) bool) (*capacity.Bound, float64) {
 		asked := 0.0
--- a/internal/judge/attempts.go
+++ b/internal/judge/attempts.go
@@ -68,7 +68,7 @@
 		j.recordBreach(now, NothingTwice, t.Limiter, id, "attempt %d of %d at most", t.attemptCount, j.settings.Attempts)
 	}
 	t.openAttempts++
-	t.newestAttempt = &attempt{try: t, box: box, at: now}
+	t.newestAttempt = &attempt{try: t, box: box, arrivedAt: now}
 	j.attempts[attemptID] = t.newestAttempt
 }
 
@@ -102,7 +102,7 @@
 	}
 	t.served = t.served || v == WasServed
 	if v != NeverRan && !t.mayHaveRun {
-		t.mayHaveRun, t.mayHaveRunAt, t.mayHaveRunBox = true, a.at, a.box
+		t.mayHaveRun, t.mayHaveRunAt, t.mayHaveRunBox = true, a.arrivedAt, a.box
 	}
 }
 
@@ -141,12 +141,12 @@
 	}
 	j.Seen[ColdKept]++
 	p.arrivedAt, p.amounts, p.sum = append(p.arrivedAt, now), append(p.amounts, work), p.sum+work
-	n := 0
-	for n < len(p.arrivedAt) && p.arrivedAt[n] < now-j.settings.FallFor {
-		p.sum -= p.amounts[n]
-		n++
+	expired := 0
+	for expired < len(p.arrivedAt) && p.arrivedAt[expired] < now-j.settings.FallFor {
+		p.sum -= p.amounts[expired]
+		expired++
 	}
-	p.arrivedAt, p.amounts, p.windowStart = p.arrivedAt[n:], p.amounts[n:], max(0, p.windowStart-n)
+	p.arrivedAt, p.amounts, p.windowStart = p.arrivedAt[expired:], p.amounts[expired:], max(0, p.windowStart-expired)
 	j.measurePush(now, p, capacity)
 	over := p.sum.Seconds() > j.settings.FallFactor*capacity*(j.settings.FallFor+j.settings.Slack).Seconds()
 	if over && !p.reported {
@@ -167,12 +167,12 @@
 	for p.arrivedAt[p.windowStart] <= now-j.settings.PushFor {
 		p.windowStart++
 	}
-	var sum, most time.Duration
+	var sum, largest time.Duration
 	for _, w := range p.amounts[p.windowStart:] {
-		sum, most = sum+w, max(most, w)
+		sum, largest = sum+w, max(largest, w)
 	}
-	push := (sum - most).Seconds() / (capacity * j.settings.PushFor.Seconds())
-	if j.Push = max(j.Push, push); push > j.settings.PushMost {
+	ratio := (sum - largest).Seconds() / (capacity * j.settings.PushFor.Seconds())
+	if j.Push = max(j.Push, ratio); ratio > j.settings.PushMost {
 		j.PushedOver++
 	}
 	j.Pushes++
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -53,7 +53,7 @@
 	PushFor      time.Duration // window of Judge.Push; 0: not measured
 	PushMost     float64
 	CeilingSlack float64       // tolerated excess, as a share of the ceiling
-	MostUnits    float64       // units of the largest request
+	MaxUnits     float64       // units of the largest request
 	Longest      time.Duration // longest deadline of any class
 	// Slack is the largest delay between an event and its report. Every time limit is extended by
 	// it, and ceilings by the units that they allow in three times this span (150 ms for 50 ms).
@@ -170,9 +170,9 @@
 type Box struct{ ID, Pod, Room int }
 
 type attempt struct {
-	try *try
-	box Box
-	at  time.Duration
+	try       *try
+	box       Box
+	arrivedAt time.Duration
 	// overlapped is set when another attempt of the try arrived while this one was in flight, first at
 	// overlapAt. The overlap may turn out to be only an inexact order of reports.
 	overlapped bool
@@ -359,22 +359,22 @@
 
 // chargeCeiling takes the units of a try from the ceiling of its account.
 func (j *Judge) chargeCeiling(now time.Duration, t *try) {
-	p := j.settings.Plans[t.Plan]
-	if p.CeilingRate <= 0 {
+	plan := j.settings.Plans[t.Plan]
+	if plan.CeilingRate <= 0 {
 		return
 	}
 	j.Seen[CeilingsKept]++
-	late := p.CeilingRate * 3 * j.settings.Slack.Seconds()
-	widest, exactest := p.CeilingBurst*(1+j.settings.CeilingSlack)+late, p.CeilingBurst+j.settings.MostUnits+late
+	delayUnits := plan.CeilingRate * 3 * j.settings.Slack.Seconds()
+	shareBurst, requestBurst := plan.CeilingBurst*(1+j.settings.CeilingSlack)+delayUnits, plan.CeilingBurst+j.settings.MaxUnits+delayUnits
 	c := j.ceilings[t.Account]
 	if c == nil {
-		c = &ceiling{updatedAt: now, shareBucket: widest, requestBucket: exactest}
+		c = &ceiling{updatedAt: now, shareBucket: shareBurst, requestBucket: requestBurst}
 		j.ceilings[t.Account] = c
 	}
-	s := max(0, now-c.updatedAt).Seconds()
+	elapsed := max(0, now-c.updatedAt).Seconds()
 	c.updatedAt = max(c.updatedAt, now)
-	c.shareBucket = min(widest, c.shareBucket+s*p.CeilingRate*(1+j.settings.CeilingSlack)) - t.Units
-	c.requestBucket = min(exactest, c.requestBucket+s*p.CeilingRate) - t.Units
+	c.shareBucket = min(shareBurst, c.shareBucket+elapsed*plan.CeilingRate*(1+j.settings.CeilingSlack)) - t.Units
+	c.requestBucket = min(requestBurst, c.requestBucket+elapsed*plan.CeilingRate) - t.Units
 	if c.shareBucket < -1e-9 && c.requestBucket < -1e-9 {
 		j.recordBreach(now, CeilingsKept, t.Limiter, t.Try, "account %d is %.1f units over its ceiling", t.Account, -max(c.shareBucket, c.requestBucket))
 		c.shareBucket, c.requestBucket = max(c.shareBucket, 0), max(c.requestBucket, 0) // each excess unit is reported once
@@ -395,14 +395,14 @@
 		return
 	}
 	j.sweptAt = j.now
-	n := 0
-	for n < len(j.pending) && j.pending[n].takenAt < j.now-2*j.settings.Longest-5*time.Second && j.pending[n].openAttempts <= 0 {
-		j.checkAnswered(j.pending[n])
-		delete(j.tries, j.pending[n].Try)
-		j.pending[n] = nil
-		n++
+	expired := 0
+	for expired < len(j.pending) && j.pending[expired].takenAt < j.now-2*j.settings.Longest-5*time.Second && j.pending[expired].openAttempts <= 0 {
+		j.checkAnswered(j.pending[expired])
+		delete(j.tries, j.pending[expired].Try)
+		j.pending[expired] = nil
+		expired++
 	}
-	j.pending = j.pending[n:]
+	j.pending = j.pending[expired:]
 	for id, c := range j.ceilings { // the buckets are full again, as those of a new entry
 		if j.now-c.updatedAt > time.Minute {
 			delete(j.ceilings, id)
@@ -413,7 +413,7 @@
 // checkAnswered checks that a try whose time is over got its answer.
 func (j *Judge) checkAnswered(t *try) {
 	if a := t.newestAttempt; a != nil && t.openAttempts > 1 && j.settings.Order > 0 {
-		j.recordBreach(a.at, NothingTwice, t.Limiter, t.Try, "two attempts out at once")
+		j.recordBreach(a.arrivedAt, NothingTwice, t.Limiter, t.Try, "two attempts out at once")
 	}
 	if !t.answered && !t.limiterKilled && !t.clientLeft && j.now > t.Until+j.settings.Slack {
 		j.recordBreach(t.Until, OneAnswer, t.Limiter, t.Try, "no final answer while the client waited")
--- a/internal/judge/judge_test.go
+++ b/internal/judge/judge_test.go
@@ -13,7 +13,7 @@
 func settings() Settings {
 	return Settings{Classes: []Class{{Repeat: limiter.Safe}, {Repeat: limiter.Keyed, Group: limiter.GroupCell, Window: time.Second}, {Repeat: limiter.Unsafe}},
 		Plans: []Plan{{}, {CeilingRate: 10, CeilingBurst: 20}}, Attempts: 3, DrainGrace: 500 * ms, FallFactor: 3, FallFor: 1500 * ms,
-		CeilingSlack: 0.1, MostUnits: 4, Longest: 4 * time.Second, Slack: 8 * ms}
+		CeilingSlack: 0.1, MaxUnits: 4, Longest: 4 * time.Second, Slack: 8 * ms}
 }
 
 // step reports one event to a judge.
--- a/internal/virtual/advise_test.go
+++ b/internal/virtual/advise_test.go
@@ -13,15 +13,15 @@
 	"example.org/madderdrum/internal/virtual"
 )
 
-// liar gives random advice, some of it malformed, through the encoding that plug-ins use.
-type liar struct {
+// randomAdviser gives random advice, some of it malformed, through the encoding that plug-ins use.
+type randomAdviser struct {
 	r    *rand.Rand
 	said *int
 }
 
-func (l *liar) Close() error { return nil }
+func (l *randomAdviser) Close() error { return nil }
 
-func (l *liar) Advise(_ context.Context, s *advice.Subject, _ time.Duration) advice.Combined {
+func (l *randomAdviser) Advise(_ context.Context, s *advice.Subject, _ time.Duration) advice.Combined {
 	*l.said++
 	all := advice.Start()
 	grant := &advice.Grant{Refuse: true, MostWaitMs: 1e6, Lower: 0.01, Raise: 100, Label: true, Tiers: true}
@@ -43,7 +43,7 @@
 // broken, and requests that plug-ins refuse are refused.
 func TestRulesHoldWithLyingPlugins(t *testing.T) {
 	for seed := range uint64(4) {
-		r, said := playLyingPlugins(t, seed)
+		r, said := simulateRandomAdvice(t, seed)
 		for _, b := range r.Judge.Breaches {
 			t.Errorf("seed %d: %v", seed, b)
 		}
@@ -53,15 +53,15 @@
 	}
 }
 
-// playLyingPlugins simulates limiters whose plug-ins give random advice, and counts their calls.
-func playLyingPlugins(t *testing.T, seed uint64) (r *virtual.Result, said int) {
-	r = play(t, seed, 55*time.Second, rough, func(o *virtual.Options) {
+// simulateRandomAdvice simulates limiters whose plug-ins give random advice, and counts their calls.
+func simulateRandomAdvice(t *testing.T, seed uint64) (r *virtual.Result, said int) {
+	r = simulate(t, seed, 55*time.Second, allFaults, func(o *virtual.Options) {
 		f := *config.Bluebird()
 		f.Tiers = fleet.Tiers{{Name: "near", OwnRoom: true, Spill: 0.3}, {Name: "far", Rooms: []int{0}, Spill: 0.5}}
 		o.Fleet = &f
 		o.Asked = 0.2
 		o.Advisers = func(n int, now func() time.Duration) (virtual.Adviser, error) {
-			return &liar{rand.New(rand.NewPCG(seed, uint64(n))), &said}, nil
+			return &randomAdviser{rand.New(rand.NewPCG(seed, uint64(n))), &said}, nil
 		}
 	})
 	return r, said
@@ -71,7 +71,7 @@
 // always within two seconds after a room returns. The cause is not known. The test runs two of these seeds.
 func TestLyingPluginsColdBoxes(t *testing.T) {
 	for _, seed := range []uint64{9, 10} {
-		r, _ := playLyingPlugins(t, seed)
+		r, _ := simulateRandomAdvice(t, seed)
 		for _, b := range r.Judge.Breaches {
 			t.Errorf("seed %d: %v", seed, b)
 		}
@@ -81,9 +81,9 @@
 // Plug-ins get the balances of accounts and the pressure of pools from the policy.
 func TestWhatPluginsAreShown(t *testing.T) {
 	var balances, pressures, tight int
-	play(t, 1, 20*time.Second, "room room-b is lost from 3s to 15s\n", func(o *virtual.Options) {
+	simulate(t, 1, 20*time.Second, "room room-b is lost from 3s to 15s\n", func(o *virtual.Options) {
 		o.Advisers = func(int, func() time.Duration) (virtual.Adviser, error) {
-			return looker{&balances, &pressures, &tight}, nil
+			return recordingAdviser{&balances, &pressures, &tight}, nil
 		}
 	})
 	if balances < 1000 || pressures < 100 || tight == 0 {
@@ -91,11 +91,11 @@
 	}
 }
 
-type looker struct{ balances, pressures, retries *int }
+type recordingAdviser struct{ balances, pressures, retries *int }
 
-func (looker) Close() error { return nil }
+func (recordingAdviser) Close() error { return nil }
 
-func (l looker) Advise(_ context.Context, s *advice.Subject, _ time.Duration) advice.Combined {
+func (l recordingAdviser) Advise(_ context.Context, s *advice.Subject, _ time.Duration) advice.Combined {
 	if s.Balance != 7 && s.Balance != 15 && s.Balance != 70 {
 		*l.balances++
 	}
--- a/internal/virtual/asks.go
+++ b/internal/virtual/asks.go
@@ -58,10 +58,10 @@
 // ask processes the ask of a proxy for a try, and what the proxy does with the answer.
 func (h *host) ask(t *world.Try, how callWay) {
 	d, c := h.driver, t.Call
-	waits := t.Until - d.world.Now()
+	remaining := t.Until - d.world.Now()
 	spread, first := d.world.Entrance(c.Account)
 	d.result.Counts.Asks++
-	s := limiter.Submit{ID: askID, ExpiresMs: float64(waits.Microseconds()) / 1000,
+	s := limiter.Submit{ID: askID, ExpiresMs: float64(remaining.Microseconds()) / 1000,
 		Units: c.Units, Class: c.Class, Plan: c.Plan, Retry: t.Retry, Account: c.Account, Spread: spread, First: first}
 	h.advise(&s)
 	h.pendingAsk = &askResult{}
@@ -85,30 +85,30 @@
 	binary.LittleEndian.PutUint64(id[:], d.lastID)
 	terms := grant.Terms{Account: c.Account, Plan: c.Plan, Class: c.Class, Units: c.Units}
 	epoch, until := h.epoch, d.world.Now()+leaseDuration
-	if h.leases.Leases().Grant(id, terms, until) != nil {
+	if h.leaseManager.Leases().Grant(id, terms, until) != nil {
 		h.handle(limiter.Settle{Account: c.Account, Units: c.Units, Refund: true})
 		d.after(d.world.ClientDelay(), func() { d.world.Got(d.world.Now(), t, world.GotRefused, leaseDuration) })
 		return
 	}
 	d.world.After(until, func() {
 		if h.epoch == epoch {
-			h.leases.Leases().Expire(d.world.Now(), func(x grant.Terms) { h.settle(x, grant.Expired) })
+			h.leaseManager.Leases().Expire(d.world.Now(), func(x grant.Terms) { h.settle(x, grant.Expired) })
 		}
 	})
 	// The grant goes to the proxy, which sends the request to the limiter that the front picks.
 	d.after(2*d.world.ClientDelay(), func() {
-		to := d.hosts[d.world.Pick(c.Account)]
+		to := d.hosts[d.world.PickLimiter(c.Account)]
 		t.Limiter = to.index
-		if !to.up || !to.taking {
+		if !to.up || !to.accepting {
 			d.world.Got(d.world.Now(), t, world.GotBroken, 0)
 			return
 		}
 		token := grant.Token{Limiter: h.index, Lease: id, Terms: terms}
-		leased, vouched := to.leases.Redeem(d.world.Now(), token, until-d.world.Now(), terms)
-		if vouched {
+		leased, quotaChecked := to.leaseManager.Redeem(d.world.Now(), token, until-d.world.Now(), terms)
+		if quotaChecked {
 			d.after(noticeInterval, to.sendNotices)
 		}
-		to.proxy(t, leased, vouched)
+		to.proxy(t, leased, quotaChecked)
 	})
 }
 
@@ -117,7 +117,7 @@
 	if !h.up {
 		return
 	}
-	h.leases.SendNotices(func(to int, data []byte) {
+	h.leaseManager.SendNotices(func(to int, data []byte) {
 		h.driver.result.Counts.Messages++
 		h.driver.world.PeerSends(h.driver.world.Now(), h.index, to, data)
 	})
@@ -125,7 +125,7 @@
 
 // receiveNotices processes lease notices of another limiter.
 func (h *host) receiveNotices(data []byte) {
-	h.leases.Heard(h.driver.world.Now(), data, func(x grant.Terms) { h.settle(x, grant.Moved) })
+	h.leaseManager.Heard(h.driver.world.Now(), data, func(x grant.Terms) { h.settle(x, grant.Moved) })
 }
 
 func (h *host) settle(x grant.Terms, e grant.EndReason) {
--- a/internal/virtual/host.go
+++ b/internal/virtual/host.go
@@ -18,7 +18,7 @@
 	index         int
 	epoch         int // incremented at each start and end; callbacks of earlier epochs are void
 	up            bool
-	taking        bool // accepts connections
+	accepting     bool // accepts connections
 	policy        Policy
 	knownBoxes    map[int]world.Entry
 	requests      map[string]*request
@@ -27,7 +27,7 @@
 	idleConns     map[int][]conn // by box, most recently used last
 	queue         []limiter.Event
 	busy          bool
-	leases        *grant.LeaseManager
+	leaseManager  *grant.LeaseManager
 	pendingAsk    *askResult // result of the Ask that the policy is handling; nil: none
 
 	adviser Adviser
@@ -77,9 +77,9 @@
 		return err
 	}
 	h.epoch++
-	h.policy, h.up, h.taking = p, true, true
+	h.policy, h.up, h.accepting = p, true, true
 	h.knownBoxes, h.requests, h.requestsByTry, h.idleConns = map[int]world.Entry{}, map[string]*request{}, map[uint64]*request{}, map[int][]conn{}
-	h.pastRequests, h.leases = map[string]*request{}, grant.NewLeaseManager(h.index, len(h.driver.options.Fleet.Limiters), maxLeases)
+	h.pastRequests, h.leaseManager = map[string]*request{}, grant.NewLeaseManager(h.index, len(h.driver.options.Fleet.Limiters), maxLeases)
 	h.updateEndpoints(limiter.Persisted, h.driver.world.Known(h.index))
 	if h.driver.steward != nil {
 		h.driver.steward.limiterStarted(h)
@@ -95,7 +95,7 @@
 		return
 	}
 	h.epoch++
-	h.up, h.taking = false, false
+	h.up, h.accepting = false, false
 	h.driver.judge.Killed(h.driver.world.Now(), h.index)
 	var held []*request
 	for _, r := range h.requests {
@@ -123,7 +123,7 @@
 	epoch := h.epoch
 	h.driver.after(acceptAfterStop, func() {
 		if h.epoch == epoch {
-			h.taking = false
+			h.accepting = false
 		}
 	})
 	h.driver.after(drainTime, func() {
@@ -211,7 +211,7 @@
 
 // receive accepts a completely received try.
 func (h *host) receive(t *world.Try) {
-	if !h.up || !h.taking {
+	if !h.up || !h.accepting {
 		h.driver.after(h.driver.world.ClientDelay(), func() { h.driver.world.Got(h.driver.world.Now(), t, world.GotBroken, 0) })
 		return
 	}
@@ -223,10 +223,10 @@
 }
 
 // proxy submits a request that this limiter forwards, with the units leased for it.
-func (h *host) proxy(t *world.Try, leased float64, vouched bool) {
+func (h *host) proxy(t *world.Try, leased float64, quotaChecked bool) {
 	now := h.driver.world.Now()
-	waits := t.Until - t.SentAt
-	r := &request{id: strconv.FormatUint(t.ID, 16), try: t, stopAt: now + waits - min(answerMargin, waits/marginPart)}
+	remaining := t.Until - t.SentAt
+	r := &request{id: strconv.FormatUint(t.ID, 16), try: t, stopAt: now + remaining - min(answerMargin, remaining/marginPart)}
 	h.requests[r.id], h.requestsByTry[t.ID] = r, r
 	c := t.Call
 	h.driver.judge.Taken(now, judge.Request{Try: t.ID, Limiter: h.index, Account: c.Account, Class: c.Class, Plan: c.Plan,
@@ -240,7 +240,7 @@
 	})
 	spread, first := h.driver.world.Entrance(c.Account)
 	s := limiter.Submit{ID: r.id, ExpiresMs: float64((r.stopAt - now).Microseconds()) / 1000, Units: c.Units, Class: c.Class,
-		Plan: c.Plan, Retry: t.Retry, Account: c.Account, Spread: spread, First: first, Leased: leased, QuotaChecked: vouched}
+		Plan: c.Plan, Retry: t.Retry, Account: c.Account, Spread: spread, First: first, Leased: leased, QuotaChecked: quotaChecked}
 	h.advise(&s)
 	h.handle(s)
 }
@@ -314,8 +314,8 @@
 		return
 	}
 	at.box = d.world.At(entry.Addr)
-	if d.options.SentTo != nil {
-		d.options.SentTo(r.try, at.box)
+	if d.options.OnAttempt != nil {
+		d.options.OnAttempt(r.try, at.box)
 	}
 	r.openAttempt = at
 	stopAt := r.stopAt
@@ -555,12 +555,12 @@
 	}
 	box, sentAt, epoch := d.world.At(entry.Addr), d.world.Now(), h.epoch
 	wait, result, load := 2*d.world.Delay(h.index, box), limiter.Pass, noLoad
-	switch cond := d.world.Boxes[box].Condition(); {
-	case !d.world.Reaches(h.index, box), cond == world.Hung:
+	switch condition := d.world.Boxes[box].Condition(); {
+	case !d.world.Reaches(h.index, box), condition == world.Hung:
 		wait, result = probeTimeout, limiter.TooSlow
-	case cond == world.Dead || cond == world.Fallen:
+	case condition == world.Dead || condition == world.Fallen:
 		result = limiter.NoRoute
-	case cond == world.Draining:
+	case condition == world.Draining:
 		result = limiter.NoRoom
 	}
 	d.after(wait, func() {
--- a/internal/virtual/remember.go
+++ b/internal/virtual/remember.go
@@ -40,9 +40,9 @@
 	now := clockMs(h.driver.world.Now())
 	m := p.HandOver(now)
 	for more := true; more; {
-		var told []limiter.AccountMemory
-		told, more = p.Leave(now, accountBatch)
-		m.Handover.Accounts = append(m.Handover.Accounts, told...)
+		var accounts []limiter.AccountMemory
+		accounts, more = p.Leave(now, accountBatch)
+		m.Handover.Accounts = append(m.Handover.Accounts, accounts...)
 	}
 	h.stored = storedMemory{m, h.driver.world.Now(), true}
 }
--- a/internal/virtual/remember_test.go
+++ b/internal/virtual/remember_test.go
@@ -8,7 +8,7 @@
 	"example.org/madderdrum/internal/world"
 )
 
-const restartsAmongTheSick = `
+const restartsWithUnhealthyBoxes = `
 box a3 fails 100% from 5s to 60s
 box b1 hangs from 5s to 60s
 box b2 slows 4 from 5s to 60s
@@ -30,7 +30,7 @@
 	for seed := range uint64(8) {
 		for k, every := range []time.Duration{0, 500 * time.Millisecond} {
 			arrived := 0
-			r := play(t, seed, 50*time.Second, restartsAmongTheSick, func(o *virtual.Options) {
+			r := simulate(t, seed, 50*time.Second, restartsWithUnhealthyBoxes, func(o *virtual.Options) {
 				o.Remember = every
 				var w *world.World
 				last := map[int]int{}
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -58,10 +58,10 @@
 	// RememberAge is added to the age of a restored memory, and Distort, if set, modifies the memory.
 	RememberAge time.Duration
 	Distort     func(*limiter.Memory)
-	// Refused, if set, is called at each refusal by a policy, and SentTo at each attempt, both before
+	// Refused, if set, is called at each refusal by a policy, and OnAttempt at each attempt, both before
 	// the state changes.
-	Refused func(limiter int, p Policy, t *world.Try, a limiter.Refuse)
-	SentTo  func(t *world.Try, box int)
+	Refused   func(limiter int, p Policy, t *world.Try, a limiter.Refuse)
+	OnAttempt func(t *world.Try, box int)
 	// Progress, if set, is called every 4096 events with the virtual time.
 	Progress func(now time.Duration)
 	// Started, if set, receives the world before the first event, so that the other callbacks can
@@ -117,7 +117,7 @@
 // JudgeSettings returns the judge's settings for the rules of a fleet.
 func JudgeSettings(f *fleet.Fleet, slack time.Duration) judge.Settings {
 	s := judge.Settings{Attempts: f.Rules.Attempts, DrainGrace: f.Rules.DrainGrace, FallFactor: f.Rules.FallFactor,
-		FallFor: f.Rules.FallFor, CeilingSlack: f.Rules.CeilingSlack, MostUnits: f.MostUnits(), Slack: slack}
+		FallFor: f.Rules.FallFor, CeilingSlack: f.Rules.CeilingSlack, MaxUnits: f.MostUnits(), Slack: slack}
 	for _, c := range f.Classes {
 		s.Classes = append(s.Classes, judge.Class{Repeat: c.Repeat, Group: c.Group, Window: c.Window})
 		s.Longest = max(s.Longest, c.Deadline)
@@ -151,7 +151,7 @@
 	}
 	d := &driver{options: o, rng: rand.New(rand.NewPCG(o.Seed, 0xd1)), attempts: map[uint64]*attempt{}}
 	d.world = world.New(o.Fleet, world.Options{Seed: o.Seed, Source: o.Source, Faults: o.Faults, Sample: o.Sample,
-		Way: func(call uint64) int { return int(drawWay(o, call)) }})
+		WayOf: func(call uint64) int { return int(drawWay(o, call)) }})
 	rules := JudgeSettings(o.Fleet, judgeSlack)
 	rules.PushFor, rules.PushMost = o.PushFor, o.PushMost
 	d.judge = judge.New(rules)
--- a/internal/virtual/virtual_test.go
+++ b/internal/virtual/virtual_test.go
@@ -17,8 +17,8 @@
 	"example.org/madderdrum/limiter"
 )
 
-// play simulates a scenario on the built-in fleet.
-func play(t testing.TB, seed uint64, length time.Duration, scenario string, change func(*virtual.Options)) *virtual.Result {
+// simulate runs a scenario on the built-in fleet.
+func simulate(t testing.TB, seed uint64, length time.Duration, scenario string, change func(*virtual.Options)) *virtual.Result {
 	t.Helper()
 	f := config.Bluebird()
 	faults, err := world.Scenario(f, scenario)
@@ -39,7 +39,7 @@
 	return r
 }
 
-const rough = `
+const allFaults = `
 box a3 hangs from 2s to 5s
 box b1 fails 70% from 4s to 12s
 room room-b is lost from 8s to 16s
@@ -69,7 +69,7 @@
 // checked at least once per run.
 func TestRulesHold(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
-		r := play(t, seed, time.Minute, rough, nil)
+		r := simulate(t, seed, time.Minute, allFaults, nil)
 		for _, b := range r.Judge.Breaches {
 			t.Errorf("seed %d: %v", seed, b)
 		}
@@ -104,33 +104,33 @@
 func TestSameSeedSameDay(t *testing.T) {
 	before := runtime.GOMAXPROCS(1)
 	defer runtime.GOMAXPROCS(before)
-	first := fingerprint(play(t, 7, 20*time.Second, rough, nil))
+	first := fingerprint(simulate(t, 7, 20*time.Second, allFaults, nil))
 	runtime.GOMAXPROCS(4)
-	if again := fingerprint(play(t, 7, 20*time.Second, rough, nil)); again != first {
+	if again := fingerprint(simulate(t, 7, 20*time.Second, allFaults, nil)); again != first {
 		t.Errorf("the same seed gave %s and %s", first, again)
 	}
-	if other := fingerprint(play(t, 8, 20*time.Second, rough, nil)); other == first {
+	if other := fingerprint(simulate(t, 8, 20*time.Second, allFaults, nil)); other == first {
 		t.Error("another seed gave the same day")
 	}
 }
 
-// bent is a policy whose actions a test modifies.
-type bent struct {
+// alteredPolicy is a policy whose actions a test modifies.
+type alteredPolicy struct {
 	virtual.Policy
-	bend func(now float64, ev limiter.Event, actions []limiter.Action) []limiter.Action
+	alterActions func(now float64, ev limiter.Event, actions []limiter.Action) []limiter.Action
 }
 
-func (b bent) Handle(now float64, ev limiter.Event) []limiter.Action {
-	return b.bend(now, ev, append([]limiter.Action(nil), b.Policy.Handle(now, ev)...))
+func (b alteredPolicy) Handle(now float64, ev limiter.Event) []limiter.Action {
+	return b.alterActions(now, ev, append([]limiter.Action(nil), b.Policy.Handle(now, ev)...))
 }
 
-// bend makes faulty limiters; fresh is called at each start of a limiter.
-func bend(fresh func() func(float64, limiter.Event, []limiter.Action) []limiter.Action) func(*virtual.Options) {
+// alterActions makes faulty limiters; fresh is called at each start of a limiter.
+func alterActions(fresh func() func(float64, limiter.Event, []limiter.Action) []limiter.Action) func(*virtual.Options) {
 	return func(o *virtual.Options) {
 		o.Unguarded = true
 		o.Policy = func(s limiter.Settings, seed uint64) (virtual.Policy, error) {
 			l, err := limiter.New(s, seed)
-			return bent{l, fresh()}, err
+			return alteredPolicy{l, fresh()}, err
 		}
 	}
 }
@@ -145,7 +145,7 @@
 		scenario string
 		change   func(*virtual.Options)
 	}{
-		{"answers twice", judge.OneAnswer, "a second time", "", bend(func() act {
+		{"answers twice", judge.OneAnswer, "a second time", "", alterActions(func() act {
 			return func(_ float64, ev limiter.Event, actions []limiter.Action) []limiter.Action {
 				if o, ok := ev.(limiter.Outcome); ok && o.Done {
 					actions = append(actions, limiter.Fail{ID: o.ID})
@@ -153,7 +153,7 @@
 				return actions
 			}
 		})},
-		{"never answers what it refuses", judge.OneAnswer, "no final answer", "", bend(func() act {
+		{"never answers what it refuses", judge.OneAnswer, "no final answer", "", alterActions(func() act {
 			return func(_ float64, _ limiter.Event, actions []limiter.Action) []limiter.Action {
 				kept := actions[:0]
 				for _, a := range actions {
@@ -164,7 +164,7 @@
 				return kept
 			}
 		})},
-		{"sends on after its answer", judge.OneAnswer, "after its final answer", "", bend(func() act {
+		{"sends on after its answer", judge.OneAnswer, "after its final answer", "", alterActions(func() act {
 			last := limiter.PassOn{}
 			return func(_ float64, ev limiter.Event, actions []limiter.Action) []limiter.Action {
 				for _, a := range actions {
@@ -179,7 +179,7 @@
 				return actions
 			}
 		})},
-		{"resends unsafe requests", judge.NothingTwice, "unsafe and sent again", "box a0 fails 90% from 1s to 9s", bend(func() act {
+		{"resends unsafe requests", judge.NothingTwice, "unsafe and sent again", "box a0 fails 90% from 1s to 9s", alterActions(func() act {
 			unsafe := map[string]uint64{}
 			return func(_ float64, ev limiter.Event, actions []limiter.Action) []limiter.Action {
 				if s, ok := ev.(limiter.Submit); ok && s.Class == 2 {
@@ -196,7 +196,7 @@
 				return actions
 			}
 		})},
-		{"sends to drained boxes", judge.DrainsKept, "after it was told", "box a0 drains from 2s to 9s", bend(func() act {
+		{"sends to drained boxes", judge.DrainsKept, "after it was told", "box a0 drains from 2s to 9s", alterActions(func() act {
 			return func(_ float64, _ limiter.Event, actions []limiter.Action) []limiter.Action {
 				for i, a := range actions {
 					if p, ok := a.(limiter.PassOn); ok {
@@ -207,7 +207,7 @@
 				return actions
 			}
 		})},
-		{"floods cold boxes", judge.ColdKept, "pushed over", "box a0 restarts at 2s", bend(func() act {
+		{"floods cold boxes", judge.ColdKept, "pushed over", "box a0 restarts at 2s", alterActions(func() act {
 			cold := uint64(0)
 			return func(_ float64, ev limiter.Event, actions []limiter.Action) []limiter.Action {
 				if e, ok := ev.(limiter.Endpoints); ok && e.Servers[0].ReadyAt > 0 {
@@ -234,7 +234,7 @@
 		}},
 	} {
 		t.Run(strings.ReplaceAll(c.name, " ", "-"), func(t *testing.T) {
-			r := play(t, 2, 15*time.Second, c.scenario, c.change)
+			r := simulate(t, 2, 15*time.Second, c.scenario, c.change)
 			found := false
 			for _, b := range r.Judge.Breaches {
 				found = found || b.Rule == c.rule && strings.Contains(b.Text, c.want)
@@ -249,7 +249,7 @@
 // A box that returns cold after the loss of its room gets little load at first and never too much; the
 // samples of its load show it.
 func TestLostRoomComesBackCold(t *testing.T) {
-	r := play(t, 4, 40*time.Second, "room room-b is lost from 8s to 16s", nil)
+	r := simulate(t, 4, 40*time.Second, "room room-b is lost from 8s to 16s", nil)
 	arrived := func(from, to int) (n int) {
 		for _, s := range r.World.Samples {
 			for i, b := range s.Boxes {
@@ -276,7 +276,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := play(t, 5, 30*time.Second, "box b1 fails 70% from 4s to 20s", func(o *virtual.Options) {
+		r := simulate(t, 5, 30*time.Second, "box b1 fails 70% from 4s to 20s", func(o *virtual.Options) {
 			o.Policy = p
 			o.Fleet.Traffic.Rate *= 1.7
 		})
@@ -311,7 +311,7 @@
 func TestAskedTraffic(t *testing.T) {
 	var refused, within [3]float64
 	for seed := uint64(1); seed <= 5; seed++ {
-		r := play(t, seed, 40*time.Second, "limiter n2 is killed at 8s for 2s\nbox a1 fails 60% from 12s to 20s\nroom room-b is parted from 20s to 30s", func(o *virtual.Options) {
+		r := simulate(t, seed, 40*time.Second, "limiter n2 is killed at 8s for 2s\nbox a1 fails 60% from 12s to 20s\nroom room-b is parted from 20s to 30s", func(o *virtual.Options) {
 			o.Asked = 0.6
 			o.Fleet.Network.PeerLoss = 0.08
 			o.Fleet.Traffic.Heavy, o.Fleet.Traffic.HeavyX = 0.1, 6
--- a/internal/world/actions.go
+++ b/internal/world/actions.go
@@ -33,7 +33,7 @@
 // States of a box in discovery.
 const (
 	Ready Health = iota
-	ToDrain
+	DrainRequested
 	Gone
 )
 
--- a/internal/world/box.go
+++ b/internal/world/box.go
@@ -161,8 +161,8 @@
 	return b.Spec.Cores * b.Spec.Speed * b.Warmth(now) / (b.slowdown * *b.sharedSlowdown)
 }
 
-// rates returns the current speed of all cores together and of one job.
-func (b *Box) rates(now time.Duration) (all, each float64) {
+// speeds returns the current speed of all cores together and of one job.
+func (b *Box) speeds(now time.Duration) (all, each float64) {
 	if b.condition == Hung || len(b.running) == 0 && b.handshakeDebt <= 0 {
 		return 0, 0
 	}
@@ -177,7 +177,7 @@
 
 // applyWork applies the work done until now; no job may end in between.
 func (b *Box) applyWork(now time.Duration) {
-	all, each := b.rates(b.advancedTo) // warm-up is negligible between two events
+	all, each := b.speeds(b.advancedTo) // warm-up is negligible between two events
 	dt := float64(now - b.advancedTo)
 	b.advancedTo = now
 	if all <= 0 || dt <= 0 {
@@ -197,7 +197,7 @@
 	if len(b.running) == 0 {
 		return 0, false
 	}
-	all, each := b.rates(b.advancedTo)
+	all, each := b.speeds(b.advancedTo)
 	if each <= 0 {
 		return 0, false
 	}
@@ -285,10 +285,10 @@
 // Close releases a connection that Open accepted.
 func (b *Box) Close() { b.connections = max(0, b.connections-1) }
 
-// Arrive adds a completely received request. It returns the jobs that end thereby, possibly j itself,
+// AddJob adds a completely received request. It returns the jobs that end thereby, possibly j itself,
 // in a slice valid until the next call. It must not be called for a box that is dead, fallen or
 // vanished.
-func (b *Box) Arrive(now time.Duration, j Job) []Done {
+func (b *Box) AddJob(now time.Duration, j Job) []Done {
 	b.finished = b.finished[:0]
 	b.Counts.Arrived++
 	if b.condition == Draining || len(b.running) >= b.Spec.Slots && len(b.waiting) >= b.Spec.Queue {
@@ -303,10 +303,10 @@
 	return b.finished
 }
 
-// Pushed records work sent to the box and reports whether the box crashes from it. A cold box crashes
+// AddColdWork records work sent to the box and reports whether the box crashes from it. A cold box crashes
 // when the work of the last FallFor exceeds FallFactor times its current capacity; a warm box never
 // does.
-func (b *Box) Pushed(now, work time.Duration) bool {
+func (b *Box) AddColdWork(now, work time.Duration) bool {
 	if b.Warmth(now) >= 1 {
 		return false
 	}
--- a/internal/world/clients.go
+++ b/internal/world/clients.go
@@ -31,8 +31,8 @@
 	return min(n, max(1, spread)), int(mix(h) % uint64(n))
 }
 
-// Pick returns the limiter to which the front sends a request of an account at this time.
-func (w *World) Pick(account uint64) int { return w.pickLimiter(account) }
+// PickLimiter returns the limiter to which the front sends a request of an account at this time.
+func (w *World) PickLimiter(account uint64) int { return w.pickLimiter(account) }
 
 // pickLimiter returns the limiter for the next request of an account. The ranking of an account's
 // limiters by load changes every Shift, and abruptly by the fault "accounts shift".
@@ -60,14 +60,14 @@
 // startCall starts the request of a client.
 func (w *World) startCall(a Arrival) {
 	w.lastID++
-	c := &Call{Request: service.Request{Account: a.Account, Class: a.Class, Plan: a.Plan, Units: a.Units}, ID: w.lastID,
+	call := &Call{Request: service.Request{Account: a.Account, Class: a.Class, Plan: a.Plan, Units: a.Units}, ID: w.lastID,
 		Work: a.Work, Deadline: w.now + w.Fleet.Classes[a.Class].Deadline, followsRetryAfter: w.rng.Float64() < w.Fleet.Traffic.Heed}
 	if w.wayOf != nil {
-		c.Way = w.wayOf(c.ID)
+		call.Way = w.wayOf(call.ID)
 	}
-	w.Meter.Asked(w.now, &c.Request)
+	w.Meter.Asked(w.now, &call.Request)
 	w.openCalls++
-	w.sendTry(c)
+	w.sendTry(call)
 }
 
 // sendTry sends a call to a limiter, as first try or as retry.
@@ -266,12 +266,12 @@
 
 // Next returns the next arrival of a Poisson process whose rate follows a slow sine wave.
 func (s *Synthetic) Next() (a Arrival, ok bool) {
-	t := s.drawer.fleet.Traffic
-	most := s.rate * (1 + t.Swing)
+	traffic := s.drawer.fleet.Traffic
+	maxRate := s.rate * (1 + traffic.Swing)
 	for {
-		s.at += s.drawer.rng.ExpFloat64() / most
-		now := s.rate * (1 + t.Swing*math.Sin(2*math.Pi*s.at/20))
-		if s.drawer.rng.Float64()*most < now {
+		s.at += s.drawer.rng.ExpFloat64() / maxRate
+		rate := s.rate * (1 + traffic.Swing*math.Sin(2*math.Pi*s.at/20))
+		if s.drawer.rng.Float64()*maxRate < rate {
 			break
 		}
 	}
--- a/internal/world/scenario.go
+++ b/internal/world/scenario.go
@@ -27,16 +27,16 @@
 
 // Fault is one fault of a scenario: its target, effect and time span.
 type Fault struct {
-	Target Target
-	Index  int    // of the box, room or limiter
-	Verb   string // effect, one of faultVerbs of the target
-	Value  float64
-	Other  int // the room that a limiter can't reach
-	From   time.Duration
-	To     time.Duration // 0: permanent
-	Silent bool          // a lost room becomes unreachable; otherwise its processes die
-	With   bool          // the limiters of the room are lost too
-	Text   string        // source line
+	Target          Target
+	Index           int    // of the box, room or limiter
+	Verb            string // effect, one of faultVerbs of the target
+	Value           float64
+	UnreachableRoom int // the room that a limiter can't reach
+	From            time.Duration
+	To              time.Duration // 0: permanent
+	Silent          bool          // a lost room becomes unreachable; otherwise its processes die
+	With            bool          // the limiters of the room are lost too
+	Text            string        // source line
 }
 
 // faultVerbs lists the verbs of each target with the kind of their value: "" for none, "factor",
@@ -104,7 +104,7 @@
 
 func parseFault(f *fleet.Fleet, line string) (Fault, error) {
 	w := words(strings.Fields(line))
-	x := Fault{Text: line}
+	fault := Fault{Text: line}
 	names := func(n int, name func(int) string) []string {
 		all := make([]string, n)
 		for i := range n {
@@ -112,89 +112,89 @@
 		}
 		return all
 	}
-	var among []string
+	var candidates []string
 	switch kind := w.next(); kind {
 	case "box":
-		x.Target, among = AtBox, names(len(f.Boxes), func(i int) string { return f.Boxes[i].Name })
+		fault.Target, candidates = AtBox, names(len(f.Boxes), func(i int) string { return f.Boxes[i].Name })
 	case "room":
-		x.Target, among = AtRoom, f.Rooms
+		fault.Target, candidates = AtRoom, f.Rooms
 	case "limiter":
-		x.Target, among = AtLimiter, names(len(f.Limiters), func(i int) string { return f.Limiters[i].Name })
+		fault.Target, candidates = AtLimiter, names(len(f.Limiters), func(i int) string { return f.Limiters[i].Name })
 	case "fleet":
-		x.Target = AtFleet
+		fault.Target = AtFleet
 	case "peers":
-		x.Target = AtPeers
+		fault.Target = AtPeers
 	case "list":
-		x.Target = AtList
+		fault.Target = AtList
 	case "accounts":
-		x.Target = AtAccounts
+		fault.Target = AtAccounts
 	default:
-		return x, fmt.Errorf("begins with %q; begin with box, room, limiter, fleet, peers, list or accounts", kind)
+		return fault, fmt.Errorf("begins with %q; begin with box, room, limiter, fleet, peers, list or accounts", kind)
 	}
 	var err error
-	if among != nil {
-		if x.Index, err = indexOf(among, w.next()); err != nil {
-			return x, err
+	if candidates != nil {
+		if fault.Index, err = indexOf(candidates, w.next()); err != nil {
+			return fault, err
 		}
 	}
-	if x.Verb = w.next(); x.Verb == "is" || x.Verb == "are" {
-		x.Verb = w.next()
+	if fault.Verb = w.next(); fault.Verb == "is" || fault.Verb == "are" {
+		fault.Verb = w.next()
 	}
-	takes, known := faultVerbs[x.Target][x.Verb]
-	if !known {
-		return x, fmt.Errorf("%q is none of what can happen there: %s", x.Verb, strings.Join(slices.Sorted(maps.Keys(faultVerbs[x.Target])), ", "))
+	valueKind, isKnown := faultVerbs[fault.Target][fault.Verb]
+	if !isKnown {
+		return fault, fmt.Errorf("%q is none of what can happen there: %s", fault.Verb, strings.Join(slices.Sorted(maps.Keys(faultVerbs[fault.Target])), ", "))
 	}
-	switch takes {
+	switch valueKind {
 	case "share":
 		number, percent := strings.CutSuffix(w.next(), "%")
 		v, err := strconv.ParseFloat(number, 64)
 		if err != nil || !percent || !(v >= 0 && v <= 100) {
-			return x, fmt.Errorf("%s takes a share such as 40%%", x.Verb)
+			return fault, fmt.Errorf("%s takes a share such as 40%%", fault.Verb)
 		}
-		x.Value = v / 100
+		fault.Value = v / 100
 	case "factor":
-		if x.Value, err = strconv.ParseFloat(w.next(), 64); err != nil || !(x.Value >= 0.01 && x.Value <= 1000) {
-			return x, fmt.Errorf("%s takes a factor from 0.01 to 1000, such as 2.5", x.Verb)
+		if fault.Value, err = strconv.ParseFloat(w.next(), 64); err != nil || !(fault.Value >= 0.01 && fault.Value <= 1000) {
+			return fault, fmt.Errorf("%s takes a factor from 0.01 to 1000, such as 2.5", fault.Verb)
 		}
 	case "room":
 		if w.next() != "room" {
-			return x, fmt.Errorf("%s takes a room, such as: loses room %s", x.Verb, f.Rooms[0])
+			return fault, fmt.Errorf("%s takes a room, such as: loses room %s", fault.Verb, f.Rooms[0])
 		}
-		if x.Other, err = indexOf(f.Rooms, w.next()); err != nil {
-			return x, err
+		if fault.UnreachableRoom, err = indexOf(f.Rooms, w.next()); err != nil {
+			return fault, err
 		}
 	}
 	for len(w) > 0 {
 		switch word := w.next(); word {
 		case "from", "at":
-			if x.From, err = parseDuration(word, w.next()); err != nil {
-				return x, err
+			if fault.From, err = parseDuration(word, w.next()); err != nil {
+				return fault, err
 			}
 		case "to":
-			if x.To, err = parseDuration(word, w.next()); err != nil {
-				return x, err
+			if fault.To, err = parseDuration(word, w.next()); err != nil {
+				return fault, err
 			}
 		case "for":
 			d, err := parseDuration(word, w.next())
 			if err != nil {
-				return x, err
+				return fault, err
 			}
-			x.To = x.From + d
+			fault.To = fault.From + d
 		case "silently":
-			x.Silent = true
+			fault.Silent = true
 		case "with":
-			if x.Target != AtRoom || w.next() != "limiters" {
-				return x, fmt.Errorf("only a room may be lost \"with limiters\"")
+			if fault.Target != AtRoom || w.next() != "limiters" {
+				return fault, fmt.Errorf("only a room may be lost \"with limiters\"")
 			}
-			x.With = true
+			fault.With = true
 		default:
-			return x, fmt.Errorf("%q is not understood; a time is \"from 2s to 5s\" or \"at 2s for 3s\"", word)
+			return fault, fmt.Errorf("%q is not understood; a time is \"from 2s to 5s\" or \"at 2s for 3s\"", word)
 		}
 	}
-	if x.To != 0 && x.To <= x.From {
-		return x, fmt.Errorf("ends at %v, before it begins at %v", x.To, x.From)
+	if fault.To != 0 && fault.To <= fault.From {
+		return fault, fmt.Errorf("ends at %v, before it begins at %v", fault.To, fault.From)
 	}
-	return x, nil
+	return fault, nil
 }
 
 func parseDuration(word, text string) (time.Duration, error) {
@@ -211,6 +211,6 @@
 			return i, nil
 		}
 	}
-	most := among[:min(len(among), 12)]
-	return 0, fmt.Errorf("%q is not in the fleet; there are %s", name, strings.Join(most, " "))
+	shown := among[:min(len(among), 12)]
+	return 0, fmt.Errorf("%q is not in the fleet; there are %s", name, strings.Join(shown, " "))
 }
--- a/internal/world/supply.go
+++ b/internal/world/supply.go
@@ -11,24 +11,24 @@
 // It assumes that no time is lost, that no box thrashes, and that cold boxes warm up as fast as
 // requests of half the smallest mean work allow.
 type Supply struct {
-	Step time.Duration
-	Work []float64 // seconds of work, by step
-	Core []float64 // most seconds of work of one core, by step
+	Step    time.Duration
+	Work    []float64 // seconds of work, by step
+	PerCore []float64 // most seconds of work of one core, by step
 }
 
-// SupplyOf simulates faults without requests and returns the resulting Supply. The best state of a box at
+// MaxSupply simulates faults without requests and returns the resulting Supply. The best state of a box at
 // any moment of a step counts for the whole step.
-func SupplyOf(f *fleet.Fleet, seed uint64, faults []Fault, step, length time.Duration) *Supply {
+func MaxSupply(f *fleet.Fleet, seed uint64, faults []Fault, step, length time.Duration) *Supply {
 	w := New(f, Options{Seed: seed, Faults: faults})
 	n := int((length + step - 1) / step)
-	s := &Supply{Step: step, Work: make([]float64, n), Core: make([]float64, n)}
-	least := math.Inf(1)
+	s := &Supply{Step: step, Work: make([]float64, n), PerCore: make([]float64, n)}
+	minWork := math.Inf(1)
 	for _, c := range f.Classes {
-		least = min(least, c.Work.Seconds()/2)
+		minWork = min(minWork, c.Work.Seconds()/2)
 	}
-	longest := time.Duration(0)
+	maxDeadline := time.Duration(0)
 	for _, c := range f.Classes {
-		longest = max(longest, c.Deadline)
+		maxDeadline = max(maxDeadline, c.Deadline)
 	}
 	type state struct {
 		born, drained time.Duration
@@ -38,7 +38,7 @@
 	states := make([]state, len(w.Boxes))
 	best := make([]float64, len(w.Boxes)) // work per second of each box, best of the step
 	core := 0.0
-	look := func(now time.Duration) {
+	observe := func(now time.Duration) {
 		for len(states) < len(w.Boxes) {
 			states, best = append(states, state{}), append(best, 0)
 		}
@@ -51,45 +51,45 @@
 				x.drains, x.drained = drains, now
 			}
 			// Requests in progress when a drain begins may still be of worth until their deadlines.
-			x.there = b.condition == Running || b.condition == Draining && now < x.drained+longest
+			x.there = b.condition == Running || b.condition == Draining && now < x.drained+maxDeadline
 			if !x.there {
 				continue
 			}
-			warm := b.Warmth(now)
-			if warm < 1 && b.Spec.WarmAfter > 0 {
-				warm = max(warm, min(1, b.Spec.ColdFrom+(1-b.Spec.ColdFrom)*x.answered/float64(b.Spec.WarmAfter)))
+			warmth := b.Warmth(now)
+			if warmth < 1 && b.Spec.WarmAfter > 0 {
+				warmth = max(warmth, min(1, b.Spec.ColdFrom+(1-b.Spec.ColdFrom)*x.answered/float64(b.Spec.WarmAfter)))
 			}
-			each := b.Spec.Speed * warm / (b.slowdown * w.sharedSlowdown)
-			core, best[i] = max(core, each), max(best[i], each*b.Spec.Cores)
+			speed := b.Spec.Speed * warmth / (b.slowdown * w.sharedSlowdown)
+			core, best[i] = max(core, speed), max(best[i], speed*b.Spec.Cores)
 		}
 	}
-	for k := range n {
-		until := time.Duration(k+1) * step
+	for stepIndex := range n {
+		until := time.Duration(stepIndex+1) * step
 		clear(best)
 		core = 0
-		look(time.Duration(k) * step)
+		observe(time.Duration(stepIndex) * step)
 		for {
 			at, ok := w.Next()
 			if !ok || at > until {
 				break
 			}
 			w.Step()
-			look(at)
+			observe(at)
 		}
-		look(until)
+		observe(until)
 		for i := range best {
 			work := best[i] * step.Seconds()
-			s.Work[k] += work
-			states[i].answered += work / least
+			s.Work[stepIndex] += work
+			states[i].answered += work / minWork
 		}
-		s.Core[k] = core * step.Seconds()
+		s.PerCore[stepIndex] = core * step.Seconds()
 	}
 	return s
 }
 
-// Well reports whether a box is healthy: it runs without a fault of its own. The shared slowdown is
+// Healthy reports whether a box is healthy: it runs without a fault of its own. The shared slowdown is
 // ignored.
-func (b *Box) Well() bool {
+func (b *Box) Healthy() bool {
 	return b.condition == Running && b.slowdown < 1.3 && b.errorRate < b.Spec.ErrorRate+0.05 && (b.responseFault == Clean || b.responseFaultShare < 0.05)
 }
 
--- a/internal/world/troubles.go
+++ b/internal/world/troubles.go
@@ -35,7 +35,7 @@
 		w.setSharedSlowdown(x.Value)
 	case AtLimiter:
 		if x.Verb == "loses" {
-			w.cutRooms[[2]int{x.Index, x.Other}] = true
+			w.cutRooms[[2]int{x.Index, x.UnreachableRoom}] = true
 		} else {
 			w.stopLimiter(x.Index, x.Verb == "restarts")
 			if x.To == 0 && x.Verb == "restarts" {
@@ -78,10 +78,10 @@
 		w.takeDown(i, true)
 	case "drains":
 		b.Set(Draining)
-		w.publish(i, ToDrain, 0)
+		w.publish(i, DrainRequested, 0)
 	case "leaves":
 		b.Set(Draining)
-		w.publish(i, ToDrain, 0)
+		w.publish(i, DrainRequested, 0)
 		w.events.add(event{at: w.now + leaveTime, kind: evFault, payload: Fault{Target: AtBox, Index: i, Verb: "dies",
 			Text: "box " + b.Name + " has left"}})
 	case "restarts":
@@ -157,7 +157,7 @@
 		w.setSharedSlowdown(1)
 	case AtLimiter:
 		if x.Verb == "loses" {
-			delete(w.cutRooms, [2]int{x.Index, x.Other})
+			delete(w.cutRooms, [2]int{x.Index, x.UnreachableRoom})
 		} else {
 			w.startLimiter(x.Index)
 		}
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -59,8 +59,8 @@
 	Source Source
 	Faults []Fault
 	Sample time.Duration // interval of load samples for charts; 0: none
-	// Way, if set, returns the Way of a call (see service.Request) by its id.
-	Way func(call uint64) int
+	// WayOf, if set, returns the Way of a call (see service.Request) by its id.
+	WayOf func(call uint64) int
 }
 
 // World holds the simulated boxes, clients, discovery and network.
@@ -143,7 +143,7 @@
 
 // New returns a world at time 0 with all boxes warm and all limiters running.
 func New(f *fleet.Fleet, o Options) *World {
-	w := &World{Fleet: f, Meter: service.NewMeter(f), rng: rand.New(rand.NewPCG(o.Seed, 0x77)), source: o.Source, wayOf: o.Way,
+	w := &World{Fleet: f, Meter: service.NewMeter(f), rng: rand.New(rand.NewPCG(o.Seed, 0x77)), source: o.Source, wayOf: o.WayOf,
 		sampleInterval: o.Sample, sharedSlowdown: 1, pods: map[int]*pod{}, limiters: make([]limiterState, len(f.Limiters)), cutRooms: map[[2]int]bool{}, partitionedRooms: map[int]bool{}}
 	for _, spec := range f.Boxes {
 		w.newBox(spec, len(w.boxAt))
@@ -382,7 +382,7 @@
 		return false
 	}
 	w.emitAnswers(box, b.Advance(now))
-	if b.Pushed(now, j.Work) {
+	if b.AddColdWork(now, j.Work) {
 		w.addNote("box " + b.Name + " fell over: it was sent too much while it was cold")
 		w.emit(BoxFalls{box})
 		w.emit(BoxResets{Box: box, Jobs: append(b.Set(Fallen), j.ID)})
@@ -390,7 +390,7 @@
 		w.scheduleBox(box)
 		return true
 	}
-	w.emitAnswers(box, b.Arrive(now, j))
+	w.emitAnswers(box, b.AddJob(now, j))
 	w.scheduleBox(box)
 	return true
 }
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -46,7 +46,7 @@
 func TestBoxSharesItsCores(t *testing.T) {
 	b := testBox(nil)
 	for id := uint64(1); id <= 5; id++ {
-		b.Arrive(0, Job{ID: id, Work: 100 * ms})
+		b.AddJob(0, Job{ID: id, Work: 100 * ms})
 	}
 	at, _ := run(b, time.Hour)
 	near(t, "four jobs of 100 ms on two cores", at[4], 200*ms)
@@ -59,14 +59,14 @@
 func TestBoxIsSlowerWhenItThrashesOrIsColdOrSlow(t *testing.T) {
 	thrashing := testBox(func(s *fleet.Box) { s.Thrash, s.ThrashAt = 0.5, 1 })
 	for id := uint64(1); id <= 4; id++ {
-		thrashing.Arrive(0, Job{ID: id, Work: 100 * ms})
+		thrashing.AddJob(0, Job{ID: id, Work: 100 * ms})
 	}
 	at, _ := run(thrashing, time.Hour) // two requests per core, one above ThrashAt: 1.5 times as long
 	near(t, "thrashing", at[4], 300*ms)
 
 	cold := testBox(nil)
 	cold.Start(0, true)
-	cold.Arrive(0, Job{ID: 1, Work: 10 * ms})
+	cold.AddJob(0, Job{ID: 1, Work: 10 * ms})
 	at, _ = run(cold, time.Hour)
 	near(t, "at a quarter of its speed", at[1], 40*ms)
 	if w := cold.Warmth(5 * time.Second); w != 0.625 {
@@ -74,7 +74,7 @@
 	}
 
 	slow := testBox(nil)
-	slow.Arrive(0, Job{ID: 1, Work: 100 * ms})
+	slow.AddJob(0, Job{ID: 1, Work: 100 * ms})
 	slow.Advance(50 * ms)
 	slow.Slow(3)
 	at, _ = run(slow, time.Hour)
@@ -82,7 +82,7 @@
 
 	shaking := testBox(func(s *fleet.Box) { s.Handshake = 10 * ms })
 	shaking.Open(0)
-	shaking.Arrive(0, Job{ID: 1, Work: 20 * ms})
+	shaking.AddJob(0, Job{ID: 1, Work: 20 * ms})
 	at, _ = run(shaking, time.Hour)
 	near(t, "after a handshake of 10 ms on two cores", at[1], 25*ms)
 }
@@ -90,9 +90,9 @@
 func TestBoxTurnsAway(t *testing.T) {
 	b := testBox(nil)
 	for id := uint64(1); id <= 6; id++ {
-		b.Arrive(0, Job{ID: id, Work: time.Second, Expires: 100 * ms})
+		b.AddJob(0, Job{ID: id, Work: time.Second, Expires: 100 * ms})
 	}
-	if d := b.Arrive(0, Job{ID: 7, Work: ms}); len(d) != 1 || d[0].Result != TurnedAway {
+	if d := b.AddJob(0, Job{ID: 7, Work: ms}); len(d) != 1 || d[0].Result != TurnedAway {
 		t.Errorf("with slots and waiting room full: %v", d)
 	}
 	_, how := run(b, time.Hour)
@@ -100,7 +100,7 @@
 		t.Errorf("what waited past its time: %v", how)
 	}
 	b.Set(Draining)
-	if d := b.Arrive(3*time.Second, Job{ID: 8, Work: ms}); len(d) != 1 || d[0].Result != TurnedAway || d[0].Ran {
+	if d := b.AddJob(3*time.Second, Job{ID: 8, Work: ms}); len(d) != 1 || d[0].Result != TurnedAway || d[0].Ran {
 		t.Errorf("draining: %v", d)
 	}
 }
@@ -108,12 +108,12 @@
 func TestPodDropsRepeats(t *testing.T) {
 	a, b := testBox(nil), testBox(nil)
 	b.pod = a.pod
-	a.Arrive(0, Job{ID: 1, Work: 5 * ms, Key: 9, Window: time.Second})
+	a.AddJob(0, Job{ID: 1, Work: 5 * ms, Key: 9, Window: time.Second})
 	run(a, time.Hour)
-	if d := b.Arrive(900*ms, Job{ID: 2, Work: 5 * ms, Key: 9, Window: time.Second}); len(d) != 1 || d[0].Result != Served || d[0].Ran {
+	if d := b.AddJob(900*ms, Job{ID: 2, Work: 5 * ms, Key: 9, Window: time.Second}); len(d) != 1 || d[0].Result != Served || d[0].Ran {
 		t.Errorf("a repeat within the window: %v", d)
 	}
-	b.Arrive(1900*ms, Job{ID: 3, Work: 5 * ms, Key: 9, Window: time.Second})
+	b.AddJob(1900*ms, Job{ID: 3, Work: 5 * ms, Key: 9, Window: time.Second})
 	if run(b, time.Hour); b.Counts.Ran != 1 || b.Counts.Repeats != 1 {
 		t.Errorf("after the window: %+v", b.Counts)
 	}
@@ -121,13 +121,13 @@
 
 func TestBoxHangsDiesAndComesBack(t *testing.T) {
 	b := testBox(nil)
-	b.Arrive(0, Job{ID: 1, Work: 100 * ms})
+	b.AddJob(0, Job{ID: 1, Work: 100 * ms})
 	b.Advance(50 * ms)
 	b.Set(Hung)
 	if b.Open(60*ms) != Accepted {
 		t.Error("a hung box accepts")
 	}
-	b.Arrive(60*ms, Job{ID: 2, Work: 100 * ms})
+	b.AddJob(60*ms, Job{ID: 2, Work: 100 * ms})
 	if _, ok := b.Next(); ok {
 		t.Error("a hung box works")
 	}
@@ -136,7 +136,7 @@
 	at, _ := run(b, time.Hour)
 	near(t, "after the hang", at[1], 1050*ms)
 
-	b.Arrive(2*time.Second, Job{ID: 3, Work: time.Second})
+	b.AddJob(2*time.Second, Job{ID: 3, Work: time.Second})
 	b.Advance(2 * time.Second)
 	if lost := b.Set(Dead); len(lost) != 1 || lost[0] != 3 || b.Open(0) != Refused {
 		t.Errorf("dead: lost %v", lost)
@@ -163,18 +163,18 @@
 	slow.Start(0, true)
 	fast.Start(0, true)
 	for i := range 15 {
-		if slow.Pushed(time.Duration(i)*400*ms, 300*ms) { // 0.75 s of work per second, 1.5 times its capacity
+		if slow.AddColdWork(time.Duration(i)*400*ms, 300*ms) { // 0.75 s of work per second, 1.5 times its capacity
 			t.Fatalf("fell over at %d", i)
 		}
 	}
 	fell := false
 	for i := range 15 {
-		fell = fell || fast.Pushed(time.Duration(i)*50*ms, 300*ms)
+		fell = fell || fast.AddColdWork(time.Duration(i)*50*ms, 300*ms)
 	}
 	if !fell {
 		t.Error("bears six times what it can do")
 	}
-	if testBox(nil).Pushed(0, time.Hour) {
+	if testBox(nil).AddColdWork(0, time.Hour) {
 		t.Error("a warm box fell over")
 	}
 }
@@ -182,7 +182,7 @@
 func TestReportsAreOld(t *testing.T) {
 	b := testBox(func(s *fleet.Box) { s.Report = fleet.Report{Every: 400 * ms, Delay: 100 * ms} })
 	b.Report(400 * ms)
-	b.Arrive(450*ms, Job{ID: 1, Work: time.Hour})
+	b.AddJob(450*ms, Job{ID: 1, Work: time.Hour})
 	if l, ok := b.Report(500 * ms); !ok || l.InFlight != 0 {
 		t.Errorf("just measured: %v", l)
 	}
@@ -254,7 +254,7 @@
 		}
 	}
 	for i := range f.Limiters {
-		if len(told[i]) != 3 || told[i][0] != ToDrain || told[i][1] != Ready || told[i][2] != Gone {
+		if len(told[i]) != 3 || told[i][0] != DrainRequested || told[i][1] != Ready || told[i][2] != Gone {
 			t.Errorf("limiter %d heard %v", i, told[i])
 		}
 		if n := len(w.Known(i)); n != 11 {
@@ -343,7 +343,7 @@
 	if c := w.Boxes[1].Condition(); c != Dead {
 		t.Errorf("a dead box that hung and drained is %v", c)
 	}
-	w.Boxes[0].Arrive(w.Now(), Job{ID: 1, Work: time.Hour})
+	w.Boxes[0].AddJob(w.Now(), Job{ID: 1, Work: time.Hour})
 	w.Inject(w.Now(), faults[2])
 	w.Advance(w.Now() + 6*time.Second)
 	if n := w.Boxes[0].Held(); n != 1 {
