--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -249,13 +249,13 @@
 			}
 			told[l.Limiter] = append(told[l.Limiter], l.Entries[0].Health)
 			if w.Now() < 1900*ms || w.Now() > 8*time.Second && w.Now() < 30*time.Second {
-				t.Errorf("told at %v", w.Now())
+				t.Errorf("delivered at %v", w.Now())
 			}
 		}
 	}
 	for i := range f.Limiters {
 		if len(told[i]) != 3 || told[i][0] != DrainRequested || told[i][1] != Ready || told[i][2] != Gone {
-			t.Errorf("limiter %d heard %v", i, told[i])
+			t.Errorf("limiter %d received %v", i, told[i])
 		}
 		if n := len(w.Known(i)); n != 11 {
 			t.Errorf("limiter %d knows %d boxes", i, n)
@@ -347,6 +347,6 @@
 	w.Inject(w.Now(), faults[2])
 	w.Advance(w.Now() + 6*time.Second)
 	if n := w.Boxes[0].Held(); n != 1 {
-		t.Errorf("a box that was there joined and lost %d of 1 in hand", 1-n)
+		t.Errorf("a box that was there joined and lost %d of 1 jobs", 1-n)
 	}
 }
