--- a/internal/virtual/remember_test.go
+++ b/internal/virtual/remember_test.go
@@ -8,7 +8,7 @@
 	"example.org/madderdrum/internal/world"
 )
 
-const restartsAmongTheSick = `
+const restartsWithUnhealthyBoxes = `
 box a3 fails 100% from 5s to 60s
 box b1 hangs from 5s to 60s
 box b2 slows 4 from 5s to 60s
@@ -23,14 +23,14 @@
 limiter n2 restarts at 40s
 `
 
-// A limiter that remembers sends less to boxes that it knew to be sick, within the 2 s after
-// all limiters started again, and breaks no rule.
+// A limiter that restores its memory sends fewer requests to boxes known as unhealthy, within the 2 s
+// after a restart of all limiters, and breaks no rule.
 func TestRemembersTheSick(t *testing.T) {
 	var wasted, service [2]float64
 	for seed := range uint64(8) {
 		for k, every := range []time.Duration{0, 500 * time.Millisecond} {
 			arrived := 0
-			r := play(t, seed, 50*time.Second, restartsAmongTheSick, func(o *virtual.Options) {
+			r := simulate(t, seed, 50*time.Second, restartsWithUnhealthyBoxes, func(o *virtual.Options) {
 				o.Remember = every
 				var w *world.World
 				last := map[int]int{}
--- a/internal/world/scenario.go
+++ b/internal/world/scenario.go
@@ -11,10 +11,10 @@
 	"example.org/madderdrum/internal/fleet"
 )
 
-// Target is what a fault befalls.
+// Target is the kind of component that a fault affects.
 type Target int
 
-// The targets of faults.
+// Targets of faults.
 const (
 	AtBox Target = iota
 	AtRoom
@@ -25,23 +25,23 @@
 	AtAccounts
 )
 
-// Fault is one trouble of a scenario: what befalls whom, from when to when.
+// Fault is one fault of a scenario: its target, effect and time span.
 type Fault struct {
-	Target Target
-	Index  int    // of the box, room or limiter
-	Verb   string // one of the verbs of its target
-	Value  float64
-	Other  int // the room that a limiter loses
-	From   time.Duration
-	To     time.Duration // 0: for good
-	Silent bool          // a lost room vanishes; else its processes die
-	With   bool          // the room's limiters are lost with it
-	Text   string        // as it was written
+	Target          Target
+	Index           int    // of the box, room or limiter
+	Verb            string // effect, one of faultVerbs of the target
+	Value           float64
+	UnreachableRoom int // the room that a limiter can't reach
+	From            time.Duration
+	To              time.Duration // 0: permanent
+	Silent          bool          // a lost room becomes unreachable; otherwise its processes die
+	With            bool          // the limiters of the room are lost too
+	Text            string        // source line
 }
 
-// verbs are those of each target, with what their value is: "", "factor" or
-// "share"; "room" names a room.
-var verbs = map[Target]map[string]string{
+// faultVerbs lists the verbs of each target with the kind of their value: "" for none, "factor",
+// "share" or "room" (the name of a room).
+var faultVerbs = map[Target]map[string]string{
 	AtBox: {"hangs": "", "dies": "", "vanishes": "", "drains": "", "restarts": "", "replaced": "", "leaves": "", "joins": "",
 		"slows": "factor", "fails": "share", "garbles": "share", "halves": "share", "stalls": "share", "cuts": "share"},
 	AtRoom:     {"lost": "", "parted": "", "unlisted": ""},
@@ -52,29 +52,29 @@
 	AtAccounts: {"shift": "share"},
 }
 
-var wires = map[string]Wire{"garbles": Garbled, "halves": Halved, "stalls": Stalled, "cuts": Cut}
+var responseFaults = map[string]Wire{"garbles": Garbled, "halves": Halved, "stalls": Stalled, "cuts": Cut}
 
-// Scenario reads faults, one a line. Empty lines and those that begin with # are
-// passed over. The words "is" and "are" may stand before a verb:
+// Scenario parses faults, one per line. Empty lines and lines that begin with # are skipped. A verb may
+// be preceded by "is" or "are":
 //
 //	box a3 hangs from 2s to 5s
-//	box a1 fails 60% from 4s to 9s         half-dead: so many requests fail
+//	box a1 fails 60% from 4s to 9s         this share of requests fails
 //	box b2 slows 3 from 4s to 9s
-//	box a1 garbles 20% from 4s to 9s       so many answers can't be read; also halves,
+//	box a1 garbles 20% from 4s to 9s       this share of responses can't be parsed; also halves,
 //	                                       stalls and cuts
-//	box a0 restarts at 5s                  its process ends and starts anew, cold
-//	box a0 is replaced at 5s               another box takes its address
+//	box a0 restarts at 5s                  its process restarts, cold
+//	box a0 is replaced at 5s               another box takes over its address
 //	room room-a is lost from 8s to 20s silently with limiters
-//	room room-a is unlisted from 8s to 20s discovery drops its boxes, which are well
-//	fleet slows 2.5 from 3s to 9s          what all boxes depend on
+//	room room-a is unlisted from 8s to 20s discovery drops its boxes, which are healthy
+//	fleet slows 2.5 from 3s to 9s          the dependency that all boxes share
 //	limiter n2 is killed at 8s for 2s
 //	limiter n0 loses room room-b from 3s to 9s
 //	peers are cut from 3s to 9s
-//	room room-a is parted from 3s to 9s    its limiters and the others' don't hear each other
-//	list is silent from 3s to 9s           discovery tells nothing
-//	accounts shift 40% at 9s               to others of their limiters
+//	room room-a is parted from 3s to 9s    its limiters and those of other rooms can't communicate
+//	list is silent from 3s to 9s           discovery sends no updates
+//	accounts shift 40% at 9s               this share moves to other limiters of theirs
 //
-// An error names the line and what to write.
+// An error names the line and the expected syntax.
 func Scenario(f *fleet.Fleet, text string) ([]Fault, error) {
 	var all []Fault
 	for i, line := range strings.Split(text, "\n") {
@@ -90,7 +90,7 @@
 	return all, nil
 }
 
-// words takes the words of a line in turn.
+// words is the rest of a line, consumed word by word.
 type words []string
 
 func (w *words) next() string {
@@ -104,7 +104,7 @@
 
 func parseFault(f *fleet.Fleet, line string) (Fault, error) {
 	w := words(strings.Fields(line))
-	x := Fault{Text: line}
+	fault := Fault{Text: line}
 	names := func(n int, name func(int) string) []string {
 		all := make([]string, n)
 		for i := range n {
@@ -112,92 +112,92 @@
 		}
 		return all
 	}
-	var among []string
+	var candidates []string
 	switch kind := w.next(); kind {
 	case "box":
-		x.Target, among = AtBox, names(len(f.Boxes), func(i int) string { return f.Boxes[i].Name })
+		fault.Target, candidates = AtBox, names(len(f.Boxes), func(i int) string { return f.Boxes[i].Name })
 	case "room":
-		x.Target, among = AtRoom, f.Rooms
+		fault.Target, candidates = AtRoom, f.Rooms
 	case "limiter":
-		x.Target, among = AtLimiter, names(len(f.Limiters), func(i int) string { return f.Limiters[i].Name })
+		fault.Target, candidates = AtLimiter, names(len(f.Limiters), func(i int) string { return f.Limiters[i].Name })
 	case "fleet":
-		x.Target = AtFleet
+		fault.Target = AtFleet
 	case "peers":
-		x.Target = AtPeers
+		fault.Target = AtPeers
 	case "list":
-		x.Target = AtList
+		fault.Target = AtList
 	case "accounts":
-		x.Target = AtAccounts
+		fault.Target = AtAccounts
 	default:
-		return x, fmt.Errorf("begins with %q; begin with box, room, limiter, fleet, peers, list or accounts", kind)
+		return fault, fmt.Errorf("begins with %q; begin with box, room, limiter, fleet, peers, list or accounts", kind)
 	}
 	var err error
-	if among != nil {
-		if x.Index, err = find(among, w.next()); err != nil {
-			return x, err
+	if candidates != nil {
+		if fault.Index, err = indexOf(candidates, w.next()); err != nil {
+			return fault, err
 		}
 	}
-	if x.Verb = w.next(); x.Verb == "is" || x.Verb == "are" {
-		x.Verb = w.next()
+	if fault.Verb = w.next(); fault.Verb == "is" || fault.Verb == "are" {
+		fault.Verb = w.next()
 	}
-	takes, known := verbs[x.Target][x.Verb]
-	if !known {
-		return x, fmt.Errorf("%q is none of what can happen there: %s", x.Verb, strings.Join(slices.Sorted(maps.Keys(verbs[x.Target])), ", "))
+	valueKind, isKnown := faultVerbs[fault.Target][fault.Verb]
+	if !isKnown {
+		return fault, fmt.Errorf("%q is none of what can happen there: %s", fault.Verb, strings.Join(slices.Sorted(maps.Keys(faultVerbs[fault.Target])), ", "))
 	}
-	switch takes {
+	switch valueKind {
 	case "share":
 		number, percent := strings.CutSuffix(w.next(), "%")
 		v, err := strconv.ParseFloat(number, 64)
 		if err != nil || !percent || !(v >= 0 && v <= 100) {
-			return x, fmt.Errorf("%s takes a share such as 40%%", x.Verb)
+			return fault, fmt.Errorf("%s takes a share such as 40%%", fault.Verb)
 		}
-		x.Value = v / 100
+		fault.Value = v / 100
 	case "factor":
-		if x.Value, err = strconv.ParseFloat(w.next(), 64); err != nil || !(x.Value >= 0.01 && x.Value <= 1000) {
-			return x, fmt.Errorf("%s takes a factor from 0.01 to 1000, such as 2.5", x.Verb)
+		if fault.Value, err = strconv.ParseFloat(w.next(), 64); err != nil || !(fault.Value >= 0.01 && fault.Value <= 1000) {
+			return fault, fmt.Errorf("%s takes a factor from 0.01 to 1000, such as 2.5", fault.Verb)
 		}
 	case "room":
 		if w.next() != "room" {
-			return x, fmt.Errorf("%s takes a room, such as: loses room %s", x.Verb, f.Rooms[0])
+			return fault, fmt.Errorf("%s takes a room, such as: loses room %s", fault.Verb, f.Rooms[0])
 		}
-		if x.Other, err = find(f.Rooms, w.next()); err != nil {
-			return x, err
+		if fault.UnreachableRoom, err = indexOf(f.Rooms, w.next()); err != nil {
+			return fault, err
 		}
 	}
 	for len(w) > 0 {
 		switch word := w.next(); word {
 		case "from", "at":
-			if x.From, err = span(word, w.next()); err != nil {
-				return x, err
+			if fault.From, err = parseDuration(word, w.next()); err != nil {
+				return fault, err
 			}
 		case "to":
-			if x.To, err = span(word, w.next()); err != nil {
-				return x, err
+			if fault.To, err = parseDuration(word, w.next()); err != nil {
+				return fault, err
 			}
 		case "for":
-			d, err := span(word, w.next())
+			d, err := parseDuration(word, w.next())
 			if err != nil {
-				return x, err
+				return fault, err
 			}
-			x.To = x.From + d
+			fault.To = fault.From + d
 		case "silently":
-			x.Silent = true
+			fault.Silent = true
 		case "with":
-			if x.Target != AtRoom || w.next() != "limiters" {
-				return x, fmt.Errorf("only a room may be lost \"with limiters\"")
+			if fault.Target != AtRoom || w.next() != "limiters" {
+				return fault, fmt.Errorf("only a room may be lost \"with limiters\"")
 			}
-			x.With = true
+			fault.With = true
 		default:
-			return x, fmt.Errorf("%q is not understood; a time is \"from 2s to 5s\" or \"at 2s for 3s\"", word)
+			return fault, fmt.Errorf("%q is not understood; a time is \"from 2s to 5s\" or \"at 2s for 3s\"", word)
 		}
 	}
-	if x.To != 0 && x.To <= x.From {
-		return x, fmt.Errorf("ends at %v, before it begins at %v", x.To, x.From)
+	if fault.To != 0 && fault.To <= fault.From {
+		return fault, fmt.Errorf("ends at %v, before it begins at %v", fault.To, fault.From)
 	}
-	return x, nil
+	return fault, nil
 }
 
-func span(word, text string) (time.Duration, error) {
+func parseDuration(word, text string) (time.Duration, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 {
 		return 0, fmt.Errorf("%s takes a time such as 2s or 1500ms, not %q", word, text)
@@ -205,12 +205,12 @@
 	return d, nil
 }
 
-func find(among []string, name string) (int, error) {
+func indexOf(among []string, name string) (int, error) {
 	for i, n := range among {
 		if n == name {
 			return i, nil
 		}
 	}
-	most := among[:min(len(among), 12)]
-	return 0, fmt.Errorf("%q is not in the fleet; there are %s", name, strings.Join(most, " "))
+	shown := among[:min(len(among), 12)]
+	return 0, fmt.Errorf("%q is not in the fleet; there are %s", name, strings.Join(shown, " "))
 }
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -18,10 +18,10 @@
 		change(&spec)
 	}
 	one := 1.0
-	return newBox(spec, fleet.Rules{FallFactor: 3, FallFor: 1500 * ms}, &pod{until: map[uint64]time.Duration{}}, &one, rand.New(rand.NewPCG(1, 1)))
+	return newBox(spec, fleet.Rules{FallFactor: 3, FallFor: 1500 * ms}, &pod{keyExpiry: map[uint64]time.Duration{}}, &one, rand.New(rand.NewPCG(1, 1)))
 }
 
-// run advances a box event by event and returns when each job ended, and how.
+// run simulates a box event by event and returns the end and result of each job.
 func run(b *Box, until time.Duration) (at map[uint64]time.Duration, how map[uint64]Result) {
 	at, how = map[uint64]time.Duration{}, map[uint64]Result{}
 	for {
@@ -42,12 +42,11 @@
 	}
 }
 
-// Two cores: two jobs run at full speed, four share them, a fifth waits for a
-// slot.
+// Of five jobs on two cores with four slots, four share the cores and the fifth waits for a slot.
 func TestBoxSharesItsCores(t *testing.T) {
 	b := testBox(nil)
 	for id := uint64(1); id <= 5; id++ {
-		b.Arrive(0, Job{ID: id, Work: 100 * ms})
+		b.AddJob(0, Job{ID: id, Work: 100 * ms})
 	}
 	at, _ := run(b, time.Hour)
 	near(t, "four jobs of 100 ms on two cores", at[4], 200*ms)
@@ -60,14 +59,14 @@
 func TestBoxIsSlowerWhenItThrashesOrIsColdOrSlow(t *testing.T) {
 	thrashing := testBox(func(s *fleet.Box) { s.Thrash, s.ThrashAt = 0.5, 1 })
 	for id := uint64(1); id <= 4; id++ {
-		thrashing.Arrive(0, Job{ID: id, Work: 100 * ms})
+		thrashing.AddJob(0, Job{ID: id, Work: 100 * ms})
 	}
-	at, _ := run(thrashing, time.Hour) // two requests a core, one beyond: 1.5 times as long
+	at, _ := run(thrashing, time.Hour) // two requests per core, one above ThrashAt: 1.5 times as long
 	near(t, "thrashing", at[4], 300*ms)
 
 	cold := testBox(nil)
 	cold.Start(0, true)
-	cold.Arrive(0, Job{ID: 1, Work: 10 * ms})
+	cold.AddJob(0, Job{ID: 1, Work: 10 * ms})
 	at, _ = run(cold, time.Hour)
 	near(t, "at a quarter of its speed", at[1], 40*ms)
 	if w := cold.Warmth(5 * time.Second); w != 0.625 {
@@ -75,7 +74,7 @@
 	}
 
 	slow := testBox(nil)
-	slow.Arrive(0, Job{ID: 1, Work: 100 * ms})
+	slow.AddJob(0, Job{ID: 1, Work: 100 * ms})
 	slow.Advance(50 * ms)
 	slow.Slow(3)
 	at, _ = run(slow, time.Hour)
@@ -83,7 +82,7 @@
 
 	shaking := testBox(func(s *fleet.Box) { s.Handshake = 10 * ms })
 	shaking.Open(0)
-	shaking.Arrive(0, Job{ID: 1, Work: 20 * ms})
+	shaking.AddJob(0, Job{ID: 1, Work: 20 * ms})
 	at, _ = run(shaking, time.Hour)
 	near(t, "after a handshake of 10 ms on two cores", at[1], 25*ms)
 }
@@ -91,9 +90,9 @@
 func TestBoxTurnsAway(t *testing.T) {
 	b := testBox(nil)
 	for id := uint64(1); id <= 6; id++ {
-		b.Arrive(0, Job{ID: id, Work: time.Second, Expires: 100 * ms})
+		b.AddJob(0, Job{ID: id, Work: time.Second, Expires: 100 * ms})
 	}
-	if d := b.Arrive(0, Job{ID: 7, Work: ms}); len(d) != 1 || d[0].Result != TurnedAway {
+	if d := b.AddJob(0, Job{ID: 7, Work: ms}); len(d) != 1 || d[0].Result != TurnedAway {
 		t.Errorf("with slots and waiting room full: %v", d)
 	}
 	_, how := run(b, time.Hour)
@@ -101,7 +100,7 @@
 		t.Errorf("what waited past its time: %v", how)
 	}
 	b.Set(Draining)
-	if d := b.Arrive(3*time.Second, Job{ID: 8, Work: ms}); len(d) != 1 || d[0].Result != TurnedAway || d[0].Ran {
+	if d := b.AddJob(3*time.Second, Job{ID: 8, Work: ms}); len(d) != 1 || d[0].Result != TurnedAway || d[0].Ran {
 		t.Errorf("draining: %v", d)
 	}
 }
@@ -109,12 +108,12 @@
 func TestPodDropsRepeats(t *testing.T) {
 	a, b := testBox(nil), testBox(nil)
 	b.pod = a.pod
-	a.Arrive(0, Job{ID: 1, Work: 5 * ms, Key: 9, Window: time.Second})
+	a.AddJob(0, Job{ID: 1, Work: 5 * ms, Key: 9, Window: time.Second})
 	run(a, time.Hour)
-	if d := b.Arrive(900*ms, Job{ID: 2, Work: 5 * ms, Key: 9, Window: time.Second}); len(d) != 1 || d[0].Result != Served || d[0].Ran {
+	if d := b.AddJob(900*ms, Job{ID: 2, Work: 5 * ms, Key: 9, Window: time.Second}); len(d) != 1 || d[0].Result != Served || d[0].Ran {
 		t.Errorf("a repeat within the window: %v", d)
 	}
-	b.Arrive(1900*ms, Job{ID: 3, Work: 5 * ms, Key: 9, Window: time.Second})
+	b.AddJob(1900*ms, Job{ID: 3, Work: 5 * ms, Key: 9, Window: time.Second})
 	if run(b, time.Hour); b.Counts.Ran != 1 || b.Counts.Repeats != 1 {
 		t.Errorf("after the window: %+v", b.Counts)
 	}
@@ -122,13 +121,13 @@
 
 func TestBoxHangsDiesAndComesBack(t *testing.T) {
 	b := testBox(nil)
-	b.Arrive(0, Job{ID: 1, Work: 100 * ms})
+	b.AddJob(0, Job{ID: 1, Work: 100 * ms})
 	b.Advance(50 * ms)
 	b.Set(Hung)
 	if b.Open(60*ms) != Accepted {
 		t.Error("a hung box accepts")
 	}
-	b.Arrive(60*ms, Job{ID: 2, Work: 100 * ms})
+	b.AddJob(60*ms, Job{ID: 2, Work: 100 * ms})
 	if _, ok := b.Next(); ok {
 		t.Error("a hung box works")
 	}
@@ -137,7 +136,7 @@
 	at, _ := run(b, time.Hour)
 	near(t, "after the hang", at[1], 1050*ms)
 
-	b.Arrive(2*time.Second, Job{ID: 3, Work: time.Second})
+	b.AddJob(2*time.Second, Job{ID: 3, Work: time.Second})
 	b.Advance(2 * time.Second)
 	if lost := b.Set(Dead); len(lost) != 1 || lost[0] != 3 || b.Open(0) != Refused {
 		t.Errorf("dead: lost %v", lost)
@@ -157,25 +156,25 @@
 	}
 }
 
-// A cold box that can do 0.5 s a second falls over when it is sent more than
-// 2.25 s of work in 1.5 s, not by the same over a longer time.
+// A cold box with a capacity of 0.5 s of work per second crashes when it is sent more than 2.25 s of
+// work in 1.5 s, but not from the same work over a longer time.
 func TestColdBoxFallsOver(t *testing.T) {
 	slow, fast := testBox(nil), testBox(nil)
 	slow.Start(0, true)
 	fast.Start(0, true)
 	for i := range 15 {
-		if slow.Pushed(time.Duration(i)*400*ms, 300*ms) { // 0.75 s a second, one and a half times what it can do
+		if slow.AddColdWork(time.Duration(i)*400*ms, 300*ms) { // 0.75 s of work per second, 1.5 times its capacity
 			t.Fatalf("fell over at %d", i)
 		}
 	}
 	fell := false
 	for i := range 15 {
-		fell = fell || fast.Pushed(time.Duration(i)*50*ms, 300*ms)
+		fell = fell || fast.AddColdWork(time.Duration(i)*50*ms, 300*ms)
 	}
 	if !fell {
 		t.Error("bears six times what it can do")
 	}
-	if testBox(nil).Pushed(0, time.Hour) {
+	if testBox(nil).AddColdWork(0, time.Hour) {
 		t.Error("a warm box fell over")
 	}
 }
@@ -183,7 +182,7 @@
 func TestReportsAreOld(t *testing.T) {
 	b := testBox(func(s *fleet.Box) { s.Report = fleet.Report{Every: 400 * ms, Delay: 100 * ms} })
 	b.Report(400 * ms)
-	b.Arrive(450*ms, Job{ID: 1, Work: time.Hour})
+	b.AddJob(450*ms, Job{ID: 1, Work: time.Hour})
 	if l, ok := b.Report(500 * ms); !ok || l.InFlight != 0 {
 		t.Errorf("just measured: %v", l)
 	}
@@ -229,7 +228,7 @@
 	}
 }
 
-// Discovery tells every limiter of a change, late, and each in order.
+// Discovery delivers changes to every limiter with a delay and in order.
 func TestListIsLate(t *testing.T) {
 	f := config.Bluebird()
 	faults, err := Scenario(f, "box a0 drains from 1s to 3s\nlist is silent from 20s to 30s\nbox a1 dies at 21s")
@@ -250,13 +249,13 @@
 			}
 			told[l.Limiter] = append(told[l.Limiter], l.Entries[0].Health)
 			if w.Now() < 1900*ms || w.Now() > 8*time.Second && w.Now() < 30*time.Second {
-				t.Errorf("told at %v", w.Now())
+				t.Errorf("delivered at %v", w.Now())
 			}
 		}
 	}
 	for i := range f.Limiters {
-		if len(told[i]) != 3 || told[i][0] != ToDrain || told[i][1] != Ready || told[i][2] != Gone {
-			t.Errorf("limiter %d heard %v", i, told[i])
+		if len(told[i]) != 3 || told[i][0] != DrainRequested || told[i][1] != Ready || told[i][2] != Gone {
+			t.Errorf("limiter %d received %v", i, told[i])
 		}
 		if n := len(w.Known(i)); n != 11 {
 			t.Errorf("limiter %d knows %d boxes", i, n)
@@ -264,7 +263,7 @@
 	}
 }
 
-// The traffic drawn is what the fleet file says, and the same for a seed.
+// Synthetic traffic matches the fleet file, and equal seeds give equal traffic.
 func TestSyntheticTraffic(t *testing.T) {
 	f := config.Bluebird()
 	s, again := NewSynthetic(f, 3, time.Minute), NewSynthetic(f, 3, time.Minute)
@@ -304,8 +303,8 @@
 	}
 }
 
-// Faults that overlap leave a box as it is when it is there already: its second
-// start would lose what it has in hand without a word.
+// When overlapping faults end, a box that already runs is not started again: a second start would lose
+// its jobs silently.
 func TestOverlappingFaults(t *testing.T) {
 	f := config.Bluebird()
 	faults, err := Scenario(f, `
@@ -344,10 +343,10 @@
 	if c := w.Boxes[1].Condition(); c != Dead {
 		t.Errorf("a dead box that hung and drained is %v", c)
 	}
-	w.Boxes[0].Arrive(w.Now(), Job{ID: 1, Work: time.Hour})
+	w.Boxes[0].AddJob(w.Now(), Job{ID: 1, Work: time.Hour})
 	w.Inject(w.Now(), faults[2])
 	w.Advance(w.Now() + 6*time.Second)
 	if n := w.Boxes[0].Held(); n != 1 {
-		t.Errorf("a box that was there joined and lost %d of 1 in hand", 1-n)
+		t.Errorf("a box that was there joined and lost %d of 1 jobs", 1-n)
 	}
 }
