--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -27,10 +27,10 @@
 	MostCallers = 2 * MostSilent
 	maxLine     = 256
 	// A caller has silentFor for its line, and takes its answer within answerFor.
-	silentFor = 10 * time.Second
-	answerFor = time.Second
-	lingerFor = 50 * time.Millisecond
-	pause     = 10 * time.Millisecond // after a failed accept
+	lineTimeout      = 10 * time.Second
+	answerTimeout    = time.Second
+	lingerTimeout    = 50 * time.Millisecond
+	acceptRetryDelay = 10 * time.Millisecond // after a failed accept
 )
 
 // Call carries out a call. What it returns is the answer, whole lines; an error is answered
@@ -46,22 +46,22 @@
 
 // Server listens for calls.
 type Server struct {
-	ln      net.Listener
-	calls   map[string]Call
-	streams map[string]Stream
-	log     func(msg string, args ...any)
-
-	mu     sync.Mutex
-	silent list.List // of *caller: no line has come, oldest first
-	open   int       // but for those driven out
-	closed bool
-	tasks  sync.WaitGroup
+	listener net.Listener
+	calls    map[string]Call
+	streams  map[string]Stream
+	log      func(msg string, args ...any)
+
+	mu           sync.Mutex
+	awaitingLine list.List // of *caller: no line has come, oldest first
+	openCount    int       // but for those driven out
+	closed       bool
+	callers      sync.WaitGroup
 }
 
 // caller is one connection.
 type caller struct {
 	net.Conn
-	out bool // driven out
+	evicted bool // driven out
 }
 
 // Listen begins to listen; Run answers. warn writes a line to the log, at a bounded rate.
@@ -73,68 +73,68 @@
 	if warn == nil {
 		warn = slog.Default().Warn
 	}
-	return &Server{ln: ln, calls: calls, streams: streams, log: warn}, nil
+	return &Server{listener: ln, calls: calls, streams: streams, log: warn}, nil
 }
 
 // Addr is where it listens.
-func (s *Server) Addr() net.Addr { return s.ln.Addr() }
+func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
 // Close ends a server that does not run.
-func (s *Server) Close() { s.ln.Close() }
+func (s *Server) Close() { s.listener.Close() }
 
 // Run answers calls until the context ends.
 func (s *Server) Run(ctx context.Context) {
-	stop := context.AfterFunc(ctx, s.end)
+	stop := context.AfterFunc(ctx, s.closeAll)
 	defer stop()
 	for {
-		c, err := s.ln.Accept()
+		c, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			break
 		}
 		if err != nil {
 			s.log("can't accept an operator's call", "err", err)
-			time.Sleep(pause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		s.take(c)
+		s.startCaller(c)
 	}
-	s.tasks.Wait()
+	s.callers.Wait()
 }
 
-func (s *Server) end() {
+func (s *Server) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	s.ln.Close()
-	for e := s.silent.Front(); e != nil; e = e.Next() {
+	s.listener.Close()
+	for e := s.awaitingLine.Front(); e != nil; e = e.Next() {
 		e.Value.(*caller).Close()
 	}
 }
 
 // take begins with a caller.
-func (s *Server) take(c net.Conn) {
+func (s *Server) startCaller(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.silent.Len() >= MostSilent || s.open >= MostCallers && s.silent.Len() > 0 {
-		oldest := s.silent.Remove(s.silent.Front()).(*caller)
-		oldest.out = true
+	if s.awaitingLine.Len() >= MostSilent || s.openCount >= MostCallers && s.awaitingLine.Len() > 0 {
+		oldest := s.awaitingLine.Remove(s.awaitingLine.Front()).(*caller)
+		oldest.evicted = true
 		oldest.Close()
-		s.open--
+		s.openCount--
 	}
-	if s.closed || s.open >= MostCallers {
+	if s.closed || s.openCount >= MostCallers {
 		c.Close()
 		return
 	}
-	s.open++
+	s.openCount++
 	x := &caller{Conn: c}
-	place := s.silent.PushBack(x)
-	s.tasks.Go(func() {
+	place := s.awaitingLine.PushBack(x)
+	s.callers.Go(func() {
 		defer func() {
 			c.Close()
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if !x.out {
-				s.open--
+			if !x.evicted {
+				s.openCount--
 			}
 		}()
 		s.serve(c, place)
@@ -143,18 +143,18 @@
 
 // serve reads the line and answers it.
 func (s *Server) serve(c net.Conn, place *list.Element) {
-	c.SetDeadline(time.Now().Add(silentFor))
+	c.SetDeadline(time.Now().Add(lineTimeout))
 	in := bufio.NewReaderSize(c, maxLine)
 	line, err := in.ReadSlice('\n')
 	s.mu.Lock()
-	s.silent.Remove(place) // has no effect on one that was driven out
+	s.awaitingLine.Remove(place) // has no effect on one that was driven out
 	s.mu.Unlock()
 	whole := err == nil || err == io.EOF && len(line) > 0 // a caller may half-close in place of the line's end
 	if !whole && err != bufio.ErrBufferFull {
 		return
 	}
 	fields := strings.Fields(string(line))
-	c.SetDeadline(time.Now().Add(answerFor))
+	c.SetDeadline(time.Now().Add(answerTimeout))
 	if whole && len(fields) > 0 && s.streams[fields[0]] != nil {
 		s.streams[fields[0]](fields[1:], c, in)
 		return
@@ -166,7 +166,7 @@
 	io.WriteString(c, answer)
 	// Closing with something unread would reset the connection, and the answer with it.
 	if t, ok := c.(*net.TCPConn); ok && t.CloseWrite() == nil {
-		c.SetReadDeadline(time.Now().Add(lingerFor))
+		c.SetReadDeadline(time.Now().Add(lingerTimeout))
 		io.Copy(io.Discard, io.LimitReader(in, 1<<16))
 	}
 }
@@ -178,15 +178,15 @@
 		return "", fmt.Errorf("the line is too long: %d bytes at most", maxLine-1)
 	case len(fields) == 0:
 		s.log("turned an operator's call away", "err", "an empty line")
-		return "", fmt.Errorf("an empty line; calls are %s", s.names())
+		return "", fmt.Errorf("an empty line; calls are %s", s.callNames())
 	}
 	call := s.calls[fields[0]]
 	if call == nil {
 		s.log("turned an operator's call away", "err", "unknown call", "call", fmt.Sprintf("%.40q", fields[0]))
-		return "", fmt.Errorf("unknown call %.40q; calls are %s", fields[0], s.names())
+		return "", fmt.Errorf("unknown call %.40q; calls are %s", fields[0], s.callNames())
 	}
 	return call(fields[1:])
 }
 
 // names lists the calls.
-func (s *Server) names() string { return strings.Join(slices.Sorted(maps.Keys(s.calls)), ", ") }
+func (s *Server) callNames() string { return strings.Join(slices.Sorted(maps.Keys(s.calls)), ", ") }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -181,7 +181,7 @@
 }
 
 // cold returns the least first share and the longest warm-up of any box: the figures that limiters are told.
-func (f *Fleet) cold() (from float64, longest time.Duration) {
+func (f *Fleet) coldStart() (from float64, longest time.Duration) {
 	from = 1
 	for _, b := range f.Boxes {
 		from, longest = min(from, b.ColdFrom), max(longest, b.ColdFor)
@@ -192,7 +192,7 @@
 // Settings are what the limiter at a position is told of the fleet.
 func (f *Fleet) Settings(position int) limiter.Settings {
 	ms := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
-	from, longest := f.cold()
+	from, longest := f.coldStart()
 	s := limiter.Settings{
 		Position: position, Balancers: len(f.Limiters), Zone: f.Limiters[position].Room,
 		PeerInPerS: f.Network.PeerIn, CrossPrice: 0.02,
--- a/internal/forwardauth/config.go
+++ b/internal/forwardauth/config.go
@@ -65,7 +65,7 @@
 }
 
 // defaultSecret is the header of a proxy's secret.
-const defaultSecret = "X-Proxy-Secret"
+const defaultSecretHeader = "X-Proxy-Secret"
 
 // FromConfig is the listener that a checked configuration describes.
 func FromConfig(c *config.ForwardAuth) Listener {
@@ -74,7 +74,7 @@
 		l.TLS = &TLS{c.TLS.Cert, c.TLS.Key, c.TLS.ClientCA}
 	}
 	for _, p := range c.Proxies {
-		x := Proxy{Name: p.Name, Dialect: dialects[p.Dialect], Secret: p.Secret, Header: cmp.Or(p.Header, defaultSecret), Certs: p.Certs,
+		x := Proxy{Name: p.Name, Dialect: dialects[p.Dialect], Secret: p.Secret, Header: cmp.Or(p.Header, defaultSecretHeader), Certs: p.Certs,
 			Prefix: p.Prefix, Lease: p.Lease, Wait: p.Wait}
 		if p.Mode == "ask-then-carry" {
 			x.Mode = AskThenCarry
@@ -82,7 +82,7 @@
 		for _, from := range p.From {
 			x.From = append(x.From, netip.MustParsePrefix(from)) // checked
 		}
-		n := x.Dialect.names
+		n := x.Dialect.defaultNames
 		for name, to := range map[string]*string{"method": &n.Method, "uri": &n.URI, "request_id": &n.ID, "class": &n.Class, "plan": &n.Plan,
 			"timeout": &n.Timeout, "quota": &n.Quota, "account": &n.Account, "retried": &n.Retried} {
 			*to = cmp.Or(p.Names[name], *to)
--- a/internal/forwardauth/dialects.go
+++ b/internal/forwardauth/dialects.go
@@ -10,14 +10,14 @@
 
 // Dialect is the manner in which one kind of proxy asks and takes answers.
 type Dialect struct {
-	Name  string
-	names Names
+	Name         string
+	defaultNames Names
 	// path takes the original path and query from the ask itself, where no header has
 	// it: Envoy sends it behind a prefix.
-	path bool
+	originalInPath bool
 	// hides tells that the proxy takes 2xx, 401 and 403 alone, so that a refusal has to
 	// come as 403 and its real status in a header: nginx turns all else into 500.
-	hides bool
+	masksStatus bool
 }
 
 // StatusHeader has the status that a client is to get, for proxies that can't pass
@@ -28,11 +28,11 @@
 const GrantHeader = "X-Grant"
 
 // protocolNames are the headers of the protocol between clients and limiters.
-var protocolNames = Names{ID: "X-Request-ID", Class: "X-Priority-Class", Plan: "Plan", Timeout: "X-Timeout", Quota: "Quota-Info",
+var protocolHeaders = Names{ID: "X-Request-ID", Class: "X-Priority-Class", Plan: "Plan", Timeout: "X-Timeout", Quota: "Quota-Info",
 	Account: "X-Account", Retried: "X-Retried"}
 
-func withOriginal(method, uri string) Names {
-	n := protocolNames
+func withOriginalHeaders(method, uri string) Names {
+	n := protocolHeaders
 	n.Method, n.URI = method, uri
 	return n
 }
@@ -42,16 +42,16 @@
 // forward_auth directive; Envoy HTTP ext_authz filter, http_service; HAProxy with
 // haproxy-auth-request.lua, which sends the original headers, and variables as set.
 var dialects = map[string]*Dialect{
-	"nginx":   {Name: "nginx", names: withOriginal("X-Original-Method", "X-Original-URI"), hides: true},
-	"traefik": {Name: "traefik", names: withOriginal("X-Forwarded-Method", "X-Forwarded-Uri")},
-	"caddy":   {Name: "caddy", names: withOriginal("X-Forwarded-Method", "X-Forwarded-Uri")},
-	"envoy":   {Name: "envoy", names: protocolNames, path: true},
-	"haproxy": {Name: "haproxy", names: withOriginal("X-Forwarded-Method", "X-Forwarded-Uri")},
+	"nginx":   {Name: "nginx", defaultNames: withOriginalHeaders("X-Original-Method", "X-Original-URI"), masksStatus: true},
+	"traefik": {Name: "traefik", defaultNames: withOriginalHeaders("X-Forwarded-Method", "X-Forwarded-Uri")},
+	"caddy":   {Name: "caddy", defaultNames: withOriginalHeaders("X-Forwarded-Method", "X-Forwarded-Uri")},
+	"envoy":   {Name: "envoy", defaultNames: protocolHeaders, originalInPath: true},
+	"haproxy": {Name: "haproxy", defaultNames: withOriginalHeaders("X-Forwarded-Method", "X-Forwarded-Uri")},
 }
 
 // original is the method and the path with query that the proxy was asked for.
-func (p *Proxy) original(q *http.Request) (method, uri string, err error) {
-	if p.Dialect.path {
+func (p *Proxy) originalRequest(q *http.Request) (method, uri string, err error) {
+	if p.Dialect.originalInPath {
 		uri, ok := strings.CutPrefix(q.URL.RequestURI(), p.Prefix)
 		if !ok {
 			return "", "", fmt.Errorf("the path does not begin with %q", p.Prefix)
@@ -61,10 +61,10 @@
 		}
 		return q.Method, uri, nil
 	}
-	if method, err = single(q.Header, p.Names.Method); err != nil {
+	if method, err = singleHeader(q.Header, p.Names.Method); err != nil {
 		return "", "", err
 	}
-	if uri, err = single(q.Header, p.Names.URI); err != nil {
+	if uri, err = singleHeader(q.Header, p.Names.URI); err != nil {
 		return "", "", err
 	}
 	if method == "" || !strings.HasPrefix(uri, "/") {
@@ -74,7 +74,7 @@
 }
 
 // single is a header that may be there once.
-func single(h http.Header, name string) (string, error) {
+func singleHeader(h http.Header, name string) (string, error) {
 	values := h.Values(name)
 	if len(values) > 1 {
 		return "", fmt.Errorf("%s is there %d times", name, len(values))
@@ -88,7 +88,7 @@
 var noStore = []string{"no-store"}
 
 // yes answers that the request may go.
-func (d *Dialect) yes(w http.ResponseWriter, token string) {
+func (d *Dialect) writeGranted(w http.ResponseWriter, token string) {
 	h := w.Header()
 	if token != "" {
 		h[GrantHeader] = []string{token}
@@ -98,7 +98,7 @@
 }
 
 // no answers that it may not, with the status that its client is to get.
-func (d *Dialect) no(w http.ResponseWriter, status int, wait time.Duration, why string) {
+func (d *Dialect) writeRefused(w http.ResponseWriter, status int, wait time.Duration, why string) {
 	h := w.Header()
 	h.Set("Cache-Control", "no-store")
 	if wait > 0 {
@@ -107,7 +107,7 @@
 		h.Set("Retry-After", strconv.Itoa(int((wait+time.Second-1)/time.Second)))
 	}
 	h.Set(StatusHeader, strconv.Itoa(status))
-	if d.hides && status != http.StatusUnauthorized {
+	if d.masksStatus && status != http.StatusUnauthorized {
 		status = http.StatusForbidden
 	}
 	http.Error(w, why, status)
--- a/internal/forwardauth/forwardauth_test.go
+++ b/internal/forwardauth/forwardauth_test.go
@@ -332,17 +332,17 @@
 	if n := len(f.get(now)); n != 1 {
 		t.Errorf("looked at the file too often: %d secrets", n)
 	}
-	if n := len(f.get(now.Add(2 * lookEvery))); n != 2 {
+	if n := len(f.get(now.Add(2 * fileCheckInterval))); n != 2 {
 		t.Errorf("%d secrets after the change", n)
 	}
 	change("short\n")
-	if n := len(f.get(now.Add(4 * lookEvery))); n != 2 || len(warned) != 1 {
+	if n := len(f.get(now.Add(4 * fileCheckInterval))); n != 2 || len(warned) != 1 {
 		t.Errorf("%d secrets after a change that can't be used, %v", n, warned)
 	}
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	if n := len(f.get(now.Add(6 * lookEvery))); n != 2 || len(warned) != 2 {
+	if n := len(f.get(now.Add(6 * fileCheckInterval))); n != 2 || len(warned) != 2 {
 		t.Errorf("%d secrets without the file, %v", n, warned)
 	}
 	if _, err := parseKeys([][]byte{[]byte("k1 " + strings.Repeat("s", 16) + "\nk1 " + strings.Repeat("t", 16))}); err == nil {
@@ -491,7 +491,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer o.ln.Close()
+	defer o.listener.Close()
 	vouched := 0
 	for range 1000 {
 		leased, yes := o.Redeem(token, terms)
@@ -503,7 +503,7 @@
 		}
 	}
 	for range 10 {
-		o.tell()
+		o.sendNotices()
 	}
 	if n := len(elsewhere.told); vouched != 1 || n != 1 || elsewhere.told[0] != "0 18" {
 		t.Errorf("vouched for %d times, told %v", vouched, elsewhere.told)
@@ -585,7 +585,7 @@
 		go func() { got <- asking(t, s, headers("slow"+strconv.Itoa(i)), nil).StatusCode }()
 	}
 	<-slow.in
-	for end := time.Now().Add(patience); s.waiting.Load() < 4; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); s.pending.Load() < 4; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the asks did not come")
 		}
--- a/internal/forwardauth/parse.go
+++ b/internal/forwardauth/parse.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	maxID      = 128
-	mostIDBits = 33 // accounts are numbers below 2^33, as the protocol has them
+	maxIDLength = 128
+	accountBits = 33 // accounts are numbers below 2^33, as the protocol has them
 )
 
 // parsed is what a proxy asks.
-type parsed struct {
+type parsedRequest struct {
 	ask                       limiter.Ask
 	id                        string
 	to                        Target
@@ -27,15 +27,15 @@
 }
 
 // parse reads who asks for what. It changes nothing.
-func (s *namedTier) parse(p *proxy, q *http.Request) (x parsed, err error) {
-	method, uri, err := p.original(q)
+func (s *indexedTier) parse(p *proxy, q *http.Request) (x parsedRequest, err error) {
+	method, uri, err := p.originalRequest(q)
 	if err != nil {
 		return x, err
 	}
 	a := &x.ask
 	get := func(name string) (text string) {
 		if err == nil && name != "" {
-			text, err = single(q.Header, name)
+			text, err = singleHeader(q.Header, name)
 		}
 		return text
 	}
@@ -61,12 +61,12 @@
 		}
 	}
 	if account == "" {
-		if account, err = query(uri, "key"); err != nil {
+		if account, err = queryParameter(uri, "key"); err != nil {
 			return x, err
 		}
 	}
-	if a.Account, err = strconv.ParseUint(account, 16, 64); err != nil || a.Account >= 1<<mostIDBits || len(account) > 16 {
-		return x, fmt.Errorf("account %q is no hexadecimal number below 2^%d", clip(account), mostIDBits)
+	if a.Account, err = strconv.ParseUint(account, 16, 64); err != nil || a.Account >= 1<<accountBits || len(account) > 16 {
+		return x, fmt.Errorf("account %q is no hexadecimal number below 2^%d", clip(account), accountBits)
 	}
 	ok, wait := false, p.Wait
 	to := Target{Class: -1}
@@ -100,10 +100,10 @@
 	if a.Plan, ok = s.plans[planName]; !ok {
 		return x, fmt.Errorf("plan %q is not known", clip(planName))
 	}
-	if id == "" || len(id) > maxID || strings.ContainsFunc(id, func(c rune) bool { return c <= ' ' || c > '~' }) {
-		return x, fmt.Errorf("%s has to have the try's id: up to %d printable characters", n.ID, maxID)
+	if id == "" || len(id) > maxIDLength || strings.ContainsFunc(id, func(c rune) bool { return c <= ' ' || c > '~' }) {
+		return x, fmt.Errorf("%s has to have the try's id: up to %d printable characters", n.ID, maxIDLength)
 	}
-	if err := s.quota(quota, a); err != nil {
+	if err := s.parseQuota(quota, a); err != nil {
 		return x, err
 	}
 	if timeout != "" {
@@ -121,7 +121,7 @@
 }
 
 // quota reads Quota-Info: units=2,spread=3,first=1; what it leaves out keeps.
-func (s *namedTier) quota(text string, a *limiter.Ask) error {
+func (s *indexedTier) parseQuota(text string, a *limiter.Ask) error {
 	for text != "" {
 		var pair string
 		pair, text, _ = strings.Cut(text, ",")
--- a/internal/forwardauth/service.go
+++ b/internal/forwardauth/service.go
@@ -56,50 +56,52 @@
 
 // Bounds of the front.
 const (
-	headTimeout = 2 * time.Second
-	idleTimeout = 30 * time.Second
-	maxHead     = 16 << 10
+	headerTimeout  = 2 * time.Second
+	idleTimeout    = 30 * time.Second
+	maxHeaderBytes = 16 << 10
 	// wordEvery is the pause between two datagrams that name leases whose messages came
 	// here, reportEvery that between two lines of counts in the log.
-	wordEvery   = 250 * time.Millisecond
-	reportEvery = 10 * time.Second
+	noticeInterval = 250 * time.Millisecond
+	reportInterval = 10 * time.Second
 )
 
 // Service answers the proxies of one limiter.
 type Service struct {
-	cfg     Listener
-	tier    atomic.Pointer[namedTier]
-	d       Decider
-	log     *slog.Logger
-	proxies []*proxy
-	keys    *fileValue[grant.Keys]
-	web     *http.Server
-	ln      net.Listener
-	start   time.Time
-	waiting atomic.Int64
-	wake    chan struct{}
-
-	mu   sync.Mutex
-	desk *grant.LeaseManager
+	cfg      Listener
+	tier     atomic.Pointer[indexedTier]
+	decider  Decider
+	log      *slog.Logger
+	proxies  []*proxy
+	keys     *fileValue[grant.Keys]
+	server   *http.Server
+	listener net.Listener
+	start    time.Time
+	pending  atomic.Int64
+	wake     chan struct{}
+
+	mu           sync.Mutex
+	leaseManager *grant.LeaseManager
 
 	// Not under the lock: a quick no must not wait for those that wait.
-	count struct{ yes, no, again, busy, malformed, untrusted atomic.Int64 }
+	counts struct{ yes, no, again, busy, malformed, untrusted atomic.Int64 }
 }
 
 // namedTier is a Tier with its names by their places.
-type namedTier struct {
+type indexedTier struct {
 	Tier
 	classes, plans map[string]int
 }
 
-func newTier(t Tier) *namedTier { return &namedTier{t, places(t.Classes), places(t.Plans)} }
+func newIndexedTier(t Tier) *indexedTier {
+	return &indexedTier{t, indexByName(t.Classes), indexByName(t.Plans)}
+}
 
 // Swap has another tier hold once swap, which must call done, has changed the decider to
 // it. An ask is read by one tier and decided by the same.
 func (s *Service) Swap(t Tier, swap func(done func())) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	swap(func() { s.tier.Store(newTier(t)) })
+	swap(func() { s.tier.Store(newIndexedTier(t)) })
 }
 
 // Counts are what came of the asks.
@@ -113,9 +115,9 @@
 
 // New returns a Service that listens but does not answer yet.
 func New(cfg Listener, tier Tier, d Decider, logger *slog.Logger) (*Service, error) {
-	s := &Service{cfg: cfg, d: d, log: logger, start: time.Now(),
-		wake: make(chan struct{}, 1), desk: grant.NewLeaseManager(tier.Position, tier.Limiters, cfg.Leases)}
-	s.tier.Store(newTier(tier))
+	s := &Service{cfg: cfg, decider: d, log: logger, start: time.Now(),
+		wake: make(chan struct{}, 1), leaseManager: grant.NewLeaseManager(tier.Position, tier.Limiters, cfg.Leases)}
+	s.tier.Store(newIndexedTier(tier))
 	var err error
 	for _, p := range cfg.Proxies {
 		x := &proxy{Proxy: p}
@@ -133,24 +135,24 @@
 	}
 	// No time for bodies, which are not read, and none for answers, which fit into a
 	// socket's buffer: each deadline costs every ask.
-	s.web = &http.Server{Handler: s, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHead, ErrorLog: log.New(discard{}, "", 0)}
+	s.server = &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: log.New(discardWriter{}, "", 0)}
 	if cfg.TLS != nil {
-		if s.web.TLSConfig, err = cfg.TLS.tlsConfig(logger.Warn); err != nil {
+		if s.server.TLSConfig, err = cfg.TLS.tlsConfig(logger.Warn); err != nil {
 			return nil, err
 		}
 	}
-	if s.ln, err = net.Listen("tcp", cfg.Listen); err != nil {
+	if s.listener, err = net.Listen("tcp", cfg.Listen); err != nil {
 		return nil, fmt.Errorf("forward authentication: %w", err)
 	}
 	return s, nil
 }
 
 // discard drops the HTTP server's lines on connections that break.
-type discard struct{}
+type discardWriter struct{}
 
-func (discard) Write(p []byte) (int, error) { return len(p), nil }
+func (discardWriter) Write(p []byte) (int, error) { return len(p), nil }
 
-func places(names []string) map[string]int {
+func indexByName(names []string) map[string]int {
 	m := map[string]int{}
 	for i, n := range names {
 		m[n] = i
@@ -159,30 +161,30 @@
 }
 
 // Addr is where proxies ask.
-func (s *Service) Addr() net.Addr { return s.ln.Addr() }
+func (s *Service) Addr() net.Addr { return s.listener.Addr() }
 
 // Run answers until the context ends.
 func (s *Service) Run(ctx context.Context) error {
 	served := make(chan error, 1)
 	go func() {
-		if s.web.TLSConfig != nil {
-			served <- s.web.ServeTLS(s.ln, "", "")
+		if s.server.TLSConfig != nil {
+			served <- s.server.ServeTLS(s.listener, "", "")
 		} else {
-			served <- s.web.Serve(s.ln)
+			served <- s.server.Serve(s.listener)
 		}
 	}()
-	timer, words, reports := time.NewTimer(time.Hour), time.NewTicker(wordEvery), time.NewTicker(reportEvery)
+	timer, words, reports := time.NewTimer(time.Hour), time.NewTicker(noticeInterval), time.NewTicker(reportInterval)
 	defer timer.Stop()
 	defer words.Stop()
 	defer reports.Stop()
 	var reported Counts
-	defer func() { s.report(reported) }()
+	defer func() { s.logCounts(reported) }()
 	for {
 		s.mu.Lock()
 		now := time.Since(s.start)
-		s.desk.Leases().Expire(now, func(t grant.Terms) { s.settle(t, grant.Expired) })
+		s.leaseManager.Leases().Expire(now, func(t grant.Terms) { s.settle(t, grant.Expired) })
 		wait := time.Hour
-		if at, ok := s.desk.Leases().NextExpiry(); ok {
+		if at, ok := s.leaseManager.Leases().NextExpiry(); ok {
 			wait = at - now
 		}
 		s.mu.Unlock()
@@ -194,28 +196,28 @@
 			}
 			return nil
 		case <-ctx.Done():
-			stop, cancel := context.WithTimeout(context.Background(), headTimeout)
+			stop, cancel := context.WithTimeout(context.Background(), headerTimeout)
 			defer cancel()
-			err := s.web.Shutdown(stop)
+			err := s.server.Shutdown(stop)
 			<-served
 			return err
 		case <-timer.C:
 		case <-s.wake:
 		case <-words.C:
-			s.tell()
+			s.sendNotices()
 		case <-reports.C:
-			reported = s.report(reported)
+			reported = s.logCounts(reported)
 		}
 	}
 }
 
 // report writes what came of the asks to the log, if that is news.
-func (s *Service) report(before Counts) Counts {
-	n := &s.count
+func (s *Service) logCounts(before Counts) Counts {
+	n := &s.counts
 	now := Counts{n.yes.Load(), n.no.Load(), n.again.Load(), n.busy.Load(), n.malformed.Load(), n.untrusted.Load()}
 	if now != before {
 		s.mu.Lock()
-		open := s.desk.Leases().OpenCount()
+		open := s.leaseManager.Leases().OpenCount()
 		s.mu.Unlock()
 		s.log.Info("asks so far", "yes", now.Yes, "no", now.No, "again", now.Again, "busy", now.Busy, "malformed", now.Malformed,
 			"untrusted", now.Untrusted, "leases_out", open)
@@ -225,7 +227,7 @@
 
 // settle tells the module that a lease has ended. The lock is held.
 func (s *Service) settle(t grant.Terms, e grant.EndReason) {
-	s.d.Settle(limiter.Settle{Account: t.Account, Units: t.Units, Refund: e.ReturnsUnits()})
+	s.decider.Settle(limiter.Settle{Account: t.Account, Units: t.Units, Refund: e.ReturnsUnits()})
 }
 
 // Paths of the front besides asks.
@@ -239,29 +241,29 @@
 	if q.ContentLength != 0 { // net/http would read on for the next request
 		w.Header().Set("Connection", "close")
 	}
-	p, status := s.trusted(q)
+	p, status := s.authenticate(q)
 	if p == nil {
-		s.count.untrusted.Add(1)
+		s.counts.untrusted.Add(1)
 		w.Header().Set("Connection", "close")
 		http.Error(w, "not one of the proxies that may ask", status)
 		return
 	}
 	if q.URL.Path == CancelPath || q.URL.Path == ConfirmPath {
-		s.end(w, q)
+		s.endLease(w, q)
 		return
 	}
 	t := s.tier.Load()
 	x, err := t.parse(p, q)
 	if err != nil {
-		s.count.malformed.Add(1)
-		p.Dialect.no(w, http.StatusBadRequest, 0, err.Error())
+		s.counts.malformed.Add(1)
+		p.Dialect.writeRefused(w, http.StatusBadRequest, 0, err.Error())
 		return
 	}
 	// Asks wait for one another at the module; past a bound they hear a no at once.
-	if s.waiting.Add(1) > int64(s.cfg.Pending) {
-		s.waiting.Add(-1)
-		s.count.busy.Add(1)
-		p.Dialect.no(w, http.StatusServiceUnavailable, time.Second, "too many asks at once")
+	if s.pending.Add(1) > int64(s.cfg.Pending) {
+		s.pending.Add(-1)
+		s.counts.busy.Add(1)
+		p.Dialect.writeRefused(w, http.StatusServiceUnavailable, time.Second, "too many asks at once")
 		return
 	}
 	x.advise(p, q)
@@ -274,22 +276,22 @@
 		x.advise(p, q)
 		token, granted, wait, ok = s.ask(p, x, t)
 	}
-	s.waiting.Add(-1)
+	s.pending.Add(-1)
 	if err != nil {
-		s.count.malformed.Add(1)
-		p.Dialect.no(w, http.StatusBadRequest, 0, err.Error())
+		s.counts.malformed.Add(1)
+		p.Dialect.writeRefused(w, http.StatusBadRequest, 0, err.Error())
 		return
 	}
 	if !granted {
-		p.Dialect.no(w, http.StatusTooManyRequests, max(wait, time.Millisecond), "over the quota, or the servers are full; try again later")
+		p.Dialect.writeRefused(w, http.StatusTooManyRequests, max(wait, time.Millisecond), "over the quota, or the servers are full; try again later")
 		return
 	}
-	p.Dialect.yes(w, token)
+	p.Dialect.writeGranted(w, token)
 }
 
 // advise has the plug-ins asked. For a proxy that has left there is nobody to hear a yes, and
 // what its plug-ins did not get to say is no.
-func (x *parsed) advise(p *proxy, q *http.Request) {
+func (x *parsedRequest) advise(p *proxy, q *http.Request) {
 	if x.to.Advise == nil {
 		return
 	}
@@ -307,7 +309,7 @@
 }
 
 // ask has the module decide, unless the same try was granted just now.
-func (s *Service) ask(p *proxy, x parsed, by *namedTier) (token string, granted bool, wait time.Duration, ok bool) {
+func (s *Service) ask(p *proxy, x parsedRequest, by *indexedTier) (token string, granted bool, wait time.Duration, ok bool) {
 	a := x.ask
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -317,25 +319,25 @@
 	now := time.Since(s.start)
 	terms := grant.Terms{Account: a.Account, Plan: a.Plan, Class: a.Class, Units: a.Units}
 	try := grant.Attempt{Proxy: p.Name, ID: x.id, Terms: terms}
-	if token, again := s.desk.FindRepeat(now, try); again {
-		s.count.again.Add(1)
+	if token, again := s.leaseManager.FindRepeat(now, try); again {
+		s.counts.again.Add(1)
 		return token, true, 0, true
 	}
-	if a.Lease && !s.desk.Leases().HasRoom() {
-		s.count.no.Add(1)
+	if a.Lease && !s.leaseManager.Leases().HasRoom() {
+		s.counts.no.Add(1)
 		return "", false, p.Lease, true
 	}
-	if granted, wait = s.d.Ask(a); !granted {
-		s.count.no.Add(1)
+	if granted, wait = s.decider.Ask(a); !granted {
+		s.counts.no.Add(1)
 		return "", false, wait, true
 	}
-	s.count.yes.Add(1)
+	s.counts.yes.Add(1)
 	until := now + grant.RepeatWindow
 	if a.Lease {
 		until = now + p.Lease
 		t := grant.Token{Limiter: by.Position, Terms: terms, Until: s.start.Add(until)}
 		rand.Read(t.Lease[:])
-		if err := s.desk.Leases().Grant(t.Lease, terms, until); err != nil { // two equal random ids: never
+		if err := s.leaseManager.Leases().Grant(t.Lease, terms, until); err != nil { // two equal random ids: never
 			s.settle(terms, grant.Cancelled)
 			return "", false, p.Lease, true
 		}
@@ -345,26 +347,26 @@
 		default:
 		}
 	}
-	s.desk.RecordGrant(now, try, token, until)
+	s.leaseManager.RecordGrant(now, try, token, until)
 	return token, true, 0, true
 }
 
 // end is a proxy's word that a lease was used elsewhere, or will not be.
-func (s *Service) end(w http.ResponseWriter, q *http.Request) {
+func (s *Service) endLease(w http.ResponseWriter, q *http.Request) {
 	e := grant.Cancelled
 	if q.URL.Path == ConfirmPath {
 		e = grant.Confirmed
 	}
-	text, err := single(q.Header, GrantHeader)
+	text, err := singleHeader(q.Header, GrantHeader)
 	t, ok := s.verify(text)
 	if q.Method != http.MethodPost || err != nil || !ok || t.Limiter != s.tier.Load().Position {
-		s.count.malformed.Add(1)
+		s.counts.malformed.Add(1)
 		http.Error(w, "needs POST and a token of this limiter in "+GrantHeader, http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	terms, err := s.desk.Leases().End(time.Since(s.start), t.Lease, e)
+	terms, err := s.leaseManager.Leases().End(time.Since(s.start), t.Lease, e)
 	if err != nil {
 		http.Error(w, "the lease has ended", http.StatusGone)
 		return
@@ -390,25 +392,25 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.desk.Redeem(time.Since(s.start), t, time.Until(t.Until), terms)
+	return s.leaseManager.Redeem(time.Since(s.start), t, time.Until(t.Until), terms)
 }
 
 // tell sends the other limiters what they are owed.
-func (s *Service) tell() {
+func (s *Service) sendNotices() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.desk.SendNotices(s.d.Tell)
+	s.leaseManager.SendNotices(s.decider.Tell)
 }
 
 // Heard takes in another limiter's word on leases.
 func (s *Service) Heard(data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.desk.Heard(time.Since(s.start), data, func(t grant.Terms) { s.settle(t, grant.Moved) })
+	s.leaseManager.Heard(time.Since(s.start), data, func(t grant.Terms) { s.settle(t, grant.Moved) })
 }
 
 // query is the protocol's account in the original query.
-func query(uri, name string) (string, error) {
+func queryParameter(uri, name string) (string, error) {
 	u, err := url.ParseRequestURI(uri)
 	if err != nil {
 		return "", fmt.Errorf("the original path can't be read")
--- a/internal/forwardauth/trust.go
+++ b/internal/forwardauth/trust.go
@@ -19,10 +19,10 @@
 )
 
 // lookEvery is how often files are looked at for a change.
-const lookEvery = time.Second
+const fileCheckInterval = time.Second
 
 // maxSecretFile bounds files of secrets and keys.
-const maxSecretFile = 64 << 10
+const maxFileBytes = 64 << 10
 
 // fileValue is what a file holds, read again when it changes. A new content that
 // can't be used leaves the old one in use, as a file may be half written.
@@ -31,31 +31,31 @@
 	parse func([][]byte) (T, error)
 	warn  func(msg string, args ...any)
 
-	mu     sync.Mutex
-	value  T
-	looked time.Time
-	stamp  string
+	mu                sync.Mutex
+	value             T
+	checkedAt         time.Time
+	loadedFingerprint string
 }
 
 func newFileValue[T any](parse func([][]byte) (T, error), warn func(string, ...any), paths ...string) (*fileValue[T], error) {
 	f := &fileValue[T]{paths: paths, parse: parse, warn: warn}
 	var err error
-	f.stamp, err = f.look()
+	f.loadedFingerprint, err = f.fingerprint()
 	if err == nil {
 		f.value, err = f.read()
 	}
-	f.looked = time.Now()
+	f.checkedAt = time.Now()
 	return f, err
 }
 
-func (f *fileValue[T]) look() (stamp string, err error) {
+func (f *fileValue[T]) fingerprint() (stamp string, err error) {
 	for _, p := range f.paths {
 		info, err := os.Stat(p)
 		if err != nil {
 			return "", fmt.Errorf("forward authentication: %w", err)
 		}
-		if info.Size() > maxSecretFile {
-			return "", fmt.Errorf("forward authentication: %s has %d bytes, %d at most", p, info.Size(), maxSecretFile)
+		if info.Size() > maxFileBytes {
+			return "", fmt.Errorf("forward authentication: %s has %d bytes, %d at most", p, info.Size(), maxFileBytes)
 		}
 		stamp += fmt.Sprintf("%d %d;", info.ModTime().UnixNano(), info.Size())
 	}
@@ -81,15 +81,15 @@
 func (f *fileValue[T]) get(now time.Time) T {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if now.Sub(f.looked) < lookEvery {
+	if now.Sub(f.checkedAt) < fileCheckInterval {
 		return f.value
 	}
-	f.looked = now
-	stamp, err := f.look()
-	if err == nil && stamp != f.stamp {
+	f.checkedAt = now
+	stamp, err := f.fingerprint()
+	if err == nil && stamp != f.loadedFingerprint {
 		var v T
 		if v, err = f.read(); err == nil {
-			f.value, f.stamp = v, stamp
+			f.value, f.loadedFingerprint = v, stamp
 		}
 	}
 	if err != nil {
@@ -174,7 +174,7 @@
 
 // trusted is the proxy that a request comes from, or a status for anybody else: 403
 // for those whom no address lists, 401 for those without the secret or certificate.
-func (s *Service) trusted(q *http.Request) (*proxy, int) {
+func (s *Service) authenticate(q *http.Request) (*proxy, int) {
 	addr, err := netip.ParseAddrPort(q.RemoteAddr)
 	if err != nil {
 		return nil, http.StatusForbidden
@@ -186,7 +186,7 @@
 				continue
 			}
 			listed = true
-			if p.shows(q) {
+			if p.hasCredentials(q) {
 				return p, 0
 			}
 			break
@@ -199,7 +199,7 @@
 }
 
 // shows tells whether a request has the proxy's secret or certificate.
-func (p *proxy) shows(q *http.Request) bool {
+func (p *proxy) hasCredentials(q *http.Request) bool {
 	if q.TLS != nil && len(q.TLS.VerifiedChains) > 0 {
 		leaf := q.TLS.VerifiedChains[0][0]
 		for _, name := range p.Certs {
@@ -211,7 +211,7 @@
 	if p.secrets == nil {
 		return false
 	}
-	given, err := single(q.Header, p.Header)
+	given, err := singleHeader(q.Header, p.Header)
 	if err != nil || given == "" {
 		return false
 	}
--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -13,18 +13,18 @@
 // client that also sends a chunked body on the same connection. Look is for one goroutine;
 // Both may be asked by any.
 type Watch struct {
-	line [len("transfer-encoding:")]byte // the beginning of a line, in lower case
-	have int                             // of it
-	seen byte                            // of the head so far
-	both atomic.Bool
+	line       [len("transfer-encoding:")]byte // the beginning of a line, in lower case
+	lineLength int                             // of it
+	headFields byte                            // of the head so far
+	conflict   atomic.Bool
 }
 
 // Both tells that a head has had both.
-func (c *Watch) Both() bool { return c.both.Load() }
+func (c *Watch) Both() bool { return c.conflict.Load() }
 
 const (
-	sawLength = 1 << iota
-	sawEncoding
+	sawContentLength = 1 << iota
+	sawTransferEncoding
 )
 
 var (
@@ -40,28 +40,28 @@
 		if end >= 0 {
 			part = b[:end]
 		}
-		for _, x := range part[:min(len(part), len(c.line)-c.have)] {
+		for _, x := range part[:min(len(part), len(c.line)-c.lineLength)] {
 			if 'A' <= x && x <= 'Z' {
 				x += 'a' - 'A'
 			}
-			c.line[c.have] = x
-			c.have++
+			c.line[c.lineLength] = x
+			c.lineLength++
 		}
 		if end < 0 {
 			return
 		}
-		line := c.line[:c.have]
+		line := c.line[:c.lineLength]
 		switch {
-		case c.have == 0 || c.have == 1 && line[0] == '\r':
-			c.seen = 0
+		case c.lineLength == 0 || c.lineLength == 1 && line[0] == '\r':
+			c.headFields = 0
 		case bytes.HasPrefix(line, lengthName):
-			c.seen |= sawLength
+			c.headFields |= sawContentLength
 		case bytes.HasPrefix(line, encodingName):
-			c.seen |= sawEncoding
+			c.headFields |= sawTransferEncoding
 		}
-		if c.seen == sawLength|sawEncoding {
-			c.both.Store(true)
+		if c.headFields == sawContentLength|sawTransferEncoding {
+			c.conflict.Store(true)
 		}
-		c.have, b = 0, b[end+1:]
+		c.lineLength, b = 0, b[end+1:]
 	}
 }
--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -11,6 +11,6 @@
 )
 
 // ignored takes the signals in; nobody reads it. Who follows the settings asks for the signal too.
-var ignored = make(chan os.Signal, 1)
+var discarded = make(chan os.Signal, 1)
 
-func init() { signal.Notify(ignored, syscall.SIGHUP) }
+func init() { signal.Notify(discarded, syscall.SIGHUP) }
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -13,7 +13,7 @@
 		t.Fatal(err)
 	}
 	select {
-	case got := <-ignored:
+	case got := <-discarded:
 		if got != syscall.SIGHUP {
 			t.Errorf("got %v", got)
 		}
--- a/internal/paired/paired.go
+++ b/internal/paired/paired.go
@@ -5,7 +5,7 @@
 
 // student is the 97.5% point of Student's t for 1 to 30 degrees of freedom (R. A.
 // Fisher, F. Yates: Statistical Tables); beyond that it is as good as 2.
-var student = [...]float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
+var studentT = [...]float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
 	2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042}
 
 // Noise is the mean difference that chance alone stays under 19 times in 20; 0 for fewer
@@ -23,8 +23,8 @@
 		square += (d - mean) * (d - mean)
 	}
 	t := 2.0
-	if k := len(differences) - 2; k < len(student) {
-		t = student[k]
+	if k := len(differences) - 2; k < len(studentT) {
+		t = studentT[k]
 	}
 	return t * math.Sqrt(square/(n-1)/n)
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -71,7 +71,7 @@
 }
 
 // bin is the length of a bin for a record.
-func bin(length time.Duration) time.Duration {
+func binLength(length time.Duration) time.Duration {
 	switch {
 	case length < 10*time.Minute:
 		return 5 * time.Second
@@ -82,7 +82,7 @@
 }
 
 // kinds are classes by plans.
-func kinds(f *fleet.Fleet) (all []capacity.Kind) {
+func requestKinds(f *fleet.Fleet) (all []capacity.Kind) {
 	for _, p := range f.Plans {
 		for _, c := range f.Classes {
 			w := c.Work.Seconds()
@@ -93,7 +93,7 @@
 }
 
 // rooms are those of a fleet, as the options change them.
-func rooms(f *fleet.Fleet, o Options) (all []capacity.Room, err error) {
+func fleetRooms(f *fleet.Fleet, o Options) (all []capacity.Room, err error) {
 	total := 0
 	for i, name := range f.Rooms {
 		r := capacity.Room{Name: name}
@@ -134,13 +134,13 @@
 }
 
 // history is what a plan of a replay asks for within quota.
-func history(p *replay.Plan, begins float64, seed uint64) (*capacity.History, error) {
+func recordHistory(p *replay.Plan, begins float64, seed uint64) (*capacity.History, error) {
 	source, err := p.Source(seed)
 	if err != nil {
 		return nil, err
 	}
 	defer source.Close()
-	f, each := p.Options.Fleet, bin(p.Length)
+	f, each := p.Options.Fleet, binLength(p.Length)
 	n := int((p.Length + each - 1) / each)
 	h := &capacity.History{Bin: each.Seconds(), Begin: begins, Kinds: make([][]float64, len(f.Classes)*len(f.Plans))}
 	for k := range h.Kinds {
@@ -170,7 +170,7 @@
 // Make plans a fleet for what a replay's plan asks for.
 func Make(p *replay.Plan, o Options) (*Report, error) {
 	f := p.Options.Fleet
-	h, err := history(p, o.Begins, p.Options.Seed)
+	h, err := recordHistory(p, o.Begins, p.Options.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -186,8 +186,8 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &capacity.Fleet{Kinds: kinds(f)}
-	if c.Rooms, err = rooms(f, o); err != nil {
+	c := &capacity.Fleet{Kinds: requestKinds(f)}
+	if c.Rooms, err = fleetRooms(f, o); err != nil {
 		return nil, err
 	}
 	r := &Report{Goal: o.Goal, Confidence: o.Confidence, PeriodS: forecast.Period, BinS: h.Bin, Holes: []string{}, Odd: []string{}, fleet: c, plan: c.Plan(forecast, o.Goal)}
@@ -272,7 +272,7 @@
 }
 
 // tolerance is by how much a replayed day may stay below the goal.
-const tolerance = 0.02
+const goalTolerance = 0.02
 
 // Replay plays the binding hour on so many random days, of a minute each, with so many boxes
 // in rooms of equal size and the last of them lost all the time.
@@ -324,7 +324,7 @@
 	for _, x := range got {
 		t.Mean += x / float64(days)
 		t.Worst = min(t.Worst, x)
-		if x >= r.Goal-tolerance {
+		if x >= r.Goal-goalTolerance {
 			t.Kept++
 		}
 	}
--- a/internal/policies/policies.go
+++ b/internal/policies/policies.go
@@ -15,9 +15,9 @@
 )
 
 // Names are the policies by name, the limiter in service first.
-func Names() []string { return append([]string{"limiter"}, slices.Sorted(maps.Keys(plain))...) }
+func Names() []string { return append([]string{"limiter"}, slices.Sorted(maps.Keys(builtin))...) }
 
-var plain = map[string]virtual.NewPolicy{
+var builtin = map[string]virtual.NewPolicy{
 	"random": func(s limiter.Settings, seed uint64) (virtual.Policy, error) {
 		return newPolicy(s, seed, false, false), nil
 	},
@@ -37,7 +37,7 @@
 	if name == "limiter" || name == "" {
 		return virtual.Limiter, nil
 	}
-	p, ok := plain[name]
+	p, ok := builtin[name]
 	if !ok {
 		return nil, fmt.Errorf("no policy %q; there are: %s", name, strings.Join(Names(), ", "))
 	}
@@ -45,28 +45,28 @@
 }
 
 type policy struct {
-	set     limiter.Settings
-	rng     *rand.Rand
-	bucket  bool
-	least   bool
-	order   []uint64
-	up      map[uint64]bool
-	out     map[uint64]int
-	reqs    map[string]*request
-	buckets map[uint64]*bucket
+	settings    limiter.Settings
+	rng         *rand.Rand
+	useBuckets  bool
+	useLeast    bool
+	upServers   []uint64
+	up          map[uint64]bool
+	outstanding map[uint64]int
+	requests    map[string]*request
+	buckets     map[uint64]*bucket
 }
 
 type request struct {
-	class  int
-	tries  int
-	mayRun bool
+	class      int
+	attempts   int
+	mayHaveRun bool
 }
 
-type bucket struct{ level, at float64 }
+type bucket struct{ level, updatedMs float64 }
 
 func newPolicy(s limiter.Settings, seed uint64, bucketed, least bool) *policy {
-	return &policy{set: s, rng: rand.New(rand.NewPCG(seed, 0x9)), bucket: bucketed, least: least, up: map[uint64]bool{},
-		out: map[uint64]int{}, reqs: map[string]*request{}, buckets: map[uint64]*bucket{}}
+	return &policy{settings: s, rng: rand.New(rand.NewPCG(seed, 0x9)), useBuckets: bucketed, useLeast: least, up: map[uint64]bool{},
+		outstanding: map[uint64]int{}, requests: map[string]*request{}, buckets: map[uint64]*bucket{}}
 }
 
 // Handle takes one event.
@@ -80,48 +80,48 @@
 				delete(p.up, s.ID)
 			}
 		}
-		p.order = slices.Sorted(maps.Keys(p.up))
+		p.upServers = slices.Sorted(maps.Keys(p.up))
 	case limiter.Submit:
-		if p.bucket && !p.take(now, e) {
+		if p.useBuckets && !p.takeUnits(now, e) {
 			return []limiter.Action{limiter.Refuse{ID: e.ID, WaitMs: 100}}
 		}
-		p.reqs[e.ID] = &request{class: e.Class}
+		p.requests[e.ID] = &request{class: e.Class}
 		return p.send(e.ID)
 	case limiter.Outcome:
-		p.out[e.Server]--
-		r := p.reqs[e.ID]
+		p.outstanding[e.Server]--
+		r := p.requests[e.ID]
 		if r == nil {
 			return nil
 		}
-		r.mayRun = r.mayRun || e.Result != limiter.NoRoom && e.Result != limiter.NoRoute && e.Result != limiter.StaleSend
+		r.mayHaveRun = r.mayHaveRun || e.Result != limiter.NoRoom && e.Result != limiter.NoRoute && e.Result != limiter.StaleSend
 		switch {
 		case e.Done:
-			delete(p.reqs, e.ID)
-		case r.tries < p.set.Caps.Attempts && (!r.mayRun || p.set.Classes[r.class].Repeat == limiter.Safe) && e.Result != limiter.TooSlow:
+			delete(p.requests, e.ID)
+		case r.attempts < p.settings.Caps.Attempts && (!r.mayHaveRun || p.settings.Classes[r.class].Repeat == limiter.Safe) && e.Result != limiter.TooSlow:
 			return p.send(e.ID)
-		case !r.mayRun || p.set.Classes[r.class].Repeat == limiter.Safe:
-			delete(p.reqs, e.ID)
+		case !r.mayHaveRun || p.settings.Classes[r.class].Repeat == limiter.Safe:
+			delete(p.requests, e.ID)
 			return []limiter.Action{limiter.Refuse{ID: e.ID}}
 		default:
-			delete(p.reqs, e.ID)
+			delete(p.requests, e.ID)
 			return []limiter.Action{limiter.Fail{ID: e.ID}}
 		}
 	case limiter.Aborted:
-		delete(p.reqs, e.ID)
+		delete(p.requests, e.ID)
 	}
 	return nil
 }
 
 // take draws from the customer's bucket here: its part of the quota by the
 // number of limiters that it comes through.
-func (p *policy) take(now float64, e limiter.Submit) bool {
-	plan, n := p.set.Plans[e.Plan], float64(max(1, e.Spread))
+func (p *policy) takeUnits(now float64, e limiter.Submit) bool {
+	plan, n := p.settings.Plans[e.Plan], float64(max(1, e.Spread))
 	b := p.buckets[e.Account]
 	if b == nil {
 		b = &bucket{plan.Burst / n, now}
 		p.buckets[e.Account] = b
 	}
-	b.level, b.at = min(max(e.Units, plan.Burst/n), b.level+(now-b.at)/1000*plan.Rate/n), now
+	b.level, b.updatedMs = min(max(e.Units, plan.Burst/n), b.level+(now-b.updatedMs)/1000*plan.Rate/n), now
 	if b.level < e.Units {
 		return false
 	}
@@ -130,20 +130,20 @@
 }
 
 func (p *policy) send(id string) []limiter.Action {
-	if len(p.order) == 0 {
-		delete(p.reqs, id)
+	if len(p.upServers) == 0 {
+		delete(p.requests, id)
 		return []limiter.Action{limiter.Refuse{ID: id}}
 	}
-	server := p.order[p.rng.IntN(len(p.order))]
-	if p.least {
-		from := p.rng.IntN(len(p.order))
-		for k := range p.order {
-			if s := p.order[(from+k)%len(p.order)]; p.out[s] < p.out[server] {
+	server := p.upServers[p.rng.IntN(len(p.upServers))]
+	if p.useLeast {
+		from := p.rng.IntN(len(p.upServers))
+		for k := range p.upServers {
+			if s := p.upServers[(from+k)%len(p.upServers)]; p.outstanding[s] < p.outstanding[server] {
 				server = s
 			}
 		}
 	}
-	p.reqs[id].tries++
-	p.out[server]++
+	p.requests[id].attempts++
+	p.outstanding[server]++
 	return []limiter.Action{limiter.PassOn{ID: id, Server: server}}
 }
--- a/internal/policies/priority.go
+++ b/internal/policies/priority.go
@@ -9,14 +9,14 @@
 
 // overProvisioning is the factor by which a priority's health is taken to suffice
 // (Envoy's default).
-const overProvisioning = 1.4
+const overprovisioningFactor = 1.4
 
 // Passive ejection of boxes: so many failures in a row, for so long times the number of
 // ejections (the defaults of Envoy's outlier detection).
 const (
-	ejectAfter = 5
-	ejectMs    = 30_000.0
-	ejectMost  = 300_000.0
+	ejectAfterFailures = 5
+	baseEjectionMs     = 30_000.0
+	maxEjectionMs      = 300_000.0
 )
 
 // Failover returns the limiter in service with a plain rule for tiers before it: all
@@ -40,14 +40,14 @@
 	return newPriority(s, seed, func(health []float64, u float64) int {
 		total := 0.0
 		for _, h := range health {
-			total += min(1, overProvisioning*h)
+			total += min(1, overprovisioningFactor*h)
 		}
 		if total <= 0 {
 			return 0
 		}
 		u *= min(1, total)
 		for k, h := range health {
-			if u -= min(1, overProvisioning*h); u < 0 {
+			if u -= min(1, overprovisioningFactor*h); u < 0 {
 				return k
 			}
 		}
@@ -56,20 +56,20 @@
 }
 
 // priority has each tier be a pool of the limiter's, and picks the pool of each request.
-type priority struct {
-	inner  virtual.Policy
-	rng    *rand.Rand
-	pick   func(health []float64, u float64) int
-	boxes  []map[uint64]*listedBox // by tier
-	of     map[uint64]*listedBox
-	health []float64
+type priorityPolicy struct {
+	inner       virtual.Policy
+	rng         *rand.Rand
+	pickTier    func(health []float64, u float64) int
+	boxesByTier []map[uint64]*boxState // by tier
+	boxByID     map[uint64]*boxState
+	health      []float64
 }
 
-type listedBox struct {
-	up        bool
-	run       int // failures in a row
-	ejections int
-	ejectedTo float64
+type boxState struct {
+	up                  bool
+	consecutiveFailures int // failures in a row
+	ejections           int
+	ejectedUntilMs      float64
 }
 
 func newPriority(s limiter.Settings, seed uint64, pick func([]float64, float64) int) (virtual.Policy, error) {
@@ -80,54 +80,54 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &priority{inner: inner, rng: rand.New(rand.NewPCG(seed, 0x91)), pick: pick, of: map[uint64]*listedBox{},
-		boxes: make([]map[uint64]*listedBox, tiers), health: make([]float64, tiers)}
-	for k := range p.boxes {
-		p.boxes[k] = map[uint64]*listedBox{}
+	p := &priorityPolicy{inner: inner, rng: rand.New(rand.NewPCG(seed, 0x91)), pickTier: pick, boxByID: map[uint64]*boxState{},
+		boxesByTier: make([]map[uint64]*boxState, tiers), health: make([]float64, tiers)}
+	for k := range p.boxesByTier {
+		p.boxesByTier[k] = map[uint64]*boxState{}
 	}
 	return p, nil
 }
 
 // Handle takes one event.
-func (p *priority) Handle(now float64, ev limiter.Event) []limiter.Action {
+func (p *priorityPolicy) Handle(now float64, ev limiter.Event) []limiter.Action {
 	switch e := ev.(type) {
 	case limiter.Endpoints:
 		for i := range e.Servers {
 			s := &e.Servers[i]
-			b := p.of[s.ID]
+			b := p.boxByID[s.ID]
 			if b == nil {
-				b = &listedBox{}
-				p.of[s.ID], p.boxes[s.Tier][s.ID] = b, b
+				b = &boxState{}
+				p.boxByID[s.ID], p.boxesByTier[s.Tier][s.ID] = b, b
 			}
 			if b.up = s.Phase == limiter.Up; s.Phase == limiter.Removed {
-				delete(p.of, s.ID)
-				delete(p.boxes[s.Tier], s.ID)
+				delete(p.boxByID, s.ID)
+				delete(p.boxesByTier[s.Tier], s.ID)
 			}
 			s.Pool, s.Tier = uint64(s.Tier), 0
 		}
 		return p.inner.Handle(now, e)
 	case limiter.Submit:
-		for k, boxes := range p.boxes {
+		for k, boxes := range p.boxesByTier {
 			n := 0
 			for _, b := range boxes {
-				if b.up && now >= b.ejectedTo {
+				if b.up && now >= b.ejectedUntilMs {
 					n++
 				}
 			}
 			p.health[k] = float64(n) / float64(max(1, len(boxes)))
 		}
-		e.Pool = uint64(p.pick(p.health, p.rng.Float64()))
+		e.Pool = uint64(p.pickTier(p.health, p.rng.Float64()))
 		return p.inner.Handle(now, e)
 	case limiter.Outcome:
-		if b := p.of[e.Server]; b != nil {
+		if b := p.boxByID[e.Server]; b != nil {
 			switch e.Result {
 			case limiter.Pass, limiter.NoRoom:
-				b.run = 0
+				b.consecutiveFailures = 0
 			case limiter.Undone, limiter.StaleSend:
 			default:
-				if b.run++; b.run >= ejectAfter && now >= b.ejectedTo {
-					b.run, b.ejections = 0, b.ejections+1
-					b.ejectedTo = now + min(ejectMost, ejectMs*float64(b.ejections))
+				if b.consecutiveFailures++; b.consecutiveFailures >= ejectAfterFailures && now >= b.ejectedUntilMs {
+					b.consecutiveFailures, b.ejections = 0, b.ejections+1
+					b.ejectedUntilMs = now + min(maxEjectionMs, baseEjectionMs*float64(b.ejections))
 				}
 			}
 		}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -46,13 +46,13 @@
 	At          time.Duration
 	Way         int // how it goes, by the driver's own numbers below Ways
 
-	Within bool    // the quota had room when it was asked
-	Worth  float64 // in full
-	Over   bool    // it has ended ...
-	End    End     // ... so
-	Earned float64 // and earned this, below 0 where it cost more
-	beyond bool    // some try was sent on beyond the quota
-	sent   bool
+	Within     bool    // the quota had room when it was asked
+	Worth      float64 // in full
+	Over       bool    // it has ended ...
+	End        End     // ... so
+	Earned     float64 // and earned this, below 0 where it cost more
+	sentBeyond bool    // some try was sent on beyond the quota
+	sent       bool
 }
 
 // Tally is a count of requests by their end, with their worth.
@@ -77,10 +77,10 @@
 
 // Meter keeps the sums.
 type Meter struct {
-	fleet    *fleet.Fleet
-	accounts map[uint64]*quota
-	swept    time.Duration
-	idle     time.Duration // an account that idles so long has full buckets
+	fleet      *fleet.Fleet
+	accounts   map[uint64]*accountBuckets
+	sweptAt    time.Duration
+	refillTime time.Duration // an account that idles so long has full buckets
 
 	Why     map[string]int // how requests ended that were not served in time
 	Total   Tally
@@ -106,31 +106,31 @@
 
 // quota is the reference bucket of an account: what it asks for is measured
 // against one, what is sent on for it against another of the same size.
-type quota struct {
-	asked, sent     float64
-	askedAt, sentAt time.Duration
+type accountBuckets struct {
+	askedLevel, sentLevel float64
+	askedAt, sentAt       time.Duration
 }
 
 // NewMeter returns a Meter for a fleet's classes and plans.
 func NewMeter(f *fleet.Fleet) *Meter {
-	m := &Meter{fleet: f, accounts: map[uint64]*quota{}, Why: map[string]int{}, Classes: make([]Tally, len(f.Classes)), Plans: make([]Tally, len(f.Plans))}
+	m := &Meter{fleet: f, accounts: map[uint64]*accountBuckets{}, Why: map[string]int{}, Classes: make([]Tally, len(f.Classes)), Plans: make([]Tally, len(f.Plans))}
 	for _, p := range f.Plans {
-		m.idle = max(m.idle, time.Duration(p.Burst/p.Rate*float64(time.Second)))
+		m.refillTime = max(m.refillTime, time.Duration(p.Burst/p.Rate*float64(time.Second)))
 	}
 	return m
 }
 
-func (m *Meter) account(now time.Duration, r *Request) *quota {
+func (m *Meter) bucketsOf(now time.Duration, r *Request) *accountBuckets {
 	q := m.accounts[r.Account]
 	if q == nil {
 		burst := m.fleet.Plans[r.Plan].Burst
-		q = &quota{asked: burst, sent: burst, askedAt: now, sentAt: now}
+		q = &accountBuckets{askedLevel: burst, sentLevel: burst, askedAt: now, sentAt: now}
 		m.accounts[r.Account] = q
 	}
-	if now-m.swept > 4*m.idle { // full buckets need no record
-		m.swept = now
+	if now-m.sweptAt > 4*m.refillTime { // full buckets need no record
+		m.sweptAt = now
 		for id, o := range m.accounts {
-			if o != q && now-max(o.askedAt, o.sentAt) > m.idle {
+			if o != q && now-max(o.askedAt, o.sentAt) > m.refillTime {
 				delete(m.accounts, id)
 			}
 		}
@@ -140,14 +140,14 @@
 
 // Asked counts a request; it sets Within and Worth.
 func (m *Meter) Asked(now time.Duration, r *Request) {
-	p, c, q := m.fleet.Plans[r.Plan], m.fleet.Classes[r.Class], m.account(now, r)
-	q.asked = min(p.Burst, q.asked+p.Rate*(now-q.askedAt).Seconds())
+	p, c, q := m.fleet.Plans[r.Plan], m.fleet.Classes[r.Class], m.bucketsOf(now, r)
+	q.askedLevel = min(p.Burst, q.askedLevel+p.Rate*(now-q.askedAt).Seconds())
 	q.askedAt = now
 	r.At, r.Worth = now, c.Worth*p.Price*r.Units
-	if r.Within = q.asked >= r.Units; r.Within {
-		q.asked -= r.Units
+	if r.Within = q.askedLevel >= r.Units; r.Within {
+		q.askedLevel -= r.Units
 	}
-	m.each(r, func(t *Tally) {
+	m.updateTallies(r, func(t *Tally) {
 		t.Asked++
 		if r.Within {
 			t.Within++
@@ -162,20 +162,20 @@
 }
 
 // Retried counts a further try.
-func (m *Meter) Retried(r *Request) { m.each(r, func(t *Tally) { t.Retries++ }) }
+func (m *Meter) Retried(r *Request) { m.updateTallies(r, func(t *Tally) { t.Retries++ }) }
 
 // SentOn counts a try that a limiter sent on for the first time: quotas count
 // every try once.
 func (m *Meter) SentOn(now time.Duration, r *Request) {
-	p, q := m.fleet.Plans[r.Plan], m.account(now, r)
-	q.sent = min(p.Burst, q.sent+p.Rate*(now-q.sentAt).Seconds())
+	p, q := m.fleet.Plans[r.Plan], m.bucketsOf(now, r)
+	q.sentLevel = min(p.Burst, q.sentLevel+p.Rate*(now-q.sentAt).Seconds())
 	q.sentAt = now
 	r.sent = true
-	if q.sent >= r.Units {
-		q.sent -= r.Units
-	} else if !r.beyond {
-		r.beyond = true
-		m.each(r, func(t *Tally) { t.SentBeyond++ })
+	if q.sentLevel >= r.Units {
+		q.sentLevel -= r.Units
+	} else if !r.sentBeyond {
+		r.sentBeyond = true
+		m.updateTallies(r, func(t *Tally) { t.SentBeyond++ })
 	}
 }
 
@@ -193,11 +193,11 @@
 	case Late:
 		earned = r.Worth * c.Late
 	}
-	if r.beyond {
+	if r.sentBeyond {
 		earned = earned*p.BeyondEarns - r.Worth*p.OverrunCost
 	}
 	r.Over, r.End, r.Earned = true, end, earned
-	m.each(r, func(t *Tally) {
+	m.updateTallies(r, func(t *Tally) {
 		t.By[end]++
 		t.Earned += earned
 		if end == Refused && r.Within {
@@ -216,7 +216,7 @@
 	}
 }
 
-func (m *Meter) each(r *Request, f func(*Tally)) {
+func (m *Meter) updateTallies(r *Request, f func(*Tally)) {
 	f(&m.Total)
 	f(&m.Classes[r.Class])
 	f(&m.Plans[r.Plan])
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -47,7 +47,7 @@
 func peek(c net.Conn) (n int, err error) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
-		return 0, errNoSocket
+		return 0, errNotSocket
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
@@ -64,4 +64,4 @@
 	return n, err
 }
 
-var errNoSocket = errors.New("this is no socket")
+var errNotSocket = errors.New("this is no socket")
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -81,14 +81,14 @@
 
 // Server answers on one address. Make one with [Listen].
 type Server struct {
-	ln  net.Listener
-	web *http.Server
+	listener net.Listener
+	server   *http.Server
 }
 
 const (
-	headTimeout = 2 * time.Second
-	mostHead    = 8 << 10 // bytes
-	mostConns   = 16      // at once; more wait: who looks on must not take the sockets of those who send
+	headerTimeout  = 2 * time.Second
+	maxHeaderBytes = 8 << 10 // bytes
+	maxConnections = 16      // at once; more wait: who looks on must not take the sockets of those who send
 )
 
 // Listen takes an address, host:port.
@@ -98,8 +98,8 @@
 		return nil, fmt.Errorf("status: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /tiers", func(w http.ResponseWriter, r *http.Request) { s := from.Tiers(); answer(w, r, s, s.table) })
-	mux.HandleFunc("GET /plugins", func(w http.ResponseWriter, r *http.Request) { s := from.Plugins(); answer(w, r, s, s.table) })
+	mux.HandleFunc("GET /tiers", func(w http.ResponseWriter, r *http.Request) { s := from.Tiers(); writeAnswer(w, r, s, s.writeTable) })
+	mux.HandleFunc("GET /plugins", func(w http.ResponseWriter, r *http.Request) { s := from.Plugins(); writeAnswer(w, r, s, s.writeTable) })
 	mux.HandleFunc("POST /plugins/{name}/reset", func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.Header.Get(ResetHeader) == "":
@@ -110,25 +110,25 @@
 			w.WriteHeader(http.StatusNoContent)
 		}
 	})
-	return &Server{ln: netutil.LimitListener(ln, mostConns), web: &http.Server{Handler: mux, ReadHeaderTimeout: headTimeout, ReadTimeout: headTimeout,
-		WriteTimeout: headTimeout, IdleTimeout: headTimeout, MaxHeaderBytes: mostHead, ErrorLog: slog.NewLogLogger(logger.Handler(), slog.LevelDebug)}}, nil
+	return &Server{listener: netutil.LimitListener(ln, maxConnections), server: &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, ReadTimeout: headerTimeout,
+		WriteTimeout: headerTimeout, IdleTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: slog.NewLogLogger(logger.Handler(), slog.LevelDebug)}}, nil
 }
 
 // Addr is the address that it listens on.
-func (s *Server) Addr() net.Addr { return s.ln.Addr() }
+func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
 // Run answers until the context ends.
 func (s *Server) Run(ctx context.Context) error {
-	stop := context.AfterFunc(ctx, func() { s.web.Close() })
+	stop := context.AfterFunc(ctx, func() { s.server.Close() })
 	defer stop()
-	if err := s.web.Serve(s.ln); !errors.Is(err, http.ErrServerClosed) {
+	if err := s.server.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("status: %w", err)
 	}
 	return nil
 }
 
 // answer writes JSON, or a table for those that ask for text.
-func answer(w http.ResponseWriter, r *http.Request, s any, table func(w io.Writer)) {
+func writeAnswer(w http.ResponseWriter, r *http.Request, s any, table func(w io.Writer)) {
 	w.Header().Set("Cache-Control", "no-store")
 	if strings.Contains(r.Header.Get("Accept"), "text/plain") || r.URL.Query().Get("format") == "text" {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -143,7 +143,7 @@
 	e.Encode(s) // what can't be written has nobody who waits for it
 }
 
-func (s State) table(w io.Writer) {
+func (s State) writeTable(w io.Writer) {
 	fmt.Fprintf(w, "limiter %s\npool\ttier\tphase\tshare\tspilled\tusable\tnext\n", s.Limiter)
 	for _, x := range s.Tiers {
 		phase := x.Phase
@@ -154,7 +154,7 @@
 	}
 }
 
-func (s PluginState) table(w io.Writer) {
+func (s PluginState) writeTable(w io.Writer) {
 	fmt.Fprintf(w, "limiter %s\nplug-in\tstate\tcalls\trefused\tfaults\tbenched\tskipped\tbusy\tinstances\tcounters\tlast fault\n", s.Limiter)
 	for _, x := range s.Plugins {
 		state := "asked"
