--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin answers operators' calls on an address of their own: one line a connection,
-// and an answer that is a line which begins with YES or NO, or figures. It knows a table of
-// calls and nothing of what they do.
+// Package admin serves operators' commands on a separate TCP address. A connection carries one
+// command line; the response is a line that begins with YES or NO, or figures. The commands
+// themselves are supplied by the caller.
 package admin
 
 import (
@@ -20,31 +20,31 @@
 )
 
 const (
-	// MostSilent bounds the callers whose line has not come: a further one drives out the
-	// one that has been silent longest. MostCallers bounds all, and so the descriptors and
-	// goroutines: those that are being answered end soon.
+	// MostSilent limits the connections that have not sent their line yet; a further one evicts
+	// the oldest. MostCallers limits all connections, and so file descriptors and goroutines;
+	// connections that are being answered end soon.
 	MostSilent  = 8
 	MostCallers = 2 * MostSilent
 	maxLine     = 256
-	// A caller has silentFor for its line, and takes its answer within answerFor.
+	// A client must send its line within lineTimeout and read the response within answerTimeout.
 	lineTimeout      = 10 * time.Second
 	answerTimeout    = time.Second
 	lingerTimeout    = 50 * time.Millisecond
 	acceptRetryDelay = 10 * time.Millisecond // after a failed accept
 )
 
-// Call carries out a call. What it returns is the answer, whole lines; an error is answered
-// with NO and its text. It must not block.
+// Call executes a command and returns the response, as complete lines. An error is sent as NO
+// followed by its text. It must not block.
 type Call func(args []string) (string, error)
 
-// Stream carries out a call that goes on talking on its connection, which closes when it
-// returns. in holds what has been read behind the line.
+// Stream executes a command that keeps using its connection, which is closed when it returns. in
+// has the input after the command line.
 type Stream func(args []string, c net.Conn, in *bufio.Reader)
 
-// Yes is the answer of a call that has nothing else to say.
+// Yes is the response of a command that succeeded without other output.
 const Yes = "YES\n"
 
-// Server listens for calls.
+// Server accepts connections and dispatches their commands.
 type Server struct {
 	listener net.Listener
 	calls    map[string]Call
@@ -52,19 +52,20 @@
 	log      func(msg string, args ...any)
 
 	mu           sync.Mutex
-	awaitingLine list.List // of *caller: no line has come, oldest first
-	openCount    int       // but for those driven out
+	awaitingLine list.List // of *caller: connections that have not sent their line, oldest first
+	openCount    int       // connections, without evicted ones
 	closed       bool
 	callers      sync.WaitGroup
 }
 
-// caller is one connection.
+// caller is an operator's connection.
 type caller struct {
 	net.Conn
-	evicted bool // driven out
+	evicted bool // closed to make room for a newer connection
 }
 
-// Listen begins to listen; Run answers. warn writes a line to the log, at a bounded rate.
+// Listen returns a Server that listens on addr; [Server.Run] serves it. warn logs a warning and should limit its
+// rate; if nil, the default logger is used.
 func Listen(addr string, calls map[string]Call, streams map[string]Stream, warn func(msg string, args ...any)) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -76,13 +77,13 @@
 	return &Server{listener: ln, calls: calls, streams: streams, log: warn}, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Close ends a server that does not run.
+// Close closes the listener of a server that has not been run.
 func (s *Server) Close() { s.listener.Close() }
 
-// Run answers calls until the context ends.
+// Run serves commands until the context ends.
 func (s *Server) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, s.closeAll)
 	defer stop()
@@ -92,7 +93,7 @@
 			break
 		}
 		if err != nil {
-			s.log("can't accept an operator's call", "err", err)
+			s.log("can't accept an operator's connection", "err", err)
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -111,7 +112,7 @@
 	}
 }
 
-// take begins with a caller.
+// startCaller serves a new connection in a goroutine, or closes it if there are too many.
 func (s *Server) startCaller(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +128,7 @@
 	}
 	s.openCount++
 	x := &caller{Conn: c}
-	place := s.awaitingLine.PushBack(x)
+	element := s.awaitingLine.PushBack(x)
 	s.callers.Go(func() {
 		defer func() {
 			c.Close()
@@ -137,56 +138,56 @@
 				s.openCount--
 			}
 		}()
-		s.serve(c, place)
+		s.serve(c, element)
 	})
 }
 
-// serve reads the line and answers it.
-func (s *Server) serve(c net.Conn, place *list.Element) {
+// serve reads the command line and sends the response.
+func (s *Server) serve(c net.Conn, element *list.Element) {
 	c.SetDeadline(time.Now().Add(lineTimeout))
 	in := bufio.NewReaderSize(c, maxLine)
 	line, err := in.ReadSlice('\n')
 	s.mu.Lock()
-	s.awaitingLine.Remove(place) // has no effect on one that was driven out
+	s.awaitingLine.Remove(element) // no effect if it was evicted
 	s.mu.Unlock()
-	whole := err == nil || err == io.EOF && len(line) > 0 // a caller may half-close in place of the line's end
-	if !whole && err != bufio.ErrBufferFull {
+	complete := err == nil || err == io.EOF && len(line) > 0 // a half-close may replace the newline
+	if !complete && err != bufio.ErrBufferFull {
 		return
 	}
 	fields := strings.Fields(string(line))
 	c.SetDeadline(time.Now().Add(answerTimeout))
-	if whole && len(fields) > 0 && s.streams[fields[0]] != nil {
+	if complete && len(fields) > 0 && s.streams[fields[0]] != nil {
 		s.streams[fields[0]](fields[1:], c, in)
 		return
 	}
-	answer, err := s.answer(fields, whole)
+	answer, err := s.answer(fields, complete)
 	if err != nil {
 		answer = "NO " + err.Error() + "\n"
 	}
 	io.WriteString(c, answer)
-	// Closing with something unread would reset the connection, and the answer with it.
+	// Closing with unread input would reset the connection, and the client could lose the response.
 	if t, ok := c.(*net.TCPConn); ok && t.CloseWrite() == nil {
 		c.SetReadDeadline(time.Now().Add(lingerTimeout))
 		io.Copy(io.Discard, io.LimitReader(in, 1<<16))
 	}
 }
 
-func (s *Server) answer(fields []string, whole bool) (string, error) {
+func (s *Server) answer(fields []string, complete bool) (string, error) {
 	switch {
-	case !whole:
-		s.log("turned an operator's call away", "err", "the line is too long")
+	case !complete:
+		s.log("rejected an operator's command", "err", "the line is too long")
 		return "", fmt.Errorf("the line is too long: %d bytes at most", maxLine-1)
 	case len(fields) == 0:
-		s.log("turned an operator's call away", "err", "an empty line")
+		s.log("rejected an operator's command", "err", "an empty line")
 		return "", fmt.Errorf("an empty line; calls are %s", s.callNames())
 	}
 	call := s.calls[fields[0]]
 	if call == nil {
-		s.log("turned an operator's call away", "err", "unknown call", "call", fmt.Sprintf("%.40q", fields[0]))
+		s.log("rejected an operator's command", "err", "unknown call", "call", fmt.Sprintf("%.40q", fields[0]))
 		return "", fmt.Errorf("unknown call %.40q; calls are %s", fields[0], s.callNames())
 	}
 	return call(fields[1:])
 }
 
-// names lists the calls.
+// callNames returns the names of the commands, sorted.
 func (s *Server) callNames() string { return strings.Join(slices.Sorted(maps.Keys(s.calls)), ", ") }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -14,7 +14,7 @@
 
 const patience = 20 * time.Second
 
-// listen runs a server until the test ends.
+// listen runs a server until the end of the test; logged returns the number of log lines.
 func listen(t *testing.T, streams map[string]Stream) (addr string, logged func() int) {
 	t.Helper()
 	var mu sync.Mutex
@@ -51,7 +51,7 @@
 	return c.(*net.TCPConn)
 }
 
-// call writes pieces and returns all that comes until the server closes.
+// call writes pieces and returns the response up to the end of the connection.
 func call(t *testing.T, addr string, pieces ...string) string {
 	t.Helper()
 	c := dial(t, addr)
@@ -88,11 +88,11 @@
 		}
 	}
 	if n := logged(); n != 3 {
-		t.Errorf("%d lines in the log, want one for each call that is none", n)
+		t.Errorf("%d lines in the log, want one for each invalid command", n)
 	}
 }
 
-// A caller may close its half in place of the line's end, and one that says nothing gets nothing.
+// A half-close may replace the newline; a client that sends nothing gets no response.
 func TestHalfClosed(t *testing.T) {
 	addr, _ := listen(t, nil)
 	for line, want := range map[string]string{"ready": "YES\n", "": ""} {
@@ -105,25 +105,25 @@
 	}
 }
 
-// However many are silent, a caller who calls is answered; the silent ones go, oldest first.
+// Clients that send nothing never block a command: the oldest silent connection is evicted.
 func TestSilentCallersKeepNobodyOut(t *testing.T) {
 	addr, _ := listen(t, nil)
 	first := dial(t, addr)
-	io.WriteString(first, "rea") // begun and not ended
+	io.WriteString(first, "rea") // an incomplete line
 	for range 3 * MostSilent {
 		dial(t, addr)
 		if got := call(t, addr, "ready\n"); got != Yes {
-			t.Fatalf("a caller beside silent ones got %q", got)
+			t.Fatalf("a command beside silent connections got %q", got)
 		}
 	}
 	if _, err := first.Read(make([]byte, 1)); err == nil {
-		t.Error("the one that was silent longest is still there")
+		t.Error("the oldest silent connection is still open")
 	} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
-		t.Error("the one that was silent longest is still there")
+		t.Error("the oldest silent connection is still open")
 	}
 }
 
-// A stream has its connection, and what was read behind the line, to itself.
+// A stream gets its connection and the input after the command line.
 func TestStream(t *testing.T) {
 	addr, _ := listen(t, map[string]Stream{"talk": func(args []string, c net.Conn, in *bufio.Reader) {
 		line, _ := in.ReadString('\n')
--- a/internal/forwardauth/bench_test.go
+++ b/internal/forwardauth/bench_test.go
@@ -21,9 +21,9 @@
 	"example.org/madderdrum/deploy"
 )
 
-// BenchmarkCost holds an ask against a carried request: the CPU of the built
-// program's process for each, and how long the answer takes, with a box that answers
-// at once; and both against a stand-in of plain parts (see standIn). -benchtime 20000x.
+// BenchmarkCost compares an authorization request with a forwarded request: CPU time of the built
+// program's process and latency, with a box that responds at once, and both with a baseline made
+// of standard parts (see standIn). Run with -benchtime 20000x.
 func BenchmarkCost(b *testing.B) {
 	dir := b.TempDir()
 	program := filepath.Join(dir, "madderdrum")
@@ -34,9 +34,9 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	web := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "served") })}
-	go web.Serve(box)
-	defer web.Close()
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "served") })}
+	go server.Serve(box)
+	defer server.Close()
 	ports := make([]string, 2)
 	for i := range ports {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -92,11 +92,11 @@
 	const clients = 4
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clients}}
 	run := 0
-	ways := []string{"carried", "asked-only", "ask-then-carry", "asked-only-at-12000-a-second"}
+	modes := []string{"carried", "asked-only", "ask-then-carry", "asked-only-at-12000-a-second"}
 	plain, plainPID := startStandIn(b, box.Addr().String())
 	const plainProxy, plainAsk = "stand-in-proxy", "stand-in-ask"
-	ways = append(ways, plainProxy, plainAsk)
-	for _, way := range ways {
+	modes = append(modes, plainProxy, plainAsk)
+	for _, way := range modes {
 		b.Run(way, func(b *testing.B) {
 			run++
 			pid = cmd.Process.Pid
@@ -104,11 +104,11 @@
 				pid = plainPID
 			}
 			mode, pause := way, time.Duration(0)
-			if paced := "asked-only-at-12000-a-second"; way == paced { // half of what it can do
+			if paced := "asked-only-at-12000-a-second"; way == paced { // half of its measured capacity
 				mode, pause = "asked-only", clients*time.Second/12_000
 			}
 			var mu sync.Mutex
-			var took []time.Duration
+			var latencies []time.Duration
 			refused := 0
 			before, start := cpu(), time.Now()
 			var all sync.WaitGroup
@@ -145,7 +145,7 @@
 						io.Copy(io.Discard, resp.Body)
 						resp.Body.Close()
 						mu.Lock()
-						took = append(took, time.Since(at))
+						latencies = append(latencies, time.Since(at))
 						if resp.StatusCode != 200 {
 							refused++
 						}
@@ -154,19 +154,19 @@
 				})
 			}
 			all.Wait()
-			n := float64(len(took))
-			slices.Sort(took)
+			n := float64(len(latencies))
+			slices.Sort(latencies)
 			b.ReportMetric(float64((cpu()-before).Microseconds())/n, "cpu-us")
 			b.ReportMetric(n/time.Since(start).Seconds(), "per-s")
-			b.ReportMetric(float64(took[len(took)/2].Microseconds()), "p50-us")
-			b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-us")
+			b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds()), "p50-us")
+			b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds()), "p99-us")
 			b.ReportMetric(float64(refused), "refused")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
 }
 
-// standInEnv names the box before which the test program stands in as a plain proxy.
+// standInEnv makes the test program serve as the baseline proxy for the box at this address.
 const standInEnv = "FORWARDAUTH_STAND_IN_BOX"
 
 func TestMain(m *testing.M) {
@@ -177,9 +177,9 @@
 	os.Exit(m.Run())
 }
 
-// standIn serves what the program is held against, until it is killed: under /ask a
-// bucket of golang.org/x/time/rate an account, and no more; elsewhere the same before
-// httputil.ReverseProxy. It tells its address on standard output.
+// standIn serves the baseline until the process is killed: /ask checks a token bucket
+// (golang.org/x/time/rate) per account; other paths do the same and forward the request with
+// httputil.ReverseProxy. It prints its address to standard output.
 func standIn(box string) error {
 	var mu sync.Mutex
 	buckets := map[string]*rate.Limiter{}
@@ -214,7 +214,7 @@
 	}))
 }
 
-// startStandIn starts the test program as a stand-in, on one core as the limiter.
+// startStandIn starts the test program as the baseline proxy, on one core like the limiter.
 func startStandIn(b *testing.B, box string) (addr string, pid int) {
 	cmd := exec.Command(os.Args[0])
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -231,7 +231,7 @@
 		cmd.Wait()
 	})
 	if _, err := fmt.Fscanln(out, &addr); err != nil {
-		b.Fatal("the stand-in does not start: ", err)
+		b.Fatal("the baseline proxy does not start: ", err)
 	}
 	return addr, cmd.Process.Pid
 }
--- a/internal/forwardauth/config.go
+++ b/internal/forwardauth/config.go
@@ -1,6 +1,7 @@
-// Package forwardauth answers other proxies that ask "may this request go?", in the
-// manner that each kind of proxy speaks, under the same quotas as the requests that
-// the limiter carries. The decision module decides; leases are kept by package grant.
+// Package forwardauth implements forward authentication (external authorization): other
+// proxies ask whether a request is admitted, each in its own dialect, and share the quotas of
+// the requests that the limiter forwards itself. The decision module decides; package grant
+// keeps the leases.
 package forwardauth
 
 import (
@@ -11,63 +12,63 @@
 	"example.org/madderdrum/config"
 )
 
-// Listener is where the proxies of one limiter ask.
+// Listener is the configuration of one limiter's endpoint for proxies.
 type Listener struct {
 	Limiter string
 	Listen  string
 	TLS     *TLS
-	Keys    string // file of keys for tokens; needed by ask-then-carry
-	Leases  int    // out at once at most
-	Pending int    // asks that wait for the module at most
+	Keys    string // path of the file with the keys that sign tokens; required by ask-then-carry
+	Leases  int    // maximum of open leases
+	Pending int    // maximum of authorization requests that wait for the decision module
 	Proxies []Proxy
 }
 
-// TLS are the files of a listener's certificate, and of the authorities whose
-// certificates proxies must show. They are read again when they change.
+// TLS has the paths of a listener's certificate and key, and of the authorities that issue the
+// proxies' client certificates. The files are reloaded when they change.
 type TLS struct{ Cert, Key, ClientCA string }
 
-// Mode is what a yes means.
+// Mode is what happens to a request after it has been granted.
 type Mode int
 
-// The modes.
+// The values of [Mode].
 const (
-	AskedOnly    Mode = iota // the message never comes here: a yes counts as sent
-	AskThenCarry             // it comes through a limiter: a yes is a lease
+	AskedOnly    Mode = iota // the proxy sends the message elsewhere: a grant counts as sent
+	AskThenCarry             // the message then passes through a limiter: a grant is a lease
 )
 
-// Proxy is one kind of asker.
+// Proxy configures a group of proxies that share a dialect and credentials.
 type Proxy struct {
 	Name    string
 	Dialect *Dialect
 	Mode    Mode
 	From    []netip.Prefix
-	Secret  string // file; empty: none
-	Header  string // that has the secret
+	Secret  string // path of the file with shared secrets; empty: none
+	Header  string // header that carries the secret
 	Certs   []string
-	Prefix  string // that the proxy puts before the path
+	Prefix  string // that the proxy prepends to the path
 	Lease   time.Duration
-	Wait    time.Duration // a client's time, where the request does not say
+	Wait    time.Duration // client timeout of requests that do not give one
 	Names   Names
 	Routes  []Route
 }
 
-// Names are the headers that tell what is asked, by the protocol unless set.
+// Names are the request headers that describe the original request. The dialect gives the defaults.
 type Names struct {
 	Method, URI              string
 	ID, Class, Plan, Timeout string
 	Quota, Account, Retried  string
 }
 
-// Route says what requests under a path are, where their headers don't.
+// Route gives the class, plan and units of requests under a path whose headers leave them out.
 type Route struct {
 	Path, Method, Class, Plan string
 	Units                     float64
 }
 
-// defaultSecret is the header of a proxy's secret.
+// defaultSecretHeader carries a proxy's secret unless the configuration names another header.
 const defaultSecretHeader = "X-Proxy-Secret"
 
-// FromConfig is the listener that a checked configuration describes.
+// FromConfig returns the listener that a validated configuration describes.
 func FromConfig(c *config.ForwardAuth) Listener {
 	l := Listener{Limiter: c.Limiter, Listen: c.Listen, Keys: c.Keys, Leases: c.Leases, Pending: c.Pending}
 	if c.TLS != nil {
@@ -80,7 +81,7 @@
 			x.Mode = AskThenCarry
 		}
 		for _, from := range p.From {
-			x.From = append(x.From, netip.MustParsePrefix(from)) // checked
+			x.From = append(x.From, netip.MustParsePrefix(from)) // validated by the configuration loader
 		}
 		n := x.Dialect.defaultNames
 		for name, to := range map[string]*string{"method": &n.Method, "uri": &n.URI, "request_id": &n.ID, "class": &n.Class, "plan": &n.Plan,
--- a/internal/forwardauth/dialects.go
+++ b/internal/forwardauth/dialects.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// Dialect is the manner in which one kind of proxy asks and takes answers.
+// Dialect is how one kind of proxy sends authorization requests and interprets the responses.
 type Dialect struct {
 	Name         string
 	defaultNames Names
-	// path takes the original path and query from the ask itself, where no header has
-	// it: Envoy sends it behind a prefix.
+	// originalInPath is set if the authorization request itself has the original path and query,
+	// after a prefix, instead of a header (Envoy).
 	originalInPath bool
-	// hides tells that the proxy takes 2xx, 401 and 403 alone, so that a refusal has to
-	// come as 403 and its real status in a header: nginx turns all else into 500.
+	// masksStatus is set if the proxy accepts only 2xx, 401 and 403, so that refusals are sent as
+	// 403 with the real status in a header: nginx turns every other status into 500.
 	masksStatus bool
 }
 
-// StatusHeader has the status that a client is to get, for proxies that can't pass
-// it on themselves.
+// StatusHeader is the response header with the status for the client, for proxies that can't
+// forward the status of the response itself.
 const StatusHeader = "X-Madderdrum-Status"
 
-// GrantHeader has the token, in a yes and in the message that follows.
+// GrantHeader carries the lease's token, in the response that grants a request and in the message that follows.
 const GrantHeader = "X-Grant"
 
-// protocolNames are the headers of the protocol between clients and limiters.
+// protocolHeaders are the headers of the protocol between clients and limiters.
 var protocolHeaders = Names{ID: "X-Request-ID", Class: "X-Priority-Class", Plan: "Plan", Timeout: "X-Timeout", Quota: "Quota-Info",
 	Account: "X-Account", Retried: "X-Retried"}
 
@@ -37,10 +37,10 @@
 	return n
 }
 
-// dialects by name. Sources: nginx ngx_http_auth_request_module (the names are those
-// of its documentation's examples); Traefik ForwardAuth middleware; Caddy
-// forward_auth directive; Envoy HTTP ext_authz filter, http_service; HAProxy with
-// haproxy-auth-request.lua, which sends the original headers, and variables as set.
+// dialects maps names to dialects. Sources: nginx ngx_http_auth_request_module (header names
+// from the examples in its documentation); Traefik ForwardAuth middleware; Caddy forward_auth
+// directive; Envoy HTTP ext_authz filter, http_service; HAProxy with haproxy-auth-request.lua,
+// which sends the original headers and the configured variables.
 var dialects = map[string]*Dialect{
 	"nginx":   {Name: "nginx", defaultNames: withOriginalHeaders("X-Original-Method", "X-Original-URI"), masksStatus: true},
 	"traefik": {Name: "traefik", defaultNames: withOriginalHeaders("X-Forwarded-Method", "X-Forwarded-Uri")},
@@ -49,7 +49,7 @@
 	"haproxy": {Name: "haproxy", defaultNames: withOriginalHeaders("X-Forwarded-Method", "X-Forwarded-Uri")},
 }
 
-// original is the method and the path with query that the proxy was asked for.
+// originalRequest returns the method and the URI (path and query) of the client's request to the proxy.
 func (p *Proxy) originalRequest(q *http.Request) (method, uri string, err error) {
 	if p.Dialect.originalInPath {
 		uri, ok := strings.CutPrefix(q.URL.RequestURI(), p.Prefix)
@@ -73,7 +73,7 @@
 	return method, uri, nil
 }
 
-// single is a header that may be there once.
+// singleHeader returns the value of a header, or an error if it occurs more than once.
 func singleHeader(h http.Header, name string) (string, error) {
 	values := h.Values(name)
 	if len(values) > 1 {
@@ -87,7 +87,7 @@
 
 var noStore = []string{"no-store"}
 
-// yes answers that the request may go.
+// writeGranted sends the response that lets the request pass.
 func (d *Dialect) writeGranted(w http.ResponseWriter, token string) {
 	h := w.Header()
 	if token != "" {
@@ -97,13 +97,13 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// no answers that it may not, with the status that its client is to get.
+// writeRefused sends the response that rejects the request; status is the one for the client.
 func (d *Dialect) writeRefused(w http.ResponseWriter, status int, wait time.Duration, why string) {
 	h := w.Header()
 	h.Set("Cache-Control", "no-store")
 	if wait > 0 {
-		// Whole seconds: what stands between often drops a decimal. Rounded up, so that a
-		// client is not back too early.
+		// Intermediaries often drop fractions of seconds. Rounds up so that a client does not
+		// retry too early.
 		h.Set("Retry-After", strconv.Itoa(int((wait+time.Second-1)/time.Second)))
 	}
 	h.Set(StatusHeader, strconv.Itoa(status))
--- a/internal/forwardauth/export_test.go
+++ b/internal/forwardauth/export_test.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// StandIn is the stand-in proxy for tests from outside.
+// StandIn exports the simulated proxy to external tests.
 var StandIn = standIn
 
-// DialectNames are all dialects, in order.
+// DialectNames returns the names of all dialects, sorted.
 func DialectNames() []string { return slices.Sorted(maps.Keys(dialects)) }
--- a/internal/forwardauth/forwardauth_test.go
+++ b/internal/forwardauth/forwardauth_test.go
@@ -35,18 +35,18 @@
 var tier = Tier{Limiters: 3, Classes: []string{"status-check", "send-reminder", "send-bulk-paid"}, Plans: []string{"starter", "business"},
 	MostUnits: 6, Longest: 4 * time.Second}
 
-// bank is a Decider with one store of units, that notes what it is asked.
-type bank struct {
+// fakeDecider is a Decider with a single balance of units that records its calls.
+type fakeDecider struct {
 	mu     sync.Mutex
 	level  float64
 	leased float64
 	asks   []limiter.Ask
-	told   []string
-	block  chan struct{} // if set, asks wait for it
-	in     chan struct{} // is sent one for each ask that came
+	sent   []string
+	block  chan struct{} // if set, Ask blocks until it is closed
+	in     chan struct{} // if set, receives a value for each call of Ask
 }
 
-func (b *bank) Ask(a limiter.Ask) (bool, time.Duration) {
+func (b *fakeDecider) Ask(a limiter.Ask) (bool, time.Duration) {
 	if b.in != nil {
 		b.in <- struct{}{}
 	}
@@ -66,7 +66,7 @@
 	return true, 0
 }
 
-func (b *bank) Settle(s limiter.Settle) {
+func (b *fakeDecider) Settle(s limiter.Settle) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.leased -= s.Units
@@ -75,13 +75,13 @@
 	}
 }
 
-func (b *bank) Tell(to int, data []byte) {
+func (b *fakeDecider) Tell(to int, data []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.told = append(b.told, fmt.Sprint(to, " ", len(data)))
+	b.sent = append(b.sent, fmt.Sprint(to, " ", len(data)))
 }
 
-func (b *bank) state() (level, leased float64, asks int) {
+func (b *fakeDecider) state() (level, leased float64, asks int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.level, b.leased, len(b.asks)
@@ -96,8 +96,8 @@
 	return path
 }
 
-// listener reads the forward_auth block of a configuration whose other blocks are those
-// of the built-in fleet.
+// listener loads the forward_auth block in text; the rest of the configuration is the built-in
+// fleet.
 func listener(t testing.TB, text string) Listener {
 	t.Helper()
 	files := fstest.MapFS{"bluebird.hcl": {Data: deploy.Bluebird}, "f.hcl": {Data: []byte("include \"bluebird.hcl\" {}\n" + text)}}
@@ -108,8 +108,8 @@
 	return FromConfig(&c.ForwardAuth[0])
 }
 
-// serve runs a service with a configuration in HCL; SECRET and KEYS in it are files.
-func serve(t testing.TB, b *bank, proxies string) *Service {
+// serve runs a service configured in HCL, with SECRET and KEYS replaced by the paths of files.
+func serve(t testing.TB, b *fakeDecider, proxies string) *Service {
 	t.Helper()
 	text := strings.NewReplacer("SECRET", write(t, "# old and new\nanother-secret-of-16\n"+secret+"\n"), "KEYS", write(t, "k1 "+strings.Repeat("s", 20)+"\n")).
 		Replace("forward_auth \"n0\" {\nlisten = \"127.0.0.1:1\"\n" + proxies + "\n}\n")
@@ -135,14 +135,14 @@
 	return fmt.Sprintf("keys_file = \"KEYS\"\nproxy \"p\" {\ndialect = %q\nmode = %q\nfrom = [\"127.0.0.0/8\"]\nsecret_file = \"SECRET\"\n%s\n}", dialect, mode, more)
 }
 
-// headers are those of a client's request.
+// headers returns the headers of a client's request.
 func headers(id string) http.Header {
 	return http.Header{"X-Request-Id": {id}, "X-Priority-Class": {"send-reminder"}, "Plan": {"business"}, "X-Timeout": {"900m"},
 		"Quota-Info": {"units=2,spread=2,first=1"}}
 }
 
-// asking sends one ask as Traefik does, with changes.
-func asking(t testing.TB, s *Service, h http.Header, change func(*http.Request)) *http.Response {
+// sendAuthRequest sends an authorization request as Traefik does, after applying change.
+func sendAuthRequest(t testing.TB, s *Service, h http.Header, change func(*http.Request)) *http.Response {
 	t.Helper()
 	q, err := http.NewRequest("GET", "http://"+s.Addr().String()+"/ask", nil)
 	if err != nil {
@@ -164,8 +164,8 @@
 	return resp
 }
 
-// standIn is a proxy that behaves as the real one of its dialect does towards the
-// service that it asks, set up as docs/forwardauth.md says.
+// standIn simulates the proxy of a dialect, configured as in docs/forwardauth.md, towards the
+// authorization service.
 func standIn(dialect, service, secret string, upstream http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		method, uri := "GET", "/ask"
@@ -185,7 +185,7 @@
 		case "nginx":
 			a.Header.Set("X-Original-Method", q.Method)
 			a.Header.Set("X-Original-URI", q.URL.RequestURI())
-		case "envoy": // no header of the original
+		case "envoy": // no headers with the original request
 		default:
 			a.Header.Set("X-Forwarded-Method", q.Method)
 			a.Header.Set("X-Forwarded-Uri", q.URL.RequestURI())
@@ -207,12 +207,12 @@
 			return
 		}
 		switch dialect {
-		case "nginx": // 401 and 403 pass, all else is an internal error
+		case "nginx": // forwards 401 and 403 and turns every other status into 500
 			if status != 401 && status != 403 {
 				w.WriteHeader(500)
 				return
 			}
-			// error_page 403 = @refused; return 429 if the header says so
+			// error_page 403 = @refused; return 429 if the status header has it
 			if resp.Header.Get(StatusHeader) == "429" {
 				status = 429
 				w.Header().Set("Retry-After", resp.Header.Get("Retry-After"))
@@ -221,7 +221,7 @@
 		case "haproxy": // deny with the status and header that the configuration names
 			w.Header().Set("Retry-After", resp.Header.Get("Retry-After"))
 			w.WriteHeader(status)
-		default: // the whole answer goes to the client
+		default: // forwards the whole response to the client
 			for name, v := range resp.Header {
 				w.Header()[name] = v
 			}
@@ -231,12 +231,12 @@
 	})
 }
 
-// Through every dialect a yes lets the request pass with its token, and a no reaches
-// the client as 429 with Retry-After.
+// In every dialect, a granted request passes with its token, and a refusal reaches the client as
+// 429 with Retry-After.
 func TestDialects(t *testing.T) {
 	for name := range dialects {
 		t.Run(name, func(t *testing.T) {
-			b := &bank{level: 4}
+			b := &fakeDecider{level: 4}
 			s := serve(t, b, proxyBlock(name, "ask-then-carry", `path_prefix = "/ask"`))
 			tokens := make(chan string, 8)
 			proxy := httptest.NewServer(standIn(name, s.Addr().String(), secret, http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -275,9 +275,9 @@
 	}
 }
 
-// Only listed proxies are believed; nobody else reaches the module.
+// Only requests of listed proxies with valid credentials reach the decision module.
 func TestTrust(t *testing.T) {
-	b := &bank{level: 100}
+	b := &fakeDecider{level: 100}
 	s := serve(t, b, proxyBlock("traefik", "asked-only", ""))
 	for _, c := range []struct {
 		name string
@@ -291,8 +291,8 @@
 		{"two", func(q *http.Request) { q.Header.Add("X-Proxy-Secret", secret) }, 401},
 		{"a comment of the file", func(q *http.Request) { q.Header.Set("X-Proxy-Secret", "# old and new") }, 401},
 	} {
-		if got := asking(t, s, headers(c.name+"-1"), c.set).StatusCode; strings.Contains(c.name, " ") && got == 400 {
-			got = asking(t, s, headers(strings.ReplaceAll(c.name, " ", "")), c.set).StatusCode
+		if got := sendAuthRequest(t, s, headers(c.name+"-1"), c.set).StatusCode; strings.Contains(c.name, " ") && got == 400 {
+			got = sendAuthRequest(t, s, headers(strings.ReplaceAll(c.name, " ", "")), c.set).StatusCode
 			if got != c.want {
 				t.Errorf("%s: %d, want %d", c.name, got, c.want)
 			}
@@ -304,12 +304,12 @@
 		t.Errorf("the module was asked %d times", asks)
 	}
 	other := serve(t, b, strings.Replace(proxyBlock("traefik", "asked-only", ""), "127.0.0.0/8", "10.1.0.0/16", 1))
-	if got := asking(t, other, headers("far"), nil).StatusCode; got != 403 {
+	if got := sendAuthRequest(t, other, headers("far"), nil).StatusCode; got != 403 {
 		t.Errorf("from an address that is not listed: %d", got)
 	}
 }
 
-// Secrets and keys rotate without a restart; what can't be used leaves the old ones.
+// Secrets and keys are reloaded without a restart; invalid content leaves the old ones in use.
 func TestRotation(t *testing.T) {
 	var warned []string
 	path := write(t, "first-secret-of-16-bytes\n")
@@ -322,7 +322,7 @@
 		if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		old := time.Now().Add(time.Duration(len(content)) * time.Hour) // another time of change for certain
+		old := time.Now().Add(time.Duration(len(content)) * time.Hour) // ensures a different modification time
 		if err := os.Chtimes(path, old, old); err != nil {
 			t.Fatal(err)
 		}
@@ -330,14 +330,14 @@
 	now := time.Now()
 	change("first-secret-of-16-bytes\nsecond-secret-of-16-bytes\n")
 	if n := len(f.get(now)); n != 1 {
-		t.Errorf("looked at the file too often: %d secrets", n)
+		t.Errorf("checked the file too often: %d secrets", n)
 	}
 	if n := len(f.get(now.Add(2 * fileCheckInterval))); n != 2 {
 		t.Errorf("%d secrets after the change", n)
 	}
 	change("short\n")
 	if n := len(f.get(now.Add(4 * fileCheckInterval))); n != 2 || len(warned) != 1 {
-		t.Errorf("%d secrets after a change that can't be used, %v", n, warned)
+		t.Errorf("%d secrets after an invalid change, %v", n, warned)
 	}
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
@@ -346,13 +346,13 @@
 		t.Errorf("%d secrets without the file, %v", n, warned)
 	}
 	if _, err := parseKeys([][]byte{[]byte("k1 " + strings.Repeat("s", 16) + "\nk1 " + strings.Repeat("t", 16))}); err == nil {
-		t.Error("two keys of one id")
+		t.Error("accepted two keys with one id")
 	}
 }
 
-// Every malformed ask is a 400 that changes nothing; bodies are not read.
+// Every malformed authorization request gets 400 and has no effect; bodies are not read.
 func TestMalformed(t *testing.T) {
-	b := &bank{level: 100}
+	b := &fakeDecider{level: 100}
 	s := serve(t, b, proxyBlock("traefik", "ask-then-carry", ""))
 	for name, set := range map[string]func(*http.Request){
 		"no method":       func(q *http.Request) { q.Header.Del("X-Forwarded-Method") },
@@ -377,7 +377,7 @@
 		"time no unit":    func(q *http.Request) { q.Header.Set("X-Timeout", "500") },
 		"time too far":    func(q *http.Request) { q.Header.Set("X-Timeout", "99999999999m") },
 	} {
-		if got := asking(t, s, headers("id"), set).StatusCode; got != 400 {
+		if got := sendAuthRequest(t, s, headers("id"), set).StatusCode; got != 400 {
 			t.Errorf("%s: %d", name, got)
 		}
 	}
@@ -385,7 +385,7 @@
 	if level != 100 || leased != 0 || asks != 0 {
 		t.Errorf("level %g, leased %g, %d asks", level, leased, asks)
 	}
-	// A body that never comes does not hold the answer up, and a head without end is cut.
+	// A body that never arrives does not delay the response, and an oversized header is rejected.
 	conn, err := net.Dial("tcp", s.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -396,7 +396,7 @@
 		"X-Request-ID: b\r\nX-Priority-Class: status-check\r\nPlan: starter\r\n\r\n", secret)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("with a body that does not come: %v, %+v", err, resp)
+		t.Errorf("with a body that does not arrive: %v, %+v", err, resp)
 	}
 	endless, err := net.Dial("tcp", s.Addr().String())
 	if err != nil {
@@ -406,58 +406,58 @@
 	endless.SetDeadline(time.Now().Add(patience))
 	fmt.Fprintf(endless, "GET /ask HTTP/1.1\r\nX: %s", strings.Repeat("x", 64<<10))
 	if resp, err := http.ReadResponse(bufio.NewReader(endless), nil); err == nil && resp.StatusCode != 431 {
-		t.Errorf("a head without end: %d", resp.StatusCode)
+		t.Errorf("an oversized header: %d", resp.StatusCode)
 	}
 }
 
-// The same try asked twice is granted once.
+// A repeated authorization request for one attempt is charged once.
 func TestSameTryTwice(t *testing.T) {
-	b := &bank{level: 100}
+	b := &fakeDecider{level: 100}
 	s := serve(t, b, proxyBlock("traefik", "ask-then-carry", ""))
-	first := asking(t, s, headers("same"), nil).Header.Get(GrantHeader)
-	again := asking(t, s, headers("same"), nil).Header.Get(GrantHeader)
+	first := sendAuthRequest(t, s, headers("same"), nil).Header.Get(GrantHeader)
+	again := sendAuthRequest(t, s, headers("same"), nil).Header.Get(GrantHeader)
 	if level, _, asks := b.state(); first == "" || first != again || level != 98 || asks != 1 {
 		t.Errorf("level %g after %d asks", level, asks)
 	}
-	if asking(t, s, headers("other"), nil); b.level != 96 {
-		t.Errorf("level %g after another try", b.level)
+	if sendAuthRequest(t, s, headers("other"), nil); b.level != 96 {
+		t.Errorf("level %g after another attempt", b.level)
 	}
 }
 
-// A try that was granted long ago pays anew, also while one granted before it is still
-// known: a token of another limiter is known for as long as it lasts.
+// An attempt whose grant has expired is charged again, even while an older entry is still in
+// the table: a token of another limiter is remembered until it expires.
 func TestSameTryMuchLater(t *testing.T) {
-	b := &bank{level: 100}
+	b := &fakeDecider{level: 100}
 	s := serve(t, b, proxyBlock("traefik", "ask-then-carry", `lease = "20ms"`))
 	terms := grant.Terms{Account: 1, Units: 1}
 	token := s.keys.get(time.Now()).Sign(grant.Token{Limiter: 1, Lease: grant.ID{5}, Terms: terms, Until: time.Now().Add(grant.MaxLease)})
 	if _, vouched := s.Redeem(token, terms); !vouched {
-		t.Fatal("not vouched for")
+		t.Fatal("a valid token of another limiter was not accepted")
 	}
-	first := asking(t, s, headers("same"), nil).Header.Get(GrantHeader)
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) { // its lease is over
+	first := sendAuthRequest(t, s, headers("same"), nil).Header.Get(GrantHeader)
+	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) { // wait until its lease expires
 		if _, leased, _ := b.state(); leased == 0 {
 			break
 		} else if time.Now().After(end) {
-			t.Fatal("the lease does not end")
+			t.Fatal("the lease does not expire")
 		}
 	}
-	if again := asking(t, s, headers("same"), nil).Header.Get(GrantHeader); again == first || again == "" {
-		t.Errorf("granted again with %q", again)
+	if repeated := sendAuthRequest(t, s, headers("same"), nil).Header.Get(GrantHeader); repeated == first || repeated == "" {
+		t.Errorf("granted again with %q", repeated)
 	}
 	if _, _, asks := b.state(); asks != 2 {
 		t.Errorf("the module was asked %d times", asks)
 	}
 }
 
-// A lease is redeemed once, by what it was granted for; what is shown of it again, or
-// is forged, pays like any other message.
+// A lease is redeemed once, by a message with the terms that it was granted for. Messages with a
+// reused or forged token are charged like any other.
 func TestThiefOfGrants(t *testing.T) {
-	b := &bank{level: 100}
+	b := &fakeDecider{level: 100}
 	s := serve(t, b, proxyBlock("traefik", "ask-then-carry", `lease = "30s"`))
-	token := asking(t, s, headers("x"), nil).Header.Get(GrantHeader)
+	token := sendAuthRequest(t, s, headers("x"), nil).Header.Get(GrantHeader)
 	terms := grant.Terms{Account: 0xab, Plan: 1, Class: 1, Units: 2}
-	for name, try := range map[string]struct {
+	for name, attempt := range map[string]struct {
 		token string
 		terms grant.Terms
 	}{
@@ -468,8 +468,8 @@
 		"cut":             {token[:20], terms},
 		"nothing":         {"", terms},
 	} {
-		if got, vouched := s.Redeem(try.token, try.terms); got != 0 || vouched {
-			t.Errorf("%s: redeemed %g, vouched %v", name, got, vouched)
+		if got, vouched := s.Redeem(attempt.token, attempt.terms); got != 0 || vouched {
+			t.Errorf("%s: redeemed %g, accepted %v", name, got, vouched)
 		}
 	}
 	redeemed := 0
@@ -481,46 +481,46 @@
 	if redeemed != 1 {
 		t.Errorf("redeemed %d times", redeemed)
 	}
-	// At another limiter it is vouched for once, and the word goes out once.
-	elsewhere := &bank{}
+	// Another limiter accepts the token once and sends one notice.
+	elsewhere := &fakeDecider{}
 	cfg := s.cfg
 	cfg.Listen = "127.0.0.1:0"
-	t2 := tier
-	t2.Position = 1
-	o, err := New(cfg, t2, elsewhere, slog.New(slog.DiscardHandler))
+	secondTier := tier
+	secondTier.Position = 1
+	o, err := New(cfg, secondTier, elsewhere, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer o.listener.Close()
 	vouched := 0
 	for range 1000 {
-		leased, yes := o.Redeem(token, terms)
+		leased, accepted := o.Redeem(token, terms)
 		if leased != 0 {
 			t.Fatal("another limiter's lease was redeemed")
 		}
-		if yes {
+		if accepted {
 			vouched++
 		}
 	}
 	for range 10 {
 		o.sendNotices()
 	}
-	if n := len(elsewhere.told); vouched != 1 || n != 1 || elsewhere.told[0] != "0 18" {
-		t.Errorf("vouched for %d times, told %v", vouched, elsewhere.told)
+	if n := len(elsewhere.sent); vouched != 1 || n != 1 || elsewhere.sent[0] != "0 18" {
+		t.Errorf("accepted %d times, sent %v", vouched, elsewhere.sent)
 	}
 	far := s.keys.get(time.Now()).Sign(grant.Token{Limiter: 0, Lease: grant.ID{9}, Terms: terms, Until: time.Now().Add(2 * time.Hour)})
 	over := s.keys.get(time.Now()).Sign(grant.Token{Limiter: 0, Lease: grant.ID{8}, Terms: terms, Until: time.Now().Add(-time.Second)})
 	for _, text := range []string{far, over} {
-		if leased, yes := o.Redeem(text, terms); leased != 0 || yes {
-			t.Error("vouched for a token whose time is far off or over")
+		if leased, accepted := o.Redeem(text, terms); leased != 0 || accepted {
+			t.Error("accepted a token that has expired or expires too far in the future")
 		}
 	}
 }
 
-// What is granted comes back: when its time is over, by the proxy's word, or by
-// another limiter's. It never comes back twice.
+// A lease ends when it expires, when the proxy cancels or confirms it, or when another limiter
+// reports its redemption, and is settled exactly once.
 func TestLeasesEnd(t *testing.T) {
-	b := &bank{level: 100}
+	b := &fakeDecider{level: 100}
 	s := serve(t, b, proxyBlock("traefik", "ask-then-carry", `lease = "300ms"`))
 	until := func(want float64) {
 		t.Helper()
@@ -533,13 +533,13 @@
 		}
 	}
 	for i := range 20 {
-		asking(t, s, headers(strconv.Itoa(i)), nil)
+		sendAuthRequest(t, s, headers(strconv.Itoa(i)), nil)
 	}
 	until(100)
 	post := func(path, token string) int {
-		return asking(t, s, http.Header{GrantHeader: {token}}, func(q *http.Request) { q.URL.Path, q.Method = path, "POST" }).StatusCode
+		return sendAuthRequest(t, s, http.Header{GrantHeader: {token}}, func(q *http.Request) { q.URL.Path, q.Method = path, "POST" }).StatusCode
 	}
-	cancelled := asking(t, s, headers("cancelled"), nil).Header.Get(GrantHeader)
+	cancelled := sendAuthRequest(t, s, headers("cancelled"), nil).Header.Get(GrantHeader)
 	if code := post(CancelPath, cancelled); code != 204 {
 		t.Errorf("cancel: %d", code)
 	}
@@ -547,7 +547,7 @@
 	if code := post(CancelPath, cancelled); code != 410 {
 		t.Errorf("cancelled again: %d", code)
 	}
-	confirmed := asking(t, s, headers("confirmed"), nil).Header.Get(GrantHeader)
+	confirmed := sendAuthRequest(t, s, headers("confirmed"), nil).Header.Get(GrantHeader)
 	if code := post(ConfirmPath, confirmed); code != 204 {
 		t.Errorf("confirm: %d", code)
 	}
@@ -555,53 +555,53 @@
 	if code := post(CancelPath, confirmed+"x"); code != 400 {
 		t.Errorf("a forged token: %d", code)
 	}
-	moved, ok := s.verify(asking(t, s, headers("moved"), nil).Header.Get(GrantHeader))
+	moved, ok := s.verify(sendAuthRequest(t, s, headers("moved"), nil).Header.Get(GrantHeader))
 	if !ok {
 		t.Fatal("no token")
 	}
-	word := grant.RedeemNotice{Leases: []grant.ID{moved.Lease, moved.Lease}}.Encode()
-	s.Heard(word)
-	s.Heard(word)
+	notice := grant.RedeemNotice{Leases: []grant.ID{moved.Lease, moved.Lease}}.Encode()
+	s.Heard(notice)
+	s.Heard(notice)
 	s.Heard([]byte("noise"))
 	until(98)
 }
 
-// Leases, and asks that wait, are bounded: past that the answer is a quick no.
+// Open leases and pending requests are limited; above the limits requests are rejected at once.
 func TestBounds(t *testing.T) {
-	b := &bank{level: 100}
+	b := &fakeDecider{level: 100}
 	s := serve(t, b, "leases = 3\n"+proxyBlock("traefik", "ask-then-carry", `lease = "30s"`))
 	codes := map[int]int{}
 	for i := range 6 {
-		codes[asking(t, s, headers(strconv.Itoa(i)), nil).StatusCode]++
+		codes[sendAuthRequest(t, s, headers(strconv.Itoa(i)), nil).StatusCode]++
 	}
 	if codes[200] != 3 || codes[429] != 3 {
 		t.Errorf("answers %v", codes)
 	}
 
-	slow := &bank{level: 100, block: make(chan struct{}), in: make(chan struct{}, 10)}
+	slow := &fakeDecider{level: 100, block: make(chan struct{}), in: make(chan struct{}, 10)}
 	s = serve(t, slow, "pending = 4\n"+proxyBlock("traefik", "asked-only", ""))
 	got := make(chan int, 20)
 	for i := range 4 {
-		go func() { got <- asking(t, s, headers("slow"+strconv.Itoa(i)), nil).StatusCode }()
+		go func() { got <- sendAuthRequest(t, s, headers("slow"+strconv.Itoa(i)), nil).StatusCode }()
 	}
 	<-slow.in
 	for end := time.Now().Add(patience); s.pending.Load() < 4; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the asks did not come")
+			t.Fatal("the requests did not arrive")
 		}
 	}
-	if code := asking(t, s, headers("late"), nil).StatusCode; code != 503 {
-		t.Errorf("one too many: %d", code)
+	if code := sendAuthRequest(t, s, headers("late"), nil).StatusCode; code != 503 {
+		t.Errorf("above the limit of pending requests: %d", code)
 	}
 	close(slow.block)
 	for range 4 {
 		if code := <-got; code != 200 {
-			t.Errorf("one that waited: %d", code)
+			t.Errorf("a pending request: %d", code)
 		}
 	}
 }
 
-// The file that comes with the program says what it seems to.
+// The example configuration in deploy/ loads with the expected values.
 func TestDeployFile(t *testing.T) {
 	data, err := os.ReadFile(filepath.Join("..", "..", "deploy", "forwardauth.hcl"))
 	if err != nil {
@@ -616,10 +616,11 @@
 	}
 }
 
-// What is asked goes by the routes of what is carried: pool, class and time of the route,
-// and no for what no route takes or a box could read as another path.
+// Authorization requests use the routes of forwarded requests: they get the pool, class and
+// deadline of the route. Paths without a route, and paths that a box might interpret differently,
+// are rejected.
 func TestAsksGoByRoutes(t *testing.T) {
-	b := &bank{level: 1000}
+	b := &fakeDecider{level: 1000}
 	s := serve(t, b, proxyBlock("traefik", "asked-only", ""))
 	routed := tier
 	routed.Route = func(q *route.Request) (Target, bool) {
@@ -639,7 +640,7 @@
 		{"north.example", "/bulk/../other?key=7", 400},
 		{"north.example", "/bulk%2fx?key=7", 400},
 	} {
-		code := asking(t, s, headers(fmt.Sprint("routed-", i)), func(q *http.Request) {
+		code := sendAuthRequest(t, s, headers(fmt.Sprint("routed-", i)), func(q *http.Request) {
 			q.Header.Set("X-Forwarded-Host", c.host)
 			q.Header.Set("X-Forwarded-Uri", c.uri)
 			q.Header.Set("X-Forwarded-Method", "POST")
@@ -650,32 +651,32 @@
 		}
 	}
 	if _, _, n := b.state(); n != 1 {
-		t.Fatalf("%d asks came to the module", n)
+		t.Fatalf("the module was asked %d times", n)
 	}
 	if a := b.asks[0]; a.Pool != 9 || a.Class != 2 || a.ExpiresMs != 300 {
 		t.Errorf("asked %+v", a)
 	}
 }
 
-// The plug-ins of a route are asked about asks as about what is carried: they see what the
-// proxy tells but not its secret, and what they say goes to the module. For a proxy that has
-// left meanwhile nothing is granted.
+// The plug-ins of a route are called for authorization requests as for forwarded ones: they see
+// the proxy's headers except its secret, and their advice is passed to the module. Nothing is
+// granted to a proxy that has closed its connection meanwhile.
 func TestAsksArePutToPlugins(t *testing.T) {
-	b := &bank{level: 1000}
+	b := &fakeDecider{level: 1000}
 	s := serve(t, b, proxyBlock("traefik", "asked-only", ""))
 	var mu sync.Mutex
 	var seen []advice.Subject
-	var shown [][2]string
-	leave := make(chan func(), 1)
+	var shownHeaders [][2]string
+	disconnect := make(chan func(), 1)
 	routed := tier
 	routed.Route = func(q *route.Request) (Target, bool) {
 		return Target{Class: -1, Advise: func(ctx context.Context, x *advice.Subject, left time.Duration) limiter.Advice {
 			mu.Lock()
 			defer mu.Unlock()
 			seen = append(seen, *x)
-			shown = append(shown, [2]string{x.Header("X-Tenant"), x.Header("X-Proxy-Secret")})
+			shownHeaders = append(shownHeaders, [2]string{x.Header("X-Tenant"), x.Header("X-Proxy-Secret")})
 			select {
-			case f := <-leave:
+			case f := <-disconnect:
 				f()
 				<-ctx.Done()
 			default:
@@ -687,8 +688,8 @@
 		}}, true
 	}
 	s.Swap(routed, func(done func()) { done() })
-	for tenant, want := range map[string]int{"yes": 200, "no": 200} { // the bank does not go by advice
-		code := asking(t, s, headers("put-"+tenant), func(q *http.Request) {
+	for tenant, want := range map[string]int{"yes": 200, "no": 200} { // fakeDecider ignores advice
+		code := sendAuthRequest(t, s, headers("put-"+tenant), func(q *http.Request) {
 			q.Header.Set("X-Forwarded-Uri", "/v1/messages?key=7")
 			q.Header.Set("X-Forwarded-Method", "POST")
 			q.Header.Set("X-Timeout", "700m")
@@ -699,18 +700,18 @@
 		}
 	}
 	if len(b.asks) != 2 || len(seen) != 2 {
-		t.Fatalf("%d asks, %d put to plug-ins", len(b.asks), len(seen))
+		t.Fatalf("%d requests, %d shown to plug-ins", len(b.asks), len(seen))
 	}
 	for i, a := range b.asks {
-		if a.Advice != (limiter.Advice{Refuse: shown[i][0] == "no", WaitMs: 250, Factor: 2}) {
-			t.Errorf("%s: %+v", shown[i][0], a.Advice)
+		if a.Advice != (limiter.Advice{Refuse: shownHeaders[i][0] == "no", WaitMs: 250, Factor: 2}) {
+			t.Errorf("%s: %+v", shownHeaders[i][0], a.Advice)
 		}
-		if x := &seen[i]; shown[i][1] != "" || x.Account != 7 || x.Method != "POST" || x.Path != "/v1/messages" || x.ClassName == "" || x.PlanName == "" || x.Whole != nil {
-			t.Errorf("saw %+v, a secret %q", x, shown[i][1])
+		if x := &seen[i]; shownHeaders[i][1] != "" || x.Account != 7 || x.Method != "POST" || x.Path != "/v1/messages" || x.ClassName == "" || x.PlanName == "" || x.Whole != nil {
+			t.Errorf("plug-in saw %+v, secret %q", x, shownHeaders[i][1])
 		}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	leave <- cancel
+	disconnect <- cancel
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.Addr().String()+"/", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -721,17 +722,17 @@
 	q.Header.Set("X-Forwarded-Method", "POST")
 	q.Header.Set("X-Timeout", "700m")
 	if _, err := http.DefaultClient.Do(q); err == nil {
-		t.Error("an answer for a proxy that left")
+		t.Error("a response for a proxy that disconnected")
 	}
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		if _, _, n := b.state(); n == 3 {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the third ask does not come to the module")
+			t.Fatal("the third request does not reach the module")
 		}
 	}
 	if a := b.asks[2]; !a.Advice.Refuse {
-		t.Errorf("for a proxy that left: %+v", a.Advice)
+		t.Errorf("for a proxy that disconnected: %+v", a.Advice)
 	}
 }
--- a/internal/forwardauth/mixed_test.go
+++ b/internal/forwardauth/mixed_test.go
@@ -24,12 +24,12 @@
 	"example.org/madderdrum/internal/world"
 )
 
-// secretOf is what a stand-in proxy of a dialect shows.
+// secretOf returns the secret of the simulated proxy of a dialect and mode.
 func secretOf(dialect, mode string) string { return "the-secret-of-" + dialect + "-" + mode }
 
-// start writes the files of a limiter from what the platform would tell it.
+// start writes the configuration files of limiter n and starts it.
 func start(t *testing.T, program, config, dir, ask string, n int) (loopback.Process, error) {
-	// Files of its own: another limiter must not read a secret that is being written.
+	// A directory per limiter: another limiter must not read a secret that is being written.
 	dir = filepath.Join(dir, fmt.Sprint("n", n))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -62,11 +62,10 @@
 	return loopback.StartCommand(cmd)
 }
 
-// Three limiters of the built program, a killed one among them, peers' messages lost at
-// 8%, and eight accounts that want six times their quota, a third of it direct, a third
-// asked only, a third asked and carried through any limiter, by stand-in proxies of every
-// dialect: no account passes its
-// ceiling, and all three ways are served.
+// Three limiters of the built program, one of which is killed, lose 8% of their peer messages.
+// Eight accounts request six times their quota: a third directly, a third as asked-only and a
+// third as ask-then-carry through any limiter, with simulated proxies of every dialect. No
+// account may exceed its ceiling, and all three ways must be served.
 func TestMixedTraffic(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "madderdrum")
@@ -84,13 +83,13 @@
 	const length = 6 * time.Second
 	var clients sync.WaitGroup
 	var mu sync.Mutex
-	yes, no := map[string]int{}, map[string]int{}
+	served, refused := map[string]int{}, map[string]int{}
 	stop := make(chan struct{})
 	o := loopback.Options{Fleet: f, Seed: 5, Source: world.NewSynthetic(f, 5, length), Faults: faults, Foreign: true,
 		Start: func(config string, n int) (loopback.Process, error) {
 			return start(t, program, config, dir, asks[n], n)
 		}}
-	for i := range asks { // on addresses of their own: nobody takes the ports meanwhile
+	for i := range asks { // separate loopback addresses, so that no other process takes the ports meanwhile
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.250.%d:0", 64+rand.IntN(128), 1+i))
 		if err != nil {
 			t.Fatal(err)
@@ -108,18 +107,18 @@
 				for {
 					select {
 					case <-stop:
-						if c.bad != "" {
-							t.Error(c.bad)
+						if c.unexpected != "" {
+							t.Error(c.unexpected)
 						}
 						return
 					case <-tick.C:
 					}
-					way, ok := c.once()
+					way, ok := c.sendOne()
 					mu.Lock()
 					if ok {
-						yes[way]++
+						served[way]++
 					} else {
-						no[way]++
+						refused[way]++
 					}
 					mu.Unlock()
 				}
@@ -132,20 +131,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("served %v, refused %v; put to the test %v", yes, no, r.Judge.Seen)
+	t.Logf("served %v, refused %v; checks %v", served, refused, r.Judge.Seen)
 	for _, b := range r.Judge.Breaches {
 		if b.Rule == judge.CeilingsKept {
 			t.Error(b)
 		}
 	}
 	for _, way := range []string{"direct", "asked", "carried"} {
-		if yes[way] < 50 || no[way] < 50 {
-			t.Errorf("%s: served %d, refused %d", way, yes[way], no[way])
+		if served[way] < 50 || refused[way] < 50 {
+			t.Errorf("%s: served %d, refused %d", way, served[way], refused[way])
 		}
 	}
 }
 
-// client sends messages of one account, each in one of three ways.
+// client sends messages of one account, each directly, as asked-only or as ask-then-carry.
 type client struct {
 	r       *loopback.Run
 	f       *fleet.Fleet
@@ -155,11 +154,11 @@
 	http    *http.Client
 	n       int
 
-	dialects []string
-	bad      string // an answer that no stand-in should give
+	dialects   []string
+	unexpected string // an unexpected response of a simulated proxy
 }
 
-func (c *client) once() (way string, ok bool) {
+func (c *client) sendOne() (way string, ok bool) {
 	c.n++
 	id := fmt.Sprintf("m%d-%d", c.account, c.n)
 	way = []string{"direct", "asked", "carried"}[c.rng.IntN(3)]
@@ -173,12 +172,12 @@
 			passed, token = true, q.Header.Get("X-Grant")
 		}))
 		q := httptest.NewRequest("GET", c.path(), nil)
-		c.head(q.Header, id)
+		c.setHeaders(q.Header, id)
 		rec := httptest.NewRecorder()
 		proxy.ServeHTTP(rec, q)
 		if !passed {
 			if rec.Code != 429 && rec.Code != 502 { // 502: the limiter that was killed
-				c.bad = fmt.Sprintf("%s answered %d", dialect, rec.Code)
+				c.unexpected = fmt.Sprintf("%s answered %d", dialect, rec.Code)
 			}
 			return way, false
 		}
@@ -195,7 +194,7 @@
 	return way, code == 200
 }
 
-func (c *client) head(h http.Header, id string) {
+func (c *client) setHeaders(h http.Header, id string) {
 	for name, v := range map[string]string{"X-Request-ID": id, "X-Priority-Class": "status-check", "Plan": "business", "X-Timeout": "700m",
 		"Quota-Info": "units=1,spread=3,first=0"} {
 		h.Set(name, v)
@@ -204,13 +203,13 @@
 
 func (c *client) path() string { return fmt.Sprintf("/api?key=%016x", c.account) }
 
-func (c *client) send(url, id string, more map[string]string) (int, http.Header) {
+func (c *client) send(url, id string, extra map[string]string) (int, http.Header) {
 	q, err := http.NewRequest("GET", url, nil)
 	if err != nil {
 		return 0, nil
 	}
-	c.head(q.Header, id)
-	for name, v := range more {
+	c.setHeaders(q.Header, id)
+	for name, v := range extra {
 		if v != "" {
 			q.Header.Set(name, v)
 		}
--- a/internal/forwardauth/parse.go
+++ b/internal/forwardauth/parse.go
@@ -15,10 +15,10 @@
 
 const (
 	maxIDLength = 128
-	accountBits = 33 // accounts are numbers below 2^33, as the protocol has them
+	accountBits = 33 // account ids are below 2^33 in the protocol
 )
 
-// parsed is what a proxy asks.
+// parsedRequest is a proxy's authorization request after parsing, with the route's target.
 type parsedRequest struct {
 	ask                       limiter.Ask
 	id                        string
@@ -26,7 +26,7 @@
 	method, path, class, plan string
 }
 
-// parse reads who asks for what. It changes nothing.
+// parse reads an authorization request. It has no side effects.
 func (s *indexedTier) parse(p *proxy, q *http.Request) (x parsedRequest, err error) {
 	method, uri, err := p.originalRequest(q)
 	if err != nil {
@@ -46,7 +46,7 @@
 	}
 	a.Units, a.Spread, a.First = 1, s.Limiters, 0
 	path, _, _ := strings.Cut(uri, "?")
-	for _, r := range p.Routes { // the first that fits; headers go before it
+	for _, r := range p.Routes { // the first match applies; headers take precedence
 		if strings.HasPrefix(path, r.Path) && (r.Method == "" || r.Method == method) {
 			if className == "" {
 				className = r.Class
@@ -120,7 +120,7 @@
 	return x, nil
 }
 
-// quota reads Quota-Info: units=2,spread=3,first=1; what it leaves out keeps.
+// parseQuota parses Quota-Info, such as units=2,spread=3,first=1, into a. Fields that it omits keep their values.
 func (s *indexedTier) parseQuota(text string, a *limiter.Ask) error {
 	for text != "" {
 		var pair string
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// parseTimeout reads the protocol's X-Timeout: 480m is milliseconds, 480u microseconds.
+// parseTimeout parses X-Timeout: 480m is 480 milliseconds, 480u is 480 microseconds.
 func parseTimeout(text string) (time.Duration, error) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(text, "m")
--- a/internal/forwardauth/service.go
+++ b/internal/forwardauth/service.go
@@ -21,46 +21,46 @@
 	"example.org/madderdrum/route"
 )
 
-// Decider is the limiter that decides.
+// Decider is the interface to the decision module of the limiter.
 type Decider interface {
-	// Ask gives the module an Ask and returns its answer.
+	// Ask requests a decision; wait is the time after which a refused client may retry.
 	Ask(a limiter.Ask) (granted bool, wait time.Duration)
-	// Settle ends what was leased.
+	// Settle reports the end of a lease.
 	Settle(s limiter.Settle)
-	// Tell sends a datagram to another limiter, which may be lost.
+	// Tell sends a datagram to another limiter, without guarantee of delivery.
 	Tell(to int, data []byte)
 }
 
-// Tier names what the limiters share.
+// Tier is the configuration that all limiters share.
 type Tier struct {
 	Position  int
 	Limiters  int
 	Classes   []string
 	Plans     []string
 	MostUnits float64
-	Longest   time.Duration // that a client may wait
-	// Route, if set, finds the pool and the bounds of what is asked for, by the routes
-	// of what is carried, or tells that no route takes it.
+	Longest   time.Duration // upper bound of client timeouts
+	// Route, if set, returns the target of a request by the same routes as forwarded requests, or
+	// false if no route matches.
 	Route func(q *route.Request) (Target, bool)
 }
 
-// Target is what a route says of a request.
+// Target is the pool and the limits that a route assigns to a request.
 type Target struct {
 	Pool     uint64
-	Class    int           // for requests that name none; -1: none
-	Deadline time.Duration // 0: the class's
-	// Advise, if set, has the plug-ins of the route asked, as for what is carried. left is
-	// the client's time.
+	Class    int           // default for requests without a class; -1: none
+	Deadline time.Duration // 0: the class's deadline
+	// Advise, if set, calls the route's plug-ins as for forwarded requests. left is the time that
+	// remains until the client's timeout.
 	Advise func(ctx context.Context, s *advice.Subject, left time.Duration) limiter.Advice
 }
 
-// Bounds of the front.
+// Limits of the HTTP server and intervals of periodic work.
 const (
 	headerTimeout  = 2 * time.Second
 	idleTimeout    = 30 * time.Second
 	maxHeaderBytes = 16 << 10
-	// wordEvery is the pause between two datagrams that name leases whose messages came
-	// here, reportEvery that between two lines of counts in the log.
+	// noticeInterval is the interval of the datagrams that report redeemed leases to the
+	// limiters that issued them; reportInterval is that of the log lines with counts.
 	noticeInterval = 250 * time.Millisecond
 	reportInterval = 10 * time.Second
 )
@@ -82,11 +82,11 @@
 	mu           sync.Mutex
 	leaseManager *grant.LeaseManager
 
-	// Not under the lock: a quick no must not wait for those that wait.
+	// Atomic instead of under mu: an early rejection must not wait for requests that hold mu.
 	counts struct{ yes, no, again, busy, malformed, untrusted atomic.Int64 }
 }
 
-// namedTier is a Tier with its names by their places.
+// indexedTier is a Tier with maps from names of classes and plans to their indexes.
 type indexedTier struct {
 	Tier
 	classes, plans map[string]int
@@ -96,24 +96,24 @@
 	return &indexedTier{t, indexByName(t.Classes), indexByName(t.Plans)}
 }
 
-// Swap has another tier hold once swap, which must call done, has changed the decider to
-// it. An ask is read by one tier and decided by the same.
+// Swap replaces the tier. It calls swap, which must change the decider to the new tier and then
+// call done. Each request is parsed and decided by the same tier.
 func (s *Service) Swap(t Tier, swap func(done func())) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	swap(func() { s.tier.Store(newIndexedTier(t)) })
 }
 
-// Counts are what came of the asks.
+// Counts are the numbers of authorization requests by outcome; Again counts repeats of granted attempts.
 type Counts struct{ Yes, No, Again, Busy, Malformed, Untrusted int64 }
 
-// proxy is one with its secrets.
+// proxy is a configured Proxy with its loaded secrets.
 type proxy struct {
 	Proxy
 	secrets *fileValue[[][sha256.Size]byte]
 }
 
-// New returns a Service that listens but does not answer yet.
+// New returns a Service that listens; [Service.Run] answers.
 func New(cfg Listener, tier Tier, d Decider, logger *slog.Logger) (*Service, error) {
 	s := &Service{cfg: cfg, decider: d, log: logger, start: time.Now(),
 		wake: make(chan struct{}, 1), leaseManager: grant.NewLeaseManager(tier.Position, tier.Limiters, cfg.Leases)}
@@ -133,8 +133,8 @@
 			return nil, err
 		}
 	}
-	// No time for bodies, which are not read, and none for answers, which fit into a
-	// socket's buffer: each deadline costs every ask.
+	// No timeouts for bodies, which are not read, or for responses, which fit into a socket
+	// buffer: setting a deadline would cost time for every request.
 	s.server = &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: log.New(discardWriter{}, "", 0)}
 	if cfg.TLS != nil {
 		if s.server.TLSConfig, err = cfg.TLS.tlsConfig(logger.Warn); err != nil {
@@ -147,7 +147,7 @@
 	return s, nil
 }
 
-// discard drops the HTTP server's lines on connections that break.
+// discardWriter drops the HTTP server's log lines about broken connections.
 type discardWriter struct{}
 
 func (discardWriter) Write(p []byte) (int, error) { return len(p), nil }
@@ -160,23 +160,23 @@
 	return m
 }
 
-// Addr is where proxies ask.
+// Addr returns the address that the service listens on.
 func (s *Service) Addr() net.Addr { return s.listener.Addr() }
 
-// Run answers until the context ends.
+// Run serves proxies until the context ends.
 func (s *Service) Run(ctx context.Context) error {
-	served := make(chan error, 1)
+	serveErr := make(chan error, 1)
 	go func() {
 		if s.server.TLSConfig != nil {
-			served <- s.server.ServeTLS(s.listener, "", "")
+			serveErr <- s.server.ServeTLS(s.listener, "", "")
 		} else {
-			served <- s.server.Serve(s.listener)
+			serveErr <- s.server.Serve(s.listener)
 		}
 	}()
-	timer, words, reports := time.NewTimer(time.Hour), time.NewTicker(noticeInterval), time.NewTicker(reportInterval)
-	defer timer.Stop()
-	defer words.Stop()
-	defer reports.Stop()
+	expiryTimer, noticeTicker, reportTicker := time.NewTimer(time.Hour), time.NewTicker(noticeInterval), time.NewTicker(reportInterval)
+	defer expiryTimer.Stop()
+	defer noticeTicker.Stop()
+	defer reportTicker.Stop()
 	var reported Counts
 	defer func() { s.logCounts(reported) }()
 	for {
@@ -188,9 +188,9 @@
 			wait = at - now
 		}
 		s.mu.Unlock()
-		timer.Reset(wait)
+		expiryTimer.Reset(wait)
 		select {
-		case err := <-served:
+		case err := <-serveErr:
 			if !errors.Is(err, http.ErrServerClosed) {
 				return fmt.Errorf("forward authentication: %w", err)
 			}
@@ -199,19 +199,19 @@
 			stop, cancel := context.WithTimeout(context.Background(), headerTimeout)
 			defer cancel()
 			err := s.server.Shutdown(stop)
-			<-served
+			<-serveErr
 			return err
-		case <-timer.C:
+		case <-expiryTimer.C:
 		case <-s.wake:
-		case <-words.C:
+		case <-noticeTicker.C:
 			s.sendNotices()
-		case <-reports.C:
+		case <-reportTicker.C:
 			reported = s.logCounts(reported)
 		}
 	}
 }
 
-// report writes what came of the asks to the log, if that is news.
+// logCounts logs the counts if they differ from before, and returns them.
 func (s *Service) logCounts(before Counts) Counts {
 	n := &s.counts
 	now := Counts{n.yes.Load(), n.no.Load(), n.again.Load(), n.busy.Load(), n.malformed.Load(), n.untrusted.Load()}
@@ -225,20 +225,20 @@
 	return now
 }
 
-// settle tells the module that a lease has ended. The lock is held.
+// settle reports the end of a lease to the decision module. s.mu must be held.
 func (s *Service) settle(t grant.Terms, e grant.EndReason) {
 	s.decider.Settle(limiter.Settle{Account: t.Account, Units: t.Units, Refund: e.ReturnsUnits()})
 }
 
-// Paths of the front besides asks.
+// The paths with which proxies end leases; any other path is an authorization request.
 const (
 	CancelPath  = "/lease/cancel"
 	ConfirmPath = "/lease/confirm"
 )
 
-// ServeHTTP answers a proxy. Bodies are never read.
+// ServeHTTP answers a request of a proxy. It never reads bodies.
 func (s *Service) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	if q.ContentLength != 0 { // net/http would read on for the next request
+	if q.ContentLength != 0 { // else net/http would read the body to reach the next request
 		w.Header().Set("Connection", "close")
 	}
 	p, status := s.authenticate(q)
@@ -259,7 +259,7 @@
 		p.Dialect.writeRefused(w, http.StatusBadRequest, 0, err.Error())
 		return
 	}
-	// Asks wait for one another at the module; past a bound they hear a no at once.
+	// Requests are decided one at a time; above the limit of pending ones they are rejected at once.
 	if s.pending.Add(1) > int64(s.cfg.Pending) {
 		s.pending.Add(-1)
 		s.counts.busy.Add(1)
@@ -268,7 +268,7 @@
 	}
 	x.advise(p, q)
 	token, granted, wait, ok := s.ask(p, x, t)
-	for !ok { // read by a tier that is gone
+	for !ok { // the tier was replaced after parsing
 		t = s.tier.Load()
 		if x, err = t.parse(p, q); err != nil {
 			break
@@ -289,8 +289,8 @@
 	p.Dialect.writeGranted(w, token)
 }
 
-// advise has the plug-ins asked. For a proxy that has left there is nobody to hear a yes, and
-// what its plug-ins did not get to say is no.
+// advise calls the plug-ins. If the proxy has closed its connection, nobody would receive a grant
+// and the plug-ins were cut short, so the request is refused.
 func (x *parsedRequest) advise(p *proxy, q *http.Request) {
 	if x.to.Advise == nil {
 		return
@@ -308,18 +308,19 @@
 	}
 }
 
-// ask has the module decide, unless the same try was granted just now.
-func (s *Service) ask(p *proxy, x parsedRequest, by *indexedTier) (token string, granted bool, wait time.Duration, ok bool) {
+// ask requests a decision from the module unless the same attempt was granted recently. ok is false if the
+// tier has been replaced since the request was parsed.
+func (s *Service) ask(p *proxy, x parsedRequest, parsedBy *indexedTier) (token string, granted bool, wait time.Duration, ok bool) {
 	a := x.ask
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.tier.Load() != by {
+	if s.tier.Load() != parsedBy {
 		return "", false, 0, false
 	}
 	now := time.Since(s.start)
 	terms := grant.Terms{Account: a.Account, Plan: a.Plan, Class: a.Class, Units: a.Units}
-	try := grant.Attempt{Proxy: p.Name, ID: x.id, Terms: terms}
-	if token, again := s.leaseManager.FindRepeat(now, try); again {
+	attempt := grant.Attempt{Proxy: p.Name, ID: x.id, Terms: terms}
+	if token, repeated := s.leaseManager.FindRepeat(now, attempt); repeated {
 		s.counts.again.Add(1)
 		return token, true, 0, true
 	}
@@ -335,9 +336,9 @@
 	until := now + grant.RepeatWindow
 	if a.Lease {
 		until = now + p.Lease
-		t := grant.Token{Limiter: by.Position, Terms: terms, Until: s.start.Add(until)}
+		t := grant.Token{Limiter: parsedBy.Position, Terms: terms, Until: s.start.Add(until)}
 		rand.Read(t.Lease[:])
-		if err := s.leaseManager.Leases().Grant(t.Lease, terms, until); err != nil { // two equal random ids: never
+		if err := s.leaseManager.Leases().Grant(t.Lease, terms, until); err != nil { // a collision of random ids, practically impossible
 			s.settle(terms, grant.Cancelled)
 			return "", false, p.Lease, true
 		}
@@ -347,11 +348,11 @@
 		default:
 		}
 	}
-	s.leaseManager.RecordGrant(now, try, token, until)
+	s.leaseManager.RecordGrant(now, attempt, token, until)
 	return token, true, 0, true
 }
 
-// end is a proxy's word that a lease was used elsewhere, or will not be.
+// endLease handles a proxy's notice that a lease was used elsewhere (confirm) or will not be used (cancel).
 func (s *Service) endLease(w http.ResponseWriter, q *http.Request) {
 	e := grant.Cancelled
 	if q.URL.Path == ConfirmPath {
@@ -383,8 +384,8 @@
 	return t, err == nil
 }
 
-// Redeem takes the token of a message that has come to this limiter; see
-// [grant.Desk.Redeem].
+// Redeem accepts the token of a message that this limiter received; see
+// [grant.LeaseManager.Redeem].
 func (s *Service) Redeem(text string, terms grant.Terms) (leased float64, vouched bool) {
 	t, ok := s.verify(text)
 	if !ok {
@@ -395,21 +396,21 @@
 	return s.leaseManager.Redeem(time.Since(s.start), t, time.Until(t.Until), terms)
 }
 
-// tell sends the other limiters what they are owed.
+// sendNotices sends the other limiters the pending notices on their leases.
 func (s *Service) sendNotices() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaseManager.SendNotices(s.decider.Tell)
 }
 
-// Heard takes in another limiter's word on leases.
+// Heard handles a datagram of another limiter with notices on redeemed leases.
 func (s *Service) Heard(data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaseManager.Heard(time.Since(s.start), data, func(t grant.Terms) { s.settle(t, grant.Moved) })
 }
 
-// query is the protocol's account in the original query.
+// queryParameter returns a parameter of the query in uri, or an error if it occurs more than once.
 func queryParameter(uri, name string) (string, error) {
 	u, err := url.ParseRequestURI(uri)
 	if err != nil {
--- a/internal/forwardauth/tls_test.go
+++ b/internal/forwardauth/tls_test.go
@@ -19,7 +19,7 @@
 	"time"
 )
 
-// authority signs certificates of a test.
+// authority is a certificate authority for tests.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -56,8 +56,8 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: raw}), &authority{c, k}
 }
 
-// Proxies may show a certificate instead of a secret; the listener's own certificate
-// follows its files while it runs.
+// Proxies may authenticate with a client certificate instead of a secret; the listener's own
+// certificate is reloaded when its files change.
 func TestMutualTLS(t *testing.T) {
 	dir := t.TempDir()
 	put := func(name string, data []byte, hours int) string {
@@ -89,7 +89,7 @@
     cert_names = ["booking"]
   }
 }`).Proxies
-	b := &bank{level: 100}
+	b := &fakeDecider{level: 100}
 	s, err := New(l, tier, b, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -125,17 +125,17 @@
 		return []tls.Certificate{p}
 	}
 	if code, _, err := ask(pair(ca, "booking")); code != 200 || err != nil {
-		t.Errorf("with its certificate: %d %v", code, err)
+		t.Errorf("with its own certificate: %d %v", code, err)
 	}
 	if code, _, err := ask(pair(ca, "another")); code != 401 || err != nil {
-		t.Errorf("with another's: %d %v", code, err)
+		t.Errorf("with another proxy's certificate: %d %v", code, err)
 	}
 	if code, _, err := ask(nil); code != 401 || err != nil {
-		t.Errorf("with none: %d %v", code, err)
+		t.Errorf("without a certificate: %d %v", code, err)
 	}
 	_, _, foreign := (*authority)(nil).issue(t, "another authority", true)
 	if code, _, err := ask(pair(foreign, "booking")); err == nil && code == 200 {
-		t.Error("believed another authority")
+		t.Error("accepted a certificate of another authority")
 	}
 	_, first, _ := ask(nil)
 	cert, key, _ = ca.issue(t, "n0 renewed", false)
@@ -146,7 +146,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the certificate did not follow its file")
+			t.Fatal("the changed certificate was not loaded")
 		}
 	}
 }
--- a/internal/forwardauth/trust.go
+++ b/internal/forwardauth/trust.go
@@ -18,14 +18,14 @@
 	"example.org/madderdrum/grant"
 )
 
-// lookEvery is how often files are looked at for a change.
+// fileCheckInterval is the minimum time between two checks of files for changes.
 const fileCheckInterval = time.Second
 
-// maxSecretFile bounds files of secrets and keys.
+// maxFileBytes limits the size of files with secrets, keys and certificates.
 const maxFileBytes = 64 << 10
 
-// fileValue is what a file holds, read again when it changes. A new content that
-// can't be used leaves the old one in use, as a file may be half written.
+// fileValue is a value parsed from files and reloaded when they change. If the new content is
+// invalid, the old value stays in use, since a file may be half written.
 type fileValue[T any] struct {
 	paths []string
 	parse func([][]byte) (T, error)
@@ -77,7 +77,7 @@
 	return v, nil
 }
 
-// get is the value by now.
+// get returns the value, reloaded if the files have changed.
 func (f *fileValue[T]) get(now time.Time) T {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -93,13 +93,13 @@
 		}
 	}
 	if err != nil {
-		f.warn("kept the old secrets: the new ones can't be used", "err", err)
+		f.warn("can't load the changed secrets; the old ones stay in use", "err", err)
 	}
 	return f.value
 }
 
-// parseSecrets reads secrets, one a line: any of them is believed, so that a new one
-// can join before the old one goes.
+// parseSecrets parses a file with one secret per line and returns their hashes. Any of them is
+// accepted, so that a new secret can be added before the old one is removed.
 func parseSecrets(files [][]byte) (all [][sha256.Size]byte, err error) {
 	for line := range bytes.Lines(files[0]) {
 		line = bytes.TrimSpace(line)
@@ -107,17 +107,17 @@
 			continue
 		}
 		if len(line) < 16 {
-			return nil, errors.New("a secret of fewer than 16 characters; write longer ones, one a line")
+			return nil, errors.New("a secret has fewer than 16 characters; write longer ones, one per line")
 		}
 		all = append(all, sha256.Sum256(line))
 	}
 	if len(all) == 0 {
-		return nil, errors.New("no secret; write one a line")
+		return nil, errors.New("no secret; write one per line")
 	}
 	return all, nil
 }
 
-// parseKeys reads keys of tokens, one a line: an id and a secret. The first signs.
+// parseKeys parses signing keys for tokens, one per line: an id and a secret. The first key signs.
 func parseKeys(files [][]byte) (grant.Keys, error) {
 	var k grant.Keys
 	for line := range strings.Lines(string(files[0])) {
@@ -134,7 +134,7 @@
 	return k, k.Check()
 }
 
-// certificates are those of a listener.
+// certificates are a listener's own certificate and, if set, the authorities of client certificates.
 type certificates struct {
 	own     tls.Certificate
 	clients *x509.CertPool
@@ -152,7 +152,7 @@
 	return c, nil
 }
 
-// tlsConfig is a configuration whose certificates follow their files.
+// tlsConfig returns a configuration that reloads its certificates when the files change.
 func (t *TLS) tlsConfig(warn func(string, ...any)) (*tls.Config, error) {
 	paths := []string{t.Cert, t.Key}
 	if t.ClientCA != "" {
@@ -172,8 +172,8 @@
 	}}, nil
 }
 
-// trusted is the proxy that a request comes from, or a status for anybody else: 403
-// for those whom no address lists, 401 for those without the secret or certificate.
+// authenticate returns the proxy that sent a request, or else a status: 403 if the client's
+// address is not listed, 401 if it lacks the secret or certificate.
 func (s *Service) authenticate(q *http.Request) (*proxy, int) {
 	addr, err := netip.ParseAddrPort(q.RemoteAddr)
 	if err != nil {
@@ -198,7 +198,7 @@
 	return nil, http.StatusForbidden
 }
 
-// shows tells whether a request has the proxy's secret or certificate.
+// hasCredentials reports whether a request has the proxy's secret or a certificate with one of its names.
 func (p *proxy) hasCredentials(q *http.Request) bool {
 	if q.TLS != nil && len(q.TLS.VerifiedChains) > 0 {
 		leaf := q.TLS.VerifiedChains[0][0]
--- a/internal/metrics/instances.go
+++ b/internal/metrics/instances.go
@@ -2,7 +2,7 @@
 
 import "example.org/madderdrum/control/catalog"
 
-// Instances tells how many lives of servers and limiters stand how, by service.
+// Instances returns a gauge with the number of instances of servers and limiters, by service and state.
 func Instances(name string, counts []catalog.ServiceCount) Figure {
 	f := Figure{Name: name, Help: "Lives of servers and limiters that are known here, by service and state.", Kind: Gauge}
 	for _, count := range counts {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics tells a process's own figures as text, in the exposition format of Prometheus
-// (version 0.0.4), for whoever asks at a port of its own. A client library would cost each limiter more
-// memory than all that it has to tell.
+// Package metrics exports a process's metrics over HTTP on a separate port, in the Prometheus text exposition
+// format (version 0.0.4). It does not use a client library because one would need more memory in each limiter
+// than the metrics themselves.
 package metrics
 
 import (
@@ -16,31 +16,31 @@
 	"example.org/madderdrum/internal/httpapi"
 )
 
-// Path is where the figures are told.
+// Path is the URL path of the metrics.
 const Path = "/metrics"
 
-// contentType is that of the format.
+// contentType is the media type of the exposition format.
 const contentType = "text/plain; version=0.0.4; charset=utf-8"
 
-// Kind is how a figure moves.
+// Kind is the Prometheus type of a metric.
 type Kind string
 
-// The kinds of figures.
+// The supported types.
 const (
-	Counter Kind = "counter" // only rises while the process lives
+	Counter Kind = "counter" // never decreases during the life of the process
 	Gauge   Kind = "gauge"
 )
 
-// Label tells samples of a figure apart.
+// Label is a name and value that distinguishes samples of a metric.
 type Label struct{ Name, Value string }
 
-// Sample is one value of a figure.
+// Sample is the value of a metric for one set of labels.
 type Sample struct {
 	Labels []Label
 	Value  float64
 }
 
-// Figure is what is told under one name.
+// Figure is a metric with all its samples.
 type Figure struct {
 	Name    string // with its unit, as in madderdrum_proof_age_seconds
 	Help    string // one line
@@ -48,12 +48,12 @@
 	Samples []Sample
 }
 
-// One is a figure of a single value.
+// One returns a metric with a single sample and no labels.
 func One(name, help string, kind Kind, value float64) Figure {
 	return Figure{name, help, kind, []Sample{{Value: value}}}
 }
 
-// Flag is a gauge that is 1 where something holds, else 0.
+// Flag returns a gauge that is 1 if holds is true, else 0.
 func Flag(name, help string, holds bool) Figure {
 	value := 0.0
 	if holds {
@@ -62,7 +62,7 @@
 	return One(name, help, Gauge, value)
 }
 
-// Text writes figures in their order.
+// Text returns metrics in the exposition format, in the given order.
 func Text(figures []Figure) []byte {
 	var out []byte
 	for _, f := range figures {
@@ -103,23 +103,24 @@
 	return out
 }
 
-// Serve tells figures at an address until the context ends. collect is called for each request.
+// Serve exports metrics on address in the background until the context ends. It calls collect for each request.
 func Serve(ctx context.Context, address string, collect func() []Figure) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return fmt.Errorf("listen for those who ask for metrics: %w", err)
+		return fmt.Errorf("listen for metrics requests: %w", err)
 	}
 	go (&httpapi.Server{Handler: handler(collect), MaxBody: 1 << 10}).Serve(ctx, listener)
 	return nil
 }
 
-// Offer tells figures at an address, unless it is empty. A process whose figures can't be told serves on.
+// Offer exports metrics like [Serve], or does nothing if address is empty. It logs an error instead of returning
+// it: a process works without its metrics.
 func Offer(ctx context.Context, address string, log logrus.FieldLogger, collect func() []Figure) {
 	if address == "" {
 		return
 	}
 	if err := Serve(ctx, address, collect); err != nil {
-		log.WithField("err", err).Warn("metrics can't be told")
+		log.WithField("err", err).Warn("can't serve metrics")
 	}
 }
 
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -49,7 +49,7 @@
 	defer stop()
 	collect := func() []Figure { return []Figure{Flag("up", "It is", true)} }
 	if err := Serve(ctx, address, collect); err == nil {
-		t.Error("an address that is taken is served at")
+		t.Error("no error for an address in use")
 	}
 	probe.Close()
 	if err := Serve(ctx, address, collect); err != nil {
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -1,5 +1,5 @@
-// Package status shows operators what a limiter knows, on an address of its own. It is
-// read only, but for letting a benched plug-in back.
+// Package status serves a limiter's view of tiers and plug-ins to operators over HTTP, on a
+// separate address. It is read-only except for resetting a benched plug-in.
 package status
 
 import (
@@ -19,41 +19,41 @@
 	"golang.org/x/net/netutil"
 )
 
-// Tier is a tier of a pool as one limiter sees it now.
+// Tier is the state of a tier of a pool as seen by one limiter.
 type Tier struct {
 	Pool    string  `json:"pool"`
 	Tier    string  `json:"tier"`
 	Phase   string  `json:"phase"` // well, returning, held down, failing, slow or lost
-	Sole    bool    `json:"sole"`  // no tier is well, and this one takes all that it can
-	Share   float64 `json:"share"` // of the requests that it may take
+	Sole    bool    `json:"sole"`  // no tier is well; this one receives all traffic that it can take
+	Share   float64 `json:"share"` // fraction of the requests that the tier is eligible for
 	Spilled float64 `json:"spilled"`
 	Boxes   int     `json:"boxes"`
 	Usable  int     `json:"usable"`
-	Next    string  `json:"next"` // what changes the share
+	Next    string  `json:"next"` // the condition that changes the share next
 }
 
-// State is what GET /tiers answers.
+// State is the response to GET /tiers.
 type State struct {
 	Limiter string `json:"limiter"`
 	Tiers   []Tier `json:"tiers"`
 }
 
-// Plugin is a plug-in as one limiter sees it now. Counts are sums since it was loaded.
+// Plugin is the state of a plug-in in one limiter. Counters start at zero when it is loaded.
 type Plugin struct {
 	Name         string `json:"name"`
 	Calls        uint64 `json:"calls"`
-	Refused      uint64 `json:"refused"`       // requests that it has had refused
+	Refused      uint64 `json:"refused"`       // requests that were refused on its advice
 	Faults       uint64 `json:"faults"`        // calls that failed
-	TimesBenched uint64 `json:"times_benched"` // after faults in a row
+	TimesBenched uint64 `json:"times_benched"` // each time after consecutive faults
 	BenchedForMs int64  `json:"benched_for_ms"`
-	Skipped      uint64 `json:"skipped"` // requests that went by it while it was benched
-	Busy         uint64 `json:"busy"`    // ... while it had no instance free, or no call left in that second
+	Skipped      uint64 `json:"skipped"` // requests decided without it while it was benched
+	Busy         uint64 `json:"busy"`    // requests decided without it because no instance was free or its call rate was exceeded
 	Instances    int    `json:"instances"`
 	Counters     int    `json:"counters"`
 	LastFault    string `json:"last_fault,omitempty"`
 }
 
-// Label is what became of the requests that plug-ins gave a label.
+// Label counts, by outcome, the requests that plug-ins gave a label.
 type Label struct {
 	Label   string `json:"label"`
 	Served  uint64 `json:"served"`
@@ -61,25 +61,25 @@
 	Failed  uint64 `json:"failed"`
 }
 
-// PluginState is what GET /plugins answers.
+// PluginState is the response to GET /plugins.
 type PluginState struct {
 	Limiter string   `json:"limiter"`
 	Plugins []Plugin `json:"plugins"`
 	Labels  []Label  `json:"labels"`
 }
 
-// Sources tell what is shown. They are called by several goroutines at once.
+// Sources are the functions that supply the data. They are called concurrently.
 type Sources struct {
 	Tiers   func() State
 	Plugins func() PluginState
-	Reset   func(plugin string) bool // lets it back, and tells whether there is one of that name
+	Reset   func(plugin string) bool // ends the benching of a plug-in; false if there is no plug-in of that name
 }
 
-// ResetHeader has to stand in a POST, with any value: a page in an operator's browser can't
-// add it for a foreign address.
+// ResetHeader is required in a POST, with any value, against cross-site request forgery: a web
+// page can't set it in requests to another origin.
 const ResetHeader = "X-Madderdrum-Reset"
 
-// Server answers on one address. Make one with [Listen].
+// Server serves the status over HTTP. Create one with [Listen].
 type Server struct {
 	listener net.Listener
 	server   *http.Server
@@ -88,10 +88,10 @@
 const (
 	headerTimeout  = 2 * time.Second
 	maxHeaderBytes = 8 << 10 // bytes
-	maxConnections = 16      // at once; more wait: who looks on must not take the sockets of those who send
+	maxConnections = 16      // further ones wait, so that operators' connections don't use up the sockets for clients
 )
 
-// Listen takes an address, host:port.
+// Listen returns a Server that listens on addr (host:port); [Server.Run] serves requests.
 func Listen(addr string, from Sources, logger *slog.Logger) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -114,10 +114,10 @@
 		WriteTimeout: headerTimeout, IdleTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: slog.NewLogLogger(logger.Handler(), slog.LevelDebug)}}, nil
 }
 
-// Addr is the address that it listens on.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Run answers until the context ends.
+// Run serves requests until the context ends.
 func (s *Server) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { s.server.Close() })
 	defer stop()
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// answer writes JSON, or a table for those that ask for text.
+// writeAnswer writes s as JSON, or as a table if the request asks for plain text.
 func writeAnswer(w http.ResponseWriter, r *http.Request, s any, table func(w io.Writer)) {
 	w.Header().Set("Cache-Control", "no-store")
 	if strings.Contains(r.Header.Get("Accept"), "text/plain") || r.URL.Query().Get("format") == "text" {
@@ -140,7 +140,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
-	e.Encode(s) // what can't be written has nobody who waits for it
+	e.Encode(s) // an error means that the client has disconnected
 }
 
 func (s State) writeTable(w io.Writer) {
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -73,7 +73,7 @@
 	}
 	stop()
 	if err := <-ended; err != nil {
-		t.Errorf("at the end: %v", err)
+		t.Errorf("after the context ended: %v", err)
 	}
 	if _, err := Listen("nowhere:0x", Sources{}, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "status:") {
 		t.Errorf("a bad address: %v", err)
