--- a/internal/diag/diag.go
+++ b/internal/diag/diag.go
@@ -1,4 +1,4 @@
-// Package diag holds what is wrong with a file in HCL, as users read it.
+// Package diag collects the mistakes in an HCL file and formats them for users.
 package diag
 
 import (
@@ -8,10 +8,10 @@
 	"github.com/hashicorp/hcl/v2"
 )
 
-// Errors is everything that is wrong with a file.
+// Errors is an error with all mistakes in a file.
 type Errors struct{ hcl.Diagnostics }
 
-// Error lists the mistakes, one a line, as file:line:column: what; what to do.
+// Error lists the mistakes, one per line, as file:line:column: mistake; correction.
 func (e *Errors) Error() string {
 	var b strings.Builder
 	for i, d := range e.Diagnostics {
@@ -29,15 +29,15 @@
 	return b.String()
 }
 
-// List gathers mistakes.
+// List accumulates mistakes. The zero value is empty and ready to use.
 type List struct{ hcl.Diagnostics }
 
-// Wrong adds one: where, what to write instead, and what it is.
+// Wrong adds a mistake at a position: do is the correction, and format and args describe the mistake.
 func (l *List) Wrong(at hcl.Range, do, format string, args ...any) {
 	l.Diagnostics = l.Append(&hcl.Diagnostic{Severity: hcl.DiagError, Subject: &at, Summary: fmt.Sprintf(format, args...), Detail: do})
 }
 
-// Err is nil if there are no mistakes, else an *Errors.
+// Err returns an *Errors, or nil if there are no mistakes.
 func (l *List) Err() error {
 	if l.HasErrors() {
 		return &Errors{l.Diagnostics}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,7 +1,6 @@
-// Package fleet describes a deployment to the daemon and to replays: the classes of
-// requests, the plans, the rooms, the limiters, the sender boxes and, for replays, the
-// traffic that the accounts send and how the network between all of them behaves.
-// Package config reads it from files.
+// Package fleet is the model of a deployment that the daemon and the replays share: classes of
+// requests, plans, rooms, limiters, sender boxes and, for replays, the traffic of the accounts and
+// the behaviour of the network. Package config loads it from files.
 package fleet
 
 import (
@@ -15,7 +14,7 @@
 	"example.org/madderdrum/limiter"
 )
 
-// Fleet is a deployment. All slices are in the order of the file.
+// Fleet is a deployment. All slices are in the order of the configuration file.
 type Fleet struct {
 	Rooms    []string
 	Classes  []Class
@@ -26,23 +25,24 @@
 	Network  Network
 	Traffic  Traffic
 	Limits   Limits
-	Tiers    Tiers // of the one pool that has all boxes, by rank; none: all are alike
+	Tiers    Tiers // of the single pool with all boxes, in order of preference; empty: no preference
 }
 
-// Tier is a part of a pool's boxes that is preferred to those after it.
+// Tier is a subset of a pool's boxes that is preferred to the tiers after it. A box belongs to it by its room, by
+// being in the limiter's room, or by a label.
 type Tier struct {
 	Name    string
-	Rooms   []int    // of the fleet
-	OwnRoom bool     // and the limiter's own
-	Labels  []string // and boxes with one of these
-	Spill   float64
+	Rooms   []int    // indexes into Fleet.Rooms
+	OwnRoom bool     // includes the limiter's own room
+	Labels  []string // includes boxes with any of these labels
+	Spill   float64  // largest share of the traffic that may move to the next tiers
 }
 
-// Tiers are those of a pool by rank.
+// Tiers are the tiers of a pool in order of preference.
 type Tiers []Tier
 
-// Of is the tier of a box with labels that stands in a room, for a limiter: the first that
-// has it. Those of no tier come after all.
+// Of returns the index of the first tier that includes a box with this room and these labels, for a
+// limiter in limiterRoom. It is len(t) for boxes of no tier.
 func (t Tiers) Of(room int, labels []string, limiterRoom int) int {
 	for k := range t {
 		if t[k].OwnRoom && room == limiterRoom || slices.Contains(t[k].Rooms, room) ||
@@ -53,7 +53,7 @@
 	return len(t)
 }
 
-// Spills are the shares that may leave each tier, with a last one for the boxes of none.
+// Spills returns the spill of each tier, followed by 0 for the boxes without a tier.
 func (t Tiers) Spills() []float64 {
 	if len(t) == 0 {
 		return nil
@@ -65,122 +65,122 @@
 	return append(all, 0)
 }
 
-// Class is one kind of request.
+// Class is a class of requests with its service objective and retry semantics.
 type Class struct {
 	Name     string
-	Share    float64       // of the arrivals, where a trace names no class; all shares add up to 1
+	Share    float64       // of the arrivals if a trace has no classes; the shares add up to 1
 	Work     time.Duration // mean work on one core at speed 1
-	Spread   float64       // coefficient of variation of the work; 0: always the mean
-	Aim      time.Duration // an answer within this earns the full worth
-	Deadline time.Duration // clients give up after this, over all their tries
+	Spread   float64       // coefficient of variation of the work; 0: constant
+	Aim      time.Duration // latency objective: a response within it earns the full worth
+	Deadline time.Duration // clients time out after this, over all their attempts
 	Worth    float64
-	Late     float64 // share of the worth earned after the aim
-	Units    float64 // that a request takes from its quota
+	Late     float64 // share of the worth that a response after the aim earns
+	Units    float64 // quota units that a request costs
 	Repeat   limiter.Repeat
-	Group    limiter.Group // for keyed classes: who drops repeats
-	Window   time.Duration // for keyed classes: how long repeats are dropped
+	Group    limiter.Group // for keyed classes: the group of boxes that share deduplication
+	Window   time.Duration // for keyed classes: deduplication window
 }
 
-// Plan is what accounts of one plan may use, over all limiters together.
+// Plan is the quota and price of the accounts of one plan, over all limiters together.
 type Plan struct {
 	Name         string
-	Share        float64 // of the arrivals, where a trace names no plan; all shares add up to 1
+	Share        float64 // of the arrivals if a trace has no plans; the shares add up to 1
 	Rate         float64 // units a second
 	Burst        float64 // units
 	CeilingRate  float64 // units a second; 0: no ceiling
 	CeilingBurst float64 // units
 	Price        float64 // factor on the worth
-	BeyondEarns  float64 // share of the worth earned by what is sent on beyond the quota
-	OverrunCost  float64 // share of the worth lost by it
+	BeyondEarns  float64 // share of the worth that a request forwarded beyond the quota earns
+	OverrunCost  float64 // share of the worth that such a request costs
 }
 
-// Limiter is one limiter of the tier.
+// Limiter is the name, room and addresses of a limiter.
 type Limiter struct {
 	Name   string
 	Room   int
 	Listen string // host:port for clients
-	Peer   string // host:port for the other limiters; empty: no talk
-	Admin  string // host:port for operators; empty: none
-	Fleet  string // host:port for the other limiters, to agree on duties; empty: none
+	Peer   string // host:port for messages between limiters; empty: none
+	Admin  string // host:port for operators' commands; empty: none
+	Fleet  string // host:port for the consensus among limiters on duties; empty: none
 }
 
-// Box is one sender box.
+// Box is a sender box: an upstream server with its capacity and its simulated behaviour.
 type Box struct {
 	Name        string
 	Room        int
 	Labels      []string
-	Pod         int // boxes of one pod drop each other's repeats
+	Pod         int // boxes of one pod deduplicate together
 	Dial        string
 	Cores       float64
-	Speed       float64 // work done by a core in a second, in seconds of work
-	Slots       int     // requests that run at once
-	Queue       int     // requests that wait; past them it turns away
-	Thrash      float64 // efficiency lost for each request a core beyond ThrashAt
+	Speed       float64 // seconds of work that a core does per second
+	Slots       int     // requests that are processed concurrently
+	Queue       int     // queue length; further requests are rejected
+	Thrash      float64 // loss of efficiency per request per core above ThrashAt
 	ThrashAt    float64
-	Connections int           // it holds at most
-	Handshake   time.Duration // work of a new connection
-	ColdFrom    float64       // share of its capacity that it starts with
-	ColdFor     time.Duration // it is warm after this at the latest
-	WarmAfter   int           // or after so many requests; 0: by time alone
+	Connections int           // maximum of open connections
+	Handshake   time.Duration // work to establish a connection
+	ColdFrom    float64       // share of the capacity when it starts cold
+	ColdFor     time.Duration // longest warm-up
+	WarmAfter   int           // requests after which it is warm; 0: only after ColdFor
 	Report      Report
-	ErrorRate   float64 // share of requests that fail on an ordinary day
+	ErrorRate   float64 // share of requests that fail in normal operation
 }
 
-// Report says how a box tells its load.
+// Report describes the load reports of a box.
 type Report struct {
-	Every time.Duration // it is measured anew so often
-	Delay time.Duration // and told so much later
+	Every time.Duration // measurement interval
+	Delay time.Duration // time from the measurement to its report
 	Noise float64       // relative standard deviation
 }
 
-// Rules are the figures of the rules.
+// Rules are the parameters of the correctness rules that runs are checked against.
 type Rules struct {
-	DrainGrace   time.Duration // nothing new later than this after a limiter was told
-	FallFactor   float64       // this many times what a cold box can do ...
-	FallFor      time.Duration // ... for so long makes it fall over
-	CeilingSlack float64       // share by which a ceiling may be passed
-	Attempts     int           // of one request at most
+	DrainGrace   time.Duration // a draining box must get no new request later than this after the limiter was notified
+	FallFactor   float64       // a cold box fails if its load exceeds its capacity by this factor ...
+	FallFor      time.Duration // ... for this long
+	CeilingSlack float64       // share by which a ceiling may be exceeded
+	Attempts     int           // maximum attempts per request
 }
 
-// Network is how the parts reach each other. Delays are one way.
+// Network describes delays and losses between the parts of a deployment. Delays are one-way.
 type Network struct {
 	SameRoom, CrossRoom, Client time.Duration
-	Jitter                      float64       // relative, uniform to both sides
-	Connect                     time.Duration // connect time-out
-	Idle                        time.Duration // a box closes a connection idle so long
-	PeerLeast, PeerMost         time.Duration // a message between limiters takes
+	Jitter                      float64       // relative to the delay, uniform in both directions
+	Connect                     time.Duration // connect timeout
+	Idle                        time.Duration // idle timeout of a box's connections
+	PeerLeast, PeerMost         time.Duration // delay of a message between limiters
 	PeerLoss                    float64
-	PeerIn                      float64       // messages a second that a limiter takes in
-	ListLeast, ListMost         time.Duration // a change of the list reaches a limiter after
-	SilentNotice                time.Duration // and that of a box that vanished silently so much later
-	FrontNotice                 time.Duration // the front sees that a limiter died
+	PeerIn                      float64       // messages per second that a limiter receives
+	ListLeast, ListMost         time.Duration // delay until a limiter sees a change of the server list
+	SilentNotice                time.Duration // additional delay for a box that vanishes without notice
+	FrontNotice                 time.Duration // delay until the front end detects a failed limiter
 }
 
-// Traffic is what accounts send where a trace does not say.
+// Traffic describes the synthetic traffic that is used for what a trace does not contain.
 type Traffic struct {
 	Accounts  int
-	Rate      float64 // requests a second that the accounts ask for
-	Swing     float64 // of the rate, as a slow wave
-	Retries   int     // tries of a client after its first
-	TryShare  float64 // least share of the deadline that a client gives a try
+	Rate      float64 // requests per second of all accounts
+	Swing     float64 // amplitude of the slow wave of the rate, as a share of it
+	Retries   int     // maximum retries of a client
+	TryShare  float64 // smallest share of the deadline that a client allows an attempt
 	Backoff   time.Duration
-	Heed      float64       // share of clients that heed Retry-After
-	MaxAdvice time.Duration // the longest advice that they heed
-	SpreadMin float64       // least share of the limiters that an account comes through
-	Skew      float64       // of an account's requests over its limiters: weight of rank k is 1/k^Skew
-	Shift     time.Duration // its busiest limiters change so often
-	Heavy     float64       // share of accounts that ask for HeavyX times their share
+	Heed      float64       // share of clients that respect Retry-After
+	MaxAdvice time.Duration // longest Retry-After that clients respect
+	SpreadMin float64       // smallest share of the limiters that an account uses
+	Skew      float64       // Zipf exponent of an account's requests over its limiters: rank k has weight 1/k^Skew
+	Shift     time.Duration // interval at which an account's busiest limiters change
+	Heavy     float64       // share of accounts that send HeavyX times their share
 	HeavyX    float64
 }
 
-// Limits bound one limiter started with `madderdrum serve`; 0 is no limit.
+// Limits are the resource limits of a limiter started with `madderdrum serve`; 0 means no limit.
 type Limits struct {
 	Cores    float64
 	MemoryMB int
 	Sockets  int
 }
 
-// cold returns the least first share and the longest warm-up of any box: the figures that limiters are told.
+// coldStart returns the smallest initial share and the longest warm-up of any box, for the limiters' settings.
 func (f *Fleet) coldStart() (from float64, longest time.Duration) {
 	from = 1
 	for _, b := range f.Boxes {
@@ -189,7 +189,7 @@
 	return from, longest
 }
 
-// Settings are what the limiter at a position is told of the fleet.
+// Settings returns the settings of the limiter at a position in f.Limiters.
 func (f *Fleet) Settings(position int) limiter.Settings {
 	ms := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 	from, longest := f.coldStart()
@@ -216,8 +216,7 @@
 	return s
 }
 
-// Capacity is the work that all boxes can do in a second when warm, in
-// seconds of work.
+// Capacity returns the work that all boxes together do per second when warm, in seconds of work.
 func (f *Fleet) Capacity() float64 {
 	sum := 0.0
 	for _, b := range f.Boxes {
@@ -226,7 +225,7 @@
 	return sum
 }
 
-// MeanWork is the mean work of a request over the classes' shares.
+// MeanWork returns the mean work of a request, weighted by the shares of the classes.
 func (f *Fleet) MeanWork() time.Duration {
 	sum := 0.0
 	for _, c := range f.Classes {
@@ -235,7 +234,7 @@
 	return time.Duration(sum)
 }
 
-// MostUnits are the units of the class that takes most.
+// MostUnits returns the largest cost in units of any class.
 func (f *Fleet) MostUnits() float64 {
 	most := 0.0
 	for _, c := range f.Classes {
@@ -244,9 +243,9 @@
 	return most
 }
 
-// Scale returns the fleet with so many times as many boxes, limiters and
-// accounts, and with as much more traffic as there are more boxes. Copies take
-// the names, rooms and pods of a fresh set; they have no addresses.
+// Scale returns a copy with the given numbers of boxes, limiters and accounts, and with traffic scaled by
+// capacity. Boxes and limiters repeat those of f in order, with new names and without addresses; each
+// repetition of the boxes has new pods.
 func (f *Fleet) Scale(boxes, limiters, accounts int) *Fleet {
 	s := *f
 	s.Boxes, s.Limiters = nil, nil
@@ -272,11 +271,10 @@
 
 func scaledName(name string, i int) string { return name + strconv.Itoa(i) }
 
-// ErrNoLimiter tells that a fleet has no limiter of a name.
+// ErrNoLimiter is returned for a name that no limiter of the fleet has.
 var ErrNoLimiter = errors.New("no such limiter in the configuration")
 
-// Limiter returns the position of a limiter, or an error that names those
-// there are.
+// Limiter returns the position of the limiter with a name, or an error that lists the existing names.
 func (f *Fleet) Limiter(name string) (int, error) {
 	var names []string
 	for i, l := range f.Limiters {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -11,7 +11,7 @@
 	"example.org/madderdrum/limiter"
 )
 
-// The built-in fleet is what its file says, and what a limiter takes.
+// The built-in fleet has the values of its file, and its settings are valid for a limiter.
 func TestBluebird(t *testing.T) {
 	f := config.Bluebird()
 	if len(f.Boxes) != 12 || len(f.Limiters) != 3 || f.Boxes[7].Name != "b1" || f.Boxes[7].Dial != "127.0.0.1:9007" || f.Boxes[7].Pod != 1 {
--- a/internal/fleet/tiers_test.go
+++ b/internal/fleet/tiers_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A box is in the first tier that has its room, one of its labels, or is the limiter's own
-// room; those that none has come after all.
+// A box belongs to the first tier that includes its room, one of its labels, or the limiter's own
+// room if the box is in it; boxes without a tier come last.
 func TestTiersOf(t *testing.T) {
 	tiers := Tiers{{Name: "new", Labels: []string{"new", "rack-1"}}, {Name: "own", OwnRoom: true}, {Name: "b", Rooms: []int{1}}}
 	for _, x := range []struct {
--- a/internal/forwardauth/service.go
+++ b/internal/forwardauth/service.go
@@ -83,7 +83,7 @@
 	leaseManager *grant.LeaseManager
 
 	// Atomic instead of under mu: an early rejection must not wait for requests that hold mu.
-	counts struct{ yes, no, again, busy, malformed, untrusted atomic.Int64 }
+	counts struct{ granted, refused, repeated, busy, malformed, untrusted atomic.Int64 }
 }
 
 // indexedTier is a Tier with maps from names of classes and plans to their indexes.
@@ -214,7 +214,7 @@
 // logCounts logs the counts if they differ from before, and returns them.
 func (s *Service) logCounts(before Counts) Counts {
 	n := &s.counts
-	now := Counts{n.yes.Load(), n.no.Load(), n.again.Load(), n.busy.Load(), n.malformed.Load(), n.untrusted.Load()}
+	now := Counts{n.granted.Load(), n.refused.Load(), n.repeated.Load(), n.busy.Load(), n.malformed.Load(), n.untrusted.Load()}
 	if now != before {
 		s.mu.Lock()
 		open := s.leaseManager.Leases().OpenCount()
@@ -321,18 +321,18 @@
 	terms := grant.Terms{Account: a.Account, Plan: a.Plan, Class: a.Class, Units: a.Units}
 	attempt := grant.Attempt{Proxy: p.Name, ID: x.id, Terms: terms}
 	if token, repeated := s.leaseManager.FindRepeat(now, attempt); repeated {
-		s.counts.again.Add(1)
+		s.counts.repeated.Add(1)
 		return token, true, 0, true
 	}
 	if a.Lease && !s.leaseManager.Leases().HasRoom() {
-		s.counts.no.Add(1)
+		s.counts.refused.Add(1)
 		return "", false, p.Lease, true
 	}
 	if granted, wait = s.decider.Ask(a); !granted {
-		s.counts.no.Add(1)
+		s.counts.refused.Add(1)
 		return "", false, wait, true
 	}
-	s.counts.yes.Add(1)
+	s.counts.granted.Add(1)
 	until := now + grant.RepeatWindow
 	if a.Lease {
 		until = now + p.Lease
--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -1,6 +1,6 @@
-// Package framing watches the heads of requests on a client's connection for two lengths: of a
-// request with both Content-Length and Transfer-Encoding net/http drops the former silently,
-// and what another reads as the next request may be hidden in such a body (RFC 9112, 6.3).
+// Package framing detects requests with both Content-Length and Transfer-Encoding. net/http silently
+// drops the former, and such a body can hide what another server parses as the next request
+// (request smuggling; RFC 9112, 6.3).
 package framing
 
 import (
@@ -8,19 +8,19 @@
 	"sync/atomic"
 )
 
-// Watch looks at the beginnings of the lines of one connection. Lines of bodies are looked at
-// too: one that reads like a header counts until the next empty line, and only against a
-// client that also sends a chunked body on the same connection. Look is for one goroutine;
-// Both may be asked by any.
+// Watch scans the beginnings of all lines of one connection. It does not tell bodies from headers: a
+// body line that looks like a header counts until the next empty line, which only affects clients
+// that also send a chunked body on the connection. Look must be called by one goroutine; Both is
+// safe for concurrent use.
 type Watch struct {
-	line       [len("transfer-encoding:")]byte // the beginning of a line, in lower case
-	lineLength int                             // of it
-	headFields byte                            // of the head so far
+	line       [len("transfer-encoding:")]byte // the beginning of the current line, in lower case
+	lineLength int                             // bytes used of line
+	headFields byte                            // sawContentLength and sawTransferEncoding of the current header section
 	conflict   atomic.Bool
 }
 
-// Both tells that a head has had both.
-func (c *Watch) Both() bool { return c.conflict.Load() }
+// Both reports whether any header section had both fields.
+func (w *Watch) Both() bool { return w.conflict.Load() }
 
 const (
 	sawContentLength = 1 << iota
@@ -32,36 +32,36 @@
 	encodingName = []byte("transfer-encoding:")
 )
 
-// Look takes in the next bytes of the connection.
-func (c *Watch) Look(b []byte) {
+// Look scans the next bytes read from the connection.
+func (w *Watch) Look(b []byte) {
 	for len(b) > 0 {
 		end := bytes.IndexByte(b, '\n')
 		part := b
 		if end >= 0 {
 			part = b[:end]
 		}
-		for _, x := range part[:min(len(part), len(c.line)-c.lineLength)] {
+		for _, x := range part[:min(len(part), len(w.line)-w.lineLength)] {
 			if 'A' <= x && x <= 'Z' {
 				x += 'a' - 'A'
 			}
-			c.line[c.lineLength] = x
-			c.lineLength++
+			w.line[w.lineLength] = x
+			w.lineLength++
 		}
 		if end < 0 {
 			return
 		}
-		line := c.line[:c.lineLength]
+		line := w.line[:w.lineLength]
 		switch {
-		case c.lineLength == 0 || c.lineLength == 1 && line[0] == '\r':
-			c.headFields = 0
+		case w.lineLength == 0 || w.lineLength == 1 && line[0] == '\r':
+			w.headFields = 0
 		case bytes.HasPrefix(line, lengthName):
-			c.headFields |= sawContentLength
+			w.headFields |= sawContentLength
 		case bytes.HasPrefix(line, encodingName):
-			c.headFields |= sawTransferEncoding
+			w.headFields |= sawTransferEncoding
 		}
-		if c.headFields == sawContentLength|sawTransferEncoding {
-			c.conflict.Store(true)
+		if w.headFields == sawContentLength|sawTransferEncoding {
+			w.conflict.Store(true)
 		}
-		c.lineLength, b = 0, b[end+1:]
+		w.lineLength, b = 0, b[end+1:]
 	}
 }
--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -1,7 +1,7 @@
-// Package hangup keeps a process alive through SIGHUP from the initialization of its packages on. Go's default
-// action ends a program; one that reads its settings anew on SIGHUP must not end by a signal that comes while
-// it starts. Importing the package is enough: it imports next to nothing, so that it is initialized before the
-// packages that take long. What comes before that, in the first moments of the process, can't be caught by it.
+// Package hangup keeps a process alive through SIGHUP from package initialization on. Go's default action for
+// SIGHUP ends the process, and a program that reloads its settings on SIGHUP must not end if the signal arrives
+// during startup. Importing the package is enough. It has few imports, so that it is initialized before packages
+// with slow initialization. It can't catch a signal that arrives before that.
 package hangup
 
 import (
@@ -10,7 +10,7 @@
 	"syscall"
 )
 
-// ignored takes the signals in; nobody reads it. Who follows the settings asks for the signal too.
+// discarded receives the signals and is never read. Code that reloads settings registers its own channel.
 var discarded = make(chan os.Signal, 1)
 
 func init() { signal.Notify(discarded, syscall.SIGHUP) }
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A program that imports the package and nothing else of signals lives on after SIGHUP.
+// A program that imports the package, without other signal handling, survives SIGHUP.
 func TestProcessSurvivesHangup(t *testing.T) {
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
@@ -18,6 +18,6 @@
 			t.Errorf("got %v", got)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("the signal was not taken in")
+		t.Error("the signal was not received")
 	}
 }
--- a/internal/paired/paired_test.go
+++ b/internal/paired/paired_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Chance alone stays under the noise 19 times in 20, for few differences and for many.
+// Random differences with mean 0 stay below the noise in 95% of the cases, for few and many differences.
 func TestNoise(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	for _, n := range []int{2, 3, 8, 31, 60} {
@@ -26,6 +26,6 @@
 		}
 	}
 	if Noise(nil) != 0 || Noise([]float64{1}) != 0 {
-		t.Error("one difference can't tell")
+		t.Error("noise of fewer than two differences is not 0")
 	}
 }
--- a/internal/parallel/parallel.go
+++ b/internal/parallel/parallel.go
@@ -1,4 +1,4 @@
-// Package parallel plays independent runs on all cores.
+// Package parallel runs independent tasks on all cores.
 package parallel
 
 import (
@@ -9,10 +9,10 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Each calls do for 0 to n-1, as many at once as there are cores, and returns the first error;
-// after it no further one is begun, and the context of those under way ends. progress, if set,
-// is called after each with the share that is done, never twice at once. What do leaves is to go
-// where it belongs by its number, so that results do not depend on the order of the ends.
+// Each calls do for 0 to n-1, with GOMAXPROCS calls in parallel, and returns the first error. After an
+// error no further call starts, and the context of the running ones is cancelled. progress, if set,
+// is called after each completed call with the completed share, by one goroutine at a time. do must
+// store its result by its index, so that results do not depend on the order of completion.
 func Each(ctx context.Context, n int, progress func(done float64), do func(ctx context.Context, i int) error) error {
 	group, running := errgroup.WithContext(ctx)
 	group.SetLimit(runtime.GOMAXPROCS(0))
--- a/internal/parallel/parallel_test.go
+++ b/internal/parallel/parallel_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Each number is done once and told, an error ends it, and so does a context.
+// Each index runs once and reports progress; an error or the end of the context stops the rest.
 func TestEach(t *testing.T) {
 	got, shares := make([]int, 100), []float64{}
 	err := Each(t.Context(), len(got), func(done float64) { shares = append(shares, done) }, func(_ context.Context, i int) error {
@@ -23,7 +23,7 @@
 		}
 	}
 	if err := Each(t.Context(), 0, nil, nil); err != nil {
-		t.Errorf("nothing to do: %v", err)
+		t.Errorf("no tasks: %v", err)
 	}
 	bad := errors.New("bad")
 	var begun atomic.Int64
@@ -43,6 +43,6 @@
 		return nil
 	})
 	if !errors.Is(err, context.Canceled) {
-		t.Errorf("a context that ends: %v", err)
+		t.Errorf("a cancelled context: %v", err)
 	}
 }
--- a/internal/planner/page.go
+++ b/internal/planner/page.go
@@ -22,7 +22,7 @@
 	"style": func() template.CSS { return template.CSS(chart.Style) },
 }).Parse(page))
 
-// HTML writes the plan as one page that needs nothing else.
+// HTML writes the plan as a self-contained HTML page.
 func (r *Report) HTML(w io.Writer) error {
 	d := struct {
 		*Report
@@ -33,18 +33,18 @@
 	for _, x := range r.Rooms {
 		d.Total += x.Boxes
 	}
-	var need, loss, have, whole, without, cold []float64
+	var need, needWithLoss, available, served, servedAfterLoss, servedAfterReturn []float64
 	most := float64(d.Total)
 	for _, h := range r.Hours {
-		need, loss, have = append(need, float64(h.Boxes)), append(loss, float64(h.BoxesLoss)), append(have, float64(d.Total))
-		whole, without, cold = append(whole, h.Served), append(without, h.ServedLoss), append(cold, h.ServedCold)
+		need, needWithLoss, available = append(need, float64(h.Boxes)), append(needWithLoss, float64(h.BoxesLoss)), append(available, float64(d.Total))
+		served, servedAfterLoss, servedAfterReturn = append(served, h.Served), append(servedAfterLoss, h.ServedLoss), append(servedAfterReturn, h.ServedCold)
 		most = max(most, float64(h.BoxesLoss))
 	}
 	length := float64(len(r.Hours))
 	draw := func(most float64, lines ...[]float64) template.HTML {
 		c := chart.Over(length, "h", most, chart.Height, "")
 		for k, line := range lines {
-			if len(line) == 1 { // a level for all of it
+			if len(line) == 1 { // a constant for the whole period
 				line = []float64{line[0], line[0]}
 				c.Line(fmt.Sprintf("room%d", k), length/2, line)
 				continue
@@ -53,7 +53,7 @@
 		}
 		return c.SVG()
 	}
-	d.Need, d.Serve = draw(most, need, loss, have), draw(1, whole, without, cold)
+	d.Need, d.Serve = draw(most, need, needWithLoss, available), draw(1, served, servedAfterLoss, servedAfterReturn)
 	if err := pageTemplate.Execute(w, d); err != nil {
 		return fmt.Errorf("plan: %w", err)
 	}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -1,5 +1,5 @@
-// Package planner reads what was asked for from traces, and holds a fleet against a forecast of
-// it: the host of package capacity for operators.
+// Package planner does capacity planning for operators: it reads the demand from traces, forecasts it
+// with package capacity, and compares a fleet with the forecast.
 package planner
 
 import (
@@ -21,44 +21,44 @@
 	"example.org/madderdrum/internal/world"
 )
 
-// Options are what a plan is made with.
+// Options are the parameters of a plan.
 type Options struct {
 	Begins     float64 // seconds from a Monday 00:00 to the trace's first arrival
 	Confidence float64
-	Goal       float64 // share of the worth
-	Without    string  // a room that is away
-	Boxes      int     // in all instead of those of the fleet; 0: those
-	Rate       float64 // requests a second in the mean instead of the record's; 0: the record's
+	Goal       float64 // share of the worth to be served
+	Without    string  // name of a room to leave out; empty: none
+	Boxes      int     // total number of boxes; 0: as in the fleet
+	Rate       float64 // mean requests per second; 0: as recorded
 }
 
-// Report is a plan.
+// Report is a capacity plan with its inputs.
 type Report struct {
 	Goal       float64  `json:"goal"`
 	Confidence float64  `json:"confidence"`
-	Coverage   *float64 `json:"coverage"` // of the bins held back; null: too little to tell
+	Coverage   *float64 `json:"coverage"` // share of held-out bins below the forecast; null: the record is too short
 	PeriodS    float64  `json:"period_s"`
 	BinS       float64  `json:"bin_s"`
 	Holes      []string `json:"holes"`
 	Odd        []string `json:"odd_days"`
 	Rooms      []Room   `json:"rooms"`
 	Hours      []Hour   `json:"hours"`
-	Binding    int      `json:"binding_hour"` // index of the hour that takes the most boxes
+	Binding    int      `json:"binding_hour"` // index of the hour that needs the most boxes
 
 	fleet *capacity.Fleet
 	plan  []capacity.Hour
 }
 
-// Room is a room of the fleet.
+// Room is the capacity of a room of the fleet.
 type Room struct {
 	Name  string  `json:"name"`
 	Boxes int     `json:"boxes"`
 	Work  float64 `json:"work_per_box"`
 }
 
-// Hour is one slot.
+// Hour is the forecast demand and the required capacity of a slot of the period.
 type Hour struct {
 	From       string  `json:"from"`
-	Requests   float64 `json:"requests_per_s"` // at the confidence, within quota
+	Requests   float64 `json:"requests_per_s"` // quantile at the confidence, within the quota
 	Work       float64 `json:"work_per_s"`
 	Use        float64 `json:"use"`
 	Served     float64 `json:"served"`
@@ -70,7 +70,7 @@
 	OneMore    float64 `json:"one_more_box_is_worth"`
 }
 
-// bin is the length of a bin for a record.
+// binLength returns the length of the bins for a record of a length.
 func binLength(length time.Duration) time.Duration {
 	switch {
 	case length < 10*time.Minute:
@@ -81,7 +81,7 @@
 	return time.Minute
 }
 
-// kinds are classes by plans.
+// requestKinds returns a kind of request for each pair of plan and class, ordered by plan.
 func requestKinds(f *fleet.Fleet) (all []capacity.Kind) {
 	for _, p := range f.Plans {
 		for _, c := range f.Classes {
@@ -92,7 +92,7 @@
 	return all
 }
 
-// rooms are those of a fleet, as the options change them.
+// fleetRooms returns the rooms of a fleet that have boxes, after applying the options.
 func fleetRooms(f *fleet.Fleet, o Options) (all []capacity.Room, err error) {
 	total := 0
 	for i, name := range f.Rooms {
@@ -133,7 +133,7 @@
 	return nil, fmt.Errorf("no room %q with boxes; there are %v", o.Without, f.Rooms)
 }
 
-// history is what a plan of a replay asks for within quota.
+// recordHistory returns the requests within the quotas of a replay, by kind and bin.
 func recordHistory(p *replay.Plan, begins float64, seed uint64) (*capacity.History, error) {
 	source, err := p.Source(seed)
 	if err != nil {
@@ -156,7 +156,7 @@
 		if m.Asked(a.At, &r); r.Within {
 			units := 1.0
 			if own := f.Classes[a.Class].Units; own > 0 {
-				units = a.Units / own // larger ones count for as many usual ones
+				units = a.Units / own // a larger request counts as several of the usual size
 			}
 			h.Kinds[a.Plan*len(f.Classes)+a.Class][min(n-1, int(a.At/each))] += units
 		}
@@ -167,14 +167,14 @@
 	return h, nil
 }
 
-// Make plans a fleet for what a replay's plan asks for.
+// Make returns a capacity plan for the demand of a replay.
 func Make(p *replay.Plan, o Options) (*Report, error) {
 	f := p.Options.Fleet
 	h, err := recordHistory(p, o.Begins, p.Options.Seed)
 	if err != nil {
 		return nil, err
 	}
-	if o.Rate > 0 { // counts are scaled, not copies of requests played: it costs nothing, and holes stay
+	if o.Rate > 0 { // scaling counts instead of replaying copies of requests is cheap and keeps the holes
 		factor := o.Rate / p.Scale.PlayedRate
 		for _, kind := range h.Kinds {
 			for i := range kind {
@@ -219,7 +219,7 @@
 	return r, nil
 }
 
-// Text writes the plan for people.
+// Text writes the plan as a table.
 func (r *Report) Text(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	total := 0
@@ -264,18 +264,18 @@
 	return out.Encode(r)
 }
 
-// Trial is what came of replaying a plan's binding hour.
+// Trial is the result of replaying a plan's binding hour.
 type Trial struct {
-	Days, Kept  int // those on which service came within the tolerance of the goal, or over it
+	Days, Kept  int // Kept: days with a service level of at least the goal less goalTolerance
 	Boxes       int
-	Mean, Worst float64
+	Mean, Worst float64 // service level
 }
 
-// tolerance is by how much a replayed day may stay below the goal.
+// goalTolerance is how far the service level of a replayed day may be below the goal.
 const goalTolerance = 0.02
 
-// Replay plays the binding hour on so many random days, of a minute each, with so many boxes
-// in rooms of equal size and the last of them lost all the time.
+// Replay simulates the demand of the binding hour on a number of random days, of a minute each, with
+// boxes in rooms of equal size, of which the last is lost all the time.
 func (r *Report) Replay(ctx context.Context, f *fleet.Fleet, boxes, days int, progress func(done float64)) (*Trial, error) {
 	const length = time.Minute
 	day := *f
@@ -302,26 +302,26 @@
 	if err != nil {
 		return nil, err
 	}
-	got := make([]float64, days)
+	services := make([]float64, days)
 	err = parallel.Each(ctx, days, progress, func(ctx context.Context, i int) error {
 		seed := uint64(i + 1)
 		res, err := virtual.Run(ctx, virtual.Options{Fleet: &day, Seed: rand.New(rand.NewPCG(seed, 0x91a)).Uint64(), Source: world.NewSynthetic(&day, seed, length), Faults: faults})
 		if err != nil {
 			return err
 		}
-		// What the loss itself costs, until it is noticed, is not the plan's matter.
+		// Skips the first 15 seconds: the plan does not cover requests that fail until the loss is detected.
 		worth, earned := 0.0, 0.0
 		for _, s := range res.World.Meter.Seconds[min(15, len(res.World.Meter.Seconds)):] {
 			worth, earned = worth+s.Worth, earned+s.Earned
 		}
-		got[i] = earned / max(1e-12, worth)
+		services[i] = earned / max(1e-12, worth)
 		return nil
 	})
 	if err != nil {
 		return nil, err
 	}
 	t := &Trial{Days: days, Boxes: boxes, Worst: math.Inf(1)}
-	for _, x := range got {
+	for _, x := range services {
 		t.Mean += x / float64(days)
 		t.Worst = min(t.Worst, x)
 		if x >= r.Goal-goalTolerance {
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -26,8 +26,8 @@
 	return r
 }
 
-// Twice as much takes twice the boxes, a room that is lost doubles them in two rooms, and what
-// the plan promises is kept on replayed days, by half of the boxes it is not.
+// Twice the demand needs twice the boxes, and the loss of one of two rooms doubles them. Replayed days
+// reach the goal with the planned boxes and miss it with half of them.
 func TestPlanIsKept(t *testing.T) {
 	o := Options{Confidence: 0.95, Goal: 0.97}
 	r, twice := plan(t, 1, o), plan(t, 2, o)
@@ -50,16 +50,16 @@
 	}
 }
 
-// What-ifs change what they name, and text and JSON say the same.
+// Options change the plan as documented, and the text and JSON formats agree.
 func TestWhatIf(t *testing.T) {
 	o := Options{Confidence: 0.95, Goal: 0.97}
 	r := plan(t, 1, o)
 	o.Boxes = 30
-	more := plan(t, 1, o)
+	larger := plan(t, 1, o)
 	o.Without = "room-b"
-	one := plan(t, 1, o)
-	if more.Rooms[0].Boxes != 15 || more.Rooms[1].Boxes != 15 || more.Hours[0].Use >= r.Hours[0].Use || len(one.Rooms) != 1 || one.Hours[0].BoxesLoss != one.Hours[0].Boxes {
-		t.Errorf("%+v, one room %+v", more.Rooms, one.Hours)
+	oneRoom := plan(t, 1, o)
+	if larger.Rooms[0].Boxes != 15 || larger.Rooms[1].Boxes != 15 || larger.Hours[0].Use >= r.Hours[0].Use || len(oneRoom.Rooms) != 1 || oneRoom.Hours[0].BoxesLoss != oneRoom.Hours[0].Boxes {
+		t.Errorf("%+v, one room %+v", larger.Rooms, oneRoom.Hours)
 	}
 	var text, data bytes.Buffer
 	if err := r.Text(&text); err != nil {
--- a/internal/policies/policies.go
+++ b/internal/policies/policies.go
@@ -1,6 +1,6 @@
-// Package policies holds plain policies to measure the limiter against on the
-// same days: what people run who have no limiter, or a simple one. They keep the
-// rules on repeats, as any proxy must, and know neither peers nor health.
+// Package policies has simple baseline policies that the limiter is compared with in the same
+// simulated runs: what deployments use that have no limiter, or a simple one. They follow the retry
+// rules, as any proxy must, but exchange no messages with peers and ignore the health of boxes.
 package policies
 
 import (
@@ -14,7 +14,7 @@
 	"example.org/madderdrum/limiter"
 )
 
-// Names are the policies by name, the limiter in service first.
+// Names returns the names of all policies, with the limiter itself first.
 func Names() []string { return append([]string{"limiter"}, slices.Sorted(maps.Keys(builtin))...) }
 
 var builtin = map[string]virtual.NewPolicy{
@@ -29,10 +29,9 @@
 	},
 }
 
-// ByName returns a policy: "limiter" is the one in service, "random" passes all
-// to boxes at random, "bucket" is a token bucket in each limiter for its part of
-// the quota before that, "least" passes all to the box with the fewest requests
-// out from here.
+// ByName returns a policy. "limiter" is the limiter itself, "random" sends every request to a random
+// box, "bucket" does the same after a token bucket in each limiter for its part of the quota, and
+// "least" sends every request to the box with the fewest outstanding requests of this limiter.
 func ByName(name string) (virtual.NewPolicy, error) {
 	if name == "limiter" || name == "" {
 		return virtual.Limiter, nil
@@ -69,7 +68,7 @@
 		outstanding: map[uint64]int{}, requests: map[string]*request{}, buckets: map[uint64]*bucket{}}
 }
 
-// Handle takes one event.
+// Handle processes an event and returns the resulting actions.
 func (p *policy) Handle(now float64, ev limiter.Event) []limiter.Action {
 	switch e := ev.(type) {
 	case limiter.Endpoints:
@@ -112,8 +111,8 @@
 	return nil
 }
 
-// take draws from the customer's bucket here: its part of the quota by the
-// number of limiters that it comes through.
+// takeUnits takes a request's units from the account's bucket in this limiter, which has an equal part of the
+// quota for each limiter that the account uses. It returns false if the bucket has too few.
 func (p *policy) takeUnits(now float64, e limiter.Submit) bool {
 	plan, n := p.settings.Plans[e.Plan], float64(max(1, e.Spread))
 	b := p.buckets[e.Account]
--- a/internal/policies/policies_test.go
+++ b/internal/policies/policies_test.go
@@ -58,6 +58,6 @@
 		}
 	}
 	if _, err := ByName("best"); err == nil {
-		t.Error("an unknown policy is taken")
+		t.Error("an unknown policy is accepted")
 	}
 }
--- a/internal/policies/priority.go
+++ b/internal/policies/priority.go
@@ -7,20 +7,21 @@
 	"example.org/madderdrum/limiter"
 )
 
-// overProvisioning is the factor by which a priority's health is taken to suffice
-// (Envoy's default).
+// overprovisioningFactor multiplies the share of healthy boxes of a tier to give the share of the
+// traffic that it can take (Envoy's default).
 const overprovisioningFactor = 1.4
 
-// Passive ejection of boxes: so many failures in a row, for so long times the number of
-// ejections (the defaults of Envoy's outlier detection).
+// Passive ejection of boxes, with the defaults of Envoy's outlier detection: a box is ejected after
+// ejectAfterFailures consecutive failures, for baseEjectionMs times the number of its ejections, up
+// to maxEjectionMs.
 const (
 	ejectAfterFailures = 5
 	baseEjectionMs     = 30_000.0
 	maxEjectionMs      = 300_000.0
 )
 
-// Failover returns the limiter in service with a plain rule for tiers before it: all
-// goes to the first tier that has a box that is healthy.
+// Failover returns the limiter preceded by a simple rule for tiers: all requests go to the first tier
+// with a healthy box.
 func Failover(s limiter.Settings, seed uint64) (virtual.Policy, error) {
 	return newPriority(s, seed, func(health []float64, _ float64) int {
 		for k, h := range health {
@@ -32,10 +33,9 @@
 	})
 }
 
-// Priority returns the limiter in service with the rule of Envoy's priority levels
-// before it: a tier takes 1.4 times its share of healthy boxes of the traffic, up to
-// all, and the next ones what is left; see "Priority levels" in Envoy's documentation
-// on load balancing.
+// Priority returns the limiter preceded by Envoy's rule for priority levels: a tier takes a share of
+// the traffic of up to 1.4 times its share of healthy boxes, and the next tiers take the rest; see
+// "Priority levels" in Envoy's documentation on load balancing.
 func Priority(s limiter.Settings, seed uint64) (virtual.Policy, error) {
 	return newPriority(s, seed, func(health []float64, u float64) int {
 		total := 0.0
@@ -55,19 +55,19 @@
 	})
 }
 
-// priority has each tier be a pool of the limiter's, and picks the pool of each request.
+// priorityPolicy presents each tier as a pool of its own to the limiter and picks the pool of each request.
 type priorityPolicy struct {
 	inner       virtual.Policy
 	rng         *rand.Rand
 	pickTier    func(health []float64, u float64) int
-	boxesByTier []map[uint64]*boxState // by tier
+	boxesByTier []map[uint64]*boxState // for each tier, by id
 	boxByID     map[uint64]*boxState
 	health      []float64
 }
 
 type boxState struct {
 	up                  bool
-	consecutiveFailures int // failures in a row
+	consecutiveFailures int
 	ejections           int
 	ejectedUntilMs      float64
 }
@@ -75,7 +75,7 @@
 func newPriority(s limiter.Settings, seed uint64, pick func([]float64, float64) int) (virtual.Policy, error) {
 	tiers := len(s.Spills[0])
 	s.Spills = nil
-	s.Rules.ColdShare = 0 // its rule for cold boxes would give them hardly anything: that goes by the pool's traffic
+	s.Rules.ColdShare = 0 // the limiter sizes the share of cold boxes by the traffic of their pool, which is too small here
 	inner, err := limiter.New(s, seed)
 	if err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 	return p, nil
 }
 
-// Handle takes one event.
+// Handle processes an event and returns the resulting actions.
 func (p *priorityPolicy) Handle(now float64, ev limiter.Event) []limiter.Action {
 	switch e := ev.(type) {
 	case limiter.Endpoints:
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,9 +1,9 @@
-// Package service measures service as the users define it: the worth answered
-// in time over the worth asked for within the quotas.
+// Package service computes the service level: the worth earned by responses over the worth of the
+// requests within their quotas.
 //
-// A [Meter] is told of what clients ask, of what limiters send on and of how it
-// ends, with the time, and keeps sums. It does no I/O and reads no clock, and is
-// not safe for concurrent use.
+// A [Meter] receives the requests of clients, the attempts that limiters forward and the outcomes,
+// with their times, and keeps sums. It does no I/O, reads no clock, and is not safe for concurrent
+// use.
 package service
 
 import (
@@ -13,61 +13,61 @@
 	"example.org/madderdrum/internal/fleet"
 )
 
-// Weights of the parts of the figure, as the brief gives them.
+// The weights of the parts of [Figure.Total], from the requirements.
 const (
 	WholeWeight  = 0.65
 	WorstWeight  = 0.20
 	PlanWeight   = 0.15
-	WorstSeconds = 10 // length of the worst window
+	WorstSeconds = 10 // length of the window for the worst period
 )
 
-// End is how a client's request ended, over all its tries.
+// End is the outcome of a client's request over all its attempts.
 type End int
 
-// The ends of a request.
+// The outcomes of a request.
 const (
 	InTime End = iota
-	Late       // answered after the aim
+	Late       // response after the latency objective
 	Refused
 	Failed
-	Expired // no answer while the client waited
-	Ends
+	Expired // no response before the client's timeout
+	Ends    // the number of outcomes
 )
 
 var endNames = [...]string{"in_time", "late", "refused", "failed", "expired"}
 
 func (e End) String() string { return endNames[e] }
 
-// Request is what a client asks for, once for all its tries.
+// Request is a client's request, shared by all its attempts.
 type Request struct {
 	Account     uint64
 	Class, Plan int
 	Units       float64
 	At          time.Duration
-	Way         int // how it goes, by the driver's own numbers below Ways
+	Way         int // how the request enters the system, numbered by the caller, less than Ways
 
-	Within     bool    // the quota had room when it was asked
-	Worth      float64 // in full
-	Over       bool    // it has ended ...
-	End        End     // ... so
-	Earned     float64 // and earned this, below 0 where it cost more
-	sentBeyond bool    // some try was sent on beyond the quota
+	Within     bool    // within the quota on arrival
+	Worth      float64 // for a response in time
+	Over       bool    // it has ended, with outcome End
+	End        End
+	Earned     float64 // worth earned, negative if it cost more
+	sentBeyond bool    // an attempt was forwarded beyond the quota
 	sent       bool
 }
 
-// Tally is a count of requests by their end, with their worth.
+// Tally counts requests by outcome, with their worth.
 type Tally struct {
 	Asked         int
-	Within        int // of them inside the quotas
+	Within        int // requests within the quotas
 	By            [Ends]int
-	RefusedWithin int     // refused with room in the quota
-	Worth         float64 // asked for within the quotas
+	RefusedWithin int     // refused although within the quota
+	Worth         float64 // of the requests within the quotas
 	Earned        float64
-	Retries       int // tries after the first
-	SentBeyond    int // requests of which a try was sent on beyond the quota
+	Retries       int // attempts after the first
+	SentBeyond    int // requests with an attempt forwarded beyond the quota
 }
 
-// Service is the worth earned over the worth asked for; 1 where nothing was.
+// Service returns the worth earned over the worth requested, or 1 if nothing was requested.
 func (t *Tally) Service() float64 {
 	if t.Worth <= 0 {
 		return 1
@@ -75,37 +75,37 @@
 	return t.Earned / t.Worth
 }
 
-// Meter keeps the sums.
+// Meter accumulates tallies of a run, in total and by class, plan, way, second and optionally account.
 type Meter struct {
 	fleet      *fleet.Fleet
 	accounts   map[uint64]*accountBuckets
 	sweptAt    time.Duration
-	refillTime time.Duration // an account that idles so long has full buckets
+	refillTime time.Duration // time after which every bucket of an idle account is full
 
-	Why     map[string]int // how requests ended that were not served in time
+	Why     map[string]int // counts of requests that were not served in time, by reason
 	Total   Tally
 	Classes []Tally
 	Plans   []Tally
 	Ways    [Ways]Tally
 	Seconds []Second
-	// Accounts are sums by account, if KeepAccounts was called before the first request.
+	// Accounts are tallies by account, if KeepAccounts was called before the first request.
 	Accounts map[uint64]*Tally
 }
 
-// KeepAccounts has sums kept for each account, which takes memory for each.
+// KeepAccounts enables tallies by account, which need memory for each account.
 func (m *Meter) KeepAccounts() { m.Accounts = map[uint64]*Tally{} }
 
-// Ways is how many ways of going are told apart.
+// Ways is the number of values of [Request.Way].
 const Ways = 3
 
-// Second is what was asked for in one second, and what came of it.
+// Second counts the requests that arrived in one second, by outcome.
 type Second struct {
 	Asked, Served, Refused, Failed int
 	Worth, Earned                  float64
 }
 
-// quota is the reference bucket of an account: what it asks for is measured
-// against one, what is sent on for it against another of the same size.
+// accountBuckets are the reference token buckets of an account: one for the requests of its
+// clients and another of the same size for the attempts that limiters forward.
 type accountBuckets struct {
 	askedLevel, sentLevel float64
 	askedAt, sentAt       time.Duration
@@ -127,7 +127,7 @@
 		q = &accountBuckets{askedLevel: burst, sentLevel: burst, askedAt: now, sentAt: now}
 		m.accounts[r.Account] = q
 	}
-	if now-m.sweptAt > 4*m.refillTime { // full buckets need no record
+	if now-m.sweptAt > 4*m.refillTime { // accounts with full buckets need no entry
 		m.sweptAt = now
 		for id, o := range m.accounts {
 			if o != q && now-max(o.askedAt, o.sentAt) > m.refillTime {
@@ -138,7 +138,7 @@
 	return q
 }
 
-// Asked counts a request; it sets Within and Worth.
+// Asked records the arrival of a request and sets its fields At, Within and Worth.
 func (m *Meter) Asked(now time.Duration, r *Request) {
 	p, c, q := m.fleet.Plans[r.Plan], m.fleet.Classes[r.Class], m.bucketsOf(now, r)
 	q.askedLevel = min(p.Burst, q.askedLevel+p.Rate*(now-q.askedAt).Seconds())
@@ -161,11 +161,11 @@
 	}
 }
 
-// Retried counts a further try.
+// Retried counts a retry.
 func (m *Meter) Retried(r *Request) { m.updateTallies(r, func(t *Tally) { t.Retries++ }) }
 
-// SentOn counts a try that a limiter sent on for the first time: quotas count
-// every try once.
+// SentOn records the first time that a limiter forwards an attempt of a client: quotas count each
+// of a client's attempts once.
 func (m *Meter) SentOn(now time.Duration, r *Request) {
 	p, q := m.fleet.Plans[r.Plan], m.bucketsOf(now, r)
 	q.sentLevel = min(p.Burst, q.sentLevel+p.Rate*(now-q.sentAt).Seconds())
@@ -179,8 +179,7 @@
 	}
 }
 
-// Ended counts how a request ended at last, and in words why, where it was not
-// served in time.
+// Ended records the final outcome of a request, and the reason if it was not served in time.
 func (m *Meter) Ended(r *Request, end End, why string) {
 	if end != InTime {
 		m.Why[why]++
@@ -239,18 +238,18 @@
 	return &m.Seconds[i]
 }
 
-// Figure is service with its parts.
+// Figure is the service level with its parts.
 type Figure struct {
 	Whole     float64
-	Worst     float64 // the worst WorstSeconds
-	WorstFrom int     // where they begin, in seconds
-	Plan      float64 // the worst-served plan
+	Worst     float64 // service in the worst window of WorstSeconds
+	WorstFrom int     // start of that window, in seconds
+	Plan      float64 // service of the plan that is served worst
 	WorstPlan int
-	Total     float64 // by the weights
+	Total     float64 // weighted sum of Whole, Worst and Plan
 }
 
-// Figure returns the figure by now. A window counts if a tenth as much as in
-// the mean was asked for in it.
+// Figure returns the service level so far. A window counts only if the worth requested in it is
+// above a tenth of the mean.
 func (m *Meter) Figure() Figure {
 	f := Figure{Whole: m.Total.Service(), Worst: math.Inf(1), Plan: math.Inf(1)}
 	mean := m.Total.Worth / float64(max(1, len(m.Seconds))) * WorstSeconds
@@ -266,7 +265,7 @@
 			f.Worst, f.WorstFrom = earned/worth, from
 		}
 	}
-	if math.IsInf(f.Worst, 1) { // a short run is its own worst window
+	if math.IsInf(f.Worst, 1) { // the run is too short for a window
 		f.Worst = f.Whole
 	}
 	for i := range m.Plans {
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -20,7 +20,7 @@
 		m.Ended(r, end, "because")
 		return r
 	}
-	// A business account of 15 units at once: three bulk sends of four fit.
+	// A business account has a burst of 15 units: three bulk requests of four units fit.
 	for range 3 {
 		if r := ask(0, 2, 1, true, InTime); !r.Within || math.Abs(r.Worth-22) > 1e-9 {
 			t.Fatalf("%+v", r)
@@ -30,16 +30,16 @@
 		t.Errorf("service %g", s)
 	}
 	if r := ask(0, 2, 1, false, Refused); r.Within {
-		t.Error("beyond the burst, but within")
+		t.Error("request beyond the burst counted as within the quota")
 	}
 	if s := m.Plans[1].Service(); math.Abs(s-1) > 1e-9 {
 		t.Errorf("service %g after a refusal beyond the quota", s)
 	}
-	ask(0, 2, 1, true, InTime) // sent on beyond: earns nothing and costs 120%
+	ask(0, 2, 1, true, InTime) // forwarded beyond the quota: earns nothing and costs 120%
 	if s, want := m.Plans[1].Service(), (66-1.2*22)/66; math.Abs(s-want) > 1e-9 {
 		t.Errorf("service %g, want %g", s, want)
 	}
-	// Late status checks of enterprise earn a fifth.
+	// Late status checks of the enterprise plan earn a fifth.
 	ask(time.Second, 0, 2, true, Late)
 	if s := m.Plans[2].Service(); math.Abs(s-0.2) > 1e-9 {
 		t.Errorf("service %g", s)
@@ -71,7 +71,7 @@
 	}
 }
 
-// Accounts that come once are forgotten.
+// Entries of idle accounts are removed.
 func TestMeterForgets(t *testing.T) {
 	m := NewMeter(config.Bluebird())
 	for i := range 200_000 {
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,5 +1,4 @@
-// Package sockets holds what both proxies ask of a connection, and how those of a listener are
-// taken.
+// Package sockets has the accept loop and the connection checks that both proxies use.
 package sockets
 
 import (
@@ -10,8 +9,8 @@
 	"time"
 )
 
-// Accept has each connection served, in a goroutine of its own, until the listener is closed or
-// the context ends, which closes it.
+// Accept calls serve for each connection, in a new goroutine, until the listener is closed or the
+// context ends. The end of the context closes the listener.
 func Accept(ctx context.Context, l net.Listener, serve func(net.Conn)) {
 	defer context.AfterFunc(ctx, func() { l.Close() })()
 	for {
@@ -22,28 +21,28 @@
 		case ctx.Err() != nil, errors.Is(err, net.ErrClosed):
 			return
 		default:
-			time.Sleep(10 * time.Millisecond) // out of descriptors
+			time.Sleep(10 * time.Millisecond) // for example out of file descriptors
 		}
 	}
 }
 
-// Quiet tells that an idle connection is open and silent. One that the other end has closed
-// must not be used: the request would be cut, and what can't be repeated could not be sent
-// again. What has come on one that is idle belongs to no request.
+// Quiet reports whether an idle connection is open and has no unread input. A connection that the
+// peer has closed must not be reused, since the request would be cut off and might not be safe to
+// retry. Input on an idle connection belongs to no request.
 func Quiet(c net.Conn) bool {
 	_, err := peek(c)
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// Closed tells that the other end has closed its connection, or that it has broken, with nothing left to be
-// read before that. It waits for nothing. Of what is no socket it knows nothing.
+// Closed reports whether the peer has closed the connection or it has failed, with no unread input before that.
+// It does not block, and returns false for connections that are not sockets.
 func Closed(c net.Conn) bool {
 	n, err := peek(c)
 	return n == 0 && err == nil || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// peek looks at the next byte of a socket, which stays there. n is 0 at its end; the error is EAGAIN where
-// nothing has come, or what else the system said.
+// peek reads the next byte of a socket without consuming it or blocking. n is 0 at the end of the stream. The
+// error is EAGAIN if there is no input, or another error of the system call.
 func peek(c net.Conn) (n int, err error) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -53,15 +52,15 @@
 	if err != nil {
 		return 0, err
 	}
-	failed := raw.Read(func(fd uintptr) bool {
+	readErr := raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return true
 	})
-	if failed != nil {
-		return 0, failed
+	if readErr != nil {
+		return 0, readErr
 	}
 	return n, err
 }
 
-var errNotSocket = errors.New("this is no socket")
+var errNotSocket = errors.New("not a socket")
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -30,7 +30,7 @@
 	return dialed.(*net.TCPConn), accepted.(*net.TCPConn)
 }
 
-// What the other end has done, and what is seen of it without waiting.
+// Quiet and Closed for each action of the peer.
 func TestQuietAndClosed(t *testing.T) {
 	for name, x := range map[string]struct {
 		far           func(c *net.TCPConn)
@@ -53,7 +53,7 @@
 		x.far(far)
 		quiet, closed := Quiet(near), Closed(near)
 		for until := time.Now().Add(5 * time.Second); (quiet != x.quiet || closed != x.closed) && time.Now().Before(until); time.Sleep(time.Millisecond) {
-			quiet, closed = Quiet(near), Closed(near) // it may be on its way
+			quiet, closed = Quiet(near), Closed(near) // the packet may still be in transit
 		}
 		if quiet != x.quiet || closed != x.closed {
 			t.Errorf("%s: quiet %v, closed %v; %v, %v wanted", name, quiet, closed, x.quiet, x.closed)
@@ -62,6 +62,6 @@
 	pipe, other := net.Pipe()
 	other.Close()
 	if Quiet(pipe) || Closed(pipe) {
-		t.Error("what is no socket is told to be quiet, or closed")
+		t.Error("a connection that is not a socket is reported as quiet or closed")
 	}
 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait waits.
+// Package wait provides a sleep that a context can interrupt.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for a while, or until the context ends.
+// Sleep returns after d or when the context ends, whichever is first.
 func Sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
--- a/internal/wall/wall.go
+++ b/internal/wall/wall.go
@@ -1,9 +1,9 @@
 //go:build !faults
 
-// Package wall is the wall clock, which builds for tests (-tags faults) can have jump.
+// Package wall provides the wall clock, which test builds (-tags faults) can shift.
 package wall
 
 import "time"
 
-// Now is the time by the wall clock.
+// Now returns the wall-clock time.
 func Now() time.Time { return time.Now() }
--- a/internal/wall/wall_faults.go
+++ b/internal/wall/wall_faults.go
@@ -1,6 +1,6 @@
 //go:build faults
 
-// Package wall is the wall clock, which builds for tests (-tags faults) can have jump.
+// Package wall provides the wall clock, which test builds (-tags faults) can shift.
 package wall
 
 import (
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Now is the time by the wall clock, moved by what the file says that MADDERDRUM_WALL names,
-// such as 1h or -1h. It says nothing of time that passes.
+// Now returns the wall-clock time plus the offset in the file that MADDERDRUM_WALL names, such as
+// 1h or -1h. It has no monotonic reading, so it can't measure elapsed time.
 func Now() time.Time {
 	b, _ := os.ReadFile(os.Getenv("MADDERDRUM_WALL"))
 	shift, _ := time.ParseDuration(strings.TrimSpace(string(b)))
