--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	// MostSilent limits the connections that have not sent their line yet; a further one evicts
-	// the oldest. MostCallers limits all connections, and so file descriptors and goroutines;
+	// MaxSilent limits the connections that have not sent their line yet; a further one evicts
+	// the oldest. MaxCallers limits all connections, and so file descriptors and goroutines;
 	// connections that are being answered end soon.
-	MostSilent  = 8
-	MostCallers = 2 * MostSilent
-	maxLine     = 256
+	MaxSilent  = 8
+	MaxCallers = 2 * MaxSilent
+	maxLine    = 256
 	// A client must send its line within lineTimeout and read the response within answerTimeout.
 	lineTimeout      = 10 * time.Second
 	answerTimeout    = time.Second
@@ -116,13 +116,13 @@
 func (s *Server) startCaller(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.awaitingLine.Len() >= MostSilent || s.openCount >= MostCallers && s.awaitingLine.Len() > 0 {
+	if s.awaitingLine.Len() >= MaxSilent || s.openCount >= MaxCallers && s.awaitingLine.Len() > 0 {
 		oldest := s.awaitingLine.Remove(s.awaitingLine.Front()).(*caller)
 		oldest.evicted = true
 		oldest.Close()
 		s.openCount--
 	}
-	if s.closed || s.openCount >= MostCallers {
+	if s.closed || s.openCount >= MaxCallers {
 		c.Close()
 		return
 	}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -110,7 +110,7 @@
 	addr, _ := listen(t, nil)
 	first := dial(t, addr)
 	io.WriteString(first, "rea") // an incomplete line
-	for range 3 * MostSilent {
+	for range 3 * MaxSilent {
 		dial(t, addr)
 		if got := call(t, addr, "ready\n"); got != Yes {
 			t.Fatalf("a command beside silent connections got %q", got)
--- a/internal/forwardauth/config.go
+++ b/internal/forwardauth/config.go
@@ -14,13 +14,13 @@
 
 // Listener is the configuration of one limiter's endpoint for proxies.
 type Listener struct {
-	Limiter string
-	Listen  string
-	TLS     *TLS
-	Keys    string // path of the file with the keys that sign tokens; required by ask-then-carry
-	Leases  int    // maximum of open leases
-	Pending int    // maximum of authorization requests that wait for the decision module
-	Proxies []Proxy
+	Limiter    string
+	Listen     string
+	TLS        *TLS
+	KeysFile   string // path of the file with the keys that sign tokens; required by ask-then-carry
+	MaxLeases  int    // maximum of open leases
+	MaxPending int    // maximum of authorization requests that wait for the decision module
+	Proxies    []Proxy
 }
 
 // TLS has the paths of a listener's certificate and key, and of the authorities that issue the
@@ -38,18 +38,18 @@
 
 // Proxy configures a group of proxies that share a dialect and credentials.
 type Proxy struct {
-	Name    string
-	Dialect *Dialect
-	Mode    Mode
-	From    []netip.Prefix
-	Secret  string // path of the file with shared secrets; empty: none
-	Header  string // header that carries the secret
-	Certs   []string
-	Prefix  string // that the proxy prepends to the path
-	Lease   time.Duration
-	Wait    time.Duration // client timeout of requests that do not give one
-	Names   Names
-	Routes  []Route
+	Name           string
+	Dialect        *Dialect
+	Mode           Mode
+	From           []netip.Prefix
+	SecretFile     string // path of the file with shared secrets; empty: none
+	SecretHeader   string // header that carries the secret
+	CertNames      []string
+	PathPrefix     string // that the proxy prepends to the path
+	LeaseDuration  time.Duration
+	DefaultTimeout time.Duration // client timeout of requests that do not give one
+	Names          Names
+	Routes         []Route
 }
 
 // Names are the request headers that describe the original request. The dialect gives the defaults.
@@ -70,13 +70,13 @@
 
 // FromConfig returns the listener that a validated configuration describes.
 func FromConfig(c *config.ForwardAuth) Listener {
-	l := Listener{Limiter: c.Limiter, Listen: c.Listen, Keys: c.Keys, Leases: c.Leases, Pending: c.Pending}
+	l := Listener{Limiter: c.Limiter, Listen: c.Listen, KeysFile: c.Keys, MaxLeases: c.Leases, MaxPending: c.Pending}
 	if c.TLS != nil {
 		l.TLS = &TLS{c.TLS.Cert, c.TLS.Key, c.TLS.ClientCA}
 	}
 	for _, p := range c.Proxies {
-		x := Proxy{Name: p.Name, Dialect: dialects[p.Dialect], Secret: p.Secret, Header: cmp.Or(p.Header, defaultSecretHeader), Certs: p.Certs,
-			Prefix: p.Prefix, Lease: p.Lease, Wait: p.Wait}
+		x := Proxy{Name: p.Name, Dialect: dialects[p.Dialect], SecretFile: p.Secret, SecretHeader: cmp.Or(p.Header, defaultSecretHeader), CertNames: p.Certs,
+			PathPrefix: p.Prefix, LeaseDuration: p.Lease, DefaultTimeout: p.Wait}
 		if p.Mode == "ask-then-carry" {
 			x.Mode = AskThenCarry
 		}
--- a/internal/forwardauth/dialects.go
+++ b/internal/forwardauth/dialects.go
@@ -52,9 +52,9 @@
 // originalRequest returns the method and the URI (path and query) of the client's request to the proxy.
 func (p *Proxy) originalRequest(q *http.Request) (method, uri string, err error) {
 	if p.Dialect.originalInPath {
-		uri, ok := strings.CutPrefix(q.URL.RequestURI(), p.Prefix)
+		uri, ok := strings.CutPrefix(q.URL.RequestURI(), p.PathPrefix)
 		if !ok {
-			return "", "", fmt.Errorf("the path does not begin with %q", p.Prefix)
+			return "", "", fmt.Errorf("the path does not begin with %q", p.PathPrefix)
 		}
 		if !strings.HasPrefix(uri, "/") {
 			uri = "/" + uri
--- a/internal/forwardauth/forwardauth_test.go
+++ b/internal/forwardauth/forwardauth_test.go
@@ -609,8 +609,8 @@
 	}
 	l := listener(t, string(data))
 	p := l.Proxies
-	if l.Limiter != "n0" || l.Leases != 100_000 || len(p) != 2 || p[0].Mode != AskedOnly || p[1].Mode != AskThenCarry || p[1].Lease != 2*time.Second ||
-		p[0].Wait != 700*time.Millisecond || !p[0].From[0].Contains(netip.MustParseAddr("127.0.0.1")) || p[0].Header != "X-Proxy-Secret" ||
+	if l.Limiter != "n0" || l.MaxLeases != 100_000 || len(p) != 2 || p[0].Mode != AskedOnly || p[1].Mode != AskThenCarry || p[1].LeaseDuration != 2*time.Second ||
+		p[0].DefaultTimeout != 700*time.Millisecond || !p[0].From[0].Contains(netip.MustParseAddr("127.0.0.1")) || p[0].SecretHeader != "X-Proxy-Secret" ||
 		len(p[0].Routes) != 2 || p[0].Routes[0].Units != 2 || p[0].Names.URI != "X-Original-URI" || p[1].Names.ID != "X-Request-ID" {
 		t.Errorf("%+v", l)
 	}
--- a/internal/forwardauth/parse.go
+++ b/internal/forwardauth/parse.go
@@ -68,7 +68,7 @@
 	if a.Account, err = strconv.ParseUint(account, 16, 64); err != nil || a.Account >= 1<<accountBits || len(account) > 16 {
 		return x, fmt.Errorf("account %q is no hexadecimal number below 2^%d", clip(account), accountBits)
 	}
-	ok, wait := false, p.Wait
+	ok, wait := false, p.DefaultTimeout
 	to := Target{Class: -1}
 	if s.Route != nil {
 		u, err := url.ParseRequestURI(uri)
--- a/internal/forwardauth/service.go
+++ b/internal/forwardauth/service.go
@@ -104,8 +104,8 @@
 	swap(func() { s.tier.Store(newIndexedTier(t)) })
 }
 
-// Counts are the numbers of authorization requests by outcome; Again counts repeats of granted attempts.
-type Counts struct{ Yes, No, Again, Busy, Malformed, Untrusted int64 }
+// Counts are the numbers of authorization requests by outcome; Repeated counts repeats of granted attempts.
+type Counts struct{ Granted, Refused, Repeated, Busy, Malformed, Untrusted int64 }
 
 // proxy is a configured Proxy with its loaded secrets.
 type proxy struct {
@@ -116,20 +116,20 @@
 // New returns a Service that listens; [Service.Run] answers.
 func New(cfg Listener, tier Tier, d Decider, logger *slog.Logger) (*Service, error) {
 	s := &Service{cfg: cfg, decider: d, log: logger, start: time.Now(),
-		wake: make(chan struct{}, 1), leaseManager: grant.NewLeaseManager(tier.Position, tier.Limiters, cfg.Leases)}
+		wake: make(chan struct{}, 1), leaseManager: grant.NewLeaseManager(tier.Position, tier.Limiters, cfg.MaxLeases)}
 	s.tier.Store(newIndexedTier(tier))
 	var err error
 	for _, p := range cfg.Proxies {
 		x := &proxy{Proxy: p}
-		if p.Secret != "" {
-			if x.secrets, err = newFileValue(parseSecrets, logger.Warn, p.Secret); err != nil {
+		if p.SecretFile != "" {
+			if x.secrets, err = newFileValue(parseSecrets, logger.Warn, p.SecretFile); err != nil {
 				return nil, err
 			}
 		}
 		s.proxies = append(s.proxies, x)
 	}
-	if cfg.Keys != "" {
-		if s.keys, err = newFileValue(parseKeys, logger.Warn, cfg.Keys); err != nil {
+	if cfg.KeysFile != "" {
+		if s.keys, err = newFileValue(parseKeys, logger.Warn, cfg.KeysFile); err != nil {
 			return nil, err
 		}
 	}
@@ -219,7 +219,7 @@
 		s.mu.Lock()
 		open := s.leaseManager.Leases().OpenCount()
 		s.mu.Unlock()
-		s.log.Info("asks so far", "yes", now.Yes, "no", now.No, "again", now.Again, "busy", now.Busy, "malformed", now.Malformed,
+		s.log.Info("asks so far", "yes", now.Granted, "no", now.Refused, "again", now.Repeated, "busy", now.Busy, "malformed", now.Malformed,
 			"untrusted", now.Untrusted, "leases_out", open)
 	}
 	return now
@@ -260,7 +260,7 @@
 		return
 	}
 	// Requests are decided one at a time; above the limit of pending ones they are rejected at once.
-	if s.pending.Add(1) > int64(s.cfg.Pending) {
+	if s.pending.Add(1) > int64(s.cfg.MaxPending) {
 		s.pending.Add(-1)
 		s.counts.busy.Add(1)
 		p.Dialect.writeRefused(w, http.StatusServiceUnavailable, time.Second, "too many asks at once")
@@ -296,7 +296,7 @@
 		return
 	}
 	s := &advice.Subject{Header: func(name string) string {
-		if v := q.Header[name]; len(v) == 1 && name != p.Header {
+		if v := q.Header[name]; len(v) == 1 && name != p.SecretHeader {
 			return v[0]
 		}
 		return ""
@@ -326,7 +326,7 @@
 	}
 	if a.Lease && !s.leaseManager.Leases().HasRoom() {
 		s.counts.refused.Add(1)
-		return "", false, p.Lease, true
+		return "", false, p.LeaseDuration, true
 	}
 	if granted, wait = s.decider.Ask(a); !granted {
 		s.counts.refused.Add(1)
@@ -335,12 +335,12 @@
 	s.counts.granted.Add(1)
 	until := now + grant.RepeatWindow
 	if a.Lease {
-		until = now + p.Lease
+		until = now + p.LeaseDuration
 		t := grant.Token{Limiter: parsedBy.Position, Terms: terms, Until: s.start.Add(until)}
 		rand.Read(t.Lease[:])
 		if err := s.leaseManager.Leases().Grant(t.Lease, terms, until); err != nil { // a collision of random ids, practically impossible
 			s.settle(terms, grant.Cancelled)
-			return "", false, p.Lease, true
+			return "", false, p.LeaseDuration, true
 		}
 		token = s.keys.get(time.Now()).Sign(t)
 		select {
--- a/internal/forwardauth/tls_test.go
+++ b/internal/forwardauth/tls_test.go
@@ -74,7 +74,7 @@
 	}
 	caPEM, _, ca := (*authority)(nil).issue(t, "the authority", true)
 	cert, key, _ := ca.issue(t, "n0", false)
-	l := Listener{Limiter: "n0", Listen: "127.0.0.1:0", Leases: 10, Pending: 10, TLS: &TLS{put("cert", cert, 0), put("key", key, 0), put("ca", caPEM, 0)}}
+	l := Listener{Limiter: "n0", Listen: "127.0.0.1:0", MaxLeases: 10, MaxPending: 10, TLS: &TLS{put("cert", cert, 0), put("key", key, 0), put("ca", caPEM, 0)}}
 	l.Proxies = listener(t, `forward_auth "n0" {
   listen = "127.0.0.1:1"
   tls {
--- a/internal/forwardauth/trust.go
+++ b/internal/forwardauth/trust.go
@@ -202,7 +202,7 @@
 func (p *proxy) hasCredentials(q *http.Request) bool {
 	if q.TLS != nil && len(q.TLS.VerifiedChains) > 0 {
 		leaf := q.TLS.VerifiedChains[0][0]
-		for _, name := range p.Certs {
+		for _, name := range p.CertNames {
 			if leaf.Subject.CommonName == name || leaf.VerifyHostname(name) == nil {
 				return true
 			}
@@ -211,7 +211,7 @@
 	if p.secrets == nil {
 		return false
 	}
-	given, err := singleHeader(q.Header, p.Header)
+	given, err := singleHeader(q.Header, p.SecretHeader)
 	if err != nil || given == "" {
 		return false
 	}
