--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -127,14 +127,14 @@
 		return
 	}
 	s.openCount++
-	x := &caller{Conn: c}
-	element := s.awaitingLine.PushBack(x)
+	accepted := &caller{Conn: c}
+	element := s.awaitingLine.PushBack(accepted)
 	s.callers.Go(func() {
 		defer func() {
 			c.Close()
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if !x.evicted {
+			if !accepted.evicted {
 				s.openCount--
 			}
 		}()
--- a/internal/forwardauth/config.go
+++ b/internal/forwardauth/config.go
@@ -70,29 +70,29 @@
 
 // FromConfig returns the listener that a validated configuration describes.
 func FromConfig(c *config.ForwardAuth) Listener {
-	l := Listener{Limiter: c.Limiter, Listen: c.Listen, KeysFile: c.Keys, MaxLeases: c.Leases, MaxPending: c.Pending}
+	listener := Listener{Limiter: c.Limiter, Listen: c.Listen, KeysFile: c.Keys, MaxLeases: c.Leases, MaxPending: c.Pending}
 	if c.TLS != nil {
-		l.TLS = &TLS{c.TLS.Cert, c.TLS.Key, c.TLS.ClientCA}
+		listener.TLS = &TLS{c.TLS.Cert, c.TLS.Key, c.TLS.ClientCA}
 	}
 	for _, p := range c.Proxies {
-		x := Proxy{Name: p.Name, Dialect: dialects[p.Dialect], SecretFile: p.Secret, SecretHeader: cmp.Or(p.Header, defaultSecretHeader), CertNames: p.Certs,
+		proxy := Proxy{Name: p.Name, Dialect: dialects[p.Dialect], SecretFile: p.Secret, SecretHeader: cmp.Or(p.Header, defaultSecretHeader), CertNames: p.Certs,
 			PathPrefix: p.Prefix, LeaseDuration: p.Lease, DefaultTimeout: p.Wait}
 		if p.Mode == "ask-then-carry" {
-			x.Mode = AskThenCarry
+			proxy.Mode = AskThenCarry
 		}
 		for _, from := range p.From {
-			x.From = append(x.From, netip.MustParsePrefix(from)) // validated by the configuration loader
+			proxy.From = append(proxy.From, netip.MustParsePrefix(from)) // validated by the configuration loader
 		}
-		n := x.Dialect.defaultNames
+		n := proxy.Dialect.defaultNames
 		for name, to := range map[string]*string{"method": &n.Method, "uri": &n.URI, "request_id": &n.ID, "class": &n.Class, "plan": &n.Plan,
 			"timeout": &n.Timeout, "quota": &n.Quota, "account": &n.Account, "retried": &n.Retried} {
 			*to = cmp.Or(p.Names[name], *to)
 		}
-		x.Names = n
+		proxy.Names = n
 		for _, r := range p.Routes {
-			x.Routes = append(x.Routes, Route{Path: r.Path, Method: r.Method, Class: r.Class, Plan: r.Plan, Units: r.Units})
+			proxy.Routes = append(proxy.Routes, Route{Path: r.Path, Method: r.Method, Class: r.Class, Plan: r.Plan, Units: r.Units})
 		}
-		l.Proxies = append(l.Proxies, x)
+		listener.Proxies = append(listener.Proxies, proxy)
 	}
-	return l
+	return listener
 }
--- a/internal/forwardauth/dialects.go
+++ b/internal/forwardauth/dialects.go
@@ -50,21 +50,21 @@
 }
 
 // originalRequest returns the method and the URI (path and query) of the client's request to the proxy.
-func (p *Proxy) originalRequest(q *http.Request) (method, uri string, err error) {
+func (p *Proxy) originalRequest(req *http.Request) (method, uri string, err error) {
 	if p.Dialect.originalInPath {
-		uri, ok := strings.CutPrefix(q.URL.RequestURI(), p.PathPrefix)
+		uri, ok := strings.CutPrefix(req.URL.RequestURI(), p.PathPrefix)
 		if !ok {
 			return "", "", fmt.Errorf("the path does not begin with %q", p.PathPrefix)
 		}
 		if !strings.HasPrefix(uri, "/") {
 			uri = "/" + uri
 		}
-		return q.Method, uri, nil
+		return req.Method, uri, nil
 	}
-	if method, err = singleHeader(q.Header, p.Names.Method); err != nil {
+	if method, err = singleHeader(req.Header, p.Names.Method); err != nil {
 		return "", "", err
 	}
-	if uri, err = singleHeader(q.Header, p.Names.URI); err != nil {
+	if uri, err = singleHeader(req.Header, p.Names.URI); err != nil {
 		return "", "", err
 	}
 	if method == "" || !strings.HasPrefix(uri, "/") {
--- a/internal/forwardauth/parse.go
+++ b/internal/forwardauth/parse.go
@@ -27,24 +27,24 @@
 }
 
 // parse reads an authorization request. It has no side effects.
-func (s *indexedTier) parse(p *proxy, q *http.Request) (x parsedRequest, err error) {
-	method, uri, err := p.originalRequest(q)
+func (s *indexedTier) parse(p *proxy, req *http.Request) (parsed parsedRequest, err error) {
+	method, uri, err := p.originalRequest(req)
 	if err != nil {
-		return x, err
+		return parsed, err
 	}
-	a := &x.ask
+	ask := &parsed.ask
 	get := func(name string) (text string) {
 		if err == nil && name != "" {
-			text, err = singleHeader(q.Header, name)
+			text, err = singleHeader(req.Header, name)
 		}
 		return text
 	}
 	n := p.Names
 	id, className, planName, timeout, quota, account, retried := get(n.ID), get(n.Class), get(n.Plan), get(n.Timeout), get(n.Quota), get(n.Account), get(n.Retried)
 	if err != nil {
-		return x, err
+		return parsed, err
 	}
-	a.Units, a.Spread, a.First = 1, s.Limiters, 0
+	ask.Units, ask.Spread, ask.First = 1, s.Limiters, 0
 	path, _, _ := strings.Cut(uri, "?")
 	for _, r := range p.Routes { // the first match applies; headers take precedence
 		if strings.HasPrefix(path, r.Path) && (r.Method == "" || r.Method == method) {
@@ -55,73 +55,73 @@
 				planName = r.Plan
 			}
 			if r.Units > 0 {
-				a.Units = r.Units
+				ask.Units = r.Units
 			}
 			break
 		}
 	}
 	if account == "" {
 		if account, err = queryParameter(uri, "key"); err != nil {
-			return x, err
+			return parsed, err
 		}
 	}
-	if a.Account, err = strconv.ParseUint(account, 16, 64); err != nil || a.Account >= 1<<accountBits || len(account) > 16 {
-		return x, fmt.Errorf("account %q is no hexadecimal number below 2^%d", clip(account), accountBits)
+	if ask.Account, err = strconv.ParseUint(account, 16, 64); err != nil || ask.Account >= 1<<accountBits || len(account) > 16 {
+		return parsed, fmt.Errorf("account %q is no hexadecimal number below 2^%d", clip(account), accountBits)
 	}
 	ok, wait := false, p.DefaultTimeout
 	to := Target{Class: -1}
 	if s.Route != nil {
 		u, err := url.ParseRequestURI(uri)
 		if err != nil {
-			return x, fmt.Errorf("the original path can't be read")
+			return parsed, fmt.Errorf("the original path can't be read")
 		}
 		canonical, err := route.Canonical(u)
 		if err != nil {
-			return x, err
+			return parsed, err
 		}
-		host := q.Header.Get("X-Forwarded-Host")
+		host := req.Header.Get("X-Forwarded-Host")
 		if host == "" {
-			host = q.Host
+			host = req.Host
 		}
-		if to, ok = s.Route(&route.Request{Host: host, Path: canonical, Method: method, Account: a.Account, Plan: planName, Header: q.Header.Get}); !ok {
-			return x, fmt.Errorf("no route takes this request")
+		if to, ok = s.Route(&route.Request{Host: host, Path: canonical, Method: method, Account: ask.Account, Plan: planName, Header: req.Header.Get}); !ok {
+			return parsed, fmt.Errorf("no route takes this request")
 		}
 		if to.Deadline > 0 {
 			wait = min(wait, to.Deadline)
 		}
 	}
-	a.Pool = to.Pool
+	ask.Pool = to.Pool
 	if className == "" && to.Class >= 0 {
 		className = s.Classes[to.Class]
 	}
-	if a.Class, ok = s.classes[className]; !ok {
-		return x, fmt.Errorf("class %q is not known", clip(className))
+	if ask.Class, ok = s.classes[className]; !ok {
+		return parsed, fmt.Errorf("class %q is not known", clip(className))
 	}
-	if a.Plan, ok = s.plans[planName]; !ok {
-		return x, fmt.Errorf("plan %q is not known", clip(planName))
+	if ask.Plan, ok = s.plans[planName]; !ok {
+		return parsed, fmt.Errorf("plan %q is not known", clip(planName))
 	}
 	if id == "" || len(id) > maxIDLength || strings.ContainsFunc(id, func(c rune) bool { return c <= ' ' || c > '~' }) {
-		return x, fmt.Errorf("%s has to have the try's id: up to %d printable characters", n.ID, maxIDLength)
+		return parsed, fmt.Errorf("%s has to have the try's id: up to %d printable characters", n.ID, maxIDLength)
 	}
-	if err := s.parseQuota(quota, a); err != nil {
-		return x, err
+	if err := s.parseQuota(quota, ask); err != nil {
+		return parsed, err
 	}
 	if timeout != "" {
 		if wait, err = parseTimeout(timeout); err != nil {
-			return x, err
+			return parsed, err
 		}
 		if to.Deadline > 0 {
 			wait = min(wait, to.Deadline)
 		}
 	}
-	a.ID, a.Lease, a.Retry = id, p.Mode == AskThenCarry, retried == "1"
-	a.ExpiresMs = float64(min(wait, s.Longest)) / float64(time.Millisecond)
-	x.id, x.to, x.method, x.path, x.class, x.plan = id, to, method, path, className, planName
-	return x, nil
+	ask.ID, ask.Lease, ask.Retry = id, p.Mode == AskThenCarry, retried == "1"
+	ask.ExpiresMs = float64(min(wait, s.Longest)) / float64(time.Millisecond)
+	parsed.id, parsed.to, parsed.method, parsed.path, parsed.class, parsed.plan = id, to, method, path, className, planName
+	return parsed, nil
 }
 
 // parseQuota parses Quota-Info, such as units=2,spread=3,first=1, into a. Fields that it omits keep their values.
-func (s *indexedTier) parseQuota(text string, a *limiter.Ask) error {
+func (s *indexedTier) parseQuota(text string, ask *limiter.Ask) error {
 	for text != "" {
 		var pair string
 		pair, text, _ = strings.Cut(text, ",")
@@ -130,17 +130,17 @@
 		whole := err == nil && v == math.Trunc(v) && v >= 0 && v <= float64(s.Limiters)
 		switch {
 		case name == "units" && err == nil && v > 0 && v <= s.MostUnits:
-			a.Units = v
+			ask.Units = v
 		case name == "spread" && whole && v >= 1:
-			a.Spread = int(v)
+			ask.Spread = int(v)
 		case name == "first" && whole && v < float64(s.Limiters):
-			a.First = int(v)
+			ask.First = int(v)
 		case name == "units", name == "spread", name == "first":
 			return fmt.Errorf("quota %q is out of range", clip(pair))
 		}
 	}
-	if a.Units > s.MostUnits {
-		return fmt.Errorf("%g units, %g at most", a.Units, s.MostUnits)
+	if ask.Units > s.MostUnits {
+		return fmt.Errorf("%g units, %g at most", ask.Units, s.MostUnits)
 	}
 	return nil
 }
--- a/internal/forwardauth/service.go
+++ b/internal/forwardauth/service.go
@@ -41,7 +41,7 @@
 	Longest   time.Duration // upper bound of client timeouts
 	// Route, if set, returns the target of a request by the same routes as forwarded requests, or
 	// false if no route matches.
-	Route func(q *route.Request) (Target, bool)
+	Route func(req *route.Request) (Target, bool)
 }
 
 // Target is the pool and the limits that a route assigns to a request.
@@ -120,13 +120,13 @@
 	s.tier.Store(newIndexedTier(tier))
 	var err error
 	for _, p := range cfg.Proxies {
-		x := &proxy{Proxy: p}
+		entry := &proxy{Proxy: p}
 		if p.SecretFile != "" {
-			if x.secrets, err = newFileValue(parseSecrets, logger.Warn, p.SecretFile); err != nil {
+			if entry.secrets, err = newFileValue(parseSecrets, logger.Warn, p.SecretFile); err != nil {
 				return nil, err
 			}
 		}
-		s.proxies = append(s.proxies, x)
+		s.proxies = append(s.proxies, entry)
 	}
 	if cfg.KeysFile != "" {
 		if s.keys, err = newFileValue(parseKeys, logger.Warn, cfg.KeysFile); err != nil {
@@ -237,23 +237,23 @@
 )
 
 // ServeHTTP answers a request of a proxy. It never reads bodies.
-func (s *Service) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	if q.ContentLength != 0 { // else net/http would read the body to reach the next request
+func (s *Service) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	if req.ContentLength != 0 { // else net/http would read the body to reach the next request
 		w.Header().Set("Connection", "close")
 	}
-	p, status := s.authenticate(q)
+	p, status := s.authenticate(req)
 	if p == nil {
 		s.counts.untrusted.Add(1)
 		w.Header().Set("Connection", "close")
 		http.Error(w, "not one of the proxies that may ask", status)
 		return
 	}
-	if q.URL.Path == CancelPath || q.URL.Path == ConfirmPath {
-		s.endLease(w, q)
+	if req.URL.Path == CancelPath || req.URL.Path == ConfirmPath {
+		s.endLease(w, req)
 		return
 	}
 	t := s.tier.Load()
-	x, err := t.parse(p, q)
+	parsed, err := t.parse(p, req)
 	if err != nil {
 		s.counts.malformed.Add(1)
 		p.Dialect.writeRefused(w, http.StatusBadRequest, 0, err.Error())
@@ -266,15 +266,15 @@
 		p.Dialect.writeRefused(w, http.StatusServiceUnavailable, time.Second, "too many asks at once")
 		return
 	}
-	x.advise(p, q)
-	token, granted, wait, ok := s.ask(p, x, t)
+	parsed.advise(p, req)
+	token, granted, wait, ok := s.ask(p, parsed, t)
 	for !ok { // the tier was replaced after parsing
 		t = s.tier.Load()
-		if x, err = t.parse(p, q); err != nil {
+		if parsed, err = t.parse(p, req); err != nil {
 			break
 		}
-		x.advise(p, q)
-		token, granted, wait, ok = s.ask(p, x, t)
+		parsed.advise(p, req)
+		token, granted, wait, ok = s.ask(p, parsed, t)
 	}
 	s.pending.Add(-1)
 	if err != nil {
@@ -291,50 +291,50 @@
 
 // advise calls the plug-ins. If the proxy has closed its connection, nobody would receive a grant
 // and the plug-ins were cut short, so the request is refused.
-func (x *parsedRequest) advise(p *proxy, q *http.Request) {
-	if x.to.Advise == nil {
+func (parsed *parsedRequest) advise(p *proxy, req *http.Request) {
+	if parsed.to.Advise == nil {
 		return
 	}
 	s := &advice.Subject{Header: func(name string) string {
-		if v := q.Header[name]; len(v) == 1 && name != p.SecretHeader {
+		if v := req.Header[name]; len(v) == 1 && name != p.SecretHeader {
 			return v[0]
 		}
 		return ""
-	}, Request: advice.Request{Account: x.ask.Account, Plan: x.ask.Plan, Class: x.ask.Class, PlanName: x.plan, ClassName: x.class, Method: x.method, Path: x.path,
-		Units: x.ask.Units, LeftMs: x.ask.ExpiresMs, Retry: x.ask.Retry}}
-	x.ask.Advice = x.to.Advise(q.Context(), s, time.Duration(x.ask.ExpiresMs*float64(time.Millisecond)))
-	if q.Context().Err() != nil {
-		x.ask.Advice = limiter.Advice{Refuse: true}
+	}, Request: advice.Request{Account: parsed.ask.Account, Plan: parsed.ask.Plan, Class: parsed.ask.Class, PlanName: parsed.plan, ClassName: parsed.class, Method: parsed.method, Path: parsed.path,
+		Units: parsed.ask.Units, LeftMs: parsed.ask.ExpiresMs, Retry: parsed.ask.Retry}}
+	parsed.ask.Advice = parsed.to.Advise(req.Context(), s, time.Duration(parsed.ask.ExpiresMs*float64(time.Millisecond)))
+	if req.Context().Err() != nil {
+		parsed.ask.Advice = limiter.Advice{Refuse: true}
 	}
 }
 
 // ask requests a decision from the module unless the same attempt was granted recently. ok is false if the
 // tier has been replaced since the request was parsed.
-func (s *Service) ask(p *proxy, x parsedRequest, parsedBy *indexedTier) (token string, granted bool, wait time.Duration, ok bool) {
-	a := x.ask
+func (s *Service) ask(p *proxy, parsed parsedRequest, parsedBy *indexedTier) (token string, granted bool, wait time.Duration, ok bool) {
+	ask := parsed.ask
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.tier.Load() != parsedBy {
 		return "", false, 0, false
 	}
 	now := time.Since(s.start)
-	terms := grant.Terms{Account: a.Account, Plan: a.Plan, Class: a.Class, Units: a.Units}
-	attempt := grant.Attempt{Proxy: p.Name, ID: x.id, Terms: terms}
+	terms := grant.Terms{Account: ask.Account, Plan: ask.Plan, Class: ask.Class, Units: ask.Units}
+	attempt := grant.Attempt{Proxy: p.Name, ID: parsed.id, Terms: terms}
 	if token, repeated := s.leaseManager.FindRepeat(now, attempt); repeated {
 		s.counts.repeated.Add(1)
 		return token, true, 0, true
 	}
-	if a.Lease && !s.leaseManager.Leases().HasRoom() {
+	if ask.Lease && !s.leaseManager.Leases().HasRoom() {
 		s.counts.refused.Add(1)
 		return "", false, p.LeaseDuration, true
 	}
-	if granted, wait = s.decider.Ask(a); !granted {
+	if granted, wait = s.decider.Ask(ask); !granted {
 		s.counts.refused.Add(1)
 		return "", false, wait, true
 	}
 	s.counts.granted.Add(1)
 	until := now + grant.RepeatWindow
-	if a.Lease {
+	if ask.Lease {
 		until = now + p.LeaseDuration
 		t := grant.Token{Limiter: parsedBy.Position, Terms: terms, Until: s.start.Add(until)}
 		rand.Read(t.Lease[:])
@@ -353,14 +353,14 @@
 }
 
 // endLease handles a proxy's notice that a lease was used elsewhere (confirm) or will not be used (cancel).
-func (s *Service) endLease(w http.ResponseWriter, q *http.Request) {
+func (s *Service) endLease(w http.ResponseWriter, req *http.Request) {
 	e := grant.Cancelled
-	if q.URL.Path == ConfirmPath {
+	if req.URL.Path == ConfirmPath {
 		e = grant.Confirmed
 	}
-	text, err := singleHeader(q.Header, GrantHeader)
+	text, err := singleHeader(req.Header, GrantHeader)
 	t, ok := s.verify(text)
-	if q.Method != http.MethodPost || err != nil || !ok || t.Limiter != s.tier.Load().Position {
+	if req.Method != http.MethodPost || err != nil || !ok || t.Limiter != s.tier.Load().Position {
 		s.counts.malformed.Add(1)
 		http.Error(w, "needs POST and a token of this limiter in "+GrantHeader, http.StatusBadRequest)
 		return
--- a/internal/forwardauth/trust.go
+++ b/internal/forwardauth/trust.go
@@ -174,8 +174,8 @@
 
 // authenticate returns the proxy that sent a request, or else a status: 403 if the client's
 // address is not listed, 401 if it lacks the secret or certificate.
-func (s *Service) authenticate(q *http.Request) (*proxy, int) {
-	addr, err := netip.ParseAddrPort(q.RemoteAddr)
+func (s *Service) authenticate(req *http.Request) (*proxy, int) {
+	addr, err := netip.ParseAddrPort(req.RemoteAddr)
 	if err != nil {
 		return nil, http.StatusForbidden
 	}
@@ -186,7 +186,7 @@
 				continue
 			}
 			listed = true
-			if p.hasCredentials(q) {
+			if p.hasCredentials(req) {
 				return p, 0
 			}
 			break
@@ -199,9 +199,9 @@
 }
 
 // hasCredentials reports whether a request has the proxy's secret or a certificate with one of its names.
-func (p *proxy) hasCredentials(q *http.Request) bool {
-	if q.TLS != nil && len(q.TLS.VerifiedChains) > 0 {
-		leaf := q.TLS.VerifiedChains[0][0]
+func (p *proxy) hasCredentials(req *http.Request) bool {
+	if req.TLS != nil && len(req.TLS.VerifiedChains) > 0 {
+		leaf := req.TLS.VerifiedChains[0][0]
 		for _, name := range p.CertNames {
 			if leaf.Subject.CommonName == name || leaf.VerifyHostname(name) == nil {
 				return true
@@ -211,7 +211,7 @@
 	if p.secrets == nil {
 		return false
 	}
-	given, err := singleHeader(q.Header, p.SecretHeader)
+	given, err := singleHeader(req.Header, p.SecretHeader)
 	if err != nil || given == "" {
 		return false
 	}
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -145,28 +145,28 @@
 
 func (s State) writeTable(w io.Writer) {
 	fmt.Fprintf(w, "limiter %s\npool\ttier\tphase\tshare\tspilled\tusable\tnext\n", s.Limiter)
-	for _, x := range s.Tiers {
-		phase := x.Phase
-		if x.Sole {
+	for _, tier := range s.Tiers {
+		phase := tier.Phase
+		if tier.Sole {
 			phase += ", sole"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%.0f%%\t%.0f%%\t%d of %d\t%s\n", x.Pool, x.Tier, phase, 100*x.Share, 100*x.Spilled, x.Usable, x.Boxes, x.Next)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%.0f%%\t%.0f%%\t%d of %d\t%s\n", tier.Pool, tier.Tier, phase, 100*tier.Share, 100*tier.Spilled, tier.Usable, tier.Boxes, tier.Next)
 	}
 }
 
 func (s PluginState) writeTable(w io.Writer) {
 	fmt.Fprintf(w, "limiter %s\nplug-in\tstate\tcalls\trefused\tfaults\tbenched\tskipped\tbusy\tinstances\tcounters\tlast fault\n", s.Limiter)
-	for _, x := range s.Plugins {
+	for _, plugin := range s.Plugins {
 		state := "asked"
-		if x.BenchedForMs > 0 {
-			state = fmt.Sprintf("benched for %.1f s", float64(x.BenchedForMs)/1000)
+		if plugin.BenchedForMs > 0 {
+			state = fmt.Sprintf("benched for %.1f s", float64(plugin.BenchedForMs)/1000)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", x.Name, state, x.Calls, x.Refused, x.Faults, x.TimesBenched, x.Skipped, x.Busy, x.Instances, x.Counters, cmp.Or(x.LastFault, "-"))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", plugin.Name, state, plugin.Calls, plugin.Refused, plugin.Faults, plugin.TimesBenched, plugin.Skipped, plugin.Busy, plugin.Instances, plugin.Counters, cmp.Or(plugin.LastFault, "-"))
 	}
 	if len(s.Labels) > 0 {
 		fmt.Fprintf(w, "\nlabel\tserved\trefused\tfailed\n")
 	}
-	for _, x := range s.Labels {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", x.Label, x.Served, x.Refused, x.Failed)
+	for _, label := range s.Labels {
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", label.Label, label.Served, label.Refused, label.Failed)
 	}
 }
