--- a/internal/forwardauth/dialects.go
+++ b/internal/forwardauth/dialects.go
@@ -8,63 +8,63 @@
 	"time"
 )
 
-// Dialect is the manner in which one kind of proxy asks and takes answers.
+// Dialect is how one kind of proxy sends authorization requests and interprets the responses.
 type Dialect struct {
-	Name  string
-	names Names
-	// path takes the original path and query from the ask itself, where no header has
-	// it: Envoy sends it behind a prefix.
-	path bool
-	// hides tells that the proxy takes 2xx, 401 and 403 alone, so that a refusal has to
-	// come as 403 and its real status in a header: nginx turns all else into 500.
-	hides bool
+	Name         string
+	defaultNames Names
+	// originalInPath is set if the authorization request itself has the original path and query,
+	// after a prefix, instead of a header (Envoy).
+	originalInPath bool
+	// masksStatus is set if the proxy accepts only 2xx, 401 and 403, so that refusals are sent as
+	// 403 with the real status in a header: nginx turns every other status into 500.
+	masksStatus bool
 }
 
-// StatusHeader has the status that a client is to get, for proxies that can't pass
-// it on themselves.
+// StatusHeader is the response header with the status for the client, for proxies that can't
+// forward the status of the response itself.
 const StatusHeader = "X-Madderdrum-Status"
 
-// GrantHeader has the token, in a yes and in the message that follows.
+// GrantHeader carries the lease's token, in the response that grants a request and in the message that follows.
 const GrantHeader = "X-Grant"
 
-// protocolNames are the headers of the protocol between clients and limiters.
-var protocolNames = Names{ID: "X-Request-ID", Class: "X-Priority-Class", Plan: "Plan", Timeout: "X-Timeout", Quota: "Quota-Info",
+// protocolHeaders are the headers of the protocol between clients and limiters.
+var protocolHeaders = Names{ID: "X-Request-ID", Class: "X-Priority-Class", Plan: "Plan", Timeout: "X-Timeout", Quota: "Quota-Info",
 	Account: "X-Account", Retried: "X-Retried"}
 
-func withOriginal(method, uri string) Names {
-	n := protocolNames
+func withOriginalHeaders(method, uri string) Names {
+	n := protocolHeaders
 	n.Method, n.URI = method, uri
 	return n
 }
 
-// dialects by name. Sources: nginx ngx_http_auth_request_module (the names are those
-// of its documentation's examples); Traefik ForwardAuth middleware; Caddy
-// forward_auth directive; Envoy HTTP ext_authz filter, http_service; HAProxy with
-// haproxy-auth-request.lua, which sends the original headers, and variables as set.
+// dialects maps names to dialects. Sources: nginx ngx_http_auth_request_module (header names
+// from the examples in its documentation); Traefik ForwardAuth middleware; Caddy forward_auth
+// directive; Envoy HTTP ext_authz filter, http_service; HAProxy with haproxy-auth-request.lua,
+// which sends the original headers and the configured variables.
 var dialects = map[string]*Dialect{
-	"nginx":   {Name: "nginx", names: withOriginal("X-Original-Method", "X-Original-URI"), hides: true},
-	"traefik": {Name: "traefik", names: withOriginal("X-Forwarded-Method", "X-Forwarded-Uri")},
-	"caddy":   {Name: "caddy", names: withOriginal("X-Forwarded-Method", "X-Forwarded-Uri")},
-	"envoy":   {Name: "envoy", names: protocolNames, path: true},
-	"haproxy": {Name: "haproxy", names: withOriginal("X-Forwarded-Method", "X-Forwarded-Uri")},
+	"nginx":   {Name: "nginx", defaultNames: withOriginalHeaders("X-Original-Method", "X-Original-URI"), masksStatus: true},
+	"traefik": {Name: "traefik", defaultNames: withOriginalHeaders("X-Forwarded-Method", "X-Forwarded-Uri")},
+	"caddy":   {Name: "caddy", defaultNames: withOriginalHeaders("X-Forwarded-Method", "X-Forwarded-Uri")},
+	"envoy":   {Name: "envoy", defaultNames: protocolHeaders, originalInPath: true},
+	"haproxy": {Name: "haproxy", defaultNames: withOriginalHeaders("X-Forwarded-Method", "X-Forwarded-Uri")},
 }
 
-// original is the method and the path with query that the proxy was asked for.
-func (p *Proxy) original(q *http.Request) (method, uri string, err error) {
-	if p.Dialect.path {
-		uri, ok := strings.CutPrefix(q.URL.RequestURI(), p.Prefix)
+// originalRequest returns the method and the URI (path and query) of the client's request to the proxy.
+func (p *Proxy) originalRequest(req *http.Request) (method, uri string, err error) {
+	if p.Dialect.originalInPath {
+		uri, ok := strings.CutPrefix(req.URL.RequestURI(), p.PathPrefix)
 		if !ok {
-			return "", "", fmt.Errorf("the path does not begin with %q", p.Prefix)
+			return "", "", fmt.Errorf("the path does not begin with %q", p.PathPrefix)
 		}
 		if !strings.HasPrefix(uri, "/") {
 			uri = "/" + uri
 		}
-		return q.Method, uri, nil
+		return req.Method, uri, nil
 	}
-	if method, err = single(q.Header, p.Names.Method); err != nil {
+	if method, err = singleHeader(req.Header, p.Names.Method); err != nil {
 		return "", "", err
 	}
-	if uri, err = single(q.Header, p.Names.URI); err != nil {
+	if uri, err = singleHeader(req.Header, p.Names.URI); err != nil {
 		return "", "", err
 	}
 	if method == "" || !strings.HasPrefix(uri, "/") {
@@ -73,8 +73,8 @@
 	return method, uri, nil
 }
 
-// single is a header that may be there once.
-func single(h http.Header, name string) (string, error) {
+// singleHeader returns the value of a header, or an error if it occurs more than once.
+func singleHeader(h http.Header, name string) (string, error) {
 	values := h.Values(name)
 	if len(values) > 1 {
 		return "", fmt.Errorf("%s is there %d times", name, len(values))
@@ -87,8 +87,8 @@
 
 var noStore = []string{"no-store"}
 
-// yes answers that the request may go.
-func (d *Dialect) yes(w http.ResponseWriter, token string) {
+// writeGranted sends the response that lets the request pass.
+func (d *Dialect) writeGranted(w http.ResponseWriter, token string) {
 	h := w.Header()
 	if token != "" {
 		h[GrantHeader] = []string{token}
@@ -97,17 +97,17 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// no answers that it may not, with the status that its client is to get.
-func (d *Dialect) no(w http.ResponseWriter, status int, wait time.Duration, why string) {
+// writeRefused sends the response that rejects the request; status is the one for the client.
+func (d *Dialect) writeRefused(w http.ResponseWriter, status int, wait time.Duration, why string) {
 	h := w.Header()
 	h.Set("Cache-Control", "no-store")
 	if wait > 0 {
-		// Whole seconds: what stands between often drops a decimal. Rounded up, so that a
-		// client is not back too early.
+		// Intermediaries often drop fractions of seconds. Rounds up so that a client does not
+		// retry too early.
 		h.Set("Retry-After", strconv.Itoa(int((wait+time.Second-1)/time.Second)))
 	}
 	h.Set(StatusHeader, strconv.Itoa(status))
-	if d.hides && status != http.StatusUnauthorized {
+	if d.masksStatus && status != http.StatusUnauthorized {
 		status = http.StatusForbidden
 	}
 	http.Error(w, why, status)
--- a/internal/forwardauth/service.go
+++ b/internal/forwardauth/service.go
@@ -21,136 +21,138 @@
 	"example.org/madderdrum/route"
 )
 
-// Decider is the limiter that decides.
+// Decider is the interface to the decision module of the limiter.
 type Decider interface {
-	// Ask gives the module an Ask and returns its answer.
+	// Ask requests a decision; wait is the time after which a refused client may retry.
 	Ask(a limiter.Ask) (granted bool, wait time.Duration)
-	// Settle ends what was leased.
+	// Settle reports the end of a lease.
 	Settle(s limiter.Settle)
-	// Tell sends a datagram to another limiter, which may be lost.
+	// Tell sends a datagram to another limiter, without guarantee of delivery.
 	Tell(to int, data []byte)
 }
 
-// Tier names what the limiters share.
+// Tier is the configuration that all limiters share.
 type Tier struct {
 	Position  int
 	Limiters  int
 	Classes   []string
 	Plans     []string
 	MostUnits float64
-	Longest   time.Duration // that a client may wait
-	// Route, if set, finds the pool and the bounds of what is asked for, by the routes
-	// of what is carried, or tells that no route takes it.
-	Route func(q *route.Request) (Target, bool)
+	Longest   time.Duration // upper bound of client timeouts
+	// Route, if set, returns the target of a request by the same routes as forwarded requests, or
+	// false if no route matches.
+	Route func(req *route.Request) (Target, bool)
 }
 
-// Target is what a route says of a request.
+// Target is the pool and the limits that a route assigns to a request.
 type Target struct {
 	Pool     uint64
-	Class    int           // for requests that name none; -1: none
-	Deadline time.Duration // 0: the class's
-	// Advise, if set, has the plug-ins of the route asked, as for what is carried. left is
-	// the client's time.
+	Class    int           // default for requests without a class; -1: none
+	Deadline time.Duration // 0: the class's deadline
+	// Advise, if set, calls the route's plug-ins as for forwarded requests. left is the time that
+	// remains until the client's timeout.
 	Advise func(ctx context.Context, s *advice.Subject, left time.Duration) limiter.Advice
 }
 
-// Bounds of the front.
+// Limits of the HTTP server and intervals of periodic work.
 const (
-	headTimeout = 2 * time.Second
-	idleTimeout = 30 * time.Second
-	maxHead     = 16 << 10
-	// wordEvery is the pause between two datagrams that name leases whose messages came
-	// here, reportEvery that between two lines of counts in the log.
-	wordEvery   = 250 * time.Millisecond
-	reportEvery = 10 * time.Second
+	headerTimeout  = 2 * time.Second
+	idleTimeout    = 30 * time.Second
+	maxHeaderBytes = 16 << 10
+	// noticeInterval is the interval of the datagrams that report redeemed leases to the
+	// limiters that issued them; reportInterval is that of the log lines with counts.
+	noticeInterval = 250 * time.Millisecond
+	reportInterval = 10 * time.Second
 )
 
 // Service answers the proxies of one limiter.
 type Service struct {
-	cfg     Listener
-	tier    atomic.Pointer[namedTier]
-	d       Decider
-	log     *slog.Logger
-	proxies []*proxy
-	keys    *fileValue[grant.Keys]
-	web     *http.Server
-	ln      net.Listener
-	start   time.Time
-	waiting atomic.Int64
-	wake    chan struct{}
-
-	mu   sync.Mutex
-	desk *grant.LeaseManager
-
-	// Not under the lock: a quick no must not wait for those that wait.
-	count struct{ yes, no, again, busy, malformed, untrusted atomic.Int64 }
+	cfg      Listener
+	tier     atomic.Pointer[indexedTier]
+	decider  Decider
+	log      *slog.Logger
+	proxies  []*proxy
+	keys     *fileValue[grant.Keys]
+	server   *http.Server
+	listener net.Listener
+	start    time.Time
+	pending  atomic.Int64
+	wake     chan struct{}
+
+	mu           sync.Mutex
+	leaseManager *grant.LeaseManager
+
+	// Atomic instead of under mu: an early rejection must not wait for requests that hold mu.
+	counts struct{ granted, refused, repeated, busy, malformed, untrusted atomic.Int64 }
 }
 
-// namedTier is a Tier with its names by their places.
-type namedTier struct {
+// indexedTier is a Tier with maps from names of classes and plans to their indexes.
+type indexedTier struct {
 	Tier
 	classes, plans map[string]int
 }
 
-func newTier(t Tier) *namedTier { return &namedTier{t, places(t.Classes), places(t.Plans)} }
+func newIndexedTier(t Tier) *indexedTier {
+	return &indexedTier{t, indexByName(t.Classes), indexByName(t.Plans)}
+}
 
-// Swap has another tier hold once swap, which must call done, has changed the decider to
-// it. An ask is read by one tier and decided by the same.
+// Swap replaces the tier. It calls swap, which must change the decider to the new tier and then
+// call done. Each request is parsed and decided by the same tier.
 func (s *Service) Swap(t Tier, swap func(done func())) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	swap(func() { s.tier.Store(newTier(t)) })
+	swap(func() { s.tier.Store(newIndexedTier(t)) })
 }
 
-// Counts are what came of the asks.
-type Counts struct{ Yes, No, Again, Busy, Malformed, Untrusted int64 }
+// Counts are the numbers of authorization requests by outcome; Repeated counts repeats of granted attempts.
+type Counts struct{ Granted, Refused, Repeated, Busy, Malformed, Untrusted int64 }
 
-// proxy is one with its secrets.
+// proxy is a configured Proxy with its loaded secrets.
 type proxy struct {
 	Proxy
 	secrets *fileValue[[][sha256.Size]byte]
 }
 
-// New returns a Service that listens but does not answer yet.
+// New returns a Service that listens; [Service.Run] answers.
 func New(cfg Listener, tier Tier, d Decider, logger *slog.Logger) (*Service, error) {
-	s := &Service{cfg: cfg, d: d, log: logger, start: time.Now(),
-		wake: make(chan struct{}, 1), desk: grant.NewLeaseManager(tier.Position, tier.Limiters, cfg.Leases)}
-	s.tier.Store(newTier(tier))
+	s := &Service{cfg: cfg, decider: d, log: logger, start: time.Now(),
+		wake: make(chan struct{}, 1), leaseManager: grant.NewLeaseManager(tier.Position, tier.Limiters, cfg.MaxLeases)}
+	s.tier.Store(newIndexedTier(tier))
 	var err error
 	for _, p := range cfg.Proxies {
-		x := &proxy{Proxy: p}
-		if p.Secret != "" {
-			if x.secrets, err = newFileValue(parseSecrets, logger.Warn, p.Secret); err != nil {
+		entry := &proxy{Proxy: p}
+		if p.SecretFile != "" {
+			if entry.secrets, err = newFileValue(parseSecrets, logger.Warn, p.SecretFile); err != nil {
 				return nil, err
 			}
 		}
-		s.proxies = append(s.proxies, x)
+		s.proxies = append(s.proxies, entry)
 	}
-	if cfg.Keys != "" {
-		if s.keys, err = newFileValue(parseKeys, logger.Warn, cfg.Keys); err != nil {
+	if cfg.KeysFile != "" {
+		if s.keys, err = newFileValue(parseKeys, logger.Warn, cfg.KeysFile); err != nil {
 			return nil, err
 		}
 	}
-	// No time for bodies, which are not read, and none for answers, which fit into a
-	// socket's buffer: each deadline costs every ask.
-	s.web = &http.Server{Handler: s, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHead, ErrorLog: log.New(discard{}, "", 0)}
+	// No timeouts for bodies, which are not read, or for responses, which fit into a socket
+	// buffer: setting a deadline would cost time for every request.
+	s.server = &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: log.New(discardWriter{}, "", 0)}
 	if cfg.TLS != nil {
-		if s.web.TLSConfig, err = cfg.TLS.tlsConfig(logger.Warn); err != nil {
+		if s.server.TLSConfig, err = cfg.TLS.tlsConfig(logger.Warn); err != nil {
 			return nil, err
 		}
 	}
-	if s.ln, err = net.Listen("tcp", cfg.Listen); err != nil {
+	if s.listener, err = net.Listen("tcp", cfg.Listen); err != nil {
 		return nil, fmt.Errorf("forward authentication: %w", err)
 	}
 	return s, nil
 }
 
-// discard drops the HTTP server's lines on connections that break.
-type discard struct{}
+// discardWriter drops the HTTP server's log lines about broken connections.
+type discardWriter struct{}
 
-func (discard) Write(p []byte) (int, error) { return len(p), nil }
+func (discardWriter) Write(p []byte) (int, error) { return len(p), nil }
 
-func places(names []string) map[string]int {
+func indexByName(names []string) map[string]int {
 	m := map[string]int{}
 	for i, n := range names {
 		m[n] = i
@@ -158,186 +160,187 @@
 	return m
 }
 
-// Addr is where proxies ask.
-func (s *Service) Addr() net.Addr { return s.ln.Addr() }
+// Addr returns the address that the service listens on.
+func (s *Service) Addr() net.Addr { return s.listener.Addr() }
 
-// Run answers until the context ends.
+// Run serves proxies until the context ends.
 func (s *Service) Run(ctx context.Context) error {
-	served := make(chan error, 1)
+	serveErr := make(chan error, 1)
 	go func() {
-		if s.web.TLSConfig != nil {
-			served <- s.web.ServeTLS(s.ln, "", "")
+		if s.server.TLSConfig != nil {
+			serveErr <- s.server.ServeTLS(s.listener, "", "")
 		} else {
-			served <- s.web.Serve(s.ln)
+			serveErr <- s.server.Serve(s.listener)
 		}
 	}()
-	timer, words, reports := time.NewTimer(time.Hour), time.NewTicker(wordEvery), time.NewTicker(reportEvery)
-	defer timer.Stop()
-	defer words.Stop()
-	defer reports.Stop()
+	expiryTimer, noticeTicker, reportTicker := time.NewTimer(time.Hour), time.NewTicker(noticeInterval), time.NewTicker(reportInterval)
+	defer expiryTimer.Stop()
+	defer noticeTicker.Stop()
+	defer reportTicker.Stop()
 	var reported Counts
-	defer func() { s.report(reported) }()
+	defer func() { s.logCounts(reported) }()
 	for {
 		s.mu.Lock()
 		now := time.Since(s.start)
-		s.desk.Leases().Expire(now, func(t grant.Terms) { s.settle(t, grant.Expired) })
+		s.leaseManager.Leases().Expire(now, func(t grant.Terms) { s.settle(t, grant.Expired) })
 		wait := time.Hour
-		if at, ok := s.desk.Leases().NextExpiry(); ok {
+		if at, ok := s.leaseManager.Leases().NextExpiry(); ok {
 			wait = at - now
 		}
 		s.mu.Unlock()
-		timer.Reset(wait)
+		expiryTimer.Reset(wait)
 		select {
-		case err := <-served:
+		case err := <-serveErr:
 			if !errors.Is(err, http.ErrServerClosed) {
 				return fmt.Errorf("forward authentication: %w", err)
 			}
 			return nil
 		case <-ctx.Done():
-			stop, cancel := context.WithTimeout(context.Background(), headTimeout)
+			stop, cancel := context.WithTimeout(context.Background(), headerTimeout)
 			defer cancel()
-			err := s.web.Shutdown(stop)
-			<-served
+			err := s.server.Shutdown(stop)
+			<-serveErr
 			return err
-		case <-timer.C:
+		case <-expiryTimer.C:
 		case <-s.wake:
-		case <-words.C:
-			s.tell()
-		case <-reports.C:
-			reported = s.report(reported)
+		case <-noticeTicker.C:
+			s.sendNotices()
+		case <-reportTicker.C:
+			reported = s.logCounts(reported)
 		}
 	}
 }
 
-// report writes what came of the asks to the log, if that is news.
-func (s *Service) report(before Counts) Counts {
-	n := &s.count
-	now := Counts{n.yes.Load(), n.no.Load(), n.again.Load(), n.busy.Load(), n.malformed.Load(), n.untrusted.Load()}
+// logCounts logs the counts if they differ from before, and returns them.
+func (s *Service) logCounts(before Counts) Counts {
+	n := &s.counts
+	now := Counts{n.granted.Load(), n.refused.Load(), n.repeated.Load(), n.busy.Load(), n.malformed.Load(), n.untrusted.Load()}
 	if now != before {
 		s.mu.Lock()
-		open := s.desk.Leases().OpenCount()
+		open := s.leaseManager.Leases().OpenCount()
 		s.mu.Unlock()
-		s.log.Info("asks so far", "yes", now.Yes, "no", now.No, "again", now.Again, "busy", now.Busy, "malformed", now.Malformed,
+		s.log.Info("asks so far", "yes", now.Granted, "no", now.Refused, "again", now.Repeated, "busy", now.Busy, "malformed", now.Malformed,
 			"untrusted", now.Untrusted, "leases_out", open)
 	}
 	return now
 }
 
-// settle tells the module that a lease has ended. The lock is held.
+// settle reports the end of a lease to the decision module. s.mu must be held.
 func (s *Service) settle(t grant.Terms, e grant.EndReason) {
-	s.d.Settle(limiter.Settle{Account: t.Account, Units: t.Units, Refund: e.ReturnsUnits()})
+	s.decider.Settle(limiter.Settle{Account: t.Account, Units: t.Units, Refund: e.ReturnsUnits()})
 }
 
-// Paths of the front besides asks.
+// The paths with which proxies end leases; any other path is an authorization request.
 const (
 	CancelPath  = "/lease/cancel"
 	ConfirmPath = "/lease/confirm"
 )
 
-// ServeHTTP answers a proxy. Bodies are never read.
-func (s *Service) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	if q.ContentLength != 0 { // net/http would read on for the next request
+// ServeHTTP answers a request of a proxy. It never reads bodies.
+func (s *Service) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	if req.ContentLength != 0 { // else net/http would read the body to reach the next request
 		w.Header().Set("Connection", "close")
 	}
-	p, status := s.trusted(q)
+	p, status := s.authenticate(req)
 	if p == nil {
-		s.count.untrusted.Add(1)
+		s.counts.untrusted.Add(1)
 		w.Header().Set("Connection", "close")
 		http.Error(w, "not one of the proxies that may ask", status)
 		return
 	}
-	if q.URL.Path == CancelPath || q.URL.Path == ConfirmPath {
-		s.end(w, q)
+	if req.URL.Path == CancelPath || req.URL.Path == ConfirmPath {
+		s.endLease(w, req)
 		return
 	}
 	t := s.tier.Load()
-	x, err := t.parse(p, q)
+	parsed, err := t.parse(p, req)
 	if err != nil {
-		s.count.malformed.Add(1)
-		p.Dialect.no(w, http.StatusBadRequest, 0, err.Error())
+		s.counts.malformed.Add(1)
+		p.Dialect.writeRefused(w, http.StatusBadRequest, 0, err.Error())
 		return
 	}
-	// Asks wait for one another at the module; past a bound they hear a no at once.
-	if s.waiting.Add(1) > int64(s.cfg.Pending) {
-		s.waiting.Add(-1)
-		s.count.busy.Add(1)
-		p.Dialect.no(w, http.StatusServiceUnavailable, time.Second, "too many asks at once")
+	// Requests are decided one at a time; above the limit of pending ones they are rejected at once.
+	if s.pending.Add(1) > int64(s.cfg.MaxPending) {
+		s.pending.Add(-1)
+		s.counts.busy.Add(1)
+		p.Dialect.writeRefused(w, http.StatusServiceUnavailable, time.Second, "too many asks at once")
 		return
 	}
-	x.advise(p, q)
-	token, granted, wait, ok := s.ask(p, x, t)
-	for !ok { // read by a tier that is gone
+	parsed.advise(p, req)
+	token, granted, wait, ok := s.ask(p, parsed, t)
+	for !ok { // the tier was replaced after parsing
 		t = s.tier.Load()
-		if x, err = t.parse(p, q); err != nil {
+		if parsed, err = t.parse(p, req); err != nil {
 			break
 		}
-		x.advise(p, q)
-		token, granted, wait, ok = s.ask(p, x, t)
+		parsed.advise(p, req)
+		token, granted, wait, ok = s.ask(p, parsed, t)
 	}
-	s.waiting.Add(-1)
+	s.pending.Add(-1)
 	if err != nil {
-		s.count.malformed.Add(1)
-		p.Dialect.no(w, http.StatusBadRequest, 0, err.Error())
+		s.counts.malformed.Add(1)
+		p.Dialect.writeRefused(w, http.StatusBadRequest, 0, err.Error())
 		return
 	}
 	if !granted {
-		p.Dialect.no(w, http.StatusTooManyRequests, max(wait, time.Millisecond), "over the quota, or the servers are full; try again later")
+		p.Dialect.writeRefused(w, http.StatusTooManyRequests, max(wait, time.Millisecond), "over the quota, or the servers are full; try again later")
 		return
 	}
-	p.Dialect.yes(w, token)
+	p.Dialect.writeGranted(w, token)
 }
 
-// advise has the plug-ins asked. For a proxy that has left there is nobody to hear a yes, and
-// what its plug-ins did not get to say is no.
-func (x *parsed) advise(p *proxy, q *http.Request) {
-	if x.to.Advise == nil {
+// advise calls the plug-ins. If the proxy has closed its connection, nobody would receive a grant
+// and the plug-ins were cut short, so the request is refused.
+func (parsed *parsedRequest) advise(p *proxy, req *http.Request) {
+	if parsed.to.Advise == nil {
 		return
 	}
 	s := &advice.Subject{Header: func(name string) string {
-		if v := q.Header[name]; len(v) == 1 && name != p.Header {
+		if v := req.Header[name]; len(v) == 1 && name != p.SecretHeader {
 			return v[0]
 		}
 		return ""
-	}, Request: advice.Request{Account: x.ask.Account, Plan: x.ask.Plan, Class: x.ask.Class, PlanName: x.plan, ClassName: x.class, Method: x.method, Path: x.path,
-		Units: x.ask.Units, LeftMs: x.ask.ExpiresMs, Retry: x.ask.Retry}}
-	x.ask.Advice = x.to.Advise(q.Context(), s, time.Duration(x.ask.ExpiresMs*float64(time.Millisecond)))
-	if q.Context().Err() != nil {
-		x.ask.Advice = limiter.Advice{Refuse: true}
+	}, Request: advice.Request{Account: parsed.ask.Account, Plan: parsed.ask.Plan, Class: parsed.ask.Class, PlanName: parsed.plan, ClassName: parsed.class, Method: parsed.method, Path: parsed.path,
+		Units: parsed.ask.Units, LeftMs: parsed.ask.ExpiresMs, Retry: parsed.ask.Retry}}
+	parsed.ask.Advice = parsed.to.Advise(req.Context(), s, time.Duration(parsed.ask.ExpiresMs*float64(time.Millisecond)))
+	if req.Context().Err() != nil {
+		parsed.ask.Advice = limiter.Advice{Refuse: true}
 	}
 }
 
-// ask has the module decide, unless the same try was granted just now.
-func (s *Service) ask(p *proxy, x parsed, by *namedTier) (token string, granted bool, wait time.Duration, ok bool) {
-	a := x.ask
+// ask requests a decision from the module unless the same attempt was granted recently. ok is false if the
+// tier has been replaced since the request was parsed.
+func (s *Service) ask(p *proxy, parsed parsedRequest, parsedBy *indexedTier) (token string, granted bool, wait time.Duration, ok bool) {
+	ask := parsed.ask
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.tier.Load() != by {
+	if s.tier.Load() != parsedBy {
 		return "", false, 0, false
 	}
 	now := time.Since(s.start)
-	terms := grant.Terms{Account: a.Account, Plan: a.Plan, Class: a.Class, Units: a.Units}
-	try := grant.Attempt{Proxy: p.Name, ID: x.id, Terms: terms}
-	if token, again := s.desk.FindRepeat(now, try); again {
-		s.count.again.Add(1)
+	terms := grant.Terms{Account: ask.Account, Plan: ask.Plan, Class: ask.Class, Units: ask.Units}
+	attempt := grant.Attempt{Proxy: p.Name, ID: parsed.id, Terms: terms}
+	if token, repeated := s.leaseManager.FindRepeat(now, attempt); repeated {
+		s.counts.repeated.Add(1)
 		return token, true, 0, true
 	}
-	if a.Lease && !s.desk.Leases().HasRoom() {
-		s.count.no.Add(1)
-		return "", false, p.Lease, true
+	if ask.Lease && !s.leaseManager.Leases().HasRoom() {
+		s.counts.refused.Add(1)
+		return "", false, p.LeaseDuration, true
 	}
-	if granted, wait = s.d.Ask(a); !granted {
-		s.count.no.Add(1)
+	if granted, wait = s.decider.Ask(ask); !granted {
+		s.counts.refused.Add(1)
 		return "", false, wait, true
 	}
-	s.count.yes.Add(1)
+	s.counts.granted.Add(1)
 	until := now + grant.RepeatWindow
-	if a.Lease {
-		until = now + p.Lease
-		t := grant.Token{Limiter: by.Position, Terms: terms, Until: s.start.Add(until)}
+	if ask.Lease {
+		until = now + p.LeaseDuration
+		t := grant.Token{Limiter: parsedBy.Position, Terms: terms, Until: s.start.Add(until)}
 		rand.Read(t.Lease[:])
-		if err := s.desk.Leases().Grant(t.Lease, terms, until); err != nil { // two equal random ids: never
+		if err := s.leaseManager.Leases().Grant(t.Lease, terms, until); err != nil { // a collision of random ids, practically impossible
 			s.settle(terms, grant.Cancelled)
-			return "", false, p.Lease, true
+			return "", false, p.LeaseDuration, true
 		}
 		token = s.keys.get(time.Now()).Sign(t)
 		select {
@@ -345,26 +348,26 @@
 		default:
 		}
 	}
-	s.desk.RecordGrant(now, try, token, until)
+	s.leaseManager.RecordGrant(now, attempt, token, until)
 	return token, true, 0, true
 }
 
-// end is a proxy's word that a lease was used elsewhere, or will not be.
-func (s *Service) end(w http.ResponseWriter, q *http.Request) {
+// endLease handles a proxy's notice that a lease was used elsewhere (confirm) or will not be used (cancel).
+func (s *Service) endLease(w http.ResponseWriter, req *http.Request) {
 	e := grant.Cancelled
-	if q.URL.Path == ConfirmPath {
+	if req.URL.Path == ConfirmPath {
 		e = grant.Confirmed
 	}
-	text, err := single(q.Header, GrantHeader)
+	text, err := singleHeader(req.Header, GrantHeader)
 	t, ok := s.verify(text)
-	if q.Method != http.MethodPost || err != nil || !ok || t.Limiter != s.tier.Load().Position {
-		s.count.malformed.Add(1)
+	if req.Method != http.MethodPost || err != nil || !ok || t.Limiter != s.tier.Load().Position {
+		s.counts.malformed.Add(1)
 		http.Error(w, "needs POST and a token of this limiter in "+GrantHeader, http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	terms, err := s.desk.Leases().End(time.Since(s.start), t.Lease, e)
+	terms, err := s.leaseManager.Leases().End(time.Since(s.start), t.Lease, e)
 	if err != nil {
 		http.Error(w, "the lease has ended", http.StatusGone)
 		return
@@ -381,8 +384,8 @@
 	return t, err == nil
 }
 
-// Redeem takes the token of a message that has come to this limiter; see
-// [grant.Desk.Redeem].
+// Redeem accepts the token of a message that this limiter received; see
+// [grant.LeaseManager.Redeem].
 func (s *Service) Redeem(text string, terms grant.Terms) (leased float64, vouched bool) {
 	t, ok := s.verify(text)
 	if !ok {
@@ -390,25 +393,25 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.desk.Redeem(time.Since(s.start), t, time.Until(t.Until), terms)
+	return s.leaseManager.Redeem(time.Since(s.start), t, time.Until(t.Until), terms)
 }
 
-// tell sends the other limiters what they are owed.
-func (s *Service) tell() {
+// sendNotices sends the other limiters the pending notices on their leases.
+func (s *Service) sendNotices() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.desk.SendNotices(s.d.Tell)
+	s.leaseManager.SendNotices(s.decider.Tell)
 }
 
-// Heard takes in another limiter's word on leases.
+// Heard handles a datagram of another limiter with notices on redeemed leases.
 func (s *Service) Heard(data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.desk.Heard(time.Since(s.start), data, func(t grant.Terms) { s.settle(t, grant.Moved) })
+	s.leaseManager.Heard(time.Since(s.start), data, func(t grant.Terms) { s.settle(t, grant.Moved) })
 }
 
-// query is the protocol's account in the original query.
-func query(uri, name string) (string, error) {
+// queryParameter returns a parameter of the query in uri, or an error if it occurs more than once.
+func queryParameter(uri, name string) (string, error) {
 	u, err := url.ParseRequestURI(uri)
 	if err != nil {
 		return "", fmt.Errorf("the original path can't be read")
--- a/internal/policies/priority.go
+++ b/internal/policies/priority.go
@@ -7,20 +7,21 @@
 	"example.org/madderdrum/limiter"
 )
 
-// overProvisioning is the factor by which a priority's health is taken to suffice
-// (Envoy's default).
-const overProvisioning = 1.4
+// overprovisioningFactor multiplies the share of healthy boxes of a tier to give the share of the
+// traffic that it can take (Envoy's default).
+const overprovisioningFactor = 1.4
 
-// Passive ejection of boxes: so many failures in a row, for so long times the number of
-// ejections (the defaults of Envoy's outlier detection).
+// Passive ejection of boxes, with the defaults of Envoy's outlier detection: a box is ejected after
+// ejectAfterFailures consecutive failures, for baseEjectionMs times the number of its ejections, up
+// to maxEjectionMs.
 const (
-	ejectAfter = 5
-	ejectMs    = 30_000.0
-	ejectMost  = 300_000.0
+	ejectAfterFailures = 5
+	baseEjectionMs     = 30_000.0
+	maxEjectionMs      = 300_000.0
 )
 
-// Failover returns the limiter in service with a plain rule for tiers before it: all
-// goes to the first tier that has a box that is healthy.
+// Failover returns the limiter preceded by a simple rule for tiers: all requests go to the first tier
+// with a healthy box.
 func Failover(s limiter.Settings, seed uint64) (virtual.Policy, error) {
 	return newPriority(s, seed, func(health []float64, _ float64) int {
 		for k, h := range health {
@@ -32,22 +33,21 @@
 	})
 }
 
-// Priority returns the limiter in service with the rule of Envoy's priority levels
-// before it: a tier takes 1.4 times its share of healthy boxes of the traffic, up to
-// all, and the next ones what is left; see "Priority levels" in Envoy's documentation
-// on load balancing.
+// Priority returns the limiter preceded by Envoy's rule for priority levels: a tier takes a share of
+// the traffic of up to 1.4 times its share of healthy boxes, and the next tiers take the rest; see
+// "Priority levels" in Envoy's documentation on load balancing.
 func Priority(s limiter.Settings, seed uint64) (virtual.Policy, error) {
 	return newPriority(s, seed, func(health []float64, u float64) int {
 		total := 0.0
 		for _, h := range health {
-			total += min(1, overProvisioning*h)
+			total += min(1, overprovisioningFactor*h)
 		}
 		if total <= 0 {
 			return 0
 		}
 		u *= min(1, total)
 		for k, h := range health {
-			if u -= min(1, overProvisioning*h); u < 0 {
+			if u -= min(1, overprovisioningFactor*h); u < 0 {
 				return k
 			}
 		}
@@ -55,79 +55,79 @@
 	})
 }
 
-// priority has each tier be a pool of the limiter's, and picks the pool of each request.
-type priority struct {
-	inner  virtual.Policy
-	rng    *rand.Rand
-	pick   func(health []float64, u float64) int
-	boxes  []map[uint64]*listedBox // by tier
-	of     map[uint64]*listedBox
-	health []float64
+// priorityPolicy presents each tier as a pool of its own to the limiter and picks the pool of each request.
+type priorityPolicy struct {
+	inner       virtual.Policy
+	rng         *rand.Rand
+	pickTier    func(health []float64, u float64) int
+	boxesByTier []map[uint64]*boxState // for each tier, by id
+	boxByID     map[uint64]*boxState
+	health      []float64
 }
 
-type listedBox struct {
-	up        bool
-	run       int // failures in a row
-	ejections int
-	ejectedTo float64
+type boxState struct {
+	up                  bool
+	consecutiveFailures int
+	ejections           int
+	ejectedUntilMs      float64
 }
 
 func newPriority(s limiter.Settings, seed uint64, pick func([]float64, float64) int) (virtual.Policy, error) {
 	tiers := len(s.Spills[0])
 	s.Spills = nil
-	s.Rules.ColdShare = 0 // its rule for cold boxes would give them hardly anything: that goes by the pool's traffic
+	s.Rules.ColdShare = 0 // the limiter sizes the share of cold boxes by the traffic of their pool, which is too small here
 	inner, err := limiter.New(s, seed)
 	if err != nil {
 		return nil, err
 	}
-	p := &priority{inner: inner, rng: rand.New(rand.NewPCG(seed, 0x91)), pick: pick, of: map[uint64]*listedBox{},
-		boxes: make([]map[uint64]*listedBox, tiers), health: make([]float64, tiers)}
-	for k := range p.boxes {
-		p.boxes[k] = map[uint64]*listedBox{}
+	p := &priorityPolicy{inner: inner, rng: rand.New(rand.NewPCG(seed, 0x91)), pickTier: pick, boxByID: map[uint64]*boxState{},
+		boxesByTier: make([]map[uint64]*boxState, tiers), health: make([]float64, tiers)}
+	for k := range p.boxesByTier {
+		p.boxesByTier[k] = map[uint64]*boxState{}
 	}
 	return p, nil
 }
 
-// Handle takes one event.
-func (p *priority) Handle(now float64, ev limiter.Event) []limiter.Action {
+// Handle processes an event and returns the resulting actions.
+func (p *priorityPolicy) Handle(now float64, ev limiter.Event) []limiter.Action {
 	switch e := ev.(type) {
 	case limiter.Endpoints:
 		for i := range e.Servers {
 			s := &e.Servers[i]
-			b := p.of[s.ID]
+			b := p.boxByID[s.ID]
 			if b == nil {
-				b = &listedBox{}
-				p.of[s.ID], p.boxes[s.Tier][s.ID] = b, b
+				b = &boxState{}
+				p.boxByID[s.ID], p.boxesByTier[s.Tier][s.ID] = b, b
 			}
 			if b.up = s.Phase == limiter.Up; s.Phase == limiter.Removed {
-				delete(p.of, s.ID)
-				delete(p.boxes[s.Tier], s.ID)
+				delete(p.boxByID, s.ID)
+				delete(p.boxesByTier[s.Tier], s.ID)
 			}
 			s.Pool, s.Tier = uint64(s.Tier), 0
 		}
 		return p.inner.Handle(now, e)
 	case limiter.Submit:
-		for k, boxes := range p.boxes {
+		for k, boxes := range p.boxesByTier {
 			n := 0
 			for _, b := range boxes {
-				if b.up && now >= b.ejectedTo {
+				if b.up && now >= b.ejectedUntilMs {
 					n++
 				}
 			}
 			p.health[k] = float64(n) / float64(max(1, len(boxes)))
 		}
-		e.Pool = uint64(p.pick(p.health, p.rng.Float64()))
+		e.Pool = uint64(p.pickTier(p.health, p.rng.Float64()))
 		return p.inner.Handle(now, e)
 	case limiter.Outcome:
-		if b := p.of[e.Server]; b != nil {
+		if b := p.boxByID[e.Server]; b != nil {
 			switch e.Result {
 			case limiter.Pass, limiter.NoRoom:
-				b.run = 0
+				b.consecutiveFailures = 0
 			case limiter.Undone, limiter.StaleSend:
 			default:
-				if b.run++; b.run >= ejectAfter && now >= b.ejectedTo {
-					b.run, b.ejections = 0, b.ejections+1
-					b.ejectedTo = now + min(ejectMost, ejectMs*float64(b.ejections))
+				if b.consecutiveFailures++; b.consecutiveFailures >= ejectAfterFailures && now >= b.ejectedUntilMs {
+					b.consecutiveFailures, b.ejections = 0, b.ejections+1
+					b.ejectedUntilMs = now + min(maxEjectionMs, baseEjectionMs*float64(b.ejections))
 				}
 			}
 		}
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -1,5 +1,5 @@
-// Package status shows operators what a limiter knows, on an address of its own. It is
-// read only, but for letting a benched plug-in back.
+// Package status serves a limiter's view of tiers and plug-ins to operators over HTTP, on a
+// separate address. It is read-only except for resetting a benched plug-in.
 package status
 
 import (
@@ -19,41 +19,41 @@
 	"golang.org/x/net/netutil"
 )
 
-// Tier is a tier of a pool as one limiter sees it now.
+// Tier is the state of a tier of a pool as seen by one limiter.
 type Tier struct {
 	Pool    string  `json:"pool"`
 	Tier    string  `json:"tier"`
 	Phase   string  `json:"phase"` // well, returning, held down, failing, slow or lost
-	Sole    bool    `json:"sole"`  // no tier is well, and this one takes all that it can
-	Share   float64 `json:"share"` // of the requests that it may take
+	Sole    bool    `json:"sole"`  // no tier is well; this one receives all traffic that it can take
+	Share   float64 `json:"share"` // fraction of the requests that the tier is eligible for
 	Spilled float64 `json:"spilled"`
 	Boxes   int     `json:"boxes"`
 	Usable  int     `json:"usable"`
-	Next    string  `json:"next"` // what changes the share
+	Next    string  `json:"next"` // the condition that changes the share next
 }
 
-// State is what GET /tiers answers.
+// State is the response to GET /tiers.
 type State struct {
 	Limiter string `json:"limiter"`
 	Tiers   []Tier `json:"tiers"`
 }
 
-// Plugin is a plug-in as one limiter sees it now. Counts are sums since it was loaded.
+// Plugin is the state of a plug-in in one limiter. Counters start at zero when it is loaded.
 type Plugin struct {
 	Name         string `json:"name"`
 	Calls        uint64 `json:"calls"`
-	Refused      uint64 `json:"refused"`       // requests that it has had refused
+	Refused      uint64 `json:"refused"`       // requests that were refused on its advice
 	Faults       uint64 `json:"faults"`        // calls that failed
-	TimesBenched uint64 `json:"times_benched"` // after faults in a row
+	TimesBenched uint64 `json:"times_benched"` // each time after consecutive faults
 	BenchedForMs int64  `json:"benched_for_ms"`
-	Skipped      uint64 `json:"skipped"` // requests that went by it while it was benched
-	Busy         uint64 `json:"busy"`    // ... while it had no instance free, or no call left in that second
+	Skipped      uint64 `json:"skipped"` // requests decided without it while it was benched
+	Busy         uint64 `json:"busy"`    // requests decided without it because no instance was free or its call rate was exceeded
 	Instances    int    `json:"instances"`
 	Counters     int    `json:"counters"`
 	LastFault    string `json:"last_fault,omitempty"`
 }
 
-// Label is what became of the requests that plug-ins gave a label.
+// Label counts, by outcome, the requests that plug-ins gave a label.
 type Label struct {
 	Label   string `json:"label"`
 	Served  uint64 `json:"served"`
@@ -61,45 +61,45 @@
 	Failed  uint64 `json:"failed"`
 }
 
-// PluginState is what GET /plugins answers.
+// PluginState is the response to GET /plugins.
 type PluginState struct {
 	Limiter string   `json:"limiter"`
 	Plugins []Plugin `json:"plugins"`
 	Labels  []Label  `json:"labels"`
 }
 
-// Sources tell what is shown. They are called by several goroutines at once.
+// Sources are the functions that supply the data. They are called concurrently.
 type Sources struct {
 	Tiers   func() State
 	Plugins func() PluginState
-	Reset   func(plugin string) bool // lets it back, and tells whether there is one of that name
+	Reset   func(plugin string) bool // ends the benching of a plug-in; false if there is no plug-in of that name
 }
 
-// ResetHeader has to stand in a POST, with any value: a page in an operator's browser can't
-// add it for a foreign address.
+// ResetHeader is required in a POST, with any value, against cross-site request forgery: a web
+// page can't set it in requests to another origin.
 const ResetHeader = "X-Madderdrum-Reset"
 
-// Server answers on one address. Make one with [Listen].
+// Server serves the status over HTTP. Create one with [Listen].
 type Server struct {
-	ln  net.Listener
-	web *http.Server
+	listener net.Listener
+	server   *http.Server
 }
 
 const (
-	headTimeout = 2 * time.Second
-	mostHead    = 8 << 10 // bytes
-	mostConns   = 16      // at once; more wait: who looks on must not take the sockets of those who send
+	headerTimeout  = 2 * time.Second
+	maxHeaderBytes = 8 << 10 // bytes
+	maxConnections = 16      // further ones wait, so that operators' connections don't use up the sockets for clients
 )
 
-// Listen takes an address, host:port.
+// Listen returns a Server that listens on addr (host:port); [Server.Run] serves requests.
 func Listen(addr string, from Sources, logger *slog.Logger) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("status: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /tiers", func(w http.ResponseWriter, r *http.Request) { s := from.Tiers(); answer(w, r, s, s.table) })
-	mux.HandleFunc("GET /plugins", func(w http.ResponseWriter, r *http.Request) { s := from.Plugins(); answer(w, r, s, s.table) })
+	mux.HandleFunc("GET /tiers", func(w http.ResponseWriter, r *http.Request) { s := from.Tiers(); writeAnswer(w, r, s, s.writeTable) })
+	mux.HandleFunc("GET /plugins", func(w http.ResponseWriter, r *http.Request) { s := from.Plugins(); writeAnswer(w, r, s, s.writeTable) })
 	mux.HandleFunc("POST /plugins/{name}/reset", func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.Header.Get(ResetHeader) == "":
@@ -110,25 +110,25 @@
 			w.WriteHeader(http.StatusNoContent)
 		}
 	})
-	return &Server{ln: netutil.LimitListener(ln, mostConns), web: &http.Server{Handler: mux, ReadHeaderTimeout: headTimeout, ReadTimeout: headTimeout,
-		WriteTimeout: headTimeout, IdleTimeout: headTimeout, MaxHeaderBytes: mostHead, ErrorLog: slog.NewLogLogger(logger.Handler(), slog.LevelDebug)}}, nil
+	return &Server{listener: netutil.LimitListener(ln, maxConnections), server: &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, ReadTimeout: headerTimeout,
+		WriteTimeout: headerTimeout, IdleTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: slog.NewLogLogger(logger.Handler(), slog.LevelDebug)}}, nil
 }
 
-// Addr is the address that it listens on.
-func (s *Server) Addr() net.Addr { return s.ln.Addr() }
+// Addr returns the address that the server listens on.
+func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Run answers until the context ends.
+// Run serves requests until the context ends.
 func (s *Server) Run(ctx context.Context) error {
-	stop := context.AfterFunc(ctx, func() { s.web.Close() })
+	stop := context.AfterFunc(ctx, func() { s.server.Close() })
 	defer stop()
-	if err := s.web.Serve(s.ln); !errors.Is(err, http.ErrServerClosed) {
+	if err := s.server.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("status: %w", err)
 	}
 	return nil
 }
 
-// answer writes JSON, or a table for those that ask for text.
-func answer(w http.ResponseWriter, r *http.Request, s any, table func(w io.Writer)) {
+// writeAnswer writes s as JSON, or as a table if the request asks for plain text.
+func writeAnswer(w http.ResponseWriter, r *http.Request, s any, table func(w io.Writer)) {
 	w.Header().Set("Cache-Control", "no-store")
 	if strings.Contains(r.Header.Get("Accept"), "text/plain") || r.URL.Query().Get("format") == "text" {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -140,33 +140,33 @@
 	w.Header().Set("Content-Type", "application/json")
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
-	e.Encode(s) // what can't be written has nobody who waits for it
+	e.Encode(s) // an error means that the client has disconnected
 }
 
-func (s State) table(w io.Writer) {
+func (s State) writeTable(w io.Writer) {
 	fmt.Fprintf(w, "limiter %s\npool\ttier\tphase\tshare\tspilled\tusable\tnext\n", s.Limiter)
-	for _, x := range s.Tiers {
-		phase := x.Phase
-		if x.Sole {
+	for _, tier := range s.Tiers {
+		phase := tier.Phase
+		if tier.Sole {
 			phase += ", sole"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%.0f%%\t%.0f%%\t%d of %d\t%s\n", x.Pool, x.Tier, phase, 100*x.Share, 100*x.Spilled, x.Usable, x.Boxes, x.Next)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%.0f%%\t%.0f%%\t%d of %d\t%s\n", tier.Pool, tier.Tier, phase, 100*tier.Share, 100*tier.Spilled, tier.Usable, tier.Boxes, tier.Next)
 	}
 }
 
-func (s PluginState) table(w io.Writer) {
+func (s PluginState) writeTable(w io.Writer) {
 	fmt.Fprintf(w, "limiter %s\nplug-in\tstate\tcalls\trefused\tfaults\tbenched\tskipped\tbusy\tinstances\tcounters\tlast fault\n", s.Limiter)
-	for _, x := range s.Plugins {
+	for _, plugin := range s.Plugins {
 		state := "asked"
-		if x.BenchedForMs > 0 {
-			state = fmt.Sprintf("benched for %.1f s", float64(x.BenchedForMs)/1000)
+		if plugin.BenchedForMs > 0 {
+			state = fmt.Sprintf("benched for %.1f s", float64(plugin.BenchedForMs)/1000)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", x.Name, state, x.Calls, x.Refused, x.Faults, x.TimesBenched, x.Skipped, x.Busy, x.Instances, x.Counters, cmp.Or(x.LastFault, "-"))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", plugin.Name, state, plugin.Calls, plugin.Refused, plugin.Faults, plugin.TimesBenched, plugin.Skipped, plugin.Busy, plugin.Instances, plugin.Counters, cmp.Or(plugin.LastFault, "-"))
 	}
 	if len(s.Labels) > 0 {
 		fmt.Fprintf(w, "\nlabel\tserved\trefused\tfailed\n")
 	}
-	for _, x := range s.Labels {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", x.Label, x.Served, x.Refused, x.Failed)
+	for _, label := range s.Labels {
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", label.Label, label.Served, label.Refused, label.Failed)
 	}
 }
