--- a/cmd/madderdrum/admin.go
+++ b/cmd/madderdrum/admin.go
@@ -13,7 +13,7 @@
 )
 
 // mostAnswer bounds what is read of an answer.
-const mostAnswer = 1 << 20
+const maxAnswerBytes = 1 << 20
 
 // adminCommand makes one call on a limiter's operators' address.
 type adminCommand struct {
@@ -32,7 +32,7 @@
 func (c *adminCommand) Run() error { return c.run(os.Stdout, os.Stderr) }
 
 func (c *adminCommand) run(out, errs io.Writer) error {
-	answer, err := c.ask()
+	answer, err := c.request()
 	if err != nil {
 		fmt.Fprintf(errs, "madderdrum: %s at %s: %v\n", c.Call, c.At, err)
 		return exitStatus(2)
@@ -45,7 +45,7 @@
 }
 
 // ask returns the answer's lines, but for the line that ends figures.
-func (c *adminCommand) ask() (string, error) {
+func (c *adminCommand) request() (string, error) {
 	conn, err := net.DialTimeout("tcp", c.At, c.Wait)
 	if err != nil {
 		return "", err
@@ -55,7 +55,7 @@
 	if _, err := fmt.Fprintln(conn, c.Call); err != nil {
 		return "", err
 	}
-	b, err := io.ReadAll(io.LimitReader(conn, mostAnswer))
+	b, err := io.ReadAll(io.LimitReader(conn, maxAnswerBytes))
 	if err != nil {
 		return "", err
 	}
--- a/cmd/madderdrum/capacity.go
+++ b/cmd/madderdrum/capacity.go
@@ -66,7 +66,7 @@
 	case c.Replay < 0 || c.Replay > 10_000:
 		return fmt.Errorf("--replay %d: from 1 to 10000 days", c.Replay)
 	}
-	begins, err := weekTime(c.Begins)
+	begins, err := parseWeekTime(c.Begins)
 	if err != nil {
 		return fmt.Errorf("--begins: %w", err)
 	}
@@ -77,12 +77,12 @@
 	if err != nil {
 		return err
 	}
-	if err := whatIf(o.Fleet, c.Plan); err != nil {
+	if err := applyPlanChanges(o.Fleet, c.Plan); err != nil {
 		return fmt.Errorf("--plan: %w", err)
 	}
 	bar := newProgress()
-	plan, err := replay.Prepare(ctx, *o, bar.read)
-	bar.end()
+	plan, err := replay.Prepare(ctx, *o, bar.showRead)
+	bar.clear()
 	if err != nil {
 		return err
 	}
@@ -94,12 +94,12 @@
 		return fmt.Errorf("writing: %w", err)
 	}
 	if c.JSON != "" {
-		if err := saveWith(c.JSON, r.Write); err != nil {
+		if err := saveFile(c.JSON, r.Write); err != nil {
 			return fmt.Errorf("--json: %w", err)
 		}
 	}
 	if c.HTML != "" {
-		if err := saveWith(c.HTML, r.HTML); err != nil {
+		if err := saveFile(c.HTML, r.HTML); err != nil {
 			return fmt.Errorf("--html: %w", err)
 		}
 	}
@@ -111,8 +111,8 @@
 		if boxes < len(o.Fleet.Rooms) {
 			continue
 		}
-		t, err := r.Replay(ctx, o.Fleet, boxes, c.Replay, bar.played)
-		bar.end()
+		t, err := r.Replay(ctx, o.Fleet, boxes, c.Replay, bar.showPlayed)
+		bar.clear()
 		if err != nil {
 			return err
 		}
@@ -122,7 +122,7 @@
 }
 
 // weekTime reads a day and hour, in seconds from a Monday 00:00.
-func weekTime(text string) (float64, error) {
+func parseWeekTime(text string) (float64, error) {
 	names := []string{"mon", "tue", "wed", "thu", "fri", "sat", "sun"}
 	name, clock, ok := strings.Cut(strings.ToLower(strings.TrimSpace(text)), " ")
 	day := slices.Index(names, name)
@@ -134,7 +134,7 @@
 }
 
 // whatIf changes plans of a fleet.
-func whatIf(f *fleet.Fleet, changes []string) error {
+func applyPlanChanges(f *fleet.Fleet, changes []string) error {
 	for _, text := range changes {
 		left, value, ok := strings.Cut(text, "=")
 		name, field, dotted := strings.Cut(left, ".")
@@ -157,7 +157,7 @@
 }
 
 // saveWith writes a file by a function.
-func saveWith(path string, write func(io.Writer) error) error {
+func saveFile(path string, write func(io.Writer) error) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
--- a/cmd/madderdrum/commands.go
+++ b/cmd/madderdrum/commands.go
@@ -25,7 +25,7 @@
 }
 
 // commands carries out the command that the arguments name.
-func commands(args []string) error {
+func runCommand(args []string) error {
 	if len(args) == 0 {
 		args = []string{"--help"}
 	}
--- a/cmd/madderdrum/config.go
+++ b/cmd/madderdrum/config.go
@@ -28,8 +28,8 @@
 
 // The exit codes of check, fmt and diff.
 const (
-	differs  exitStatus = 1 // or: has errors
-	unusable exitStatus = 2 // the question could not be answered
+	exitDiffers  exitStatus = 1 // or: has errors
+	exitUnusable exitStatus = 2 // the question could not be answered
 )
 
 // checkCommand tells all that is wrong with a configuration.
@@ -50,10 +50,10 @@
 	cfg, report, err := config.LoadFiles(c.Files, c.Var)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "madderdrum:", err)
-		return unusable
+		return exitUnusable
 	}
 	if report.Err() == nil {
-		tryPlugins(cfg, report)
+		checkPlugins(cfg, report)
 	}
 	errs, warnings := report.Count()
 	if c.JSON {
@@ -81,7 +81,7 @@
 		}
 	}
 	if errs > 0 {
-		return differs
+		return exitDiffers
 	}
 	return nil
 }
@@ -117,17 +117,17 @@
 		if err != nil {
 			return fmt.Errorf("standard input: %w", err)
 		}
-		return c.one("standard input", data)
+		return c.formatFile("standard input", data)
 	}
 	var end error
 	for _, path := range c.Files {
 		data, err := os.ReadFile(path)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "madderdrum:", err)
-			end = unusable
+			end = exitUnusable
 			continue
 		}
-		if err := c.one(path, data); err != nil && end != unusable {
+		if err := c.formatFile(path, data); err != nil && end != exitUnusable {
 			end = err
 		}
 	}
@@ -135,11 +135,11 @@
 }
 
 // one formats one file.
-func (c *fmtCommand) one(path string, data []byte) error {
+func (c *fmtCommand) formatFile(path string, data []byte) error {
 	out, err := config.Format(data, path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return unusable
+		return exitUnusable
 	}
 	same := bytes.Equal(data, out)
 	switch {
@@ -149,7 +149,7 @@
 		}
 		edits := myers.ComputeEdits(span.URIFromPath(path), string(data), string(out))
 		fmt.Print(gotextdiff.ToUnified(path, path+" (formatted)", string(data), edits))
-		return differs
+		return exitDiffers
 	case c.Write:
 		if same || len(c.Files) == 0 {
 			return nil
@@ -219,7 +219,7 @@
 		var err error
 		if both[i], err = files.load(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
-			return unusable
+			return exitUnusable
 		}
 	}
 	d := config.Diff(both[0], both[1])
@@ -237,7 +237,7 @@
 		d.Write(os.Stdout)
 	}
 	if !d.Empty() {
-		return differs
+		return exitDiffers
 	}
 	return nil
 }
--- a/cmd/madderdrum/demo.go
+++ b/cmd/madderdrum/demo.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return fmt.Errorf("--control: %w", err)
 	}
-	d := &demo{f: f, control: ln.Addr().String(), last: map[int]int{}}
+	d := &demo{fleet: f, control: ln.Addr().String(), lastArrived: map[int]int{}}
 	o := loopback.Options{Fleet: f, Seed: uint64(time.Now().UnixNano()), Program: program, Foreign: true,
 		Source: world.NewSynthetic(f, uint64(time.Now().UnixNano()), 365*24*time.Hour)}
 	if c.Logs != "" {
@@ -109,9 +109,9 @@
 	defer end()
 	o.Ready = func(r *loopback.Run) {
 		d.run = r
-		d.greet()
-		tasks.Go(func() { d.show(shown) })
-		go d.keys(shown, stop)
+		d.printIntro()
+		tasks.Go(func() { d.showTable(shown) })
+		go d.readKeys(shown, stop)
 		go func() {
 			if err := web.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 				fmt.Fprintln(os.Stderr, "madderdrum: faults by URL:", err)
@@ -130,64 +130,64 @@
 		fmt.Println(" ", b)
 	}
 	if n := r.Judge.Broken(); n > 0 {
-		return fmt.Errorf("%w: %d times", errBroken, n)
+		return fmt.Errorf("%w: %d times", errRuleBroken, n)
 	}
 	return nil
 }
 
 // demo is one that runs.
 type demo struct {
-	f       *fleet.Fleet
-	run     *loopback.Run
-	control string
-	mu      sync.Mutex
-	said    string
-	last    map[int]int // arrivals of each box at the last drawing
-	asked   int
-	lines   int
+	fleet         *fleet.Fleet
+	run           *loopback.Run
+	control       string
+	mu            sync.Mutex
+	message       string
+	lastArrived   map[int]int // arrivals of each box at the last drawing
+	lastRequested int
+	drawnLines    int
 }
 
 // fault is one of the keys' in the words of this fleet.
-func (d *demo) fault(text string) string {
-	return strings.NewReplacer("BOX", d.f.Boxes[0].Name, "ROOM", d.f.Rooms[len(d.f.Rooms)-1],
-		"LIMITER", d.f.Limiters[len(d.f.Limiters)-1].Name).Replace(text)
+func (d *demo) expandFault(text string) string {
+	return strings.NewReplacer("BOX", d.fleet.Boxes[0].Name, "ROOM", d.fleet.Rooms[len(d.fleet.Rooms)-1],
+		"LIMITER", d.fleet.Limiters[len(d.fleet.Limiters)-1].Name).Replace(text)
 }
 
-func (d *demo) greet() {
-	fmt.Printf("%d limiters before %d stand-in sender boxes in %s, light traffic; Ctrl-C ends it.\n\n", len(d.f.Limiters), len(d.f.Boxes), strings.Join(d.f.Rooms, ", "))
-	for i, l := range d.f.Limiters {
+func (d *demo) printIntro() {
+	fmt.Printf("%d limiters before %d stand-in sender boxes in %s, light traffic; Ctrl-C ends it.\n\n", len(d.fleet.Limiters), len(d.fleet.Boxes), strings.Join(d.fleet.Rooms, ", "))
+	for i, l := range d.fleet.Limiters {
 		fmt.Printf("limiter %s: http://%s\n", l.Name, d.run.Address(i))
 	}
-	class, plan := d.f.Classes[0].Name, d.f.Plans[len(d.f.Plans)-1].Name
+	class, plan := d.fleet.Classes[0].Name, d.fleet.Plans[len(d.fleet.Plans)-1].Name
 	fmt.Printf("\nask it:\n  curl -i -H 'X-Request-ID: mine-1' -H 'X-Priority-Class: %s' -H 'Plan: %s' -H 'X-Timeout: 700m' \\\n"+
 		"    -H 'Quota-Info: units=1,spread=1,first=0' 'http://%s/api?key=00000000000000aa'\n", class, plan, d.run.Address(0))
-	fmt.Printf("\nswitch a fault on by a key, or:\n  curl -d '%s' http://%s/fault\n", d.fault(demoFaults[2].text), d.control)
+	fmt.Printf("\nswitch a fault on by a key, or:\n  curl -d '%s' http://%s/fault\n", d.expandFault(demoFaults[2].text), d.control)
 	for _, x := range demoFaults {
-		fmt.Printf("  %s  %s\n", x.key, d.fault(x.text))
+		fmt.Printf("  %s  %s\n", x.key, d.expandFault(x.text))
 	}
 	fmt.Println()
 }
 
 // inject switches faults on and tells what came of it.
 func (d *demo) inject(text string) error {
-	faults, err := world.Scenario(d.f, text)
+	faults, err := world.Scenario(d.fleet, text)
 	if err != nil {
 		return err
 	}
 	if len(faults) == 0 {
-		return errors.New("no fault in the text; write one such as: " + d.fault(demoFaults[2].text))
+		return errors.New("no fault in the text; write one such as: " + d.expandFault(demoFaults[2].text))
 	}
 	d.run.Inject(faults...)
 	return nil
 }
 
 // maxFault bounds the text of faults that come by URL.
-const maxFault = 16 << 10
+const maxFaultBytes = 16 << 10
 
 func (d *demo) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /fault", func(w http.ResponseWriter, q *http.Request) {
-		buf := make([]byte, maxFault+1)
+		buf := make([]byte, maxFaultBytes+1)
 		n := 0
 		for n < len(buf) {
 			k, err := q.Body.Read(buf[n:])
@@ -195,7 +195,7 @@
 				break
 			}
 		}
-		if n > maxFault {
+		if n > maxFaultBytes {
 			http.Error(w, "too long", http.StatusRequestEntityTooLarge)
 			return
 		}
@@ -209,7 +209,7 @@
 }
 
 // keys reads keys from a terminal.
-func (d *demo) keys(ctx context.Context, stop func()) {
+func (d *demo) readKeys(ctx context.Context, stop func()) {
 	fd := int(os.Stdin.Fd())
 	if !term.IsTerminal(fd) || !term.IsTerminal(int(os.Stdout.Fd())) {
 		return
@@ -230,9 +230,9 @@
 		}
 		for _, x := range demoFaults {
 			if x.key == string(one) {
-				if err := d.inject(d.fault(x.text)); err != nil {
+				if err := d.inject(d.expandFault(x.text)); err != nil {
 					d.mu.Lock()
-					d.said = err.Error()
+					d.message = err.Error()
 					d.mu.Unlock()
 				}
 			}
@@ -241,7 +241,7 @@
 }
 
 // show draws the table until the context ends.
-func (d *demo) show(ctx context.Context) {
+func (d *demo) showTable(ctx context.Context) {
 	live := term.IsTerminal(int(os.Stdout.Fd()))
 	every := time.Second
 	if !live {
@@ -255,11 +255,11 @@
 			return
 		case <-t.C:
 		}
-		text := d.table(every, live)
-		if live && d.lines > 0 {
-			fmt.Printf("\x1b[%dA\x1b[J", d.lines)
+		text := d.formatTable(every, live)
+		if live && d.drawnLines > 0 {
+			fmt.Printf("\x1b[%dA\x1b[J", d.drawnLines)
 		}
-		d.lines = strings.Count(text, "\n")
+		d.drawnLines = strings.Count(text, "\n")
 		if live { // a raw terminal wants both
 			text = strings.ReplaceAll(text, "\n", "\r\n")
 		}
@@ -268,13 +268,13 @@
 }
 
 // table is how it stands now.
-func (d *demo) table(every time.Duration, whole bool) string {
+func (d *demo) formatTable(every time.Duration, whole bool) string {
 	var b strings.Builder
 	d.run.View(func(w *world.World, j *judge.Judge, now time.Duration) {
 		m := w.Meter
 		fmt.Fprintf(&b, "%4.0f s  %4.0f requests/s  service %.3f  in time %d  late %d  refused %d  failed %d  rules broken %d\n", now.Seconds(),
-			float64(m.Total.Asked-d.asked)/every.Seconds(), m.Figure().Whole, m.Total.By[0], m.Total.By[1], m.Total.By[2], m.Total.By[3]+m.Total.By[4], j.Broken())
-		d.asked = m.Total.Asked
+			float64(m.Total.Asked-d.lastRequested)/every.Seconds(), m.Figure().Whole, m.Total.By[0], m.Total.By[1], m.Total.By[2], m.Total.By[3]+m.Total.By[4], j.Broken())
+		d.lastRequested = m.Total.Asked
 		if !whole {
 			return
 		}
@@ -284,11 +284,11 @@
 				state = fmt.Sprintf("cold, %.0f%%", 100*warmth)
 			}
 			arrived := box.Counts.Arrived
-			fmt.Fprintf(&b, "  box %-6s %-8s %-12s %5.0f/s  in hand %-3d %s\n", box.Name, d.f.Rooms[box.Spec.Room], state,
-				float64(arrived-d.last[i])/every.Seconds(), box.Held(), strings.Repeat("#", min(30, box.Held())))
-			d.last[i] = arrived
+			fmt.Fprintf(&b, "  box %-6s %-8s %-12s %5.0f/s  in hand %-3d %s\n", box.Name, d.fleet.Rooms[box.Spec.Room], state,
+				float64(arrived-d.lastArrived[i])/every.Seconds(), box.Held(), strings.Repeat("#", min(30, box.Held())))
+			d.lastArrived[i] = arrived
 		}
-		for i, l := range d.f.Limiters {
+		for i, l := range d.fleet.Limiters {
 			state := "up"
 			if !w.LimiterAlive(i) {
 				state = "down"
@@ -301,9 +301,9 @@
 	})
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.said != "" {
-		fmt.Fprintf(&b, "  %s\n", d.said)
-		d.said = ""
+	if d.message != "" {
+		fmt.Fprintf(&b, "  %s\n", d.message)
+		d.message = ""
 	}
 	return b.String()
 }
--- a/cmd/madderdrum/drill.go
+++ b/cmd/madderdrum/drill.go
@@ -46,7 +46,7 @@
 }
 
 // kill kills limiters.
-func (c *drillCommand) kill() error {
+func (c *drillCommand) runKills() error {
 	if c.Kills < 1 || c.Kills > 100_000 || len(c.Case)+len(c.Rule) > 0 || c.Sockets || c.JSON != "" || c.HTML != "" {
 		return fmt.Errorf("--kills %d: from 1 to 100000, with --seed alone", c.Kills)
 	}
@@ -57,8 +57,8 @@
 		return fmt.Errorf("--kills: %w", err)
 	}
 	bar := newProgress()
-	r, err := drill.Kills(ctx, program, c.Seed, c.Kills, bar.played)
-	bar.end()
+	r, err := drill.Kills(ctx, program, c.Seed, c.Kills, bar.showPlayed)
+	bar.clear()
 	if err != nil {
 		return err
 	}
@@ -66,13 +66,13 @@
 		return fmt.Errorf("writing: %w", err)
 	}
 	if len(r.Breaches) > 0 || r.InUse > 0 {
-		return errBroken
+		return errRuleBroken
 	}
 	return nil
 }
 
 // best holds cases against the best possible.
-func (c *drillCommand) best(cases []drill.Case) error {
+func (c *drillCommand) runBest(cases []drill.Case) error {
 	if c.Sockets || c.JSON != "" || c.HTML != "" || len(c.Rule) > 0 {
 		return errors.New("--best goes with --case, --seeds, --seed, --boxes and --limiters alone")
 	}
@@ -80,15 +80,15 @@
 	defer stop()
 	bar := newProgress()
 	if c.Priced {
-		rows, err := drill.Priced(ctx, cases, c.Seeds, c.Seed, c.Boxes, c.Limiters, bar.played)
-		bar.end()
+		rows, err := drill.Priced(ctx, cases, c.Seeds, c.Seed, c.Boxes, c.Limiters, bar.showPlayed)
+		bar.clear()
 		if err != nil {
 			return err
 		}
 		return drill.WritePriced(os.Stdout, rows)
 	}
-	rows, err := drill.Bests(ctx, cases, c.Seeds, c.Seed, c.Boxes, c.Limiters, bar.played)
-	bar.end()
+	rows, err := drill.Bests(ctx, cases, c.Seeds, c.Seed, c.Boxes, c.Limiters, bar.showPlayed)
+	bar.clear()
 	if err != nil {
 		return err
 	}
@@ -96,15 +96,15 @@
 }
 
 // restart restarts limiters.
-func (c *drillCommand) restart() error {
+func (c *drillCommand) runRestarts() error {
 	if c.Seeds < 1 || c.Seeds > 1000 || len(c.Case)+len(c.Rule) > 0 || c.Sockets || c.JSON != "" || c.HTML != "" {
 		return errors.New("--restarts goes with --seeds (1 to 1000) and --seed alone")
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	bar := newProgress()
-	rows, err := drill.Restarts(ctx, c.Seeds, c.Seed, bar.played)
-	bar.end()
+	rows, err := drill.Restarts(ctx, c.Seeds, c.Seed, bar.showPlayed)
+	bar.clear()
 	if err != nil {
 		return err
 	}
@@ -114,10 +114,10 @@
 // Run is the command.
 func (c *drillCommand) Run() error {
 	if c.Kills != 0 {
-		return c.kill()
+		return c.runKills()
 	}
 	if c.Restarts {
-		return c.restart()
+		return c.runRestarts()
 	}
 	cases, err := drill.Find(c.Case)
 	if err != nil {
@@ -145,7 +145,7 @@
 		return errors.New("--priced goes with --best")
 	}
 	if c.Best {
-		return c.best(cases)
+		return c.runBest(cases)
 	}
 	if c.Sockets && (len(c.Case) != 1 || c.HTML == "" || len(c.Rule) > 0 || c.JSON != "") {
 		return errors.New("--sockets plays one --case, by the limiter's own rule, and writes --html alone")
@@ -170,9 +170,9 @@
 	bar, done := newProgress(), 0
 	err = drill.RunAll(ctx, jobs, func() {
 		done++
-		bar.played(float64(done) / float64(len(jobs)))
+		bar.showPlayed(float64(done) / float64(len(jobs)))
 	})
-	bar.end()
+	bar.clear()
 	if err != nil {
 		return err
 	}
@@ -197,7 +197,7 @@
 		}
 	}
 	if broken > 0 {
-		return fmt.Errorf("%w: %d times", errBroken, broken)
+		return fmt.Errorf("%w: %d times", errRuleBroken, broken)
 	}
 	return nil
 }
--- a/cmd/madderdrum/duties.go
+++ b/cmd/madderdrum/duties.go
@@ -57,7 +57,7 @@
 }
 
 // streams are the calls that it answers on the operators' address.
-func (d *duties) streams() map[string]admin.Stream {
+func (d *duties) adminStreams() map[string]admin.Stream {
 	return map[string]admin.Stream{ownership.Name: d.service.Serve}
 }
 
@@ -98,7 +98,7 @@
 }
 
 // looks are those of other limiters for this one; nil: it looks for itself.
-func (d *duties) looks() node.ProbeSharing {
+func (d *duties) probeSharing() node.ProbeSharing {
 	if l := d.service.Watcher(); l != nil {
 		return l
 	}
--- a/cmd/madderdrum/faults.go
+++ b/cmd/madderdrum/faults.go
@@ -121,7 +121,7 @@
 				if c.Watch != "" {
 					again = " --watch " + c.Watch
 				}
-				fmt.Printf("again: madderdrum faults run %s --limiters %d --voters %d --term %v --load %d%s\n", p.again, p.Limiters, p.Voters, c.Term, c.Load, again)
+				fmt.Printf("again: madderdrum faults run %s --limiters %d --voters %d --term %v --load %d%s\n", p.flags, p.Limiters, p.Voters, c.Term, c.Load, again)
 			}
 		})
 	}
@@ -145,13 +145,13 @@
 }
 
 // play is a schedule with what plays it again.
-type play struct {
+type scheduledRun struct {
 	faults.Schedule
-	again string
+	flags string
 }
 
 // schedules are those to play.
-func (c *faultsRun) schedules() (all []play, err error) {
+func (c *faultsRun) schedules() (all []scheduledRun, err error) {
 	switch {
 	case c.Schedule != "":
 		text, err := os.ReadFile(c.Schedule)
@@ -162,13 +162,13 @@
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, play{*s, "--schedule " + c.Schedule})
+		all = append(all, scheduledRun{*s, "--schedule " + c.Schedule})
 	case c.Case != "":
 		var names []string
 		for _, s := range faults.Cases() {
 			names = append(names, s.Name)
 			if c.Case == "all" || c.Case == s.Name {
-				all = append(all, play{*s, "--case " + s.Name})
+				all = append(all, scheduledRun{*s, "--case " + s.Name})
 			}
 		}
 		if len(all) == 0 {
@@ -178,7 +178,7 @@
 	drawn := len(all) == 0
 	for k := 0; drawn && k < c.Seeds; k++ {
 		seed := c.Seed + uint64(k)
-		all = append(all, play{faults.Schedule{Name: fmt.Sprint("seed ", seed), Steps: faults.Random(seed, cmp.Or(c.Limiters, 3))}, fmt.Sprint("--seed ", seed)})
+		all = append(all, scheduledRun{faults.Schedule{Name: fmt.Sprint("seed ", seed), Steps: faults.Random(seed, cmp.Or(c.Limiters, 3))}, fmt.Sprint("--seed ", seed)})
 	}
 	for i := range all {
 		p := &all[i]
--- a/cmd/madderdrum/fleet.go
+++ b/cmd/madderdrum/fleet.go
@@ -48,7 +48,7 @@
 }
 
 // where are the addresses to call, in order.
-func (f *fleetAt) where(first string) (addrs []string, c *config.Config, err error) {
+func (f *fleetAt) addresses(first string) (addrs []string, c *config.Config, err error) {
 	if c, err = f.load(); err != nil {
 		return nil, nil, err
 	}
@@ -96,7 +96,7 @@
 
 // do makes a call that is answered with yes or no.
 func (f *fleetAt) do(verb string, r ownership.Request, first string) error {
-	addrs, _, err := f.where(first)
+	addrs, _, err := f.addresses(first)
 	if err != nil {
 		return err
 	}
@@ -106,7 +106,7 @@
 
 // show makes a call that is answered with JSON, and writes it as such or as a table.
 func show[T any](f *fleetAt, verb string, table func(w io.Writer, x T)) error {
-	addrs, _, err := f.where("")
+	addrs, _, err := f.addresses("")
 	if err != nil {
 		return err
 	}
@@ -190,12 +190,12 @@
 	return show(&c.fleetAt, "owners", func(w io.Writer, all []ownership.Owner) {
 		fmt.Fprintln(w, "duty\towner\tepoch\tterms\twanted")
 		for _, o := range all {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\n", o.Duty, orNobody(o.Owner), o.Epoch, o.Terms, o.Wanted)
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\n", o.Duty, ownerOrNobody(o.Owner), o.Epoch, o.Terms, o.Wanted)
 		}
 	})
 }
 
-func orNobody(name string) string {
+func ownerOrNobody(name string) string {
 	if name == "" {
 		return "nobody"
 	}
@@ -225,7 +225,7 @@
 // Run is the command.
 func (c *fleetInit) Run() error {
 	first := c.Anew
-	_, cfg, err := c.where("")
+	_, cfg, err := c.addresses("")
 	if err != nil {
 		return err
 	}
@@ -234,7 +234,7 @@
 	} else if _, err := cfg.Fleet.Limiter(first); err != nil {
 		return err
 	}
-	addrs, _, err := c.where(first)
+	addrs, _, err := c.addresses(first)
 	if err != nil {
 		return err
 	}
@@ -276,7 +276,7 @@
 
 // Run is the command.
 func (c *fleetResign) Run() error {
-	addrs, cfg, err := c.where("")
+	addrs, cfg, err := c.addresses("")
 	if err != nil {
 		return err
 	}
@@ -313,7 +313,7 @@
 }
 
 func (c *roll) begin(kind rollout.Kind) error {
-	addrs, _, err := c.where("")
+	addrs, _, err := c.addresses("")
 	if err != nil {
 		return err
 	}
--- a/cmd/madderdrum/main.go
+++ b/cmd/madderdrum/main.go
@@ -14,14 +14,14 @@
 
 func main() {
 	if _, set := os.LookupEnv("NODE_CONFIG"); set && len(os.Args) == 1 {
-		exit(platform())
+		exit(runPlatform())
 		return
 	}
-	exit(commands(os.Args[1:]))
+	exit(runCommand(os.Args[1:]))
 }
 
 // errBroken ends the program with another code than a failure to do its work.
-var errBroken = errors.New("a rule was broken")
+var errRuleBroken = errors.New("a rule was broken")
 
 // exit ends the program if there is an error.
 func exit(err error) {
@@ -33,7 +33,7 @@
 		os.Exit(code.ExitCode())
 	}
 	fmt.Fprintln(os.Stderr, "madderdrum:", err)
-	if errors.Is(err, errBroken) {
+	if errors.Is(err, errRuleBroken) {
 		os.Exit(2)
 	}
 	os.Exit(1)
--- a/cmd/madderdrum/platform.go
+++ b/cmd/madderdrum/platform.go
@@ -20,7 +20,7 @@
 )
 
 // platform is the limiter that the platform starts: NODE_CONFIG tells it everything.
-func platform() error {
+func runPlatform() error {
 	// From the very start on: Go's default action on SIGHUP ends the program, and
 	// with it all requests in hand.
 	hup := make(chan os.Signal, 1)
--- a/cmd/madderdrum/plugin.go
+++ b/cmd/madderdrum/plugin.go
@@ -34,7 +34,7 @@
 }
 
 // mostModule bounds what is read of a file, in bytes.
-const mostModule = 64 << 20
+const maxModuleBytes = 64 << 20
 
 func (m *moduleFile) read() ([]byte, error) {
 	f, err := os.Open(m.Module)
@@ -42,9 +42,9 @@
 		return nil, fmt.Errorf("module: %w", err)
 	}
 	defer f.Close()
-	data, err := io.ReadAll(io.LimitReader(f, mostModule+1))
-	if err == nil && len(data) > mostModule {
-		err = fmt.Errorf("more than %d bytes", mostModule)
+	data, err := io.ReadAll(io.LimitReader(f, maxModuleBytes+1))
+	if err == nil && len(data) > maxModuleBytes {
+		err = fmt.Errorf("more than %d bytes", maxModuleBytes)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("module %s: %w", m.Module, err)
@@ -110,7 +110,7 @@
 }
 
 // written is a request as a file has it.
-type written struct {
+type testRequest struct {
 	Account  uint64            `json:"account"`
 	Plan     string            `json:"plan,omitempty"`
 	Class    string            `json:"class,omitempty"`
@@ -125,12 +125,12 @@
 	Body     string            `json:"body,omitempty"`
 }
 
-func writtenOf(r *advice.Request) *written {
-	return &written{Account: r.Account, Plan: r.PlanName, Class: r.ClassName, Method: r.Method, Path: r.Path, Units: r.Units, Balance: r.Balance,
+func newTestRequest(r *advice.Request) *testRequest {
+	return &testRequest{Account: r.Account, Plan: r.PlanName, Class: r.ClassName, Method: r.Method, Path: r.Path, Units: r.Units, Balance: r.Balance,
 		Pressure: r.Pressure, LeftMs: r.LeftMs, Retry: r.Retry}
 }
 
-func (w *written) request() *advice.Request {
+func (w *testRequest) request() *advice.Request {
 	r := &advice.Request{Account: w.Account, PlanName: w.Plan, ClassName: w.Class, Method: w.Method, Path: w.Path, Units: w.Units,
 		Balance: w.Balance, Pressure: w.Pressure, LeftMs: w.LeftMs, Retry: w.Retry}
 	if w.Body != "" {
@@ -168,7 +168,7 @@
 		if len(lines.Bytes()) == 0 {
 			continue
 		}
-		var w written
+		var w testRequest
 		if err := json.Unmarshal(lines.Bytes(), &w); err != nil {
 			return fmt.Errorf("%s:%d: %w", c.Requests, n, err)
 		}
@@ -184,7 +184,7 @@
 			fmt.Printf("%d\t%v\tno advice: it %v\n", n, took, err)
 			continue
 		}
-		fmt.Printf("%d\t%v\t%s\n", n, took, say(a))
+		fmt.Printf("%d\t%v\t%s\n", n, took, describeAdvice(a))
 	}
 	if err := lines.Err(); err != nil {
 		return fmt.Errorf("%s: %w", c.Requests, err)
@@ -196,7 +196,7 @@
 }
 
 // say puts advice into words.
-func say(a advice.Advice) string {
+func describeAdvice(a advice.Advice) string {
 	s := ""
 	add := func(format string, args ...any) {
 		if s != "" {
--- a/cmd/madderdrum/pluginoperator.go
+++ b/cmd/madderdrum/pluginoperator.go
@@ -20,11 +20,11 @@
 	Status string `required:"" help:"What serve was given as --status, such as 127.0.0.1:9190." placeholder:"HOST:PORT"`
 }
 
-const askTime = 5 * time.Second
+const statusTimeout = 5 * time.Second
 
 // ask asks the limiter and returns what it says.
-func (l *limiterAt) ask(method, path string, header http.Header) (string, error) {
-	ctx, stop := context.WithTimeout(context.Background(), askTime)
+func (l *limiterAt) request(method, path string, header http.Header) (string, error) {
+	ctx, stop := context.WithTimeout(context.Background(), statusTimeout)
 	defer stop()
 	q, err := http.NewRequestWithContext(ctx, method, "http://"+l.Status+path, nil)
 	if err != nil {
@@ -51,7 +51,7 @@
 
 // Run is the command.
 func (c *pluginsCommand) Run() error {
-	text, err := c.ask(http.MethodGet, "/plugins", http.Header{"Accept": {"text/plain"}})
+	text, err := c.request(http.MethodGet, "/plugins", http.Header{"Accept": {"text/plain"}})
 	if err == nil {
 		_, err = io.WriteString(os.Stdout, text)
 	}
@@ -66,7 +66,7 @@
 
 // Run is the command.
 func (c *resetCommand) Run() error {
-	if _, err := c.ask(http.MethodPost, "/plugins/"+url.PathEscape(c.Name)+"/reset", http.Header{status.ResetHeader: {"1"}}); err != nil {
+	if _, err := c.request(http.MethodPost, "/plugins/"+url.PathEscape(c.Name)+"/reset", http.Header{status.ResetHeader: {"1"}}); err != nil {
 		return err
 	}
 	fmt.Println(c.Name, "is asked again")
--- a/cmd/madderdrum/plugins.go
+++ b/cmd/madderdrum/plugins.go
@@ -19,10 +19,10 @@
 
 // plugins are those that a running limiter has loaded.
 type plugins struct {
-	log   *slog.Logger
-	cache *plugin.Cache
-	mu    sync.Mutex // round what follows
-	now   *plugin.Set
+	log    *slog.Logger
+	cache  *plugin.Cache
+	mu     sync.Mutex // round what follows
+	active *plugin.Set
 }
 
 // newPlugins has none loaded yet. Compiled modules are kept in a folder, or if it is empty
@@ -32,21 +32,21 @@
 	if err != nil {
 		return nil, fmt.Errorf("--plugin-cache %s: %w", folder, err)
 	}
-	return &plugins{log: log, cache: cache, now: &plugin.Set{}}, nil
+	return &plugins{log: log, cache: cache, active: &plugin.Set{}}, nil
 }
 
 // set are those that are loaded.
-func (p *plugins) set() *plugin.Set {
+func (p *plugins) activeSet() *plugin.Set {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.now
+	return p.active
 }
 
 // prepare loads the plug-ins of a configuration beside those that serve.
 func (p *plugins) prepare(c *config.Config) (*plugin.Set, error) {
-	set, err := plugin.LoadSet(context.Background(), c.Plugins, p.set(), plugin.SetOptions{Cache: p.cache, Log: func(line string) { p.log.Info(line) }})
+	set, err := plugin.LoadSet(context.Background(), c.Plugins, p.activeSet(), plugin.SetOptions{Cache: p.cache, Log: func(line string) { p.log.Info(line) }})
 	if err != nil {
-		return nil, errors.New(strings.Join(placed(c, err), "\n"))
+		return nil, errors.New(strings.Join(loadErrorLines(c, err), "\n"))
 	}
 	return set, nil
 }
@@ -63,8 +63,8 @@
 // swap has others serve, and unloads those that are not taken over.
 func (p *plugins) swap(next *plugin.Set) {
 	p.mu.Lock()
-	old := p.now
-	p.now = next
+	old := p.active
+	p.active = next
 	p.mu.Unlock()
 	if err := old.CloseUnused(next); err != nil {
 		p.log.Warn("a plug-in was not unloaded in order", "err", err)
@@ -80,7 +80,7 @@
 
 // reset lets a benched plug-in back.
 func (p *plugins) reset(name string) bool {
-	ok := p.set().Reset(name)
+	ok := p.activeSet().Reset(name)
 	if ok {
 		p.log.Info("an operator lets a plug-in back", "plugin", name)
 	}
@@ -93,7 +93,7 @@
 	c := r.cfg
 	r.mu.Unlock()
 	s := status.PluginState{Limiter: c.Fleet.Limiters[r.position].Name, Plugins: []status.Plugin{}, Labels: []status.Label{}}
-	for _, x := range r.plugins.set().States() {
+	for _, x := range r.plugins.activeSet().States() {
 		s.Plugins = append(s.Plugins, status.Plugin{Name: x.Name, Calls: x.Calls, Faults: x.Faults, TimesBenched: x.Benched, Skipped: x.Skipped, Busy: x.Busy,
 			BenchedForMs: x.BenchedFor.Milliseconds(), Counters: x.Counters, Instances: x.Instances, Refused: x.Refused, LastFault: x.LastFault})
 	}
@@ -104,7 +104,7 @@
 }
 
 // placed are the lines of an error of loading, each with the place of its plug-in.
-func placed(c *config.Config, err error) (lines []string) {
+func loadErrorLines(c *config.Config, err error) (lines []string) {
 	for _, e := range plugin.LoadErrors(err) {
 		lines = append(lines, fmt.Sprintf("%s: error: %v; see madderdrum plugin inspect and docs/plugins-abi.md", c.Place("plugin", e.Name), e))
 	}
@@ -113,7 +113,7 @@
 
 // tryPlugins loads the plug-ins of a configuration once, and adds to its report those that
 // can't be loaded.
-func tryPlugins(c *config.Config, report *config.Report) {
+func checkPlugins(c *config.Config, report *config.Report) {
 	set, err := plugin.LoadSet(context.Background(), c.Plugins, nil, plugin.SetOptions{})
 	for _, e := range plugin.LoadErrors(err) {
 		report.RefusePlugin(c, e.Name, e)
@@ -124,11 +124,11 @@
 }
 
 // anyGrant is what a module may say that comes to a replay without a plugin block.
-var anyGrant = advice.Grant{Refuse: true, MostWaitMs: 1000, Lower: advice.LeastFactor, Raise: advice.MostFactor, Label: true, Tiers: true}
+var unrestrictedGrant = advice.Grant{Refuse: true, MostWaitMs: 1000, Lower: advice.LeastFactor, Raise: advice.MostFactor, Label: true, Tiers: true}
 
 // replayPlugins are those of modules and configuration files. Files that are no whole
 // configuration are read behind that of the fleet.
-func replayPlugins(paths []string, fleet string) (all []plugin.Spec, err error) {
+func loadReplayPlugins(paths []string, fleet string) (all []plugin.Spec, err error) {
 	for _, path := range paths {
 		if filepath.Ext(path) == ".hcl" {
 			cfg, err := (&configFiles{Files: []string{path}}).load()
@@ -149,7 +149,7 @@
 			return nil, fmt.Errorf("--plugin: %w", err)
 		}
 		name := strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
-		all = append(all, plugin.Spec{Name: name, Order: len(all) + 1, Module: data, Seed: 1, Grant: anyGrant, Limits: plugin.Limits{Memory: 16 << 20}})
+		all = append(all, plugin.Spec{Name: name, Order: len(all) + 1, Module: data, Seed: 1, Grant: unrestrictedGrant, Limits: plugin.Limits{Memory: 16 << 20}})
 	}
 	names := map[string]bool{}
 	for i := range all {
--- a/cmd/madderdrum/replay.go
+++ b/cmd/madderdrum/replay.go
@@ -93,8 +93,8 @@
 		return err
 	}
 	bar := newProgress()
-	plan, err := replay.Prepare(ctx, *o, bar.read)
-	bar.end()
+	plan, err := replay.Prepare(ctx, *o, bar.showRead)
+	bar.clear()
 	if err != nil {
 		return err
 	}
@@ -111,16 +111,16 @@
 	total, done := c.Seeds*len(c.Policy), 0
 	for _, policy := range c.Policy {
 		for k := range c.Seeds {
-			run, err := c.play(ctx, plan, policy, c.Seed+uint64(k), done == 0, func(share float64) { bar.played((float64(done) + share) / float64(total)) })
+			run, err := c.playSeed(ctx, plan, policy, c.Seed+uint64(k), done == 0, func(share float64) { bar.showPlayed((float64(done) + share) / float64(total)) })
 			if err != nil {
-				bar.end()
+				bar.clear()
 				return err
 			}
 			report.Runs = append(report.Runs, run)
 			done++
 		}
 	}
-	bar.end()
+	bar.clear()
 	report.Advised()
 	if err := report.Text(os.Stdout); err != nil {
 		return err
@@ -139,13 +139,13 @@
 		}
 	}
 	if n := report.Broken(); n > 0 {
-		return fmt.Errorf("%w: %d times", errBroken, n)
+		return fmt.Errorf("%w: %d times", errRuleBroken, n)
 	}
 	return nil
 }
 
 // mostRecorded bounds the tries of --record.
-const mostRecorded = 10_000
+const maxRecordedAttempts = 10_000
 
 // record writes the requests of a plan as plugin test reads them.
 func (c *replayCommand) record(ctx context.Context, plan *replay.Plan) error {
@@ -155,9 +155,9 @@
 	}
 	w := bufio.NewWriter(f)
 	lines, n := json.NewEncoder(w), 0
-	err = replay.Record(ctx, plan, c.Seed, mostRecorded, func(r *advice.Request) {
+	err = replay.Record(ctx, plan, c.Seed, maxRecordedAttempts, func(r *advice.Request) {
 		n++
-		lines.Encode(writtenOf(r)) // what can't be written shows at the flush
+		lines.Encode(newTestRequest(r)) // what can't be written shows at the flush
 	})
 	if err = errors.Join(err, w.Flush(), f.Close()); err != nil {
 		return fmt.Errorf("--record: %w", err)
@@ -167,7 +167,7 @@
 }
 
 // play plays one seed with one policy.
-func (c *replayCommand) play(ctx context.Context, plan *replay.Plan, policy string, seed uint64, series bool, progress func(float64)) (*replay.Run, error) {
+func (c *replayCommand) playSeed(ctx context.Context, plan *replay.Plan, policy string, seed uint64, series bool, progress func(float64)) (*replay.Run, error) {
 	if !c.Sockets {
 		return replay.Virtual(ctx, plan, policy, seed, series, progress)
 	}
@@ -234,7 +234,7 @@
 		if c.Sockets || len(c.Policy) != 1 || c.Policy[0] != "limiter" {
 			return nil, errors.New("--plugin plays the limiter without and with plug-ins, in virtual time: leave out --sockets and --policy")
 		}
-		if o.Plugins, err = replayPlugins(c.Plugin, c.Fleet); err != nil {
+		if o.Plugins, err = loadReplayPlugins(c.Plugin, c.Fleet); err != nil {
 			return nil, err
 		}
 	}
@@ -254,11 +254,11 @@
 		o.Inputs = []replay.Input{replay.Friday()}
 		return o, nil
 	}
-	return o, c.inputs(o)
+	return o, c.addInputs(o)
 }
 
 // inputs puts the files of one layout together.
-func (c *replayCommand) inputs(o *replay.Options) error {
+func (c *replayCommand) addInputs(o *replay.Options) error {
 	for _, arg := range c.Trace {
 		name, path := c.Schema, arg
 		if before, after, ok := strings.Cut(arg, "="); ok {
@@ -336,13 +336,13 @@
 	return p
 }
 
-func (p *progress) read(bytes int64) {
+func (p *progress) showRead(bytes int64) {
 	if p.bar != nil {
 		p.bar.Describe(fmt.Sprintf("checking the trace, %d MB", bytes>>20))
 	}
 }
 
-func (p *progress) played(share float64) {
+func (p *progress) showPlayed(share float64) {
 	if p.bar != nil {
 		p.bar.Describe("replaying")
 		p.bar.Set(int(1000 * share))
@@ -350,7 +350,7 @@
 }
 
 // end takes the bar away.
-func (p *progress) end() {
+func (p *progress) clear() {
 	if p.bar != nil {
 		p.bar.Clear()
 	}
--- a/cmd/madderdrum/serve.go
+++ b/cmd/madderdrum/serve.go
@@ -83,7 +83,7 @@
 			return err
 		}
 	}
-	if err := servable(cfg, position); err != nil {
+	if err := checkServable(cfg, position); err != nil {
 		return err
 	}
 	f := cfg.Fleet
@@ -103,7 +103,7 @@
 	}
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	nc := nodeConfig(cfg, position, plugins.set())
+	nc := nodeConfig(cfg, position, plugins.activeSet())
 	nc.Seed = rand.Uint64()
 	if c.Admin != "" {
 		if _, err := netip.ParseAddrPort(c.Admin); err != nil {
@@ -134,7 +134,7 @@
 		return err
 	}
 	if duties != nil {
-		nc.Streams, nc.ProbeSharing = duties.streams(), duties.looks()
+		nc.Streams, nc.ProbeSharing = duties.adminStreams(), duties.probeSharing()
 	}
 	n, err := node.New(nc, logger)
 	if err != nil {
@@ -147,15 +147,15 @@
 			continue
 		}
 		asks := forwardauth.FromConfig(&cfg.ForwardAuth[i])
-		if r.front, err = forwardauth.New(asks, tierOf(cfg, position, plugins.set(), n), n, logger); err != nil {
+		if r.forwardAuth, err = forwardauth.New(asks, forwardAuthTier(cfg, position, plugins.activeSet(), n), n, logger); err != nil {
 			return err
 		}
-		n.Attach(r.front)
-		beside = append(beside, r.front.Run)
-		logger.Info("answering proxies", "listen", r.front.Addr().String(), "proxies", len(asks.Proxies))
+		n.Attach(r.forwardAuth)
+		beside = append(beside, r.forwardAuth.Run)
+		logger.Info("answering proxies", "listen", r.forwardAuth.Addr().String(), "proxies", len(asks.Proxies))
 	}
 	if c.Status != "" {
-		s, err := status.Listen(c.Status, status.Sources{Tiers: r.state, Plugins: r.pluginState, Reset: plugins.reset}, logger)
+		s, err := status.Listen(c.Status, status.Sources{Tiers: r.tierState, Plugins: r.pluginState, Reset: plugins.reset}, logger)
 		if err != nil {
 			return fmt.Errorf("--status %s: %w", c.Status, err)
 		}
@@ -173,7 +173,7 @@
 		beside = append(beside, func(ctx context.Context) error { return k.Run(ctx, n, r.classes) })
 		ended = func() { k.Close(n, r.classes()) }
 	}
-	r.tellPools()
+	r.logPools()
 	logger.Info("serving", "listen", strings.Join(cfg.Listens(position), " "), "boxes", len(f.Boxes), "pools", len(cfg.Pools), "routes", len(cfg.Routes), "peers", len(nc.Peers))
 	go func() {
 		for range hup {
@@ -203,18 +203,18 @@
 
 // reloader has a running limiter take new versions of its configuration.
 type reloader struct {
-	files    configFiles
-	position int
-	mu       sync.Mutex // round cfg
-	cfg      *config.Config
-	node     *node.Node
-	front    *forwardauth.Service // nil: nobody asks
-	plugins  *plugins
-	log      *slog.Logger
+	files       configFiles
+	position    int
+	mu          sync.Mutex // round cfg
+	cfg         *config.Config
+	node        *node.Node
+	forwardAuth *forwardauth.Service // nil: nobody asks
+	plugins     *plugins
+	log         *slog.Logger
 }
 
 // mostLogged bounds the lines that one reload writes to the log.
-const mostLogged = 20
+const maxLoggedLines = 20
 
 // reload reads the files again. A version that can't hold as it stands changes nothing.
 func (r *reloader) reload() {
@@ -222,7 +222,7 @@
 	next, err := r.files.load()
 	if err != nil {
 		for i, line := range strings.Split(err.Error(), "\n") {
-			if i == mostLogged {
+			if i == maxLoggedLines {
 				r.log.Warn("and more mistakes; see madderdrum check")
 				break
 			}
@@ -237,7 +237,7 @@
 	}
 	if d.Restart() {
 		for i := range d.Changes {
-			if d.Changes[i].Restart && i < mostLogged {
+			if d.Changes[i].Restart && i < maxLoggedLines {
 				r.log.Warn("kept the configuration: a change needs a restart", "change", d.Changes[i].String())
 			}
 		}
@@ -250,9 +250,9 @@
 		}
 		return
 	}
-	apply := func(done func()) { r.node.Apply(deploymentOf(next, r.position, set), done) }
-	if r.front != nil {
-		r.front.Swap(tierOf(next, r.position, set, r.node), apply)
+	apply := func(done func()) { r.node.Apply(newDeployment(next, r.position, set), done) }
+	if r.forwardAuth != nil {
+		r.forwardAuth.Swap(forwardAuthTier(next, r.position, set, r.node), apply)
 	} else {
 		apply(nil)
 	}
@@ -260,16 +260,16 @@
 	r.mu.Lock()
 	r.cfg = next
 	r.mu.Unlock()
-	r.tellPools()
+	r.logPools()
 	for i := range d.Changes {
-		if i == mostLogged {
+		if i == maxLoggedLines {
 			r.log.Info("and more changes", "of", len(d.Changes))
 			break
 		}
 		r.log.Info("changed", "change", d.Changes[i].String())
 	}
 	for i := range d.Moves {
-		if i == mostLogged {
+		if i == maxLoggedLines {
 			r.log.Info("and more groups of requests", "of", len(d.Moves)+d.Unmoved)
 			break
 		}
@@ -280,7 +280,7 @@
 }
 
 // state is what operators see of tiers.
-func (r *reloader) state() status.State {
+func (r *reloader) tierState() status.State {
 	r.mu.Lock()
 	c := r.cfg
 	r.mu.Unlock()
@@ -302,7 +302,7 @@
 }
 
 // tellPools writes the numbers by which the log speaks of pools and tiers.
-func (r *reloader) tellPools() {
+func (r *reloader) logPools() {
 	for _, p := range r.cfg.Pools {
 		var tiers []string
 		for k, t := range p.Tiers {
@@ -314,7 +314,7 @@
 
 // servable checks that the limiter at a position can be run on sockets: it and all boxes
 // need addresses.
-func servable(c *config.Config, position int) error {
+func checkServable(c *config.Config, position int) error {
 	own := c.Fleet.Limiters[position]
 	if len(c.Listens(position)) == 0 {
 		return fmt.Errorf("%s: limiter %q has no address for clients; add listen = \"127.0.0.1:8080\"", c.Place("limiter", own.Name), own.Name)
@@ -326,14 +326,14 @@
 		}
 	}
 	if len(missing) > 0 {
-		return errors.New(strings.Join(missing[:min(len(missing), mostLogged)], "\n"))
+		return errors.New(strings.Join(missing[:min(len(missing), maxLoggedLines)], "\n"))
 	}
 	return nil
 }
 
 // tierOf names what the limiters of a configuration share, and routes asks as n routes what
 // it carries.
-func tierOf(c *config.Config, position int, plugins *plugin.Set, n *node.Node) forwardauth.Tier {
+func forwardAuthTier(c *config.Config, position int, plugins *plugin.Set, n *node.Node) forwardauth.Tier {
 	f := c.Fleet
 	t := forwardauth.Tier{Position: position, Limiters: len(f.Limiters), MostUnits: f.MostUnits()}
 	for _, c := range f.Classes {
@@ -346,7 +346,7 @@
 	if len(c.Routes) == 0 && len(c.Pools) == 0 && len(c.Plugins) == 0 {
 		return t
 	}
-	router := node.NewRouter(routesOf(c, plugins))
+	router := node.NewRouter(nodeRoutes(c, plugins))
 	t.Route = func(q *route.Request) (forwardauth.Target, bool) {
 		to := router.Find(q)
 		if to == nil {
@@ -372,7 +372,7 @@
 }
 
 // adviser is a chain as the node takes it; without plug-ins there is none.
-func adviser(c plugin.Chain) node.Adviser {
+func chainAdviser(c plugin.Chain) node.Adviser {
 	if len(c) == 0 {
 		return nil
 	}
@@ -381,8 +381,8 @@
 
 // routesOf are the routes of a configuration, as the node and the front for proxies take
 // them.
-func routesOf(c *config.Config, plugins *plugin.Set) node.Routes {
-	r, pools := node.Routes{Matches: c.Matches(), Adviser: adviser(plugins.Chain(true))}, poolNames(c)
+func nodeRoutes(c *config.Config, plugins *plugin.Set) node.Routes {
+	r, pools := node.Routes{Matches: c.Matches(), Adviser: chainAdviser(plugins.Chain(true))}, poolNames(c)
 	tiers := func(pool int) (names []string) {
 		for _, t := range c.Pools[pool].Tiers {
 			names = append(names, t.Name)
@@ -394,7 +394,7 @@
 	}
 	for _, x := range c.Routes {
 		t := node.Target{Class: x.Class, Deadline: x.Deadline, Attempts: x.Attempts, MaxBody: int64(x.MaxBody)}
-		t.Adviser = adviser(plugins.Chain(x.Plugins == nil, x.Plugins...))
+		t.Adviser = chainAdviser(plugins.Chain(x.Plugins == nil, x.Plugins...))
 		if x.Pool >= 0 {
 			t.Pool, t.Tiers = pools[x.Pool], tiers(x.Pool)
 		}
@@ -404,7 +404,7 @@
 }
 
 // deploymentOf is what the limiter at a position of a configuration is told.
-func deploymentOf(c *config.Config, position int, plugins *plugin.Set) node.Deployment {
+func newDeployment(c *config.Config, position int, plugins *plugin.Set) node.Deployment {
 	f := c.Fleet
 	d := node.Deployment{Module: f.Settings(position), Rooms: f.Rooms,
 		ConnIdle: float64(f.Network.Idle) / float64(time.Millisecond), ConnectTimeoutMs: float64(f.Network.Connect) / float64(time.Millisecond)}
@@ -449,14 +449,14 @@
 		}
 		d.Sources = append(d.Sources, s)
 	}
-	d.Routes = routesOf(c, plugins)
+	d.Routes = nodeRoutes(c, plugins)
 	return d
 }
 
 // nodeConfig is the configuration of the limiter at a position.
 func nodeConfig(c *config.Config, position int, plugins *plugin.Set) *node.Config {
 	f := c.Fleet
-	cfg := node.FixedConfig(deploymentOf(c, position, plugins))
+	cfg := node.FixedConfig(newDeployment(c, position, plugins))
 	listens := c.Listens(position)
 	cfg.Name, cfg.Listen, cfg.ExtraListen = f.Limiters[position].Name, listens[0], listens[1:]
 	cfg.AdminAddr, cfg.TempDir = f.Limiters[position].Admin, os.TempDir()
--- a/cmd/madderdrum/state.go
+++ b/cmd/madderdrum/state.go
@@ -88,7 +88,7 @@
 	for _, note := range v.Found.Notes {
 		fmt.Fprintf(t, "ignored\t%s\n", note)
 	}
-	fmt.Fprintf(t, "quotas\t%s\n", quotasOf(v))
+	fmt.Fprintf(t, "quotas\t%s\n", describeQuotas(v))
 	for k, name := range v.Classes {
 		if k < len(m.Usual) && m.Usual[k].Votes > 0 {
 			fmt.Fprintf(t, "deadline of %s\t%.0f ms\n", name, m.Usual[k].Ms)
@@ -106,13 +106,13 @@
 	ills := v.UnhealthyBoxes()
 	fmt.Fprintf(t, "boxes\t%d, %d of them with something amiss\n", len(m.Boxes), len(ills))
 	for i := range ills {
-		fmt.Fprintf(t, "box %s\t%s\n", name(ills[i].ID), amiss(&ills[i], v.Classes))
+		fmt.Fprintf(t, "box %s\t%s\n", name(ills[i].ID), describeProblems(&ills[i], v.Classes))
 	}
 	return t.Flush()
 }
 
 // quotasOf says what a successor would get of accounts.
-func quotasOf(v *memory.View) string {
+func describeQuotas(v *memory.View) string {
 	h := v.Trusted.Handover
 	switch {
 	case h == nil && v.Found.CopiedOrRebooted:
@@ -125,7 +125,7 @@
 	return fmt.Sprintf("%d accounts with a headroom for %.1f s, if the limiter is killed; once", len(h.Accounts), h.HeadMs/1000)
 }
 
-func amiss(b *limiter.BoxMemory, classes []string) string {
+func describeProblems(b *limiter.BoxMemory, classes []string) string {
 	var all []string
 	if b.Down {
 		all = append(all, "down")
@@ -195,7 +195,7 @@
 type stateExport struct{ stateFolder }
 
 // exported is one limiter's memory. Times are in ms before Written unless they say otherwise.
-type exported struct {
+type exportedState struct {
 	Limiter    string          `json:"limiter"`
 	Generation uint64          `json:"generation"`
 	Written    time.Time       `json:"written"`
@@ -211,14 +211,14 @@
 	if err != nil {
 		return err
 	}
-	all := []exported{}
+	all := []exportedState{}
 	for i := range views {
 		v := &views[i]
 		if v.Memory == nil {
 			return fmt.Errorf("%s: no usable snapshot; see madderdrum state verify", v.Folder)
 		}
 		s := v.Found.Stamp
-		all = append(all, exported{s.Owner, s.Generation, time.UnixMilli(s.WallMs), v.Found.Age.Milliseconds(), v.Classes, v.Memory, v.Found.Notes})
+		all = append(all, exportedState{s.Owner, s.Generation, time.UnixMilli(s.WallMs), v.Found.Age.Milliseconds(), v.Classes, v.Memory, v.Found.Notes})
 	}
 	out := json.NewEncoder(os.Stdout)
 	out.SetIndent("", "  ")
--- a/cmd/smallsystem/main.go
+++ b/cmd/smallsystem/main.go
@@ -34,7 +34,7 @@
 	cmd.Flags().StringVar(&dir, "dir", "", "folder for settings, disks and logs (a new temporary one)")
 	cmd.Flags().StringVar(&programs, "programs", "", "folder with the three programs (built now, from this folder)")
 	cmd.Flags().DurationVar(&within, "for", 0, "stop after this (0: at an interrupt)")
-	cmd.AddCommand(scale())
+	cmd.AddCommand(scaleCommand())
 	if cmd.Execute() != nil {
 		os.Exit(1)
 	}
--- a/cmd/smallsystem/scale.go
+++ b/cmd/smallsystem/scale.go
@@ -13,7 +13,7 @@
 )
 
 // scale plays the control state at several sizes in virtual time and prints what one limiter says.
-func scale() *cobra.Command {
+func scaleCommand() *cobra.Command {
 	var limiters, servers []int
 	var span time.Duration
 	var seed uint64
@@ -28,7 +28,7 @@
 				}
 			}
 			for i := range limiters {
-				if err := play(seed, limiters[i], servers[i], span); err != nil {
+				if err := simulate(seed, limiters[i], servers[i], span); err != nil {
 					return err
 				}
 			}
@@ -41,7 +41,7 @@
 	return c
 }
 
-func play(seed uint64, limiters, servers int, span time.Duration) error {
+func simulate(seed uint64, limiters, servers int, span time.Duration) error {
 	begun := time.Now()
 	w := testring.New(testring.Options{Seed: seed, Regions: 3, Zones: 3, Limiters: limiters, Cores: 5, Servers: servers, Tenants: min(90, max(8, limiters)), PerS: 10 * float64(limiters),
 		Loss: 0.002, OmitCatalogs: limiters*servers > 500_000, Rules: allowance.Rules{QuotaWindow: 5 * time.Second, QuotaOvershoot: 0.1, QuotaSlack: 20, RetryRatio: 0.2, RetrySlack: 200}})
