--- a/cmd/madderdrum/admin_test.go
+++ b/cmd/madderdrum/admin_test.go
@@ -39,7 +39,7 @@
 			io.WriteString(c, x.answer)
 		}()
 		var out, errs bytes.Buffer
-		err = (&adminCommand{Call: x.call, At: ln.Addr().String(), Wait: patience}).run(&out, &errs)
+		err = (&adminCommand{Call: x.call, At: ln.Addr().String(), Wait: testTimeout}).run(&out, &errs)
 		ln.Close()
 		code := 0
 		if e, ok := err.(exitStatus); ok {
--- a/cmd/madderdrum/main_test.go
+++ b/cmd/madderdrum/main_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 const settings = `{"balancers":1,"position":0,"failure_domains":["a"],
  "caps":{"attempts_cap":3,"connect_timeout_ms":2000.0,"conn_idle_ms":30000.0},
@@ -53,7 +53,7 @@
 	cmd := command(t)
 	cmd.Env = append(os.Environ(), "NODE_CONFIG="+path)
 	lines, ended := run(t, cmd)
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		resp, err := http.Get("http://" + addr + "/healthz")
 		if err == nil {
 			resp.Body.Close()
@@ -72,7 +72,7 @@
 	case err := <-ended:
 		t.Fatalf("ended on SIGHUP: %v", err)
 	case <-lines.seen("read the configuration again"):
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("SIGHUP has no effect")
 	}
 	checkServed(t, addr, "check", "team", "12000m")
@@ -144,7 +144,7 @@
 		if err != nil {
 			t.Errorf("ended with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("did not end on SIGTERM")
 	}
 }
@@ -174,7 +174,7 @@
 }
 
 // all is what has been written so far.
-func (l *lineWatch) all() string {
+func (l *lineWatch) output() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
--- a/cmd/madderdrum/memory_test.go
+++ b/cmd/madderdrum/memory_test.go
@@ -17,7 +17,7 @@
 )
 
 // again starts the limiter anew, with the same file.
-func (x *oneLimiter) again(bin string) {
+func (x *oneLimiter) restart(bin string) {
 	x.t.Helper()
 	x.cmd = exec.Command(bin, "serve", x.file, "--status", x.status)
 	x.lines, x.ended = run(x.t, x.cmd)
@@ -25,10 +25,10 @@
 }
 
 // passes sends so many requests of one account and counts those that pass.
-func (x *oneLimiter) passes(n int) (passed int) {
+func (x *oneLimiter) countPassed(n int) (passed int) {
 	x.t.Helper()
 	for range n {
-		w, _, err := x.ask(context.Background(), "Plan", "capped")
+		w, _, err := x.send(context.Background(), "Plan", "capped")
 		if err != nil {
 			x.t.Fatal(err)
 		}
@@ -59,13 +59,13 @@
 }
 `, map[string]plugintest.Module{})
 	begun := time.Now()
-	spent := x.passes(1)
+	spent := x.countPassed(1)
 	stop := func(how syscall.Signal) {
 		t.Helper()
 		x.cmd.Process.Signal(how)
 		select {
 		case <-x.ended:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("does not end")
 		}
 	}
@@ -73,8 +73,8 @@
 	for range 2 {
 		stop(syscall.SIGTERM)
 		start := time.Now()
-		x.again(bin)
-		n := x.passes(60) // a stop takes half a second: so many are there
+		x.restart(bin)
+		n := x.countPassed(60) // a stop takes half a second: so many are there
 		spent += n
 		if fresh := most(start); n < min(60, fresh+20) && n < 60 {
 			t.Errorf("%d units after a start in good order, %d without a memory", n, fresh)
@@ -99,8 +99,8 @@
 			files = nil
 		}
 		start := time.Now()
-		x.again(bin)
-		n := x.passes(60)
+		x.restart(bin)
+		n := x.countPassed(60)
 		spent += n
 		if files == nil && n > most(start) {
 			t.Errorf("%s: %d units within %v of a start", name, n, time.Since(start))
--- a/cmd/madderdrum/platform_test.go
+++ b/cmd/madderdrum/platform_test.go
@@ -16,7 +16,7 @@
 )
 
 // deployed is a line of the deploy file.
-func deployed(t *testing.T, key string) string {
+func deployValue(t *testing.T, key string) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -32,10 +32,10 @@
 // The platform loads a library of its own into each limiter, which takes a program that
 // is linked dynamically against the C library, and that `run` becomes by exec.
 func TestPlatformProgramIsDynamic(t *testing.T) {
-	if run := deployed(t, "run"); !strings.HasPrefix(run, "exec ") || strings.ContainsAny(run, "&|;") {
+	if run := deployValue(t, "run"); !strings.HasPrefix(run, "exec ") || strings.ContainsAny(run, "&|;") {
 		t.Errorf("run is %q: it has to become one program by exec", run)
 	}
-	build := deployed(t, "build")
+	build := deployValue(t, "build")
 	at := strings.Index(build, "CGO_ENABLED=1 go build ")
 	if at < 0 {
 		t.Fatalf("build is %q: cgo has to be on", build)
@@ -63,7 +63,7 @@
 
 // refused are calls that the platform answers with ENOSYS, or that lead to them where both
 // sides are sockets or files: io.Copy and ReadFrom become splice or sendfile there.
-var refused = map[string][]string{
+var refusedCalls = map[string][]string{
 	"os":      {"StartProcess"},
 	"syscall": {"ForkExec", "StartProcess", "Exec", "Splice", "Sendfile"},
 	"io":      {"Copy", "CopyN", "CopyBuffer"},
@@ -119,7 +119,7 @@
 		if sel.Sel.Name == "ReadFrom" {
 			t.Errorf("%v: ReadFrom of a connection may splice", fset.Position(n.Pos()))
 		}
-		if x, ok := sel.X.(*ast.Ident); ok && slices.Contains(refused[x.Name], sel.Sel.Name) {
+		if x, ok := sel.X.(*ast.Ident); ok && slices.Contains(refusedCalls[x.Name], sel.Sel.Name) {
 			if to, ok := call.Args[0].(*ast.SelectorExpr); !ok || to.Sel.Name != "Discard" {
 				t.Errorf("%v: %s.%s", fset.Position(n.Pos()), x.Name, sel.Sel.Name)
 			}
--- a/cmd/madderdrum/plugins_bench_test.go
+++ b/cmd/madderdrum/plugins_bench_test.go
@@ -45,13 +45,13 @@
 	}{
 		{"without", nil}, {"1 without opinion", [][]byte{quiet}}, {"5 without opinion", slices.Repeat([][]byte{quiet}, 5)},
 		{"1 by the Go tool chain", [][]byte{goModule}}, {"1 that loops", [][]byte{loops}}, {"10 that loop", slices.Repeat([][]byte{loops}, 10)},
-		{"every bad one", bad()}, {"1 that says the worst", [][]byte{plugintest.WithAdvice(advice.Advice{Priority: 1e300, Label: strings.Repeat("l", 200), Prefer: "x", Avoid: "y"}).Build()}},
+		{"every bad one", badModules()}, {"1 that says the worst", [][]byte{plugintest.WithAdvice(advice.Advice{Priority: 1e300, Label: strings.Repeat("l", 200), Prefer: "x", Avoid: "y"}).Build()}},
 	} {
 		b.Run(c.name, func(b *testing.B) { benchPlugins(b, bin, c.modules) })
 	}
 }
 
-func bad() (all [][]byte) {
+func badModules() (all [][]byte) {
 	for _, m := range plugintest.Bad() {
 		all = append(all, m.Build())
 	}
@@ -93,7 +93,7 @@
 	}
 	defer func() { cmd.Process.Kill(); cmd.Wait() }()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		if w, err := client.Get("http://" + addr + "/healthz"); err == nil {
 			w.Body.Close()
 			if w.StatusCode == http.StatusOK {
@@ -107,7 +107,7 @@
 	var n, failed atomic.Int64
 	var mu sync.Mutex
 	var took []time.Duration
-	before := cpuOf(b, cmd.Process.Pid)
+	before := cpuTime(b, cmd.Process.Pid)
 	b.ResetTimer()
 	var clients sync.WaitGroup
 	for range 32 {
@@ -134,7 +134,7 @@
 	}
 	clients.Wait()
 	b.StopTimer()
-	used := cpuOf(b, cmd.Process.Pid) - before
+	used := cpuTime(b, cmd.Process.Pid) - before
 	slices.Sort(took)
 	at := func(q float64) float64 { return float64(took[int(q*float64(len(took)-1))]) / float64(time.Millisecond) }
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "req/s")
@@ -146,7 +146,7 @@
 }
 
 // cpuOf is the CPU time of a process, in clock ticks of 10 ms as Linux has them.
-func cpuOf(b *testing.B, pid int) time.Duration {
+func cpuTime(b *testing.B, pid int) time.Duration {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		b.Skip("needs /proc: ", err)
--- a/cmd/madderdrum/plugins_test.go
+++ b/cmd/madderdrum/plugins_test.go
@@ -41,7 +41,7 @@
 }
 
 // pluginsAt is what a limiter shows of its plug-ins.
-func pluginsAt(addr string) (map[string]status.Plugin, []status.Label, error) {
+func fetchPlugins(addr string) (map[string]status.Plugin, []status.Label, error) {
 	w, err := http.Get("http://" + addr + "/plugins")
 	if err != nil {
 		return nil, nil, err
@@ -59,15 +59,15 @@
 }
 
 // until waits until something is so of a limiter's plug-ins.
-func until(t *testing.T, addr, what string, so func(map[string]status.Plugin) bool) {
+func waitForPlugins(t *testing.T, addr, what string, so func(map[string]status.Plugin) bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
-		all, _, err := pluginsAt(addr)
+	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
+		all, _, err := fetchPlugins(addr)
 		if err == nil && so(all) {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("not so after %v: %s; %v %+v", patience, what, err, all)
+			t.Fatalf("not so after %v: %s; %v %+v", testTimeout, what, err, all)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 	writeModules(t, dir, files)
 	states := make([]string, 3)
 	for n := range states {
-		states[n] = freePort(t)
+		states[n] = freeAddress(t)
 	}
 	f := config.Bluebird()
 	faults, err := world.Scenario(f, "box b1 fails 60% from 1s to 3s\nlimiter n2 is killed at 3s for 1s\nroom room-b is lost from 4s to 6s\nbox a1 drains from 2s to 5s\n")
@@ -122,7 +122,7 @@
 				if err := r.Until(ctx, func(w *world.World, _ *judge.Judge) bool { return w.Meter.Total.By[0] > 700 }); err != nil {
 					return err
 				}
-				all, labels, err := pluginsAt(states[0])
+				all, labels, err := fetchPlugins(states[0])
 				if err != nil {
 					return err
 				}
@@ -170,7 +170,7 @@
 
 func newOneLimiter(t *testing.T, bin, blocks string, modules map[string]plugintest.Module) *oneLimiter {
 	t.Helper()
-	x := &oneLimiter{t: t, dir: t.TempDir(), addr: freePort(t), status: freePort(t)}
+	x := &oneLimiter{t: t, dir: t.TempDir(), addr: freeAddress(t), status: freeAddress(t)}
 	box := listen(t, func(w http.ResponseWriter, _ *http.Request) {
 		x.arrived.Add(1)
 		io.WriteString(w, "served")
@@ -198,20 +198,20 @@
 	x.t.Helper()
 	select {
 	case <-x.lines.seen(line):
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		x.t.Fatalf("the log lacks %q", line)
 	}
 }
 
-var requests atomic.Int64
+var requestCount atomic.Int64
 
 // ask sends one request, whose class is a bulk send with time enough.
-func (x *oneLimiter) ask(ctx context.Context, headers ...string) (*http.Response, string, error) {
+func (x *oneLimiter) send(ctx context.Context, headers ...string) (*http.Response, string, error) {
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+x.addr+"/v1/messages?key=00000000b4d65521", strings.NewReader("body"))
 	if err != nil {
 		return nil, "", err
 	}
-	for k, v := range map[string]string{"X-Request-ID": fmt.Sprint("q", requests.Add(1)), "X-Priority-Class": "send-bulk-paid", "Plan": "enterprise", "X-Timeout": "3900m", "Quota-Info": "units=1,spread=1,first=0"} {
+	for k, v := range map[string]string{"X-Request-ID": fmt.Sprint("q", requestCount.Add(1)), "X-Priority-Class": "send-bulk-paid", "Plan": "enterprise", "X-Timeout": "3900m", "Quota-Info": "units=1,spread=1,first=0"} {
 		q.Header.Set(k, v)
 	}
 	for i := 0; i+1 < len(headers); i += 2 {
@@ -248,7 +248,7 @@
 	asking := func(x *oneLimiter) chan got {
 		c := make(chan got, 1)
 		go func() {
-			w, body, err := x.ask(t.Context())
+			w, body, err := x.send(t.Context())
 			if err != nil {
 				c <- got{err: err}
 				return
@@ -262,14 +262,14 @@
 		x := newOneLimiter(t, bin, loopBlock, modules)
 		ctx, leave := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
-		go func() { _, _, err := x.ask(ctx); ended <- err }()
-		until(t, x.status, "the call is made", calls(1))
+		go func() { _, _, err := x.send(ctx); ended <- err }()
+		waitForPlugins(t, x.status, "the call is made", calls(1))
 		leave()
 		if err := <-ended; err == nil {
 			t.Error("an answer for a client that left")
 		}
-		until(t, x.status, "the call is over", free(1))
-		if w, body, err := x.ask(t.Context()); err != nil || w.StatusCode != 200 || body != "served" {
+		waitForPlugins(t, x.status, "the call is over", free(1))
+		if w, body, err := x.send(t.Context()); err != nil || w.StatusCode != 200 || body != "served" {
 			t.Errorf("the next request: %v %q", err, body)
 		}
 		if n := x.arrived.Load(); n != 1 {
@@ -281,14 +281,14 @@
 		t.Parallel()
 		x := newOneLimiter(t, bin, loopBlock, modules)
 		c := asking(x)
-		until(t, x.status, "the call is made", calls(1))
+		waitForPlugins(t, x.status, "the call is made", calls(1))
 		x.write("")
 		x.cmd.Process.Signal(syscall.SIGHUP)
 		x.waitFor("the new configuration holds")
 		if g := <-c; g.err != nil || g.code != 200 || g.body != "served" || x.arrived.Load() != 1 {
 			t.Errorf("%+v, %d came to the box", g, x.arrived.Load())
 		}
-		if all, _, err := pluginsAt(x.status); err != nil || len(all) != 0 {
+		if all, _, err := fetchPlugins(x.status); err != nil || len(all) != 0 {
 			t.Errorf("%v %v", all, err)
 		}
 		checkStops(t, x.cmd, x.ended)
@@ -297,7 +297,7 @@
 		t.Parallel()
 		x := newOneLimiter(t, bin, loopBlock, modules)
 		c := asking(x)
-		until(t, x.status, "the call is made", calls(1))
+		waitForPlugins(t, x.status, "the call is made", calls(1))
 		x.cmd.Process.Signal(syscall.SIGTERM)
 		if g := <-c; g.err != nil || g.code != 200 || g.body != "served" || x.arrived.Load() != 1 {
 			t.Errorf("%+v, %d came to the box", g, x.arrived.Load())
@@ -307,7 +307,7 @@
 			if err != nil {
 				t.Errorf("ended with %v", err)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Error("does not end")
 		}
 	})
@@ -372,7 +372,7 @@
 		body, wait string
 	}{{"", 429, "not on Fridays\n", "0.250"}, {"free", 200, "served", ""}, {"guarded", 429, "a plug-in that guards this has failed\n", "0.050"}} {
 		for range 4 {
-			w, body, err := x.ask(t.Context(), "X-Tenant", c.tenant)
+			w, body, err := x.send(t.Context(), "X-Tenant", c.tenant)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -383,10 +383,10 @@
 	}
 	// Further ones, until the guard has failed three times: some find no instance free.
 	for range 200 {
-		if all, _, _ := pluginsAt(x.status); all["guard"].TimesBenched > 0 {
+		if all, _, _ := fetchPlugins(x.status); all["guard"].TimesBenched > 0 {
 			break
 		}
-		x.ask(t.Context(), "X-Tenant", "guarded")
+		x.send(t.Context(), "X-Tenant", "guarded")
 	}
 	out, err := exec.Command(bin, "plugin", "status", "--status", x.status).CombinedOutput()
 	if err != nil || !strings.Contains(string(out), "benched for") || !strings.Contains(string(out), "trapped") || !strings.Contains(string(out), "friday  0       4        0") {
@@ -409,14 +409,14 @@
 	x.write("plugin \"no\" {\n file = \"yes.wasm\"\n order = 2\n}\n")
 	x.cmd.Process.Signal(syscall.SIGHUP)
 	x.waitFor("the new configuration holds")
-	if w, body, err := x.ask(t.Context()); err != nil || w.StatusCode != 200 || body != "served" {
+	if w, body, err := x.send(t.Context()); err != nil || w.StatusCode != 200 || body != "served" {
 		t.Errorf("with another module: %v %q", err, body)
 	}
 	writeModules(t, x.dir, map[string]plugintest.Module{"lies": {ABI: plugintest.ConstI32(2)}})
 	x.write("plugin \"no\" {\n file = \"lies.wasm\"\n order = 2\n}\n")
 	x.cmd.Process.Signal(syscall.SIGHUP)
 	x.waitFor("a plug-in can't be loaded")
-	if w, _, err := x.ask(t.Context()); err != nil || w.StatusCode != 200 {
+	if w, _, err := x.send(t.Context()); err != nil || w.StatusCode != 200 {
 		t.Errorf("after a module that can't be loaded: %v", err)
 	}
 	for _, args := range [][]string{{"check", x.file}, {"serve", x.file}, {"serve", x.file, "--check"}} {
@@ -478,7 +478,7 @@
 	for k := range 16 {
 		clients.Go(func() {
 			for range 25 {
-				w, _, err := x.ask(t.Context(), "Plan", "enterprise")
+				w, _, err := x.send(t.Context(), "Plan", "enterprise")
 				if err != nil || w.StatusCode != 200 && w.StatusCode != 429 {
 					t.Errorf("client %d: %v", k, err)
 					return
@@ -488,7 +488,7 @@
 		})
 	}
 	clients.Wait()
-	all, _, err := pluginsAt(x.status)
+	all, _, err := fetchPlugins(x.status)
 	if p := all["count"]; err != nil || answers.Load() != 400 || p.Calls+p.Busy != 400 || p.Faults > 0 || p.Counters != 1 {
 		t.Errorf("%v, %d answers, %+v", err, answers.Load(), all)
 	}
--- a/cmd/madderdrum/reload_test.go
+++ b/cmd/madderdrum/reload_test.go
@@ -24,61 +24,61 @@
 )
 
 // reloadable is a limiter that runs as `madderdrum serve` of a file that changes.
-type reloadable struct {
+type reloadedLimiter struct {
 	loopback.Process
 	cmd  *exec.Cmd
 	file string
-	log  *replies
+	log  *reloadLog
 	text func(version int) string
 }
 
 // replies counts the lines in which a limiter says what came of a reload.
-type replies struct {
-	mu     sync.Mutex
-	rest   string
-	holds  int
-	kept   int
-	same   int
-	served int
-	news   chan struct{}
-	tail   []string
+type reloadLog struct {
+	mu          sync.Mutex
+	partialLine string
+	applied     int
+	kept        int
+	unchanged   int
+	served      int
+	updated     chan struct{}
+	tail        []string
 }
 
-func (r *replies) Write(p []byte) (int, error) {
+func (r *reloadLog) Write(p []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rest += string(p)
+	r.partialLine += string(p)
 	for {
-		line, after, ok := strings.Cut(r.rest, "\n")
+		line, after, ok := strings.Cut(r.partialLine, "\n")
 		if !ok {
 			break
 		}
-		r.rest = after
+		r.partialLine = after
 		if r.tail = append(r.tail, line); len(r.tail) > 10 {
 			r.tail = r.tail[1:]
 		}
 		switch {
 		case strings.Contains(line, "the new configuration holds"):
-			r.holds++
+			r.applied++
 		case strings.Contains(line, "kept the configuration"):
 			r.kept++
 		case strings.Contains(line, "it means the same"):
-			r.same++
+			r.unchanged++
 		case strings.Contains(line, "msg=serving"):
 			r.served++
 		}
 	}
 	select {
-	case r.news <- struct{}{}:
+	case r.updated <- struct{}{}:
 	default:
 	}
 	return len(p), nil
 }
 
-func (r *replies) count() (all, kept int) {
+func (r *reloadLog) count() (all, kept int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.holds + r.kept + r.same, r.kept
+	return r.applied + r.kept + r.unchanged, r.kept
 }
 
 // versions are the files that follow each other: plans and routes change, blocks change
@@ -133,12 +133,12 @@
 `
 
 // startReloadable writes the first file of a limiter and starts it.
-func startReloadable(bin, dir, path string, n int) (*reloadable, error) {
+func startReloadable(bin, dir, path string, n int) (*reloadedLimiter, error) {
 	whole, err := loopback.ServeText(path, n)
 	if err != nil {
 		return nil, err
 	}
-	s := &reloadable{file: filepath.Join(dir, fmt.Sprintf("n%d.hcl", n)), log: &replies{news: make(chan struct{}, 1)},
+	s := &reloadedLimiter{file: filepath.Join(dir, fmt.Sprintf("n%d.hcl", n)), log: &reloadLog{updated: make(chan struct{}, 1)},
 		text: func(version int) string {
 			routes, rest := versions[version%len(versions)](reloadRoutes, whole)
 			return routes + rest
@@ -155,7 +155,7 @@
 }
 
 // resident is the memory of a process in KiB.
-func (s *reloadable) resident(t *testing.T) int {
+func (s *reloadedLimiter) residentKiB(t *testing.T) int {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", s.cmd.Process.Pid))
 	if err != nil {
 		t.Error(err)
@@ -176,7 +176,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
 	const reloads = 1000
-	limiters := make([]*reloadable, 3)
+	limiters := make([]*reloadedLimiter, 3)
 	writeModules(t, dir, map[string]plugintest.Module{"first": plugintest.WithAdvice(advice.Advice{Label: "one", Priority: 0.5}), "second": {Imports: []plugintest.Import{plugintest.Count},
 		Advise: plugintest.Join(plugintest.ConstI32(0), plugintest.ConstI32(8), plugintest.ConstF64(1), plugintest.ConstF64(500), plugintest.Call(0), plugintest.Drop, plugintest.None)}})
 	f := config.Bluebird()
@@ -207,7 +207,7 @@
 					for n, s := range limiters {
 						for all, _ := s.log.count(); all < i; all, _ = s.log.count() {
 							select {
-							case <-s.log.news:
+							case <-s.log.updated:
 							case <-ctx.Done():
 								return fmt.Errorf("limiter %d says nothing of reload %d", n, i)
 							}
@@ -215,7 +215,7 @@
 					}
 					if i == reloads/5 || i == reloads {
 						for n, s := range limiters {
-							early[n], late[n] = late[n], s.resident(t)
+							early[n], late[n] = late[n], s.residentKiB(t)
 						}
 					}
 				}
--- a/cmd/madderdrum/rooms_test.go
+++ b/cmd/madderdrum/rooms_test.go
@@ -34,7 +34,7 @@
 					// Of the room that a limiter does not prefer it may have lost sight, and
 					// finds out only when it sends something there.
 					well = well && len(tiers) == 2 && tiers[0].Phase == "well"
-					wasLost[n] = wasLost[n] || len(tiers) == 2 && gone(tiers[0].Phase)
+					wasLost[n] = wasLost[n] || len(tiers) == 2 && isTierLeft(tiers[0].Phase)
 				}
 				return well && wasLost[0] && wasLost[2]
 			}
@@ -47,12 +47,12 @@
 			}
 			for _, n := range []int{0, 2} { // those in the room
 				near := r.Phases[n][0]
-				lost, back := slices.IndexFunc(near, gone), slices.Index(near, "well")
+				lost, back := slices.IndexFunc(near, isTierLeft), slices.Index(near, "well")
 				if lost < 0 || near[len(near)-1] != "well" || back != 0 {
 					t.Errorf("limiter %d saw its room: %v", n, near)
 				}
 			}
-			if far := r.Phases[1][0]; slices.ContainsFunc(far, gone) {
+			if far := r.Phases[1][0]; slices.ContainsFunc(far, isTierLeft) {
 				t.Errorf("limiter 1 saw its own room: %v", far)
 			}
 			t.Logf("service %.3f, most work to a warming box in 0.5 s %.2f of what it could do, phases %v", r.Figures.Service, r.Figures.Push, r.Phases)
@@ -62,7 +62,7 @@
 
 // gone tells that a tier was left: it failed, and is lost once no box of it connects, which
 // a limiter with little to send may not come to see.
-func gone(phase string) bool { return phase == "failing" || phase == "lost" }
+func isTierLeft(phase string) bool { return phase == "failing" || phase == "lost" }
 
 // The command's page is written, and bad input is told.
 func TestDrill(t *testing.T) {
--- a/cmd/madderdrum/serve_test.go
+++ b/cmd/madderdrum/serve_test.go
@@ -54,7 +54,7 @@
 }
 
 // freePort returns an address that was free a moment ago.
-func freePort(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.78.0.2:0")
 	if err != nil {
@@ -68,7 +68,7 @@
 func TestServe(t *testing.T) {
 	bin := program(t)
 	box := listen(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "served") })
-	addr := freePort(t)
+	addr := freeAddress(t)
 	text := string(deploy.Bluebird)
 	text = text[:strings.Index(text, `limiter "n0"`)] + fmt.Sprintf("limiter \"n0\" {\n room = \"room-a\"\n listen = %q\n}\n", addr) +
 		fmt.Sprintf("box \"a\" {\n room = \"room-a\"\n dial = %q\n cores = 2\n slots = 8\n queue = 8\n}\n", box)
@@ -84,7 +84,7 @@
 	lines, ended := run(t, cmd)
 	select {
 	case <-lines.seen("msg=serving"):
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("does not serve")
 	}
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
@@ -129,14 +129,14 @@
 // itself with no rule broken.
 func TestDemo(t *testing.T) {
 	bin := program(t)
-	control := freePort(t)
+	control := freeAddress(t)
 	cmd := exec.Command(bin, "demo", "--for", "6s", "--control", control)
 	lines, ended := run(t, cmd)
 	select {
 	case <-lines.seen("peers are cut"):
 	case err := <-ended:
 		t.Fatalf("ended: %v", err)
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("does not begin")
 	}
 	lines.mu.Lock()
@@ -168,7 +168,7 @@
 		if err != nil {
 			t.Errorf("ended with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("does not end")
 	}
 	lines.mu.Lock()
--- a/cmd/madderdrum/upgrade_test.go
+++ b/cmd/madderdrum/upgrade_test.go
@@ -27,13 +27,13 @@
 }
 
 // operator makes a call on an operators' address; "" if nobody answers.
-func operator(addr, call string) string {
+func callAdmin(addr, call string) string {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return ""
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintln(c, call)
 	b, _ := io.ReadAll(c)
 	return string(b)
@@ -60,9 +60,9 @@
 		cmd := command(t)
 		cmd.Env = append(os.Environ(), "NODE_CONFIG="+path, "NODE_ADMIN_ADDR="+admin, "TMPDIR="+dir)
 		lines, ended := run(t, cmd)
-		for end := time.Now().Add(patience); !strings.HasPrefix(operator(admin, "ready"), "YES"); time.Sleep(5 * time.Millisecond) {
+		for end := time.Now().Add(testTimeout); !strings.HasPrefix(callAdmin(admin, "ready"), "YES"); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("not ready:\n%s", lines.all())
+				t.Fatalf("not ready:\n%s", lines.output())
 			}
 		}
 		return cmd, admin, lines, ended
@@ -114,10 +114,10 @@
 			if err != nil {
 				t.Errorf("the old process ended with %v", err)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("the old process did not end")
 		}
-		if text := nextLines.all(); !strings.Contains(text, "took over from the process before") {
+		if text := nextLines.output(); !strings.Contains(text, "took over from the process before") {
 			t.Errorf("the new process began without the old one's state:\n%s", text)
 		}
 		cmd, lines, ended = next, nextLines, nextEnded
@@ -125,7 +125,7 @@
 	stop()
 	clients.Wait()
 	if failed > 0 || served < 600 {
-		t.Errorf("%d served, %d failed\n%s", served, failed, lines.all())
+		t.Errorf("%d served, %d failed\n%s", served, failed, lines.output())
 	}
 	for id, n := range runs {
 		if n > 1 {
