--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,5 @@
-// Command adapter runs instances of the decision module on the bench's wire.
+// Command adapter runs instances of the limiter's decision module for the simulator, which sends events
+// on standard input and reads the resulting actions from standard output.
 package main
 
 import (
@@ -18,7 +19,7 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run processes batches of events and writes their actions until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), wire.NewWriter(out)
 	limiters := map[int]*limiter.Limiter{}
@@ -42,7 +43,7 @@
 	}
 }
 
-// handle gives one item to its instance; a panic of the module is an error.
+// handle passes one item to its instance; a panic of the module is returned as an error.
 func handle(limiters map[int]*limiter.Limiter, w *wire.Writer, now float64, it wire.Item) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -44,7 +44,7 @@
 
 func TestPanicIsAnError(t *testing.T) {
 	var out bytes.Buffer
-	limiters := map[int]*limiter.Limiter{1: {}} // one never made by New
+	limiters := map[int]*limiter.Limiter{1: {}} // the zero value, not made by New, panics
 	err := handle(limiters, wire.NewWriter(&out), 1, wire.Item{Instance: 1, Event: limiter.Alarm{Handle: "tick"}})
 	if err == nil || !strings.Contains(err.Error(), "panic") {
 		t.Errorf("got %v", err)
--- a/cmd/configstore/main.go
+++ b/cmd/configstore/main.go
@@ -1,4 +1,4 @@
-// Command configstore is one of the three programs of the system. Keeps the configuration.
+// Command configstore is one of the three programs of the system. It stores the configuration.
 package main
 
 import (
--- a/cmd/dayplan/main.go
+++ b/cmd/dayplan/main.go
@@ -1,4 +1,4 @@
-// Command dayplan draws a day of troubles for the operators' bench and prints it.
+// Command dayplan generates a random schedule of faults for one simulated day and prints it.
 package main
 
 import (
--- a/cmd/madderdrum/admin.go
+++ b/cmd/madderdrum/admin.go
@@ -12,23 +12,23 @@
 	"time"
 )
 
-// mostAnswer bounds what is read of an answer.
+// maxAnswerBytes limits how much of an answer is read.
 const maxAnswerBytes = 1 << 20
 
-// adminCommand makes one call on a limiter's operators' address.
+// adminCommand sends one call to a limiter's admin address.
 type adminCommand struct {
 	Call string        `arg:"" enum:"ready,show-stat,drain,resume" help:"ready, show-stat, drain or resume."`
 	At   string        `short:"a" env:"NODE_ADMIN_ADDR" required:"" placeholder:"HOST:PORT" help:"The limiter's admin address."`
 	Wait time.Duration `default:"1s" help:"How long to wait for the answer."`
 }
 
-// Help is the long help text.
+// Help returns the detailed help text of `madderdrum admin`.
 func (adminCommand) Help() string {
 	return `Prints the answer and ends with 0 if it is yes (or the figures), 1 if it is no, and 2 if
 there is none. docs/operations.md says what each call does and each figure means.`
 }
 
-// Run is the command.
+// Run executes `madderdrum admin`.
 func (c *adminCommand) Run() error { return c.run(os.Stdout, os.Stderr) }
 
 func (c *adminCommand) run(out, errs io.Writer) error {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// ask returns the answer's lines, but for the line that ends figures.
+// request sends the call and returns the answer without the END line that terminates statistics.
 func (c *adminCommand) request() (string, error) {
 	conn, err := net.DialTimeout("tcp", c.At, c.Wait)
 	if err != nil {
--- a/cmd/madderdrum/capacity.go
+++ b/cmd/madderdrum/capacity.go
@@ -20,7 +20,7 @@
 	"example.org/madderdrum/internal/replay"
 )
 
-// capacityCommand says how many boxes a fleet takes.
+// capacityCommand forecasts demand and computes how many boxes a fleet needs.
 type capacityCommand struct {
 	Fleet      string        `arg:"" optional:"" help:"Configuration or fleet file (HCL); the built-in fleet of Bluebird Text if left out." type:"path"`
 	Trace      []string      `help:"Trace files of what was asked for, in any layout that replay reads; the built-in Friday if left out." placeholder:"FILE"`
@@ -41,7 +41,7 @@
 	HTML       string        `help:"Write the plan as one HTML page with charts." placeholder:"FILE"`
 }
 
-// Help is the long help text.
+// Help returns the detailed help text of `madderdrum capacity`.
 func (capacityCommand) Help() string {
 	return `Forecasts what is asked for by the hour from a record, and says how many boxes that takes,
 what the fleet serves, also without each of its rooms, and what one more box is worth.
@@ -52,7 +52,7 @@
   madderdrum capacity --replay 100                      is the promise kept?`
 }
 
-// Run is the command.
+// Run executes `madderdrum capacity`.
 func (c *capacityCommand) Run() error {
 	switch {
 	case !(c.Goal > 0 && c.Goal <= 1):
@@ -72,56 +72,56 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	read := replayCommand{Trace: c.Trace, Schema: c.Schema, Fleet: c.Fleet, Rate: "trace", From: c.From, For: c.For, Speed: 1, Seed: 1, Seeds: 1, Duplicates: c.Duplicates, Reorder: c.Reorder, Policy: []string{"limiter"}}
-	o, err := read.options()
+	input := replayCommand{Trace: c.Trace, Schema: c.Schema, Fleet: c.Fleet, Rate: "trace", From: c.From, For: c.For, Speed: 1, Seed: 1, Seeds: 1, Duplicates: c.Duplicates, Reorder: c.Reorder, Policy: []string{"limiter"}}
+	options, err := input.options()
 	if err != nil {
 		return err
 	}
-	if err := applyPlanChanges(o.Fleet, c.Plan); err != nil {
+	if err := applyPlanChanges(options.Fleet, c.Plan); err != nil {
 		return fmt.Errorf("--plan: %w", err)
 	}
 	bar := newProgress()
-	plan, err := replay.Prepare(ctx, *o, bar.showRead)
+	plan, err := replay.Prepare(ctx, *options, bar.showRead)
 	bar.clear()
 	if err != nil {
 		return err
 	}
-	r, err := planner.Make(plan, planner.Options{Begins: begins, Confidence: c.Confidence, Goal: c.Goal, Without: c.Without, Boxes: c.Boxes, Rate: c.Rate})
+	forecast, err := planner.Make(plan, planner.Options{Begins: begins, Confidence: c.Confidence, Goal: c.Goal, Without: c.Without, Boxes: c.Boxes, Rate: c.Rate})
 	if err != nil {
 		return err
 	}
-	if err := r.Text(os.Stdout); err != nil {
+	if err := forecast.Text(os.Stdout); err != nil {
 		return fmt.Errorf("writing: %w", err)
 	}
 	if c.JSON != "" {
-		if err := saveFile(c.JSON, r.Write); err != nil {
+		if err := saveFile(c.JSON, forecast.Write); err != nil {
 			return fmt.Errorf("--json: %w", err)
 		}
 	}
 	if c.HTML != "" {
-		if err := saveFile(c.HTML, r.HTML); err != nil {
+		if err := saveFile(c.HTML, forecast.HTML); err != nil {
 			return fmt.Errorf("--html: %w", err)
 		}
 	}
 	if c.Replay == 0 {
 		return nil
 	}
-	need := r.Hours[r.Binding].BoxesLoss
-	for _, boxes := range []int{need, need - len(o.Fleet.Rooms)} {
-		if boxes < len(o.Fleet.Rooms) {
+	need := forecast.Hours[forecast.Binding].BoxesLoss
+	for _, boxes := range []int{need, need - len(options.Fleet.Rooms)} {
+		if boxes < len(options.Fleet.Rooms) {
 			continue
 		}
-		t, err := r.Replay(ctx, o.Fleet, boxes, c.Replay, bar.showPlayed)
+		result, err := forecast.Replay(ctx, options.Fleet, boxes, c.Replay, bar.showPlayed)
 		bar.clear()
 		if err != nil {
 			return err
 		}
-		fmt.Printf("replayed: %d boxes with a room lost keep the goal within 2%% on %d of %d days; service %.3f in the mean, %.3f at worst\n", t.Boxes, t.Kept, t.Days, t.Mean, t.Worst)
+		fmt.Printf("replayed: %d boxes with a room lost keep the goal within 2%% on %d of %d days; service %.3f in the mean, %.3f at worst\n", result.Boxes, result.Kept, result.Days, result.Mean, result.Worst)
 	}
 	return nil
 }
 
-// weekTime reads a day and hour, in seconds from a Monday 00:00.
+// parseWeekTime parses a day and hour such as "Fri 08:00" into seconds since Monday 00:00.
 func parseWeekTime(text string) (float64, error) {
 	names := []string{"mon", "tue", "wed", "thu", "fri", "sat", "sun"}
 	name, clock, ok := strings.Cut(strings.ToLower(strings.TrimSpace(text)), " ")
@@ -133,15 +133,15 @@
 	return float64(day)*86400 + float64(at.Hour())*3600 + float64(at.Minute())*60, nil
 }
 
-// whatIf changes plans of a fleet.
+// applyPlanChanges applies --plan flags of the form PLAN.FIELD=VALUE to the plans of a fleet.
 func applyPlanChanges(f *fleet.Fleet, changes []string) error {
 	for _, text := range changes {
 		left, value, ok := strings.Cut(text, "=")
 		name, field, dotted := strings.Cut(left, ".")
 		i := slices.IndexFunc(f.Plans, func(p fleet.Plan) bool { return p.Name == name })
-		x, err := strconv.ParseFloat(strings.TrimSuffix(value, "/s"), 64)
+		number, err := strconv.ParseFloat(strings.TrimSuffix(value, "/s"), 64)
 		switch {
-		case !ok || !dotted || err != nil || !(x > 0):
+		case !ok || !dotted || err != nil || !(number > 0):
 			return fmt.Errorf("%q: write PLAN.FIELD=VALUE, such as business.rate=9/s", text)
 		case i < 0:
 			return fmt.Errorf("%q: there is no plan %q", text, name)
@@ -151,12 +151,12 @@
 		if fields[field] == nil {
 			return fmt.Errorf("%q: a plan has no %q here; write rate, burst, ceiling_rate or ceiling_burst", text, field)
 		}
-		*fields[field] = x
+		*fields[field] = number
 	}
 	return nil
 }
 
-// saveWith writes a file by a function.
+// saveFile creates a file and lets write fill it.
 func saveFile(path string, write func(io.Writer) error) error {
 	f, err := os.Create(path)
 	if err != nil {
--- a/cmd/madderdrum/commands.go
+++ b/cmd/madderdrum/commands.go
@@ -6,7 +6,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// commandLine is what the program does when it is called with arguments.
+// commandLine declares the commands and flags that kong parses.
 type commandLine struct {
 	Serve    serveCommand    `cmd:"" help:"Run one limiter of a configuration, with its fixed list of sender boxes."`
 	Check    checkCommand    `cmd:"" help:"Tell all that is wrong with a configuration, with places and remedies."`
@@ -24,7 +24,7 @@
 	Version  versionCommand  `cmd:"" help:"Tell the program's version."`
 }
 
-// commands carries out the command that the arguments name.
+// commands parses the arguments and runs the command that they name; without arguments it prints the help.
 func runCommand(args []string) error {
 	if len(args) == 0 {
 		args = []string{"--help"}
--- a/cmd/madderdrum/config.go
+++ b/cmd/madderdrum/config.go
@@ -18,34 +18,34 @@
 	"example.org/madderdrum/config"
 )
 
-// exitStatus ends the program with a code of its own, and with no more words.
+// exitStatus is an error that ends the program with this exit code and prints nothing.
 type exitStatus int
 
 func (s exitStatus) Error() string { return fmt.Sprintf("exit code %d", int(s)) }
 
-// ExitCode is the program's.
+// ExitCode returns the exit code of the program.
 func (s exitStatus) ExitCode() int { return int(s) }
 
 // The exit codes of check, fmt and diff.
 const (
-	exitDiffers  exitStatus = 1 // or: has errors
-	exitUnusable exitStatus = 2 // the question could not be answered
+	exitDiffers  exitStatus = 1 // also: the configuration has errors
+	exitUnusable exitStatus = 2 // the check could not be made, for instance because a file can't be read
 )
 
-// checkCommand tells all that is wrong with a configuration.
+// checkCommand reports all errors and warnings of a configuration.
 type checkCommand struct {
 	configFiles
 	JSON bool `name:"json" help:"For editors and CI: one JSON object."`
 }
 
-// Help is the long help text.
+// Help returns the detailed help text of `madderdrum check`.
 func (checkCommand) Help() string {
 	return `Reads the files with all that they include and tells every mistake at once, with its
 line and with what to write instead. Exit code 0: sound, perhaps with warnings;
 1: errors; 2: a file can't be read.`
 }
 
-// Run is the command.
+// Run executes `madderdrum check`.
 func (c *checkCommand) Run() error {
 	cfg, report, err := config.LoadFiles(c.Files, c.Var)
 	if err != nil {
@@ -96,21 +96,21 @@
 	return nil
 }
 
-// fmtCommand writes files in the usual form.
+// fmtCommand formats configuration files canonically.
 type fmtCommand struct {
 	Files []string `arg:"" optional:"" help:"Files; standard input if left out."`
 	Write bool     `short:"w" help:"Write the files instead of standard output, and name those that change."`
 	Diff  bool     `short:"d" help:"Show what would change; exit code 1 if anything."`
 }
 
-// Help is the long help text.
+// Help returns the detailed help text of `madderdrum fmt`.
 func (fmtCommand) Help() string {
 	return `Sets blanks, columns and blank lines; comments and the meaning stay, which is checked
 for each file before it is written. Exit code 1: with -d, something would change; 2: a
 file can't be read as HCL, and is left as it is.`
 }
 
-// Run is the command.
+// Run executes `madderdrum fmt`.
 func (c *fmtCommand) Run() error {
 	if len(c.Files) == 0 {
 		data, err := io.ReadAll(os.Stdin)
@@ -134,7 +134,7 @@
 	return end
 }
 
-// one formats one file.
+// formatFile formats the contents of one file and prints, compares or writes the result.
 func (c *fmtCommand) formatFile(path string, data []byte) error {
 	out, err := config.Format(data, path)
 	if err != nil {
@@ -164,8 +164,8 @@
 	return nil
 }
 
-// replaceFile writes a file anew beside the old one and puts it in its place, so that
-// neither a reader nor a full disk ever sees half of it.
+// replaceFile writes a temporary file in the same directory and renames it over the old one,
+// so that neither a reader nor a full disk leaves a partially written file.
 func replaceFile(path string, data []byte) error {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -175,7 +175,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	defer os.Remove(f.Name()) // of no effect once it was renamed
+	defer os.Remove(f.Name()) // no effect after the rename
 	_, err = f.Write(data)
 	err = errors.Join(err, f.Chmod(info.Mode().Perm()), f.Sync(), f.Close())
 	if err == nil {
@@ -194,7 +194,7 @@
 	return "."
 }
 
-// diffCommand says what two configurations differ in.
+// diffCommand prints the semantic differences of two configurations.
 type diffCommand struct {
 	Before string            `arg:"" help:"Configuration file as it is now."`
 	After  string            `arg:"" help:"Configuration file as it will be."`
@@ -202,7 +202,7 @@
 	JSON   bool              `name:"json" help:"One JSON object."`
 }
 
-// Help is the long help text.
+// Help returns the detailed help text of `madderdrum diff`.
 func (diffCommand) Help() string {
 	return `Compares what two configurations mean, not how they are written: layout, comments,
 order, includes, variables, policies and spellings of units don't matter. Each change is
@@ -211,7 +211,7 @@
 Exit code 0: they mean the same; 1: they differ; 2: one of them has errors.`
 }
 
-// Run is the command.
+// Run executes `madderdrum diff`.
 func (c *diffCommand) Run() error {
 	var both [2]*config.Config
 	for i, path := range []string{c.Before, c.After} {
--- a/cmd/madderdrum/demo.go
+++ b/cmd/madderdrum/demo.go
@@ -25,7 +25,7 @@
 	"example.org/madderdrum/internal/world"
 )
 
-// demoCommand shows the limiter at work.
+// demoCommand runs a simulated fleet and its limiters on loopback, with light traffic.
 type demoCommand struct {
 	Fleet   string        `short:"f" help:"Fleet file (HCL); the built-in fleet of Bluebird Text if left out." type:"path"`
 	Rate    float64       `default:"60" help:"Requests a second of the stand-in clients."`
@@ -34,7 +34,7 @@
 	Logs    string        `help:"Folder for the limiters' logs; nowhere if left out." type:"path"`
 }
 
-// Help is the long help text.
+// Help returns the detailed help text of `madderdrum demo`.
 func (demoCommand) Help() string {
 	return `Starts a stand-in fleet, the limiters of the fleet file (this very program, as the
 platform starts it) and light traffic, all on loopback, until Ctrl-C. It prints the
@@ -47,7 +47,7 @@
   curl -d 'room room-b is lost at 0s for 10s' http://ADDRESS/fault`
 }
 
-// demoFaults are what the keys switch on.
+// demoFaults lists the faults that the number keys inject.
 var demoFaults = []struct{ key, text string }{
 	{"1", "box BOX hangs at 0s for 5s"},
 	{"2", "box BOX fails 70% at 0s for 8s"},
@@ -57,7 +57,7 @@
 	{"6", "peers are cut at 0s for 8s"},
 }
 
-// Run is the command.
+// Run executes `madderdrum demo`.
 func (c *demoCommand) Run() error {
 	f := config.Bluebird()
 	var err error
@@ -135,19 +135,19 @@
 	return nil
 }
 
-// demo is one that runs.
+// demo is the state of a running demonstration.
 type demo struct {
 	fleet         *fleet.Fleet
 	run           *loopback.Run
 	control       string
 	mu            sync.Mutex
 	message       string
-	lastArrived   map[int]int // arrivals of each box at the last drawing
+	lastArrived   map[int]int // requests that had reached each box when the table was last drawn
 	lastRequested int
 	drawnLines    int
 }
 
-// fault is one of the keys' in the words of this fleet.
+// expandFault replaces the placeholders of a fault with names of this fleet.
 func (d *demo) expandFault(text string) string {
 	return strings.NewReplacer("BOX", d.fleet.Boxes[0].Name, "ROOM", d.fleet.Rooms[len(d.fleet.Rooms)-1],
 		"LIMITER", d.fleet.Limiters[len(d.fleet.Limiters)-1].Name).Replace(text)
@@ -168,7 +168,7 @@
 	fmt.Println()
 }
 
-// inject switches faults on and tells what came of it.
+// inject parses the text of a scenario and injects its faults.
 func (d *demo) inject(text string) error {
 	faults, err := world.Scenario(d.fleet, text)
 	if err != nil {
@@ -181,7 +181,7 @@
 	return nil
 }
 
-// maxFault bounds the text of faults that come by URL.
+// maxFaultBytes limits the text of faults that are sent to POST /fault.
 const maxFaultBytes = 16 << 10
 
 func (d *demo) handler() http.Handler {
@@ -208,7 +208,7 @@
 	return mux
 }
 
-// keys reads keys from a terminal.
+// readKeys reads single keys from the terminal: the number keys inject faults, and q or Ctrl-C stops.
 func (d *demo) readKeys(ctx context.Context, stop func()) {
 	fd := int(os.Stdin.Fd())
 	if !term.IsTerminal(fd) || !term.IsTerminal(int(os.Stdout.Fd())) {
@@ -219,18 +219,18 @@
 		return
 	}
 	context.AfterFunc(ctx, func() { term.Restore(fd, state) })
-	one := make([]byte, 1)
+	key := make([]byte, 1)
 	for ctx.Err() == nil {
-		if _, err := os.Stdin.Read(one); err != nil {
+		if _, err := os.Stdin.Read(key); err != nil {
 			return
 		}
-		if one[0] == 3 || one[0] == 4 || one[0] == 'q' { // Ctrl-C and Ctrl-D don't come as signals here
+		if key[0] == 3 || key[0] == 4 || key[0] == 'q' { // in raw mode Ctrl-C (3) and Ctrl-D (4) are bytes, not signals
 			stop()
 			return
 		}
-		for _, x := range demoFaults {
-			if x.key == string(one) {
-				if err := d.inject(d.expandFault(x.text)); err != nil {
+		for _, fault := range demoFaults {
+			if fault.key == string(key) {
+				if err := d.inject(d.expandFault(fault.text)); err != nil {
 					d.mu.Lock()
 					d.message = err.Error()
 					d.mu.Unlock()
@@ -240,7 +240,7 @@
 	}
 }
 
-// show draws the table until the context ends.
+// showTable redraws the table periodically until the context ends.
 func (d *demo) showTable(ctx context.Context) {
 	live := term.IsTerminal(int(os.Stdout.Fd()))
 	every := time.Second
@@ -260,22 +260,22 @@
 			fmt.Printf("\x1b[%dA\x1b[J", d.drawnLines)
 		}
 		d.drawnLines = strings.Count(text, "\n")
-		if live { // a raw terminal wants both
+		if live { // a raw terminal needs CR and LF
 			text = strings.ReplaceAll(text, "\n", "\r\n")
 		}
 		fmt.Print(text)
 	}
 }
 
-// table is how it stands now.
-func (d *demo) formatTable(every time.Duration, whole bool) string {
+// formatTable returns the current figures, and with details also those of each box and limiter.
+func (d *demo) formatTable(every time.Duration, details bool) string {
 	var b strings.Builder
 	d.run.View(func(w *world.World, j *judge.Judge, now time.Duration) {
 		m := w.Meter
 		fmt.Fprintf(&b, "%4.0f s  %4.0f requests/s  service %.3f  in time %d  late %d  refused %d  failed %d  rules broken %d\n", now.Seconds(),
 			float64(m.Total.Asked-d.lastRequested)/every.Seconds(), m.Figure().Whole, m.Total.By[0], m.Total.By[1], m.Total.By[2], m.Total.By[3]+m.Total.By[4], j.Broken())
 		d.lastRequested = m.Total.Asked
-		if !whole {
+		if !details {
 			return
 		}
 		for i, box := range w.Boxes {
--- a/cmd/madderdrum/drill.go
+++ b/cmd/madderdrum/drill.go
@@ -13,7 +13,7 @@
 	"example.org/madderdrum/internal/drill"
 )
 
-// drillCommand loses and regains rooms.
+// drillCommand simulates the loss and return of rooms under several rules.
 type drillCommand struct {
 	Case     []string `help:"Cases to play, with commas; all if left out."`
 	Rule     []string `help:"Rules to play, with commas: tiers, none, failover, priority; all if left out."`
@@ -31,7 +31,7 @@
 	List     bool     `help:"List the cases and end."`
 }
 
-// Help is the long help text.
+// Help returns the detailed help text of `madderdrum drill`.
 func (drillCommand) Help() string {
 	return `Has a stand-in fleet lose and regain a room in every hard way that is known, in virtual
 time with the real limiters before it, and tells what that cost with tiers of
@@ -45,7 +45,7 @@
   madderdrum drill --boxes 120 --limiters 30 --case flap-twice`
 }
 
-// kill kills limiters.
+// runKills kills limiters at random points and checks what they resume from.
 func (c *drillCommand) runKills() error {
 	if c.Kills < 1 || c.Kills > 100_000 || len(c.Case)+len(c.Rule) > 0 || c.Sockets || c.JSON != "" || c.HTML != "" {
 		return fmt.Errorf("--kills %d: from 1 to 100000, with --seed alone", c.Kills)
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// best holds cases against the best possible.
+// runBest compares the limiter with the best possible policy in each case.
 func (c *drillCommand) runBest(cases []drill.Case) error {
 	if c.Sockets || c.JSON != "" || c.HTML != "" || len(c.Rule) > 0 {
 		return errors.New("--best goes with --case, --seeds, --seed, --boxes and --limiters alone")
@@ -95,7 +95,7 @@
 	return drill.WriteBests(os.Stdout, rows)
 }
 
-// restart restarts limiters.
+// runRestarts restarts limiters and measures the value of their saved memory by its age.
 func (c *drillCommand) runRestarts() error {
 	if c.Seeds < 1 || c.Seeds > 1000 || len(c.Case)+len(c.Rule) > 0 || c.Sockets || c.JSON != "" || c.HTML != "" {
 		return errors.New("--restarts goes with --seeds (1 to 1000) and --seed alone")
@@ -111,7 +111,7 @@
 	return drill.WriteRestarts(os.Stdout, rows)
 }
 
-// Run is the command.
+// Run executes `madderdrum drill`.
 func (c *drillCommand) Run() error {
 	if c.Kills != 0 {
 		return c.runKills()
@@ -192,7 +192,7 @@
 	}
 	broken := 0
 	for _, r := range rows {
-		if r.Rule == drill.Rules()[0].Name { // the plain ones are not expected to keep them
+		if r.Rule == drill.Rules()[0].Name { // only the limiter's own rule is expected to keep all five
 			broken += r.Broken
 		}
 	}
--- a/cmd/madderdrum/duties.go
+++ b/cmd/madderdrum/duties.go
@@ -18,14 +18,15 @@
 	"example.org/madderdrum/tenure"
 )
 
-// duties is a limiter's part in the duties of its fleet, and the limiter as those see it.
+// duties connects a limiter to the ownership service, which assigns the duties of its fleet.
+// It implements the interfaces through which that service calls the limiter.
 type duties struct {
 	service *ownership.Service
-	node    atomic.Pointer[node.Node] // set before calls come
+	node    atomic.Pointer[node.Node] // nil until the node has started
 	stop    func()
 }
 
-// newDuties opens the limiter's part; nil where the configuration has no fleet block.
+// newDuties opens the ownership service; it returns nil if the configuration has no fleet block.
 func newDuties(c *config.Config, position int, stop func(), log *slog.Logger) (*duties, error) {
 	if c.Duties.Folder == "" {
 		return nil, nil
@@ -34,9 +35,9 @@
 	terms := tenure.DefaultSettings()
 	terms.Guard = terms.Guard * c.Duties.Term / terms.Term
 	terms.Term, terms.Drift = c.Duties.Term, c.Duties.Drift
-	me := c.Fleet.Limiters[position]
+	self := c.Fleet.Limiters[position]
 	o := ownership.Options{Terms: terms, AdminAddrs: map[string]string{}, Limiter: d, Log: log, Steward: c.Duties.Ceilings == "steward",
-		Agreement: agreement.Options{Label: c.Duties.Label, Name: me.Name, Folder: filepath.Join(c.Duties.Folder, me.Name), Listen: me.Fleet,
+		Agreement: agreement.Options{Label: c.Duties.Label, Name: self.Name, Folder: filepath.Join(c.Duties.Folder, self.Name), Listen: self.Fleet,
 			Voters: c.Duties.Voters, Peers: map[string]string{}}}
 	for _, l := range c.Fleet.Limiters {
 		o.Limiters = append(o.Limiters, l.Name)
@@ -56,12 +57,12 @@
 	return d, err
 }
 
-// streams are the calls that it answers on the operators' address.
+// adminStreams returns the handlers of the fleet calls on the admin address.
 func (d *duties) adminStreams() map[string]admin.Stream {
 	return map[string]admin.Stream{ownership.Name: d.service.Serve}
 }
 
-// Drain implements ownership.Limiter.
+// Drain implements ownership.Limiter; it fails until the node has started.
 func (d *duties) Drain() error {
 	if n := d.node.Load(); n != nil {
 		return n.Drain()
@@ -69,7 +70,7 @@
 	return lifecycle.ErrStarting
 }
 
-// Resume implements ownership.Limiter.
+// Resume implements ownership.Limiter; it fails until the node has started.
 func (d *duties) Resume() error {
 	if n := d.node.Load(); n != nil {
 		return n.Resume()
@@ -77,10 +78,10 @@
 	return lifecycle.ErrStarting
 }
 
-// Leave implements ownership.Limiter.
+// Leave implements ownership.Limiter by stopping the process.
 func (d *duties) Leave() { d.stop() }
 
-// Asked implements ownership.Limiter.
+// DemandReports implements ownership.Limiter with the node's demand for each account.
 func (d *duties) DemandReports() (all []parts.Report) {
 	if n := d.node.Load(); n != nil {
 		for _, x := range n.Demands() {
@@ -90,14 +91,14 @@
 	return all
 }
 
-// Hold implements ownership.Limiter.
+// UseShares implements ownership.Limiter by passing the shares of ceilings to the node.
 func (d *duties) UseShares(of map[uint64]float64, rest float64) {
 	if n := d.node.Load(); n != nil {
 		n.UseShares(of, rest)
 	}
 }
 
-// looks are those of other limiters for this one; nil: it looks for itself.
+// probeSharing returns the sharing of probe results between limiters; nil if this limiter probes by itself.
 func (d *duties) probeSharing() node.ProbeSharing {
 	if l := d.service.Watcher(); l != nil {
 		return l
@@ -105,21 +106,21 @@
 	return nil
 }
 
-// Look implements ownership.Eyes, as what follows does.
+// Probe implements ownership.Prober by probing one box.
 func (d *duties) Probe(box uint64) {
 	if n := d.node.Load(); n != nil {
 		n.Probe(box)
 	}
 }
 
-// Word implements ownership.Eyes.
+// ApplyVerdict implements ownership.Prober with another limiter's probe result of a box.
 func (d *duties) ApplyVerdict(box uint64, well bool) {
 	if n := d.node.Load(); n != nil {
 		n.ApplyVerdict(box, well)
 	}
 }
 
-// Pools implements ownership.Eyes.
+// Pools implements ownership.Prober with the names of the node's discovered pools.
 func (d *duties) Pools() []string {
 	if n := d.node.Load(); n != nil {
 		return n.Pools()
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// Whole implements ownership.Eyes.
+// FullList implements ownership.Prober with the complete list of hosts of a pool.
 func (d *duties) FullList(pool string) (seq int64, hosts []byte, ok bool) {
 	if n := d.node.Load(); n != nil {
 		return n.FullList(pool)
@@ -135,7 +136,7 @@
 	return 0, nil, false
 }
 
-// Told implements ownership.Eyes.
+// ApplyList implements ownership.Prober with a list that another limiter got from discovery.
 func (d *duties) ApplyList(pool string, seq int64, whole bool, hosts []byte) error {
 	if n := d.node.Load(); n != nil {
 		return n.ApplyList(pool, seq, whole, hosts)
@@ -143,14 +144,14 @@
 	return lifecycle.ErrStarting
 }
 
-// Follow implements ownership.Eyes.
+// PollAgent implements ownership.Prober by polling the discovery agent of a pool.
 func (d *duties) PollAgent(pool string, hold time.Duration) {
 	if n := d.node.Load(); n != nil {
 		n.PollAgent(pool, hold)
 	}
 }
 
-// Standing implements ownership.Limiter.
+// LimiterStatus implements ownership.Limiter with the node's health and request counts.
 func (d *duties) LimiterStatus() ownership.LimiterStatus {
 	s := ownership.LimiterStatus{Start: d.service.Start()}
 	n := d.node.Load()
--- a/cmd/madderdrum/faults.go
+++ b/cmd/madderdrum/faults.go
@@ -18,7 +18,7 @@
 	"example.org/madderdrum/internal/faults"
 )
 
-// faultsCommand plays faults between several processes of this program.
+// faultsCommand groups the commands that inject faults into several processes of this program.
 type faultsCommand struct {
 	Run  faultsRun  `cmd:"" help:"Start several limiters on loopback, inject faults by schedules, and tell what broke."`
 	List faultsList `cmd:"" help:"The hard cases that the program knows by name."`
@@ -26,7 +26,7 @@
 
 type faultsList struct{}
 
-// Run is the command.
+// Run executes `madderdrum faults list`.
 func (faultsList) Run() error {
 	for _, c := range faults.Cases() {
 		fmt.Printf("%-18s %s\n", c.Name, c.What)
@@ -51,7 +51,7 @@
 	Quiet    bool          `short:"q" help:"Show no timelines, but of what broke."`
 }
 
-// Help is the long help text.
+// Help returns the detailed help text of `madderdrum faults run`.
 func (faultsRun) Help() string {
 	return "Steps:\n  " + strings.Join(faults.Verbs(), "\n  ") + `
 X is n0, n1, ..., or owner, leader, other (one that is neither), watcher (which looks for room-a),
@@ -59,12 +59,12 @@
 anything broke, and prints the command that plays it again.`
 }
 
-// Run is the command.
+// Run executes `madderdrum faults run`.
 func (c *faultsRun) Run() error {
 	if c.Seeds < 1 || c.Parallel < 1 {
 		return fmt.Errorf("--seeds and --parallel are at least 1")
 	}
-	plays, err := c.schedules()
+	runs, err := c.schedules()
 	if err != nil {
 		return err
 	}
@@ -80,9 +80,9 @@
 	var tasks sync.WaitGroup
 	var gaps []time.Duration
 	var failed error
-	calls, requests, ceiling, moved, terms, lists, looks, played, broken := 0, 0, 0, 0, 0, 0, 0, 0, 0
+	calls, requests, ceiling, moved, terms, lists, connects, played, broken := 0, 0, 0, 0, 0, 0, 0, 0, 0
 	slots := make(chan struct{}, c.Parallel)
-	for _, p := range plays {
+	for _, p := range runs {
 		slots <- struct{}{}
 		if ctx.Err() != nil {
 			break
@@ -105,7 +105,7 @@
 			played++
 			calls, requests, gaps = calls+len(r.Calls), requests+r.Requests, append(gaps, r.Gaps...)
 			terms = max(terms, r.Terms)
-			lists, looks = lists+r.Lists, looks+r.Looks
+			lists, connects = lists+r.Lists, connects+r.Looks
 			ceiling, moved = ceiling+r.Ceiling, moved+r.Moved
 			if len(r.Broken) > 0 {
 				broken++
@@ -117,18 +117,18 @@
 				fmt.Printf("BROKEN: %s\n", b)
 			}
 			if len(r.Broken) > 0 {
-				again := ""
+				watchFlag := ""
 				if c.Watch != "" {
-					again = " --watch " + c.Watch
+					watchFlag = " --watch " + c.Watch
 				}
-				fmt.Printf("again: madderdrum faults run %s --limiters %d --voters %d --term %v --load %d%s\n", p.flags, p.Limiters, p.Voters, c.Term, c.Load, again)
+				fmt.Printf("again: madderdrum faults run %s --limiters %d --voters %d --term %v --load %d%s\n", p.flags, p.Limiters, p.Voters, c.Term, c.Load, watchFlag)
 			}
 		})
 	}
 	tasks.Wait()
 	fmt.Printf("%d schedules, %d calls between limiters, %d requests carried out by boxes, %d of them under the ceiling, whose parts moved in %d; %d broken\n", played, calls, requests, ceiling, moved, broken)
 	if lists > 0 {
-		fmt.Printf("discovery answered %d calls; limiters tried %d connections to the first box while they were cut off from it\n", lists, looks)
+		fmt.Printf("discovery answered %d calls; limiters tried %d connections to the first box while they were cut off from it\n", lists, connects)
 	}
 	fmt.Printf("terms of a duty begun: %d at most\n", terms)
 	if len(gaps) > 0 {
@@ -144,13 +144,13 @@
 	return nil
 }
 
-// play is a schedule with what plays it again.
+// scheduledRun is a schedule and the flags that reproduce it.
 type scheduledRun struct {
 	faults.Schedule
 	flags string
 }
 
-// schedules are those to play.
+// schedules returns the schedules to run: from a file, the named cases, or drawn from the seeds.
 func (c *faultsRun) schedules() (all []scheduledRun, err error) {
 	switch {
 	case c.Schedule != "":
--- a/cmd/madderdrum/fleet.go
+++ b/cmd/madderdrum/fleet.go
@@ -22,7 +22,7 @@
 	"example.org/madderdrum/tenure"
 )
 
-// fleetCommand looks at the duties of a fleet and changes who has them.
+// fleetCommand groups the commands that show and change the owners of the duties of a fleet.
 type fleetCommand struct {
 	Status   fleetStatus   `cmd:"" help:"Show who votes, who leads, and the rollout under way."`
 	Owners   fleetOwners   `cmd:"" help:"Show who owns each duty, under which epoch."`
@@ -39,7 +39,7 @@
 	End      fleetEnd      `cmd:"" help:"End the rollout under way where it stands."`
 }
 
-// fleetAt is which fleet is meant, and how answers are shown.
+// fleetAt holds the flags that select a fleet and the output format.
 type fleetAt struct {
 	configFiles
 	At   string        `short:"a" placeholder:"HOST:PORT" help:"Call this operators' address; else those of the configuration in turn, until one answers."`
@@ -47,7 +47,7 @@
 	Wait time.Duration `default:"4s" help:"How long to wait for one limiter's answer."`
 }
 
-// where are the addresses to call, in order.
+// addresses returns the admin addresses to try, in order: that of the limiter named first before the others.
 func (f *fleetAt) addresses(first string) (addrs []string, c *config.Config, err error) {
 	if c, err = f.load(); err != nil {
 		return nil, nil, err
@@ -71,7 +71,8 @@
 	return addrs, c, nil
 }
 
-// call makes a call on the first address that answers. Nobody answers: exit code 2; no: 1.
+// call sends a call to each address in turn until one answers. The error has exit code 2 if none
+// answers, and 1 if the answer is NO.
 func (f *fleetAt) call(addrs []string, verb string, r *ownership.Request) (string, error) {
 	var errs []error
 	for _, addr := range addrs {
@@ -94,7 +95,7 @@
 	return ownership.Call(context.Background(), addr, verb, r, f.Wait)
 }
 
-// do makes a call that is answered with yes or no.
+// do sends a call whose answer is YES or NO.
 func (f *fleetAt) do(verb string, r ownership.Request, first string) error {
 	addrs, _, err := f.addresses(first)
 	if err != nil {
@@ -104,7 +105,7 @@
 	return err
 }
 
-// show makes a call that is answered with JSON, and writes it as such or as a table.
+// show sends a call whose answer is JSON, and prints it unchanged or as a table.
 func show[T any](f *fleetAt, verb string, table func(w io.Writer, x T)) error {
 	addrs, _, err := f.addresses("")
 	if err != nil {
@@ -129,7 +130,7 @@
 
 type fleetStatus struct{ fleetAt }
 
-// Run is the command.
+// Run executes `madderdrum fleet status`.
 func (c *fleetStatus) Run() error {
 	return show(&c.fleetAt, "status", func(w io.Writer, s ownership.Status) {
 		leader := s.Leader
@@ -185,7 +186,7 @@
 
 type fleetOwners struct{ fleetAt }
 
-// Run is the command.
+// Run executes `madderdrum fleet owners`.
 func (c *fleetOwners) Run() error {
 	return show(&c.fleetAt, "owners", func(w io.Writer, all []ownership.Owner) {
 		fmt.Fprintln(w, "duty\towner\tepoch\tterms\twanted")
@@ -207,7 +208,7 @@
 	Last int `default:"20" help:"Show so many changes at most."`
 }
 
-// Run is the command.
+// Run executes `madderdrum fleet history`.
 func (c *fleetHistory) Run() error {
 	return show(&c.fleetAt, "history", func(w io.Writer, all []tenure.Change) {
 		fmt.Fprintln(w, "time of its clock\tduty\tepoch\twhat\tlimiter")
@@ -222,7 +223,7 @@
 	Anew string `placeholder:"LIMITER" help:"The majority is lost for good: go on from what this limiter knows, as the only voter. All tokens of before are void, and what others knew beyond it is lost."`
 }
 
-// Run is the command.
+// Run executes `madderdrum fleet init`.
 func (c *fleetInit) Run() error {
 	first := c.Anew
 	_, cfg, err := c.addresses("")
@@ -238,7 +239,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = c.call(addrs[:1], "init", &ownership.Request{Voters: cfg.Duties.Voters, Anew: c.Anew != ""}) // nobody else may do it in its place
+	_, err = c.call(addrs[:1], "init", &ownership.Request{Voters: cfg.Duties.Voters, Anew: c.Anew != ""}) // only this limiter may begin the fleet
 	return err
 }
 
@@ -247,7 +248,7 @@
 	fleetAt
 }
 
-// Run is the command.
+// Run executes `madderdrum fleet add`.
 func (c *fleetAdd) Run() error { return c.do("add", ownership.Request{Limiter: c.Limiter}, "") }
 
 type fleetRemove struct {
@@ -255,7 +256,7 @@
 	fleetAt
 }
 
-// Run is the command.
+// Run executes `madderdrum fleet remove`.
 func (c *fleetRemove) Run() error { return c.do("remove", ownership.Request{Limiter: c.Limiter}, "") }
 
 type fleetTransfer struct {
@@ -264,7 +265,7 @@
 	fleetAt
 }
 
-// Run is the command.
+// Run executes `madderdrum fleet transfer`.
 func (c *fleetTransfer) Run() error {
 	return c.do("transfer", ownership.Request{Duty: c.Duty, Limiter: c.To}, "")
 }
@@ -274,13 +275,13 @@
 	fleetAt
 }
 
-// Run is the command.
+// Run executes `madderdrum fleet resign`.
 func (c *fleetResign) Run() error {
 	addrs, cfg, err := c.addresses("")
 	if err != nil {
 		return err
 	}
-	if c.At == "" { // its owner alone can
+	if c.At == "" { // only its owner can resign
 		answer, err := c.call(addrs, "owners", nil)
 		if err != nil {
 			return err
@@ -303,7 +304,7 @@
 	return err
 }
 
-// roll is what both kinds of rollouts have.
+// roll holds the flags that drain and restart rollouts have in common.
 type roll struct {
 	fleetAt
 	Only   []string `placeholder:"LIMITER,..." help:"These limiters, in this order; all if left out."`
@@ -331,14 +332,14 @@
 	return c.follow(addrs, p.ID)
 }
 
-// follow tells each step until the rollout is over.
+// follow prints each step of the rollout until it ends or is halted.
 func (c *roll) follow(addrs []string, id string) error {
-	told := map[string]rollout.Phase{}
+	printed := map[string]rollout.Phase{}
 	for {
 		time.Sleep(200 * time.Millisecond)
 		var s ownership.Status
 		answer, err := "", error(nil)
-		for _, a := range addrs { // one that is out does not answer
+		for _, a := range addrs { // a limiter that is restarting does not answer
 			if answer, err = c.callOne(a, "status", nil); err == nil && json.Unmarshal([]byte(answer), &s) == nil {
 				break
 			}
@@ -352,10 +353,10 @@
 			return nil
 		}
 		for _, x := range p.Steps {
-			if x.Phase != told[x.Limiter] && x.Phase != rollout.PhaseWaiting {
+			if x.Phase != printed[x.Limiter] && x.Phase != rollout.PhaseWaiting {
 				fmt.Printf("%s %s\n", x.Limiter, x.Phase)
 			}
-			told[x.Limiter] = x.Phase
+			printed[x.Limiter] = x.Phase
 		}
 		if p.State == rollout.StateHalted {
 			fmt.Fprintf(os.Stderr, "madderdrum: rollout %s is halted: %s; see fleet continue and fleet end\n", id, p.Why)
@@ -366,25 +367,25 @@
 
 type fleetDrain struct{ roll }
 
-// Run is the command.
+// Run executes `madderdrum fleet drain`.
 func (c *fleetDrain) Run() error { return c.begin(rollout.KindDrain) }
 
 type fleetRestart struct{ roll }
 
-// Run is the command.
+// Run executes `madderdrum fleet restart`.
 func (c *fleetRestart) Run() error { return c.begin(rollout.KindRestart) }
 
 type fleetHalt struct{ fleetAt }
 
-// Run is the command.
+// Run executes `madderdrum fleet halt`.
 func (c *fleetHalt) Run() error { return c.do("halt", ownership.Request{}, "") }
 
 type fleetContinue struct{ fleetAt }
 
-// Run is the command.
+// Run executes `madderdrum fleet continue`.
 func (c *fleetContinue) Run() error { return c.do("continue", ownership.Request{}, "") }
 
 type fleetEnd struct{ fleetAt }
 
-// Run is the command.
+// Run executes `madderdrum fleet end`.
 func (c *fleetEnd) Run() error { return c.do("end", ownership.Request{}, "") }
--- a/cmd/madderdrum/lean.go
+++ b/cmd/madderdrum/lean.go
@@ -4,9 +4,8 @@
 
 import "errors"
 
-// commands tells that this build has none. The platform's build leaves out what the
-// platform does not use: the libraries of the commands would cost its limiters 3 MB
-// and a fifth of their start.
+// commands returns an error, because this build has no commands. The platform's build leaves
+// them out because their libraries would add 3 MB to each limiter and a fifth to its start time.
 func runCommand([]string) error {
 	return errors.New("this build is the platform's limiter alone and needs NODE_CONFIG; " +
 		"for the commands build without -tags platform")
--- a/cmd/madderdrum/main.go
+++ b/cmd/madderdrum/main.go
@@ -1,9 +1,9 @@
 // Command madderdrum is a rate limiter and gateway.
 //
-// Without arguments and with NODE_CONFIG set it is one limiter of a platform
-// that tells it everything by that file. Its commands run a limiter from a
-// fleet file, replay traces against a stand-in fleet, and show it at work; see
-// `madderdrum --help`.
+// Without arguments and with NODE_CONFIG set it runs one limiter of a platform
+// and takes its whole configuration from that file. Its commands run a limiter
+// from a fleet file, replay traces against a simulated fleet, and demonstrate
+// it; see `madderdrum --help`.
 package main
 
 import (
@@ -20,16 +20,16 @@
 	exit(runCommand(os.Args[1:]))
 }
 
-// errBroken ends the program with another code than a failure to do its work.
+// errBroken makes the program exit with code 2, where other errors exit with code 1.
 var errRuleBroken = errors.New("a rule was broken")
 
-// exit ends the program if there is an error.
+// exit prints a non-nil error and ends the program with the exit code that belongs to it.
 func exit(err error) {
 	if err == nil {
 		return
 	}
 	var code interface{ ExitCode() int }
-	if errors.As(err, &code) { // it has told what there is to tell
+	if errors.As(err, &code) { // the command has printed its message
 		os.Exit(code.ExitCode())
 	}
 	fmt.Fprintln(os.Stderr, "madderdrum:", err)
--- a/cmd/madderdrum/platform.go
+++ b/cmd/madderdrum/platform.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	memoryShare = 0.6 // of the limit: the heap's soft bound
-	gcPercent   = 400 // the heap is small: collecting seldom costs little memory
+	memoryShare = 0.6 // soft heap limit as a share of the configured memory limit
+	gcPercent   = 400 // the heap is small, so infrequent collection costs little memory
 )
 
-// platform is the limiter that the platform starts: NODE_CONFIG tells it everything.
+// platform runs the limiter that the platform starts, configured by the file that NODE_CONFIG names.
 func runPlatform() error {
-	// From the very start on: Go's default action on SIGHUP ends the program, and
-	// with it all requests in hand.
+	// Installed before anything else: Go's default action on SIGHUP ends the program and
+	// with it all requests in progress.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	cfg, err := node.LoadConfig(os.Getenv)
@@ -56,7 +56,7 @@
 	return n.Run(ctx)
 }
 
-// logLevel is the level that NODE_LOG names, or info.
+// logLevel parses the log level in NODE_LOG; the default is info.
 func logLevel(getenv func(string) string) (level slog.Level, err error) {
 	if text := getenv("NODE_LOG"); text != "" {
 		if err = level.UnmarshalText([]byte(text)); err != nil {
--- a/cmd/madderdrum/plugin.go
+++ b/cmd/madderdrum/plugin.go
@@ -17,7 +17,7 @@
 	"example.org/madderdrum/plugin"
 )
 
-// pluginCommand is for authors of plug-ins, and for operators.
+// pluginCommand groups the commands for authors of plug-ins and for operators.
 type pluginCommand struct {
 	New     newCommand     `cmd:"" help:"Begin a plug-in: a folder with a rule in Go, its test and all that it is built with."`
 	Build   buildCommand   `cmd:"" help:"Build a plug-in in Go."`
@@ -28,12 +28,12 @@
 	Reset   resetCommand   `cmd:"" help:"Let a benched plug-in of a running limiter back at once."`
 }
 
-// moduleFile is the module that a command is about.
+// moduleFile is the argument that names a WebAssembly module.
 type moduleFile struct {
 	Module string `arg:"" help:"The module (.wasm)." type:"path"`
 }
 
-// mostModule bounds what is read of a file, in bytes.
+// maxModuleBytes is the largest module file that is accepted.
 const maxModuleBytes = 64 << 20
 
 func (m *moduleFile) read() ([]byte, error) {
@@ -52,10 +52,10 @@
 	return data, nil
 }
 
-// inspectCommand shows a module's outside.
+// inspectCommand prints a module's imports, exports and size, and checks it against the ABI.
 type inspectCommand struct{ moduleFile }
 
-// Run is the command.
+// Run executes `madderdrum plugin inspect`.
 func (c *inspectCommand) Run() error {
 	data, err := c.read()
 	if err != nil {
@@ -79,14 +79,14 @@
 	return nil
 }
 
-// budget are the limits that a module is run with.
+// budget holds the resource limits and the random seed that a module runs with.
 type budget struct {
 	Call   time.Duration `default:"5ms" help:"Time of one call."`
 	Memory int           `default:"16" help:"Memory of one instance in MiB."`
 	Seed   uint64        `default:"1" help:"Of the module's random numbers."`
 }
 
-// load loads a module whose log goes to standard error.
+// load compiles and instantiates the module; its log goes to standard error.
 func (m *moduleFile) load(ctx context.Context, b *budget) (*plugin.Plugin, error) {
 	switch {
 	case b.Call <= 0 || b.Call > time.Minute:
@@ -102,14 +102,14 @@
 		Limits: plugin.Limits{Call: b.Call, Memory: b.Memory << 20, PerSecond: 1 << 40}, Wait: true})
 }
 
-// testCommand asks about written requests.
+// testCommand calls a module with requests from a file and prints its advice.
 type testCommand struct {
 	moduleFile
 	budget
 	Requests string `short:"r" required:"" help:"File with a request a line, as JSON, such as {\"account\": 7, \"class\": \"send-reminder\", \"pressure\": 0.2}." type:"path"`
 }
 
-// written is a request as a file has it.
+// testRequest is a request in the JSON lines format of `plugin test` and `replay --record`.
 type testRequest struct {
 	Account  uint64            `json:"account"`
 	Plan     string            `json:"plan,omitempty"`
@@ -148,7 +148,7 @@
 	return r
 }
 
-// Run is the command.
+// Run executes `madderdrum plugin test`.
 func (c *testCommand) Run() error {
 	ctx := context.Background()
 	f, err := os.Open(c.Requests)
@@ -156,35 +156,35 @@
 		return fmt.Errorf("--requests: %w", err)
 	}
 	defer f.Close()
-	p, err := c.load(ctx, &c.budget)
+	module, err := c.load(ctx, &c.budget)
 	if err != nil {
 		return err
 	}
-	defer p.Close()
+	defer module.Close()
 	lines := bufio.NewScanner(f)
 	lines.Buffer(nil, 1<<20)
 	failed := 0
-	for n := 1; lines.Scan(); n++ {
+	for lineNumber := 1; lines.Scan(); lineNumber++ {
 		if len(lines.Bytes()) == 0 {
 			continue
 		}
-		var w testRequest
-		if err := json.Unmarshal(lines.Bytes(), &w); err != nil {
-			return fmt.Errorf("%s:%d: %w", c.Requests, n, err)
+		var line testRequest
+		if err := json.Unmarshal(lines.Bytes(), &line); err != nil {
+			return fmt.Errorf("%s:%d: %w", c.Requests, lineNumber, err)
 		}
 		begun := time.Now()
-		r := w.request()
-		if !p.WantsBody() {
+		r := line.request()
+		if !module.WantsBody() {
 			r.Body = nil
 		}
-		a, err := p.Advise(r, 0)
+		a, err := module.Advise(r, 0)
 		took := time.Since(begun).Round(100 * time.Nanosecond)
 		if err != nil {
 			failed++
-			fmt.Printf("%d\t%v\tno advice: it %v\n", n, took, err)
+			fmt.Printf("%d\t%v\tno advice: it %v\n", lineNumber, took, err)
 			continue
 		}
-		fmt.Printf("%d\t%v\t%s\n", n, took, describeAdvice(a))
+		fmt.Printf("%d\t%v\t%s\n", lineNumber, took, describeAdvice(a))
 	}
 	if err := lines.Err(); err != nil {
 		return fmt.Errorf("%s: %w", c.Requests, err)
@@ -195,7 +195,7 @@
 	return nil
 }
 
-// say puts advice into words.
+// describeAdvice formats advice for the terminal.
 func describeAdvice(a advice.Advice) string {
 	s := ""
 	add := func(format string, args ...any) {
@@ -225,7 +225,7 @@
 	return s
 }
 
-// benchCommand measures calls.
+// benchCommand measures the latency of calls of a module.
 type benchCommand struct {
 	moduleFile
 	budget
@@ -233,7 +233,7 @@
 	Class string `help:"Class of the request that is asked about."`
 }
 
-// Run is the command.
+// Run executes `madderdrum plugin bench`.
 func (c *benchCommand) Run() error {
 	if c.Calls < 1 || c.Calls > 10_000_000 {
 		return fmt.Errorf("--calls %d: from 1 to 10000000", c.Calls)
--- a/cmd/madderdrum/pluginauthor.go
+++ b/cmd/madderdrum/pluginauthor.go
@@ -23,12 +23,12 @@
 //go:embed scaffold/*.tmpl
 var scaffold embed.FS
 
-// newCommand begins a plug-in.
+// newCommand creates the source folder of a new plug-in from the scaffold.
 type newCommand struct {
 	Dir string `arg:"" help:"Folder to be made; its name is the plug-in's." type:"path"`
 }
 
-// Help is the long help text.
+// Help returns the detailed help text of `madderdrum plugin new`.
 func (newCommand) Help() string {
 	return `Makes a folder with a rule in Go, its test, requests to try it on, the block for the
 limiter's configuration, and the kit that it is built with. It needs the Go tool chain
@@ -40,7 +40,7 @@
 
 var pluginName = regexp.MustCompile(`^[a-z][a-z0-9-]{0,63}$`)
 
-// Run is the command.
+// Run executes `madderdrum plugin new`.
 func (c *newCommand) Run() error {
 	name := filepath.Base(c.Dir)
 	if !pluginName.MatchString(name) {
@@ -93,20 +93,20 @@
 	return nil
 }
 
-// buildCommand builds a plug-in.
+// buildCommand compiles a plug-in written in Go to WebAssembly and checks its ABI.
 type buildCommand struct {
 	Dir string `arg:"" default:"." help:"Folder of the plug-in's package main." type:"path"`
 	Out string `short:"o" help:"The module; NAME.wasm in that folder if left out." placeholder:"FILE" type:"path"`
 }
 
-// Help is the long help text.
+// Help returns the detailed help text of `madderdrum plugin build`.
 func (buildCommand) Help() string {
 	return `Builds a plug-in in Go with the Go tool chain (GOOS=wasip1, a reactor module), and
 tells whether it fits the ABI. A module in another language needs only what
 docs/plugins-abi.md says; see plugin inspect.`
 }
 
-// Run is the command.
+// Run executes `madderdrum plugin build`.
 func (c *buildCommand) Run() error {
 	if info, err := os.Stat(c.Dir); err != nil || !info.IsDir() {
 		return fmt.Errorf("plugin build %s: not a folder with a plug-in's package main", c.Dir)
--- a/cmd/madderdrum/pluginoperator.go
+++ b/cmd/madderdrum/pluginoperator.go
@@ -15,41 +15,41 @@
 	"example.org/madderdrum/internal/status"
 )
 
-// limiterAt is the address of a running limiter's state.
+// limiterAt is the flag that names the status address of a running limiter.
 type limiterAt struct {
 	Status string `required:"" help:"What serve was given as --status, such as 127.0.0.1:9190." placeholder:"HOST:PORT"`
 }
 
 const statusTimeout = 5 * time.Second
 
-// ask asks the limiter and returns what it says.
+// request sends an HTTP request to the limiter's status address and returns the response body.
 func (l *limiterAt) request(method, path string, header http.Header) (string, error) {
 	ctx, stop := context.WithTimeout(context.Background(), statusTimeout)
 	defer stop()
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+l.Status+path, nil)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+l.Status+path, nil)
 	if err != nil {
 		return "", fmt.Errorf("--status %s: %w", l.Status, err)
 	}
-	q.Header = header
-	w, err := http.DefaultClient.Do(q)
+	req.Header = header
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return "", fmt.Errorf("--status %s: %w", l.Status, err)
 	}
-	defer w.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(w.Body, 1<<20))
+	defer resp.Body.Close()
+	data, err := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
 	if err != nil {
 		return "", fmt.Errorf("--status %s: %w", l.Status, err)
 	}
-	if w.StatusCode >= 300 {
-		return "", fmt.Errorf("--status %s: %s: %s", l.Status, w.Status, strings.TrimSpace(string(data)))
+	if resp.StatusCode >= 300 {
+		return "", fmt.Errorf("--status %s: %s: %s", l.Status, resp.Status, strings.TrimSpace(string(data)))
 	}
 	return string(data), nil
 }
 
-// pluginsCommand shows the plug-ins of a running limiter.
+// pluginsCommand prints the state of the plug-ins of a running limiter.
 type pluginsCommand struct{ limiterAt }
 
-// Run is the command.
+// Run executes `madderdrum plugin status`.
 func (c *pluginsCommand) Run() error {
 	text, err := c.request(http.MethodGet, "/plugins", http.Header{"Accept": {"text/plain"}})
 	if err == nil {
@@ -58,13 +58,13 @@
 	return err
 }
 
-// resetCommand lets a benched plug-in back.
+// resetCommand re-enables a benched plug-in of a running limiter.
 type resetCommand struct {
 	limiterAt
 	Name string `arg:"" help:"The plug-in."`
 }
 
-// Run is the command.
+// Run executes `madderdrum plugin reset`.
 func (c *resetCommand) Run() error {
 	if _, err := c.request(http.MethodPost, "/plugins/"+url.PathEscape(c.Name)+"/reset", http.Header{status.ResetHeader: {"1"}}); err != nil {
 		return err
--- a/cmd/madderdrum/plugins.go
+++ b/cmd/madderdrum/plugins.go
@@ -17,16 +17,16 @@
 	"example.org/madderdrum/plugin"
 )
 
-// plugins are those that a running limiter has loaded.
+// plugins holds the plug-ins that a running limiter has loaded, and the cache of compiled modules.
 type plugins struct {
 	log    *slog.Logger
 	cache  *plugin.Cache
-	mu     sync.Mutex // round what follows
+	mu     sync.Mutex // guards active
 	active *plugin.Set
 }
 
-// newPlugins has none loaded yet. Compiled modules are kept in a folder, or if it is empty
-// in memory.
+// newPlugins returns a plugins without a loaded plug-in. Compiled modules are cached in the
+// folder, or in memory if it is "".
 func newPlugins(folder string, log *slog.Logger) (*plugins, error) {
 	cache, err := plugin.NewCache(folder)
 	if err != nil {
@@ -35,14 +35,14 @@
 	return &plugins{log: log, cache: cache, active: &plugin.Set{}}, nil
 }
 
-// set are those that are loaded.
+// activeSet returns the plug-ins that currently serve requests.
 func (p *plugins) activeSet() *plugin.Set {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.active
 }
 
-// prepare loads the plug-ins of a configuration beside those that serve.
+// prepare loads the plug-ins of a configuration while the active ones keep serving.
 func (p *plugins) prepare(c *config.Config) (*plugin.Set, error) {
 	set, err := plugin.LoadSet(context.Background(), c.Plugins, p.activeSet(), plugin.SetOptions{Cache: p.cache, Log: func(line string) { p.log.Info(line) }})
 	if err != nil {
@@ -51,7 +51,7 @@
 	return set, nil
 }
 
-// load loads those of a configuration.
+// load loads the plug-ins of a configuration and makes them active.
 func (p *plugins) load(c *config.Config) error {
 	set, err := p.prepare(c)
 	if err == nil {
@@ -60,34 +60,34 @@
 	return err
 }
 
-// swap has others serve, and unloads those that are not taken over.
+// swap makes another set active and unloads the plug-ins that it does not reuse.
 func (p *plugins) swap(next *plugin.Set) {
 	p.mu.Lock()
 	old := p.active
 	p.active = next
 	p.mu.Unlock()
 	if err := old.CloseUnused(next); err != nil {
-		p.log.Warn("a plug-in was not unloaded in order", "err", err)
+		p.log.Warn("unloading a plug-in failed", "err", err)
 	}
 }
 
 func (p *plugins) close() {
 	p.swap(&plugin.Set{})
 	if err := p.cache.Close(); err != nil {
-		p.log.Warn("the cache of plug-ins was not closed in order", "err", err)
+		p.log.Warn("closing the plug-in cache failed", "err", err)
 	}
 }
 
-// reset lets a benched plug-in back.
+// reset re-enables a benched plug-in; it reports whether there is one of that name.
 func (p *plugins) reset(name string) bool {
 	ok := p.activeSet().Reset(name)
 	if ok {
-		p.log.Info("an operator lets a plug-in back", "plugin", name)
+		p.log.Info("plug-in re-enabled by an operator", "plugin", name)
 	}
 	return ok
 }
 
-// pluginState is what operators see of plug-ins.
+// pluginState returns the state of all plug-ins and labels for the status address.
 func (r *reloader) pluginState() status.PluginState {
 	r.mu.Lock()
 	c := r.cfg
@@ -103,7 +103,7 @@
 	return s
 }
 
-// placed are the lines of an error of loading, each with the place of its plug-in.
+// loadErrorLines formats a load error as one line for each plug-in, with its position in the configuration.
 func loadErrorLines(c *config.Config, err error) (lines []string) {
 	for _, e := range plugin.LoadErrors(err) {
 		lines = append(lines, fmt.Sprintf("%s: error: %v; see madderdrum plugin inspect and docs/plugins-abi.md", c.Place("plugin", e.Name), e))
@@ -111,8 +111,8 @@
 	return lines
 }
 
-// tryPlugins loads the plug-ins of a configuration once, and adds to its report those that
-// can't be loaded.
+// checkPlugins loads the plug-ins of a configuration once and adds those that can't be
+// loaded to its report.
 func checkPlugins(c *config.Config, report *config.Report) {
 	set, err := plugin.LoadSet(context.Background(), c.Plugins, nil, plugin.SetOptions{})
 	for _, e := range plugin.LoadErrors(err) {
@@ -123,11 +123,11 @@
 	}
 }
 
-// anyGrant is what a module may say that comes to a replay without a plugin block.
+// unrestrictedGrant permits every kind of advice; replays use it for modules without a plugin block.
 var unrestrictedGrant = advice.Grant{Refuse: true, MostWaitMs: 1000, Lower: advice.LeastFactor, Raise: advice.MostFactor, Label: true, Tiers: true}
 
-// replayPlugins are those of modules and configuration files. Files that are no whole
-// configuration are read behind that of the fleet.
+// loadReplayPlugins reads plug-ins from modules and configuration files. A file that is no
+// complete configuration by itself is read after the fleet's file.
 func loadReplayPlugins(paths []string, fleet string) (all []plugin.Spec, err error) {
 	for _, path := range paths {
 		if filepath.Ext(path) == ".hcl" {
@@ -158,7 +158,7 @@
 		}
 		names[all[i].Name] = true
 	}
-	set, err := plugin.LoadSet(context.Background(), all, nil, plugin.SetOptions{}) // mistakes are told before anything is played
+	set, err := plugin.LoadSet(context.Background(), all, nil, plugin.SetOptions{}) // reports errors before the replay starts
 	if err != nil {
 		return nil, fmt.Errorf("--plugin: %w", err)
 	}
--- a/cmd/madderdrum/replay.go
+++ b/cmd/madderdrum/replay.go
@@ -26,7 +26,7 @@
 	"example.org/madderdrum/internal/trace"
 )
 
-// replayCommand replays a trace.
+// replayCommand replays a trace against a simulated fleet and reports service.
 type replayCommand struct {
 	Trace      []string      `arg:"" optional:"" help:"Trace files, plain or gzip; LAYOUT=FILE for one of another layout than --schema."`
 	Schema     string        `short:"s" help:"Layout of the files: one of those that --list-schemas names, or a mapping in HCL. Told by the first line if left out."`
@@ -55,7 +55,7 @@
 	List       bool          `name:"list-schemas" help:"List the known layouts and end."`
 }
 
-// Help is the long help text.
+// Help returns the detailed help text of `madderdrum replay`.
 func (replayCommand) Help() string {
 	return `Replays a cluster trace as arrivals, failures and slowdowns against a stand-in fleet
 on this machine, with the real limiters before it, and reports service: the worth
@@ -75,7 +75,7 @@
 to do about it, and nothing is replayed.`
 }
 
-// Run is the command.
+// Run executes `madderdrum replay`.
 func (c *replayCommand) Run() error {
 	if c.List {
 		for _, s := range trace.Known() {
@@ -144,10 +144,10 @@
 	return nil
 }
 
-// mostRecorded bounds the tries of --record.
+// maxRecordedAttempts limits the attempts that --record writes.
 const maxRecordedAttempts = 10_000
 
-// record writes the requests of a plan as plugin test reads them.
+// record writes the requests of a plan in the format that `plugin test` reads.
 func (c *replayCommand) record(ctx context.Context, plan *replay.Plan) error {
 	f, err := os.Create(c.Record)
 	if err != nil {
@@ -157,7 +157,7 @@
 	lines, n := json.NewEncoder(w), 0
 	err = replay.Record(ctx, plan, c.Seed, maxRecordedAttempts, func(r *advice.Request) {
 		n++
-		lines.Encode(newTestRequest(r)) // what can't be written shows at the flush
+		lines.Encode(newTestRequest(r)) // a write error is returned by Flush
 	})
 	if err = errors.Join(err, w.Flush(), f.Close()); err != nil {
 		return fmt.Errorf("--record: %w", err)
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// play plays one seed with one policy.
+// playSeed runs one seed with one policy, in virtual time or on sockets.
 func (c *replayCommand) playSeed(ctx context.Context, plan *replay.Plan, policy string, seed uint64, series bool, progress func(float64)) (*replay.Run, error) {
 	if !c.Sockets {
 		return replay.Virtual(ctx, plan, policy, seed, series, progress)
@@ -178,7 +178,7 @@
 	return replay.Sockets(ctx, plan, program, seed, series, progress)
 }
 
-// options checks the flags and finds the files.
+// options validates the flags and converts them, including the input files.
 func (c *replayCommand) options() (*replay.Options, error) {
 	o := &replay.Options{Fleet: config.Bluebird(), FleetName: "bluebird (built in)", Reorder: c.Reorder, Speed: c.Speed,
 		From: c.From, For: c.For, Seed: c.Seed, Length: c.Generate,
@@ -249,7 +249,7 @@
 			return nil, errors.New("--schema without a trace: name the files, or leave it out for the built-in trace")
 		}
 		if c.Rate == "fleet" {
-			o.Rate = -1 // it was made for this fleet
+			o.Rate = -1 // the built-in trace was generated for this fleet, so its own rate fits
 		}
 		o.Inputs = []replay.Input{replay.Friday()}
 		return o, nil
@@ -257,12 +257,12 @@
 	return o, c.addInputs(o)
 }
 
-// inputs puts the files of one layout together.
+// addInputs groups the trace files by layout.
 func (c *replayCommand) addInputs(o *replay.Options) error {
 	for _, arg := range c.Trace {
 		name, path := c.Schema, arg
 		if before, after, ok := strings.Cut(arg, "="); ok {
-			if _, err := os.Stat(arg); err != nil { // else the file's own name has a =
+			if _, err := os.Stat(arg); err != nil { // otherwise the "=" is part of the file name
 				name, path = before, after
 			}
 		}
@@ -288,7 +288,7 @@
 	return nil
 }
 
-// schema is a known layout, a mapping, or what the file's first line tells.
+// schema returns the layout of a file: a known one, a mapping file, or one detected from its first line.
 func (c *replayCommand) schema(name string, file trace.Source) (*trace.Schema, error) {
 	switch {
 	case strings.HasSuffix(name, ".hcl"):
@@ -308,7 +308,7 @@
 	return fits[0], nil
 }
 
-// compare compares two reports.
+// compare prints the differences of two JSON reports.
 func (c *replayCommand) compare() error {
 	if len(c.Trace) != 2 {
 		return errors.New("--compare takes two JSON reports: replay --compare A.json B.json")
@@ -324,7 +324,7 @@
 	return replay.WriteCompare(os.Stdout, c.Trace[0], c.Trace[1], a, b)
 }
 
-// progress draws a bar on a terminal, and nothing elsewhere.
+// progress shows a progress bar if standard error is a terminal.
 type progress struct{ bar *progressbar.ProgressBar }
 
 func newProgress() *progress {
@@ -349,7 +349,7 @@
 	}
 }
 
-// end takes the bar away.
+// clear removes the bar.
 func (p *progress) clear() {
 	if p.bar != nil {
 		p.bar.Clear()
--- a/cmd/madderdrum/serve.go
+++ b/cmd/madderdrum/serve.go
@@ -30,13 +30,13 @@
 	"example.org/madderdrum/route"
 )
 
-// configFiles are the first files of a configuration and the values of its variables.
+// configFiles holds the arguments that name the root files of a configuration and set its variables.
 type configFiles struct {
 	Files []string          `arg:"" name:"file" help:"Configuration files (HCL), such as deploy/bluebird.hcl; what they include is read too."`
 	Var   map[string]string `placeholder:"NAME=VALUE" help:"Set a variable of the configuration; may be given again."`
 }
 
-// load reads and checks them.
+// load reads the files with all that they include, and checks them.
 func (c *configFiles) load() (*config.Config, error) {
 	cfg, report, err := config.LoadFiles(c.Files, c.Var)
 	if err != nil {
@@ -56,7 +56,7 @@
 	Check   bool   `help:"Check the files and end; see also madderdrum check."`
 }
 
-// Help is the long help text.
+// Help returns the detailed help text of `madderdrum serve`.
 func (serveCommand) Help() string {
 	return `Serves HTTP/1.1 on the limiter's listen address until SIGTERM or Ctrl-C, and sends
 requests on to the boxes of the configuration by its routes. No discovery agent is
@@ -68,7 +68,7 @@
 with what to write instead; at the start it ends the program with exit code 1.`
 }
 
-// Run is the command.
+// Run executes `madderdrum serve`.
 func (c *serveCommand) Run() error {
 	if c.Forward != "" {
 		c.Files = append(c.Files, c.Forward)
@@ -86,8 +86,8 @@
 	if err := checkServable(cfg, position); err != nil {
 		return err
 	}
-	f := cfg.Fleet
-	logger := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("limiter", f.Limiters[position].Name)
+	fleet := cfg.Fleet
+	logger := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("limiter", fleet.Limiters[position].Name)
 	plugins, err := newPlugins(c.Cache, logger)
 	if err != nil {
 		return err
@@ -98,34 +98,34 @@
 	}
 	if c.Check {
 		fmt.Printf("%s: %d limiters, %d boxes, %d classes, %d plans: sound\n",
-			strings.Join(c.Files, " "), len(f.Limiters), len(f.Boxes), len(f.Classes), len(f.Plans))
+			strings.Join(c.Files, " "), len(fleet.Limiters), len(fleet.Boxes), len(fleet.Classes), len(fleet.Plans))
 		return nil
 	}
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	nc := nodeConfig(cfg, position, plugins.activeSet())
-	nc.Seed = rand.Uint64()
+	nodeCfg := nodeConfig(cfg, position, plugins.activeSet())
+	nodeCfg.Seed = rand.Uint64()
 	if c.Admin != "" {
 		if _, err := netip.ParseAddrPort(c.Admin); err != nil {
 			return fmt.Errorf("--admin %s: %w; write an IP address and a port, such as 127.0.0.1:9090", c.Admin, err)
 		}
-		nc.AdminAddr = c.Admin
+		nodeCfg.AdminAddr = c.Admin
 	}
-	if f.Limits.Cores > 0 {
-		runtime.GOMAXPROCS(max(1, int(math.Ceil(f.Limits.Cores))))
+	if fleet.Limits.Cores > 0 {
+		runtime.GOMAXPROCS(max(1, int(math.Ceil(fleet.Limits.Cores))))
 	}
 	debug.SetGCPercent(gcPercent)
-	if f.Limits.MemoryMB > 0 {
-		nc.UseMemory = func(share float64) {
-			debug.SetMemoryLimit(int64(share * memoryShare * float64(int64(f.Limits.MemoryMB)<<20)))
+	if fleet.Limits.MemoryMB > 0 {
+		nodeCfg.UseMemory = func(share float64) {
+			debug.SetMemoryLimit(int64(share * memoryShare * float64(int64(fleet.Limits.MemoryMB)<<20)))
 		}
-		nc.UseMemory(1)
+		nodeCfg.UseMemory(1)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	var k *memory.Keeper
+	var keeper *memory.Keeper
 	if cfg.Memory.Folder != "" {
-		if k, err = memory.Open(memory.Options{Folder: cfg.Memory.Folder, Limiter: nc.Name, Interval: cfg.Memory.Every, MaxBytes: cfg.Memory.MaxSize, Log: logger}); err != nil {
+		if keeper, err = memory.Open(memory.Options{Folder: cfg.Memory.Folder, Limiter: nodeCfg.Name, Interval: cfg.Memory.Every, MaxBytes: cfg.Memory.MaxSize, Log: logger}); err != nil {
 			return err
 		}
 	}
@@ -134,64 +134,64 @@
 		return err
 	}
 	if duties != nil {
-		nc.Streams, nc.ProbeSharing = duties.adminStreams(), duties.probeSharing()
+		nodeCfg.Streams, nodeCfg.ProbeSharing = duties.adminStreams(), duties.probeSharing()
 	}
-	n, err := node.New(nc, logger)
+	n, err := node.New(nodeCfg, logger)
 	if err != nil {
 		return err
 	}
 	r := &reloader{files: c.configFiles, position: position, cfg: cfg, node: n, plugins: plugins, log: logger}
-	var beside []func(context.Context) error // what runs beside the node
+	var background []func(context.Context) error // tasks that run until ctx is canceled, concurrently with the node
 	for i := range cfg.ForwardAuth {
-		if cfg.ForwardAuth[i].Limiter != nc.Name {
+		if cfg.ForwardAuth[i].Limiter != nodeCfg.Name {
 			continue
 		}
-		asks := forwardauth.FromConfig(&cfg.ForwardAuth[i])
-		if r.forwardAuth, err = forwardauth.New(asks, forwardAuthTier(cfg, position, plugins.activeSet(), n), n, logger); err != nil {
+		authConfig := forwardauth.FromConfig(&cfg.ForwardAuth[i])
+		if r.forwardAuth, err = forwardauth.New(authConfig, forwardAuthTier(cfg, position, plugins.activeSet(), n), n, logger); err != nil {
 			return err
 		}
 		n.Attach(r.forwardAuth)
-		beside = append(beside, r.forwardAuth.Run)
-		logger.Info("answering proxies", "listen", r.forwardAuth.Addr().String(), "proxies", len(asks.Proxies))
+		background = append(background, r.forwardAuth.Run)
+		logger.Info("forward-auth service listening", "listen", r.forwardAuth.Addr().String(), "proxies", len(authConfig.Proxies))
 	}
 	if c.Status != "" {
 		s, err := status.Listen(c.Status, status.Sources{Tiers: r.tierState, Plugins: r.pluginState, Reset: plugins.reset}, logger)
 		if err != nil {
 			return fmt.Errorf("--status %s: %w", c.Status, err)
 		}
-		beside = append(beside, s.Run)
+		background = append(background, s.Run)
 		logger.Info("showing the state of tiers and plug-ins", "listen", s.Addr().String())
 	}
 	if duties != nil {
 		duties.node.Store(n)
-		beside = append(beside, duties.service.Run)
-		logger.Info("taking part in the fleet's duties", "listen", duties.service.Addr(), "voters", strings.Join(cfg.Duties.Voters, " "))
+		background = append(background, duties.service.Run)
+		logger.Info("fleet duties service listening", "listen", duties.service.Addr(), "voters", strings.Join(cfg.Duties.Voters, " "))
 	}
-	ended := func() {}
-	if k != nil {
-		k.Recall(n, r.classes())
-		beside = append(beside, func(ctx context.Context) error { return k.Run(ctx, n, r.classes) })
-		ended = func() { k.Close(n, r.classes()) }
+	closeMemory := func() {}
+	if keeper != nil {
+		keeper.Recall(n, r.classes())
+		background = append(background, func(ctx context.Context) error { return keeper.Run(ctx, n, r.classes) })
+		closeMemory = func() { keeper.Close(n, r.classes()) }
 	}
 	r.logPools()
-	logger.Info("serving", "listen", strings.Join(cfg.Listens(position), " "), "boxes", len(f.Boxes), "pools", len(cfg.Pools), "routes", len(cfg.Routes), "peers", len(nc.Peers))
+	logger.Info("serving", "listen", strings.Join(cfg.Listens(position), " "), "boxes", len(fleet.Boxes), "pools", len(cfg.Pools), "routes", len(cfg.Routes), "peers", len(nodeCfg.Peers))
 	go func() {
 		for range hup {
 			r.reload()
 		}
 	}()
-	errs := make([]error, len(beside))
+	errs := make([]error, len(background))
 	var tasks sync.WaitGroup
-	for i, run := range beside {
+	for i, run := range background {
 		tasks.Go(func() { errs[i] = run(ctx) })
 	}
 	err = n.Run(ctx)
 	tasks.Wait()
-	ended()
+	closeMemory()
 	return errors.Join(append(errs, err)...)
 }
 
-// classes are the names of the configuration's classes.
+// classes returns the names of the request classes, in the order of the configuration.
 func (r *reloader) classes() (names []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -201,29 +201,29 @@
 	return names
 }
 
-// reloader has a running limiter take new versions of its configuration.
+// reloader applies new versions of the configuration to a running limiter.
 type reloader struct {
 	files       configFiles
 	position    int
-	mu          sync.Mutex // round cfg
+	mu          sync.Mutex // guards cfg
 	cfg         *config.Config
 	node        *node.Node
-	forwardAuth *forwardauth.Service // nil: nobody asks
+	forwardAuth *forwardauth.Service // nil without a forward_auth block
 	plugins     *plugins
 	log         *slog.Logger
 }
 
-// mostLogged bounds the lines that one reload writes to the log.
+// maxLoggedLines limits how many errors or changes one reload writes to the log.
 const maxLoggedLines = 20
 
-// reload reads the files again. A version that can't hold as it stands changes nothing.
+// reload reads the files again and applies them. An invalid version, or one that needs a restart, changes nothing.
 func (r *reloader) reload() {
 	begun := time.Now()
 	next, err := r.files.load()
 	if err != nil {
 		for i, line := range strings.Split(err.Error(), "\n") {
 			if i == maxLoggedLines {
-				r.log.Warn("and more mistakes; see madderdrum check")
+				r.log.Warn("further errors omitted; see madderdrum check")
 				break
 			}
 			r.log.Warn("kept the configuration: the new one has a mistake", "at", line)
@@ -256,21 +256,21 @@
 	} else {
 		apply(nil)
 	}
-	r.plugins.swap(set) // requests that are still put to the old ones are read again, by the new version
+	r.plugins.swap(set) // requests still waiting for an old plug-in are routed again by the new version
 	r.mu.Lock()
 	r.cfg = next
 	r.mu.Unlock()
 	r.logPools()
 	for i := range d.Changes {
 		if i == maxLoggedLines {
-			r.log.Info("and more changes", "of", len(d.Changes))
+			r.log.Info("further changes omitted", "of", len(d.Changes))
 			break
 		}
 		r.log.Info("changed", "change", d.Changes[i].String())
 	}
 	for i := range d.Moves {
 		if i == maxLoggedLines {
-			r.log.Info("and more groups of requests", "of", len(d.Moves)+d.Unmoved)
+			r.log.Info("further groups of requests omitted", "of", len(d.Moves)+d.Unmoved)
 			break
 		}
 		m := &d.Moves[i]
@@ -279,7 +279,7 @@
 	r.log.Info("the new configuration holds", "changes", len(d.Changes), "grade", d.Grade(), "took", time.Since(begun).Round(time.Millisecond).String())
 }
 
-// state is what operators see of tiers.
+// tierState returns the state of all tiers for the status address.
 func (r *reloader) tierState() status.State {
 	r.mu.Lock()
 	c := r.cfg
@@ -291,7 +291,7 @@
 	}
 	for _, x := range r.node.Tiers() {
 		t := status.Tier{Tier: "the others", Phase: x.Phase.String(), Sole: x.Sole, Share: x.Share, Spilled: x.Spilled, Boxes: x.Boxes, Usable: x.Usable, Next: x.Next}
-		if p := pools[x.Pool]; p != nil { // a new version may hold by now
+		if p := pools[x.Pool]; p != nil { // the pool may be missing if a new version was applied meanwhile
 			if t.Pool = p.Name; x.Tier < len(p.Tiers) {
 				t.Tier = p.Tiers[x.Tier].Name
 			}
@@ -301,7 +301,7 @@
 	return s
 }
 
-// tellPools writes the numbers by which the log speaks of pools and tiers.
+// logPools logs the numeric IDs under which other log lines refer to pools and tiers.
 func (r *reloader) logPools() {
 	for _, p := range r.cfg.Pools {
 		var tiers []string
@@ -312,7 +312,7 @@
 	}
 }
 
-// servable checks that the limiter at a position can be run on sockets: it and all boxes
+// checkServable checks that the limiter at a position can run on sockets: it and all boxes
 // need addresses.
 func checkServable(c *config.Config, position int) error {
 	own := c.Fleet.Limiters[position]
@@ -331,8 +331,8 @@
 	return nil
 }
 
-// tierOf names what the limiters of a configuration share, and routes asks as n routes what
-// it carries.
+// forwardAuthTier returns the settings that all limiters of a configuration share for
+// forward-auth requests, which it routes as n routes the requests that it forwards.
 func forwardAuthTier(c *config.Config, position int, plugins *plugin.Set, n *node.Node) forwardauth.Tier {
 	f := c.Fleet
 	t := forwardauth.Tier{Position: position, Limiters: len(f.Limiters), MostUnits: f.MostUnits()}
@@ -371,7 +371,7 @@
 	return names
 }
 
-// adviser is a chain as the node takes it; without plug-ins there is none.
+// chainAdviser converts a chain for the node; an empty chain gives nil.
 func chainAdviser(c plugin.Chain) node.Adviser {
 	if len(c) == 0 {
 		return nil
@@ -379,8 +379,8 @@
 	return c
 }
 
-// routesOf are the routes of a configuration, as the node and the front for proxies take
-// them.
+// nodeRoutes converts the routes of a configuration for the node and the forward-auth
+// service.
 func nodeRoutes(c *config.Config, plugins *plugin.Set) node.Routes {
 	r, pools := node.Routes{Matches: c.Matches(), Adviser: chainAdviser(plugins.Chain(true))}, poolNames(c)
 	tiers := func(pool int) (names []string) {
@@ -403,7 +403,7 @@
 	return r
 }
 
-// deploymentOf is what the limiter at a position of a configuration is told.
+// newDeployment returns the part of a configuration that the limiter at a position can reload at run time.
 func newDeployment(c *config.Config, position int, plugins *plugin.Set) node.Deployment {
 	f := c.Fleet
 	d := node.Deployment{Module: f.Settings(position), Rooms: f.Rooms,
@@ -419,7 +419,7 @@
 		s := node.Server{Name: b.Name, Dial: b.Dial, Room: b.Room, Pod: b.Pod}
 		if len(pools) > 0 {
 			if of[i] < 0 {
-				continue // no request can go there
+				continue // a box outside all pools gets no requests
 			}
 			s.Pool = pools[of[i]]
 			s.Tier = c.Pools[of[i]].Tiers.Of(b.Room, b.Labels, f.Limiters[position].Room)
@@ -453,7 +453,7 @@
 	return d
 }
 
-// nodeConfig is the configuration of the limiter at a position.
+// nodeConfig returns the node configuration of the limiter at a position: its deployment, addresses and limits.
 func nodeConfig(c *config.Config, position int, plugins *plugin.Set) *node.Config {
 	f := c.Fleet
 	cfg := node.FixedConfig(newDeployment(c, position, plugins))
--- a/cmd/madderdrum/state.go
+++ b/cmd/madderdrum/state.go
@@ -19,14 +19,14 @@
 	"example.org/madderdrum/limiter"
 )
 
-// stateCommand reads the folder of a memory block.
+// stateCommand groups the commands that read the saved state in the folder of a memory block.
 type stateCommand struct {
 	Show   stateShow   `cmd:"" help:"Summarize what limiters would resume from, and how far it is trusted now."`
 	Verify stateVerify `cmd:"" help:"Check every file of a folder; exit code 1 if one is damaged."`
 	Export stateExport `cmd:"" help:"Write everything that is remembered as JSON."`
 }
 
-// stateFolder is the folder that all of these read.
+// stateFolder is the folder argument of the state commands.
 type stateFolder struct {
 	Folder string `arg:"" help:"The folder of a memory block, or one limiter's folder in it. A running limiter is not disturbed." type:"path"`
 }
@@ -36,7 +36,7 @@
 	Config []string `help:"Configuration files, by which boxes and pools have their names." placeholder:"FILE" type:"path"`
 }
 
-// Run is the command.
+// Run executes `madderdrum state show`.
 func (c *stateShow) Run() error {
 	views, err := memory.Inspect(c.Folder)
 	if err != nil {
@@ -103,15 +103,15 @@
 		}
 		fmt.Fprintf(t, "pool %s\twork: %s; refused of late %.0f%%\n", name(p.ID), strings.Join(work, ", "), 100*p.Pressure)
 	}
-	ills := v.UnhealthyBoxes()
-	fmt.Fprintf(t, "boxes\t%d, %d of them with something amiss\n", len(m.Boxes), len(ills))
-	for i := range ills {
-		fmt.Fprintf(t, "box %s\t%s\n", name(ills[i].ID), describeProblems(&ills[i], v.Classes))
+	unhealthy := v.UnhealthyBoxes()
+	fmt.Fprintf(t, "boxes\t%d, %d of them with something amiss\n", len(m.Boxes), len(unhealthy))
+	for i := range unhealthy {
+		fmt.Fprintf(t, "box %s\t%s\n", name(unhealthy[i].ID), describeProblems(&unhealthy[i], v.Classes))
 	}
 	return t.Flush()
 }
 
-// quotasOf says what a successor would get of accounts.
+// describeQuotas describes the account quotas that a successor process would resume.
 func describeQuotas(v *memory.View) string {
 	h := v.Trusted.Handover
 	switch {
@@ -150,10 +150,10 @@
 
 type stateVerify struct{ stateFolder }
 
-// errDamaged tells that verify has told what there is to tell.
+// errDamaged makes `state verify` exit with code 1 after it has listed the damaged files.
 var errDamaged = errors.New("a file is damaged; limiters ignore it")
 
-// Run is the command.
+// Run executes `madderdrum state verify`.
 func (c *stateVerify) Run() error {
 	views, err := memory.Inspect(c.Folder)
 	if err != nil {
@@ -194,7 +194,8 @@
 
 type stateExport struct{ stateFolder }
 
-// exported is one limiter's memory. Times are in ms before Written unless they say otherwise.
+// exportedState is the JSON export of one limiter's memory. Times are in ms before Written unless
+// their names say otherwise.
 type exportedState struct {
 	Limiter    string          `json:"limiter"`
 	Generation uint64          `json:"generation"`
@@ -205,7 +206,7 @@
 	Notes      []string        `json:"notes,omitempty"`
 }
 
-// Run is the command.
+// Run executes `madderdrum state export`.
 func (c *stateExport) Run() error {
 	views, err := memory.Inspect(c.Folder)
 	if err != nil {
--- a/cmd/madderdrum/version.go
+++ b/cmd/madderdrum/version.go
@@ -8,10 +8,10 @@
 	"runtime/debug"
 )
 
-// versionCommand tells what was built.
+// versionCommand prints the version, the VCS revision and the Go version of the build.
 type versionCommand struct{}
 
-// Run is the command.
+// Run executes `madderdrum version`.
 func (versionCommand) Run() error {
 	version, revision := "unknown", "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -1,4 +1,4 @@
-// Command proxy is one of the three programs of the system. Passes clients' requests on to servers.
+// Command proxy is one of the three programs of the system. It forwards clients' requests to servers.
 package main
 
 import (
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -1,4 +1,4 @@
-// Command registry is one of the three programs of the system. Knows which servers and limiters there are.
+// Command registry is one of the three programs of the system. It keeps track of all servers and limiters.
 package main
 
 import (
--- a/cmd/smallsystem/main.go
+++ b/cmd/smallsystem/main.go
@@ -1,5 +1,5 @@
-// Command smallsystem runs the whole system in small on loopback, for somebody who sees it
-// for the first time: three core machines, two limiters, three servers, and a request a second.
+// Command smallsystem runs a minimal complete system on loopback, as an introduction: three core
+// machines, two limiters, three servers, and one request per second.
 package main
 
 import (
