--- a/cmd/madderdrum/admin_test.go
+++ b/cmd/madderdrum/admin_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// The command passes the answer on, and ends by what it is.
+// TestAdminCommand checks that the command prints the answer and derives its exit code from it.
 func TestAdminCommand(t *testing.T) {
 	for name, x := range map[string]struct {
 		call, answer, out string
@@ -52,6 +52,6 @@
 	gone := freeAddr(t, "127.0.0.1")
 	var errs bytes.Buffer
 	if err := (&adminCommand{Call: "ready", At: gone, Wait: time.Second}).run(io.Discard, &errs); err != exitStatus(2) {
-		t.Errorf("of nobody: %v", err)
+		t.Errorf("no server listening: %v", err)
 	}
 }
--- a/cmd/madderdrum/capacity_test.go
+++ b/cmd/madderdrum/capacity_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// The plan of the built-in Friday and of a configuration, and what each wrong flag is told.
+// TestCapacity checks the plans of the built-in trace and of a configuration, and the error for each wrong flag.
 func TestCapacity(t *testing.T) {
-	bin, file := program(t), filepath.Join(t.TempDir(), "plan.json")
+	bin, file := buildProgram(t), filepath.Join(t.TempDir(), "plan.json")
 	for _, c := range []struct {
 		args string
 		want string
@@ -40,9 +40,9 @@
 	}
 }
 
-// A day held against the best possible, and flags that do not go with it.
+// TestBest checks the comparison with the best possible policy, and flags that can't be combined with it.
 func TestBest(t *testing.T) {
-	bin := program(t)
+	bin := buildProgram(t)
 	for _, c := range []struct {
 		args string
 		want string
--- a/cmd/madderdrum/config_test.go
+++ b/cmd/madderdrum/config_test.go
@@ -14,9 +14,9 @@
 	"example.org/madderdrum/deploy"
 )
 
-// The commands on configurations: what they print, and the exit codes that CI goes by.
+// TestConfigCommands checks the output of check, diff and fmt, and the exit codes on which CI depends.
 func TestConfigCommands(t *testing.T) {
-	bin, dir := program(t), t.TempDir()
+	bin, dir := buildProgram(t), t.TempDir()
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, []byte(text), 0o640); err != nil {
@@ -73,7 +73,7 @@
 		t.Errorf("after fmt -w: %v, %v", info.Mode(), err)
 	}
 	if left, err := filepath.Glob(filepath.Join(dir, ".fmt-*")); err != nil || len(left) > 0 {
-		t.Errorf("left behind: %v, %v", left, err)
+		t.Errorf("temporary files left: %v, %v", left, err)
 	}
 	out, _ := exec.Command(bin, "check", "--json", bad).Output()
 	var checked struct {
--- a/cmd/madderdrum/duties.go
+++ b/cmd/madderdrum/duties.go
@@ -113,14 +113,14 @@
 	}
 }
 
-// ApplyVerdict implements ownership.Prober with another limiter's probe result of a box.
+// ApplyVerdict implements ownership.Prober by applying the room leader's verdict on a box.
 func (d *duties) ApplyVerdict(box uint64, well bool) {
 	if n := d.node.Load(); n != nil {
 		n.ApplyVerdict(box, well)
 	}
 }
 
-// Pools implements ownership.Prober with the names of the node's discovered pools.
+// Pools implements ownership.Prober with the names of the node's pools.
 func (d *duties) Pools() []string {
 	if n := d.node.Load(); n != nil {
 		return n.Pools()
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// FullList implements ownership.Prober with the complete list of hosts of a pool.
+// FullList implements ownership.Prober with this limiter's own full server list of a pool.
 func (d *duties) FullList(pool string) (seq int64, hosts []byte, ok bool) {
 	if n := d.node.Load(); n != nil {
 		return n.FullList(pool)
@@ -136,7 +136,7 @@
 	return 0, nil, false
 }
 
-// ApplyList implements ownership.Prober with a list that another limiter got from discovery.
+// ApplyList implements ownership.Prober by applying the room leader's server list of a pool.
 func (d *duties) ApplyList(pool string, seq int64, whole bool, hosts []byte) error {
 	if n := d.node.Load(); n != nil {
 		return n.ApplyList(pool, seq, whole, hosts)
--- a/cmd/madderdrum/fleet.go
+++ b/cmd/madderdrum/fleet.go
@@ -76,7 +76,7 @@
 func (f *fleetAt) call(addrs []string, verb string, r *ownership.Request) (string, error) {
 	var errs []error
 	for _, addr := range addrs {
-		answer, err := f.callOne(addr, verb, r)
+		answer, err := f.callAddress(addr, verb, r)
 		if err != nil {
 			errs = append(errs, fmt.Errorf("%s: %w", addr, err))
 			continue
@@ -91,12 +91,12 @@
 	return "", exitStatus(2)
 }
 
-func (f *fleetAt) callOne(addr, verb string, r *ownership.Request) (string, error) {
+func (f *fleetAt) callAddress(addr, verb string, r *ownership.Request) (string, error) {
 	return ownership.Call(context.Background(), addr, verb, r, f.Wait)
 }
 
 // do sends a call whose answer is YES or NO.
-func (f *fleetAt) do(verb string, r ownership.Request, first string) error {
+func (f *fleetAt) execute(verb string, r ownership.Request, first string) error {
 	addrs, _, err := f.addresses(first)
 	if err != nil {
 		return err
@@ -105,8 +105,8 @@
 	return err
 }
 
-// show sends a call whose answer is JSON, and prints it unchanged or as a table.
-func show[T any](f *fleetAt, verb string, table func(w io.Writer, x T)) error {
+// printAnswer sends a call whose answer is JSON, and prints it unchanged or as a table.
+func printAnswer[T any](f *fleetAt, verb string, table func(w io.Writer, x T)) error {
 	addrs, _, err := f.addresses("")
 	if err != nil {
 		return err
@@ -132,7 +132,7 @@
 
 // Run executes `madderdrum fleet status`.
 func (c *fleetStatus) Run() error {
-	return show(&c.fleetAt, "status", func(w io.Writer, s ownership.Status) {
+	return printAnswer(&c.fleetAt, "status", func(w io.Writer, s ownership.Status) {
 		leader := s.Leader
 		switch {
 		case s.Fleet == "":
@@ -188,7 +188,7 @@
 
 // Run executes `madderdrum fleet owners`.
 func (c *fleetOwners) Run() error {
-	return show(&c.fleetAt, "owners", func(w io.Writer, all []ownership.Owner) {
+	return printAnswer(&c.fleetAt, "owners", func(w io.Writer, all []ownership.Owner) {
 		fmt.Fprintln(w, "duty\towner\tepoch\tterms\twanted")
 		for _, o := range all {
 			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\n", o.Duty, ownerOrNobody(o.Owner), o.Epoch, o.Terms, o.Wanted)
@@ -210,7 +210,7 @@
 
 // Run executes `madderdrum fleet history`.
 func (c *fleetHistory) Run() error {
-	return show(&c.fleetAt, "history", func(w io.Writer, all []tenure.Change) {
+	return printAnswer(&c.fleetAt, "history", func(w io.Writer, all []tenure.Change) {
 		fmt.Fprintln(w, "time of its clock\tduty\tepoch\twhat\tlimiter")
 		for _, h := range all[max(0, len(all)-max(0, c.Last)):] {
 			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", time.UnixMilli(h.AtMs).UTC().Format("2006-01-02T15:04:05.000Z"), h.Duty, h.Epoch, h.Kind, h.Owner)
@@ -249,7 +249,7 @@
 }
 
 // Run executes `madderdrum fleet add`.
-func (c *fleetAdd) Run() error { return c.do("add", ownership.Request{Limiter: c.Limiter}, "") }
+func (c *fleetAdd) Run() error { return c.execute("add", ownership.Request{Limiter: c.Limiter}, "") }
 
 type fleetRemove struct {
 	Limiter string `arg:"" help:"The limiter."`
@@ -257,7 +257,9 @@
 }
 
 // Run executes `madderdrum fleet remove`.
-func (c *fleetRemove) Run() error { return c.do("remove", ownership.Request{Limiter: c.Limiter}, "") }
+func (c *fleetRemove) Run() error {
+	return c.execute("remove", ownership.Request{Limiter: c.Limiter}, "")
+}
 
 type fleetTransfer struct {
 	Duty string `arg:"" help:"The duty, as fleet owners names it."`
@@ -267,7 +269,7 @@
 
 // Run executes `madderdrum fleet transfer`.
 func (c *fleetTransfer) Run() error {
-	return c.do("transfer", ownership.Request{Duty: c.Duty, Limiter: c.To}, "")
+	return c.execute("transfer", ownership.Request{Duty: c.Duty, Limiter: c.To}, "")
 }
 
 type fleetResign struct {
@@ -313,7 +315,7 @@
 	Detach bool     `help:"End once it has begun; fleet status shows how it goes on."`
 }
 
-func (c *roll) begin(kind rollout.Kind) error {
+func (c *roll) start(kind rollout.Kind) error {
 	addrs, _, err := c.addresses("")
 	if err != nil {
 		return err
@@ -340,7 +342,7 @@
 		var s ownership.Status
 		answer, err := "", error(nil)
 		for _, a := range addrs { // a limiter that is restarting does not answer
-			if answer, err = c.callOne(a, "status", nil); err == nil && json.Unmarshal([]byte(answer), &s) == nil {
+			if answer, err = c.callAddress(a, "status", nil); err == nil && json.Unmarshal([]byte(answer), &s) == nil {
 				break
 			}
 		}
@@ -368,24 +370,24 @@
 type fleetDrain struct{ roll }
 
 // Run executes `madderdrum fleet drain`.
-func (c *fleetDrain) Run() error { return c.begin(rollout.KindDrain) }
+func (c *fleetDrain) Run() error { return c.start(rollout.KindDrain) }
 
 type fleetRestart struct{ roll }
 
 // Run executes `madderdrum fleet restart`.
-func (c *fleetRestart) Run() error { return c.begin(rollout.KindRestart) }
+func (c *fleetRestart) Run() error { return c.start(rollout.KindRestart) }
 
 type fleetHalt struct{ fleetAt }
 
 // Run executes `madderdrum fleet halt`.
-func (c *fleetHalt) Run() error { return c.do("halt", ownership.Request{}, "") }
+func (c *fleetHalt) Run() error { return c.execute("halt", ownership.Request{}, "") }
 
 type fleetContinue struct{ fleetAt }
 
 // Run executes `madderdrum fleet continue`.
-func (c *fleetContinue) Run() error { return c.do("continue", ownership.Request{}, "") }
+func (c *fleetContinue) Run() error { return c.execute("continue", ownership.Request{}, "") }
 
 type fleetEnd struct{ fleetAt }
 
 // Run executes `madderdrum fleet end`.
-func (c *fleetEnd) Run() error { return c.do("end", ownership.Request{}, "") }
+func (c *fleetEnd) Run() error { return c.execute("end", ownership.Request{}, "") }
--- a/cmd/madderdrum/main_test.go
+++ b/cmd/madderdrum/main_test.go
@@ -17,13 +17,13 @@
 
 const testTimeout = 20 * time.Second
 
-const settings = `{"balancers":1,"position":0,"failure_domains":["a"],
+const limiterSettings = `{"balancers":1,"position":0,"failure_domains":["a"],
  "caps":{"attempts_cap":3,"connect_timeout_ms":2000.0,"conn_idle_ms":30000.0},
  "request_classes":[{"name":"check","idempotency":"read_like","promise_ms":9000.0,"deadline_ms":15000.0,"importance":1.0}],
  "packages":[{"name":"team","per_second":100.0,"burst":100.0,"price":1.0}]}`
 
-// command is what starts the program: MADDERDRUM_RUN, from the root of the
-// repository, where CI gives the deploy file's run; else a build of its own.
+// command returns the command that starts the program: the shell command in MADDERDRUM_RUN, run from
+// the root of the repository (CI sets it to the deploy file's run), or else a fresh build.
 func command(t *testing.T) *exec.Cmd {
 	t.Helper()
 	if run := os.Getenv("MADDERDRUM_RUN"); run != "" {
@@ -38,18 +38,18 @@
 	return exec.Command(bin)
 }
 
-// The program starts, goes on when it is sent SIGHUP, serves a request, and ends
-// on SIGTERM with exit code 0.
+// TestServesAndStops checks that the program starts, keeps running after SIGHUP, serves a request,
+// and exits with code 0 on SIGTERM.
 func TestServesAndStops(t *testing.T) {
 	server := listen(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "served") })
-	// A port that was free a moment ago, on an address that no other test uses.
+	// An unused port, on an address that no other test uses.
 	ln, err := net.Listen("tcp", "127.78.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	path := writeConfig(t, addr, server, settings)
+	path := writeConfig(t, addr, server, limiterSettings)
 	cmd := command(t)
 	cmd.Env = append(os.Environ(), "NODE_CONFIG="+path)
 	lines, ended := run(t, cmd)
@@ -70,17 +70,17 @@
 	}
 	select {
 	case err := <-ended:
-		t.Fatalf("ended on SIGHUP: %v", err)
+		t.Fatalf("exited on SIGHUP: %v", err)
 	case <-lines.seen("read the configuration again"):
 	case <-time.After(testTimeout):
-		t.Fatal("SIGHUP has no effect")
+		t.Fatal("SIGHUP did not reload the configuration")
 	}
 	checkServed(t, addr, "check", "team", "12000m")
 	checkStops(t, cmd, ended)
 }
 
-// writeConfig writes the configuration of a platform's limiter at an address before one
-// server, and returns its path.
+// writeConfig writes the configuration of a platform limiter that listens on addr and has one
+// server, and returns the path of the file.
 func writeConfig(t *testing.T, addr, server, settings string) string {
 	t.Helper()
 	config, err := json.Marshal(map[string]any{"name": "n0", "listen": addr, "discovery": listen(t, http.NotFound), "seed": "1f",
@@ -98,7 +98,7 @@
 	return path
 }
 
-// run starts a program, whose log can be waited for.
+// run starts a program and captures its output, which a test can wait for; ended receives its exit error.
 func run(t *testing.T, cmd *exec.Cmd) (lines *lineWatch, ended <-chan error) {
 	t.Helper()
 	lines = &lineWatch{}
@@ -112,7 +112,7 @@
 	return lines, end
 }
 
-// checkServed has a limiter serve a request with the box's answer.
+// checkServed sends a request and checks that the limiter forwards the box's response.
 func checkServed(t *testing.T, addr, class, plan, timeout string) {
 	t.Helper()
 	req, err := http.NewRequest("GET", "http://"+addr+"/api?key=0000000000000001", nil)
@@ -133,7 +133,7 @@
 	}
 }
 
-// checkStops has a program end on SIGTERM with exit code 0.
+// checkStops sends SIGTERM and checks that the program exits with code 0.
 func checkStops(t *testing.T, cmd *exec.Cmd, ended <-chan error) {
 	t.Helper()
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -145,11 +145,11 @@
 			t.Errorf("ended with %v", err)
 		}
 	case <-time.After(testTimeout):
-		t.Error("did not end on SIGTERM")
+		t.Error("did not exit on SIGTERM")
 	}
 }
 
-// lineWatch passes a program's log on and tells when a text has come.
+// lineWatch copies a program's output to standard error and signals when a text appears in it.
 type lineWatch struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -165,7 +165,7 @@
 	return os.Stderr.Write(p)
 }
 
-// check closes the channel once the text is there.
+// check closes the channel once the output contains the text.
 func (l *lineWatch) check() {
 	if l.got != nil && strings.Contains(l.text.String(), l.want) {
 		close(l.got)
@@ -173,7 +173,7 @@
 	}
 }
 
-// all is what has been written so far.
+// output returns all that has been written so far.
 func (l *lineWatch) output() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -189,7 +189,7 @@
 	return got
 }
 
-// A bad configuration ends the start with one line and an exit code.
+// TestBadConfiguration checks that an invalid configuration makes the start fail with a one-line error.
 func TestBadConfiguration(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(`{"listen":"nowhere"}`), 0o600); err != nil {
--- a/cmd/madderdrum/memory_test.go
+++ b/cmd/madderdrum/memory_test.go
@@ -16,36 +16,36 @@
 	"example.org/madderdrum/plugin/plugintest"
 )
 
-// again starts the limiter anew, with the same file.
-func (x *oneLimiter) restart(bin string) {
+// restart starts a new process of the limiter with the same configuration file.
+func (x *limiterFixture) restart(bin string) {
 	x.t.Helper()
 	x.cmd = exec.Command(bin, "serve", x.file, "--status", x.status)
 	x.lines, x.ended = run(x.t, x.cmd)
 	x.waitFor("msg=serving")
 }
 
-// passes sends so many requests of one account and counts those that pass.
-func (x *oneLimiter) countPassed(n int) (passed int) {
+// countPassed sends n requests of one account and counts those that are served.
+func (x *limiterFixture) countPassed(n int) (passed int) {
 	x.t.Helper()
 	for range n {
-		w, _, err := x.send(context.Background(), "Plan", "capped")
+		resp, _, err := x.send(context.Background(), "Plan", "capped")
 		if err != nil {
 			x.t.Fatal(err)
 		}
-		if w.StatusCode == http.StatusOK {
+		if resp.StatusCode == http.StatusOK {
 			passed++
 		}
 	}
 	return passed
 }
 
-// A limiter that is started again in good order goes on with its part of a ceiling, and no
-// more; one that was killed with what the headroom leaves of it. A damaged folder is passed over, and
-// one that is in use is refused.
+// TestMemoryOverRestarts checks that a limiter resumes its share of a ceiling after a clean restart, and
+// that it never spends more than the ceiling: after a kill it resumes with the balance less the headroom,
+// and with an empty one after its files were damaged. A folder that is in use is refused.
 func TestMemoryOverRestarts(t *testing.T) {
-	bin, folder := program(t), filepath.Join(t.TempDir(), "kept")
-	const rate = 200 // units a second, and at once
-	x := newOneLimiter(t, bin, `
+	bin, folder := buildProgram(t), filepath.Join(t.TempDir(), "kept")
+	const rate = 200 // units per second, and the burst
+	x := newLimiterFixture(t, bin, `
 plan "capped" {
  share = "0%"
  rate = "200/s"
@@ -60,27 +60,27 @@
 `, map[string]plugintest.Module{})
 	begun := time.Now()
 	spent := x.countPassed(1)
-	stop := func(how syscall.Signal) {
+	stop := func(signal syscall.Signal) {
 		t.Helper()
-		x.cmd.Process.Signal(how)
+		x.cmd.Process.Signal(signal)
 		select {
 		case <-x.ended:
 		case <-time.After(testTimeout):
-			t.Fatal("does not end")
+			t.Fatal("did not exit")
 		}
 	}
-	most := func(since time.Time) int { return int(rate*time.Since(since).Seconds()) + 1 }
+	maxUnits := func(since time.Time) int { return int(rate*time.Since(since).Seconds()) + 1 }
 	for range 2 {
 		stop(syscall.SIGTERM)
 		start := time.Now()
 		x.restart(bin)
-		n := x.countPassed(60) // a stop takes half a second: so many are there
+		n := x.countPassed(60) // a stop takes half a second, in which at least 60 units accumulate
 		spent += n
-		if fresh := most(start); n < min(60, fresh+20) && n < 60 {
-			t.Errorf("%d units after a start in good order, %d without a memory", n, fresh)
+		if fresh := maxUnits(start); n < min(60, fresh+20) && n < 60 {
+			t.Errorf("%d units after a clean restart, %d without a memory", n, fresh)
 		}
-		if spent > most(begun) {
-			t.Errorf("%d units in %v: the ceiling gives %d", spent, time.Since(begun), most(begun))
+		if spent > maxUnits(begun) {
+			t.Errorf("%d units in %v: the ceiling gives %d", spent, time.Since(begun), maxUnits(begun))
 		}
 	}
 	for name, damage := range map[string]func(string) error{"killed": func(string) error { return nil }, "cut off": func(path string) error { return os.Truncate(path, 100) },
@@ -95,31 +95,31 @@
 				t.Fatal(err)
 			}
 		}
-		if name != "killed" { // nothing of what was held is to be found
+		if name != "killed" { // no usable state is left
 			files = nil
 		}
 		start := time.Now()
 		x.restart(bin)
 		n := x.countPassed(60)
 		spent += n
-		if files == nil && n > most(start) {
+		if files == nil && n > maxUnits(start) {
 			t.Errorf("%s: %d units within %v of a start", name, n, time.Since(start))
 		}
-		if spent > most(begun) {
-			t.Errorf("%s: %d units in %v: the ceiling gives %d", name, spent, time.Since(begun), most(begun))
+		if spent > maxUnits(begun) {
+			t.Errorf("%s: %d units in %v: the ceiling gives %d", name, spent, time.Since(begun), maxUnits(begun))
 		}
 	}
 	other := exec.Command(bin, "serve", x.file)
 	out, err := other.CombinedOutput()
 	if err == nil || !strings.Contains(string(out), "is in use by another process") {
-		t.Errorf("two of one name: %v\n%s", err, out)
+		t.Errorf("second process with the same folder: %v\n%s", err, out)
 	}
 	checkStops(t, x.cmd, x.ended)
 }
 
-// The commands that read a folder change nothing in it, and say what is wrong with one.
+// TestStateCommands runs the state commands on a sound folder, a damaged one, and folders without state.
 func TestStateCommands(t *testing.T) {
-	bin, dir := program(t), t.TempDir()
+	bin, dir := buildProgram(t), t.TempDir()
 	if err := os.CopyFS(filepath.Join(dir, "n0"), os.DirFS("../../internal/memory/testdata/landing9/n0")); err != nil {
 		t.Fatal(err)
 	}
@@ -162,10 +162,10 @@
 	}
 }
 
-// Limiters that remember and are killed again and again, on sockets and under load: each finds
-// a sound snapshot or knowingly starts fresh, and no rule is broken.
+// TestKilledAgainAndAgain kills limiters with a memory repeatedly, on sockets and under load: each
+// resumes from a valid snapshot or starts fresh on purpose, and no rule is broken.
 func TestKilledAgainAndAgain(t *testing.T) {
-	out, err := exec.Command(program(t), "drill", "--kills", "50").CombinedOutput()
+	out, err := exec.Command(buildProgram(t), "drill", "--kills", "50").CombinedOutput()
 	if err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
--- a/cmd/madderdrum/platform_test.go
+++ b/cmd/madderdrum/platform_test.go
@@ -15,7 +15,7 @@
 	"testing"
 )
 
-// deployed is a line of the deploy file.
+// deployValue returns the value of a key in the deploy file.
 func deployValue(t *testing.T, key string) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/balancer.toml")
@@ -29,16 +29,17 @@
 	return string(m[1])
 }
 
-// The platform loads a library of its own into each limiter, which takes a program that
-// is linked dynamically against the C library, and that `run` becomes by exec.
+// TestPlatformProgramIsDynamic checks two requirements of the platform, which preloads a library into each
+// limiter: the program is linked dynamically against the C library, and the command in run replaces its
+// shell by exec.
 func TestPlatformProgramIsDynamic(t *testing.T) {
 	if run := deployValue(t, "run"); !strings.HasPrefix(run, "exec ") || strings.ContainsAny(run, "&|;") {
-		t.Errorf("run is %q: it has to become one program by exec", run)
+		t.Errorf("run is %q: it must be a single command that starts with exec", run)
 	}
 	build := deployValue(t, "build")
 	at := strings.Index(build, "CGO_ENABLED=1 go build ")
 	if at < 0 {
-		t.Fatalf("build is %q: cgo has to be on", build)
+		t.Fatalf("build is %q: it must set CGO_ENABLED=1", build)
 	}
 	bin := filepath.Join(t.TempDir(), "madderdrum")
 	line := strings.NewReplacer("-o bin/", "-o "+bin, "./cmd/...", "./cmd/madderdrum").Replace(build[at:])
@@ -61,8 +62,8 @@
 	}
 }
 
-// refused are calls that the platform answers with ENOSYS, or that lead to them where both
-// sides are sockets or files: io.Copy and ReadFrom become splice or sendfile there.
+// refusedCalls lists functions whose system calls the platform rejects with ENOSYS. Some only lead to them
+// if both sides are sockets or files: io.Copy and ReadFrom then use splice or sendfile.
 var refusedCalls = map[string][]string{
 	"os":      {"StartProcess"},
 	"syscall": {"ForkExec", "StartProcess", "Exec", "Splice", "Sendfile"},
@@ -70,9 +71,9 @@
 	"net":     {"DialUnix", "ListenUnix", "ListenUnixgram"},
 }
 
-// The platform's limiter starts no other program, opens no Unix socket and uses neither
-// splice nor sendfile, so far as its own sources can ask for it: io.Copy goes to
-// io.Discard alone, which reads, and os/exec is not linked in.
+// TestPlatformProgramAsksForNothingRefused checks in the sources of this module that the platform's limiter
+// starts no other program, opens no Unix socket and uses neither splice nor sendfile: io.Copy only copies
+// to io.Discard, which reads without splice, and os/exec is not linked.
 func TestPlatformProgramAsksForNothingRefused(t *testing.T) {
 	list := exec.Command("go", "list", "-deps", "-tags", "platform", "-f",
 		`{{.ImportPath}} {{if .Module}}{{if .Module.Main}}{{$d := .Dir}}{{range .GoFiles}}{{$d}}/{{.}} {{end}}{{end}}{{end}}`, ".")
@@ -92,7 +93,7 @@
 		}
 	}
 	if files < 20 {
-		t.Errorf("looked at %d files only", files)
+		t.Errorf("only %d files were checked", files)
 	}
 }
 
@@ -128,7 +129,7 @@
 	})
 }
 
-// NODE_LOG names a level or ends the start.
+// TestLogLevel checks that NODE_LOG is a known level or empty, and that anything else is an error.
 func TestLogLevel(t *testing.T) {
 	for text, ok := range map[string]bool{"": true, "debug": true, "WARN": true, "loud": false} {
 		if _, err := logLevel(func(string) string { return text }); (err == nil) != ok {
--- a/cmd/madderdrum/plugin.go
+++ b/cmd/madderdrum/plugin.go
@@ -19,13 +19,13 @@
 
 // pluginCommand groups the commands for authors of plug-ins and for operators.
 type pluginCommand struct {
-	New     newCommand     `cmd:"" help:"Begin a plug-in: a folder with a rule in Go, its test and all that it is built with."`
-	Build   buildCommand   `cmd:"" help:"Build a plug-in in Go."`
-	Inspect inspectCommand `cmd:"" help:"Tell what a module imports and exports, its size, and whether it fits the ABI."`
-	Test    testCommand    `cmd:"" help:"Ask a module about written requests, and print its advice and what each call took."`
-	Bench   benchCommand   `cmd:"" help:"Measure calls of a module."`
-	Status  pluginsCommand `cmd:"" help:"Show the plug-ins of a running limiter."`
-	Reset   resetCommand   `cmd:"" help:"Let a benched plug-in of a running limiter back at once."`
+	New     pluginNewCommand     `cmd:"" help:"Begin a plug-in: a folder with a rule in Go, its test and all that it is built with."`
+	Build   pluginBuildCommand   `cmd:"" help:"Build a plug-in in Go."`
+	Inspect pluginInspectCommand `cmd:"" help:"Tell what a module imports and exports, its size, and whether it fits the ABI."`
+	Test    pluginTestCommand    `cmd:"" help:"Ask a module about written requests, and print its advice and what each call took."`
+	Bench   pluginBenchCommand   `cmd:"" help:"Measure calls of a module."`
+	Status  pluginStatusCommand  `cmd:"" help:"Show the plug-ins of a running limiter."`
+	Reset   pluginResetCommand   `cmd:"" help:"Let a benched plug-in of a running limiter back at once."`
 }
 
 // moduleFile is the argument that names a WebAssembly module.
@@ -52,11 +52,11 @@
 	return data, nil
 }
 
-// inspectCommand prints a module's imports, exports and size, and checks it against the ABI.
-type inspectCommand struct{ moduleFile }
+// pluginInspectCommand prints a module's imports, exports and size, and checks it against the ABI.
+type pluginInspectCommand struct{ moduleFile }
 
 // Run executes `madderdrum plugin inspect`.
-func (c *inspectCommand) Run() error {
+func (c *pluginInspectCommand) Run() error {
 	data, err := c.read()
 	if err != nil {
 		return err
@@ -102,8 +102,8 @@
 		Limits: plugin.Limits{Call: b.Call, Memory: b.Memory << 20, PerSecond: 1 << 40}, Wait: true})
 }
 
-// testCommand calls a module with requests from a file and prints its advice.
-type testCommand struct {
+// pluginTestCommand calls a module with requests from a file and prints its advice.
+type pluginTestCommand struct {
 	moduleFile
 	budget
 	Requests string `short:"r" required:"" help:"File with a request a line, as JSON, such as {\"account\": 7, \"class\": \"send-reminder\", \"pressure\": 0.2}." type:"path"`
@@ -149,7 +149,7 @@
 }
 
 // Run executes `madderdrum plugin test`.
-func (c *testCommand) Run() error {
+func (c *pluginTestCommand) Run() error {
 	ctx := context.Background()
 	f, err := os.Open(c.Requests)
 	if err != nil {
@@ -225,8 +225,8 @@
 	return s
 }
 
-// benchCommand measures the latency of calls of a module.
-type benchCommand struct {
+// pluginBenchCommand measures the latency of calls of a module.
+type pluginBenchCommand struct {
 	moduleFile
 	budget
 	Calls int    `default:"20000" help:"So many."`
@@ -234,7 +234,7 @@
 }
 
 // Run executes `madderdrum plugin bench`.
-func (c *benchCommand) Run() error {
+func (c *pluginBenchCommand) Run() error {
 	if c.Calls < 1 || c.Calls > 10_000_000 {
 		return fmt.Errorf("--calls %d: from 1 to 10000000", c.Calls)
 	}
--- a/cmd/madderdrum/plugin_test.go
+++ b/cmd/madderdrum/plugin_test.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-// An author inspects, tests and measures a module built with the SDK; what can't be used is
-// told.
+// TestPluginCommands inspects, tests and measures a module built with the SDK, and checks the errors for
+// unusable modules and flags.
 func TestPluginCommands(t *testing.T) {
-	bin, dir := program(t), t.TempDir()
+	bin, dir := buildProgram(t), t.TempDir()
 	module, requests, broken := filepath.Join(dir, "friday.wasm"), filepath.Join(dir, "requests.jsonl"), filepath.Join(dir, "broken.jsonl")
 	build := exec.Command("go", "build", "-buildmode=c-shared", "-o", module, "example.org/madderdrum/examples/plugins/friday")
 	build.Env = append(os.Environ(), "GOOS=wasip1", "GOARCH=wasm")
--- a/cmd/madderdrum/pluginauthor.go
+++ b/cmd/madderdrum/pluginauthor.go
@@ -23,13 +23,13 @@
 //go:embed scaffold/*.tmpl
 var scaffold embed.FS
 
-// newCommand creates the source folder of a new plug-in from the scaffold.
-type newCommand struct {
+// pluginNewCommand creates the source folder of a new plug-in from the scaffold.
+type pluginNewCommand struct {
 	Dir string `arg:"" help:"Folder to be made; its name is the plug-in's." type:"path"`
 }
 
 // Help returns the detailed help text of `madderdrum plugin new`.
-func (newCommand) Help() string {
+func (pluginNewCommand) Help() string {
 	return `Makes a folder with a rule in Go, its test, requests to try it on, the block for the
 limiter's configuration, and the kit that it is built with. It needs the Go tool chain
 and nothing else:
@@ -41,7 +41,7 @@
 var pluginName = regexp.MustCompile(`^[a-z][a-z0-9-]{0,63}$`)
 
 // Run executes `madderdrum plugin new`.
-func (c *newCommand) Run() error {
+func (c *pluginNewCommand) Run() error {
 	name := filepath.Base(c.Dir)
 	if !pluginName.MatchString(name) {
 		return fmt.Errorf("%s: %q can't be a plug-in's name; use small letters, digits and dashes, a letter first", c.Dir, name)
@@ -93,21 +93,21 @@
 	return nil
 }
 
-// buildCommand compiles a plug-in written in Go to WebAssembly and checks its ABI.
-type buildCommand struct {
+// pluginBuildCommand compiles a plug-in written in Go to WebAssembly and checks its ABI.
+type pluginBuildCommand struct {
 	Dir string `arg:"" default:"." help:"Folder of the plug-in's package main." type:"path"`
 	Out string `short:"o" help:"The module; NAME.wasm in that folder if left out." placeholder:"FILE" type:"path"`
 }
 
 // Help returns the detailed help text of `madderdrum plugin build`.
-func (buildCommand) Help() string {
+func (pluginBuildCommand) Help() string {
 	return `Builds a plug-in in Go with the Go tool chain (GOOS=wasip1, a reactor module), and
 tells whether it fits the ABI. A module in another language needs only what
 docs/plugins-abi.md says; see plugin inspect.`
 }
 
 // Run executes `madderdrum plugin build`.
-func (c *buildCommand) Run() error {
+func (c *pluginBuildCommand) Run() error {
 	if info, err := os.Stat(c.Dir); err != nil || !info.IsDir() {
 		return fmt.Errorf("plugin build %s: not a folder with a plug-in's package main", c.Dir)
 	}
--- a/cmd/madderdrum/pluginoperator.go
+++ b/cmd/madderdrum/pluginoperator.go
@@ -46,11 +46,11 @@
 	return string(data), nil
 }
 
-// pluginsCommand prints the state of the plug-ins of a running limiter.
-type pluginsCommand struct{ limiterAt }
+// pluginStatusCommand prints the state of the plug-ins of a running limiter.
+type pluginStatusCommand struct{ limiterAt }
 
 // Run executes `madderdrum plugin status`.
-func (c *pluginsCommand) Run() error {
+func (c *pluginStatusCommand) Run() error {
 	text, err := c.request(http.MethodGet, "/plugins", http.Header{"Accept": {"text/plain"}})
 	if err == nil {
 		_, err = io.WriteString(os.Stdout, text)
@@ -58,14 +58,14 @@
 	return err
 }
 
-// resetCommand re-enables a benched plug-in of a running limiter.
-type resetCommand struct {
+// pluginResetCommand re-enables a benched plug-in of a running limiter.
+type pluginResetCommand struct {
 	limiterAt
 	Name string `arg:"" help:"The plug-in."`
 }
 
 // Run executes `madderdrum plugin reset`.
-func (c *resetCommand) Run() error {
+func (c *pluginResetCommand) Run() error {
 	if _, err := c.request(http.MethodPost, "/plugins/"+url.PathEscape(c.Name)+"/reset", http.Header{status.ResetHeader: {"1"}}); err != nil {
 		return err
 	}
--- a/cmd/madderdrum/plugins_bench_test.go
+++ b/cmd/madderdrum/plugins_bench_test.go
@@ -23,12 +23,11 @@
 	"example.org/madderdrum/plugin/plugintest"
 )
 
-// BenchmarkPlugins is what plug-ins cost a limiter and its requests: the built program on one
-// core before a box that answers at once, 32 clients that each send the next request when they
-// have an answer. It tells requests a second, CPU of the limiter a request, and the times of
-// answers; "without" is the program without plug-ins in the same run.
+// BenchmarkPlugins measures the cost of plug-ins: the built program on one core, a box that responds
+// immediately, and 32 closed-loop clients. It reports requests per second, CPU time of the limiter per
+// request, and response times; "without" is the baseline without plug-ins in the same run.
 func BenchmarkPlugins(b *testing.B) {
-	bin := program(b)
+	bin := buildProgram(b)
 	friday := filepath.Join(b.TempDir(), "friday.wasm")
 	if out, err := exec.Command(bin, "plugin", "build", filepath.Join("..", "..", "examples", "plugins", "friday"), "-o", friday).CombinedOutput(); err != nil {
 		b.Fatalf("%v\n%s", err, out)
@@ -145,7 +144,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// cpuOf is the CPU time of a process, in clock ticks of 10 ms as Linux has them.
+// cpuTime returns the CPU time of a process, with the resolution of the 10 ms clock ticks of Linux.
 func cpuTime(b *testing.B, pid int) time.Duration {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/cmd/madderdrum/plugins_test.go
+++ b/cmd/madderdrum/plugins_test.go
@@ -30,7 +30,7 @@
 	"example.org/madderdrum/plugin/plugintest"
 )
 
-// writeModules writes modules into a folder, by name.
+// writeModules writes each module to NAME.wasm in a folder.
 func writeModules(t testing.TB, dir string, modules map[string]plugintest.Module) {
 	t.Helper()
 	for name, m := range modules {
@@ -40,15 +40,15 @@
 	}
 }
 
-// pluginsAt is what a limiter shows of its plug-ins.
+// fetchPlugins returns the plug-ins, by name, and the labels that a limiter reports at its status address.
 func fetchPlugins(addr string) (map[string]status.Plugin, []status.Label, error) {
-	w, err := http.Get("http://" + addr + "/plugins")
+	resp, err := http.Get("http://" + addr + "/plugins")
 	if err != nil {
 		return nil, nil, err
 	}
-	defer w.Body.Close()
+	defer resp.Body.Close()
 	var s status.PluginState
-	if err := json.NewDecoder(w.Body).Decode(&s); err != nil {
+	if err := json.NewDecoder(resp.Body).Decode(&s); err != nil {
 		return nil, nil, err
 	}
 	all := map[string]status.Plugin{}
@@ -58,25 +58,24 @@
 	return all, s.Labels, nil
 }
 
-// until waits until something is so of a limiter's plug-ins.
-func waitForPlugins(t *testing.T, addr, what string, so func(map[string]status.Plugin) bool) {
+// waitForPlugins waits until a condition holds for a limiter's plug-ins; what describes it in the failure.
+func waitForPlugins(t *testing.T, addr, what string, condition func(map[string]status.Plugin) bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		all, _, err := fetchPlugins(addr)
-		if err == nil && so(all) {
+		if err == nil && condition(all) {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("not so after %v: %s; %v %+v", testTimeout, what, err, all)
+			t.Fatalf("condition not met after %v: %s; %v %+v", testTimeout, what, err, all)
 		}
 	}
 }
 
-// Three limiters with every bad module there is, each asked about every request, before
-// stand-in boxes and through troubles: no rule is broken, requests are served, and each
-// module was found out and benched.
+// TestBadPluginsOverSockets runs three limiters with every faulty test module, each called for every
+// request, while boxes fail: no rule is broken, requests are served, and each faulty module is benched.
 func TestBadPluginsOverSockets(t *testing.T) {
-	bin, dir := program(t), t.TempDir()
+	bin, dir := buildProgram(t), t.TempDir()
 	bad := plugintest.Bad()
 	bad["worst"] = plugintest.WithAdvice(advice.Advice{Refuse: true, WaitMs: 1e9, Priority: 1e300, Label: "lie", Prefer: "nowhere", Avoid: "main"})
 	var blocks strings.Builder
@@ -85,7 +84,7 @@
 		id := strings.ReplaceAll(name, " ", "-")
 		files[id] = bad[name]
 		may, budget := `["refuse", "lower", "raise", "label", "tiers"]`, "5ms"
-		if name == "worst" { // it is a sound module, on a machine that may be busy
+		if name == "worst" { // a valid module with extreme advice; the long budget allows for a busy machine
 			may, budget = `["lower", "raise", "label", "tiers"]`, "200ms"
 		}
 		fmt.Fprintf(&blocks, "plugin %q {\n file = %q\n order = %d\n may = %s\n memory = \"1MiB\"\n time = %q\n}\n", id, id+".wasm", k+1, may, budget)
@@ -93,7 +92,7 @@
 	writeModules(t, dir, files)
 	states := make([]string, 3)
 	for n := range states {
-		states[n] = freeAddress(t)
+		states[n] = freeLocalAddr(t)
 	}
 	f := config.Bluebird()
 	faults, err := world.Scenario(f, "box b1 fails 60% from 1s to 3s\nlimiter n2 is killed at 3s for 1s\nroom room-b is lost from 4s to 6s\nbox a1 drains from 2s to 5s\n")
@@ -156,21 +155,21 @@
 	t.Logf("%d asked, service %.3f, cpu %v", m.Total.Asked, m.Figure().Whole, r.CPU)
 }
 
-// oneLimiter runs one limiter with plug-ins before one box, which counts what it is sent.
-type oneLimiter struct {
+// limiterFixture is a limiter process with plug-ins and one box, which counts the requests that reach it.
+type limiterFixture struct {
 	t            *testing.T
 	dir, file    string
 	addr, status string
-	text         string // of the file, without plug-ins
+	text         string // configuration without the plug-in blocks
 	cmd          *exec.Cmd
 	lines        *lineWatch
 	ended        <-chan error
 	arrived      atomic.Int64
 }
 
-func newOneLimiter(t *testing.T, bin, blocks string, modules map[string]plugintest.Module) *oneLimiter {
+func newLimiterFixture(t *testing.T, bin, blocks string, modules map[string]plugintest.Module) *limiterFixture {
 	t.Helper()
-	x := &oneLimiter{t: t, dir: t.TempDir(), addr: freeAddress(t), status: freeAddress(t)}
+	x := &limiterFixture{t: t, dir: t.TempDir(), addr: freeLocalAddr(t), status: freeLocalAddr(t)}
 	box := listen(t, func(w http.ResponseWriter, _ *http.Request) {
 		x.arrived.Add(1)
 		io.WriteString(w, "served")
@@ -187,14 +186,14 @@
 	return x
 }
 
-func (x *oneLimiter) write(blocks string) {
+func (x *limiterFixture) write(blocks string) {
 	x.t.Helper()
 	if err := os.WriteFile(x.file, []byte(x.text+blocks), 0o600); err != nil {
 		x.t.Fatal(err)
 	}
 }
 
-func (x *oneLimiter) waitFor(line string) {
+func (x *limiterFixture) waitFor(line string) {
 	x.t.Helper()
 	select {
 	case <-x.lines.seen(line):
@@ -205,34 +204,34 @@
 
 var requestCount atomic.Int64
 
-// ask sends one request, whose class is a bulk send with time enough.
-func (x *oneLimiter) send(ctx context.Context, headers ...string) (*http.Response, string, error) {
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+x.addr+"/v1/messages?key=00000000b4d65521", strings.NewReader("body"))
+// send sends one request of a bulk class with a long deadline, and returns the response and its body.
+func (x *limiterFixture) send(ctx context.Context, headers ...string) (*http.Response, string, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+x.addr+"/v1/messages?key=00000000b4d65521", strings.NewReader("body"))
 	if err != nil {
 		return nil, "", err
 	}
 	for k, v := range map[string]string{"X-Request-ID": fmt.Sprint("q", requestCount.Add(1)), "X-Priority-Class": "send-bulk-paid", "Plan": "enterprise", "X-Timeout": "3900m", "Quota-Info": "units=1,spread=1,first=0"} {
-		q.Header.Set(k, v)
+		req.Header.Set(k, v)
 	}
 	for i := 0; i+1 < len(headers); i += 2 {
-		q.Header.Set(headers[i], headers[i+1])
+		req.Header.Set(headers[i], headers[i+1])
 	}
-	w, err := http.DefaultClient.Do(q)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return nil, "", err
 	}
-	defer w.Body.Close()
-	data, err := io.ReadAll(w.Body)
-	return w, string(data), err
+	defer resp.Body.Close()
+	data, err := io.ReadAll(resp.Body)
+	return resp, string(data), err
 }
 
 const loopBlock = "plugin \"loop\" {\n file = \"loop.wasm\"\n order = 1\n time = \"800ms\"\n}\n"
 
-// What happens while a call is in a plug-in that never ends by itself: a client that leaves
-// is not sent on, a reload and SIGTERM wait for nobody's answer but the one in hand, and each
-// client gets one.
+// TestWhileAPluginIsAsked covers events during a call of a plug-in that never returns by itself: the
+// request of a client that disconnects is not forwarded, a reload and SIGTERM wait only for the request
+// in progress, and each remaining client gets one response.
 func TestWhileAPluginIsAsked(t *testing.T) {
-	bin := program(t)
+	bin := buildProgram(t)
 	modules := map[string]plugintest.Module{"loop": {Advise: plugintest.Join(plugintest.Forever(), plugintest.None)}}
 	calls := func(n uint64) func(map[string]status.Plugin) bool {
 		return func(all map[string]status.Plugin) bool { return all["loop"].Calls == n }
@@ -240,33 +239,33 @@
 	free := func(n uint64) func(map[string]status.Plugin) bool {
 		return func(all map[string]status.Plugin) bool { return all["loop"].Faults == n && all["loop"].Instances > 0 }
 	}
-	type got struct {
+	type response struct {
 		code int
 		body string
 		err  error
 	}
-	asking := func(x *oneLimiter) chan got {
-		c := make(chan got, 1)
+	sendAsync := func(x *limiterFixture) chan response {
+		c := make(chan response, 1)
 		go func() {
 			w, body, err := x.send(t.Context())
 			if err != nil {
-				c <- got{err: err}
+				c <- response{err: err}
 				return
 			}
-			c <- got{w.StatusCode, body, nil}
+			c <- response{w.StatusCode, body, nil}
 		}()
 		return c
 	}
 	t.Run("the client leaves", func(t *testing.T) {
 		t.Parallel()
-		x := newOneLimiter(t, bin, loopBlock, modules)
-		ctx, leave := context.WithCancel(t.Context())
+		x := newLimiterFixture(t, bin, loopBlock, modules)
+		ctx, disconnect := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { _, _, err := x.send(ctx); ended <- err }()
 		waitForPlugins(t, x.status, "the call is made", calls(1))
-		leave()
+		disconnect()
 		if err := <-ended; err == nil {
-			t.Error("an answer for a client that left")
+			t.Error("a response for a client that disconnected")
 		}
 		waitForPlugins(t, x.status, "the call is over", free(1))
 		if w, body, err := x.send(t.Context()); err != nil || w.StatusCode != 200 || body != "served" {
@@ -279,8 +278,8 @@
 	})
 	t.Run("a reload takes it away", func(t *testing.T) {
 		t.Parallel()
-		x := newOneLimiter(t, bin, loopBlock, modules)
-		c := asking(x)
+		x := newLimiterFixture(t, bin, loopBlock, modules)
+		c := sendAsync(x)
 		waitForPlugins(t, x.status, "the call is made", calls(1))
 		x.write("")
 		x.cmd.Process.Signal(syscall.SIGHUP)
@@ -295,8 +294,8 @@
 	})
 	t.Run("SIGTERM", func(t *testing.T) {
 		t.Parallel()
-		x := newOneLimiter(t, bin, loopBlock, modules)
-		c := asking(x)
+		x := newLimiterFixture(t, bin, loopBlock, modules)
+		c := sendAsync(x)
 		waitForPlugins(t, x.status, "the call is made", calls(1))
 		x.cmd.Process.Signal(syscall.SIGTERM)
 		if g := <-c; g.err != nil || g.code != 200 || g.body != "served" || x.arrived.Load() != 1 {
@@ -308,7 +307,7 @@
 				t.Errorf("ended with %v", err)
 			}
 		case <-time.After(testTimeout):
-			t.Error("does not end")
+			t.Error("did not exit")
 		}
 	})
 	t.Run("ten of them", func(t *testing.T) {
@@ -317,10 +316,10 @@
 		for k := range 10 {
 			blocks += fmt.Sprintf("plugin \"loop%d\" {\n file = \"loop.wasm\"\n order = %d\n time = \"800ms\"\n}\n", k, k+1)
 		}
-		x := newOneLimiter(t, bin, blocks, modules)
+		x := newLimiterFixture(t, bin, blocks, modules)
 		begun := time.Now()
-		g := <-asking(x)
-		// All together have a quarter of the request's time, 3.9 s.
+		g := <-sendAsync(x)
+		// All plug-ins together may use a quarter of the request's 3.9 s.
 		if took := time.Since(begun); g.err != nil || g.code != 200 || took > 2*time.Second {
 			t.Errorf("%+v after %v", g, took)
 		}
@@ -328,13 +327,14 @@
 	})
 }
 
-// What plug-ins say comes through as the operator allows it: a refusal with its reason and
-// time, on the routes that have it asked, by the headers that it sees; one that guards
-// refuses when it fails, and is let back by hand; and a reload replaces it.
+// TestPluginsServed checks that advice has its effect as far as the configuration permits: a refusal
+// carries its reason and wait, only on the routes that call the plug-in. A plug-in with refuse_when
+// refuses requests when it fails, an operator can re-enable it after it was benched, and a reload
+// replaces the module.
 func TestPluginsServed(t *testing.T) {
-	bin := program(t)
+	bin := buildProgram(t)
 	no := plugintest.WithAdvice(advice.Advice{Refuse: true, WaitMs: 250, Reason: "not on Fridays", Label: "friday"})
-	x := newOneLimiter(t, bin, `
+	x := newLimiterFixture(t, bin, `
 plugin "no" {
  file = "no.wasm"
  order = 2
@@ -381,7 +381,7 @@
 			}
 		}
 	}
-	// Further ones, until the guard has failed three times: some find no instance free.
+	// More requests until the guard has failed three times; some find no free instance and don't count.
 	for range 200 {
 		if all, _, _ := fetchPlugins(x.status); all["guard"].TimesBenched > 0 {
 			break
@@ -405,7 +405,7 @@
 	if n := x.arrived.Load(); n != 4 {
 		t.Errorf("%d requests came to the box", n)
 	}
-	// Another module under the same name, and one that can't be used.
+	// A reload with another module under the same name, then with one that can't be loaded.
 	x.write("plugin \"no\" {\n file = \"yes.wasm\"\n order = 2\n}\n")
 	x.cmd.Process.Signal(syscall.SIGHUP)
 	x.waitFor("the new configuration holds")
@@ -428,10 +428,10 @@
 	checkStops(t, x.cmd, x.ended)
 }
 
-// An author begins a plug-in in an empty folder, tests it, builds it and tries it on a
-// trace; what can't be done is told.
+// TestNewPlugin follows an author's steps: create a plug-in in an empty folder, test it, build it and
+// replay a trace with it. Each kind of wrong input gets an error.
 func TestNewPlugin(t *testing.T) {
-	bin, dir := program(t), t.TempDir()
+	bin, dir := buildProgram(t), t.TempDir()
 	sale := filepath.Join(dir, "sale")
 	do := func(ok bool, want string, name string, args ...string) {
 		t.Helper()
@@ -468,9 +468,9 @@
 	do(false, "not a module that can be used", bin, "replay", "--plugin", filepath.Join(sale, "main.go"))
 }
 
-// Requests of many clients at once through one plug-in come to one answer each.
+// TestPluginsUnderLoad checks that concurrent requests through one plug-in get exactly one response each.
 func TestPluginsUnderLoad(t *testing.T) {
-	x := newOneLimiter(t, program(t), "plugin \"count\" {\n file = \"count.wasm\"\n order = 1\n time = \"1s\"\n}\n", map[string]plugintest.Module{
+	x := newLimiterFixture(t, buildProgram(t), "plugin \"count\" {\n file = \"count.wasm\"\n order = 1\n time = \"1s\"\n}\n", map[string]plugintest.Module{
 		"count": {Imports: []plugintest.Import{plugintest.Count}, Data: []byte("key"),
 			Advise: plugintest.Join(plugintest.ConstI32(0), plugintest.ConstI32(3), plugintest.ConstF64(1), plugintest.ConstF64(1000), plugintest.Call(0), plugintest.Drop, plugintest.None)}})
 	var clients sync.WaitGroup
--- a/cmd/madderdrum/reload_test.go
+++ b/cmd/madderdrum/reload_test.go
@@ -23,7 +23,7 @@
 	"example.org/madderdrum/plugin/plugintest"
 )
 
-// reloadable is a limiter that runs as `madderdrum serve` of a file that changes.
+// reloadedLimiter is a `madderdrum serve` process whose configuration file changes during the test.
 type reloadedLimiter struct {
 	loopback.Process
 	cmd  *exec.Cmd
@@ -32,7 +32,7 @@
 	text func(version int) string
 }
 
-// replies counts the lines in which a limiter says what came of a reload.
+// reloadLog counts the log lines that report the results of reloads.
 type reloadLog struct {
 	mu          sync.Mutex
 	partialLine string
@@ -81,29 +81,29 @@
 	return r.applied + r.kept + r.unchanged, r.kept
 }
 
-// versions are the files that follow each other: plans and routes change, blocks change
-// places, so that every index is another one, boxes move between pools, a class, a plan and a
-// plug-in come and go, and one file can't be used.
-var versions = []func(routes, rest string) (string, string){
+// configVersions are applied in turn: plans and routes change, blocks are inserted so that all
+// indexes shift, boxes move between pools, a class, a plan and a plug-in are added and removed,
+// and one version is invalid.
+var configVersions = []func(routes, rest string) (string, string){
 	func(routes, rest string) (string, string) { return routes, rest },
-	func(routes, rest string) (string, string) { // another module, and another plan
+	func(routes, rest string) (string, string) { // replaces the module and changes a plan
 		routes = strings.Replace(routes, "first.wasm", "second.wasm", 1)
 		return routes, strings.Replace(strings.Replace(rest, `burst        = 7`, `burst = 5`, 1), `"1.4/s"`, `"1.2/s"`, 1)
 	},
-	func(routes, rest string) (string, string) { // two more in front: all places shift
+	func(routes, rest string) (string, string) { // inserts a class and a plan first, so that all indexes shift
 		more := "class \"aaa\" {\n share = \"0%\"\n work = \"1ms\"\n aim = \"1s\"\n deadline = \"5s\"\n worth = 1\n repeat = \"unsafe\"\n}\n" +
 			"plan \"aaa\" {\n share = \"0%\"\n rate = \"1/s\"\n burst = 9\n}\n"
 		return routes, more + rest
 	},
-	func(routes, rest string) (string, string) { // a mistake
+	func(routes, rest string) (string, string) { // refers to an unknown pool
 		return strings.Replace(routes, `pool = "main"`, `pool = "mian"`, 1), rest
 	},
-	func(routes, rest string) (string, string) { // a box changes its pool, and a route its bounds
+	func(routes, rest string) (string, string) { // moves a box to another pool and changes the attempts of a route
 		return strings.Replace(strings.Replace(strings.Replace(routes, `"b3", "b4"`, `"b3"`, 1), `"b0"`, `"b0", "b4"`, 1), "attempts = 2", "attempts = 1", 1), rest
 	},
-	func(routes, rest string) (string, string) { // the plan of many is gone: they are told so
+	func(routes, rest string) (string, string) { // removes a plan that many accounts have, whose requests are then refused
 		cut, end := strings.Index(rest, `plan "enterprise"`), strings.Index(rest, "\nlimiter")
-		routes = routes[strings.Index(routes, "pool"):] // and the plug-in
+		routes = routes[strings.Index(routes, "pool"):] // also removes the plug-in
 		return routes, rest[:cut] + strings.Replace(rest[end:], "\nlimiter", "\nplan \"gold\" {\n share = \"40%\"\n rate = \"28/s\"\n burst = 70\n}\nlimiter", 1)
 	},
 	func(routes, rest string) (string, string) { return routes + "# a comment more\n", rest },
@@ -132,15 +132,15 @@
 }
 `
 
-// startReloadable writes the first file of a limiter and starts it.
-func startReloadable(bin, dir, path string, n int) (*reloadedLimiter, error) {
+// startReloadedLimiter writes the first version of the configuration file and starts the limiter.
+func startReloadedLimiter(bin, dir, path string, n int) (*reloadedLimiter, error) {
 	whole, err := loopback.ServeText(path, n)
 	if err != nil {
 		return nil, err
 	}
 	s := &reloadedLimiter{file: filepath.Join(dir, fmt.Sprintf("n%d.hcl", n)), log: &reloadLog{updated: make(chan struct{}, 1)},
 		text: func(version int) string {
-			routes, rest := versions[version%len(versions)](reloadRoutes, whole)
+			routes, rest := configVersions[version%len(configVersions)](reloadRoutes, whole)
 			return routes + rest
 		}}
 	if err := os.WriteFile(s.file, []byte(s.text(0)), 0o600); err != nil {
@@ -154,7 +154,7 @@
 	return s, nil
 }
 
-// resident is the memory of a process in KiB.
+// residentKiB returns the resident set size of the process.
 func (s *reloadedLimiter) residentKiB(t *testing.T) int {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", s.cmd.Process.Pid))
 	if err != nil {
@@ -169,10 +169,10 @@
 	return n
 }
 
-// A thousand reloads of three limiters while clients send: no request is lost or served
-// twice, each is answered once and in time, ceilings hold, and memory does not grow.
+// TestReloadUnderLoad reloads three limiters a thousand times under load: no request is lost or
+// served twice, each is answered once and in time, ceilings hold, and memory use does not grow.
 func TestReloadUnderLoad(t *testing.T) {
-	bin, dir := program(t), t.TempDir()
+	bin, dir := buildProgram(t), t.TempDir()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
 	const reloads = 1000
@@ -184,7 +184,7 @@
 	var early, late [3]int
 	o := loopback.Options{Fleet: f, Seed: 3, Program: bin, Source: world.Until(world.NewSynthetic(f, 3, time.Hour), over),
 		Start: func(config string, n int) (loopback.Process, error) {
-			s, err := startReloadable(bin, dir, config, n)
+			s, err := startReloadedLimiter(bin, dir, config, n)
 			limiters[n] = s
 			return s, err
 		}}
@@ -209,7 +209,7 @@
 							select {
 							case <-s.log.updated:
 							case <-ctx.Done():
-								return fmt.Errorf("limiter %d says nothing of reload %d", n, i)
+								return fmt.Errorf("limiter %d logged no result of reload %d", n, i)
 							}
 						}
 					}
@@ -235,7 +235,7 @@
 	}
 	for n, s := range limiters {
 		all, kept := s.log.count()
-		if want := reloads / len(versions); all != reloads || kept < want || kept > want+1 {
+		if want := reloads / len(configVersions); all != reloads || kept < want || kept > want+1 {
 			t.Errorf("limiter %d: %d reloads, %d kept, want %d kept", n, all, kept, want)
 		}
 		if late[n] > early[n]*5/4+4096 {
--- a/cmd/madderdrum/rooms_test.go
+++ b/cmd/madderdrum/rooms_test.go
@@ -16,10 +16,10 @@
 	"example.org/madderdrum/internal/status"
 )
 
-// A room goes and comes back before three real limiters: each sees it lost, gives it its
-// share back in steps until it is well, and breaks no rule.
+// TestRoomLostAndRegained removes a room and returns it, with three real limiters: each detects the
+// loss, raises the room's share in steps until it is healthy again, and breaks no rule.
 func TestRoomLostAndRegained(t *testing.T) {
-	bin := program(t)
+	bin := buildProgram(t)
 	for name, how := range map[string]string{"killed": "", "silent": " silently"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -31,8 +31,8 @@
 			enough := func(at time.Duration, all [][]status.Tier) bool {
 				well := at > c.Back
 				for n, tiers := range all {
-					// Of the room that a limiter does not prefer it may have lost sight, and
-					// finds out only when it sends something there.
+					// Only the preferred tier is checked: a limiter may notice the state of the
+					// other room only when it sends a request there.
 					well = well && len(tiers) == 2 && tiers[0].Phase == "well"
 					wasLost[n] = wasLost[n] || len(tiers) == 2 && isTierLeft(tiers[0].Phase)
 				}
@@ -45,28 +45,28 @@
 			for _, b := range r.Breaches {
 				t.Error(b)
 			}
-			for _, n := range []int{0, 2} { // those in the room
+			for _, n := range []int{0, 2} { // the limiters in the lost room
 				near := r.Phases[n][0]
 				lost, back := slices.IndexFunc(near, isTierLeft), slices.Index(near, "well")
 				if lost < 0 || near[len(near)-1] != "well" || back != 0 {
-					t.Errorf("limiter %d saw its room: %v", n, near)
+					t.Errorf("limiter %d, phases of its own room: %v", n, near)
 				}
 			}
 			if far := r.Phases[1][0]; slices.ContainsFunc(far, isTierLeft) {
-				t.Errorf("limiter 1 saw its own room: %v", far)
+				t.Errorf("limiter 1, phases of its own room: %v", far)
 			}
 			t.Logf("service %.3f, most work to a warming box in 0.5 s %.2f of what it could do, phases %v", r.Figures.Service, r.Figures.Push, r.Phases)
 		})
 	}
 }
 
-// gone tells that a tier was left: it failed, and is lost once no box of it connects, which
-// a limiter with little to send may not come to see.
+// isTierLeft reports whether requests left a tier in this phase. A tier is lost rather than failing
+// once none of its boxes accepts connections, which a limiter with little traffic may not notice.
 func isTierLeft(phase string) bool { return phase == "failing" || phase == "lost" }
 
-// The command's page is written, and bad input is told.
+// TestDrill checks that the drill command writes its page and table, and that it rejects bad flags.
 func TestDrill(t *testing.T) {
-	bin := program(t)
+	bin := buildProgram(t)
 	page, table := t.TempDir()+"/drill.html", t.TempDir()+"/drill.json"
 	out, err := exec.Command(bin, "drill", "--case", "half", "--rule", "tiers,none", "--seeds", "2", "--html", page, "--json", table).CombinedOutput()
 	if err != nil || !strings.Contains(string(out), "half  none") {
--- a/cmd/madderdrum/serve_test.go
+++ b/cmd/madderdrum/serve_test.go
@@ -20,8 +20,8 @@
 	"example.org/madderdrum/deploy"
 )
 
-// built is the program, for all tests of its commands.
-var built struct {
+// builtProgram is the binary that all tests of the commands share.
+var builtProgram struct {
 	sync.Once
 	dir, bin string
 	err      error
@@ -29,32 +29,32 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if built.dir != "" {
-		os.RemoveAll(built.dir)
+	if builtProgram.dir != "" {
+		os.RemoveAll(builtProgram.dir)
 	}
 	os.Exit(code)
 }
 
-// program builds the program once for the tests of its commands.
-func program(t testing.TB) string {
+// buildProgram returns the path of the program, which it builds on the first call.
+func buildProgram(t testing.TB) string {
 	t.Helper()
-	built.Do(func() {
-		if built.dir, built.err = os.MkdirTemp("", "madderdrum-test-"); built.err != nil {
+	builtProgram.Do(func() {
+		if builtProgram.dir, builtProgram.err = os.MkdirTemp("", "madderdrum-test-"); builtProgram.err != nil {
 			return
 		}
-		built.bin = filepath.Join(built.dir, "madderdrum")
-		if out, err := exec.Command("go", "build", "-o", built.bin, ".").CombinedOutput(); err != nil {
-			built.err = fmt.Errorf("building: %w\n%s", err, out)
+		builtProgram.bin = filepath.Join(builtProgram.dir, "madderdrum")
+		if out, err := exec.Command("go", "build", "-o", builtProgram.bin, ".").CombinedOutput(); err != nil {
+			builtProgram.err = fmt.Errorf("building: %w\n%s", err, out)
 		}
 	})
-	if built.err != nil {
-		t.Fatal(built.err)
+	if builtProgram.err != nil {
+		t.Fatal(builtProgram.err)
 	}
-	return built.bin
+	return builtProgram.bin
 }
 
-// freePort returns an address that was free a moment ago.
-func freeAddress(t *testing.T) string {
+// freeLocalAddr returns a loopback address with an unused port.
+func freeLocalAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.78.0.2:0")
 	if err != nil {
@@ -64,11 +64,11 @@
 	return ln.Addr().String()
 }
 
-// serve runs a limiter from a fleet file with a fixed list of boxes and nothing else.
+// TestServe checks that serve runs a limiter from a fleet file alone, with a fixed list of boxes.
 func TestServe(t *testing.T) {
-	bin := program(t)
+	bin := buildProgram(t)
 	box := listen(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "served") })
-	addr := freeAddress(t)
+	addr := freeLocalAddr(t)
 	text := string(deploy.Bluebird)
 	text = text[:strings.Index(text, `limiter "n0"`)] + fmt.Sprintf("limiter \"n0\" {\n room = \"room-a\"\n listen = %q\n}\n", addr) +
 		fmt.Sprintf("box \"a\" {\n room = \"room-a\"\n dial = %q\n cores = 2\n slots = 8\n queue = 8\n}\n", box)
@@ -80,12 +80,12 @@
 		t.Fatalf("--check: %v\n%s", err, out)
 	}
 	cmd := exec.Command(bin, "serve", path)
-	cmd.Env = []string{"NODE_CONFIG=/nonexistent"} // has no say where there are arguments
+	cmd.Env = []string{"NODE_CONFIG=/nonexistent"} // ignored when there are arguments
 	lines, ended := run(t, cmd)
 	select {
 	case <-lines.seen("msg=serving"):
 	case <-time.After(testTimeout):
-		t.Fatal("does not serve")
+		t.Fatal("did not start serving")
 	}
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
@@ -94,9 +94,9 @@
 	checkStops(t, cmd, ended)
 }
 
-// A mistake ends the command with exit code 1 and tells file, line and remedy.
+// TestServeBadInput checks that wrong input ends the command with an error that names file, line and remedy.
 func TestServeBadInput(t *testing.T) {
-	bin := program(t)
+	bin := buildProgram(t)
 	bad := filepath.Join(t.TempDir(), "bad.hcl")
 	text := bytes.Replace(deploy.Bluebird, []byte(`work     = "38ms"`), []byte(`work = "38/s"`), 1)
 	if err := os.WriteFile(bad, text, 0o600); err != nil {
@@ -125,11 +125,11 @@
 	}
 }
 
-// The demo answers the curl line that it prints, takes faults by URL, and ends by
-// itself with no rule broken.
+// TestDemo checks that the curl command that the demo prints works, that faults can be injected by URL,
+// and that the demo ends after --for with no rule broken.
 func TestDemo(t *testing.T) {
-	bin := program(t)
-	control := freeAddress(t)
+	bin := buildProgram(t)
+	control := freeLocalAddr(t)
 	cmd := exec.Command(bin, "demo", "--for", "6s", "--control", control)
 	lines, ended := run(t, cmd)
 	select {
@@ -137,7 +137,7 @@
 	case err := <-ended:
 		t.Fatalf("ended: %v", err)
 	case <-time.After(testTimeout):
-		t.Fatal("does not begin")
+		t.Fatal("did not start")
 	}
 	lines.mu.Lock()
 	text := lines.text.String()
@@ -145,7 +145,7 @@
 	from := strings.Index(text, "  curl -i")
 	line := text[from : from+strings.Index(text[from:], "\n\n")]
 	if strings.Contains(text, "%!") {
-		t.Errorf("the greeting:\n%s", text)
+		t.Errorf("the introduction:\n%s", text)
 	}
 	curl := exec.Command("/bin/sh", "-c", line)
 	if _, err := exec.LookPath("curl"); err == nil {
@@ -169,18 +169,18 @@
 			t.Errorf("ended with %v", err)
 		}
 	case <-time.After(testTimeout):
-		t.Error("does not end")
+		t.Error("did not exit")
 	}
 	lines.mu.Lock()
 	defer lines.mu.Unlock()
 	if !strings.Contains(lines.text.String(), "0 rules broken") {
-		t.Errorf("no last line:\n%s", lines.text.String())
+		t.Errorf("no summary line:\n%s", lines.text.String())
 	}
 }
 
-// What a newcomer types first, and bad input to it.
+// TestReplayCommand checks the built-in replay, its repeatability and reports, and errors for bad input.
 func TestReplayCommand(t *testing.T) {
-	bin := program(t)
+	bin := buildProgram(t)
 	dir := t.TempDir()
 	a, b, page := filepath.Join(dir, "a.json"), filepath.Join(dir, "b.json"), filepath.Join(dir, "r.html")
 	out, err := exec.Command(bin, "replay", "--json", a, "--html", page).CombinedOutput()
--- a/cmd/madderdrum/upgrade_test.go
+++ b/cmd/madderdrum/upgrade_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// freeAddr is an address that was free a moment ago, on a host that no other test uses.
+// freeAddr returns an address with an unused port on a host that no other test uses.
 func freeAddr(t *testing.T, host string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", host+":0")
@@ -26,23 +26,23 @@
 	return ln.Addr().String()
 }
 
-// operator makes a call on an operators' address; "" if nobody answers.
+// callAdmin sends a call to an admin address and returns the answer, or "" if the connection fails.
 func callAdmin(addr, call string) string {
-	c, err := net.DialTimeout("tcp", addr, time.Second)
+	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return ""
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(testTimeout))
-	fmt.Fprintln(c, call)
-	b, _ := io.ReadAll(c)
-	return string(b)
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(testTimeout))
+	fmt.Fprintln(conn, call)
+	answer, _ := io.ReadAll(conn)
+	return string(answer)
 }
 
-// The program is upgraded three times under load, as the platform does it: the next process
-// is started beside the old one, which gets SIGTERM once the new one says yes. Every request
-// is served once, each on the first connection that it is sent on or, where that is closed
-// between two requests, on the next.
+// TestUpgradesUnderLoad upgrades the program three times under load, as the platform does: it starts
+// the next process while the old one runs, and sends the old one SIGTERM once the new one is ready.
+// Every request is served exactly once, on the connection on which it was first sent or, if that was
+// closed between two requests, on the next one.
 func TestUpgradesUnderLoad(t *testing.T) {
 	var mu sync.Mutex
 	runs := map[string]int{}
@@ -54,7 +54,7 @@
 		io.WriteString(w, "served")
 	})
 	addr, dir := freeAddr(t, "127.78.0.2"), t.TempDir()
-	path := writeConfig(t, addr, server, strings.ReplaceAll(settings, "100.0", "1000000.0"))
+	path := writeConfig(t, addr, server, strings.ReplaceAll(limiterSettings, "100.0", "1000000.0"))
 	begin := func() (*exec.Cmd, string, *lineWatch, <-chan error) {
 		admin := freeAddr(t, "127.78.0.3")
 		cmd := command(t)
@@ -70,27 +70,27 @@
 	cmd, _, lines, ended := begin()
 	ctx, stop := context.WithCancel(t.Context())
 	var clients sync.WaitGroup
-	var served, failed, again int
-	for w := range 4 {
+	var served, failed, repeated int
+	for worker := range 4 {
 		clients.Go(func() {
 			transport := &http.Transport{MaxIdleConnsPerHost: 1, MaxConnsPerHost: 1}
 			defer transport.CloseIdleConnections()
 			for i := 0; ctx.Err() == nil; i++ {
 				req, _ := http.NewRequest("GET", "http://"+addr+"/api?key=0000000000000001", nil)
-				for name, value := range map[string]string{"X-Request-ID": fmt.Sprintf("w%d-%d", w, i), "X-Priority-Class": "check", "Plan": "team",
+				for name, value := range map[string]string{"X-Request-ID": fmt.Sprintf("w%d-%d", worker, i), "X-Priority-Class": "check", "Plan": "team",
 					"X-Timeout": "12000m", "Quota-Info": "units=1,spread=1,first=0"} {
 					req.Header.Set(name, value)
 				}
-				// net/http sends a GET once more that crosses a close.
+				// net/http retries a GET if the server closed the idle connection at the same moment.
 				resp, err := transport.RoundTrip(req)
 				mu.Lock()
 				switch {
 				case err != nil:
 					failed++
-					t.Logf("worker %d: %v", w, err)
+					t.Logf("worker %d: %v", worker, err)
 				case resp.StatusCode != 200:
 					failed++
-					t.Logf("worker %d: %s", w, resp.Status)
+					t.Logf("worker %d: %s", worker, resp.Status)
 				default:
 					served++
 				}
@@ -118,7 +118,7 @@
 			t.Fatal("the old process did not end")
 		}
 		if text := nextLines.output(); !strings.Contains(text, "took over from the process before") {
-			t.Errorf("the new process began without the old one's state:\n%s", text)
+			t.Errorf("the new process did not take over the old one's state:\n%s", text)
 		}
 		cmd, lines, ended = next, nextLines, nextEnded
 	}
@@ -129,20 +129,21 @@
 	}
 	for id, n := range runs {
 		if n > 1 {
-			again++
+			repeated++
 			t.Logf("%s ran %d times", id, n)
 		}
 	}
-	if again > 0 {
-		t.Errorf("%d requests ran more than once", again)
+	if repeated > 0 {
+		t.Errorf("%d requests ran more than once", repeated)
 	}
 	checkStops(t, cmd, ended)
 }
 
-// An address for operators that can't be had ends the start with one clear line.
+// TestAdminAddressThatCannotBeHad checks that an invalid or occupied admin address makes the start fail
+// with one line that names the setting.
 func TestAdminAddressThatCannotBeHad(t *testing.T) {
 	taken := listen(t, http.NotFound)
-	path := writeConfig(t, freeAddr(t, "127.78.0.4"), taken, settings)
+	path := writeConfig(t, freeAddr(t, "127.78.0.4"), taken, limiterSettings)
 	for _, addr := range []string{"localhost", "127.0.0.1", "127.0.0.1:99999", taken} {
 		cmd := command(t)
 		cmd.Env = append(os.Environ(), "NODE_CONFIG="+path, "NODE_ADMIN_ADDR="+addr)
