--- a/cmd/madderdrum/commands.go
+++ b/cmd/madderdrum/commands.go
@@ -24,7 +24,7 @@
 	Version  versionCommand  `cmd:"" help:"Tell the program's version."`
 }
 
-// commands parses the arguments and runs the command that they name; without arguments it prints the help.
+// runCommand parses the arguments and runs the command that they name; without arguments it prints the help.
 func runCommand(args []string) error {
 	if len(args) == 0 {
 		args = []string{"--help"}
--- a/cmd/madderdrum/fleet.go
+++ b/cmd/madderdrum/fleet.go
@@ -95,7 +95,7 @@
 	return ownership.Call(context.Background(), addr, verb, r, f.Wait)
 }
 
-// do sends a call whose answer is YES or NO.
+// execute sends a call whose answer is YES or NO.
 func (f *fleetAt) execute(verb string, r ownership.Request, first string) error {
 	addrs, _, err := f.addresses(first)
 	if err != nil {
--- a/cmd/madderdrum/main.go
+++ b/cmd/madderdrum/main.go
@@ -20,7 +20,7 @@
 	exit(runCommand(os.Args[1:]))
 }
 
-// errBroken makes the program exit with code 2, where other errors exit with code 1.
+// errRuleBroken makes the program exit with code 2, where other errors exit with code 1.
 var errRuleBroken = errors.New("a rule was broken")
 
 // exit prints a non-nil error and ends the program with the exit code that belongs to it.
--- a/cmd/madderdrum/platform.go
+++ b/cmd/madderdrum/platform.go
@@ -19,7 +19,7 @@
 	gcPercent   = 400 // the heap is small, so infrequent collection costs little memory
 )
 
-// platform runs the limiter that the platform starts, configured by the file that NODE_CONFIG names.
+// runPlatform runs the limiter that the platform starts, configured by the file that NODE_CONFIG names.
 func runPlatform() error {
 	// Installed before anything else: Go's default action on SIGHUP ends the program and
 	// with it all requests in progress.
