--- a/cmd/madderdrum/admin_test.go
+++ b/cmd/madderdrum/admin_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// The command passes the answer on, and ends by what it is.
+// TestAdminCommand checks that the command prints the answer and derives its exit code from it.
 func TestAdminCommand(t *testing.T) {
 	for name, x := range map[string]struct {
 		call, answer, out string
@@ -39,7 +39,7 @@
 			io.WriteString(c, x.answer)
 		}()
 		var out, errs bytes.Buffer
-		err = (&adminCommand{Call: x.call, At: ln.Addr().String(), Wait: patience}).run(&out, &errs)
+		err = (&adminCommand{Call: x.call, At: ln.Addr().String(), Wait: testTimeout}).run(&out, &errs)
 		ln.Close()
 		code := 0
 		if e, ok := err.(exitStatus); ok {
@@ -52,6 +52,6 @@
 	gone := freeAddr(t, "127.0.0.1")
 	var errs bytes.Buffer
 	if err := (&adminCommand{Call: "ready", At: gone, Wait: time.Second}).run(io.Discard, &errs); err != exitStatus(2) {
-		t.Errorf("of nobody: %v", err)
+		t.Errorf("no server listening: %v", err)
 	}
 }
--- a/cmd/madderdrum/demo.go
+++ b/cmd/madderdrum/demo.go
@@ -25,7 +25,7 @@
 	"example.org/madderdrum/internal/world"
 )
 
-// demoCommand shows the limiter at work.
+// demoCommand runs a simulated fleet and its limiters on loopback, with light traffic.
 type demoCommand struct {
 	Fleet   string        `short:"f" help:"Fleet file (HCL); the built-in fleet of Bluebird Text if left out." type:"path"`
 	Rate    float64       `default:"60" help:"Requests a second of the stand-in clients."`
@@ -34,7 +34,7 @@
 	Logs    string        `help:"Folder for the limiters' logs; nowhere if left out." type:"path"`
 }
 
-// Help is the long help text.
+// Help returns the detailed help text of `madderdrum demo`.
 func (demoCommand) Help() string {
 	return `Starts a stand-in fleet, the limiters of the fleet file (this very program, as the
 platform starts it) and light traffic, all on loopback, until Ctrl-C. It prints the
@@ -47,7 +47,7 @@
   curl -d 'room room-b is lost at 0s for 10s' http://ADDRESS/fault`
 }
 
-// demoFaults are what the keys switch on.
+// demoFaults lists the faults that the number keys inject.
 var demoFaults = []struct{ key, text string }{
 	{"1", "box BOX hangs at 0s for 5s"},
 	{"2", "box BOX fails 70% at 0s for 8s"},
@@ -57,7 +57,7 @@
 	{"6", "peers are cut at 0s for 8s"},
 }
 
-// Run is the command.
+// Run executes `madderdrum demo`.
 func (c *demoCommand) Run() error {
 	f := config.Bluebird()
 	var err error
@@ -85,7 +85,7 @@
 	if err != nil {
 		return fmt.Errorf("--control: %w", err)
 	}
-	d := &demo{f: f, control: ln.Addr().String(), last: map[int]int{}}
+	d := &demo{fleet: f, control: ln.Addr().String(), lastArrived: map[int]int{}}
 	o := loopback.Options{Fleet: f, Seed: uint64(time.Now().UnixNano()), Program: program, Foreign: true,
 		Source: world.NewSynthetic(f, uint64(time.Now().UnixNano()), 365*24*time.Hour)}
 	if c.Logs != "" {
@@ -109,9 +109,9 @@
 	defer end()
 	o.Ready = func(r *loopback.Run) {
 		d.run = r
-		d.greet()
-		tasks.Go(func() { d.show(shown) })
-		go d.keys(shown, stop)
+		d.printIntro()
+		tasks.Go(func() { d.showTable(shown) })
+		go d.readKeys(shown, stop)
 		go func() {
 			if err := web.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 				fmt.Fprintln(os.Stderr, "madderdrum: faults by URL:", err)
@@ -130,64 +130,64 @@
 		fmt.Println(" ", b)
 	}
 	if n := r.Judge.Broken(); n > 0 {
-		return fmt.Errorf("%w: %d times", errBroken, n)
+		return fmt.Errorf("%w: %d times", errRuleBroken, n)
 	}
 	return nil
 }
 
-// demo is one that runs.
+// demo is the state of a running demonstration.
 type demo struct {
-	f       *fleet.Fleet
-	run     *loopback.Run
-	control string
-	mu      sync.Mutex
-	said    string
-	last    map[int]int // arrivals of each box at the last drawing
-	asked   int
-	lines   int
+	fleet         *fleet.Fleet
+	run           *loopback.Run
+	control       string
+	mu            sync.Mutex
+	message       string
+	lastArrived   map[int]int // requests that had reached each box when the table was last drawn
+	lastRequested int
+	drawnLines    int
 }
 
-// fault is one of the keys' in the words of this fleet.
-func (d *demo) fault(text string) string {
-	return strings.NewReplacer("BOX", d.f.Boxes[0].Name, "ROOM", d.f.Rooms[len(d.f.Rooms)-1],
-		"LIMITER", d.f.Limiters[len(d.f.Limiters)-1].Name).Replace(text)
+// expandFault replaces the placeholders of a fault with names of this fleet.
+func (d *demo) expandFault(text string) string {
+	return strings.NewReplacer("BOX", d.fleet.Boxes[0].Name, "ROOM", d.fleet.Rooms[len(d.fleet.Rooms)-1],
+		"LIMITER", d.fleet.Limiters[len(d.fleet.Limiters)-1].Name).Replace(text)
 }
 
-func (d *demo) greet() {
-	fmt.Printf("%d limiters before %d stand-in sender boxes in %s, light traffic; Ctrl-C ends it.\n\n", len(d.f.Limiters), len(d.f.Boxes), strings.Join(d.f.Rooms, ", "))
-	for i, l := range d.f.Limiters {
+func (d *demo) printIntro() {
+	fmt.Printf("%d limiters before %d stand-in sender boxes in %s, light traffic; Ctrl-C ends it.\n\n", len(d.fleet.Limiters), len(d.fleet.Boxes), strings.Join(d.fleet.Rooms, ", "))
+	for i, l := range d.fleet.Limiters {
 		fmt.Printf("limiter %s: http://%s\n", l.Name, d.run.Address(i))
 	}
-	class, plan := d.f.Classes[0].Name, d.f.Plans[len(d.f.Plans)-1].Name
+	class, plan := d.fleet.Classes[0].Name, d.fleet.Plans[len(d.fleet.Plans)-1].Name
 	fmt.Printf("\nask it:\n  curl -i -H 'X-Request-ID: mine-1' -H 'X-Priority-Class: %s' -H 'Plan: %s' -H 'X-Timeout: 700m' \\\n"+
 		"    -H 'Quota-Info: units=1,spread=1,first=0' 'http://%s/api?key=00000000000000aa'\n", class, plan, d.run.Address(0))
-	fmt.Printf("\nswitch a fault on by a key, or:\n  curl -d '%s' http://%s/fault\n", d.fault(demoFaults[2].text), d.control)
+	fmt.Printf("\nswitch a fault on by a key, or:\n  curl -d '%s' http://%s/fault\n", d.expandFault(demoFaults[2].text), d.control)
 	for _, x := range demoFaults {
-		fmt.Printf("  %s  %s\n", x.key, d.fault(x.text))
+		fmt.Printf("  %s  %s\n", x.key, d.expandFault(x.text))
 	}
 	fmt.Println()
 }
 
-// inject switches faults on and tells what came of it.
+// inject parses the text of a scenario and injects its faults.
 func (d *demo) inject(text string) error {
-	faults, err := world.Scenario(d.f, text)
+	faults, err := world.Scenario(d.fleet, text)
 	if err != nil {
 		return err
 	}
 	if len(faults) == 0 {
-		return errors.New("no fault in the text; write one such as: " + d.fault(demoFaults[2].text))
+		return errors.New("no fault in the text; write one such as: " + d.expandFault(demoFaults[2].text))
 	}
 	d.run.Inject(faults...)
 	return nil
 }
 
-// maxFault bounds the text of faults that come by URL.
-const maxFault = 16 << 10
+// maxFaultBytes limits the text of faults that are sent to POST /fault.
+const maxFaultBytes = 16 << 10
 
 func (d *demo) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /fault", func(w http.ResponseWriter, q *http.Request) {
-		buf := make([]byte, maxFault+1)
+		buf := make([]byte, maxFaultBytes+1)
 		n := 0
 		for n < len(buf) {
 			k, err := q.Body.Read(buf[n:])
@@ -195,7 +195,7 @@
 				break
 			}
 		}
-		if n > maxFault {
+		if n > maxFaultBytes {
 			http.Error(w, "too long", http.StatusRequestEntityTooLarge)
 			return
 		}
@@ -208,8 +208,8 @@
 	return mux
 }
 
-// keys reads keys from a terminal.
-func (d *demo) keys(ctx context.Context, stop func()) {
+// readKeys reads single keys from the terminal: the number keys inject faults, and q or Ctrl-C stops.
+func (d *demo) readKeys(ctx context.Context, stop func()) {
 	fd := int(os.Stdin.Fd())
 	if !term.IsTerminal(fd) || !term.IsTerminal(int(os.Stdout.Fd())) {
 		return
@@ -219,20 +219,20 @@
 		return
 	}
 	context.AfterFunc(ctx, func() { term.Restore(fd, state) })
-	one := make([]byte, 1)
+	key := make([]byte, 1)
 	for ctx.Err() == nil {
-		if _, err := os.Stdin.Read(one); err != nil {
+		if _, err := os.Stdin.Read(key); err != nil {
 			return
 		}
-		if one[0] == 3 || one[0] == 4 || one[0] == 'q' { // Ctrl-C and Ctrl-D don't come as signals here
+		if key[0] == 3 || key[0] == 4 || key[0] == 'q' { // in raw mode Ctrl-C (3) and Ctrl-D (4) are bytes, not signals
 			stop()
 			return
 		}
-		for _, x := range demoFaults {
-			if x.key == string(one) {
-				if err := d.inject(d.fault(x.text)); err != nil {
+		for _, fault := range demoFaults {
+			if fault.key == string(key) {
+				if err := d.inject(d.expandFault(fault.text)); err != nil {
 					d.mu.Lock()
-					d.said = err.Error()
+					d.message = err.Error()
 					d.mu.Unlock()
 				}
 			}
@@ -240,8 +240,8 @@
 	}
 }
 
-// show draws the table until the context ends.
-func (d *demo) show(ctx context.Context) {
+// showTable redraws the table periodically until the context ends.
+func (d *demo) showTable(ctx context.Context) {
 	live := term.IsTerminal(int(os.Stdout.Fd()))
 	every := time.Second
 	if !live {
@@ -255,27 +255,27 @@
 			return
 		case <-t.C:
 		}
-		text := d.table(every, live)
-		if live && d.lines > 0 {
-			fmt.Printf("\x1b[%dA\x1b[J", d.lines)
+		text := d.formatTable(every, live)
+		if live && d.drawnLines > 0 {
+			fmt.Printf("\x1b[%dA\x1b[J", d.drawnLines)
 		}
-		d.lines = strings.Count(text, "\n")
-		if live { // a raw terminal wants both
+		d.drawnLines = strings.Count(text, "\n")
+		if live { // a raw terminal needs CR and LF
 			text = strings.ReplaceAll(text, "\n", "\r\n")
 		}
 		fmt.Print(text)
 	}
 }
 
-// table is how it stands now.
-func (d *demo) table(every time.Duration, whole bool) string {
+// formatTable returns the current figures, and with details also those of each box and limiter.
+func (d *demo) formatTable(every time.Duration, details bool) string {
 	var b strings.Builder
 	d.run.View(func(w *world.World, j *judge.Judge, now time.Duration) {
 		m := w.Meter
 		fmt.Fprintf(&b, "%4.0f s  %4.0f requests/s  service %.3f  in time %d  late %d  refused %d  failed %d  rules broken %d\n", now.Seconds(),
-			float64(m.Total.Asked-d.asked)/every.Seconds(), m.Figure().Whole, m.Total.By[0], m.Total.By[1], m.Total.By[2], m.Total.By[3]+m.Total.By[4], j.Broken())
-		d.asked = m.Total.Asked
-		if !whole {
+			float64(m.Total.Asked-d.lastRequested)/every.Seconds(), m.Figure().Whole, m.Total.By[0], m.Total.By[1], m.Total.By[2], m.Total.By[3]+m.Total.By[4], j.Broken())
+		d.lastRequested = m.Total.Asked
+		if !details {
 			return
 		}
 		for i, box := range w.Boxes {
@@ -284,11 +284,11 @@
 				state = fmt.Sprintf("cold, %.0f%%", 100*warmth)
 			}
 			arrived := box.Counts.Arrived
-			fmt.Fprintf(&b, "  box %-6s %-8s %-12s %5.0f/s  in hand %-3d %s\n", box.Name, d.f.Rooms[box.Spec.Room], state,
-				float64(arrived-d.last[i])/every.Seconds(), box.Held(), strings.Repeat("#", min(30, box.Held())))
-			d.last[i] = arrived
+			fmt.Fprintf(&b, "  box %-6s %-8s %-12s %5.0f/s  in hand %-3d %s\n", box.Name, d.fleet.Rooms[box.Spec.Room], state,
+				float64(arrived-d.lastArrived[i])/every.Seconds(), box.Held(), strings.Repeat("#", min(30, box.Held())))
+			d.lastArrived[i] = arrived
 		}
-		for i, l := range d.f.Limiters {
+		for i, l := range d.fleet.Limiters {
 			state := "up"
 			if !w.LimiterAlive(i) {
 				state = "down"
@@ -301,9 +301,9 @@
 	})
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.said != "" {
-		fmt.Fprintf(&b, "  %s\n", d.said)
-		d.said = ""
+	if d.message != "" {
+		fmt.Fprintf(&b, "  %s\n", d.message)
+		d.message = ""
 	}
 	return b.String()
 }
--- a/cmd/madderdrum/drill.go
+++ b/cmd/madderdrum/drill.go
@@ -13,7 +13,7 @@
 	"example.org/madderdrum/internal/drill"
 )
 
-// drillCommand loses and regains rooms.
+// drillCommand simulates the loss and return of rooms under several rules.
 type drillCommand struct {
 	Case     []string `help:"Cases to play, with commas; all if left out."`
 	Rule     []string `help:"Rules to play, with commas: tiers, none, failover, priority; all if left out."`
@@ -31,7 +31,7 @@
 	List     bool     `help:"List the cases and end."`
 }
 
-// Help is the long help text.
+// Help returns the detailed help text of `madderdrum drill`.
 func (drillCommand) Help() string {
 	return `Has a stand-in fleet lose and regain a room in every hard way that is known, in virtual
 time with the real limiters before it, and tells what that cost with tiers of
@@ -45,8 +45,8 @@
   madderdrum drill --boxes 120 --limiters 30 --case flap-twice`
 }
 
-// kill kills limiters.
-func (c *drillCommand) kill() error {
+// runKills kills limiters at random points and checks what they resume from.
+func (c *drillCommand) runKills() error {
 	if c.Kills < 1 || c.Kills > 100_000 || len(c.Case)+len(c.Rule) > 0 || c.Sockets || c.JSON != "" || c.HTML != "" {
 		return fmt.Errorf("--kills %d: from 1 to 100000, with --seed alone", c.Kills)
 	}
@@ -57,8 +57,8 @@
 		return fmt.Errorf("--kills: %w", err)
 	}
 	bar := newProgress()
-	r, err := drill.Kills(ctx, program, c.Seed, c.Kills, bar.played)
-	bar.end()
+	r, err := drill.Kills(ctx, program, c.Seed, c.Kills, bar.showPlayed)
+	bar.clear()
 	if err != nil {
 		return err
 	}
@@ -66,13 +66,13 @@
 		return fmt.Errorf("writing: %w", err)
 	}
 	if len(r.Breaches) > 0 || r.InUse > 0 {
-		return errBroken
+		return errRuleBroken
 	}
 	return nil
 }
 
-// best holds cases against the best possible.
-func (c *drillCommand) best(cases []drill.Case) error {
+// runBest compares the limiter with the best possible policy in each case.
+func (c *drillCommand) runBest(cases []drill.Case) error {
 	if c.Sockets || c.JSON != "" || c.HTML != "" || len(c.Rule) > 0 {
 		return errors.New("--best goes with --case, --seeds, --seed, --boxes and --limiters alone")
 	}
@@ -80,44 +80,44 @@
 	defer stop()
 	bar := newProgress()
 	if c.Priced {
-		rows, err := drill.Priced(ctx, cases, c.Seeds, c.Seed, c.Boxes, c.Limiters, bar.played)
-		bar.end()
+		rows, err := drill.Priced(ctx, cases, c.Seeds, c.Seed, c.Boxes, c.Limiters, bar.showPlayed)
+		bar.clear()
 		if err != nil {
 			return err
 		}
 		return drill.WritePriced(os.Stdout, rows)
 	}
-	rows, err := drill.Bests(ctx, cases, c.Seeds, c.Seed, c.Boxes, c.Limiters, bar.played)
-	bar.end()
+	rows, err := drill.Bests(ctx, cases, c.Seeds, c.Seed, c.Boxes, c.Limiters, bar.showPlayed)
+	bar.clear()
 	if err != nil {
 		return err
 	}
 	return drill.WriteBests(os.Stdout, rows)
 }
 
-// restart restarts limiters.
-func (c *drillCommand) restart() error {
+// runRestarts restarts limiters and measures the value of their saved memory by its age.
+func (c *drillCommand) runRestarts() error {
 	if c.Seeds < 1 || c.Seeds > 1000 || len(c.Case)+len(c.Rule) > 0 || c.Sockets || c.JSON != "" || c.HTML != "" {
 		return errors.New("--restarts goes with --seeds (1 to 1000) and --seed alone")
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	bar := newProgress()
-	rows, err := drill.Restarts(ctx, c.Seeds, c.Seed, bar.played)
-	bar.end()
+	rows, err := drill.Restarts(ctx, c.Seeds, c.Seed, bar.showPlayed)
+	bar.clear()
 	if err != nil {
 		return err
 	}
 	return drill.WriteRestarts(os.Stdout, rows)
 }
 
-// Run is the command.
+// Run executes `madderdrum drill`.
 func (c *drillCommand) Run() error {
 	if c.Kills != 0 {
-		return c.kill()
+		return c.runKills()
 	}
 	if c.Restarts {
-		return c.restart()
+		return c.runRestarts()
 	}
 	cases, err := drill.Find(c.Case)
 	if err != nil {
@@ -145,7 +145,7 @@
 		return errors.New("--priced goes with --best")
 	}
 	if c.Best {
-		return c.best(cases)
+		return c.runBest(cases)
 	}
 	if c.Sockets && (len(c.Case) != 1 || c.HTML == "" || len(c.Rule) > 0 || c.JSON != "") {
 		return errors.New("--sockets plays one --case, by the limiter's own rule, and writes --html alone")
@@ -170,9 +170,9 @@
 	bar, done := newProgress(), 0
 	err = drill.RunAll(ctx, jobs, func() {
 		done++
-		bar.played(float64(done) / float64(len(jobs)))
+		bar.showPlayed(float64(done) / float64(len(jobs)))
 	})
-	bar.end()
+	bar.clear()
 	if err != nil {
 		return err
 	}
@@ -192,12 +192,12 @@
 	}
 	broken := 0
 	for _, r := range rows {
-		if r.Rule == drill.Rules()[0].Name { // the plain ones are not expected to keep them
+		if r.Rule == drill.Rules()[0].Name { // only the limiter's own rule is expected to keep all five
 			broken += r.Broken
 		}
 	}
 	if broken > 0 {
-		return fmt.Errorf("%w: %d times", errBroken, broken)
+		return fmt.Errorf("%w: %d times", errRuleBroken, broken)
 	}
 	return nil
 }
--- a/cmd/madderdrum/plugin.go
+++ b/cmd/madderdrum/plugin.go
@@ -17,24 +17,24 @@
 	"example.org/madderdrum/plugin"
 )
 
-// pluginCommand is for authors of plug-ins, and for operators.
+// pluginCommand groups the commands for authors of plug-ins and for operators.
 type pluginCommand struct {
-	New     newCommand     `cmd:"" help:"Begin a plug-in: a folder with a rule in Go, its test and all that it is built with."`
-	Build   buildCommand   `cmd:"" help:"Build a plug-in in Go."`
-	Inspect inspectCommand `cmd:"" help:"Tell what a module imports and exports, its size, and whether it fits the ABI."`
-	Test    testCommand    `cmd:"" help:"Ask a module about written requests, and print its advice and what each call took."`
-	Bench   benchCommand   `cmd:"" help:"Measure calls of a module."`
-	Status  pluginsCommand `cmd:"" help:"Show the plug-ins of a running limiter."`
-	Reset   resetCommand   `cmd:"" help:"Let a benched plug-in of a running limiter back at once."`
+	New     pluginNewCommand     `cmd:"" help:"Begin a plug-in: a folder with a rule in Go, its test and all that it is built with."`
+	Build   pluginBuildCommand   `cmd:"" help:"Build a plug-in in Go."`
+	Inspect pluginInspectCommand `cmd:"" help:"Tell what a module imports and exports, its size, and whether it fits the ABI."`
+	Test    pluginTestCommand    `cmd:"" help:"Ask a module about written requests, and print its advice and what each call took."`
+	Bench   pluginBenchCommand   `cmd:"" help:"Measure calls of a module."`
+	Status  pluginStatusCommand  `cmd:"" help:"Show the plug-ins of a running limiter."`
+	Reset   pluginResetCommand   `cmd:"" help:"Let a benched plug-in of a running limiter back at once."`
 }
 
-// moduleFile is the module that a command is about.
+// moduleFile is the argument that names a WebAssembly module.
 type moduleFile struct {
 	Module string `arg:"" help:"The module (.wasm)." type:"path"`
 }
 
-// mostModule bounds what is read of a file, in bytes.
-const mostModule = 64 << 20
+// maxModuleBytes is the largest module file that is accepted.
+const maxModuleBytes = 64 << 20
 
 func (m *moduleFile) read() ([]byte, error) {
 	f, err := os.Open(m.Module)
@@ -42,9 +42,9 @@
 		return nil, fmt.Errorf("module: %w", err)
 	}
 	defer f.Close()
-	data, err := io.ReadAll(io.LimitReader(f, mostModule+1))
-	if err == nil && len(data) > mostModule {
-		err = fmt.Errorf("more than %d bytes", mostModule)
+	data, err := io.ReadAll(io.LimitReader(f, maxModuleBytes+1))
+	if err == nil && len(data) > maxModuleBytes {
+		err = fmt.Errorf("more than %d bytes", maxModuleBytes)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("module %s: %w", m.Module, err)
@@ -52,11 +52,11 @@
 	return data, nil
 }
 
-// inspectCommand shows a module's outside.
-type inspectCommand struct{ moduleFile }
+// pluginInspectCommand prints a module's imports, exports and size, and checks it against the ABI.
+type pluginInspectCommand struct{ moduleFile }
 
-// Run is the command.
-func (c *inspectCommand) Run() error {
+// Run executes `madderdrum plugin inspect`.
+func (c *pluginInspectCommand) Run() error {
 	data, err := c.read()
 	if err != nil {
 		return err
@@ -79,14 +79,14 @@
 	return nil
 }
 
-// budget are the limits that a module is run with.
+// budget holds the resource limits and the random seed that a module runs with.
 type budget struct {
 	Call   time.Duration `default:"5ms" help:"Time of one call."`
 	Memory int           `default:"16" help:"Memory of one instance in MiB."`
 	Seed   uint64        `default:"1" help:"Of the module's random numbers."`
 }
 
-// load loads a module whose log goes to standard error.
+// load compiles and instantiates the module; its log goes to standard error.
 func (m *moduleFile) load(ctx context.Context, b *budget) (*plugin.Plugin, error) {
 	switch {
 	case b.Call <= 0 || b.Call > time.Minute:
@@ -102,15 +102,15 @@
 		Limits: plugin.Limits{Call: b.Call, Memory: b.Memory << 20, PerSecond: 1 << 40}, Wait: true})
 }
 
-// testCommand asks about written requests.
-type testCommand struct {
+// pluginTestCommand calls a module with requests from a file and prints its advice.
+type pluginTestCommand struct {
 	moduleFile
 	budget
 	Requests string `short:"r" required:"" help:"File with a request a line, as JSON, such as {\"account\": 7, \"class\": \"send-reminder\", \"pressure\": 0.2}." type:"path"`
 }
 
-// written is a request as a file has it.
-type written struct {
+// testRequest is a request in the JSON lines format of `plugin test` and `replay --record`.
+type testRequest struct {
 	Account  uint64            `json:"account"`
 	Plan     string            `json:"plan,omitempty"`
 	Class    string            `json:"class,omitempty"`
@@ -125,12 +125,12 @@
 	Body     string            `json:"body,omitempty"`
 }
 
-func writtenOf(r *advice.Request) *written {
-	return &written{Account: r.Account, Plan: r.PlanName, Class: r.ClassName, Method: r.Method, Path: r.Path, Units: r.Units, Balance: r.Balance,
+func newTestRequest(r *advice.Request) *testRequest {
+	return &testRequest{Account: r.Account, Plan: r.PlanName, Class: r.ClassName, Method: r.Method, Path: r.Path, Units: r.Units, Balance: r.Balance,
 		Pressure: r.Pressure, LeftMs: r.LeftMs, Retry: r.Retry}
 }
 
-func (w *written) request() *advice.Request {
+func (w *testRequest) request() *advice.Request {
 	r := &advice.Request{Account: w.Account, PlanName: w.Plan, ClassName: w.Class, Method: w.Method, Path: w.Path, Units: w.Units,
 		Balance: w.Balance, Pressure: w.Pressure, LeftMs: w.LeftMs, Retry: w.Retry}
 	if w.Body != "" {
@@ -148,43 +148,43 @@
 	return r
 }
 
-// Run is the command.
-func (c *testCommand) Run() error {
+// Run executes `madderdrum plugin test`.
+func (c *pluginTestCommand) Run() error {
 	ctx := context.Background()
 	f, err := os.Open(c.Requests)
 	if err != nil {
 		return fmt.Errorf("--requests: %w", err)
 	}
 	defer f.Close()
-	p, err := c.load(ctx, &c.budget)
+	module, err := c.load(ctx, &c.budget)
 	if err != nil {
 		return err
 	}
-	defer p.Close()
+	defer module.Close()
 	lines := bufio.NewScanner(f)
 	lines.Buffer(nil, 1<<20)
 	failed := 0
-	for n := 1; lines.Scan(); n++ {
+	for lineNumber := 1; lines.Scan(); lineNumber++ {
 		if len(lines.Bytes()) == 0 {
 			continue
 		}
-		var w written
-		if err := json.Unmarshal(lines.Bytes(), &w); err != nil {
-			return fmt.Errorf("%s:%d: %w", c.Requests, n, err)
+		var line testRequest
+		if err := json.Unmarshal(lines.Bytes(), &line); err != nil {
+			return fmt.Errorf("%s:%d: %w", c.Requests, lineNumber, err)
 		}
 		begun := time.Now()
-		r := w.request()
-		if !p.WantsBody() {
+		r := line.request()
+		if !module.WantsBody() {
 			r.Body = nil
 		}
-		a, err := p.Advise(r, 0)
+		a, err := module.Advise(r, 0)
 		took := time.Since(begun).Round(100 * time.Nanosecond)
 		if err != nil {
 			failed++
-			fmt.Printf("%d\t%v\tno advice: it %v\n", n, took, err)
+			fmt.Printf("%d\t%v\tno advice: it %v\n", lineNumber, took, err)
 			continue
 		}
-		fmt.Printf("%d\t%v\t%s\n", n, took, say(a))
+		fmt.Printf("%d\t%v\t%s\n", lineNumber, took, describeAdvice(a))
 	}
 	if err := lines.Err(); err != nil {
 		return fmt.Errorf("%s: %w", c.Requests, err)
@@ -195,8 +195,8 @@
 	return nil
 }
 
-// say puts advice into words.
-func say(a advice.Advice) string {
+// describeAdvice formats advice for the terminal.
+func describeAdvice(a advice.Advice) string {
 	s := ""
 	add := func(format string, args ...any) {
 		if s != "" {
@@ -225,16 +225,16 @@
 	return s
 }
 
-// benchCommand measures calls.
-type benchCommand struct {
+// pluginBenchCommand measures the latency of calls of a module.
+type pluginBenchCommand struct {
 	moduleFile
 	budget
 	Calls int    `default:"20000" help:"So many."`
 	Class string `help:"Class of the request that is asked about."`
 }
 
-// Run is the command.
-func (c *benchCommand) Run() error {
+// Run executes `madderdrum plugin bench`.
+func (c *pluginBenchCommand) Run() error {
 	if c.Calls < 1 || c.Calls > 10_000_000 {
 		return fmt.Errorf("--calls %d: from 1 to 10000000", c.Calls)
 	}
--- a/cmd/madderdrum/replay.go
+++ b/cmd/madderdrum/replay.go
@@ -26,7 +26,7 @@
 	"example.org/madderdrum/internal/trace"
 )
 
-// replayCommand replays a trace.
+// replayCommand replays a trace against a simulated fleet and reports service.
 type replayCommand struct {
 	Trace      []string      `arg:"" optional:"" help:"Trace files, plain or gzip; LAYOUT=FILE for one of another layout than --schema."`
 	Schema     string        `short:"s" help:"Layout of the files: one of those that --list-schemas names, or a mapping in HCL. Told by the first line if left out."`
@@ -55,7 +55,7 @@
 	List       bool          `name:"list-schemas" help:"List the known layouts and end."`
 }
 
-// Help is the long help text.
+// Help returns the detailed help text of `madderdrum replay`.
 func (replayCommand) Help() string {
 	return `Replays a cluster trace as arrivals, failures and slowdowns against a stand-in fleet
 on this machine, with the real limiters before it, and reports service: the worth
@@ -75,7 +75,7 @@
 to do about it, and nothing is replayed.`
 }
 
-// Run is the command.
+// Run executes `madderdrum replay`.
 func (c *replayCommand) Run() error {
 	if c.List {
 		for _, s := range trace.Known() {
@@ -93,8 +93,8 @@
 		return err
 	}
 	bar := newProgress()
-	plan, err := replay.Prepare(ctx, *o, bar.read)
-	bar.end()
+	plan, err := replay.Prepare(ctx, *o, bar.showRead)
+	bar.clear()
 	if err != nil {
 		return err
 	}
@@ -111,16 +111,16 @@
 	total, done := c.Seeds*len(c.Policy), 0
 	for _, policy := range c.Policy {
 		for k := range c.Seeds {
-			run, err := c.play(ctx, plan, policy, c.Seed+uint64(k), done == 0, func(share float64) { bar.played((float64(done) + share) / float64(total)) })
+			run, err := c.playSeed(ctx, plan, policy, c.Seed+uint64(k), done == 0, func(share float64) { bar.showPlayed((float64(done) + share) / float64(total)) })
 			if err != nil {
-				bar.end()
+				bar.clear()
 				return err
 			}
 			report.Runs = append(report.Runs, run)
 			done++
 		}
 	}
-	bar.end()
+	bar.clear()
 	report.Advised()
 	if err := report.Text(os.Stdout); err != nil {
 		return err
@@ -139,15 +139,15 @@
 		}
 	}
 	if n := report.Broken(); n > 0 {
-		return fmt.Errorf("%w: %d times", errBroken, n)
+		return fmt.Errorf("%w: %d times", errRuleBroken, n)
 	}
 	return nil
 }
 
-// mostRecorded bounds the tries of --record.
-const mostRecorded = 10_000
+// maxRecordedAttempts limits the attempts that --record writes.
+const maxRecordedAttempts = 10_000
 
-// record writes the requests of a plan as plugin test reads them.
+// record writes the requests of a plan in the format that `plugin test` reads.
 func (c *replayCommand) record(ctx context.Context, plan *replay.Plan) error {
 	f, err := os.Create(c.Record)
 	if err != nil {
@@ -155,9 +155,9 @@
 	}
 	w := bufio.NewWriter(f)
 	lines, n := json.NewEncoder(w), 0
-	err = replay.Record(ctx, plan, c.Seed, mostRecorded, func(r *advice.Request) {
+	err = replay.Record(ctx, plan, c.Seed, maxRecordedAttempts, func(r *advice.Request) {
 		n++
-		lines.Encode(writtenOf(r)) // what can't be written shows at the flush
+		lines.Encode(newTestRequest(r)) // a write error is returned by Flush
 	})
 	if err = errors.Join(err, w.Flush(), f.Close()); err != nil {
 		return fmt.Errorf("--record: %w", err)
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// play plays one seed with one policy.
-func (c *replayCommand) play(ctx context.Context, plan *replay.Plan, policy string, seed uint64, series bool, progress func(float64)) (*replay.Run, error) {
+// playSeed runs one seed with one policy, in virtual time or on sockets.
+func (c *replayCommand) playSeed(ctx context.Context, plan *replay.Plan, policy string, seed uint64, series bool, progress func(float64)) (*replay.Run, error) {
 	if !c.Sockets {
 		return replay.Virtual(ctx, plan, policy, seed, series, progress)
 	}
@@ -178,7 +178,7 @@
 	return replay.Sockets(ctx, plan, program, seed, series, progress)
 }
 
-// options checks the flags and finds the files.
+// options validates the flags and converts them, including the input files.
 func (c *replayCommand) options() (*replay.Options, error) {
 	o := &replay.Options{Fleet: config.Bluebird(), FleetName: "bluebird (built in)", Reorder: c.Reorder, Speed: c.Speed,
 		From: c.From, For: c.For, Seed: c.Seed, Length: c.Generate,
@@ -234,7 +234,7 @@
 		if c.Sockets || len(c.Policy) != 1 || c.Policy[0] != "limiter" {
 			return nil, errors.New("--plugin plays the limiter without and with plug-ins, in virtual time: leave out --sockets and --policy")
 		}
-		if o.Plugins, err = replayPlugins(c.Plugin, c.Fleet); err != nil {
+		if o.Plugins, err = loadReplayPlugins(c.Plugin, c.Fleet); err != nil {
 			return nil, err
 		}
 	}
@@ -249,20 +249,20 @@
 			return nil, errors.New("--schema without a trace: name the files, or leave it out for the built-in trace")
 		}
 		if c.Rate == "fleet" {
-			o.Rate = -1 // it was made for this fleet
+			o.Rate = -1 // the built-in trace was generated for this fleet, so its own rate fits
 		}
 		o.Inputs = []replay.Input{replay.Friday()}
 		return o, nil
 	}
-	return o, c.inputs(o)
+	return o, c.addInputs(o)
 }
 
-// inputs puts the files of one layout together.
-func (c *replayCommand) inputs(o *replay.Options) error {
+// addInputs groups the trace files by layout.
+func (c *replayCommand) addInputs(o *replay.Options) error {
 	for _, arg := range c.Trace {
 		name, path := c.Schema, arg
 		if before, after, ok := strings.Cut(arg, "="); ok {
-			if _, err := os.Stat(arg); err != nil { // else the file's own name has a =
+			if _, err := os.Stat(arg); err != nil { // otherwise the "=" is part of the file name
 				name, path = before, after
 			}
 		}
@@ -288,7 +288,7 @@
 	return nil
 }
 
-// schema is a known layout, a mapping, or what the file's first line tells.
+// schema returns the layout of a file: a known one, a mapping file, or one detected from its first line.
 func (c *replayCommand) schema(name string, file trace.Source) (*trace.Schema, error) {
 	switch {
 	case strings.HasSuffix(name, ".hcl"):
@@ -308,7 +308,7 @@
 	return fits[0], nil
 }
 
-// compare compares two reports.
+// compare prints the differences of two JSON reports.
 func (c *replayCommand) compare() error {
 	if len(c.Trace) != 2 {
 		return errors.New("--compare takes two JSON reports: replay --compare A.json B.json")
@@ -324,7 +324,7 @@
 	return replay.WriteCompare(os.Stdout, c.Trace[0], c.Trace[1], a, b)
 }
 
-// progress draws a bar on a terminal, and nothing elsewhere.
+// progress shows a progress bar if standard error is a terminal.
 type progress struct{ bar *progressbar.ProgressBar }
 
 func newProgress() *progress {
@@ -336,21 +336,21 @@
 	return p
 }
 
-func (p *progress) read(bytes int64) {
+func (p *progress) showRead(bytes int64) {
 	if p.bar != nil {
 		p.bar.Describe(fmt.Sprintf("checking the trace, %d MB", bytes>>20))
 	}
 }
 
-func (p *progress) played(share float64) {
+func (p *progress) showPlayed(share float64) {
 	if p.bar != nil {
 		p.bar.Describe("replaying")
 		p.bar.Set(int(1000 * share))
 	}
 }
 
-// end takes the bar away.
-func (p *progress) end() {
+// clear removes the bar.
+func (p *progress) clear() {
 	if p.bar != nil {
 		p.bar.Clear()
 	}
--- a/cmd/smallsystem/main.go
+++ b/cmd/smallsystem/main.go
@@ -1,5 +1,5 @@
-// Command smallsystem runs the whole system in small on loopback, for somebody who sees it
-// for the first time: three core machines, two limiters, three servers, and a request a second.
+// Command smallsystem runs a minimal complete system on loopback, as an introduction: three core
+// machines, two limiters, three servers, and one request per second.
 package main
 
 import (
@@ -34,7 +34,7 @@
 	cmd.Flags().StringVar(&dir, "dir", "", "folder for settings, disks and logs (a new temporary one)")
 	cmd.Flags().StringVar(&programs, "programs", "", "folder with the three programs (built now, from this folder)")
 	cmd.Flags().DurationVar(&within, "for", 0, "stop after this (0: at an interrupt)")
-	cmd.AddCommand(scale())
+	cmd.AddCommand(scaleCommand())
 	if cmd.Execute() != nil {
 		os.Exit(1)
 	}
