--- a/cmd/madderdrum/capacity.go
+++ b/cmd/madderdrum/capacity.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	forecast, err := planner.Make(plan, planner.Options{Begins: begins, Confidence: c.Confidence, Goal: c.Goal, Without: c.Without, Boxes: c.Boxes, Rate: c.Rate})
+	forecast, err := planner.New(plan, planner.Options{Begins: begins, Confidence: c.Confidence, Goal: c.Goal, ExcludedRoom: c.Without, Boxes: c.Boxes, Rate: c.Rate})
 	if err != nil {
 		return err
 	}
--- a/cmd/madderdrum/config.go
+++ b/cmd/madderdrum/config.go
@@ -62,7 +62,7 @@
 			Warnings    int                 `json:"warnings"`
 			Left        int                 `json:"left,omitempty"`
 			Diagnostics []config.Diagnostic `json:"diagnostics"`
-		}{errs, warnings, report.Left, report.Diagnostics}
+		}{errs, warnings, report.Omitted, report.Diagnostics}
 		if out.Diagnostics == nil {
 			out.Diagnostics = []config.Diagnostic{}
 		}
@@ -72,8 +72,8 @@
 	} else {
 		report.Write(os.Stdout)
 		switch {
-		case errs+report.Left > 0:
-			fmt.Printf("%d errors, %d warnings\n", errs+report.Left, warnings)
+		case errs+report.Omitted > 0:
+			fmt.Printf("%d errors, %d warnings\n", errs+report.Omitted, warnings)
 		default:
 			f := cfg.Fleet
 			fmt.Printf("sound: %d files, %d limiters, %d boxes, %d pools, %d routes, %d classes, %d plans; %d warnings\n",
--- a/cmd/madderdrum/demo.go
+++ b/cmd/madderdrum/demo.go
@@ -69,7 +69,7 @@
 	if !(c.Rate > 0 && c.Rate <= 5000) {
 		return fmt.Errorf("--rate %g: from above 0 to 5000", c.Rate)
 	}
-	f.Traffic.Rate = c.Rate / (1 + f.Traffic.Heavy*(f.Traffic.HeavyX-1))
+	f.Traffic.Rate = c.Rate / (1 + f.Traffic.HeavyShare*(f.Traffic.HeavyFactor-1))
 	program, err := os.Executable()
 	if err != nil {
 		return fmt.Errorf("demo: %w", err)
@@ -125,11 +125,11 @@
 		return err
 	}
 	m := r.World.Meter
-	fmt.Printf("\n%v: %d requests, service %.3f, %d rules broken\n", r.Length.Round(time.Second), m.Total.Asked, m.Figure().Whole, r.Judge.Broken())
+	fmt.Printf("\n%v: %d requests, service %.3f, %d rules broken\n", r.Length.Round(time.Second), m.Total.Asked, m.Figure().Whole, r.Judge.BreachCount())
 	for _, b := range r.Judge.Breaches {
 		fmt.Println(" ", b)
 	}
-	if n := r.Judge.Broken(); n > 0 {
+	if n := r.Judge.BreachCount(); n > 0 {
 		return fmt.Errorf("%w: %d times", errRuleBroken, n)
 	}
 	return nil
@@ -273,7 +273,7 @@
 	d.run.View(func(w *world.World, j *judge.Judge, now time.Duration) {
 		m := w.Meter
 		fmt.Fprintf(&b, "%4.0f s  %4.0f requests/s  service %.3f  in time %d  late %d  refused %d  failed %d  rules broken %d\n", now.Seconds(),
-			float64(m.Total.Asked-d.lastRequested)/every.Seconds(), m.Figure().Whole, m.Total.By[0], m.Total.By[1], m.Total.By[2], m.Total.By[3]+m.Total.By[4], j.Broken())
+			float64(m.Total.Asked-d.lastRequested)/every.Seconds(), m.Figure().Whole, m.Total.By[0], m.Total.By[1], m.Total.By[2], m.Total.By[3]+m.Total.By[4], j.BreachCount())
 		d.lastRequested = m.Total.Asked
 		if !details {
 			return
@@ -285,7 +285,7 @@
 			}
 			arrived := box.Counts.Arrived
 			fmt.Fprintf(&b, "  box %-6s %-8s %-12s %5.0f/s  in hand %-3d %s\n", box.Name, d.fleet.Rooms[box.Spec.Room], state,
-				float64(arrived-d.lastArrived[i])/every.Seconds(), box.Held(), strings.Repeat("#", min(30, box.Held())))
+				float64(arrived-d.lastArrived[i])/every.Seconds(), box.JobCount(), strings.Repeat("#", min(30, box.JobCount())))
 			d.lastArrived[i] = arrived
 		}
 		for i, l := range d.fleet.Limiters {
--- a/cmd/madderdrum/reload_test.go
+++ b/cmd/madderdrum/reload_test.go
@@ -182,7 +182,7 @@
 	f := config.Bluebird()
 	over, reloaded := make(chan struct{}), make(chan error, 1)
 	var early, late [3]int
-	o := loopback.Options{Fleet: f, Seed: 3, Program: bin, Source: world.Until(world.NewSynthetic(f, 3, time.Hour), over),
+	o := loopback.Options{Fleet: f, Seed: 3, Program: bin, Source: world.UntilClosed(world.NewSynthetic(f, 3, time.Hour), over),
 		Start: func(config string, n int) (loopback.Process, error) {
 			s, err := startReloadedLimiter(bin, dir, config, n)
 			limiters[n] = s
@@ -246,7 +246,7 @@
 		}
 	}
 	m := r.World.Meter
-	if m.Total.Asked < 500 || m.Figure().Whole < 0.3 || r.Judge.Seen[judge.CeilingsKept] == 0 {
+	if m.Total.Asked < 500 || m.Figure().Whole < 0.3 || r.Judge.CheckCounts[judge.CeilingsKept] == 0 {
 		t.Errorf("%d asked, service %+v", m.Total.Asked, m.Figure())
 	}
 	t.Logf("%v: %d asked, service %.3f, memory %v to %v KiB, %v", r.Length.Round(time.Millisecond), m.Total.Asked, m.Figure().Whole, early, late, r.World.Notes)
--- a/cmd/madderdrum/replay.go
+++ b/cmd/madderdrum/replay.go
@@ -79,7 +79,7 @@
 func (c *replayCommand) Run() error {
 	if c.List {
 		for _, s := range trace.Known() {
-			fmt.Printf("%-28s %s\n%-28s %s\n", s.Name, s.Reads, "", s.Source)
+			fmt.Printf("%-28s %s\n%-28s %s\n", s.Name, s.Description, "", s.Source)
 		}
 		return nil
 	}
@@ -121,7 +121,7 @@
 		}
 	}
 	bar.clear()
-	report.Advised()
+	report.SetAdvice()
 	if err := report.Text(os.Stdout); err != nil {
 		return err
 	}
@@ -169,13 +169,13 @@
 // playSeed runs one seed with one policy, in virtual time or on sockets.
 func (c *replayCommand) playSeed(ctx context.Context, plan *replay.Plan, policy string, seed uint64, series bool, progress func(float64)) (*replay.Run, error) {
 	if !c.Sockets {
-		return replay.Virtual(ctx, plan, policy, seed, series, progress)
+		return replay.PlayVirtual(ctx, plan, policy, seed, series, progress)
 	}
 	program, err := os.Executable()
 	if err != nil {
 		return nil, fmt.Errorf("--sockets: %w", err)
 	}
-	return replay.Sockets(ctx, plan, program, seed, series, progress)
+	return replay.PlaySockets(ctx, plan, program, seed, series, progress)
 }
 
 // options validates the flags and converts them, including the input files.
@@ -229,7 +229,7 @@
 	if c.Best && (c.Sockets || c.Asked > 0) {
 		return nil, errors.New("--best goes with virtual time and carried requests: leave out --sockets and --asked")
 	}
-	o.Asked, o.Remember, o.Best, o.Steward = c.Asked, c.Remember, c.Best, c.Steward
+	o.AskedShare, o.SaveInterval, o.Best, o.Steward = c.Asked, c.Remember, c.Best, c.Steward
 	if len(c.Plugin) > 0 {
 		if c.Sockets || len(c.Policy) != 1 || c.Policy[0] != "limiter" {
 			return nil, errors.New("--plugin plays the limiter without and with plug-ins, in virtual time: leave out --sockets and --policy")
@@ -321,7 +321,7 @@
 	if err != nil {
 		return err
 	}
-	return replay.WriteCompare(os.Stdout, c.Trace[0], c.Trace[1], a, b)
+	return replay.WriteComparison(os.Stdout, c.Trace[0], c.Trace[1], a, b)
 }
 
 // progress shows a progress bar if standard error is a terminal.
--- a/cmd/madderdrum/serve.go
+++ b/cmd/madderdrum/serve.go
@@ -125,7 +125,7 @@
 	defer stop()
 	var keeper *memory.Keeper
 	if cfg.Memory.Folder != "" {
-		if keeper, err = memory.Open(memory.Options{Folder: cfg.Memory.Folder, Limiter: nodeCfg.Name, Interval: cfg.Memory.Every, MaxBytes: cfg.Memory.MaxSize, Log: logger}); err != nil {
+		if keeper, err = memory.Open(memory.Options{Folder: cfg.Memory.Folder, Limiter: nodeCfg.Name, Interval: cfg.Memory.SnapshotInterval, MaxBytes: cfg.Memory.MaxBytes, Log: logger}); err != nil {
 			return err
 		}
 	}
@@ -174,7 +174,7 @@
 		closeMemory = func() { keeper.Close(n, r.classes()) }
 	}
 	r.logPools()
-	logger.Info("serving", "listen", strings.Join(cfg.Listens(position), " "), "boxes", len(fleet.Boxes), "pools", len(cfg.Pools), "routes", len(cfg.Routes), "peers", len(nodeCfg.Peers))
+	logger.Info("serving", "listen", strings.Join(cfg.ListenAddresses(position), " "), "boxes", len(fleet.Boxes), "pools", len(cfg.Pools), "routes", len(cfg.Routes), "peers", len(nodeCfg.Peers))
 	go func() {
 		for range hup {
 			r.reload()
@@ -252,7 +252,7 @@
 	}
 	apply := func(done func()) { r.node.Apply(newDeployment(next, r.position, set), done) }
 	if r.forwardAuth != nil {
-		r.forwardAuth.Swap(forwardAuthTier(next, r.position, set, r.node), apply)
+		r.forwardAuth.ReplaceTier(forwardAuthTier(next, r.position, set, r.node), apply)
 	} else {
 		apply(nil)
 	}
@@ -270,7 +270,7 @@
 	}
 	for i := range d.Moves {
 		if i == maxLoggedLines {
-			r.log.Info("further groups of requests omitted", "of", len(d.Moves)+d.Unmoved)
+			r.log.Info("further groups of requests omitted", "of", len(d.Moves)+d.OmittedMoves)
 			break
 		}
 		m := &d.Moves[i]
@@ -316,7 +316,7 @@
 // need addresses.
 func checkServable(c *config.Config, position int) error {
 	own := c.Fleet.Limiters[position]
-	if len(c.Listens(position)) == 0 {
+	if len(c.ListenAddresses(position)) == 0 {
 		return fmt.Errorf("%s: limiter %q has no address for clients; add listen = \"127.0.0.1:8080\"", c.Place("limiter", own.Name), own.Name)
 	}
 	var missing []string
@@ -335,10 +335,10 @@
 // forward-auth requests, which it routes as n routes the requests that it forwards.
 func forwardAuthTier(c *config.Config, position int, plugins *plugin.Set, n *node.Node) forwardauth.Tier {
 	f := c.Fleet
-	t := forwardauth.Tier{Position: position, Limiters: len(f.Limiters), MostUnits: f.MostUnits()}
+	t := forwardauth.Tier{Position: position, Limiters: len(f.Limiters), MaxUnits: f.MaxUnits()}
 	for _, c := range f.Classes {
 		t.Classes = append(t.Classes, c.Name)
-		t.Longest = max(t.Longest, c.Deadline)
+		t.MaxTimeout = max(t.MaxTimeout, c.Deadline)
 	}
 	for _, p := range f.Plans {
 		t.Plans = append(t.Plans, p.Name)
@@ -382,7 +382,7 @@
 // nodeRoutes converts the routes of a configuration for the node and the forward-auth
 // service.
 func nodeRoutes(c *config.Config, plugins *plugin.Set) node.Routes {
-	r, pools := node.Routes{Matches: c.Matches(), Adviser: chainAdviser(plugins.Chain(true))}, poolNames(c)
+	r, pools := node.Routes{Matches: c.RouteMatches(), Adviser: chainAdviser(plugins.Chain(true))}, poolNames(c)
 	tiers := func(pool int) (names []string) {
 		for _, t := range c.Pools[pool].Tiers {
 			names = append(names, t.Name)
@@ -414,7 +414,7 @@
 	for _, p := range f.Plans {
 		d.Plans = append(d.Plans, p.Name)
 	}
-	pools, of := poolNames(c), c.PoolOf()
+	pools, of := poolNames(c), c.PoolByBox()
 	for i, b := range f.Boxes {
 		s := node.Server{Name: b.Name, Dial: b.Dial, Room: b.Room, Pod: b.Pod}
 		if len(pools) > 0 {
@@ -422,7 +422,7 @@
 				continue // a box outside all pools gets no requests
 			}
 			s.Pool = pools[of[i]]
-			s.Tier = c.Pools[of[i]].Tiers.Of(b.Room, b.Labels, f.Limiters[position].Room)
+			s.Tier = c.Pools[of[i]].Tiers.IndexOf(b.Room, b.Labels, f.Limiters[position].Room)
 		}
 		d.Servers = append(d.Servers, s)
 	}
@@ -445,7 +445,7 @@
 		}
 		s := node.Source{Pool: p.Name, Addr: p.Discovery, Tiers: map[string]int{}}
 		for room, name := range f.Rooms {
-			s.Tiers[name] = p.Tiers.Of(room, nil, f.Limiters[position].Room)
+			s.Tiers[name] = p.Tiers.IndexOf(room, nil, f.Limiters[position].Room)
 		}
 		d.Sources = append(d.Sources, s)
 	}
@@ -457,7 +457,7 @@
 func nodeConfig(c *config.Config, position int, plugins *plugin.Set) *node.Config {
 	f := c.Fleet
 	cfg := node.FixedConfig(newDeployment(c, position, plugins))
-	listens := c.Listens(position)
+	listens := c.ListenAddresses(position)
 	cfg.Name, cfg.Listen, cfg.ExtraListen = f.Limiters[position].Name, listens[0], listens[1:]
 	cfg.AdminAddr, cfg.TempDir = f.Limiters[position].Admin, os.TempDir()
 	cfg.Limits = node.Limits{Cores: f.Limits.Cores, MemoryMB: int64(f.Limits.MemoryMB), Sockets: f.Limits.Sockets}
--- a/config/build.go
+++ b/config/build.go
@@ -157,7 +157,7 @@
 	fl, sum, allValid := b.cfg.Fleet, 0.0, true
 	for _, o := range b.blocksOf("class") {
 		class := fleet.Class{Name: o.label, Share: o.num("share"), Work: o.duration("work"), Spread: o.num("spread"), Aim: o.duration("aim"),
-			Deadline: o.duration("deadline"), Worth: o.num("worth"), Late: o.num("late"), Units: o.num("units"),
+			Deadline: o.duration("deadline"), Worth: o.num("worth"), LateShare: o.num("late"), Units: o.num("units"),
 			Repeat: repeatPolicies[o.text("repeat")], Group: dedupGroups[o.text("group")], Window: o.duration("window")}
 		if fieldsValid(o, "aim", "deadline") && class.Aim > class.Deadline {
 			b.add("aim-over-deadline", o.fieldRange("aim"), fmt.Sprintf("write an aim of %q or less", class.Deadline), "the aim of %v is longer than the deadline of %v", class.Aim, class.Deadline)
@@ -222,17 +222,17 @@
 		count := max(1, o.integer("count"))
 		box := fleet.Box{Name: o.label, Room: b.roomIndex[o.text("room")], Labels: o.list("labels"), Pod: o.integer("pod"), Dial: o.text("dial"), Cores: o.num("cores"), Speed: o.num("speed"),
 			Slots: o.integer("slots"), Queue: o.integer("queue"), Thrash: o.num("thrash"), ThrashAt: o.num("thrash_at"), Connections: o.integer("connections"),
-			Handshake: o.duration("handshake"), ColdFrom: o.num("cold_from"), ColdFor: o.duration("cold_for"), WarmAfter: o.integer("warm_after"),
+			Handshake: o.duration("handshake"), ColdShare: o.num("cold_from"), WarmUpTime: o.duration("cold_for"), WarmAfter: o.integer("warm_after"),
 			Report:    fleet.Report{Every: o.duration("report_every"), Delay: o.duration("report_delay"), Noise: o.num("report_noise")},
 			ErrorRate: o.num("error_rate")}
-		if fieldsValid(o, "cold_from", "cold_for") && box.ColdFor > 0 {
+		if fieldsValid(o, "cold_from", "cold_for") && box.WarmUpTime > 0 {
 			switch {
-			case box.ColdFrom <= 0:
+			case box.ColdShare <= 0:
 				b.add("cold-ramp", o.fieldRange("cold_from"), `write cold_from = "18%" or so`, "box %q starts with no capacity: what can do nothing can't be warmed", o.label)
-			case box.ColdFrom >= 1:
-				b.add("cold-ramp", o.fieldRange("cold_for"), `write cold_from = "25%" or so, or take cold_for out`, "box %q is cold for %v, but starts with all its capacity", o.label, box.ColdFor)
-			case fieldsValid(rules, "fall_for") && box.ColdFor < rules.duration("fall_for"):
-				b.add("cold-ramp", o.fieldRange("cold_for"), fmt.Sprintf("write %q or more, or shorten fall_for", rules.duration("fall_for")), "box %q warms up in %v, within the %v over which the rules look at a cold box", o.label, box.ColdFor, rules.duration("fall_for"))
+			case box.ColdShare >= 1:
+				b.add("cold-ramp", o.fieldRange("cold_for"), `write cold_from = "25%" or so, or take cold_for out`, "box %q is cold for %v, but starts with all its capacity", o.label, box.WarmUpTime)
+			case fieldsValid(rules, "fall_for") && box.WarmUpTime < rules.duration("fall_for"):
+				b.add("cold-ramp", o.fieldRange("cold_for"), fmt.Sprintf("write %q or more, or shorten fall_for", rules.duration("fall_for")), "box %q warms up in %v, within the %v over which the rules look at a cold box", o.label, box.WarmUpTime, rules.duration("fall_for"))
 			}
 		}
 		dial := netip.AddrPort{}
@@ -271,13 +271,13 @@
 func (b *builder) buildSingletons() {
 	fl := b.cfg.Fleet
 	o := b.singleton("rules")
-	fl.Rules = fleet.Rules{DrainGrace: o.duration("drain_grace"), FallFactor: o.num("fall_factor"), FallFor: o.duration("fall_for"),
+	fl.Rules = fleet.Rules{DrainGrace: o.duration("drain_grace"), OverloadFactor: o.num("fall_factor"), OverloadDuration: o.duration("fall_for"),
 		CeilingSlack: o.num("ceiling_slack"), Attempts: o.integer("attempts")}
 	o = b.singleton("network")
 	fl.Network = fleet.Network{SameRoom: o.duration("same_room"), CrossRoom: o.duration("cross_room"), Client: o.duration("client"), Jitter: o.num("jitter"),
-		Connect: o.duration("connect_timeout"), Idle: o.duration("idle_timeout"), PeerLeast: o.duration("peer_least"), PeerMost: o.duration("peer_most"),
-		PeerLoss: o.num("peer_loss"), PeerIn: o.num("peer_in"), ListLeast: o.duration("list_least"), ListMost: o.duration("list_most"),
-		SilentNotice: o.duration("silent_notice"), FrontNotice: o.duration("front_notice")}
+		Connect: o.duration("connect_timeout"), Idle: o.duration("idle_timeout"), PeerDelayMin: o.duration("peer_least"), PeerDelayMax: o.duration("peer_most"),
+		PeerLoss: o.num("peer_loss"), PeerMessageRate: o.num("peer_in"), ListDelayMin: o.duration("list_least"), ListDelayMax: o.duration("list_most"),
+		SilentDetection: o.duration("silent_notice"), FrontDetection: o.duration("front_notice")}
 	for _, name := range []string{"peer", "list"} {
 		low, high := o.duration(name+"_least"), o.duration(name+"_most")
 		if fieldsValid(o, name+"_least", name+"_most") && low > high {
@@ -285,9 +285,9 @@
 		}
 	}
 	o = b.singleton("traffic")
-	fl.Traffic = fleet.Traffic{Accounts: o.integer("accounts"), Rate: o.num("rate"), Swing: o.num("swing"), Retries: o.integer("retries"),
-		TryShare: o.num("try_share"), Backoff: o.duration("backoff"), Heed: o.num("heed"), MaxAdvice: o.duration("max_advice"), SpreadMin: o.num("spread_least"),
-		Skew: o.num("skew"), Shift: o.duration("shift"), Heavy: o.num("heavy"), HeavyX: o.num("heavy_times")}
+	fl.Traffic = fleet.Traffic{Accounts: o.integer("accounts"), Rate: o.num("rate"), WaveAmplitude: o.num("swing"), Retries: o.integer("retries"),
+		MinAttemptShare: o.num("try_share"), Backoff: o.duration("backoff"), RetryAfterShare: o.num("heed"), MaxRetryAfter: o.duration("max_advice"), SpreadMin: o.num("spread_least"),
+		ZipfExponent: o.num("skew"), Shift: o.duration("shift"), HeavyShare: o.num("heavy"), HeavyFactor: o.num("heavy_times")}
 	if o := b.byName["memory"][""]; o != nil {
 		b.cfg.Memory = Memory{o.text("folder"), o.duration("every"), int64(o.num("max_size"))}
 	}
--- a/config/buildroutes.go
+++ b/config/buildroutes.go
@@ -84,7 +84,7 @@
 // checkRouteConflicts reports routes that another route hides, and routes of equal
 // precedence that can match the same request.
 func (b *builder) checkRouteConflicts(blocks []*parsedBlock) {
-	matches := b.cfg.Matches()
+	matches := b.cfg.RouteMatches()
 	for _, conflict := range route.New(matches).Conflicts(matches) {
 		o, other := blocks[conflict.Route], blocks[conflict.Other]
 		if conflict.Hidden {
@@ -101,7 +101,7 @@
 // buildForwardAuth converts the forward_auth blocks.
 func (b *builder) buildForwardAuth() {
 	for _, o := range b.blocksByName("forward_auth") {
-		auth := ForwardAuth{Limiter: o.label, Listen: o.text("listen"), Keys: o.text("keys_file"), Leases: o.integer("leases"), Pending: o.integer("pending")}
+		auth := ForwardAuth{Limiter: o.label, Listen: o.text("listen"), KeysFile: o.text("keys_file"), MaxLeases: o.integer("leases"), MaxPending: o.integer("pending")}
 		proxies := 0
 		for _, child := range o.children {
 			if child.block.kind == "tls" {
@@ -123,22 +123,22 @@
 
 // buildProxy converts a proxy block and checks that the proxy can be authenticated.
 func (b *builder) buildProxy(o *parsedBlock, auth *ForwardAuth) Proxy {
-	proxy := Proxy{Name: o.label, Dialect: o.text("dialect"), Mode: o.text("mode"), Secret: o.text("secret_file"), Header: o.text("secret_header"),
-		Prefix: o.text("path_prefix"), From: o.list("from"), Certs: o.list("cert_names"), Lease: o.duration("lease"), Wait: o.duration("wait"), Names: map[string]string{}}
-	if proxy.Mode == "ask-then-carry" && auth.Keys == "" {
+	proxy := Proxy{Name: o.label, Dialect: o.text("dialect"), Mode: o.text("mode"), SecretFile: o.text("secret_file"), SecretHeader: o.text("secret_header"),
+		PathPrefix: o.text("path_prefix"), From: o.list("from"), CertNames: o.list("cert_names"), Lease: o.duration("lease"), DefaultTimeout: o.duration("wait"), HeaderNames: map[string]string{}}
+	if proxy.Mode == "ask-then-carry" && auth.KeysFile == "" {
 		b.add("no-keys", o.fieldRange("mode"), `add keys_file = "/etc/madderdrum/keys" to the forward_auth block: tokens are signed`, "proxy %q is given leases, but there are no keys", o.label)
 	}
 	if o.isSet("from") && len(proxy.From) == 0 {
 		b.add("no-proxies", o.fieldRange("from"), `write where it asks from, such as ["10.0.0.0/8"]`, "proxy %q may ask from nowhere", o.label)
 	}
-	if proxy.Secret == "" && (auth.TLS == nil || auth.TLS.ClientCA == "" || len(proxy.Certs) == 0) {
+	if proxy.SecretFile == "" && (auth.TLS == nil || auth.TLS.ClientCA == "" || len(proxy.CertNames) == 0) {
 		b.add("no-credentials", o.at, "add secret_file, or a tls block with client_ca_file and cert_names here", "proxy %q has neither a secret nor a certificate", o.label)
 	}
 	for _, child := range o.children {
 		switch child.block.kind {
 		case "headers":
 			for name, v := range child.values {
-				proxy.Names[name] = v.text
+				proxy.HeaderNames[name] = v.text
 			}
 		case "route":
 			if problem := pathProblem(child.label); problem != "" {
--- a/config/config.go
+++ b/config/config.go
@@ -70,9 +70,9 @@
 // Memory configures how limiters persist their learned state. Without a folder nothing is
 // persisted.
 type Memory struct {
-	Folder  string
-	Every   time.Duration
-	MaxSize int64 // bytes
+	Folder           string
+	SnapshotInterval time.Duration
+	MaxBytes         int64 // bytes
 }
 
 // Duties configures how limiters agree on the owners of fleet-wide duties. Without a
@@ -91,10 +91,10 @@
 
 // ForwardAuth is the listener where other proxies send authorization requests to a limiter.
 type ForwardAuth struct {
-	Limiter, Listen, Keys string
-	Leases, Pending       int
-	TLS                   *TLS
-	Proxies               []Proxy
+	Limiter, Listen, KeysFile string
+	MaxLeases, MaxPending     int
+	TLS                       *TLS
+	Proxies                   []Proxy
 }
 
 // TLS names the certificate, key and client CA files of a listener.
@@ -102,11 +102,11 @@
 
 // Proxy describes one kind of proxy that sends authorization requests.
 type Proxy struct {
-	Name, Dialect, Mode, Secret, Header, Prefix string
-	From, Certs                                 []string
-	Lease, Wait                                 time.Duration
-	Names                                       map[string]string // header names, keyed by the field of the headers block
-	Routes                                      []ProxyRoute
+	Name, Dialect, Mode, SecretFile, SecretHeader, PathPrefix string
+	From, CertNames                                           []string
+	Lease, DefaultTimeout                                     time.Duration
+	HeaderNames                                               map[string]string // header names, keyed by the field of the headers block
+	Routes                                                    []ProxyRoute
 }
 
 // ProxyRoute gives the class, plan and units of requests under a path that lack the headers.
@@ -138,7 +138,7 @@
 		if dec.vars[name].at.Filename == "" {
 			at := hcl.Range{Start: hcl.InitialPos, End: hcl.InitialPos}
 			if len(roots) > 0 {
-				at.Filename = roots[0].Show + roots[0].Name
+				at.Filename = roots[0].DisplayPrefix + roots[0].Name
 			}
 			dec.add("unknown-variable", at, fmt.Sprintf("add variable %q {}, or take --var %s away", name, name), "a value is given for the variable %q, which is not defined", name)
 		}
@@ -176,7 +176,7 @@
 		if err != nil {
 			return nil, nil, fmt.Errorf("configuration: %s: %w", path, withoutPath(err))
 		}
-		roots = append(roots, Root{FS: root.FS(), Name: name, Show: folder})
+		roots = append(roots, Root{FS: root.FS(), Name: name, DisplayPrefix: folder})
 	}
 	cfg, report := Load(roots, vars)
 	return cfg, report, nil
@@ -196,7 +196,7 @@
 
 // Bluebird returns the fleet of deploy/bluebird.hcl, which is embedded in the program.
 func Bluebird() *fleet.Fleet {
-	cfg, report := Load([]Root{{FS: singleFileFS{"bluebird.hcl", deploy.Bluebird}, Name: "bluebird.hcl", Show: "built in "}}, nil)
+	cfg, report := Load([]Root{{FS: singleFileFS{"bluebird.hcl", deploy.Bluebird}, Name: "bluebird.hcl", DisplayPrefix: "built in "}}, nil)
 	if err := report.Err(); err != nil {
 		panic(err) // the embedded file is invalid, which the tests detect
 	}
@@ -207,9 +207,9 @@
 // not defined.
 func (c *Config) Place(kind, name string) Place { return placeFromRange(c.places[kind+" "+name]) }
 
-// Listens returns the addresses where clients connect to the limiter at an index of
+// ListenAddresses returns the addresses where clients connect to the limiter at an index of
 // Fleet.Limiters.
-func (c *Config) Listens(position int) []string {
+func (c *Config) ListenAddresses(position int) []string {
 	var all []string
 	if address := c.Fleet.Limiters[position].Listen; address != "" {
 		all = append(all, address)
@@ -222,8 +222,8 @@
 	return all
 }
 
-// PoolOf returns, for each box of the fleet, the index of its pool, or -1 if it has none.
-func (c *Config) PoolOf() []int {
+// PoolByBox returns, for each box of the fleet, the index of its pool, or -1 if it has none.
+func (c *Config) PoolByBox() []int {
 	pools := make([]int, len(c.Fleet.Boxes))
 	for i := range pools {
 		pools[i] = -1
@@ -236,8 +236,8 @@
 	return pools
 }
 
-// Matches returns the match conditions of the routes, in the order of Routes.
-func (c *Config) Matches() []route.Match {
+// RouteMatches returns the match conditions of the routes, in the order of Routes.
+func (c *Config) RouteMatches() []route.Match {
 	matches := make([]route.Match, len(c.Routes))
 	for i := range c.Routes {
 		matches[i] = c.Routes[i].Match
--- a/config/diff.go
+++ b/config/diff.go
@@ -63,9 +63,9 @@
 
 // Difference is the semantic difference between two configurations.
 type Difference struct {
-	Changes []Change `json:"changes"`
-	Moves   []Move   `json:"moves"`
-	Unmoved int      `json:"unmoved,omitempty"` // number of moves omitted beyond maxMoves
+	Changes      []Change `json:"changes"`
+	Moves        []Move   `json:"moves"`
+	OmittedMoves int      `json:"unmoved,omitempty"` // number of moves omitted beyond maxMoves
 }
 
 // Empty reports whether both configurations have the same meaning.
@@ -104,8 +104,8 @@
 	for _, m := range d.Moves {
 		fmt.Fprintf(w, "requests such as %s: %s -> %s [%s]\n", m.Example, m.Before, m.After, m.Grade)
 	}
-	if d.Unmoved > 0 {
-		fmt.Fprintf(w, "and %d more groups of requests fare otherwise\n", d.Unmoved)
+	if d.OmittedMoves > 0 {
+		fmt.Fprintf(w, "and %d more groups of requests fare otherwise\n", d.OmittedMoves)
 	}
 	restart := ""
 	if d.Restart() {
@@ -293,7 +293,7 @@
 // route, and of the intersection of each changed route with every other route. These pairs
 // cover all regions in which the two routing tables can differ.
 func (d *Difference) findMoves(a, b *Config) {
-	tableA, tableB := route.New(a.Matches()), route.New(b.Matches())
+	tableA, tableB := route.New(a.RouteMatches()), route.New(b.RouteMatches())
 	old := map[string]route.Match{}
 	for _, r := range a.Routes {
 		old[r.Name] = r.Match
@@ -323,7 +323,7 @@
 			return
 		}
 		if len(d.Moves) >= maxMoves {
-			d.Unmoved++
+			d.OmittedMoves++
 			return
 		}
 		seen[[2]string{before, after}] = true
--- a/config/fuzz_test.go
+++ b/config/fuzz_test.go
@@ -142,7 +142,7 @@
 			if len(r.Diagnostics) > maxDiagnostics {
 				t.Errorf("%d diagnostics", len(r.Diagnostics))
 			}
-			t.Logf("%v, %d MiB, %d diagnostics", time.Since(start).Round(time.Millisecond), (after.TotalAlloc-before.TotalAlloc)>>20, len(r.Diagnostics)+r.Left)
+			t.Logf("%v, %d MiB, %d diagnostics", time.Since(start).Round(time.Millisecond), (after.TotalAlloc-before.TotalAlloc)>>20, len(r.Diagnostics)+r.Omitted)
 		})
 	}
 }
--- a/config/plugins.go
+++ b/config/plugins.go
@@ -88,7 +88,7 @@
 	info, err := fs.Stat(file.root.FS, fullPath)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		b.add("plugin-file", at, "write a path relative to this file, or build the module (madderdrum plugin build)", "there is no file %q", file.root.Show+fullPath)
+		b.add("plugin-file", at, "write a path relative to this file, or build the module (madderdrum plugin build)", "there is no file %q", file.root.DisplayPrefix+fullPath)
 		return nil
 	case err == nil && info.IsDir():
 		err = errors.New("a folder")
@@ -100,7 +100,7 @@
 		data, err = fs.ReadFile(file.root.FS, fullPath)
 	}
 	if err != nil {
-		b.add("plugin-file", at, "see to it that it is a file that can be read, and a module of a plug-in", "%q can't be read: %v", file.root.Show+fullPath, withoutPath(err))
+		b.add("plugin-file", at, "see to it that it is a file that can be read, and a module of a plug-in", "%q can't be read: %v", file.root.DisplayPrefix+fullPath, withoutPath(err))
 		return nil
 	}
 	inspection, err := plugin.Inspect(context.Background(), data)
--- a/config/reference_test.go
+++ b/config/reference_test.go
@@ -50,7 +50,7 @@
 			continue
 		}
 		for i := range cfg.Fleet.Limiters {
-			if len(cfg.Listens(i)) == 0 {
+			if len(cfg.ListenAddresses(i)) == 0 {
 				t.Errorf("%v: limiter %d listens nowhere", files, i)
 			}
 		}
--- a/config/report.go
+++ b/config/report.go
@@ -65,7 +65,7 @@
 // Report collects the diagnostics of a configuration.
 type Report struct {
 	Diagnostics []Diagnostic
-	Left        int // number of diagnostics omitted beyond maxDiagnostics
+	Omitted     int // number of diagnostics omitted beyond maxDiagnostics
 
 	sources map[string][]byte
 	order   map[string]int // reading order of the files
@@ -104,8 +104,8 @@
 			lines = append(lines, d.String())
 		}
 	}
-	if f.Left > 0 {
-		lines = append(lines, fmt.Sprintf("and %d more", f.Left))
+	if f.Omitted > 0 {
+		lines = append(lines, fmt.Sprintf("and %d more", f.Omitted))
 	}
 	return strings.Join(lines, "\n")
 }
@@ -125,8 +125,8 @@
 			fmt.Fprintf(w, "  see %s\n", p)
 		}
 	}
-	if r.Left > 0 {
-		fmt.Fprintf(w, "and %d more\n", r.Left)
+	if r.Omitted > 0 {
+		fmt.Fprintf(w, "and %d more\n", r.Omitted)
 	}
 }
 
@@ -206,7 +206,7 @@
 	})
 	r.Diagnostics = slices.CompactFunc(r.Diagnostics, func(a, b Diagnostic) bool { return a.Place == b.Place && a.Code == b.Code && a.What == b.What })
 	if n := len(r.Diagnostics); n > maxDiagnostics {
-		r.Left = n - maxDiagnostics
+		r.Omitted = n - maxDiagnostics
 		r.Diagnostics = r.Diagnostics[:maxDiagnostics]
 	}
 }
--- a/config/source.go
+++ b/config/source.go
@@ -30,9 +30,9 @@
 
 // Root is a top-level file of a configuration. Its includes are resolved only within FS.
 type Root struct {
-	FS   fs.FS
-	Name string // path within FS
-	Show string // prefix of the names of FS in diagnostics
+	FS            fs.FS
+	Name          string // path within FS
+	DisplayPrefix string // prefix of the names of FS in diagnostics
 }
 
 // sourceFile is a parsed file.
@@ -60,7 +60,7 @@
 
 // loadFile reads a file and its includes. at is the include that names it, if any.
 func (l *loader) loadFile(root Root, name string, chain []includeStep, at hcl.Range) {
-	show := root.Show + name
+	show := root.DisplayPrefix + name
 	if at.Filename == "" {
 		at = hcl.Range{Filename: show, Start: hcl.InitialPos, End: hcl.InitialPos}
 	}
@@ -97,21 +97,21 @@
 	info, err := fs.Stat(root.FS, name)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		l.add("include-missing", at, "write a path relative to this file, or take the include out", "there is no file %q", root.Show+name)
+		l.add("include-missing", at, "write a path relative to this file, or take the include out", "there is no file %q", root.DisplayPrefix+name)
 		return nil, false
 	case err != nil:
-		l.add("include-unreadable", at, "see to it that the file can be read, and that no link leads out of the folder or in a circle", "%q can't be read: %v", root.Show+name, withoutPath(err))
+		l.add("include-unreadable", at, "see to it that the file can be read, and that no link leads out of the folder or in a circle", "%q can't be read: %v", root.DisplayPrefix+name, withoutPath(err))
 		return nil, false
 	case info.IsDir():
-		l.add("include-unreadable", at, fmt.Sprintf("write %q for the files in it", name+"/*.hcl"), "%q is a folder", root.Show+name)
+		l.add("include-unreadable", at, fmt.Sprintf("write %q for the files in it", name+"/*.hcl"), "%q is a folder", root.DisplayPrefix+name)
 		return nil, false
 	case info.Size() > l.fileBytes || l.bytesRead+info.Size() > l.totalBytes:
-		l.add("too-large", at, fmt.Sprintf("a file has %s at most, and all together %s", formatQuantity(float64(l.fileBytes), kindSize), formatQuantity(float64(l.totalBytes), kindSize)), "%q has %d bytes", root.Show+name, info.Size())
+		l.add("too-large", at, fmt.Sprintf("a file has %s at most, and all together %s", formatQuantity(float64(l.fileBytes), kindSize), formatQuantity(float64(l.totalBytes), kindSize)), "%q has %d bytes", root.DisplayPrefix+name, info.Size())
 		return nil, false
 	}
 	data, err := fs.ReadFile(root.FS, name)
 	if err != nil {
-		l.add("include-unreadable", at, "see to it that the file can be read", "%q can't be read: %v", root.Show+name, withoutPath(err))
+		l.add("include-unreadable", at, "see to it that the file can be read", "%q can't be read: %v", root.DisplayPrefix+name, withoutPath(err))
 		return nil, false
 	}
 	l.bytesRead += int64(len(data))
@@ -163,9 +163,9 @@
 		if i := slices.IndexFunc(chain, func(s includeStep) bool { return s.name == n }); i >= 0 {
 			var cycle []string
 			for _, s := range chain[i:] {
-				cycle = append(cycle, fmt.Sprintf("%s:%d", root.Show+s.name, s.at.Start.Line))
+				cycle = append(cycle, fmt.Sprintf("%s:%d", root.DisplayPrefix+s.name, s.at.Start.Line))
 			}
-			d := l.add("include-cycle", labelRange, "take one of these includes out", "files include each other in a circle: %s -> %s", strings.Join(cycle, " -> "), root.Show+n)
+			d := l.add("include-cycle", labelRange, "take one of these includes out", "files include each other in a circle: %s -> %s", strings.Join(cycle, " -> "), root.DisplayPrefix+n)
 			for _, s := range chain[i : len(chain)-1] {
 				d.addRelated(s.at)
 			}
--- a/internal/best/best.go
+++ b/internal/best/best.go
@@ -78,17 +78,17 @@
 	lastAttemptCause map[*world.Call]string // cause to report if the latest attempt fails
 }
 
-// Watch returns a Watcher and installs its callbacks in the options of a run that has not started.
-func Watch(f *fleet.Fleet, o *virtual.Options) *Watcher {
+// NewWatcher returns a Watcher and installs its callbacks in the options of a run that has not started.
+func NewWatcher(f *fleet.Fleet, o *virtual.Options) *Watcher {
 	x := &Watcher{fleet: f, refusalCause: map[*world.Call]string{}, lastAttemptCause: map[*world.Call]string{}}
-	started, seen := o.Started, o.Watch
-	o.Started = func(w *world.World) {
+	started, seen := o.OnStart, o.OnAction
+	o.OnStart = func(w *world.World) {
 		x.world = w
 		if started != nil {
 			started(w)
 		}
 	}
-	o.Watch = func(now time.Duration, a world.Action) {
+	o.OnAction = func(now time.Duration, a world.Action) {
 		if a, ok := a.(world.ClientSends); ok && !a.Try.Retry {
 			x.calls = append(x.calls, a.Try.Call)
 		}
@@ -96,7 +96,7 @@
 			seen(now, a)
 		}
 	}
-	o.Refused = x.recordRefusal
+	o.OnRefusal = x.recordRefusal
 	o.OnAttempt = func(t *world.Try, box int) {
 		b := x.world.Boxes[box]
 		x.lastAttemptCause[t.Call] = causeLate
@@ -150,10 +150,10 @@
 		}
 		r := limiter.Usable
 		if ok {
-			r = sees.Regards(virtual.Clock(x.world.Now()), uint64(i+1), t.Call.Class)
+			r = sees.Regards(virtual.ClockMs(x.world.Now()), uint64(i+1), t.Call.Class)
 		}
 		counts[r]++
-		if r == limiter.Usable && (len(x.fleet.Tiers) == 0 || x.fleet.Tiers.Of(b.Spec.Room, b.Spec.Labels, x.fleet.Limiters[n].Room) == 0) {
+		if r == limiter.Usable && (len(x.fleet.Tiers) == 0 || x.fleet.Tiers.IndexOf(b.Spec.Room, b.Spec.Labels, x.fleet.Limiters[n].Room) == 0) {
 			spill = false
 		}
 	}
@@ -189,7 +189,7 @@
 			continue
 		}
 		p.Needs = append(p.Needs, capacity.Need{At: c.At.Seconds(), Aim: class.Aim.Seconds(), Deadline: class.Deadline.Seconds(), Work: c.Work.Seconds(),
-			Worth: c.Worth, Late: class.Late, WorthBeyondQuota: c.Worth * (plan.BeyondEarns - plan.OverrunCost), Units: c.Units, Account: a})
+			Worth: c.Worth, Late: class.LateShare, WorthBeyondQuota: c.Worth * (plan.BeyondEarns - plan.OverrunCost), Units: c.Units, Account: a})
 	}
 	return p
 }
@@ -197,9 +197,9 @@
 // ErrOverBound means that a run earned more than its upper bound, which is a defect of the bound.
 var ErrOverBound = errors.New("a run earned more than its upper bound")
 
-// Best computes the bound and the causes of a finished run. It returns ErrOverBound if the run earned
+// Bound computes the bound and the causes of a finished run. It returns ErrOverBound if the run earned
 // more than the bound. If the context ends early, the bound is looser but still valid.
-func (x *Watcher) Best(ctx context.Context, faults []world.Fault, seed uint64, length time.Duration) (*Best, error) {
+func (x *Watcher) Bound(ctx context.Context, faults []world.Fault, seed uint64, length time.Duration) (*Best, error) {
 	m := x.world.Meter
 	for _, c := range x.fleet.Classes {
 		length = max(length, time.Duration(len(m.Seconds))*time.Second+c.Deadline)
--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -41,11 +41,11 @@
 // New returns a chart with a time axis of length seconds and values up to most. If most is 0, it has no
 // value axis and holds only rows. unit is appended to the labels of the value axis.
 func New(length, most, height float64, unit string) *Chart {
-	return Over(length, "s", most, height, unit)
+	return NewWithUnit(length, "s", most, height, unit)
 }
 
-// Over is New with another unit of the time axis, such as "h".
-func Over(length float64, time string, most, height float64, unit string) *Chart {
+// NewWithUnit is New with another unit of the time axis, such as "h".
+func NewWithUnit(length float64, time string, most, height float64, unit string) *Chart {
 	c := &Chart{duration: max(1, length), maxValue: most, height: height}
 	fmt.Fprintf(&c.builder, `<svg viewBox="0 0 %g %g" role="img">`, Width, height+axisHeight)
 	if most > 0 {
@@ -115,10 +115,10 @@
 
 // Cell is the state of one box during one step.
 type Cell struct {
-	Busy  float64 // used share of its cores, shown as color
-	Away  bool    // it accepts no requests
-	Mark  bool    // outlined: it is cold or drains
-	Title string  // tooltip
+	Busy        float64 // used share of its cores, shown as color
+	Unavailable bool    // it accepts no requests
+	Outlined    bool    // outlined: it is cold or drains
+	Title       string  // tooltip
 }
 
 // Row draws row k: the name of a box and a cell for each step of that many seconds.
@@ -127,11 +127,11 @@
 	fmt.Fprintf(&c.builder, `<text class="axis" x="%g" y="%.1f" text-anchor="end">%s</text>`, LeftMargin-6, y+11, html.EscapeString(shortenName(name)))
 	for i, cell := range cells {
 		style := fmt.Sprintf(`fill="hsl(%.0f 75%% %.0f%%)"`, 205-180*min(1, cell.Busy), 94-46*min(1, cell.Busy))
-		if cell.Away {
+		if cell.Unavailable {
 			style = `class="away"`
 		}
 		stroke := ""
-		if cell.Mark {
+		if cell.Outlined {
 			stroke = ` stroke="#7a4fd0" stroke-width="1"`
 		}
 		fmt.Fprintf(&c.builder, `<rect x="%.1f" y="%.1f" width="%.2f" height="%g" %s%s><title>%s</title></rect>`,
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -69,7 +69,7 @@
 	log.WithFields(logrus.Fields{"voter": s.voterID(), "first": s.replica.InitialVoters(), "accepted": s.acceptor.Record.Accepted.Number}).Info("begins")
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	metrics.Offer(work, settings.MetricsAddress(), log, s.collectMetrics)
+	metrics.ServeIfConfigured(work, settings.MetricsAddress(), log, s.collectMetrics)
 	go rpc.Serve(work, listener, s.handlers())
 	go s.followSettings(work)
 	go s.confirmLoop(work)
--- a/internal/diag/diag.go
+++ b/internal/diag/diag.go
@@ -32,8 +32,8 @@
 // List accumulates mistakes. The zero value is empty and ready to use.
 type List struct{ hcl.Diagnostics }
 
-// Wrong adds a mistake at a position: do is the correction, and format and args describe the mistake.
-func (l *List) Wrong(at hcl.Range, do, format string, args ...any) {
+// Add adds a mistake at a position: do is the correction, and format and args describe the mistake.
+func (l *List) Add(at hcl.Range, do, format string, args ...any) {
 	l.Diagnostics = l.Append(&hcl.Diagnostic{Severity: hcl.DiagError, Subject: &at, Summary: fmt.Sprintf(format, args...), Detail: do})
 }
 
--- a/internal/drill/best.go
+++ b/internal/drill/best.go
@@ -73,12 +73,12 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	x := best.Watch(o.Fleet, &o)
+	x := best.NewWatcher(o.Fleet, &o)
 	res, err := virtual.Run(ctx, o)
 	if err != nil {
 		return 0, nil, fmt.Errorf("case %s, seed %d: %w", c.Name, seed, err)
 	}
-	b, err := x.Best(ctx, o.Faults, seed, res.Length)
+	b, err := x.Bound(ctx, o.Faults, seed, res.Length)
 	if err != nil {
 		return 0, nil, fmt.Errorf("case %s, seed %d: %w", c.Name, seed, err)
 	}
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -134,8 +134,8 @@
 		return nil, err
 	}
 	watch := &watch{series: map[int][]state{}}
-	o.PushFor, o.PushMost, o.Sample = pushFor, mostPush, sample
-	o.Started = func(w *world.World) { watch.world = w }
+	o.ColdLoadWindow, o.ColdLoadLimit, o.SampleInterval = pushFor, mostPush, sample
+	o.OnStart = func(w *world.World) { watch.world = w }
 	o.Policy = func(s limiter.Settings, seed uint64) (virtual.Policy, error) {
 		if !r.tiers {
 			s.Spills = nil
@@ -166,12 +166,14 @@
 		return nil, fmt.Errorf("case %s, rule %s, seed %d: %w", c.Name, r.Name, seed, err)
 	}
 	p := &played{world: res.World, length: res.Length, series: watch.series}
-	p.figures = Figures{Service: res.World.Meter.Figure().Total, Drained: watch.drained(c.Loss, c.Away), Push: res.Judge.Push, Over: pushedOver(res.Judge),
-		Broken: res.Judge.Broken(), Crossed: float64(res.Counts.Crossings) / float64(max(1, res.Counts.Attempts)), Changes: float64(watch.changes) / float64(limiters)}
+	p.figures = Figures{Service: res.World.Meter.Figure().Total, Drained: watch.drained(c.Loss, c.Away), Push: res.Judge.MaxColdLoad, Over: pushedOver(res.Judge),
+		Broken: res.Judge.BreachCount(), Crossed: float64(res.Counts.CrossRoomAttempts) / float64(max(1, res.Counts.Attempts)), Changes: float64(watch.changes) / float64(limiters)}
 	return p, nil
 }
 
-func pushedOver(j *judge.Judge) float64 { return float64(j.PushedOver) / float64(max(1, j.Pushes)) }
+func pushedOver(j *judge.Judge) float64 {
+	return float64(j.ColdLoadExceeded) / float64(max(1, j.ColdLoadChecks))
+}
 
 // watch looks on at what limiters decide.
 type watch struct {
@@ -255,7 +257,7 @@
 		w.sent = append(w.sent, passed{})
 	}
 	w.sent[i].all++
-	if c := w.world.Boxes[box].Condition(); c == world.Dead || c == world.Vanished || c == world.Fallen {
+	if c := w.world.Boxes[box].Condition(); c == world.Dead || c == world.Vanished || c == world.Crashed {
 		w.sent[i].void++
 	}
 }
--- a/internal/drill/report.go
+++ b/internal/drill/report.go
@@ -244,12 +244,12 @@
 	for i := range shown {
 		cells := make([]chart.Cell, len(w.Samples))
 		for k, at := range w.Samples {
-			cells[k] = chart.Cell{Away: true, Title: "not there"}
+			cells[k] = chart.Cell{Unavailable: true, Title: "not there"}
 			if i < len(at.Boxes) {
 				b := at.Boxes[i]
-				away := b.Condition == world.Dead || b.Condition == world.Vanished || b.Condition == world.Fallen || b.Condition == world.Hung
-				cells[k] = chart.Cell{Busy: b.Busy, Away: away, Mark: !away && (b.Warmth < 1 || b.Condition == world.Draining),
-					Title: fmt.Sprintf("%s %.1f s: %.0f%% busy, %d in hand, %d arrived, %.0f%% warm, %v", w.Boxes[i].Name, at.At.Seconds(), 100*b.Busy, b.Held, b.Arrived, 100*b.Warmth, b.Condition)}
+				away := b.Condition == world.Dead || b.Condition == world.Vanished || b.Condition == world.Crashed || b.Condition == world.Hung
+				cells[k] = chart.Cell{Busy: b.Busy, Unavailable: away, Outlined: !away && (b.Warmth < 1 || b.Condition == world.Draining),
+					Title: fmt.Sprintf("%s %.1f s: %.0f%% busy, %d in hand, %d arrived, %.0f%% warm, %v", w.Boxes[i].Name, at.At.Seconds(), 100*b.Busy, b.Jobs, b.Arrived, 100*b.Warmth, b.Condition)}
 			}
 		}
 		heat.Row(i, w.Boxes[i].Name, step, cells)
--- a/internal/drill/restarts.go
+++ b/internal/drill/restarts.go
@@ -160,9 +160,9 @@
 	if err != nil {
 		return 0, 0, 0, 0, fmt.Errorf("drill: %w", err)
 	}
-	o := virtual.Options{Fleet: f, Seed: seed, Source: world.NewSynthetic(f, seed, restartFor), Faults: faults, Remember: m.every, RememberAge: m.age}
+	o := virtual.Options{Fleet: f, Seed: seed, Source: world.NewSynthetic(f, seed, restartFor), Faults: faults, MemoryInterval: m.every, ExtraMemoryAge: m.age}
 	if m.lies {
-		o.Distort = lie
+		o.AlterMemory = lie
 	}
 	var w *world.World
 	before, up := 0, time.Duration(0)
@@ -174,8 +174,8 @@
 		}
 		return n
 	}
-	o.Started = func(x *world.World) { w = x }
-	o.Watch = func(now time.Duration, _ world.Action) {
+	o.OnStart = func(x *world.World) { w = x }
+	o.OnAction = func(now time.Duration, _ world.Action) {
 		switch {
 		case now < restartAt:
 			before = ill()
@@ -204,7 +204,7 @@
 		}
 		return earned / worth
 	}
-	return share(10 * time.Second), share(60 * time.Second), sent, res.Judge.Broken(), nil
+	return share(10 * time.Second), share(60 * time.Second), sent, res.Judge.BreachCount(), nil
 }
 
 // WriteRestarts writes the table.
--- a/internal/drill/sockets.go
+++ b/internal/drill/sockets.go
@@ -68,7 +68,7 @@
 	looking, stop := context.WithCancel(ctx)
 	defer stop()
 	var tasks sync.WaitGroup
-	o := loopback.Options{Fleet: f, Seed: seed, Source: world.Until(world.NewSynthetic(f, seed, c.Length), over), Faults: faults,
+	o := loopback.Options{Fleet: f, Seed: seed, Source: world.UntilClosed(world.NewSynthetic(f, seed, c.Length), over), Faults: faults,
 		Program: program, Start: l.start, Sample: sampleEvery, PushFor: pushFor, PushMost: mostPush,
 		Ready: func(r *loopback.Run) {
 			tasks.Go(func() {
@@ -99,8 +99,8 @@
 	for _, b := range res.Judge.Breaches {
 		l.course.Breaches = append(l.course.Breaches, b.String())
 	}
-	l.course.Figures = Figures{Service: res.World.Meter.Figure().Total, Push: res.Judge.Push, Over: pushedOver(res.Judge), Broken: res.Judge.Broken(),
-		Crossed: float64(res.Counts.Crossings) / float64(max(1, res.Counts.Attempts))}
+	l.course.Figures = Figures{Service: res.World.Meter.Figure().Total, Push: res.Judge.MaxColdLoad, Over: pushedOver(res.Judge), Broken: res.Judge.BreachCount(),
+		Crossed: float64(res.Counts.CrossRoomAttempts) / float64(max(1, res.Counts.Attempts))}
 	l.course.played = &played{world: res.World, length: res.Length, series: l.series, figures: l.course.Figures}
 	return l.course, nil
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -41,9 +41,9 @@
 // Tiers are the tiers of a pool in order of preference.
 type Tiers []Tier
 
-// Of returns the index of the first tier that includes a box with this room and these labels, for a
+// IndexOf returns the index of the first tier that includes a box with this room and these labels, for a
 // limiter in limiterRoom. It is len(t) for boxes of no tier.
-func (t Tiers) Of(room int, labels []string, limiterRoom int) int {
+func (t Tiers) IndexOf(room int, labels []string, limiterRoom int) int {
 	for k := range t {
 		if t[k].OwnRoom && room == limiterRoom || slices.Contains(t[k].Rooms, room) ||
 			slices.ContainsFunc(labels, func(l string) bool { return slices.Contains(t[k].Labels, l) }) {
@@ -67,18 +67,18 @@
 
 // Class is a class of requests with its service objective and retry semantics.
 type Class struct {
-	Name     string
-	Share    float64       // of the arrivals if a trace has no classes; the shares add up to 1
-	Work     time.Duration // mean work on one core at speed 1
-	Spread   float64       // coefficient of variation of the work; 0: constant
-	Aim      time.Duration // latency objective: a response within it earns the full worth
-	Deadline time.Duration // clients time out after this, over all their attempts
-	Worth    float64
-	Late     float64 // share of the worth that a response after the aim earns
-	Units    float64 // quota units that a request costs
-	Repeat   limiter.Repeat
-	Group    limiter.Group // for keyed classes: the group of boxes that share deduplication
-	Window   time.Duration // for keyed classes: deduplication window
+	Name      string
+	Share     float64       // of the arrivals if a trace has no classes; the shares add up to 1
+	Work      time.Duration // mean work on one core at speed 1
+	Spread    float64       // coefficient of variation of the work; 0: constant
+	Aim       time.Duration // latency objective: a response within it earns the full worth
+	Deadline  time.Duration // clients time out after this, over all their attempts
+	Worth     float64
+	LateShare float64 // share of the worth that a response after the aim earns
+	Units     float64 // quota units that a request costs
+	Repeat    limiter.Repeat
+	Group     limiter.Group // for keyed classes: the group of boxes that share deduplication
+	Window    time.Duration // for keyed classes: deduplication window
 }
 
 // Plan is the quota and price of the accounts of one plan, over all limiters together.
@@ -119,8 +119,8 @@
 	ThrashAt    float64
 	Connections int           // maximum of open connections
 	Handshake   time.Duration // work to establish a connection
-	ColdFrom    float64       // share of the capacity when it starts cold
-	ColdFor     time.Duration // longest warm-up
+	ColdShare   float64       // share of the capacity when it starts cold
+	WarmUpTime  time.Duration // longest warm-up
 	WarmAfter   int           // requests after which it is warm; 0: only after ColdFor
 	Report      Report
 	ErrorRate   float64 // share of requests that fail in normal operation
@@ -135,11 +135,11 @@
 
 // Rules are the parameters of the correctness rules that runs are checked against.
 type Rules struct {
-	DrainGrace   time.Duration // a draining box must get no new request later than this after the limiter was notified
-	FallFactor   float64       // a cold box fails if its load exceeds its capacity by this factor ...
-	FallFor      time.Duration // ... for this long
-	CeilingSlack float64       // share by which a ceiling may be exceeded
-	Attempts     int           // maximum attempts per request
+	DrainGrace       time.Duration // a draining box must get no new request later than this after the limiter was notified
+	OverloadFactor   float64       // a cold box fails if its load exceeds its capacity by this factor ...
+	OverloadDuration time.Duration // ... for this long
+	CeilingSlack     float64       // share by which a ceiling may be exceeded
+	Attempts         int           // maximum attempts per request
 }
 
 // Network describes delays and losses between the parts of a deployment. Delays are one-way.
@@ -148,29 +148,29 @@
 	Jitter                      float64       // relative to the delay, uniform in both directions
 	Connect                     time.Duration // connect timeout
 	Idle                        time.Duration // idle timeout of a box's connections
-	PeerLeast, PeerMost         time.Duration // delay of a message between limiters
+	PeerDelayMin, PeerDelayMax  time.Duration // delay of a message between limiters
 	PeerLoss                    float64
-	PeerIn                      float64       // messages per second that a limiter receives
-	ListLeast, ListMost         time.Duration // delay until a limiter sees a change of the server list
-	SilentNotice                time.Duration // additional delay for a box that vanishes without notice
-	FrontNotice                 time.Duration // delay until the front end detects a failed limiter
+	PeerMessageRate             float64       // messages per second that a limiter receives
+	ListDelayMin, ListDelayMax  time.Duration // delay until a limiter sees a change of the server list
+	SilentDetection             time.Duration // additional delay for a box that vanishes without notice
+	FrontDetection              time.Duration // delay until the front end detects a failed limiter
 }
 
 // Traffic describes the synthetic traffic that is used for what a trace does not contain.
 type Traffic struct {
-	Accounts  int
-	Rate      float64 // requests per second of all accounts
-	Swing     float64 // amplitude of the slow wave of the rate, as a share of it
-	Retries   int     // maximum retries of a client
-	TryShare  float64 // smallest share of the deadline that a client allows an attempt
-	Backoff   time.Duration
-	Heed      float64       // share of clients that respect Retry-After
-	MaxAdvice time.Duration // longest Retry-After that clients respect
-	SpreadMin float64       // smallest share of the limiters that an account uses
-	Skew      float64       // Zipf exponent of an account's requests over its limiters: rank k has weight 1/k^Skew
-	Shift     time.Duration // interval at which an account's busiest limiters change
-	Heavy     float64       // share of accounts that send HeavyX times their share
-	HeavyX    float64
+	Accounts        int
+	Rate            float64 // requests per second of all accounts
+	WaveAmplitude   float64 // amplitude of the slow wave of the rate, as a share of it
+	Retries         int     // maximum retries of a client
+	MinAttemptShare float64 // smallest share of the deadline that a client allows an attempt
+	Backoff         time.Duration
+	RetryAfterShare float64       // share of clients that respect Retry-After
+	MaxRetryAfter   time.Duration // longest Retry-After that clients respect
+	SpreadMin       float64       // smallest share of the limiters that an account uses
+	ZipfExponent    float64       // Zipf exponent of an account's requests over its limiters: rank k has weight 1/k^Skew
+	Shift           time.Duration // interval at which an account's busiest limiters change
+	HeavyShare      float64       // share of accounts that send HeavyX times their share
+	HeavyFactor     float64
 }
 
 // Limits are the resource limits of a limiter started with `madderdrum serve`; 0 means no limit.
@@ -184,7 +184,7 @@
 func (f *Fleet) coldStart() (from float64, longest time.Duration) {
 	from = 1
 	for _, b := range f.Boxes {
-		from, longest = min(from, b.ColdFrom), max(longest, b.ColdFor)
+		from, longest = min(from, b.ColdShare), max(longest, b.WarmUpTime)
 	}
 	return from, longest
 }
@@ -195,16 +195,16 @@
 	from, longest := f.coldStart()
 	s := limiter.Settings{
 		Position: position, Balancers: len(f.Limiters), Zone: f.Limiters[position].Room,
-		PeerInPerS: f.Network.PeerIn, CrossPrice: 0.02,
-		Caps: limiter.Caps{Attempts: f.Rules.Attempts, Cancel: true, Peers: len(f.Limiters) > 1 && f.Network.PeerIn > 0,
-			Probes: true, RetryAfter: f.Traffic.MaxAdvice > 0, MaxWaitMs: ms(f.Traffic.MaxAdvice),
+		PeerInPerS: f.Network.PeerMessageRate, CrossPrice: 0.02,
+		Caps: limiter.Caps{Attempts: f.Rules.Attempts, Cancel: true, Peers: len(f.Limiters) > 1 && f.Network.PeerMessageRate > 0,
+			Probes: true, RetryAfter: f.Traffic.MaxRetryAfter > 0, MaxWaitMs: ms(f.Traffic.MaxRetryAfter),
 			ConnectMs: ms(f.Network.Connect)},
 		Rules: limiter.Rules{ColdShare: from, ColdMs: ms(longest),
-			OverloadFactor: f.Rules.FallFactor, FallMs: ms(f.Rules.FallFor)},
+			OverloadFactor: f.Rules.OverloadFactor, FallMs: ms(f.Rules.OverloadDuration)},
 	}
 	for _, c := range f.Classes {
 		s.Classes = append(s.Classes, limiter.Class{Repeat: c.Repeat, Group: c.Group, AimMs: ms(c.Aim),
-			DeadlineMs: ms(c.Deadline), WindowMs: ms(c.Window), Worth: c.Worth, LateShare: c.Late})
+			DeadlineMs: ms(c.Deadline), WindowMs: ms(c.Window), Worth: c.Worth, LateShare: c.LateShare})
 	}
 	for _, p := range f.Plans {
 		s.Plans = append(s.Plans, limiter.Plan{Rate: p.Rate, Burst: p.Burst, CeilingRate: p.CeilingRate,
@@ -234,8 +234,8 @@
 	return time.Duration(sum)
 }
 
-// MostUnits returns the largest cost in units of any class.
-func (f *Fleet) MostUnits() float64 {
+// MaxUnits returns the largest cost in units of any class.
+func (f *Fleet) MaxUnits() float64 {
 	most := 0.0
 	for _, c := range f.Classes {
 		most = max(most, c.Units)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -17,13 +17,13 @@
 	if len(f.Boxes) != 12 || len(f.Limiters) != 3 || f.Boxes[7].Name != "b1" || f.Boxes[7].Dial != "127.0.0.1:9007" || f.Boxes[7].Pod != 1 {
 		t.Errorf("%d boxes, %d limiters, %+v", len(f.Boxes), len(f.Limiters), f.Boxes[7])
 	}
-	if c := f.Classes[1]; c.Repeat != limiter.Keyed || c.Group != limiter.GroupCell || c.Window != time.Second || c.Units != 2 || c.Late != 0 {
+	if c := f.Classes[1]; c.Repeat != limiter.Keyed || c.Group != limiter.GroupCell || c.Window != time.Second || c.Units != 2 || c.LateShare != 0 {
 		t.Errorf("class %+v", c)
 	}
 	if p := f.Plans[1]; p.Rate != 7 || p.Burst != 15 || p.CeilingRate != 15 || p.CeilingBurst != 32 || p.Price != 1.1 || p.OverrunCost != 1.2 {
 		t.Errorf("plan %+v", p)
 	}
-	if n := f.Network; n.PeerLeast != 1600*time.Microsecond || n.PeerLoss != 0.04 || n.FrontNotice != 2*time.Second || f.Rules.Attempts != 3 || f.Traffic.Rate != 170 {
+	if n := f.Network; n.PeerDelayMin != 1600*time.Microsecond || n.PeerLoss != 0.04 || n.FrontDetection != 2*time.Second || f.Rules.Attempts != 3 || f.Traffic.Rate != 170 {
 		t.Errorf("%+v %+v %+v", n, f.Rules, f.Traffic)
 	}
 	for i := range f.Limiters {
--- a/internal/fleet/tiers_test.go
+++ b/internal/fleet/tiers_test.go
@@ -14,7 +14,7 @@
 	}{
 		{0, nil, 0, 1}, {1, nil, 0, 2}, {1, nil, 1, 1}, {2, nil, 0, 3}, {2, []string{"old", "rack-1"}, 0, 0}, {1, []string{"new"}, 1, 0}, {2, []string{"old"}, 0, 3},
 	} {
-		if got := tiers.Of(x.room, x.labels, x.limiter); got != x.want {
+		if got := tiers.IndexOf(x.room, x.labels, x.limiter); got != x.want {
 			t.Errorf("%+v: tier %d", x, got)
 		}
 	}
--- a/internal/forwardauth/config.go
+++ b/internal/forwardauth/config.go
@@ -70,13 +70,13 @@
 
 // FromConfig returns the listener that a validated configuration describes.
 func FromConfig(c *config.ForwardAuth) Listener {
-	listener := Listener{Limiter: c.Limiter, Listen: c.Listen, KeysFile: c.Keys, MaxLeases: c.Leases, MaxPending: c.Pending}
+	listener := Listener{Limiter: c.Limiter, Listen: c.Listen, KeysFile: c.KeysFile, MaxLeases: c.MaxLeases, MaxPending: c.MaxPending}
 	if c.TLS != nil {
 		listener.TLS = &TLS{c.TLS.Cert, c.TLS.Key, c.TLS.ClientCA}
 	}
 	for _, p := range c.Proxies {
-		proxy := Proxy{Name: p.Name, Dialect: dialects[p.Dialect], SecretFile: p.Secret, SecretHeader: cmp.Or(p.Header, defaultSecretHeader), CertNames: p.Certs,
-			PathPrefix: p.Prefix, LeaseDuration: p.Lease, DefaultTimeout: p.Wait}
+		proxy := Proxy{Name: p.Name, Dialect: dialects[p.Dialect], SecretFile: p.SecretFile, SecretHeader: cmp.Or(p.SecretHeader, defaultSecretHeader), CertNames: p.CertNames,
+			PathPrefix: p.PathPrefix, LeaseDuration: p.Lease, DefaultTimeout: p.DefaultTimeout}
 		if p.Mode == "ask-then-carry" {
 			proxy.Mode = AskThenCarry
 		}
@@ -86,7 +86,7 @@
 		n := proxy.Dialect.defaultNames
 		for name, to := range map[string]*string{"method": &n.Method, "uri": &n.URI, "request_id": &n.ID, "class": &n.Class, "plan": &n.Plan,
 			"timeout": &n.Timeout, "quota": &n.Quota, "account": &n.Account, "retried": &n.Retried} {
-			*to = cmp.Or(p.Names[name], *to)
+			*to = cmp.Or(p.HeaderNames[name], *to)
 		}
 		proxy.Names = n
 		for _, r := range p.Routes {
--- a/internal/forwardauth/forwardauth_test.go
+++ b/internal/forwardauth/forwardauth_test.go
@@ -33,7 +33,7 @@
 )
 
 var tier = Tier{Limiters: 3, Classes: []string{"status-check", "send-reminder", "send-bulk-paid"}, Plans: []string{"starter", "business"},
-	MostUnits: 6, Longest: 4 * time.Second}
+	MaxUnits: 6, MaxTimeout: 4 * time.Second}
 
 // fakeDecider is a Decider with a single balance of units that records its calls.
 type fakeDecider struct {
@@ -629,7 +629,7 @@
 		}
 		return Target{Pool: 9, Class: 2, Deadline: 300 * time.Millisecond}, q.Host == "north.example" && strings.HasPrefix(q.Path, "/bulk/")
 	}
-	s.Swap(routed, func(done func()) { done() })
+	s.ReplaceTier(routed, func(done func()) { done() })
 	for i, c := range []struct {
 		host, uri string
 		want      int
@@ -687,7 +687,7 @@
 			return limiter.Advice{Refuse: x.Header("X-Tenant") == "no", WaitMs: 250, Factor: 2}
 		}}, true
 	}
-	s.Swap(routed, func(done func()) { done() })
+	s.ReplaceTier(routed, func(done func()) { done() })
 	for tenant, want := range map[string]int{"yes": 200, "no": 200} { // fakeDecider ignores advice
 		code := sendAuthRequest(t, s, headers("put-"+tenant), func(q *http.Request) {
 			q.Header.Set("X-Forwarded-Uri", "/v1/messages?key=7")
--- a/internal/forwardauth/mixed_test.go
+++ b/internal/forwardauth/mixed_test.go
@@ -131,7 +131,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("served %v, refused %v; checks %v", served, refused, r.Judge.Seen)
+	t.Logf("served %v, refused %v; checks %v", served, refused, r.Judge.CheckCounts)
 	for _, b := range r.Judge.Breaches {
 		if b.Rule == judge.CeilingsKept {
 			t.Error(b)
--- a/internal/forwardauth/parse.go
+++ b/internal/forwardauth/parse.go
@@ -115,7 +115,7 @@
 		}
 	}
 	ask.ID, ask.Lease, ask.Retry = id, p.Mode == AskThenCarry, retried == "1"
-	ask.ExpiresMs = float64(min(wait, s.Longest)) / float64(time.Millisecond)
+	ask.ExpiresMs = float64(min(wait, s.MaxTimeout)) / float64(time.Millisecond)
 	parsed.id, parsed.to, parsed.method, parsed.path, parsed.class, parsed.plan = id, to, method, path, className, planName
 	return parsed, nil
 }
@@ -129,7 +129,7 @@
 		v, err := strconv.ParseFloat(value, 64)
 		whole := err == nil && v == math.Trunc(v) && v >= 0 && v <= float64(s.Limiters)
 		switch {
-		case name == "units" && err == nil && v > 0 && v <= s.MostUnits:
+		case name == "units" && err == nil && v > 0 && v <= s.MaxUnits:
 			ask.Units = v
 		case name == "spread" && whole && v >= 1:
 			ask.Spread = int(v)
@@ -139,8 +139,8 @@
 			return fmt.Errorf("quota %q is out of range", clip(pair))
 		}
 	}
-	if ask.Units > s.MostUnits {
-		return fmt.Errorf("%g units, %g at most", ask.Units, s.MostUnits)
+	if ask.Units > s.MaxUnits {
+		return fmt.Errorf("%g units, %g at most", ask.Units, s.MaxUnits)
 	}
 	return nil
 }
--- a/internal/forwardauth/service.go
+++ b/internal/forwardauth/service.go
@@ -33,12 +33,12 @@
 
 // Tier is the configuration that all limiters share.
 type Tier struct {
-	Position  int
-	Limiters  int
-	Classes   []string
-	Plans     []string
-	MostUnits float64
-	Longest   time.Duration // upper bound of client timeouts
+	Position   int
+	Limiters   int
+	Classes    []string
+	Plans      []string
+	MaxUnits   float64
+	MaxTimeout time.Duration // upper bound of client timeouts
 	// Route, if set, returns the target of a request by the same routes as forwarded requests, or
 	// false if no route matches.
 	Route func(req *route.Request) (Target, bool)
@@ -96,9 +96,9 @@
 	return &indexedTier{t, indexByName(t.Classes), indexByName(t.Plans)}
 }
 
-// Swap replaces the tier. It calls swap, which must change the decider to the new tier and then
+// ReplaceTier replaces the tier. It calls swap, which must change the decider to the new tier and then
 // call done. Each request is parsed and decided by the same tier.
-func (s *Service) Swap(t Tier, swap func(done func())) {
+func (s *Service) ReplaceTier(t Tier, swap func(done func())) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	swap(func() { s.tier.Store(newIndexedTier(t)) })
--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -19,8 +19,8 @@
 	conflict   atomic.Bool
 }
 
-// Both reports whether any header section had both fields.
-func (w *Watch) Both() bool { return w.conflict.Load() }
+// HasBothLengths reports whether any header section had both fields.
+func (w *Watch) HasBothLengths() bool { return w.conflict.Load() }
 
 const (
 	sawContentLength = 1 << iota
@@ -32,8 +32,8 @@
 	encodingName = []byte("transfer-encoding:")
 )
 
-// Look scans the next bytes read from the connection.
-func (w *Watch) Look(b []byte) {
+// Scan scans the next bytes read from the connection.
+func (w *Watch) Scan(b []byte) {
 	for len(b) > 0 {
 		end := bytes.IndexByte(b, '\n')
 		part := b
--- a/internal/judge/attempts.go
+++ b/internal/judge/attempts.go
@@ -9,29 +9,29 @@
 
 // Checks of attempts at boxes: requests that may run twice, and the load that cold boxes are sent.
 
-// Begins records that a limiter sent the first byte of an attempt to a box. The driver reports the
+// AttemptStarted records that a limiter sent the first byte of an attempt to a box. The driver reports the
 // arrival of the same attempt with Arrived before it begins another attempt of this try.
-func (j *Judge) Begins(now time.Duration, id uint64, box Box) {
+func (j *Judge) AttemptStarted(now time.Duration, id uint64, box Box) {
 	j.advanceClock(now)
 	t := j.tries[id]
 	if t == nil {
 		j.recordBreach(now, OneAnswer, -1, id, "sent on a request that nobody asked, or long after its end")
 		return
 	}
-	if t.answered && !t.limiterKilled && now >= t.answeredAt+j.settings.Order {
+	if t.answered && !t.limiterKilled && now >= t.answeredAt+j.settings.ReorderTolerance {
 		j.recordOutOfOrder(t, now, t.answeredAt, OneAnswer, "sent on after its final answer")
 	}
 	t.firstByteAt = now
-	j.Seen[DrainsKept]++
+	j.CheckCounts[DrainsKept]++
 	if at, told := j.stopTold[[2]int{t.Limiter, box.ID}]; told && now > at+j.settings.DrainGrace+j.settings.Slack {
 		j.recordBreach(now, DrainsKept, t.Limiter, id, "sent to box %d, %v after it was told that the box drains or is gone", box.ID, now-at)
 	}
 }
 
-// Arrived records that a box received the whole request of an attempt: the work that it requires,
+// AttemptArrived records that a box received the whole request of an attempt: the work that it requires,
 // the current capacity of the box in seconds of work per second, and whether the box is still
 // warming up.
-func (j *Judge) Arrived(now time.Duration, attemptID, id uint64, box Box, work time.Duration, capacity float64, cold bool) {
+func (j *Judge) AttemptArrived(now time.Duration, attemptID, id uint64, box Box, work time.Duration, capacity float64, cold bool) {
 	j.advanceClock(now)
 	j.checkColdBox(now, id, box, work, capacity, cold)
 	t := j.tries[id]
@@ -40,10 +40,10 @@
 		return
 	}
 	class := j.settings.Classes[t.Class]
-	j.Seen[NothingTwice]++
+	j.CheckCounts[NothingTwice]++
 	if earlier := t.newestAttempt; earlier != nil && !earlier.overlapped {
 		earlier.overlapped, earlier.overlapAt = true, t.firstByteAt
-		if j.settings.Order == 0 {
+		if j.settings.ReorderTolerance == 0 {
 			j.recordBreach(now, NothingTwice, t.Limiter, id, "two attempts out at once")
 		}
 	}
@@ -52,7 +52,7 @@
 	}
 	if t.mayHaveRun && class.Repeat == limiter.Keyed {
 		sentAt := now
-		if j.settings.Order > 0 { // the report may be later than the arrival itself
+		if j.settings.ReorderTolerance > 0 { // the report may be later than the arrival itself
 			sentAt = t.firstByteAt
 		}
 		if due := t.mayHaveRunAt + class.Window; sentAt > due+j.settings.Slack {
@@ -72,8 +72,8 @@
 	j.attempts[attemptID] = t.newestAttempt
 }
 
-// Ran records that a box executed the request of an attempt.
-func (j *Judge) Ran(now time.Duration, attemptID uint64) {
+// AttemptExecuted records that a box executed the request of an attempt.
+func (j *Judge) AttemptExecuted(now time.Duration, attemptID uint64) {
 	a := j.attempts[attemptID]
 	if a == nil {
 		return
@@ -83,9 +83,9 @@
 	}
 }
 
-// Ended records the end of an attempt that had arrived: the box wrote its response, or the
+// AttemptEnded records the end of an attempt that had arrived: the box wrote its response, or the
 // connection closed.
-func (j *Judge) Ended(now time.Duration, attemptID uint64, v Verdict) {
+func (j *Judge) AttemptEnded(now time.Duration, attemptID uint64, v Verdict) {
 	j.advanceClock(now)
 	a := j.attempts[attemptID]
 	if a == nil {
@@ -110,11 +110,11 @@
 // runs at the end of the earlier attempt, when it is known whether the earlier attempt may have run.
 func (j *Judge) checkOverlap(now time.Duration, a *attempt, v Verdict) {
 	t := a.try
-	if j.settings.Order > 0 && now > a.overlapAt+j.settings.Order {
+	if j.settings.ReorderTolerance > 0 && now > a.overlapAt+j.settings.ReorderTolerance {
 		j.recordOutOfOrder(t, now, a.overlapAt, NothingTwice, "two attempts out at once")
 	}
 	class := j.settings.Classes[t.Class]
-	if v == NeverRan || j.settings.Order == 0 {
+	if v == NeverRan || j.settings.ReorderTolerance == 0 {
 		return
 	}
 	if class.Repeat == limiter.Unsafe {
@@ -139,7 +139,7 @@
 		p = &coldWork{}
 		j.coldBoxes[box.ID] = p
 	}
-	j.Seen[ColdKept]++
+	j.CheckCounts[ColdKept]++
 	p.arrivedAt, p.amounts, p.sum = append(p.arrivedAt, now), append(p.amounts, work), p.sum+work
 	expired := 0
 	for expired < len(p.arrivedAt) && p.arrivedAt[expired] < now-j.settings.FallFor {
@@ -161,25 +161,25 @@
 
 // measurePush updates Push with the work that arrived at a cold box within PushFor.
 func (j *Judge) measurePush(now time.Duration, p *coldWork, capacity float64) {
-	if j.settings.PushFor <= 0 {
+	if j.settings.ColdLoadWindow <= 0 {
 		return
 	}
-	for p.arrivedAt[p.windowStart] <= now-j.settings.PushFor {
+	for p.arrivedAt[p.windowStart] <= now-j.settings.ColdLoadWindow {
 		p.windowStart++
 	}
 	var sum, largest time.Duration
 	for _, w := range p.amounts[p.windowStart:] {
 		sum, largest = sum+w, max(largest, w)
 	}
-	ratio := (sum - largest).Seconds() / (capacity * j.settings.PushFor.Seconds())
-	if j.Push = max(j.Push, ratio); ratio > j.settings.PushMost {
-		j.PushedOver++
+	ratio := (sum - largest).Seconds() / (capacity * j.settings.ColdLoadWindow.Seconds())
+	if j.MaxColdLoad = max(j.MaxColdLoad, ratio); ratio > j.settings.ColdLoadLimit {
+		j.ColdLoadExceeded++
 	}
-	j.Pushes++
+	j.ColdLoadChecks++
 }
 
-// Fell records that a cold box crashed under the load it was sent.
-func (j *Judge) Fell(now time.Duration, box int) {
+// BoxCrashed records that a cold box crashed under the load it was sent.
+func (j *Judge) BoxCrashed(now time.Duration, box int) {
 	j.advanceClock(now)
 	j.recordBreach(now, ColdKept, -1, 0, "box %d was pushed over while it was cold", box)
 }
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -25,7 +25,7 @@
 	DrainsKept               // a box that drains or is gone gets no new request after the grace period
 	ColdKept                 // a cold box is not sent more work than it can handle
 	CeilingsKept             // the hard ceiling of an account holds over all limiters together
-	Rules
+	RuleCount
 )
 
 var ruleNames = [...]string{"one final answer", "nothing twice", "drains kept", "cold boxes not pushed over", "ceilings kept"}
@@ -44,24 +44,24 @@
 
 // Settings holds the limits that the rules are checked against.
 type Settings struct {
-	Classes      []Class
-	Plans        []Plan
-	Attempts     int
-	DrainGrace   time.Duration
-	FallFactor   float64
-	FallFor      time.Duration
-	PushFor      time.Duration // window of Judge.Push; 0: not measured
-	PushMost     float64
-	CeilingSlack float64       // tolerated excess, as a share of the ceiling
-	MaxUnits     float64       // units of the largest request
-	Longest      time.Duration // longest deadline of any class
+	Classes        []Class
+	Plans          []Plan
+	Attempts       int
+	DrainGrace     time.Duration
+	FallFactor     float64
+	FallFor        time.Duration
+	ColdLoadWindow time.Duration // window of Judge.Push; 0: not measured
+	ColdLoadLimit  float64
+	CeilingSlack   float64       // tolerated excess, as a share of the ceiling
+	MaxUnits       float64       // units of the largest request
+	MaxDeadline    time.Duration // longest deadline of any class
 	// Slack is the largest delay between an event and its report. Every time limit is extended by
 	// it, and ceilings by the units that they allow in three times this span (150 ms for 50 ms).
 	Slack time.Duration
-	// Order is the span within which events of different connections may be reported out of order,
+	// ReorderTolerance is the span within which events of different connections may be reported out of order,
 	// such as the end of one attempt and the arrival of the next, or an attempt and an answer.
 	// 0 where the driver sees all events in order.
-	Order time.Duration
+	ReorderTolerance time.Duration
 }
 
 // Request is a try that a client sent and a limiter accepted.
@@ -80,10 +80,10 @@
 
 // Kinds of answers.
 const (
-	Served  Answer = iota
-	Refused        // the client may safely retry
-	Failed         // the request may or may not have run
-	Foreign        // reported as served, with a response that no box wrote for this request
+	Served        Answer = iota
+	Refused              // the client may safely retry
+	Failed               // the request may or may not have run
+	WrongResponse        // reported as served, with a response that no box wrote for this request
 )
 
 // Verdict is the outcome of an attempt as the boxes know it.
@@ -103,9 +103,9 @@
 	Limiter int
 	Try     uint64 // 0 if the breach concerns no single try
 	Text    string
-	// InTime marks an answer that came after Due. A driver in real time may know that the machine
+	// LateAnswer marks an answer that came after Due. A driver in real time may know that the machine
 	// caused the delay; see Excuse.
-	InTime bool
+	LateAnswer bool
 	// OutOfOrder marks an event at At that had to happen before Due, with a difference of more than
 	// Order or Slack of the settings.
 	OutOfOrder bool
@@ -133,24 +133,24 @@
 	now       time.Duration
 	sweptAt   time.Duration
 
-	keptCounts      [Rules]int // stored in Breaches, without late answers
-	keptLateAnswers int        // late answers stored in Breaches
+	keptCounts      [RuleCount]int // stored in Breaches, without late answers
+	keptLateAnswers int            // late answers stored in Breaches
 
-	// Push is the largest ratio, over all cold boxes, of the work that arrived within PushFor (without
+	// MaxColdLoad is the largest ratio, over all cold boxes, of the work that arrived within PushFor (without
 	// its largest job) to the work that the box could do in that time. It is measured at each of
 	// Pushes arrivals; PushedOver of them exceeded PushMost.
-	Push               float64
-	Pushes, PushedOver int
+	MaxColdLoad                      float64
+	ColdLoadChecks, ColdLoadExceeded int
 
-	Breaches []Breach
-	Count    [Rules]int
-	Seen     [Rules]int // number of times that each rule was checked
+	Breaches     []Breach
+	BreachCounts [RuleCount]int
+	CheckCounts  [RuleCount]int // number of times that each rule was checked
 }
 
 type try struct {
 	Request
 	takenAt       time.Duration
-	driverTiming  *Carried // as measured by the driver; nil: not measured
+	driverTiming  *DriverTiming // as measured by the driver; nil: not measured
 	answered      bool
 	answeredAt    time.Duration
 	limiterKilled bool // its limiter was killed
@@ -201,10 +201,10 @@
 		dead: map[int]bool{}, coldBoxes: map[int]*coldWork{}, ceilings: map[uint64]*ceiling{}}
 }
 
-// Broken returns the number of breaches of all rules.
-func (j *Judge) Broken() int {
+// BreachCount returns the number of breaches of all rules.
+func (j *Judge) BreachCount() int {
 	n := 0
-	for _, c := range j.Count {
+	for _, c := range j.BreachCounts {
 		n += c
 	}
 	return n
@@ -222,21 +222,21 @@
 
 // record counts a breach, and stores it if fewer than maxKeptBreaches of its kind are stored.
 func (j *Judge) record(b Breach, kept *int) {
-	j.Count[b.Rule]++
+	j.BreachCounts[b.Rule]++
 	if *kept < maxKeptBreaches {
 		*kept++
 		j.Breaches = append(j.Breaches, b)
 	}
 }
 
-// Excuse removes and returns the stored breaches for which wrongly returns true, because the driver
+// RemoveExcused removes and returns the stored breaches for which wrongly returns true, because the driver
 // found that it reported their times incorrectly.
-func (j *Judge) Excuse(wrongly func(Breach) bool) (excused []Breach) {
+func (j *Judge) RemoveExcused(wrongly func(Breach) bool) (excused []Breach) {
 	j.Breaches = slices.DeleteFunc(j.Breaches, func(b Breach) bool {
 		if !wrongly(b) {
 			return false
 		}
-		j.Count[b.Rule]--
+		j.BreachCounts[b.Rule]--
 		excused = append(excused, b)
 		return true
 	})
@@ -245,29 +245,29 @@
 
 // ---- Clients ----
 
-// Taken records that a limiter accepted a try.
-func (j *Judge) Taken(now time.Duration, r Request) {
+// RequestAccepted records that a limiter accepted a try.
+func (j *Judge) RequestAccepted(now time.Duration, r Request) {
 	j.advanceClock(now)
 	t := &try{Request: r, takenAt: now}
 	j.tries[r.Try] = t
 	j.pending = append(j.pending, t)
-	j.Seen[OneAnswer]++
+	j.CheckCounts[OneAnswer]++
 }
 
-// Carried holds the times that a driver in real time measured around a try, so that its own delays
+// DriverTiming holds the times that a driver in real time measured around a try, so that its own delays
 // are not attributed to the limiter.
-type Carried struct {
-	Handed  time.Duration // when the request was completely written
-	Left    time.Duration // remaining time of the client, as sent with the request
-	Arrived time.Duration // when the answer was read, before the driver waited for anything else
+type DriverTiming struct {
+	WrittenAt    time.Duration // when the request was completely written
+	Remaining    time.Duration // remaining time of the client, as sent with the request
+	AnswerReadAt time.Duration // when the answer was read, before the driver waited for anything else
 }
 
 // deadline is the end of the time that the request granted the limiter. It is later than Until by
 // the time that the driver took between reading the clock and writing the request.
-func (c Carried) deadline() time.Duration { return c.Handed + c.Left }
+func (c DriverTiming) deadline() time.Duration { return c.WrittenAt + c.Remaining }
 
-// AnsweredTo is Answered with the times that the driver measured for request and answer.
-func (j *Judge) AnsweredTo(now time.Duration, id uint64, a Answer, c Carried) {
+// AnsweredWithTiming is Answered with the times that the driver measured for request and answer.
+func (j *Judge) AnsweredWithTiming(now time.Duration, id uint64, a Answer, c DriverTiming) {
 	if t := j.tries[id]; t != nil && !t.answered {
 		t.Until = max(t.Until, c.deadline())
 		t.driverTiming = &c
@@ -285,7 +285,7 @@
 	}
 	arrived := now
 	if t.driverTiming != nil {
-		arrived = min(now, t.driverTiming.Arrived)
+		arrived = min(now, t.driverTiming.AnswerReadAt)
 	}
 	switch {
 	case t.answered:
@@ -293,7 +293,7 @@
 		return
 	case arrived > t.Until+j.settings.Slack && !t.clientLeft:
 		// Late answers have a limit of their own so that they don't displace other breaches.
-		j.record(Breach{At: arrived, Rule: OneAnswer, Limiter: t.Limiter, Try: id, InTime: true, Due: t.Until,
+		j.record(Breach{At: arrived, Rule: OneAnswer, Limiter: t.Limiter, Try: id, LateAnswer: true, Due: t.Until,
 			Text: fmt.Sprintf("answered %v after the client gave up", arrived-t.Until)}, &j.keptLateAnswers)
 	}
 	t.answered, t.answeredAt = true, now
@@ -303,7 +303,7 @@
 		if !t.served {
 			j.recordBreach(now, OneAnswer, t.Limiter, id, "served with no answer of a box")
 		}
-	case Foreign:
+	case WrongResponse:
 		j.recordBreach(now, OneAnswer, t.Limiter, id, "served with what no box made for it")
 	case Refused:
 		if (t.mayHaveRun || t.openAttempts > 0) && (class.Repeat == limiter.Unsafe || class.Repeat == limiter.Keyed && class.Group != limiter.GroupAll) {
@@ -312,17 +312,17 @@
 	}
 }
 
-// Left records that a client disconnected before its deadline. No answer to it is required any
+// ClientDisconnected records that a client disconnected before its deadline. No answer to it is required any
 // more.
-func (j *Judge) Left(now time.Duration, id uint64) {
+func (j *Judge) ClientDisconnected(now time.Duration, id uint64) {
 	j.advanceClock(now)
 	if t := j.tries[id]; t != nil && now < t.Until {
 		t.clientLeft = true
 	}
 }
 
-// Withdrawn cancels a Taken: the try did not reach a limiter.
-func (j *Judge) Withdrawn(id uint64) {
+// WithdrawRequest cancels a Taken: the try did not reach a limiter.
+func (j *Judge) WithdrawRequest(id uint64) {
 	if t := j.tries[id]; t != nil {
 		t.clientLeft = true
 	}
@@ -330,8 +330,8 @@
 
 // ---- Limiters ----
 
-// Killed records that a limiter was killed. It owes no answer to its open tries; clients retry them.
-func (j *Judge) Killed(now time.Duration, limiter int) {
+// LimiterKilled records that a limiter was killed. It owes no answer to its open tries; clients retry them.
+func (j *Judge) LimiterKilled(now time.Duration, limiter int) {
 	j.advanceClock(now)
 	for _, t := range j.pending {
 		if t.Limiter == limiter && !t.answered {
@@ -345,9 +345,9 @@
 	}
 }
 
-// Told records the state of a box that discovery reported to a limiter: wants is true if the box
+// BoxStateReported records the state of a box that discovery reported to a limiter: wants is true if the box
 // accepts new requests, and false if it drains or is gone.
-func (j *Judge) Told(now time.Duration, limiter, box int, wants bool) {
+func (j *Judge) BoxStateReported(now time.Duration, limiter, box int, wants bool) {
 	j.advanceClock(now)
 	k := [2]int{limiter, box}
 	if wants {
@@ -363,7 +363,7 @@
 	if plan.CeilingRate <= 0 {
 		return
 	}
-	j.Seen[CeilingsKept]++
+	j.CheckCounts[CeilingsKept]++
 	delayUnits := plan.CeilingRate * 3 * j.settings.Slack.Seconds()
 	shareBurst, requestBurst := plan.CeilingBurst*(1+j.settings.CeilingSlack)+delayUnits, plan.CeilingBurst+j.settings.MaxUnits+delayUnits
 	c := j.ceilings[t.Account]
@@ -381,9 +381,9 @@
 	}
 }
 
-// Spent records units that were granted for a request that no box of this fleet receives. They count
+// UnitsGranted records units that were granted for a request that no box of this fleet receives. They count
 // against the ceiling of the account like those of a forwarded request.
-func (j *Judge) Spent(now time.Duration, r Request) {
+func (j *Judge) UnitsGranted(now time.Duration, r Request) {
 	j.advanceClock(now)
 	j.chargeCeiling(now, &try{Request: r})
 }
@@ -396,7 +396,7 @@
 	}
 	j.sweptAt = j.now
 	expired := 0
-	for expired < len(j.pending) && j.pending[expired].takenAt < j.now-2*j.settings.Longest-5*time.Second && j.pending[expired].openAttempts <= 0 {
+	for expired < len(j.pending) && j.pending[expired].takenAt < j.now-2*j.settings.MaxDeadline-5*time.Second && j.pending[expired].openAttempts <= 0 {
 		j.checkAnswered(j.pending[expired])
 		delete(j.tries, j.pending[expired].Try)
 		j.pending[expired] = nil
@@ -412,7 +412,7 @@
 
 // checkAnswered checks that a try whose time is over got its answer.
 func (j *Judge) checkAnswered(t *try) {
-	if a := t.newestAttempt; a != nil && t.openAttempts > 1 && j.settings.Order > 0 {
+	if a := t.newestAttempt; a != nil && t.openAttempts > 1 && j.settings.ReorderTolerance > 0 {
 		j.recordBreach(a.arrivedAt, NothingTwice, t.Limiter, t.Try, "two attempts out at once")
 	}
 	if !t.answered && !t.limiterKilled && !t.clientLeft && j.now > t.Until+j.settings.Slack {
--- a/internal/loopback/agents.go
+++ b/internal/loopback/agents.go
@@ -79,8 +79,8 @@
 	b := a.r.w.Boxes[e.Box]
 	i := hostItem{Host: b.Name, Dial: a.r.addresses[e.Addr].dial(a.limiter), Site: a.r.o.Fleet.Rooms[b.Spec.Room], Class: "box",
 		Block: b.Spec.Pod, Health: [...]string{"ready", "draining", "gone"}[e.Health], Share: 1}
-	if e.Born >= 0 {
-		i.BornMs = float64(a.r.start.Add(e.Born).UnixMicro()) / 1000
+	if e.StartedAt >= 0 {
+		i.BornMs = float64(a.r.start.Add(e.StartedAt).UnixMicro()) / 1000
 	}
 	return i
 }
@@ -88,7 +88,7 @@
 // whole is the list as the agent has it. The lock is held.
 func (a *agent) whole() hostList {
 	l := hostList{Seq: a.seq, Whole: true, Hosts: []hostItem{}}
-	for _, e := range a.r.w.Known(a.limiter) {
+	for _, e := range a.r.w.KnownEntries(a.limiter) {
 		l.Hosts = append(l.Hosts, a.item(e))
 	}
 	return l
@@ -136,7 +136,7 @@
 				r.mu.Lock()
 				for _, c := range told { // told when it has been written
 					if c.seq > index {
-						r.j.Told(r.now(), a.limiter, c.entry.Box, c.entry.Health == world.Ready)
+						r.j.BoxStateReported(r.now(), a.limiter, c.entry.Box, c.entry.Health == world.Ready)
 					}
 				}
 				r.mu.Unlock()
@@ -214,15 +214,15 @@
 		r.mu.Lock()
 		now := r.advance()
 		r.counts.Messages++
-		r.w.PeerSends(now, from, to, append([]byte(nil), buf[:n]...))
-		r.carry(r.w.Take())
+		r.w.SendPeerMessage(now, from, to, append([]byte(nil), buf[:n]...))
+		r.carry(r.w.TakeActions())
 		r.nudge()
 		r.mu.Unlock()
 	}
 }
 
 // deliver sends a message on. UDP on loopback does not block.
-func (y *relay) deliver(m world.PeerHears) {
+func (y *relay) deliver(m world.DeliverPeerMessage) {
 	y.conns[m.From].WriteToUDPAddrPort(m.Data, y.own[m.To])
 }
 
--- a/internal/loopback/boxes.go
+++ b/internal/loopback/boxes.go
@@ -165,7 +165,7 @@
 		p.conns[c] = true
 		r.counts.Connects++
 	}
-	r.carry(r.w.Take())
+	r.carry(r.w.TakeActions())
 	r.nudge()
 	return how
 }
@@ -209,7 +209,7 @@
 		if closedAt := c.closedAt.Load(); closedAt != nil {
 			at = min(at, c.address.r.timeOf(*closedAt))
 		}
-		c.address.r.j.Ended(at, c.job, judge.MayHaveRun)
+		c.address.r.j.AttemptEnded(at, c.job, judge.MayHaveRun)
 		if c.try != nil {
 			c.try.Attempted("no answer in time, or reset")
 		}
@@ -288,7 +288,7 @@
 	id := q.Header.Get("X-Request-ID")
 	t := r.tries[id]
 	if t == nil && !r.o.Foreign {
-		r.j.Begins(now, 0, judge.Box{ID: c.box})
+		r.j.AttemptStarted(now, 0, judge.Box{ID: c.box})
 		r.mu.Unlock()
 		return c.write(http.StatusBadRequest, nil, "", nil)
 	}
@@ -301,22 +301,22 @@
 		if class := r.o.Fleet.Classes[t.Call.Class]; class.Repeat == limiter.Keyed {
 			job.Key, job.Window = t.Call.ID, class.Window
 		}
-		r.j.Begins(r.timeOf(q.first), t.ID, box)
-		r.j.Arrived(now, job.ID, t.ID, box, job.Work, b.Capacity(now), b.Warmth(now) < 1)
-		r.w.SentOn(now, t)
+		r.j.AttemptStarted(r.timeOf(q.first), t.ID, box)
+		r.j.AttemptArrived(now, job.ID, t.ID, box, job.Work, b.Capacity(now), b.Warmth(now) < 1)
+		r.w.TryForwarded(now, t)
 	}
 	if wait, err := strconv.Atoi(strings.TrimSuffix(q.Header.Get("X-Timeout"), "m")); err == nil {
 		job.Expires = now + time.Duration(wait)*time.Millisecond
 	}
 	r.counts.Attempts++
 	if r.o.Fleet.Limiters[c.limiter].Room != b.Spec.Room {
-		r.counts.Crossings++
+		r.counts.CrossRoomAttempts++
 	}
 	done := make(chan world.BoxAnswers, 1)
 	r.jobs[job.ID] = done
 	c.job, c.try = job.ID, t
-	r.w.Request(now, c.box, job)
-	r.carry(r.w.Take())
+	r.w.DeliverRequest(now, c.box, job)
+	r.carry(r.w.TakeActions())
 	r.nudge()
 	r.mu.Unlock()
 
@@ -368,14 +368,14 @@
 	case world.TurnedAway:
 		code, body, extra, verdict = http.StatusServiceUnavailable, nil, "X-Not-Processed: 1\r\n", judge.NeverRan
 	default:
-		if a.Wire == world.Clean {
+		if a.Fault == world.NoResponseFault {
 			verdict = judge.WasServed
 		}
 	}
 	ended := func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.j.Ended(r.now(), job, verdict)
+		r.j.AttemptEnded(r.now(), job, verdict)
 		if how := ways(a); how != "" && c.try != nil {
 			c.try.Attempted(how)
 		}
@@ -383,7 +383,7 @@
 	}
 	// The judge hears of it before the limiter can: the answer is as good as written.
 	ended()
-	switch a.Wire {
+	switch a.Fault {
 	case world.Garbled:
 		io.WriteString(c.Conn, "HTP/1.x \x00\x01 OK\r\n:::\r\n\r\nnoise")
 		return false
@@ -420,9 +420,9 @@
 		return "an error"
 	case a.Done.Result == world.TurnedAway:
 		return "turned away"
-	case a.Wire == world.Cut:
+	case a.Fault == world.Cut:
 		return "reset"
-	case a.Wire != world.Clean:
+	case a.Fault != world.NoResponseFault:
 		return "an answer of no use"
 	}
 	return ""
--- a/internal/loopback/broken_test.go
+++ b/internal/loopback/broken_test.go
@@ -186,7 +186,7 @@
 		}},
 		{name: "sends to drained boxes", rule: judge.DrainsKept, want: "after it was told", scenario: "box a0 drains from 100ms to 9s", length: 4 * time.Second,
 			change: func(o *loopback.Options) {
-				o.Fleet.Network.ListLeast, o.Fleet.Network.ListMost = 10*time.Millisecond, 50*time.Millisecond
+				o.Fleet.Network.ListDelayMin, o.Fleet.Network.ListDelayMax = 10*time.Millisecond, 50*time.Millisecond
 			},
 			fault: func(d *double, w http.ResponseWriter, q *http.Request, body []byte) bool {
 				d.give(w, q, body, d.boxes[0])
@@ -220,7 +220,7 @@
 			}
 			if !found {
 				t.Errorf("not caught: %v, put to the test %v; %d answers not judged for want of a processor; breaches that were found: %v",
-					r.Judge.Count, r.Judge.Seen, len(r.Starved), r.Judge.Breaches[:min(3, len(r.Judge.Breaches))])
+					r.Judge.BreachCounts, r.Judge.CheckCounts, len(r.Starved), r.Judge.Breaches[:min(3, len(r.Judge.Breaches))])
 			}
 		})
 	}
@@ -313,7 +313,7 @@
 					})
 				}
 			})
-			if late.Load() == 0 || r.Judge.Count[judge.OneAnswer] > 0 != c.broken {
+			if late.Load() == 0 || r.Judge.BreachCounts[judge.OneAnswer] > 0 != c.broken {
 				t.Errorf("%d late answers, breaches %v", late.Load(), r.Judge.Breaches)
 			}
 		})
--- a/internal/loopback/front.go
+++ b/internal/loopback/front.go
@@ -51,7 +51,7 @@
 	ctx, cancel := context.WithCancel(r.ctx)
 	r.cancels[t.ID] = cancel
 	c := t.Call
-	r.j.Taken(r.now(), judge.Request{Try: t.ID, Limiter: t.Limiter, Account: c.Account, Class: c.Class, Plan: c.Plan, Units: c.Units, Until: t.Until})
+	r.j.RequestAccepted(r.now(), judge.Request{Try: t.ID, Limiter: t.Limiter, Account: c.Account, Class: c.Class, Plan: c.Plan, Units: c.Units, Until: t.ClientDeadline})
 	r.tasks.Go(func() {
 		defer cancel()
 		f.try(ctx, t, id)
@@ -92,7 +92,7 @@
 	if t.Retry {
 		retried = "X-Retried: 1\r\n"
 	}
-	spread, first := f.r.w.Entrance(c.Account)
+	spread, first := f.r.w.AccountLimiters(c.Account)
 	return fmt.Appendf(nil, "%s /api?key=%016x HTTP/1.1\r\nHost: api.internal\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nPlan: %s\r\n"+
 		"X-Timeout: %dm\r\n%s%sQuota-Info: units=%g,spread=%d,first=%d\r\nContent-Length: %d\r\n\r\n%s",
 		method, c.Account, id, class.Name, fl.Plans[c.Plan].Name, left.Milliseconds(), key, retried, c.Units, spread, first, len(body), body)
@@ -109,10 +109,10 @@
 	stop := context.AfterFunc(ctx, func() { conn.Close() }) // the client goes away
 	defer stop()
 	for {
-		left := max(leastLeft, t.Until-r.elapsed())
+		left := max(leastLeft, t.ClientDeadline-r.elapsed())
 		var head *http.Response
 		_, err = conn.Write(f.request(t, id, left))
-		carried := judge.Carried{Handed: r.elapsed(), Left: left}
+		carried := judge.DriverTiming{WrittenAt: r.elapsed(), Remaining: left}
 		if err == nil {
 			head, err = http.ReadResponse(conn.in, nil)
 		}
@@ -134,7 +134,7 @@
 		if err == nil {
 			body, err = io.ReadAll(io.LimitReader(head.Body, 64<<10))
 		}
-		carried.Arrived = r.elapsed()
+		carried.AnswerReadAt = r.elapsed()
 		if err != nil {
 			conn.Close()
 			if ctx.Err() == nil {
@@ -148,7 +148,7 @@
 		case http.StatusOK:
 			kind, answer = world.GotServed, judge.Served
 			if string(body) != "served "+id+"\n" {
-				answer = judge.Foreign
+				answer = judge.WrongResponse
 			}
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 			kind, answer = world.GotRefused, judge.Refused
@@ -173,12 +173,12 @@
 }
 
 // got hands an answer to the client, and to the judge.
-func (f *front) got(t *world.Try, kind world.AnswerKind, advice time.Duration, answer judge.Answer, carried judge.Carried) {
+func (f *front) got(t *world.Try, kind world.AnswerKind, advice time.Duration, answer judge.Answer, carried judge.DriverTiming) {
 	r := f.r
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.advance()
-	r.j.AnsweredTo(now, t.ID, answer, carried)
+	r.j.AnsweredWithTiming(now, t.ID, answer, carried)
 	f.tell(now, t, kind, advice)
 }
 
@@ -191,8 +191,8 @@
 
 // tell hands the client what came of its try. The run's lock is held.
 func (f *front) tell(now time.Duration, t *world.Try, kind world.AnswerKind, advice time.Duration) {
-	f.r.w.Got(now, t, kind, advice)
-	f.r.carry(f.r.w.Take())
+	f.r.w.DeliverAnswer(now, t, kind, advice)
+	f.r.carry(f.r.w.TakeActions())
 	f.r.nudge()
 }
 
@@ -202,7 +202,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.advance()
-	r.j.Withdrawn(t.ID)
+	r.j.WithdrawRequest(t.ID)
 	if r.w.LimiterAlive(t.Limiter) && ctx.Err() == nil {
 		r.unstarted++
 	}
--- a/internal/loopback/limiters.go
+++ b/internal/loopback/limiters.go
@@ -115,7 +115,7 @@
 			"retry_after": s.Caps.RetryAfter, "max_retry_after_ms": s.Caps.MaxWaitMs, "connect_timeout_ms": s.Caps.ConnectMs,
 			"conn_idle_ms": float64(f.Network.Idle) / float64(time.Millisecond)},
 		"invariants":      map[string]any{"cold_share": s.Rules.ColdShare, "cold_ms": s.Rules.ColdMs, "overload_factor": s.Rules.OverloadFactor, "fall_ms": s.Rules.FallMs},
-		"family_info":     map[string]any{"peer_in_per_s": s.PeerInPerS, "units_top": f.MostUnits()},
+		"family_info":     map[string]any{"peer_in_per_s": s.PeerInPerS, "units_top": f.MaxUnits()},
 		"prices":          map[string]any{"cross_zone": s.CrossPrice},
 		"request_classes": classes, "packages": plans,
 	}
@@ -191,7 +191,7 @@
 		<-p.Done()
 		l.r.mu.Lock()
 		defer l.r.mu.Unlock()
-		l.r.j.Killed(l.r.now(), l.n)
+		l.r.j.LimiterKilled(l.r.now(), l.n)
 		close(buried)
 	})
 }
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -137,10 +137,10 @@
 	r := &Run{o: o, dir: dir, base: guard.LocalAddr().(*net.UDPAddr).IP.To4()[1], wake: make(chan struct{}, 1), tries: map[string]*world.Try{}, cancels: map[uint64]func(){}, jobs: map[uint64]chan world.BoxAnswers{}, processorWaits: newProcessorWaits()}
 	r.ctx, r.stop = context.WithCancel(context.Background())
 	defer r.stop()
-	r.w = world.New(o.Fleet, world.Options{Seed: o.Seed, Source: o.Source, Faults: o.Faults, Sample: o.Sample})
+	r.w = world.New(o.Fleet, world.Options{Seed: o.Seed, Source: o.Source, Faults: o.Faults, SampleInterval: o.Sample})
 	rules := virtual.JudgeSettings(o.Fleet, o.Slack)
-	rules.PushFor, rules.PushMost = o.PushFor, o.PushMost
-	rules.Order = o.Slack
+	rules.ColdLoadWindow, rules.ColdLoadLimit = o.PushFor, o.PushMost
+	rules.ReorderTolerance = o.Slack
 	r.j = judge.New(rules)
 	r.front = newFront(r)
 	defer r.shut()
@@ -272,7 +272,7 @@
 	defer r.mu.Unlock()
 	r.left = true
 	for id, cancel := range r.cancels {
-		r.j.Withdrawn(id)
+		r.j.WithdrawRequest(id)
 		cancel()
 	}
 	return r.now()
@@ -303,7 +303,7 @@
 			}
 			r.do(a)
 		}
-		actions = r.w.Take()
+		actions = r.w.TakeActions()
 	}
 	r.conditions = slices.DeleteFunc(r.conditions, func(x condition) bool {
 		so := x.until(r.w, r.j)
@@ -321,7 +321,7 @@
 	x := condition{so, make(chan struct{})}
 	r.mu.Lock()
 	r.conditions = append(r.conditions, x)
-	r.carry(r.w.Take())
+	r.carry(r.w.TakeActions())
 	r.mu.Unlock()
 	select {
 	case <-x.so:
@@ -343,7 +343,7 @@
 		}
 	case world.BoxAnswers:
 		if a.Done.Ran {
-			r.j.Ran(r.now(), a.Done.ID)
+			r.j.AttemptExecuted(r.now(), a.Done.ID)
 		}
 		if c := r.jobs[a.Done.ID]; c != nil {
 			delete(r.jobs, a.Done.ID)
@@ -357,14 +357,14 @@
 		if err := p.listen(); err != nil {
 			r.w.Notes = append(r.w.Notes, world.Note{At: r.now(), Text: err.Error()})
 		}
-	case world.BoxFalls:
-		r.j.Fell(r.now(), a.Box)
-	case world.Listed:
+	case world.BoxCrashes:
+		r.j.BoxCrashed(r.now(), a.Box)
+	case world.DiscoveryUpdate:
 		r.agents[a.Limiter].news(a.Entries)
-	case world.PeerHears:
+	case world.DeliverPeerMessage:
 		r.relay.deliver(a)
 	case world.KillLimiter:
-		r.j.Killed(r.now(), a.Limiter)
+		r.j.LimiterKilled(r.now(), a.Limiter)
 		r.limiters[a.Limiter].killed()
 	case world.StopLimiter:
 		r.limiters[a.Limiter].stopGently()
@@ -391,7 +391,7 @@
 	for _, x := range faults {
 		r.w.Inject(r.now(), x)
 	}
-	r.carry(r.w.Take())
+	r.carry(r.w.TakeActions())
 	r.nudge()
 }
 
@@ -400,7 +400,7 @@
 func (r *Run) Spent(q judge.Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.j.Spent(r.now(), q)
+	r.j.UnitsGranted(r.now(), q)
 }
 
 // View calls f with the state of the run, which must not be kept or changed.
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -78,7 +78,7 @@
 		t.Error(b)
 	}
 	m := r.World.Meter
-	t.Logf("%v: %+v\n%+v\n%+v cpu %v memory %v late %v unstarted %d seen %v", r.Length, m.Figure(), m.Total, r.Counts, r.CPU, r.Memory, r.Late, r.Unstarted, r.Judge.Seen)
+	t.Logf("%v: %+v\n%+v\n%+v cpu %v memory %v late %v unstarted %d seen %v", r.Length, m.Figure(), m.Total, r.Counts, r.CPU, r.Memory, r.Late, r.Unstarted, r.Judge.CheckCounts)
 	for _, n := range r.World.Notes {
 		t.Log(n)
 	}
@@ -86,7 +86,7 @@
 		t.Errorf("service %+v", m.Figure())
 	}
 	for _, rule := range []judge.Rule{judge.OneAnswer, judge.NothingTwice, judge.DrainsKept, judge.CeilingsKept} {
-		if r.Judge.Seen[rule] == 0 {
+		if r.Judge.CheckCounts[rule] == 0 {
 			t.Errorf("%v was never put to the test", rule)
 		}
 	}
@@ -122,7 +122,7 @@
 	if err := <-acted; err != nil {
 		t.Error(err)
 	}
-	if r.Judge.Broken() > 0 {
+	if r.Judge.BreachCount() > 0 {
 		t.Error(r.Judge.Breaches)
 	}
 }
@@ -148,8 +148,8 @@
 	for _, b := range r.Judge.Breaches {
 		t.Error(b)
 	}
-	if r.Judge.Seen[judge.OneAnswer] < 500 {
-		t.Errorf("%d taken", r.Judge.Seen[judge.OneAnswer])
+	if r.Judge.CheckCounts[judge.OneAnswer] < 500 {
+		t.Errorf("%d taken", r.Judge.CheckCounts[judge.OneAnswer])
 	}
 }
 
@@ -205,8 +205,8 @@
 	if err := <-waited; err != nil {
 		t.Error(err)
 	}
-	if r.Judge.Broken() > 0 || r.Judge.Seen[judge.OneAnswer] < 20 {
-		t.Errorf("%d taken, breaches %v", r.Judge.Seen[judge.OneAnswer], r.Judge.Breaches)
+	if r.Judge.BreachCount() > 0 || r.Judge.CheckCounts[judge.OneAnswer] < 20 {
+		t.Errorf("%d taken, breaches %v", r.Judge.CheckCounts[judge.OneAnswer], r.Judge.Breaches)
 	}
 }
 
--- a/internal/loopback/processorwaits.go
+++ b/internal/loopback/processorwaits.go
@@ -188,10 +188,10 @@
 // limiter and none of the driver had waited for a core at that time, and what the driver would have told in
 // order if none of its own had. An answer that never came is never excused.
 func (r *Run) excuse() []judge.Breach {
-	return r.j.Excuse(func(b judge.Breach) bool {
+	return r.j.RemoveExcused(func(b judge.Breach) bool {
 		late := b.At - b.Due - r.o.Slack
 		switch {
-		case b.InTime:
+		case b.LateAnswer:
 			from := b.Due - lookBack
 			return r.processorWaits.during(-1, from, b.At)+r.processorWaits.during(b.Limiter, from, b.At) >= late
 		case b.OutOfOrder:
--- a/internal/loopback/processorwaits_test.go
+++ b/internal/loopback/processorwaits_test.go
@@ -36,15 +36,15 @@
 		{"later", 1, waitSample{1900 * ms, 1925 * ms, one(500 * ms)}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			j := judge.New(judge.Settings{Classes: []judge.Class{{}}, Plans: []judge.Plan{{}}, Slack: usualSlack, Longest: time.Second})
-			j.Taken(0, judge.Request{Try: 1, Limiter: 1, Until: time.Second})
-			j.Taken(0, judge.Request{Try: 2, Limiter: 1, Until: time.Second})
-			j.AnsweredTo(1060*ms, 1, judge.Failed, judge.Carried{Handed: asked, Left: time.Second - asked, Arrived: 1060 * ms})
+			j := judge.New(judge.Settings{Classes: []judge.Class{{}}, Plans: []judge.Plan{{}}, Slack: usualSlack, MaxDeadline: time.Second})
+			j.RequestAccepted(0, judge.Request{Try: 1, Limiter: 1, Until: time.Second})
+			j.RequestAccepted(0, judge.Request{Try: 2, Limiter: 1, Until: time.Second})
+			j.AnsweredWithTiming(1060*ms, 1, judge.Failed, judge.DriverTiming{WrittenAt: asked, Remaining: time.Second - asked, AnswerReadAt: 1060 * ms})
 			j.Close(2 * time.Second) // the other one never has its answer
 			r := &Run{o: Options{Slack: usualSlack}, j: j, processorWaits: newProcessorWaits()}
 			r.processorWaits.all[c.who] = []waitSample{c.waited}
-			before := j.Count[judge.OneAnswer]
-			if got := len(r.excuse()); before != 2 || got == 1 != c.excused || j.Count[judge.OneAnswer] != before-got {
+			before := j.BreachCounts[judge.OneAnswer]
+			if got := len(r.excuse()); before != 2 || got == 1 != c.excused || j.BreachCounts[judge.OneAnswer] != before-got {
 				t.Errorf("excused %d, left %v", got, j.Breaches)
 			}
 		})
@@ -68,13 +68,13 @@
 		{"the limiter waited", 1, waitSample{120 * ms, 145 * ms, one(500 * ms)}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			j := judge.New(judge.Settings{Classes: []judge.Class{{}}, Plans: []judge.Plan{{}}, Slack: usualSlack, Order: usualSlack, Longest: time.Second})
-			j.Taken(0, judge.Request{Try: 1, Limiter: 1, Until: time.Second})
+			j := judge.New(judge.Settings{Classes: []judge.Class{{}}, Plans: []judge.Plan{{}}, Slack: usualSlack, ReorderTolerance: usualSlack, MaxDeadline: time.Second})
+			j.RequestAccepted(0, judge.Request{Try: 1, Limiter: 1, Until: time.Second})
 			j.Answered(100*ms, 1, judge.Failed)
-			j.Begins(160*ms, 1, judge.Box{ID: 1})
+			j.AttemptStarted(160*ms, 1, judge.Box{ID: 1})
 			r := &Run{o: Options{Slack: usualSlack}, j: j, processorWaits: newProcessorWaits()}
 			r.processorWaits.all[c.who] = []waitSample{c.waited}
-			if got := len(r.excuse()); got == 1 != c.excused || j.Count[judge.OneAnswer] != 1-got {
+			if got := len(r.excuse()); got == 1 != c.excused || j.BreachCounts[judge.OneAnswer] != 1-got {
 				t.Errorf("excused %d, left %v", got, j.Breaches)
 			}
 		})
--- a/internal/metrics/instances.go
+++ b/internal/metrics/instances.go
@@ -3,8 +3,8 @@
 import "example.org/madderdrum/control/catalog"
 
 // Instances returns a gauge with the number of instances of servers and limiters, by service and state.
-func Instances(name string, counts []catalog.ServiceCount) Figure {
-	f := Figure{Name: name, Help: "Lives of servers and limiters that are known here, by service and state.", Kind: Gauge}
+func Instances(name string, counts []catalog.ServiceCount) Metric {
+	f := Metric{Name: name, Help: "Lives of servers and limiters that are known here, by service and state.", Kind: Gauge}
 	for _, count := range counts {
 		for state, n := range count.States {
 			f.Samples = append(f.Samples, Sample{Value: float64(n),
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -40,30 +40,30 @@
 	Value  float64
 }
 
-// Figure is a metric with all its samples.
-type Figure struct {
+// Metric is a metric with all its samples.
+type Metric struct {
 	Name    string // with its unit, as in madderdrum_proof_age_seconds
 	Help    string // one line
 	Kind    Kind
 	Samples []Sample
 }
 
-// One returns a metric with a single sample and no labels.
-func One(name, help string, kind Kind, value float64) Figure {
-	return Figure{name, help, kind, []Sample{{Value: value}}}
+// SingleValue returns a metric with a single sample and no labels.
+func SingleValue(name, help string, kind Kind, value float64) Metric {
+	return Metric{name, help, kind, []Sample{{Value: value}}}
 }
 
 // Flag returns a gauge that is 1 if holds is true, else 0.
-func Flag(name, help string, holds bool) Figure {
+func Flag(name, help string, holds bool) Metric {
 	value := 0.0
 	if holds {
 		value = 1
 	}
-	return One(name, help, Gauge, value)
+	return SingleValue(name, help, Gauge, value)
 }
 
 // Text returns metrics in the exposition format, in the given order.
-func Text(figures []Figure) []byte {
+func Text(figures []Metric) []byte {
 	var out []byte
 	for _, f := range figures {
 		out = fmt.Appendf(out, "# HELP %s %s\n# TYPE %s %s\n", f.Name, escapeHelp(f.Help), f.Name, f.Kind)
@@ -104,7 +104,7 @@
 }
 
 // Serve exports metrics on address in the background until the context ends. It calls collect for each request.
-func Serve(ctx context.Context, address string, collect func() []Figure) error {
+func Serve(ctx context.Context, address string, collect func() []Metric) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return fmt.Errorf("listen for metrics requests: %w", err)
@@ -113,9 +113,9 @@
 	return nil
 }
 
-// Offer exports metrics like [Serve], or does nothing if address is empty. It logs an error instead of returning
+// ServeIfConfigured exports metrics like [Serve], or does nothing if address is empty. It logs an error instead of returning
 // it: a process works without its metrics.
-func Offer(ctx context.Context, address string, log logrus.FieldLogger, collect func() []Figure) {
+func ServeIfConfigured(ctx context.Context, address string, log logrus.FieldLogger, collect func() []Metric) {
 	if address == "" {
 		return
 	}
@@ -124,7 +124,7 @@
 	}
 }
 
-func handler(collect func() []Figure) httpapi.Handler {
+func handler(collect func() []Metric) httpapi.Handler {
 	return func(_ context.Context, r *http.Request, _ []byte) httpapi.Answer {
 		switch {
 		case r.URL.Path != Path:
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -12,8 +12,8 @@
 )
 
 func TestText(t *testing.T) {
-	got := string(Text([]Figure{
-		One("a_seconds", "How long.\nAnd \\ more", Gauge, 0.25),
+	got := string(Text([]Metric{
+		SingleValue("a_seconds", "How long.\nAnd \\ more", Gauge, 0.25),
 		Flag("ready", "Whether it is", true),
 		{"answers_total", "By status", Counter, []Sample{
 			{[]Label{{"status", "200"}}, 3},
@@ -47,7 +47,7 @@
 	address := probe.Addr().String()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	collect := func() []Figure { return []Figure{Flag("up", "It is", true)} }
+	collect := func() []Metric { return []Metric{Flag("up", "It is", true)} }
 	if err := Serve(ctx, address, collect); err == nil {
 		t.Error("no error for an address in use")
 	}
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -127,7 +127,7 @@
 // Transfer-Encoding.
 func hasBothLengths(hr *http.Request) bool {
 	c, ok := hr.Context().Value(connKey{}).(*framedConn)
-	return ok && c.heads.Both()
+	return ok && c.heads.HasBothLengths()
 }
 
 // errAtCapacity is returned when the memory for request bodies is used up.
--- a/internal/node/framing.go
+++ b/internal/node/framing.go
@@ -114,7 +114,7 @@
 		}
 		c.mu.Unlock()
 	}
-	c.heads.Look(b[:n])
+	c.heads.Scan(b[:n])
 	if n == 1 && len(b) == 1 { // net/http's read for detecting disconnects got the next request
 		c.ahead.start(c.Conn)
 	}
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -334,4 +334,4 @@
 
 // quiet reports whether an idle connection is open with nothing to read. A connection closed by the server must
 // not be used: the request would end as Cut, and one that is not idempotent could not be retried.
-func (c *conn) quiet() bool { return sockets.Quiet(c.Conn) }
+func (c *conn) quiet() bool { return sockets.IsIdle(c.Conn) }
--- a/internal/node/stream_test.go
+++ b/internal/node/stream_test.go
@@ -446,10 +446,10 @@
 			c := &framedConn{}
 			for b := []byte(text); len(b) > 0; {
 				k := min(size, len(b))
-				c.heads.Look(b[:k])
+				c.heads.Scan(b[:k])
 				b = b[k:]
 			}
-			if c.heads.Both() != both {
+			if c.heads.HasBothLengths() != both {
 				t.Errorf("%.60q in pieces of %d: %v", text, size, !both)
 				break
 			}
--- a/internal/planner/page.go
+++ b/internal/planner/page.go
@@ -42,7 +42,7 @@
 	}
 	length := float64(len(r.Hours))
 	draw := func(most float64, lines ...[]float64) template.HTML {
-		c := chart.Over(length, "h", most, chart.Height, "")
+		c := chart.NewWithUnit(length, "h", most, chart.Height, "")
 		for k, line := range lines {
 			if len(line) == 1 { // a constant for the whole period
 				line = []float64{line[0], line[0]}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -23,12 +23,12 @@
 
 // Options are the parameters of a plan.
 type Options struct {
-	Begins     float64 // seconds from a Monday 00:00 to the trace's first arrival
-	Confidence float64
-	Goal       float64 // share of the worth to be served
-	Without    string  // name of a room to leave out; empty: none
-	Boxes      int     // total number of boxes; 0: as in the fleet
-	Rate       float64 // mean requests per second; 0: as recorded
+	Begins       float64 // seconds from a Monday 00:00 to the trace's first arrival
+	Confidence   float64
+	Goal         float64 // share of the worth to be served
+	ExcludedRoom string  // name of a room to leave out; empty: none
+	Boxes        int     // total number of boxes; 0: as in the fleet
+	Rate         float64 // mean requests per second; 0: as recorded
 }
 
 // Report is a capacity plan with its inputs.
@@ -101,7 +101,7 @@
 			if b.Room == i {
 				r.Boxes++
 				r.WorkPerBox += b.Cores * b.Speed
-				r.ColdShare += b.ColdFrom
+				r.ColdShare += b.ColdShare
 			}
 		}
 		if r.Boxes > 0 {
@@ -122,15 +122,15 @@
 			left -= all[i].Boxes
 		}
 	}
-	if o.Without == "" {
+	if o.ExcludedRoom == "" {
 		return all, nil
 	}
 	for i := range all {
-		if all[i].Name == o.Without {
+		if all[i].Name == o.ExcludedRoom {
 			return append(all[:i:i], all[i+1:]...), nil
 		}
 	}
-	return nil, fmt.Errorf("no room %q with boxes; there are %v", o.Without, f.Rooms)
+	return nil, fmt.Errorf("no room %q with boxes; there are %v", o.ExcludedRoom, f.Rooms)
 }
 
 // recordHistory returns the requests within the quotas of a replay, by kind and bin.
@@ -167,8 +167,8 @@
 	return h, nil
 }
 
-// Make returns a capacity plan for the demand of a replay.
-func Make(p *replay.Plan, o Options) (*Report, error) {
+// New returns a capacity plan for the demand of a replay.
+func New(p *replay.Plan, o Options) (*Report, error) {
 	f := p.Options.Fleet
 	h, err := recordHistory(p, o.Begins, p.Options.Seed)
 	if err != nil {
@@ -297,7 +297,7 @@
 	for _, x := range r.plan[r.Binding].Slot.High {
 		asked += x
 	}
-	day.Traffic.Rate, day.Traffic.Swing, day.Traffic.Heavy = asked, 0, 0
+	day.Traffic.Rate, day.Traffic.WaveAmplitude, day.Traffic.HeavyShare = asked, 0, 0
 	faults, err := world.Scenario(&day, fmt.Sprintf("room %s is lost from 0s to %s", f.Rooms[count-1], 2*length))
 	if err != nil {
 		return nil, err
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Make(p, o)
+	r, err := New(p, o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 	r := plan(t, 1, o)
 	o.Boxes = 30
 	larger := plan(t, 1, o)
-	o.Without = "room-b"
+	o.ExcludedRoom = "room-b"
 	oneRoom := plan(t, 1, o)
 	if larger.Rooms[0].Boxes != 15 || larger.Rooms[1].Boxes != 15 || larger.Hours[0].Use >= r.Hours[0].Use || len(oneRoom.Rooms) != 1 || oneRoom.Hours[0].BoxesLoss != oneRoom.Hours[0].Boxes {
 		t.Errorf("%+v, one room %+v", larger.Rooms, oneRoom.Hours)
@@ -76,12 +76,12 @@
 	if err := json.Unmarshal(data.Bytes(), &back); err != nil || back.Hours[0] != r.Hours[0] || !strings.Contains(text.String(), "* binds:") {
 		t.Errorf("%v\n%s", err, text.String())
 	}
-	o.Without = "cellar"
+	o.ExcludedRoom = "cellar"
 	p, err := replay.Prepare(t.Context(), replay.Options{Fleet: config.Bluebird(), Length: time.Minute, Speed: 1}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Make(p, o); err == nil || !strings.Contains(err.Error(), `no room "cellar"`) {
+	if _, err := New(p, o); err == nil || !strings.Contains(err.Error(), `no room "cellar"`) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/proxy/departure.go
+++ b/internal/proxy/departure.go
@@ -41,14 +41,14 @@
 		stats.cutUnknown)
 }
 
-func (stats *shutdownStats) metricValues() []metrics.Figure {
-	return []metrics.Figure{
-		metrics.One("madderdrum_proxy_requests_taken_while_leaving_total", "Requests that were read after SIGTERM.",
+func (stats *shutdownStats) metricValues() []metrics.Metric {
+	return []metrics.Metric{
+		metrics.SingleValue("madderdrum_proxy_requests_taken_while_leaving_total", "Requests that were read after SIGTERM.",
 			metrics.Counter, float64(stats.accepted)),
-		metrics.One("madderdrum_proxy_latest_taken_while_leaving_seconds",
+		metrics.SingleValue("madderdrum_proxy_latest_taken_while_leaving_seconds",
 			"How long after SIGTERM the latest of them had been read.", metrics.Gauge,
 			stats.lastAcceptedAfter.Seconds()),
-		metrics.One("madderdrum_proxy_requests_cut_at_exit_total",
+		metrics.SingleValue("madderdrum_proxy_requests_cut_at_exit_total",
 			"Requests that the end of the process found in hand and answered as they stood.", metrics.Counter,
 			float64(stats.cutNotExecuted+stats.cutUnknown)),
 	}
--- a/internal/proxy/figures.go
+++ b/internal/proxy/figures.go
@@ -25,35 +25,35 @@
 }
 
 // metricValues returns the values for the metrics endpoint.
-func (proxy *Proxy) metricValues() []metrics.Figure {
+func (proxy *Proxy) metricValues() []metrics.Metric {
 	ready := proxy.ready()
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	leaseLeft := max(0, proxy.lease.End()-time.Since(proxy.base))
-	all := []metrics.Figure{
+	all := []metrics.Metric{
 		metrics.Flag("madderdrum_proxy_ready", "Whether requests can be served here.", ready),
 		metrics.Flag("madderdrum_proxy_leaving", "Whether SIGTERM has come.", proxy.leaving.Load()),
-		metrics.One("madderdrum_proxy_requests_in_hand", "Requests that were read and have no answer yet.",
+		metrics.SingleValue("madderdrum_proxy_requests_in_hand", "Requests that were read and have no answer yet.",
 			metrics.Gauge, float64(proxy.inFlight.Load())),
 		proxy.answersMetric(),
-		metrics.One("madderdrum_proxy_share", "Part of what binds all limiters together that this one holds.",
+		metrics.SingleValue("madderdrum_proxy_share", "Part of what binds all limiters together that this one holds.",
 			metrics.Gauge, proxy.share),
-		metrics.One("madderdrum_proxy_lease_left_seconds", "For how long it holds that part yet.", metrics.Gauge,
+		metrics.SingleValue("madderdrum_proxy_lease_left_seconds", "For how long it holds that part yet.", metrics.Gauge,
 			leaseLeft.Seconds()),
-		metrics.One("madderdrum_proxy_register_sequence", "Number of the agreed state that is in force here.",
+		metrics.SingleValue("madderdrum_proxy_register_sequence", "Number of the agreed state that is in force here.",
 			metrics.Gauge, float64(proxy.register.Seq)),
-		metrics.One("madderdrum_proxy_configuration_version", "Version of the configuration that is in force here.",
+		metrics.SingleValue("madderdrum_proxy_configuration_version", "Version of the configuration that is in force here.",
 			metrics.Gauge, float64(proxy.register.Version)),
-		metrics.One("madderdrum_proxy_limiters_out_of_reach",
+		metrics.SingleValue("madderdrum_proxy_limiters_out_of_reach",
 			"Other limiters of the region that this one does not reach.", metrics.Gauge,
 			float64(len(proxy.unreachable))),
 	}
 	if !proxy.provenAt.IsZero() {
-		all = append(all, metrics.One("madderdrum_proxy_proof_age_seconds",
+		all = append(all, metrics.SingleValue("madderdrum_proxy_proof_age_seconds",
 			"Age of the latest proof that nothing newer is agreed.", metrics.Gauge,
 			time.Since(proxy.provenAt).Seconds()))
 	}
-	all = append(all, metrics.One("madderdrum_proxy_client_connections", "Connections of clients that are open.",
+	all = append(all, metrics.SingleValue("madderdrum_proxy_client_connections", "Connections of clients that are open.",
 		metrics.Gauge, float64(proxy.clients.count())))
 	all = append(all, proxy.disconnects.metricValues()...)
 	all = append(all, proxy.departure.metricValues()...)
@@ -63,8 +63,8 @@
 }
 
 // answersMetric counts answers by status and reason. The mutex is held.
-func (proxy *Proxy) answersMetric() metrics.Figure {
-	f := metrics.Figure{Name: "madderdrum_proxy_answers_total", Kind: metrics.Counter,
+func (proxy *Proxy) answersMetric() metrics.Metric {
+	f := metrics.Metric{Name: "madderdrum_proxy_answers_total", Kind: metrics.Counter,
 		Help: "Requests that ended, by the status of their answer and the limiter's reason; 499 is a client that has left, and is never sent."}
 	var keys []ending
 	for k := range proxy.answerCounts {
@@ -81,23 +81,23 @@
 }
 
 // attemptsMetric counts the attempts that servers have not answered yet. The mutex is held.
-func (proxy *Proxy) attemptsMetric() metrics.Figure {
+func (proxy *Proxy) attemptsMetric() metrics.Metric {
 	n := 0
 	if proxy.engine != nil {
 		for _, k := range proxy.engine.inFlight {
 			n += k
 		}
 	}
-	return metrics.One("madderdrum_proxy_attempts_in_hand", "Attempts that are out at servers.", metrics.Gauge,
+	return metrics.SingleValue("madderdrum_proxy_attempts_in_hand", "Attempts that are out at servers.", metrics.Gauge,
 		float64(n))
 }
 
 // metricValues returns the counters of requests whose clients disconnected.
-func (stats *disconnectStats) metricValues() []metrics.Figure {
-	count := func(name, help string, n int) metrics.Figure {
-		return metrics.One("madderdrum_proxy_"+name, help, metrics.Counter, float64(n))
+func (stats *disconnectStats) metricValues() []metrics.Metric {
+	count := func(name, help string, n int) metrics.Metric {
+		return metrics.SingleValue("madderdrum_proxy_"+name, help, metrics.Counter, float64(n))
 	}
-	return []metrics.Figure{
+	return []metrics.Metric{
 		count("client_disconnects_total", "Connections that clients closed with requests in hand.", stats.connections),
 		count("disconnected_requests_total", "Those requests.", stats.requests),
 		count("disconnected_attempts_broken_off_total",
@@ -106,7 +106,7 @@
 			stats.sentAfterDisconnect),
 		count("disconnected_requests_ran_on_total",
 			"Requests in hand for over half a second after their client had left.", stats.overruns),
-		metrics.One("madderdrum_proxy_disconnected_longest_seconds", "Longest that one was.", metrics.Gauge,
+		metrics.SingleValue("madderdrum_proxy_disconnected_longest_seconds", "Longest that one was.", metrics.Gauge,
 			stats.longestOverrun.Seconds()),
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -138,7 +138,7 @@
 		proxy.seeds = next.CoreIPs()
 		proxy.updateCores()
 	}, func(err error) { log.WithField("err", err).Warn("cannot use changed settings") })
-	metrics.Offer(serveCtx, settings.MetricsAddress(), log, proxy.metricValues)
+	metrics.ServeIfConfigured(serveCtx, settings.MetricsAddress(), log, proxy.metricValues)
 	log.WithFields(logrus.Fields{"cores": len(proxy.cores), "life": proxy.instanceID}).Info("begins")
 	<-ctx.Done()
 	proxy.shutDown(frontend)
--- a/internal/proxy/requestreader.go
+++ b/internal/proxy/requestreader.go
@@ -32,7 +32,7 @@
 	n, err := l.r.Read(b[:min(int64(len(b)), l.remaining)])
 	l.remaining -= int64(n)
 	if l.framingWatch != nil {
-		l.framingWatch.Look(b[:n])
+		l.framingWatch.Scan(b[:n])
 	}
 	return n, err
 }
@@ -233,7 +233,7 @@
 // waits for the answer. The reader would notice only at its next read, when the request may already be at a
 // server.
 func (q *requestReader) clientClosed(r *clientRequest) bool {
-	return r.rest == nil && q.in.Buffered() == 0 && sockets.Closed(q.pipe.conn)
+	return r.rest == nil && q.in.Buffered() == 0 && sockets.IsClosed(q.pipe.conn)
 }
 
 // refuseLate answers a request that has its permit but was complete only after the end of intake. It was not
@@ -289,7 +289,7 @@
 	switch {
 	case !r.ProtoAtLeast(1, 1):
 		return "HTTP/1.1 is needed"
-	case len(r.TransferEncoding) > 0 && watch.Both():
+	case len(r.TransferEncoding) > 0 && watch.HasBothLengths():
 		return "Content-Length and Transfer-Encoding exclude each other"
 	case !strings.HasPrefix(r.RequestURI, "/"):
 		return "the target is not a path"
--- a/internal/proxy/stalls.go
+++ b/internal/proxy/stalls.go
@@ -42,14 +42,14 @@
 	return w.first.Add(w.detector.EarliestSent(now.Sub(w.first)))
 }
 
-func (w *stallWatch) metricValues() []metrics.Figure {
+func (w *stallWatch) metricValues() []metrics.Metric {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	count, longest := w.detector.Stalls()
-	return []metrics.Figure{
-		metrics.One("madderdrum_proxy_stalls_total", "Times at which the process stood still.", metrics.Counter,
+	return []metrics.Metric{
+		metrics.SingleValue("madderdrum_proxy_stalls_total", "Times at which the process stood still.", metrics.Counter,
 			float64(count)),
-		metrics.One("madderdrum_proxy_longest_stall_seconds", "The longest of them.", metrics.Gauge, longest.Seconds()),
+		metrics.SingleValue("madderdrum_proxy_longest_stall_seconds", "The longest of them.", metrics.Gauge, longest.Seconds()),
 	}
 }
 
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -120,7 +120,7 @@
 }
 
 // isQuiet reports whether an idle connection is open and has no unread input.
-func (conn *serverConn) isQuiet() bool { return conn.in.Buffered() == 0 && sockets.Quiet(conn.Conn) }
+func (conn *serverConn) isQuiet() bool { return conn.in.Buffered() == 0 && sockets.IsIdle(conn.Conn) }
 
 // sweepUpstreams closes connections that have been idle too long and removes servers that are gone.
 func (proxy *Proxy) sweepUpstreams(ctx context.Context) {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -147,7 +147,7 @@
 		h.addPeer(ip)
 	}
 	h.mu.Unlock()
-	metrics.Offer(ctx, settings.MetricsAddress(), log, h.collectMetrics)
+	metrics.ServeIfConfigured(ctx, settings.MetricsAddress(), log, h.collectMetrics)
 	go h.watchLoop(ctx)
 	go h.placesLoop(ctx)
 	go settings.Watch(ctx, func(next *nodesettings.Settings) {
--- a/internal/replay/best_test.go
+++ b/internal/replay/best_test.go
@@ -62,7 +62,7 @@
 		r := rand.New(rand.NewPCG(uint64(d), 0xbe57))
 		f := config.Bluebird()
 		f.Traffic.Rate *= 0.5 + 1.8*r.Float64()
-		f.Traffic.Heavy, f.Traffic.HeavyX = 0.3*r.Float64(), 1+4*r.Float64()
+		f.Traffic.HeavyShare, f.Traffic.HeavyFactor = 0.3*r.Float64(), 1+4*r.Float64()
 		length := time.Duration(8+r.IntN(longest)) * time.Second
 		text := randomFaults(r, length)
 		p, err := Prepare(t.Context(), Options{Fleet: f, Length: length, Scenario: text, Speed: 1, Best: true}, nil)
@@ -70,7 +70,7 @@
 			t.Fatalf("%v\n%s", err, text)
 		}
 		for _, name := range policies.Names() {
-			run, err := Virtual(t.Context(), p, name, uint64(d), false, nil)
+			run, err := PlayVirtual(t.Context(), p, name, uint64(d), false, nil)
 			if err != nil {
 				t.Fatalf("day %d, %s: %v\n%s", d, name, err, text)
 			}
@@ -101,7 +101,7 @@
 	}
 	// The bound derives the available boxes from the plan's faults: with faults that take all
 	// of them down it is too low for a run in which they were up.
-	if run, err := Virtual(t.Context(), p, "limiter", 1, false, nil); err != nil || run.Best == nil || run.Best.Share < 0.8 {
+	if run, err := PlayVirtual(t.Context(), p, "limiter", 1, false, nil); err != nil || run.Best == nil || run.Best.Share < 0.8 {
 		t.Fatalf("%+v, %v", run.Best, err)
 	}
 	x := watchedRun(t, p)
@@ -109,7 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := x.Best(t.Context(), away.Faults, 1, 10*time.Second); !errors.Is(err, best.ErrOverBound) {
+	if _, err := x.Bound(t.Context(), away.Faults, 1, 10*time.Second); !errors.Is(err, best.ErrOverBound) {
 		t.Errorf("no error of a bound that is too low: %v", err)
 	}
 }
@@ -123,7 +123,7 @@
 	}
 	defer source.Close()
 	o := virtual.Options{Fleet: p.Options.Fleet, Seed: 1, Source: source, Faults: p.Faults}
-	x := best.Watch(p.Options.Fleet, &o)
+	x := best.NewWatcher(p.Options.Fleet, &o)
 	if _, err := virtual.Run(t.Context(), o); err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	run, err := Virtual(t.Context(), p, "limiter", 1, true, nil)
+	run, err := PlayVirtual(t.Context(), p, "limiter", 1, true, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/replay/compare.go
+++ b/internal/replay/compare.go
@@ -96,8 +96,8 @@
 	return all
 }
 
-// WriteCompare writes a comparison of two reports as a table of text.
-func WriteCompare(out io.Writer, nameA, nameB string, a, b *Report) error {
+// WriteComparison writes a comparison of two reports as a table of text.
+func WriteComparison(out io.Writer, nameA, nameB string, a, b *Report) error {
 	changes, err := Compare(a, b)
 	if err != nil {
 		return fmt.Errorf("%s and %s: %w", nameA, nameB, err)
--- a/internal/replay/growth_test.go
+++ b/internal/replay/growth_test.go
@@ -61,9 +61,9 @@
 				b.ReportMetric(r.Length.Seconds()/spent.Seconds(), "times-real-time")
 				b.ReportMetric(float64(peak.HeapAlloc-min(peak.HeapAlloc, before.HeapAlloc))/(1<<20), "MB")
 				b.ReportMetric(n, "requests")
-				b.ReportMetric(float64(r.MostOut), "most-in-flight")
+				b.ReportMetric(float64(r.MaxOpenCalls), "most-in-flight")
 				b.ReportMetric(0, "ns/op")
-				if r.Judge.Broken() > 0 {
+				if r.Judge.BreachCount() > 0 {
 					b.Error(fmt.Sprint(r.Judge.Breaches[0]))
 				}
 			}
@@ -96,7 +96,7 @@
 				var most, open float64
 				var w *world.World
 				_, err := virtual.Run(context.Background(), virtual.Options{Fleet: f, Seed: 1, Source: world.NewSynthetic(f, 1, 3*time.Second), Faults: hang,
-					Policy: mustPolicy(b, "random"), Started: func(x *world.World) { w = x },
+					Policy: mustPolicy(b, "random"), OnStart: func(x *world.World) { w = x },
 					Progress: func(time.Duration) {
 						if float64(w.Open()) > 1.2*open {
 							runtime.GC()
--- a/internal/replay/html.go
+++ b/internal/replay/html.go
@@ -29,7 +29,7 @@
 		cells := make([]chart.Cell, len(box.Busy))
 		for i, busy := range box.Busy {
 			letter := box.Condition[i]
-			cells[i] = chart.Cell{Busy: busy, Away: strings.IndexByte("xvfh", letter) >= 0, Mark: letter == 'c' || letter == 'd',
+			cells[i] = chart.Cell{Busy: busy, Unavailable: strings.IndexByte("xvfh", letter) >= 0, Outlined: letter == 'c' || letter == 'd',
 				Title: fmt.Sprintf("%s (%s) %.0f s: %.0f%% busy, %d in hand, %d arrived%s", box.Name, box.Room,
 					float64(i)*run.SampleS, 100*busy, box.Held[i], box.Arrived[i], conditionSuffix(letter))}
 		}
--- a/internal/replay/plan.go
+++ b/internal/replay/plan.go
@@ -27,22 +27,22 @@
 
 // Options select the fleet, the trace and the part of it to play, and the extras of a run.
 type Options struct {
-	Fleet      *fleet.Fleet
-	FleetName  string
-	Inputs     []Input // none: synthetic traffic of the fleet file, for Length
-	Length     time.Duration
-	Reorder    time.Duration
-	Duplicates trace.Duplicates
-	Speed      float64       // factor by which the trace's time is sped up
-	From, For  time.Duration // part of the trace to play, relative to its first arrival; For 0: to its end
-	Rate       float64       // requests per second; 0: the fleet file's; below 0: the trace's own
-	Seed       uint64        // for random times where the trace has only counts per minute
-	Asked      float64       // share of requests for which the proxy asks a limiter for permission; virtual time only
-	Scenario   string        // fault scenario, in addition to the faults in the trace
-	Plugins    []plugin.Spec // consulted in runs of the policy WithPlugins
-	Best       bool          // compute an upper bound on the service of any policy
-	Steward    bool          // move parts of the ceilings to the limiters where requests arrive
-	Remember   time.Duration // interval at which limiters save learned state; 0: lost at a restart
+	Fleet        *fleet.Fleet
+	FleetName    string
+	Inputs       []Input // none: synthetic traffic of the fleet file, for Length
+	Length       time.Duration
+	Reorder      time.Duration
+	Duplicates   trace.Duplicates
+	Speed        float64       // factor by which the trace's time is sped up
+	From, For    time.Duration // part of the trace to play, relative to its first arrival; For 0: to its end
+	Rate         float64       // requests per second; 0: the fleet file's; below 0: the trace's own
+	Seed         uint64        // for random times where the trace has only counts per minute
+	AskedShare   float64       // share of requests for which the proxy asks a limiter for permission; virtual time only
+	Scenario     string        // fault scenario, in addition to the faults in the trace
+	Plugins      []plugin.Spec // consulted in runs of the policy WithPlugins
+	Best         bool          // compute an upper bound on the service of any policy
+	Steward      bool          // move parts of the ceilings to the limiters where requests arrive
+	SaveInterval time.Duration // interval at which limiters save learned state; 0: lost at a restart
 }
 
 // Origin is the source of one quantity of the played requests.
@@ -106,7 +106,7 @@
 		return nil, err
 	}
 	traffic := o.Fleet.Traffic
-	fleetRate := traffic.Rate * (1 + traffic.Heavy*(traffic.HeavyX-1))
+	fleetRate := traffic.Rate * (1 + traffic.HeavyShare*(traffic.HeavyFactor-1))
 	if len(o.Inputs) == 0 {
 		p.Length, p.Faults = o.Length, scenarioFaults
 		p.Scale = Scale{Speed: 1, PlayedRate: fleetRate, Copies: 1, ForS: o.Length.Seconds(), Boxes: len(o.Fleet.Boxes)}
--- a/internal/replay/plugins.go
+++ b/internal/replay/plugins.go
@@ -108,7 +108,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	remaining := limit
-	o := virtual.Options{Fleet: p.Options.Fleet, Seed: seed, Source: source, Faults: p.Faults, Asked: p.Options.Asked,
+	o := virtual.Options{Fleet: p.Options.Fleet, Seed: seed, Source: source, Faults: p.Faults, AskShare: p.Options.AskedShare,
 		Advisers: func(int, func() time.Duration) (virtual.Adviser, error) {
 			return requestRecorder{record, &remaining}, nil
 		},
@@ -178,9 +178,9 @@
 // maxListedAccounts bounds AdviceReport.Accounts.
 const maxListedAccounts = 20
 
-// Advised sets Advice from the runs of the report. It does nothing if no seed was played both
+// SetAdvice sets Advice from the runs of the report. It does nothing if no seed was played both
 // without and with plug-ins.
-func (r *Report) Advised() {
+func (r *Report) SetAdvice() {
 	without, with := map[uint64]*Run{}, map[uint64]*Run{}
 	for _, run := range r.Runs {
 		switch run.Policy {
--- a/internal/replay/plugins_test.go
+++ b/internal/replay/plugins_test.go
@@ -31,7 +31,7 @@
 	for _, policy := range []string{"limiter", WithPlugins} {
 		r.Runs = append(r.Runs, play(t, p, policy, 1))
 	}
-	r.Advised()
+	r.SetAdvice()
 	path := filepath.Join(t.TempDir(), "r.json")
 	if err := r.Save(path); err != nil {
 		t.Fatal(err)
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -53,7 +53,7 @@
 
 func play(t testing.TB, p *Plan, policy string, seed uint64) *Run {
 	t.Helper()
-	r, err := Virtual(context.Background(), p, policy, seed, true, nil)
+	r, err := PlayVirtual(context.Background(), p, policy, seed, true, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -264,7 +264,7 @@
 		t.Errorf("a report and itself: %+v, %v", same[0], err)
 	}
 	var out bytes.Buffer
-	if err := WriteCompare(&out, "a.json", "b.json", report(170, "", 1), rough); err != nil || !strings.Contains(out.String(), "one seed can't tell") {
+	if err := WriteComparison(&out, "a.json", "b.json", report(170, "", 1), rough); err != nil || !strings.Contains(out.String(), "one seed can't tell") {
 		t.Errorf("%v\n%s", err, out.String())
 	}
 	other := report(170, "", 1)
@@ -334,7 +334,7 @@
 	}
 	var events uint64
 	for b.Loop() {
-		r, err := Virtual(context.Background(), p, "limiter", 1, false, nil)
+		r, err := PlayVirtual(context.Background(), p, "limiter", 1, false, nil)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/replay/report.go
+++ b/internal/replay/report.go
@@ -189,8 +189,8 @@
 			r.Ways = append(r.Ways, newTally(virtual.WayNames[i], &m.Ways[i]))
 		}
 	}
-	for rule := range judge.Rules {
-		r.Rules = append(r.Rules, Rule{rule.String(), j.Seen[rule], j.Count[rule]})
+	for rule := range judge.RuleCount {
+		r.Rules = append(r.Rules, Rule{rule.String(), j.CheckCounts[rule], j.BreachCounts[rule]})
 	}
 	r.Breaches = []string{}
 	for _, b := range j.Breaches {
@@ -216,7 +216,7 @@
 			if letter == '.' && c.Warmth < 1 {
 				letter = 'c'
 			}
-			s.Held, s.Arrived, s.Busy, letters = append(s.Held, c.Held), append(s.Arrived, c.Arrived), append(s.Busy, round(c.Busy, 3)), append(letters, letter)
+			s.Held, s.Arrived, s.Busy, letters = append(s.Held, c.Jobs), append(s.Arrived, c.Arrived), append(s.Busy, round(c.Busy, 3)), append(letters, letter)
 		}
 		s.Condition = string(letters)
 		r.Boxes = append(r.Boxes, s)
@@ -244,9 +244,9 @@
 	return max(time.Second, (length / 300).Round(time.Second))
 }
 
-// Virtual plays a plan in virtual time with a policy, or with WithPlugins the limiter and
+// PlayVirtual plays a plan in virtual time with a policy, or with WithPlugins the limiter and
 // its plug-ins.
-func Virtual(ctx context.Context, p *Plan, policy string, seed uint64, series bool, progress func(done float64)) (*Run, error) {
+func PlayVirtual(ctx context.Context, p *Plan, policy string, seed uint64, series bool, progress func(done float64)) (*Run, error) {
 	name := policy
 	if policy == WithPlugins {
 		name = policies.Names()[0]
@@ -260,7 +260,7 @@
 		return nil, err
 	}
 	defer source.Close()
-	o := virtual.Options{Fleet: p.Options.Fleet, Seed: seed, Source: source, Faults: p.Faults, Policy: newPolicy, Asked: p.Options.Asked, Remember: p.Options.Remember, Steward: p.Options.Steward}
+	o := virtual.Options{Fleet: p.Options.Fleet, Seed: seed, Source: source, Faults: p.Faults, Policy: newPolicy, AskShare: p.Options.AskedShare, MemoryInterval: p.Options.SaveInterval, Steward: p.Options.Steward}
 	o.Accounts = len(p.Options.Plugins) > 0
 	plugins := func() []PluginTotals { return nil }
 	if policy == WithPlugins {
@@ -269,14 +269,14 @@
 		}
 	}
 	if series {
-		o.Sample = sampleInterval(p.Length)
+		o.SampleInterval = sampleInterval(p.Length)
 	}
 	if progress != nil {
 		o.Progress = func(now time.Duration) { progress(min(1, float64(now)/float64(p.Length))) }
 	}
 	var watcher *best.Watcher
 	if p.Options.Best {
-		watcher = best.Watch(p.Options.Fleet, &o)
+		watcher = best.NewWatcher(p.Options.Fleet, &o)
 	}
 	res, err := virtual.Run(ctx, o)
 	sums := plugins()
@@ -286,16 +286,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("replaying with seed %d: %w", seed, err)
 	}
-	run := newRun(p.Options.Fleet, res.World, res.Judge, res.Length, o.Sample, series)
+	run := newRun(p.Options.Fleet, res.World, res.Judge, res.Length, o.SampleInterval, series)
 	run.Driver, run.Policy, run.Seed = "virtual", policy, seed
 	run.Plugins, run.accounts = sums, res.World.Meter.Accounts
 	for _, label := range slices.Sorted(maps.Keys(res.Labels)) {
 		run.Labels = append(run.Labels, LabelTotals{label, res.Labels[label].Given, res.Labels[label].Refused})
 	}
 	c := res.Counts
-	run.Traffic = Traffic{c.Attempts, c.Crossings, c.Connects, c.Probes, c.Messages, res.Events, c.Asks, c.Grants}
+	run.Traffic = Traffic{c.Attempts, c.CrossRoomAttempts, c.Connects, c.Probes, c.Messages, res.Events, c.Asks, c.Grants}
 	if watcher != nil {
-		if run.Best, err = watcher.Best(ctx, p.Faults, seed, res.Length); err != nil {
+		if run.Best, err = watcher.Bound(ctx, p.Faults, seed, res.Length); err != nil {
 			return nil, fmt.Errorf("replaying %s with seed %d: %w", policy, seed, err)
 		}
 	}
--- a/internal/replay/sockets.go
+++ b/internal/replay/sockets.go
@@ -10,9 +10,9 @@
 	"example.org/madderdrum/internal/world"
 )
 
-// Sockets plays a plan in real time on loopback sockets, against limiters that are
+// PlaySockets plays a plan in real time on loopback sockets, against limiters that are
 // processes of the given program, started as the platform starts it.
-func Sockets(ctx context.Context, p *Plan, program string, seed uint64, series bool, progress func(done float64)) (*Run, error) {
+func PlaySockets(ctx context.Context, p *Plan, program string, seed uint64, series bool, progress func(done float64)) (*Run, error) {
 	source, err := p.Source(seed)
 	if err != nil {
 		return nil, err
@@ -44,7 +44,7 @@
 	run := newRun(p.Options.Fleet, res.World, res.Judge, res.Length, o.Sample, series)
 	run.Driver, run.Policy, run.Seed = "sockets", policies.Names()[0], seed
 	c := res.Counts
-	run.Traffic = Traffic{c.Attempts, c.Crossings, c.Connects, c.Probes, c.Messages, res.World.Events(), 0, 0}
+	run.Traffic = Traffic{c.Attempts, c.CrossRoomAttempts, c.Connects, c.Probes, c.Messages, res.World.Events(), 0, 0}
 	run.CPU = &CPU{LateMs: round(float64(res.Late)/float64(time.Millisecond), 3), Unstarted: res.Unstarted}
 	var all time.Duration
 	for i, spent := range res.CPU {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -190,7 +190,7 @@
 	case InTime:
 		earned = r.Worth
 	case Late:
-		earned = r.Worth * c.Late
+		earned = r.Worth * c.LateShare
 	}
 	if r.sentBeyond {
 		earned = earned*p.BeyondEarns - r.Worth*p.OverrunCost
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -26,17 +26,17 @@
 	}
 }
 
-// Quiet reports whether an idle connection is open and has no unread input. A connection that the
+// IsIdle reports whether an idle connection is open and has no unread input. A connection that the
 // peer has closed must not be reused, since the request would be cut off and might not be safe to
 // retry. Input on an idle connection belongs to no request.
-func Quiet(c net.Conn) bool {
+func IsIdle(c net.Conn) bool {
 	_, err := peek(c)
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// Closed reports whether the peer has closed the connection or it has failed, with no unread input before that.
+// IsClosed reports whether the peer has closed the connection or it has failed, with no unread input before that.
 // It does not block, and returns false for connections that are not sockets.
-func Closed(c net.Conn) bool {
+func IsClosed(c net.Conn) bool {
 	n, err := peek(c)
 	return n == 0 && err == nil || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -51,9 +51,9 @@
 	} {
 		near, far := connected(t)
 		x.far(far)
-		quiet, closed := Quiet(near), Closed(near)
+		quiet, closed := IsIdle(near), IsClosed(near)
 		for until := time.Now().Add(5 * time.Second); (quiet != x.quiet || closed != x.closed) && time.Now().Before(until); time.Sleep(time.Millisecond) {
-			quiet, closed = Quiet(near), Closed(near) // the packet may still be in transit
+			quiet, closed = IsIdle(near), IsClosed(near) // the packet may still be in transit
 		}
 		if quiet != x.quiet || closed != x.closed {
 			t.Errorf("%s: quiet %v, closed %v; %v, %v wanted", name, quiet, closed, x.quiet, x.closed)
@@ -61,7 +61,7 @@
 	}
 	pipe, other := net.Pipe()
 	other.Close()
-	if Quiet(pipe) || Closed(pipe) {
+	if IsIdle(pipe) || IsClosed(pipe) {
 		t.Error("a connection that is not a socket is reported as quiet or closed")
 	}
 }
--- a/internal/trace/mapping.go
+++ b/internal/trace/mapping.go
@@ -84,7 +84,7 @@
 		return nil, err
 	}
 	s := &Schema{Name: m.raw.Name, Source: name, Header: m.raw.Columns, Columns: m.columnCount, parseRow: m.parseRow, openStream: openRows,
-		MachinesPresent: true, WallClock: m.raw.Time.Format != "", Reads: "what the mapping names"}
+		MachinesPresent: true, WallClock: m.raw.Time.Format != "", Description: "what the mapping names"}
 	return s, nil
 }
 
@@ -119,9 +119,9 @@
 		return n - 1
 	}
 	if m.raw.Columns != nil {
-		m.Wrong(at, "write one of: "+strings.Join(m.raw.Columns, " "), "%s: no column %q", what, name)
+		m.Add(at, "write one of: "+strings.Join(m.raw.Columns, " "), "%s: no column %q", what, name)
 	} else {
-		m.Wrong(at, fmt.Sprintf(`write a number from "1" to "%d", as there is no header`, m.columnCount), "%s: no column %q", what, name)
+		m.Add(at, fmt.Sprintf(`write a number from "1" to "%d", as there is no header`, m.columnCount), "%s: no column %q", what, name)
 	}
 	return -1
 }
@@ -133,25 +133,25 @@
 		m.columnCount = t.Count
 	}
 	if m.columnCount <= 0 || m.columnCount > 10_000 {
-		m.Wrong(t.At, `add columns = ["time", "user"] as in the header, or column_count = 5 if there is none`, "trace %q has no columns", t.Name)
+		m.Add(t.At, `add columns = ["time", "user"] as in the header, or column_count = 5 if there is none`, "trace %q has no columns", t.Name)
 		return
 	}
 	m.timeColumn = m.findColumn(t.Time.At, "time", t.Time.Column)
 	if m.timeColumn < 0 {
-		m.Wrong(t.Time.At, "name the column that has the time", "trace %q has no time", t.Name)
+		m.Add(t.Time.At, "name the column that has the time", "trace %q has no time", t.Name)
 	}
 	switch unit, known := timeUnits[t.Time.Unit]; {
 	case (t.Time.Unit == "") == (t.Time.Format == ""):
-		m.Wrong(t.Time.At, `give unit = "ms" for numbers, or format = "2006-01-02 15:04:05" for wall-clock times`, "time needs one of unit and format")
+		m.Add(t.Time.At, `give unit = "ms" for numbers, or format = "2006-01-02 15:04:05" for wall-clock times`, "time needs one of unit and format")
 	case t.Time.Unit != "" && !known:
-		m.Wrong(t.Time.At, "write one of: ns us ms s m", "time unit %q is not known", t.Time.Unit)
+		m.Add(t.Time.At, "write one of: ns us ms s m", "time unit %q is not known", t.Time.Unit)
 	default:
 		m.timeUnit = unit
 	}
 	m.accountColumn, m.unitsColumn, m.workColumn = m.findColumn(t.At, "account", t.Account), m.findColumn(t.At, "units", t.Units), m.findColumn(t.At, "work", t.Work)
 	if t.WorkUnit != "" {
 		if m.workUnit = timeUnits[t.WorkUnit]; m.workUnit == 0 {
-			m.Wrong(t.At, "write one of: ns us ms s m", "work_unit %q is not known", t.WorkUnit)
+			m.Add(t.At, "write one of: ns us ms s m", "work_unit %q is not known", t.WorkUnit)
 		}
 	}
 	m.classColumn, m.planColumn = -1, -1
@@ -163,10 +163,10 @@
 	}
 	for _, e := range t.Events {
 		if e.Kind != "down" && e.Kind != "up" && e.Kind != "slow" {
-			m.Wrong(e.At, `write event "down", event "up" or event "slow"`, "event %q is not known", e.Kind)
+			m.Add(e.At, `write event "down", event "up" or event "slow"`, "event %q is not known", e.Kind)
 		}
 		if (e.Factor != "") != (e.Kind == "slow") {
-			m.Wrong(e.At, `a slow event, and no other, names the column of its factor: factor = "slow"`, "event %q: factor", e.Kind)
+			m.Add(e.At, `a slow event, and no other, names the column of its factor: factor = "slow"`, "event %q: factor", e.Kind)
 		}
 		m.events = append(m.events, mappedEvent{e, m.findColumn(e.At, "column", e.Column), m.findColumn(e.At, "box", e.Box), m.findColumn(e.At, "factor", e.Factor)})
 	}
--- a/internal/trace/schemas.go
+++ b/internal/trace/schemas.go
@@ -20,7 +20,7 @@
 	Source          string        // where the layout is described
 	Header          []string      // column names of the header line; nil: no header
 	Columns         int           // number of columns of each row
-	Reads           string        // what a replay uses of it, in the listing of schemas
+	Description     string        // what a replay uses of it, in the listing of schemas
 	TimeStep        time.Duration // resolution of the times; 0: exact
 	WallClock       bool          // times are wall-clock times, not relative to the start
 	MachinesPresent bool          // machines are in service from the start, without a row that adds them
@@ -61,8 +61,8 @@
 // 2014): no header, 13 columns, microseconds. Time 0 is before the trace, 2^63-1
 // after it. Event type 0 is SUBMIT.
 var googleTasks = &Schema{Name: "google-2011-task-events", Columns: 13, numericColumns: []int{0, 2, 3, 5},
-	Source: "Google ClusterData2011_2, task_events: github.com/google/cluster-data",
-	Reads:  "arrivals: time, account (user), size (CPU request)", openStream: openRows,
+	Source:      "Google ClusterData2011_2, task_events: github.com/google/cluster-data",
+	Description: "arrivals: time, account (user), size (CPU request)", openStream: openRows,
 	parseRow: func(l *lineReader) (r Record, v rowAction, p *Problem) {
 		event, p := l.parseNumber(5, "event type", 0, 8)
 		if p != nil {
@@ -101,8 +101,8 @@
 // googleMachines is machine_events of the same trace: no header, 6 columns,
 // microseconds. Event type 0 is ADD, 1 REMOVE, 2 UPDATE.
 var googleMachines = &Schema{Name: "google-2011-machine-events", Columns: 6, numericColumns: []int{0, 1, 2},
-	Source: "Google ClusterData2011_2, machine_events: github.com/google/cluster-data",
-	Reads:  "machines that come and go", openStream: openRows,
+	Source:      "Google ClusterData2011_2, machine_events: github.com/google/cluster-data",
+	Description: "machines that come and go", openStream: openRows,
 	parseRow: func(l *lineReader) (r Record, v rowAction, p *Problem) {
 		if r.At, v, p = googleTime(l); p != nil || v == skipRow {
 			return r, v, p
@@ -130,16 +130,16 @@
 // header, 9 columns, seconds: task_name, instance_num, job_name, task_type,
 // status, start_time, end_time, plan_cpu, plan_mem.
 var alibabaTask = &Schema{Name: "alibaba-2018-batch-task", Columns: 9, numericColumns: []int{1}, textColumns: []int{4},
-	Source: "Alibaba cluster-trace-v2018, batch_task: github.com/alibaba/clusterdata",
-	Reads:  "arrivals: time, account (job), size (duration x CPU)", TimeStep: time.Second, openStream: openRows,
+	Source:      "Alibaba cluster-trace-v2018, batch_task: github.com/alibaba/clusterdata",
+	Description: "arrivals: time, account (job), size (duration x CPU)", TimeStep: time.Second, openStream: openRows,
 	parseRow: func(l *lineReader) (Record, rowAction, *Problem) { return parseBatchRow(l, 2, 4, 5, 6, 7) }}
 
 // alibabaInstance is batch_instance of the same trace: no header, 14 columns,
 // seconds: instance_name, task_name, job_name, task_type, status, start_time,
 // end_time, machine_id, seq_no, total_seq_no, cpu_avg, cpu_max, mem_avg, mem_max.
 var alibabaInstance = &Schema{Name: "alibaba-2018-batch-instance", Columns: 14, numericColumns: []int{8, 9}, textColumns: []int{4},
-	Source: "Alibaba cluster-trace-v2018, batch_instance: github.com/alibaba/clusterdata",
-	Reads:  "arrivals: time, account (job), size (duration x mean CPU)", TimeStep: time.Second, openStream: openRows,
+	Source:      "Alibaba cluster-trace-v2018, batch_instance: github.com/alibaba/clusterdata",
+	Description: "arrivals: time, account (job), size (duration x mean CPU)", TimeStep: time.Second, openStream: openRows,
 	parseRow: func(l *lineReader) (Record, rowAction, *Problem) { return parseBatchRow(l, 2, 4, 5, 6, 10) }}
 
 // parseBatchRow parses a row of either batch layout, given the indexes of the columns
@@ -180,8 +180,8 @@
 // status. A machine is in service while its status is USING. There is a row for
 // every change, including changes of other columns.
 var alibabaMeta = &Schema{Name: "alibaba-2018-machine-meta", Columns: 7, numericColumns: []int{1, 2, 4},
-	Source: "Alibaba cluster-trace-v2018, machine_meta: github.com/alibaba/clusterdata",
-	Reads:  "machines that come and go, by their status", openStream: openStates,
+	Source:      "Alibaba cluster-trace-v2018, machine_meta: github.com/alibaba/clusterdata",
+	Description: "machines that come and go, by their status", openStream: openStates,
 	parseRow: func(l *lineReader) (r Record, v rowAction, p *Problem) {
 		if r.At, p = l.parseTime(1, "time_stamp", time.Second); p != nil {
 			return r, v, p
@@ -203,8 +203,8 @@
 // net_in, net_out, disk_io_percent. By its description, -1 and 101 mark values that
 // could not be measured.
 var alibabaUsage = &Schema{Name: "alibaba-2018-machine-usage", Columns: 9, numericColumns: []int{1, 2},
-	Source: "Alibaba cluster-trace-v2018, machine_usage: github.com/alibaba/clusterdata",
-	Reads:  "slowdowns: machines whose CPU is near the top", openStream: openRows,
+	Source:      "Alibaba cluster-trace-v2018, machine_usage: github.com/alibaba/clusterdata",
+	Description: "slowdowns: machines whose CPU is near the top", openStream: openRows,
 	parseRow: func(l *lineReader) (r Record, v rowAction, p *Problem) {
 		r.Kind = Usage
 		if r.At, p = l.parseTime(1, "time_stamp", time.Second); p != nil {
@@ -229,9 +229,9 @@
 // README): a header whose first name is empty, 9 columns, milliseconds. Both caller
 // and callee record a call; the callee's row has a negative rt.
 var alibabaCalls = &Schema{Name: "alibaba-2021-ms-callgraph", Columns: 9, numericColumns: []int{2},
-	Header: []string{"", "traceid", "timestamp", "rpcid", "um", "rpctype", "dm", "interface", "rt"},
-	Source: "Alibaba cluster-trace-microservices-v2021, MSCallGraph: github.com/alibaba/clusterdata",
-	Reads:  "arrivals: time, account (calling service um), kind (interface), size (rt)", TimeStep: time.Millisecond, openStream: openRows,
+	Header:      []string{"", "traceid", "timestamp", "rpcid", "um", "rpctype", "dm", "interface", "rt"},
+	Source:      "Alibaba cluster-trace-microservices-v2021, MSCallGraph: github.com/alibaba/clusterdata",
+	Description: "arrivals: time, account (calling service um), kind (interface), size (rt)", TimeStep: time.Millisecond, openStream: openRows,
 	parseRow: func(l *lineReader) (r Record, v rowAction, p *Problem) {
 		if r.At, p = l.parseTime(2, "timestamp", time.Millisecond); p != nil {
 			return r, v, p
@@ -253,15 +253,15 @@
 // per function with the number of its invocations in each minute of a day.
 var azureFunctions = &Schema{Name: "azure-functions-2019", Columns: 4 + minutesADay, numericColumns: []int{4, 5},
 	Header: functionsHeader(), openStream: openFunctions,
-	Source: "Azure Functions trace 2019, invocations_per_function_md: github.com/Azure/AzurePublicDataset",
-	Reads:  "arrivals: the minute, account (HashOwner), kind (HashFunction); the moment within the minute is drawn"}
+	Source:      "Azure Functions trace 2019, invocations_per_function_md: github.com/Azure/AzurePublicDataset",
+	Description: "arrivals: the minute, account (HashOwner), kind (HashFunction); the moment within the minute is drawn"}
 
 // azureLLM is the Azure LLM inference trace 2023 (P. Patel et al.: Splitwise,
 // ISCA 2024): a header, wall-clock times with seven decimal places.
 var azureLLM = &Schema{Name: "azure-llm-2023", Columns: 3, WallClock: true, numericColumns: []int{1, 2},
-	Header: []string{"TIMESTAMP", "ContextTokens", "GeneratedTokens"},
-	Source: "Azure LLM inference trace 2023: github.com/Azure/AzurePublicDataset",
-	Reads:  "arrivals: time, size (tokens)", openStream: openRows,
+	Header:      []string{"TIMESTAMP", "ContextTokens", "GeneratedTokens"},
+	Source:      "Azure LLM inference trace 2023: github.com/Azure/AzurePublicDataset",
+	Description: "arrivals: time, size (tokens)", openStream: openRows,
 	parseRow: func(l *lineReader) (r Record, v rowAction, p *Problem) {
 		if r.At, p = l.parseWallClock(0, "TIMESTAMP", "2006-01-02 15:04:05.9999999"); p != nil {
 			return r, v, p
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -129,7 +129,7 @@
 			if err != nil || len(found) != 1 || found[0] != s {
 				t.Errorf("detected %v, %v", found, err)
 			}
-			if s.Source == "" || s.Reads == "" {
+			if s.Source == "" || s.Description == "" {
 				t.Error("no source")
 			}
 		})
--- a/internal/virtual/advise.go
+++ b/internal/virtual/advise.go
@@ -50,7 +50,7 @@
 		h.driver.result.Labels[label] = c
 	}
 	if said.Refuse {
-		h.driver.result.Counts.Advised++
+		h.driver.result.Counts.RefusedByPlugins++
 	}
 }
 
--- a/internal/virtual/advise_test.go
+++ b/internal/virtual/advise_test.go
@@ -47,7 +47,7 @@
 		for _, b := range r.Judge.Breaches {
 			t.Errorf("seed %d: %v", seed, b)
 		}
-		if c := r.Counts; said < 3000 || c.Advised < said/8 || r.Labels["near"].Given < said/20 || r.World.Meter.Total.By[0] < 1000 {
+		if c := r.Counts; said < 3000 || c.RefusedByPlugins < said/8 || r.Labels["near"].Given < said/20 || r.World.Meter.Total.By[0] < 1000 {
 			t.Errorf("seed %d: asked %d times, %+v, %+v, %+v", seed, said, c, r.Labels, r.World.Meter.Total)
 		}
 	}
@@ -59,7 +59,7 @@
 		f := *config.Bluebird()
 		f.Tiers = fleet.Tiers{{Name: "near", OwnRoom: true, Spill: 0.3}, {Name: "far", Rooms: []int{0}, Spill: 0.5}}
 		o.Fleet = &f
-		o.Asked = 0.2
+		o.AskShare = 0.2
 		o.Advisers = func(n int, now func() time.Duration) (virtual.Adviser, error) {
 			return &randomAdviser{rand.New(rand.NewPCG(seed, uint64(n))), &said}, nil
 		}
--- a/internal/virtual/asks.go
+++ b/internal/virtual/asks.go
@@ -41,15 +41,15 @@
 
 // drawWay returns the way of a call by a hash of its id and the seed.
 func drawWay(o Options, call uint64) callWay {
-	if o.Asked <= 0 {
+	if o.AskShare <= 0 {
 		return wayProxied
 	}
 	h := (call ^ o.Seed<<32) * 0x9e3779b97f4a7c15
 	h = (h ^ h>>29) * 0xbf58476d1ce4e5b9
 	switch u := float64(h>>11) / (1 << 53); {
-	case u >= o.Asked:
+	case u >= o.AskShare:
 		return wayProxied
-	case u >= o.Asked/2:
+	case u >= o.AskShare/2:
 		return wayAskedOnly
 	}
 	return wayLeased
@@ -58,8 +58,8 @@
 // ask processes the ask of a proxy for a try, and what the proxy does with the answer.
 func (h *host) ask(t *world.Try, how callWay) {
 	d, c := h.driver, t.Call
-	remaining := t.Until - d.world.Now()
-	spread, first := d.world.Entrance(c.Account)
+	remaining := t.ClientDeadline - d.world.Now()
+	spread, first := d.world.AccountLimiters(c.Account)
 	d.result.Counts.Asks++
 	s := limiter.Submit{ID: askID, ExpiresMs: float64(remaining.Microseconds()) / 1000,
 		Units: c.Units, Class: c.Class, Plan: c.Plan, Retry: t.Retry, Account: c.Account, Spread: spread, First: first}
@@ -70,14 +70,14 @@
 	h.pendingAsk = nil
 	if !answer.granted {
 		t.Attempted("")
-		d.after(d.world.ClientDelay(), func() { d.world.Got(d.world.Now(), t, world.GotRefused, answer.wait) })
+		d.after(d.world.ClientDelay(), func() { d.world.DeliverAnswer(d.world.Now(), t, world.GotRefused, answer.wait) })
 		return
 	}
 	d.result.Counts.Grants++
 	if how == wayAskedOnly {
-		d.judge.Spent(d.world.Now(), judge.Request{Try: t.ID, Limiter: h.index, Account: c.Account, Plan: c.Plan, Units: c.Units})
-		d.world.SentOn(d.world.Now(), t)
-		d.after(d.world.ClientDelay(), func() { d.world.Got(d.world.Now(), t, world.GotServed, 0) })
+		d.judge.UnitsGranted(d.world.Now(), judge.Request{Try: t.ID, Limiter: h.index, Account: c.Account, Plan: c.Plan, Units: c.Units})
+		d.world.TryForwarded(d.world.Now(), t)
+		d.after(d.world.ClientDelay(), func() { d.world.DeliverAnswer(d.world.Now(), t, world.GotServed, 0) })
 		return
 	}
 	d.lastID++
@@ -87,10 +87,10 @@
 	epoch, until := h.epoch, d.world.Now()+leaseDuration
 	if h.leaseManager.Leases().Grant(id, terms, until) != nil {
 		h.handle(limiter.Settle{Account: c.Account, Units: c.Units, Refund: true})
-		d.after(d.world.ClientDelay(), func() { d.world.Got(d.world.Now(), t, world.GotRefused, leaseDuration) })
+		d.after(d.world.ClientDelay(), func() { d.world.DeliverAnswer(d.world.Now(), t, world.GotRefused, leaseDuration) })
 		return
 	}
-	d.world.After(until, func() {
+	d.world.Schedule(until, func() {
 		if h.epoch == epoch {
 			h.leaseManager.Leases().Expire(d.world.Now(), func(x grant.Terms) { h.settle(x, grant.Expired) })
 		}
@@ -100,7 +100,7 @@
 		to := d.hosts[d.world.PickLimiter(c.Account)]
 		t.Limiter = to.index
 		if !to.up || !to.accepting {
-			d.world.Got(d.world.Now(), t, world.GotBroken, 0)
+			d.world.DeliverAnswer(d.world.Now(), t, world.GotBroken, 0)
 			return
 		}
 		token := grant.Token{Limiter: h.index, Lease: id, Terms: terms}
@@ -119,7 +119,7 @@
 	}
 	h.leaseManager.SendNotices(func(to int, data []byte) {
 		h.driver.result.Counts.Messages++
-		h.driver.world.PeerSends(h.driver.world.Now(), h.index, to, data)
+		h.driver.world.SendPeerMessage(h.driver.world.Now(), h.index, to, data)
 	})
 }
 
--- a/internal/virtual/host.go
+++ b/internal/virtual/host.go
@@ -80,7 +80,7 @@
 	h.policy, h.up, h.accepting = p, true, true
 	h.knownBoxes, h.requests, h.requestsByTry, h.idleConns = map[int]world.Entry{}, map[string]*request{}, map[uint64]*request{}, map[int][]conn{}
 	h.pastRequests, h.leaseManager = map[string]*request{}, grant.NewLeaseManager(h.index, len(h.driver.options.Fleet.Limiters), maxLeases)
-	h.updateEndpoints(limiter.Persisted, h.driver.world.Known(h.index))
+	h.updateEndpoints(limiter.Persisted, h.driver.world.KnownEntries(h.index))
 	if h.driver.steward != nil {
 		h.driver.steward.limiterStarted(h)
 	}
@@ -96,7 +96,7 @@
 	}
 	h.epoch++
 	h.up, h.accepting = false, false
-	h.driver.judge.Killed(h.driver.world.Now(), h.index)
+	h.driver.judge.LimiterKilled(h.driver.world.Now(), h.index)
 	var held []*request
 	for _, r := range h.requests {
 		held = append(held, r)
@@ -107,7 +107,7 @@
 			h.dropConn(r.openAttempt)
 		}
 		if t := r.try; !r.answered {
-			h.driver.after(h.driver.world.ClientDelay(), func() { h.driver.world.Got(h.driver.world.Now(), t, world.GotBroken, 0) })
+			h.driver.after(h.driver.world.ClientDelay(), func() { h.driver.world.DeliverAnswer(h.driver.world.Now(), t, world.GotBroken, 0) })
 		}
 	}
 	for box, conns := range h.idleConns {
@@ -162,8 +162,8 @@
 			h.pendingAsk.wait = time.Duration(a.WaitMs * float64(time.Millisecond))
 			return
 		}
-		if r := h.findRequest(a.ID); r != nil && h.driver.options.Refused != nil {
-			h.driver.options.Refused(h.index, h.policy, r.try, a)
+		if r := h.findRequest(a.ID); r != nil && h.driver.options.OnRefusal != nil {
+			h.driver.options.OnRefusal(h.index, h.policy, r.try, a)
 		}
 		h.answerLocally(h.findRequest(a.ID), judge.Refused, time.Duration(a.WaitMs*float64(time.Millisecond)))
 	case limiter.Fail:
@@ -175,7 +175,7 @@
 	case limiter.Timer:
 		epoch := h.epoch
 		at := time.Duration((a.At - epochMs) * float64(time.Millisecond))
-		h.driver.world.After(at, func() {
+		h.driver.world.Schedule(at, func() {
 			if h.epoch == epoch {
 				h.handle(limiter.Alarm{Handle: a.Handle})
 			}
@@ -193,7 +193,7 @@
 		for i := to; i < to+n; i++ {
 			if i != h.index {
 				h.driver.result.Counts.Messages++
-				h.driver.world.PeerSends(h.driver.world.Now(), h.index, i, slices.Clone(a.Data))
+				h.driver.world.SendPeerMessage(h.driver.world.Now(), h.index, i, slices.Clone(a.Data))
 			}
 		}
 	}
@@ -212,7 +212,7 @@
 // receive accepts a completely received try.
 func (h *host) receive(t *world.Try) {
 	if !h.up || !h.accepting {
-		h.driver.after(h.driver.world.ClientDelay(), func() { h.driver.world.Got(h.driver.world.Now(), t, world.GotBroken, 0) })
+		h.driver.after(h.driver.world.ClientDelay(), func() { h.driver.world.DeliverAnswer(h.driver.world.Now(), t, world.GotBroken, 0) })
 		return
 	}
 	if how := h.driver.wayFor(t); how != wayProxied {
@@ -225,20 +225,20 @@
 // proxy submits a request that this limiter forwards, with the units leased for it.
 func (h *host) proxy(t *world.Try, leased float64, quotaChecked bool) {
 	now := h.driver.world.Now()
-	remaining := t.Until - t.SentAt
+	remaining := t.ClientDeadline - t.SentAt
 	r := &request{id: strconv.FormatUint(t.ID, 16), try: t, stopAt: now + remaining - min(answerMargin, remaining/marginPart)}
 	h.requests[r.id], h.requestsByTry[t.ID] = r, r
 	c := t.Call
-	h.driver.judge.Taken(now, judge.Request{Try: t.ID, Limiter: h.index, Account: c.Account, Class: c.Class, Plan: c.Plan,
-		Units: c.Units, Until: t.Until})
+	h.driver.judge.RequestAccepted(now, judge.Request{Try: t.ID, Limiter: h.index, Account: c.Account, Class: c.Class, Plan: c.Plan,
+		Units: c.Units, Until: t.ClientDeadline})
 	epoch := h.epoch
-	h.driver.world.After(r.stopAt, func() {
+	h.driver.world.Schedule(r.stopAt, func() {
 		if h.epoch == epoch && !r.answered && !h.driver.options.Unguarded { // still open at the deadline: the client must get an answer
 			h.answerLocally(r, judge.Failed, 0)
 			h.handle(limiter.Aborted{ID: r.id})
 		}
 	})
-	spread, first := h.driver.world.Entrance(c.Account)
+	spread, first := h.driver.world.AccountLimiters(c.Account)
 	s := limiter.Submit{ID: r.id, ExpiresMs: float64((r.stopAt - now).Microseconds()) / 1000, Units: c.Units, Class: c.Class,
 		Plan: c.Plan, Retry: t.Retry, Account: c.Account, Spread: spread, First: first, Leased: leased, QuotaChecked: quotaChecked}
 	h.advise(&s)
@@ -271,7 +271,7 @@
 	if h.driver.options.Unguarded {
 		h.pastRequests[r.id] = r
 	}
-	h.driver.after(h.driver.world.ClientDelay(), func() { h.driver.world.Got(h.driver.world.Now(), r.try, kind, advice) })
+	h.driver.after(h.driver.world.ClientDelay(), func() { h.driver.world.DeliverAnswer(h.driver.world.Now(), r.try, kind, advice) })
 }
 
 // clientGone ends a try whose client disconnected.
@@ -313,7 +313,7 @@
 		h.reportOutcome(at, limiter.NoRoute, noLoad)
 		return
 	}
-	at.box = d.world.At(entry.Addr)
+	at.box = d.world.BoxAt(entry.Addr)
 	if d.options.OnAttempt != nil {
 		d.options.OnAttempt(r.try, at.box)
 	}
@@ -323,7 +323,7 @@
 		stopAt = min(stopAt, now+time.Duration(a.CapMs*float64(time.Millisecond)))
 	}
 	epoch := h.epoch
-	d.world.After(max(stopAt, now), func() { h.timeout(at, epoch) })
+	d.world.Schedule(max(stopAt, now), func() { h.timeout(at, epoch) })
 	delay := d.world.Delay(h.index, at.box)
 	if h.reuseConn(at) {
 		h.sendFirstByte(at, delay)
@@ -391,7 +391,7 @@
 func (h *host) sendFirstByte(at *attempt, delay time.Duration) {
 	d := h.driver
 	at.started = true
-	d.judge.Begins(d.world.Now(), at.request.try.ID, d.boxOf(at.server))
+	d.judge.AttemptStarted(d.world.Now(), at.request.try.ID, d.boxOf(at.server))
 	d.attempts[at.id] = at
 	epoch := h.epoch
 	d.after(delay, func() {
@@ -414,7 +414,7 @@
 		return
 	}
 	b, c := d.world.Boxes[at.box], at.request.try.Call
-	if cond := b.Condition(); cond == world.Dead || cond == world.Fallen || at.resets != h.resets(at.box) {
+	if cond := b.Condition(); cond == world.Dead || cond == world.Crashed || at.resets != h.resets(at.box) {
 		delete(d.attempts, at.id)
 		epoch := h.epoch
 		d.after(d.world.Delay(h.index, at.box), func() { // a reset: the limiter can't know whether the request ran
@@ -427,15 +427,15 @@
 	at.arrived = true
 	d.result.Counts.Attempts++
 	if d.options.Fleet.Limiters[h.index].Room != b.Spec.Room {
-		d.result.Counts.Crossings++
+		d.result.Counts.CrossRoomAttempts++
 	}
-	d.judge.Arrived(now, at.id, at.request.try.ID, d.boxOf(at.box), c.Work, b.Capacity(now), b.Warmth(now) < 1)
-	d.world.SentOn(now, at.request.try)
+	d.judge.AttemptArrived(now, at.id, at.request.try.ID, d.boxOf(at.box), c.Work, b.Capacity(now), b.Warmth(now) < 1)
+	d.world.TryForwarded(now, at.request.try)
 	j := world.Job{ID: at.id, Work: c.Work, Expires: at.request.stopAt}
 	if class := d.options.Fleet.Classes[c.Class]; class.Repeat == limiter.Keyed {
 		j.Key, j.Window = c.ID, class.Window
 	}
-	d.world.Request(now, at.box, j)
+	d.world.DeliverRequest(now, at.box, j)
 }
 
 // timeout ends an attempt whose time limit has passed.
@@ -531,15 +531,15 @@
 	ev := limiter.Endpoints{Scope: scope}
 	for _, e := range entries {
 		h.knownBoxes[e.Box] = e
-		h.driver.judge.Told(h.driver.world.Now(), h.index, e.Box, e.Health == world.Ready)
+		h.driver.judge.BoxStateReported(h.driver.world.Now(), h.index, e.Box, e.Health == world.Ready)
 		spec := h.driver.world.Boxes[e.Box].Spec
 		info := limiter.ServerInfo{ID: uint64(e.Box + 1), Zone: spec.Room, Cell: spec.Pod, Weight: 1,
 			Phase: [...]limiter.Phase{limiter.Up, limiter.Draining, limiter.Removed}[e.Health]}
 		if f := h.driver.options.Fleet; len(f.Tiers) > 0 {
-			info.Tier = f.Tiers.Of(spec.Room, spec.Labels, f.Limiters[h.index].Room)
+			info.Tier = f.Tiers.IndexOf(spec.Room, spec.Labels, f.Limiters[h.index].Room)
 		}
-		if e.Born >= 0 {
-			info.ReadyAt = clockMs(e.Born)
+		if e.StartedAt >= 0 {
+			info.ReadyAt = clockMs(e.StartedAt)
 		}
 		ev.Servers = append(ev.Servers, info)
 	}
@@ -553,12 +553,12 @@
 	if !ok {
 		return
 	}
-	box, sentAt, epoch := d.world.At(entry.Addr), d.world.Now(), h.epoch
+	box, sentAt, epoch := d.world.BoxAt(entry.Addr), d.world.Now(), h.epoch
 	wait, result, load := 2*d.world.Delay(h.index, box), limiter.Pass, noLoad
 	switch condition := d.world.Boxes[box].Condition(); {
 	case !d.world.Reaches(h.index, box), condition == world.Hung:
 		wait, result = probeTimeout, limiter.TooSlow
-	case condition == world.Dead || condition == world.Fallen:
+	case condition == world.Dead || condition == world.Crashed:
 		result = limiter.NoRoute
 	case condition == world.Draining:
 		result = limiter.NoRoom
--- a/internal/virtual/remember.go
+++ b/internal/virtual/remember.go
@@ -34,7 +34,7 @@
 // storeHandover stores the state of a limiter at its graceful shutdown.
 func (h *host) storeHandover() {
 	p, ok := h.policy.(memoryPolicy)
-	if !ok || h.driver.options.Remember <= 0 {
+	if !ok || h.driver.options.MemoryInterval <= 0 {
 		return
 	}
 	now := clockMs(h.driver.world.Now())
@@ -50,7 +50,7 @@
 // loadMemory restores the memory that the previous process stored, and starts storing memory
 // periodically.
 func (h *host) loadMemory() {
-	every := h.driver.options.Remember
+	every := h.driver.options.MemoryInterval
 	p, ok := h.policy.(memoryPolicy)
 	if every <= 0 || !ok {
 		return
@@ -62,9 +62,9 @@
 		for _, c := range h.driver.options.Fleet.Classes {
 			names = append(names, c.Name)
 		}
-		found := recall.SnapshotInfo{Age: now - k.at + h.driver.options.RememberAge, Clean: k.ended, Intact: true, Down: now - k.at}
-		if h.driver.options.Distort != nil {
-			h.driver.options.Distort(k.memory)
+		found := recall.SnapshotInfo{Age: now - k.at + h.driver.options.ExtraMemoryAge, Clean: k.ended, Intact: true, Down: now - k.at}
+		if h.driver.options.AlterMemory != nil {
+			h.driver.options.AlterMemory(k.memory)
 		}
 		if x := k.memory.Handover; x != nil {
 			for i := range x.Accounts {
--- a/internal/virtual/remember_test.go
+++ b/internal/virtual/remember_test.go
@@ -31,10 +31,10 @@
 		for k, every := range []time.Duration{0, 500 * time.Millisecond} {
 			arrived := 0
 			r := simulate(t, seed, 50*time.Second, restartsWithUnhealthyBoxes, func(o *virtual.Options) {
-				o.Remember = every
+				o.MemoryInterval = every
 				var w *world.World
 				last := map[int]int{}
-				o.Started = func(x *world.World) { w = x }
+				o.OnStart = func(x *world.World) { w = x }
 				o.Progress = func(time.Duration) {}
 				after := func(now time.Duration) bool {
 					for _, at := range []time.Duration{20, 30, 40} {
@@ -44,7 +44,7 @@
 					}
 					return false
 				}
-				o.Watch = func(now time.Duration, _ world.Action) {
+				o.OnAction = func(now time.Duration, _ world.Action) {
 					for i, b := range w.Boxes {
 						if n := b.Counts.Arrived; n > last[i] {
 							if (b.Name == "a3" || b.Name == "b1") && after(now) {
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -35,16 +35,16 @@
 
 // Options configures a simulation run.
 type Options struct {
-	Fleet  *fleet.Fleet
-	Seed   uint64
-	Source world.Source
-	Faults []world.Fault
-	Policy NewPolicy     // Limiter if nil
-	Sample time.Duration // interval of load samples of the boxes; 0: none
-	// Asked is the share of requests for which a proxy asks a limiter for permission before it sends
+	Fleet          *fleet.Fleet
+	Seed           uint64
+	Source         world.Source
+	Faults         []world.Fault
+	Policy         NewPolicy     // Limiter if nil
+	SampleInterval time.Duration // interval of load samples of the boxes; 0: none
+	// AskShare is the share of requests for which a proxy asks a limiter for permission before it sends
 	// them. Half of these bypass the limiters after the grant; the others get a lease and go through
 	// the limiter that the front picks then.
-	Asked float64
+	AskShare float64
 	// Advisers, if set, creates the plug-ins at each start of a limiter.
 	Advisers NewAdviser
 	// Accounts makes the meter of the world keep totals by account.
@@ -52,27 +52,27 @@
 	// Steward moves parts of ceilings to the limiters where requests arrive, as the fleet duty of
 	// that name does.
 	Steward bool
-	// Remember is the interval at which limiters store their learned state, which they restore when
+	// MemoryInterval is the interval at which limiters store their learned state, which they restore when
 	// they restart; 0: never. It applies only to policies that support it.
-	Remember time.Duration
-	// RememberAge is added to the age of a restored memory, and Distort, if set, modifies the memory.
-	RememberAge time.Duration
-	Distort     func(*limiter.Memory)
-	// Refused, if set, is called at each refusal by a policy, and OnAttempt at each attempt, both before
+	MemoryInterval time.Duration
+	// ExtraMemoryAge is added to the age of a restored memory, and Distort, if set, modifies the memory.
+	ExtraMemoryAge time.Duration
+	AlterMemory    func(*limiter.Memory)
+	// OnRefusal, if set, is called at each refusal by a policy, and OnAttempt at each attempt, both before
 	// the state changes.
-	Refused   func(limiter int, p Policy, t *world.Try, a limiter.Refuse)
+	OnRefusal func(limiter int, p Policy, t *world.Try, a limiter.Refuse)
 	OnAttempt func(t *world.Try, box int)
 	// Progress, if set, is called every 4096 events with the virtual time.
 	Progress func(now time.Duration)
-	// Started, if set, receives the world before the first event, so that the other callbacks can
+	// OnStart, if set, receives the world before the first event, so that the other callbacks can
 	// inspect it.
-	Started func(w *world.World)
-	// Watch, if set, is called with every action of the world before it is carried out.
-	Watch func(now time.Duration, a world.Action)
-	// PushFor is the window over which the judge measures the load sent to cold boxes, 0 for none, and
+	OnStart func(w *world.World)
+	// OnAction, if set, is called with every action of the world before it is carried out.
+	OnAction func(now time.Duration, a world.Action)
+	// ColdLoadWindow is the window over which the judge measures the load sent to cold boxes, 0 for none, and
 	// PushMost the ratio that it counts as excessive; see judge.Judge.
-	PushFor  time.Duration
-	PushMost float64
+	ColdLoadWindow time.Duration
+	ColdLoadLimit  float64
 	// Unguarded disables the checks that a host makes independently of its policy: attempts at boxes
 	// that drain or are gone, too many attempts, and requests that have ended or reached their
 	// deadline. Tests use it to show that the judge detects broken policies.
@@ -81,20 +81,20 @@
 
 // Counts holds totals over all limiters.
 type Counts struct {
-	Attempts, Crossings, Connects, Probes, Messages int
-	Asks, Grants                                    int
-	Advised                                         int // tries that plug-ins refused
+	Attempts, CrossRoomAttempts, Connects, Probes, Messages int
+	Asks, Grants                                            int
+	RefusedByPlugins                                        int // tries that plug-ins refused
 }
 
 // Result holds the final state and the totals of a run.
 type Result struct {
-	World   *world.World
-	Judge   *judge.Judge
-	Counts  Counts
-	Labels  map[string]LabelCount // by label that plug-ins gave
-	Length  time.Duration         // virtual time
-	Events  uint64
-	MostOut int // largest number of open calls
+	World        *world.World
+	Judge        *judge.Judge
+	Counts       Counts
+	Labels       map[string]LabelCount // by label that plug-ins gave
+	Length       time.Duration         // virtual time
+	Events       uint64
+	MaxOpenCalls int // largest number of open calls
 }
 
 // epochMs is the limiters' clock at virtual time 0. It is above 0 because 0 means long ago there.
@@ -116,11 +116,11 @@
 
 // JudgeSettings returns the judge's settings for the rules of a fleet.
 func JudgeSettings(f *fleet.Fleet, slack time.Duration) judge.Settings {
-	s := judge.Settings{Attempts: f.Rules.Attempts, DrainGrace: f.Rules.DrainGrace, FallFactor: f.Rules.FallFactor,
-		FallFor: f.Rules.FallFor, CeilingSlack: f.Rules.CeilingSlack, MaxUnits: f.MostUnits(), Slack: slack}
+	s := judge.Settings{Attempts: f.Rules.Attempts, DrainGrace: f.Rules.DrainGrace, FallFactor: f.Rules.OverloadFactor,
+		FallFor: f.Rules.OverloadDuration, CeilingSlack: f.Rules.CeilingSlack, MaxUnits: f.MaxUnits(), Slack: slack}
 	for _, c := range f.Classes {
 		s.Classes = append(s.Classes, judge.Class{Repeat: c.Repeat, Group: c.Group, Window: c.Window})
-		s.Longest = max(s.Longest, c.Deadline)
+		s.MaxDeadline = max(s.MaxDeadline, c.Deadline)
 	}
 	for _, p := range f.Plans {
 		s.Plans = append(s.Plans, judge.Plan{CeilingRate: p.CeilingRate, CeilingBurst: p.CeilingBurst})
@@ -150,13 +150,13 @@
 		o.Policy = Limiter
 	}
 	d := &driver{options: o, rng: rand.New(rand.NewPCG(o.Seed, 0xd1)), attempts: map[uint64]*attempt{}}
-	d.world = world.New(o.Fleet, world.Options{Seed: o.Seed, Source: o.Source, Faults: o.Faults, Sample: o.Sample,
+	d.world = world.New(o.Fleet, world.Options{Seed: o.Seed, Source: o.Source, Faults: o.Faults, SampleInterval: o.SampleInterval,
 		WayOf: func(call uint64) int { return int(drawWay(o, call)) }})
 	rules := JudgeSettings(o.Fleet, judgeSlack)
-	rules.PushFor, rules.PushMost = o.PushFor, o.PushMost
+	rules.ColdLoadWindow, rules.ColdLoadLimit = o.ColdLoadWindow, o.ColdLoadLimit
 	d.judge = judge.New(rules)
-	if o.Started != nil {
-		o.Started(d.world)
+	if o.OnStart != nil {
+		o.OnStart(d.world)
 	}
 	d.boxResets = make([]int, len(d.world.Boxes))
 	d.result = &Result{World: d.world, Judge: d.judge, Labels: map[string]LabelCount{}}
@@ -188,17 +188,17 @@
 		}
 		for len(actions) > 0 {
 			for _, a := range actions {
-				if o.Watch != nil {
-					o.Watch(d.world.Now(), a)
+				if o.OnAction != nil {
+					o.OnAction(d.world.Now(), a)
 				}
 				d.carryOut(a)
 			}
-			actions = d.world.Take()
+			actions = d.world.TakeActions()
 		}
 		if d.startErr != nil {
 			return nil, d.startErr
 		}
-		d.result.MostOut = max(d.result.MostOut, d.world.Open())
+		d.result.MaxOpenCalls = max(d.result.MaxOpenCalls, d.world.Open())
 		if steps%4096 == 0 {
 			if err := ctx.Err(); err != nil {
 				return nil, err
@@ -213,8 +213,8 @@
 	return d.result, nil
 }
 
-// Clock converts virtual time to the limiters' clock, in ms.
-func Clock(t time.Duration) float64 { return clockMs(t) }
+// ClockMs converts virtual time to the limiters' clock, in ms.
+func ClockMs(t time.Duration) float64 { return clockMs(t) }
 
 // clockMs converts virtual time to the limiters' clock.
 func clockMs(t time.Duration) float64 { return epochMs + float64(t.Microseconds())/1000 }
@@ -233,11 +233,11 @@
 		d.boxAnswered(a)
 	case world.BoxResets:
 		d.resetConnections(a)
-	case world.BoxFalls:
-		d.judge.Fell(d.world.Now(), a.Box)
-	case world.Listed:
+	case world.BoxCrashes:
+		d.judge.BoxCrashed(d.world.Now(), a.Box)
+	case world.DiscoveryUpdate:
 		d.hosts[a.Limiter].updateEndpoints(limiter.Partial, a.Entries)
-	case world.PeerHears:
+	case world.DeliverPeerMessage:
 		if h := d.hosts[a.To]; h.up && len(a.Data) > 0 && a.Data[0] == grant.NoticeMagic {
 			h.receiveNotices(a.Data)
 		} else if h.up {
@@ -254,13 +254,13 @@
 	}
 }
 
-func (d *driver) after(wait time.Duration, f func()) { d.world.After(d.world.Now()+wait, f) }
+func (d *driver) after(wait time.Duration, f func()) { d.world.Schedule(d.world.Now()+wait, f) }
 
 // boxAnswered passes a box's response to the limiter that waits for it.
 func (d *driver) boxAnswered(a world.BoxAnswers) {
 	at := d.attempts[a.Done.ID]
 	if a.Done.Ran {
-		d.judge.Ran(d.world.Now(), a.Done.ID)
+		d.judge.AttemptExecuted(d.world.Now(), a.Done.ID)
 	}
 	if at == nil { // the attempt was abandoned
 		return
@@ -273,7 +273,7 @@
 		result, verdict = limiter.NoRoom, judge.NeverRan
 	}
 	wait := d.world.Delay(at.host.index, at.box)
-	switch a.Wire {
+	switch a.Fault {
 	case world.Garbled, world.Halved:
 		result, verdict = limiter.Spoilt, judge.MayHaveRun
 	case world.Stalled:
@@ -290,7 +290,7 @@
 	epoch := at.host.epoch
 	d.after(wait, func() {
 		if at.host.epoch == epoch {
-			if a.Wire == world.Clean {
+			if a.Fault == world.NoResponseFault {
 				at.host.keepConn(at)
 			} else {
 				at.host.closeConn(at)
@@ -302,7 +302,7 @@
 
 // endAttempt ends an attempt as seen from the box.
 func (d *driver) endAttempt(at *attempt, v judge.Verdict) {
-	d.judge.Ended(d.world.Now(), at.id, v)
+	d.judge.AttemptEnded(d.world.Now(), at.id, v)
 	delete(d.attempts, at.id)
 }
 
--- a/internal/virtual/virtual_test.go
+++ b/internal/virtual/virtual_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := virtual.Options{Fleet: f, Seed: seed, Faults: faults, Sample: time.Second}
+	o := virtual.Options{Fleet: f, Seed: seed, Faults: faults, SampleInterval: time.Second}
 	if change != nil {
 		change(&o)
 	}
@@ -73,7 +73,7 @@
 		for _, b := range r.Judge.Breaches {
 			t.Errorf("seed %d: %v", seed, b)
 		}
-		for rule, n := range r.Judge.Seen {
+		for rule, n := range r.Judge.CheckCounts {
 			if n == 0 {
 				t.Errorf("seed %d: %v was never put to the test", seed, judge.Rule(rule))
 			}
@@ -96,7 +96,7 @@
 func fingerprint(r *virtual.Result) string {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%+v %+v %+v %+v %v %v", r.World.Meter.Total, r.World.Meter.Plans, r.World.Meter.Seconds, r.World.Samples, r.Counts, r.Events)
-	fmt.Fprintf(h, "%v %v", r.Judge.Seen, r.World.Notes)
+	fmt.Fprintf(h, "%v %v", r.Judge.CheckCounts, r.World.Notes)
 	return fmt.Sprintf("%x", h.Sum64())
 }
 
@@ -230,7 +230,7 @@
 				}
 				return limiter.New(s, seed)
 			}
-			o.Fleet.Traffic.HeavyX, o.Fleet.Traffic.Heavy = 8, 0.1
+			o.Fleet.Traffic.HeavyFactor, o.Fleet.Traffic.HeavyShare = 8, 0.1
 		}},
 	} {
 		t.Run(strings.ReplaceAll(c.name, " ", "-"), func(t *testing.T) {
@@ -240,7 +240,7 @@
 				found = found || b.Rule == c.rule && strings.Contains(b.Text, c.want)
 			}
 			if !found {
-				t.Errorf("not caught: %v, put to the test %v", r.Judge.Count, r.Judge.Seen)
+				t.Errorf("not caught: %v, put to the test %v", r.Judge.BreachCounts, r.Judge.CheckCounts)
 			}
 		})
 	}
@@ -263,8 +263,8 @@
 	if before, gone, back := arrived(3, 8), arrived(10, 15), arrived(35, 40); before < 200 || gone != 0 || back < before/2 {
 		t.Errorf("room-b got %d requests in 5 s before, %d while it was gone, %d at last", before, gone, back)
 	}
-	if r.Judge.Seen[judge.ColdKept] == 0 || r.Judge.Broken() != 0 {
-		t.Errorf("cold boxes: %d sends, breaches %v", r.Judge.Seen[judge.ColdKept], r.Judge.Breaches)
+	if r.Judge.CheckCounts[judge.ColdKept] == 0 || r.Judge.BreachCount() != 0 {
+		t.Errorf("cold boxes: %d sends, breaches %v", r.Judge.CheckCounts[judge.ColdKept], r.Judge.Breaches)
 	}
 }
 
@@ -281,7 +281,7 @@
 			o.Fleet.Traffic.Rate *= 1.7
 		})
 		figure[name] = r.World.Meter.Figure().Total
-		if name == "limiter" && r.Judge.Broken() > 0 {
+		if name == "limiter" && r.Judge.BreachCount() > 0 {
 			t.Errorf("breaches %v", r.Judge.Breaches)
 		}
 	}
@@ -312,9 +312,9 @@
 	var refused, within [3]float64
 	for seed := uint64(1); seed <= 5; seed++ {
 		r := simulate(t, seed, 40*time.Second, "limiter n2 is killed at 8s for 2s\nbox a1 fails 60% from 12s to 20s\nroom room-b is parted from 20s to 30s", func(o *virtual.Options) {
-			o.Asked = 0.6
+			o.AskShare = 0.6
 			o.Fleet.Network.PeerLoss = 0.08
-			o.Fleet.Traffic.Heavy, o.Fleet.Traffic.HeavyX = 0.1, 6
+			o.Fleet.Traffic.HeavyShare, o.Fleet.Traffic.HeavyFactor = 0.1, 6
 		})
 		for _, b := range r.Judge.Breaches {
 			t.Errorf("seed %d: %v", seed, b)
--- a/internal/world/actions.go
+++ b/internal/world/actions.go
@@ -15,16 +15,16 @@
 	GotBroken // the connection closed without an answer, or could not be opened
 )
 
-// Wire is how the network damages a response of a box on its way to the limiter.
-type Wire int
+// ResponseFault is how the network damages a response of a box on its way to the limiter.
+type ResponseFault int
 
 // Ways in which a response arrives.
 const (
-	Clean   Wire = iota
-	Garbled      // it can't be parsed
-	Halved       // it ends in the middle as the connection closes
-	Stalled      // it starts and never completes
-	Cut          // the connection is reset instead
+	NoResponseFault ResponseFault = iota
+	Garbled                       // it can't be parsed
+	Halved                        // it ends in the middle as the connection closes
+	Stalled                       // it starts and never completes
+	Cut                           // the connection is reset instead
 )
 
 // Health is the state of a box that discovery reports.
@@ -39,10 +39,10 @@
 
 // Entry is one box in the list that discovery sends to limiters.
 type Entry struct {
-	Box    int // index in World.Boxes; limiters know the box by its name
-	Addr   int // its address, which a replacement may use by now
-	Health Health
-	Born   time.Duration // last start; negative if before the simulation
+	Box       int // index in World.Boxes; limiters know the box by its name
+	Addr      int // its address, which a replacement may use by now
+	Health    Health
+	StartedAt time.Duration // last start; negative if before the simulation
 }
 
 // Action is something that the driver must carry out immediately.
@@ -60,7 +60,7 @@
 		Done    Done
 		Load    Load
 		HasLoad bool
-		Wire    Wire
+		Fault   ResponseFault
 	}
 	// BoxStarts is a box whose process now accepts connections at its address.
 	BoxStarts struct{ Box int }
@@ -71,16 +71,16 @@
 		Jobs   []uint64
 		Silent bool
 	}
-	// BoxFalls is a cold box that crashed from overload. A BoxResets follows.
-	BoxFalls struct{ Box int }
-	// Listed is an update of discovery's list for one limiter.
-	Listed struct {
-		Limiter int
-		Whole   bool
-		Entries []Entry
+	// BoxCrashes is a cold box that crashed from overload. A BoxResets follows.
+	BoxCrashes struct{ Box int }
+	// DiscoveryUpdate is an update of discovery's list for one limiter.
+	DiscoveryUpdate struct {
+		Limiter  int
+		Complete bool
+		Entries  []Entry
 	}
-	// PeerHears delivers a message of another limiter.
-	PeerHears struct {
+	// DeliverPeerMessage delivers a message of another limiter.
+	DeliverPeerMessage struct {
 		To, From int
 		Data     []byte
 	}
@@ -95,16 +95,16 @@
 	Happened struct{ Text string }
 )
 
-func (ClientSends) action()  {}
-func (ClientLeaves) action() {}
-func (BoxAnswers) action()   {}
-func (BoxResets) action()    {}
-func (BoxFalls) action()     {}
-func (BoxStarts) action()    {}
-func (Listed) action()       {}
-func (PeerHears) action()    {}
-func (KillLimiter) action()  {}
-func (StopLimiter) action()  {}
-func (StartLimiter) action() {}
-func (Due) action()          {}
-func (Happened) action()     {}
+func (ClientSends) action()        {}
+func (ClientLeaves) action()       {}
+func (BoxAnswers) action()         {}
+func (BoxResets) action()          {}
+func (BoxCrashes) action()         {}
+func (BoxStarts) action()          {}
+func (DiscoveryUpdate) action()    {}
+func (DeliverPeerMessage) action() {}
+func (KillLimiter) action()        {}
+func (StopLimiter) action()        {}
+func (StartLimiter) action()       {}
+func (Due) action()                {}
+func (Happened) action()           {}
--- a/internal/world/box.go
+++ b/internal/world/box.go
@@ -18,7 +18,7 @@
 	Hung               // accepts connections but makes no progress and sends nothing
 	Dead               // the process has ended: connects are refused
 	Vanished           // the machine is unreachable: connects time out
-	Fallen             // crashed from overload while cold: as Dead, without a restart
+	Crashed            // crashed from overload while cold: as Dead, without a restart
 )
 
 var conditionNames = [...]string{"running", "draining", "hung", "dead", "vanished", "fallen"}
@@ -88,7 +88,7 @@
 	slowdown           float64       // factor on the duration of all work
 	sharedSlowdown     *float64      // factor of the dependency that all boxes share
 	errorRate          float64       // share of requests that fail
-	responseFault      Wire          // network fault of some of its responses
+	responseFault      ResponseFault // network fault of some of its responses
 	responseFaultShare float64       // share of responses with that fault
 
 	advancedTo    time.Duration
@@ -137,22 +137,22 @@
 // Condition returns the current state of the box.
 func (b *Box) Condition() Condition { return b.condition }
 
-// Held returns the number of running and waiting jobs.
-func (b *Box) Held() int { return len(b.running) + len(b.waiting) }
+// JobCount returns the number of running and waiting jobs.
+func (b *Box) JobCount() int { return len(b.running) + len(b.waiting) }
 
-// Born returns the time of the last start; ok is false if the box started before the simulation.
-func (b *Box) Born() (at time.Duration, ok bool) { return b.startedAt, b.startedAt >= 0 }
+// StartedAt returns the time of the last start; ok is false if the box started before the simulation.
+func (b *Box) StartedAt() (at time.Duration, ok bool) { return b.startedAt, b.startedAt >= 0 }
 
 // Warmth returns the share of its full capacity that the box has reached during warm-up.
 func (b *Box) Warmth(now time.Duration) float64 {
-	if b.startedAt < 0 || b.Spec.ColdFor <= 0 {
+	if b.startedAt < 0 || b.Spec.WarmUpTime <= 0 {
 		return 1
 	}
-	share := float64(now-b.startedAt) / float64(b.Spec.ColdFor)
+	share := float64(now-b.startedAt) / float64(b.Spec.WarmUpTime)
 	if b.Spec.WarmAfter > 0 {
 		share = max(share, float64(b.answeredSinceStart)/float64(b.Spec.WarmAfter))
 	}
-	return min(1, b.Spec.ColdFrom+(1-b.Spec.ColdFrom)*share)
+	return min(1, b.Spec.ColdShare+(1-b.Spec.ColdShare)*share)
 }
 
 // Capacity returns the current throughput in seconds of work per second, with all cores busy and
@@ -166,7 +166,7 @@
 	if b.condition == Hung || len(b.running) == 0 && b.handshakeDebt <= 0 {
 		return 0, 0
 	}
-	excess := max(0, float64(b.Held())/b.Spec.Cores-b.Spec.ThrashAt)
+	excess := max(0, float64(b.JobCount())/b.Spec.Cores-b.Spec.ThrashAt)
 	one := b.Spec.Speed * b.Warmth(now) / (b.slowdown * *b.sharedSlowdown * (1 + b.Spec.Thrash*excess))
 	all = one * b.Spec.Cores
 	if len(b.running) > 0 {
@@ -269,7 +269,7 @@
 // Open opens a connection, if the box accepts one. The driver releases it with Close.
 func (b *Box) Open(now time.Duration) Connect {
 	switch {
-	case b.condition == Dead || b.condition == Fallen:
+	case b.condition == Dead || b.condition == Crashed:
 		return Refused
 	case b.condition == Vanished:
 		return Silent
@@ -310,7 +310,7 @@
 	if b.Warmth(now) >= 1 {
 		return false
 	}
-	each := b.rules.FallFor / coldWorkSlices
+	each := b.rules.OverloadDuration / coldWorkSlices
 	for gone := int((now - b.sliceStart) / max(1, each)); gone > 0; gone-- {
 		if b.sliceIndex = (b.sliceIndex + 1) % coldWorkSlices; gone > 2*coldWorkSlices {
 			gone = 2 * coldWorkSlices // enough to clear every slice
@@ -324,14 +324,14 @@
 	for _, s := range b.coldWork {
 		sum += s
 	}
-	return sum > b.rules.FallFactor*b.Capacity(now)*float64(b.rules.FallFor)
+	return sum > b.rules.OverloadFactor*b.Capacity(now)*float64(b.rules.OverloadDuration)
 }
 
-// Set changes the state and returns the ids of the jobs lost by that. Only Start leaves the states
+// SetCondition changes the state and returns the ids of the jobs lost by that. Only Start leaves the states
 // Dead, Vanished and Fallen.
-func (b *Box) Set(c Condition) (lost []uint64) {
+func (b *Box) SetCondition(c Condition) (lost []uint64) {
 	b.condition = c
-	if c != Dead && c != Vanished && c != Fallen {
+	if c != Dead && c != Vanished && c != Crashed {
 		return nil
 	}
 	for _, r := range b.running {
@@ -355,7 +355,7 @@
 
 // Start restarts the process of the box, either cold or already warm.
 func (b *Box) Start(now time.Duration, cold bool) {
-	b.Set(Dead)
+	b.SetCondition(Dead)
 	b.condition, b.answeredSinceStart, b.coldWork = Running, 0, [coldWorkSlices]float64{}
 	b.startedAt, b.sliceStart, b.advancedTo = -1, now, now
 	if cold {
@@ -364,20 +364,20 @@
 	b.latestReport, b.previousReport = Load{}, Load{}
 }
 
-// Slow sets the factor on the duration of all work; 1 is normal speed.
-func (b *Box) Slow(factor float64) { b.slowdown = factor }
+// SetSlowdown sets the factor on the duration of all work; 1 is normal speed.
+func (b *Box) SetSlowdown(factor float64) { b.slowdown = factor }
 
-// Fail sets the share of requests that fail; a negative share restores the configured ErrorRate.
-func (b *Box) Fail(share float64) {
+// SetErrorRate sets the share of requests that fail; a negative share restores the configured ErrorRate.
+func (b *Box) SetErrorRate(share float64) {
 	if share < 0 {
 		share = b.Spec.ErrorRate
 	}
 	b.errorRate = share
 }
 
-// Report returns the load that a response carries at this time. It is measured periodically, with noise,
+// ReportedLoad returns the load that a response carries at this time. It is measured periodically, with noise,
 // and published after a delay.
-func (b *Box) Report(now time.Duration) (l Load, ok bool) {
+func (b *Box) ReportedLoad(now time.Duration) (l Load, ok bool) {
 	r := b.Spec.Report
 	if r.Every <= 0 {
 		return l, false
@@ -385,7 +385,7 @@
 	if now >= b.measuredAt+r.Every {
 		b.previousReport = b.latestReport
 		noise := func(x int) float64 { return max(0, math.Round(float64(x)*(1+r.Noise*b.rng.NormFloat64()))) }
-		b.latestReport, b.measuredAt = Load{noise(b.Held()), noise(len(b.waiting))}, now
+		b.latestReport, b.measuredAt = Load{noise(b.JobCount()), noise(len(b.waiting))}, now
 	}
 	if now < b.measuredAt+r.Delay {
 		return b.previousReport, true
--- a/internal/world/clients.go
+++ b/internal/world/clients.go
@@ -22,9 +22,9 @@
 // unitInterval maps a hash to a number from 0 to 1.
 func unitInterval(h uint64) float64 { return float64(h>>11) / (1 << 53) }
 
-// Entrance returns the limiters that receive the requests of an account: spread consecutive ones,
+// AccountLimiters returns the limiters that receive the requests of an account: spread consecutive ones,
 // starting at first.
-func (w *World) Entrance(account uint64) (spread, first int) {
+func (w *World) AccountLimiters(account uint64) (spread, first int) {
 	n, h := len(w.limiters), mix(account^0x5e7)
 	least := w.Fleet.Traffic.SpreadMin
 	spread = int(math.Ceil((least + (1-least)*unitInterval(h)) * float64(n)))
@@ -37,7 +37,7 @@
 // pickLimiter returns the limiter for the next request of an account. The ranking of an account's
 // limiters by load changes every Shift, and abruptly by the fault "accounts shift".
 func (w *World) pickLimiter(account uint64) int {
-	spread, first := w.Entrance(account)
+	spread, first := w.AccountLimiters(account)
 	h := mix(account ^ 0xf207)
 	epoch := uint64((w.now + time.Duration(unitInterval(h)*float64(w.Fleet.Traffic.Shift))) / w.Fleet.Traffic.Shift)
 	turn := mix(h + epoch)
@@ -50,7 +50,7 @@
 	rank := min(spread-1, sort.SearchFloat64s(w.rankWeights[:spread], u))
 	for k := range spread { // skips limiters that the front knows to be down
 		i := (first + (rank+k+int(turn%uint64(spread)))%spread) % len(w.limiters)
-		if l := &w.limiters[i]; l.alive || w.now < l.diedAt+w.Fleet.Network.FrontNotice {
+		if l := &w.limiters[i]; l.alive || w.now < l.diedAt+w.Fleet.Network.FrontDetection {
 			return i
 		}
 	}
@@ -61,7 +61,7 @@
 func (w *World) startCall(a Arrival) {
 	w.lastID++
 	call := &Call{Request: service.Request{Account: a.Account, Class: a.Class, Plan: a.Plan, Units: a.Units}, ID: w.lastID,
-		Work: a.Work, Deadline: w.now + w.Fleet.Classes[a.Class].Deadline, followsRetryAfter: w.rng.Float64() < w.Fleet.Traffic.Heed}
+		Work: a.Work, Deadline: w.now + w.Fleet.Classes[a.Class].Deadline, followsRetryAfter: w.rng.Float64() < w.Fleet.Traffic.RetryAfterShare}
 	if w.wayOf != nil {
 		call.Way = w.wayOf(call.ID)
 	}
@@ -74,29 +74,29 @@
 func (w *World) sendTry(c *Call) {
 	w.lastID++
 	t := &Try{ID: w.lastID, Call: c, Limiter: w.pickLimiter(c.Account), SentAt: w.now, Retry: c.tries > 0}
-	share := w.Fleet.Traffic.TryShare
+	share := w.Fleet.Traffic.MinAttemptShare
 	share += (1 - share) * unitInterval(mix(c.Account^0x7125))
-	t.Until = min(c.Deadline, w.now+time.Duration(share*float64(w.Fleet.Classes[c.Class].Deadline)))
+	t.ClientDeadline = min(c.Deadline, w.now+time.Duration(share*float64(w.Fleet.Classes[c.Class].Deadline)))
 	if c.tries > 0 {
 		w.Meter.Retried(&c.Request)
 	}
 	c.tries++
-	w.events.add(event{at: t.Until, kind: evGiveUp, payload: t})
+	w.events.add(event{at: t.ClientDeadline, kind: evGiveUp, payload: t})
 	w.emit(ClientSends{t})
 }
 
-// SentOn records that a limiter completely forwarded a try to a box. Only the first attempt of a try
+// TryForwarded records that a limiter completely forwarded a try to a box. Only the first attempt of a try
 // counts.
-func (w *World) SentOn(now time.Duration, t *Try) {
+func (w *World) TryForwarded(now time.Duration, t *Try) {
 	if !t.forwarded {
 		t.forwarded = true
 		w.Meter.SentOn(now, &t.Call.Request)
 	}
 }
 
-// Got delivers an answer to the client of a try; only the first answer counts. advice is the Retry-After
+// DeliverAnswer delivers an answer to the client of a try; only the first answer counts. advice is the Retry-After
 // of a refusal.
-func (w *World) Got(now time.Duration, t *Try, kind AnswerKind, advice time.Duration) {
+func (w *World) DeliverAnswer(now time.Duration, t *Try, kind AnswerKind, advice time.Duration) {
 	w.now = max(w.now, now)
 	if t.ended {
 		return
@@ -129,7 +129,7 @@
 	c, traffic := t.Call, w.Fleet.Traffic
 	wait := traffic.Backoff
 	if c.followsRetryAfter && advice > 0 {
-		wait = min(advice, traffic.MaxAdvice)
+		wait = min(advice, traffic.MaxRetryAfter)
 	}
 	if c.tries > traffic.Retries || w.now+wait+minTryTime > c.Deadline ||
 		end != service.Refused && w.Fleet.Classes[c.Class].Repeat == limiter.Unsafe {
@@ -236,8 +236,8 @@
 // Account draws an account of a plan; heavy accounts send more requests than others.
 func (d *Drawer) Account(plan int) uint64 {
 	a, t := d.accounts[plan], d.fleet.Traffic
-	heavy := uint64(t.Heavy * float64(a.n))
-	part := float64(heavy) * t.HeavyX
+	heavy := uint64(t.HeavyShare * float64(a.n))
+	part := float64(heavy) * t.HeavyFactor
 	if u := d.rng.Float64() * (part + float64(a.n-heavy)); u < part {
 		return a.from + d.rng.Uint64N(max(1, heavy))
 	}
@@ -261,16 +261,16 @@
 // NewSynthetic returns a source of traffic of the given length; equal seeds give equal traffic.
 func NewSynthetic(f *fleet.Fleet, seed uint64, length time.Duration) *Synthetic {
 	t := f.Traffic
-	return &Synthetic{drawer: NewDrawer(f, seed), rate: t.Rate * (1 + t.Heavy*(t.HeavyX-1)), duration: length}
+	return &Synthetic{drawer: NewDrawer(f, seed), rate: t.Rate * (1 + t.HeavyShare*(t.HeavyFactor-1)), duration: length}
 }
 
 // Next returns the next arrival of a Poisson process whose rate follows a slow sine wave.
 func (s *Synthetic) Next() (a Arrival, ok bool) {
 	traffic := s.drawer.fleet.Traffic
-	maxRate := s.rate * (1 + traffic.Swing)
+	maxRate := s.rate * (1 + traffic.WaveAmplitude)
 	for {
 		s.at += s.drawer.rng.ExpFloat64() / maxRate
-		rate := s.rate * (1 + traffic.Swing*math.Sin(2*math.Pi*s.at/20))
+		rate := s.rate * (1 + traffic.WaveAmplitude*math.Sin(2*math.Pi*s.at/20))
 		if s.drawer.rng.Float64()*maxRate < rate {
 			break
 		}
@@ -286,8 +286,8 @@
 	return a, true
 }
 
-// Until returns a source that ends when s ends or the channel over is closed.
-func Until(s Source, over <-chan struct{}) Source { return &untilClosed{s, over} }
+// UntilClosed returns a source that ends when s ends or the channel over is closed.
+func UntilClosed(s Source, over <-chan struct{}) Source { return &untilClosed{s, over} }
 
 type untilClosed struct {
 	Source
--- a/internal/world/scenario.go
+++ b/internal/world/scenario.go
@@ -35,7 +35,7 @@
 	From            time.Duration
 	To              time.Duration // 0: permanent
 	Silent          bool          // a lost room becomes unreachable; otherwise its processes die
-	With            bool          // the limiters of the room are lost too
+	WithLimiters    bool          // the limiters of the room are lost too
 	Text            string        // source line
 }
 
@@ -52,7 +52,7 @@
 	AtAccounts: {"shift": "share"},
 }
 
-var responseFaults = map[string]Wire{"garbles": Garbled, "halves": Halved, "stalls": Stalled, "cuts": Cut}
+var responseFaults = map[string]ResponseFault{"garbles": Garbled, "halves": Halved, "stalls": Stalled, "cuts": Cut}
 
 // Scenario parses faults, one per line. Empty lines and lines that begin with # are skipped. A verb may
 // be preceded by "is" or "are":
@@ -186,7 +186,7 @@
 			if fault.Target != AtRoom || w.next() != "limiters" {
 				return fault, fmt.Errorf("only a room may be lost \"with limiters\"")
 			}
-			fault.With = true
+			fault.WithLimiters = true
 		default:
 			return fault, fmt.Errorf("%q is not understood; a time is \"from 2s to 5s\" or \"at 2s for 3s\"", word)
 		}
--- a/internal/world/supply.go
+++ b/internal/world/supply.go
@@ -57,7 +57,7 @@
 			}
 			warmth := b.Warmth(now)
 			if warmth < 1 && b.Spec.WarmAfter > 0 {
-				warmth = max(warmth, min(1, b.Spec.ColdFrom+(1-b.Spec.ColdFrom)*x.answered/float64(b.Spec.WarmAfter)))
+				warmth = max(warmth, min(1, b.Spec.ColdShare+(1-b.Spec.ColdShare)*x.answered/float64(b.Spec.WarmAfter)))
 			}
 			speed := b.Spec.Speed * warmth / (b.slowdown * w.sharedSlowdown)
 			core, best[i] = max(core, speed), max(best[i], speed*b.Spec.Cores)
@@ -90,8 +90,8 @@
 // Healthy reports whether a box is healthy: it runs without a fault of its own. The shared slowdown is
 // ignored.
 func (b *Box) Healthy() bool {
-	return b.condition == Running && b.slowdown < 1.3 && b.errorRate < b.Spec.ErrorRate+0.05 && (b.responseFault == Clean || b.responseFaultShare < 0.05)
+	return b.condition == Running && b.slowdown < 1.3 && b.errorRate < b.Spec.ErrorRate+0.05 && (b.responseFault == NoResponseFault || b.responseFaultShare < 0.05)
 }
 
 // Idle reports whether a box holds fewer jobs than it has cores.
-func (b *Box) Idle() bool { return float64(b.Held()) < b.Spec.Cores }
+func (b *Box) Idle() bool { return float64(b.JobCount()) < b.Spec.Cores }
--- a/internal/world/troubles.go
+++ b/internal/world/troubles.go
@@ -27,7 +27,7 @@
 			}
 		}
 		for i, l := range w.Fleet.Limiters {
-			if x.With && l.Room == x.Index {
+			if x.WithLimiters && l.Room == x.Index {
 				w.stopLimiter(i, false)
 			}
 		}
@@ -71,16 +71,16 @@
 	}
 	switch x.Verb {
 	case "hangs":
-		b.Set(Hung)
+		b.SetCondition(Hung)
 	case "dies":
 		w.takeDown(i, false)
 	case "vanishes":
 		w.takeDown(i, true)
 	case "drains":
-		b.Set(Draining)
+		b.SetCondition(Draining)
 		w.publish(i, DrainRequested, 0)
 	case "leaves":
-		b.Set(Draining)
+		b.SetCondition(Draining)
 		w.publish(i, DrainRequested, 0)
 		w.events.add(event{at: w.now + leaveTime, kind: evFault, payload: Fault{Target: AtBox, Index: i, Verb: "dies",
 			Text: "box " + b.Name + " has left"}})
@@ -94,12 +94,12 @@
 		spec := b.Spec
 		spec.Name += "r"
 		k := w.newBox(spec, w.addrOf[i])
-		w.Boxes[k].Set(Dead)
+		w.Boxes[k].SetCondition(Dead)
 		w.events.add(event{at: w.now + restartTime, kind: evBoxStart, index: k})
 	case "slows":
-		b.Slow(x.Value)
+		b.SetSlowdown(x.Value)
 	case "fails":
-		b.Fail(x.Value)
+		b.SetErrorRate(x.Value)
 	case "garbles", "halves", "stalls", "cuts":
 		b.responseFault, b.responseFaultShare = responseFaults[x.Verb], x.Value
 	}
@@ -125,11 +125,11 @@
 		case "dies", "vanishes":
 			w.startBox(x.Index)
 		case "slows":
-			b.Slow(1)
+			b.SetSlowdown(1)
 		case "fails":
-			b.Fail(-1)
+			b.SetErrorRate(-1)
 		case "garbles", "halves", "stalls", "cuts":
-			b.responseFault = Clean
+			b.responseFault = NoResponseFault
 		}
 		w.scheduleBox(x.Index)
 	case AtRoom:
@@ -139,7 +139,7 @@
 		}
 		for i, b := range w.Boxes {
 			switch {
-			case b.Spec.Room != x.Index || w.boxAt[w.addrOf[i]] != i || b.condition == Fallen:
+			case b.Spec.Room != x.Index || w.boxAt[w.addrOf[i]] != i || b.condition == Crashed:
 			case x.Verb == "unlisted":
 				if b.condition == Running {
 					w.publish(i, Ready, 0)
@@ -149,7 +149,7 @@
 			}
 		}
 		for i, l := range w.Fleet.Limiters {
-			if x.With && l.Room == x.Index {
+			if x.WithLimiters && l.Room == x.Index {
 				w.startLimiter(i)
 			}
 		}
