--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -46,7 +46,7 @@
 	Call           *Call
 	Limiter        int // index of the receiving limiter
 	SentAt         time.Duration
-	Until          time.Duration // time at which the client stops waiting
+	ClientDeadline time.Duration // time at which the client stops waiting
 	Retry          bool
 	forwarded      bool
 	ended          bool
@@ -55,10 +55,10 @@
 
 // Options configures a World in addition to its fleet.
 type Options struct {
-	Seed   uint64
-	Source Source
-	Faults []Fault
-	Sample time.Duration // interval of load samples for charts; 0: none
+	Seed           uint64
+	Source         Source
+	Faults         []Fault
+	SampleInterval time.Duration // interval of load samples for charts; 0: none
 	// WayOf, if set, returns the Way of a call (see service.Request) by its id.
 	WayOf func(call uint64) int
 }
@@ -128,7 +128,7 @@
 
 // BoxSample is the load and state of one box in a Sample.
 type BoxSample struct {
-	Held      int
+	Jobs      int
 	Condition Condition
 	Warmth    float64
 	Arrived   int     // requests since the previous sample
@@ -144,23 +144,23 @@
 // New returns a world at time 0 with all boxes warm and all limiters running.
 func New(f *fleet.Fleet, o Options) *World {
 	w := &World{Fleet: f, Meter: service.NewMeter(f), rng: rand.New(rand.NewPCG(o.Seed, 0x77)), source: o.Source, wayOf: o.WayOf,
-		sampleInterval: o.Sample, sharedSlowdown: 1, pods: map[int]*pod{}, limiters: make([]limiterState, len(f.Limiters)), cutRooms: map[[2]int]bool{}, partitionedRooms: map[int]bool{}}
+		sampleInterval: o.SampleInterval, sharedSlowdown: 1, pods: map[int]*pod{}, limiters: make([]limiterState, len(f.Limiters)), cutRooms: map[[2]int]bool{}, partitionedRooms: map[int]bool{}}
 	for _, spec := range f.Boxes {
 		w.newBox(spec, len(w.boxAt))
 	}
 	sum := 0.0
 	for k := range f.Limiters {
-		sum += math.Pow(float64(k+1), -f.Traffic.Skew)
+		sum += math.Pow(float64(k+1), -f.Traffic.ZipfExponent)
 		w.rankWeights = append(w.rankWeights, sum)
 	}
 	for i := range w.Boxes {
-		w.actualEntries[i], w.listed[i] = Entry{Box: i, Addr: i, Born: -1}, true
+		w.actualEntries[i], w.listed[i] = Entry{Box: i, Addr: i, StartedAt: -1}, true
 	}
 	absent := map[int]bool{}
 	for _, x := range o.Faults {
 		if x.Target == AtBox && x.Verb == "joins" && !absent[x.Index] { // a box that joins later is absent until then
 			absent[x.Index] = true
-			w.Boxes[x.Index].Set(Dead)
+			w.Boxes[x.Index].SetCondition(Dead)
 			w.listed[x.Index] = false
 		} else if x.Target == AtBox {
 			absent[x.Index] = true
@@ -168,7 +168,7 @@
 	}
 	for i := range w.limiters {
 		l := &w.limiters[i]
-		l.alive, l.inboxTokens = true, f.Network.PeerIn
+		l.alive, l.inboxTokens = true, f.Network.PeerMessageRate
 		l.knownEntries, l.knows = append([]Entry(nil), w.actualEntries...), append([]bool(nil), w.listed...)
 	}
 	for _, x := range o.Faults {
@@ -234,8 +234,8 @@
 // Events returns the number of events scheduled so far.
 func (w *World) Events() uint64 { return w.events.seq }
 
-// After schedules a Due action with the given value.
-func (w *World) After(at time.Duration, what any) {
+// Schedule schedules a Due action with the given value.
+func (w *World) Schedule(at time.Duration, what any) {
 	w.events.add(event{at: max(at, w.now), kind: evCallback, payload: what})
 }
 
@@ -246,7 +246,7 @@
 		w.processEvent()
 	}
 	w.now = max(w.now, now)
-	return w.Take()
+	return w.TakeActions()
 }
 
 // Step processes the next event alone, at its time. It returns nil and false if there is none.
@@ -255,14 +255,14 @@
 		return nil, false
 	}
 	w.processEvent()
-	return w.Take(), true
+	return w.TakeActions(), true
 }
 
 // Now returns the simulated time.
 func (w *World) Now() time.Duration { return w.now }
 
-// Take returns the pending actions, in a slice valid until the next call.
-func (w *World) Take() []Action {
+// TakeActions returns the pending actions, in a slice valid until the next call.
+func (w *World) TakeActions() []Action {
 	out := w.actions
 	w.actions = w.actions[len(w.actions):]
 	if cap(w.actions) < 64 {
@@ -301,9 +301,9 @@
 	case evDiscoveryNews:
 		w.deliverNews(e)
 	case evPeerMessage:
-		m := e.payload.(PeerHears)
+		m := e.payload.(DeliverPeerMessage)
 		if l := &w.limiters[m.To]; l.alive {
-			l.inboxTokens = min(w.Fleet.Network.PeerIn, l.inboxTokens+(w.now-l.inboxUpdatedAt).Seconds()*w.Fleet.Network.PeerIn)
+			l.inboxTokens = min(w.Fleet.Network.PeerMessageRate, l.inboxTokens+(w.now-l.inboxUpdatedAt).Seconds()*w.Fleet.Network.PeerMessageRate)
 			l.inboxUpdatedAt = w.now
 			if l.inboxTokens >= 1 { // a full inbox drops the message
 				l.inboxTokens--
@@ -339,16 +339,16 @@
 func (w *World) emitAnswers(i int, done []Done) {
 	for _, d := range done {
 		a := BoxAnswers{Box: i, Done: d}
-		a.Load, a.HasLoad = w.Boxes[i].Report(w.now)
-		if b := w.Boxes[i]; b.responseFault != Clean && d.Result == Served && w.rng.Float64() < b.responseFaultShare {
-			a.Wire = b.responseFault
+		a.Load, a.HasLoad = w.Boxes[i].ReportedLoad(w.now)
+		if b := w.Boxes[i]; b.responseFault != NoResponseFault && d.Result == Served && w.rng.Float64() < b.responseFaultShare {
+			a.Fault = b.responseFault
 		}
 		w.emit(a)
 	}
 }
 
-// At returns the box that currently uses an address.
-func (w *World) At(addr int) int { return w.boxAt[addr] }
+// BoxAt returns the box that currently uses an address.
+func (w *World) BoxAt(addr int) int { return w.boxAt[addr] }
 
 // Addr returns the address of a box, by the indexes of both.
 func (w *World) Addr(box int) int { return w.addrOf[box] }
@@ -373,19 +373,19 @@
 // Disconnect releases a connection that Connect accepted.
 func (w *World) Disconnect(box int) { w.Boxes[box].Close() }
 
-// Request delivers a complete request to a box. It returns false if the box has no running process. If
+// DeliverRequest delivers a complete request to a box. It returns false if the box has no running process. If
 // the load crashes a cold box, BoxFalls and BoxResets follow.
-func (w *World) Request(now time.Duration, box int, j Job) bool {
+func (w *World) DeliverRequest(now time.Duration, box int, j Job) bool {
 	w.now = max(w.now, now)
 	b := w.Boxes[box]
-	if c := b.condition; c == Dead || c == Fallen || c == Vanished {
+	if c := b.condition; c == Dead || c == Crashed || c == Vanished {
 		return false
 	}
 	w.emitAnswers(box, b.Advance(now))
 	if b.AddColdWork(now, j.Work) {
 		w.addNote("box " + b.Name + " fell over: it was sent too much while it was cold")
-		w.emit(BoxFalls{box})
-		w.emit(BoxResets{Box: box, Jobs: append(b.Set(Fallen), j.ID)})
+		w.emit(BoxCrashes{box})
+		w.emit(BoxResets{Box: box, Jobs: append(b.SetCondition(Crashed), j.ID)})
 		w.publish(box, Gone, 0)
 		w.scheduleBox(box)
 		return true
@@ -415,16 +415,16 @@
 
 // publish changes the actual entry of a box and schedules its delayed delivery to every limiter.
 func (w *World) publish(box int, h Health, late time.Duration) {
-	e := Entry{Box: box, Addr: w.addrOf[box], Health: h, Born: w.Boxes[box].startedAt}
+	e := Entry{Box: box, Addr: w.addrOf[box], Health: h, StartedAt: w.Boxes[box].startedAt}
 	if w.listed[box] && w.actualEntries[box] == e || !w.listed[box] && h == Gone {
 		return
 	}
 	w.actualEntries[box], w.listed[box] = e, h != Gone
 	n := w.Fleet.Network
-	base := w.now + late + n.ListLeast + time.Duration(w.rng.Float64()*float64(n.ListMost-n.ListLeast))
+	base := w.now + late + n.ListDelayMin + time.Duration(w.rng.Float64()*float64(n.ListDelayMax-n.ListDelayMin))
 	for i := range w.limiters {
 		l := &w.limiters[i]
-		l.nextNewsAt = max(l.nextNewsAt, base+time.Duration(w.rng.Float64()*0.1*float64(n.ListMost-n.ListLeast)))
+		l.nextNewsAt = max(l.nextNewsAt, base+time.Duration(w.rng.Float64()*0.1*float64(n.ListDelayMax-n.ListDelayMin)))
 		w.events.add(event{at: l.nextNewsAt, kind: evDiscoveryNews, index: i, payload: e})
 	}
 }
@@ -440,12 +440,12 @@
 	}
 	l.knownEntries[entry.Box], l.knows[entry.Box] = entry, entry.Health != Gone
 	if l.alive {
-		w.emit(Listed{Limiter: e.index, Entries: []Entry{entry}})
+		w.emit(DiscoveryUpdate{Limiter: e.index, Entries: []Entry{entry}})
 	}
 }
 
-// Known returns the complete list as last delivered to a limiter's discovery agent.
-func (w *World) Known(limiter int) []Entry {
+// KnownEntries returns the complete list as last delivered to a limiter's discovery agent.
+func (w *World) KnownEntries(limiter int) []Entry {
 	var all []Entry
 	for i, has := range w.limiters[limiter].knows {
 		if has {
@@ -457,8 +457,8 @@
 
 // ---- Peers ----
 
-// PeerSends sends a message from one limiter to another; it may be lost or delayed.
-func (w *World) PeerSends(now time.Duration, from, to int, data []byte) {
+// SendPeerMessage sends a message from one limiter to another; it may be lost or delayed.
+func (w *World) SendPeerMessage(now time.Duration, from, to int, data []byte) {
 	w.now = max(w.now, now)
 	n := w.Fleet.Network
 	if to < 0 || to >= len(w.limiters) {
@@ -471,8 +471,8 @@
 	if w.peersCut || w.rng.Float64() < max(n.PeerLoss, w.peerLoss) {
 		return
 	}
-	delay := n.PeerLeast + time.Duration(w.rng.Float64()*float64(n.PeerMost-n.PeerLeast))
-	w.events.add(event{at: now + delay, kind: evPeerMessage, payload: PeerHears{To: to, From: from, Data: data}})
+	delay := n.PeerDelayMin + time.Duration(w.rng.Float64()*float64(n.PeerDelayMax-n.PeerDelayMin))
+	w.events.add(event{at: now + delay, kind: evPeerMessage, payload: DeliverPeerMessage{To: to, From: from, Data: data}})
 }
 
 // ---- Limiters ----
@@ -511,12 +511,12 @@
 func (w *World) takeSample() {
 	s := Sample{At: w.now, Boxes: make([]BoxSample, len(w.Boxes))}
 	for i, b := range w.Boxes {
-		if b.condition != Dead && b.condition != Vanished && b.condition != Fallen {
+		if b.condition != Dead && b.condition != Vanished && b.condition != Crashed {
 			w.emitAnswers(i, b.Advance(w.now))
 			w.scheduleBox(i)
 		}
 		c, before := b.Counts, w.sampledCounts[i]
-		s.Boxes[i] = BoxSample{Held: b.Held(), Condition: b.condition, Warmth: b.Warmth(w.now), Arrived: c.Arrived - before.Arrived,
+		s.Boxes[i] = BoxSample{Jobs: b.JobCount(), Condition: b.condition, Warmth: b.Warmth(w.now), Arrived: c.Arrived - before.Arrived,
 			Busy: (c.Work - before.Work).Seconds() / (w.sampleInterval.Seconds() * b.Spec.Cores * b.Spec.Speed)}
 		w.sampledCounts[i] = c
 	}
@@ -533,15 +533,15 @@
 // takeDown ends the process of a box, or its machine without notice if silent.
 func (w *World) takeDown(i int, silent bool) {
 	b := w.Boxes[i]
-	if b.condition == Dead || b.condition == Vanished || b.condition == Fallen {
+	if b.condition == Dead || b.condition == Vanished || b.condition == Crashed {
 		return
 	}
 	c, late := Dead, time.Duration(0)
 	if silent {
-		c, late = Vanished, w.Fleet.Network.SilentNotice
+		c, late = Vanished, w.Fleet.Network.SilentDetection
 	}
 	w.emitAnswers(i, b.Advance(w.now))
-	w.emit(BoxResets{Box: i, Jobs: b.Set(c), Silent: silent})
+	w.emit(BoxResets{Box: i, Jobs: b.SetCondition(c), Silent: silent})
 	w.publish(i, Gone, late)
 	w.scheduleBox(i)
 }
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -13,12 +13,12 @@
 const ms = time.Millisecond
 
 func testBox(change func(*fleet.Box)) *Box {
-	spec := fleet.Box{Name: "x", Cores: 2, Speed: 1, Slots: 4, Queue: 2, Connections: 3, ColdFrom: 0.25, ColdFor: 10 * time.Second}
+	spec := fleet.Box{Name: "x", Cores: 2, Speed: 1, Slots: 4, Queue: 2, Connections: 3, ColdShare: 0.25, WarmUpTime: 10 * time.Second}
 	if change != nil {
 		change(&spec)
 	}
 	one := 1.0
-	return newBox(spec, fleet.Rules{FallFactor: 3, FallFor: 1500 * ms}, &pod{keyExpiry: map[uint64]time.Duration{}}, &one, rand.New(rand.NewPCG(1, 1)))
+	return newBox(spec, fleet.Rules{OverloadFactor: 3, OverloadDuration: 1500 * ms}, &pod{keyExpiry: map[uint64]time.Duration{}}, &one, rand.New(rand.NewPCG(1, 1)))
 }
 
 // run simulates a box event by event and returns the end and result of each job.
@@ -51,8 +51,8 @@
 	at, _ := run(b, time.Hour)
 	near(t, "four jobs of 100 ms on two cores", at[4], 200*ms)
 	near(t, "the one that waited", at[5], 300*ms)
-	if b.Held() != 0 || b.Counts.Ran != 5 {
-		t.Errorf("held %d, ran %d", b.Held(), b.Counts.Ran)
+	if b.JobCount() != 0 || b.Counts.Ran != 5 {
+		t.Errorf("held %d, ran %d", b.JobCount(), b.Counts.Ran)
 	}
 }
 
@@ -76,7 +76,7 @@
 	slow := testBox(nil)
 	slow.AddJob(0, Job{ID: 1, Work: 100 * ms})
 	slow.Advance(50 * ms)
-	slow.Slow(3)
+	slow.SetSlowdown(3)
 	at, _ = run(slow, time.Hour)
 	near(t, "slowed half way", at[1], 200*ms)
 
@@ -99,7 +99,7 @@
 	if how[5] != TurnedAway || how[1] != Served {
 		t.Errorf("what waited past its time: %v", how)
 	}
-	b.Set(Draining)
+	b.SetCondition(Draining)
 	if d := b.AddJob(3*time.Second, Job{ID: 8, Work: ms}); len(d) != 1 || d[0].Result != TurnedAway || d[0].Ran {
 		t.Errorf("draining: %v", d)
 	}
@@ -123,7 +123,7 @@
 	b := testBox(nil)
 	b.AddJob(0, Job{ID: 1, Work: 100 * ms})
 	b.Advance(50 * ms)
-	b.Set(Hung)
+	b.SetCondition(Hung)
 	if b.Open(60*ms) != Accepted {
 		t.Error("a hung box accepts")
 	}
@@ -138,10 +138,10 @@
 
 	b.AddJob(2*time.Second, Job{ID: 3, Work: time.Second})
 	b.Advance(2 * time.Second)
-	if lost := b.Set(Dead); len(lost) != 1 || lost[0] != 3 || b.Open(0) != Refused {
+	if lost := b.SetCondition(Dead); len(lost) != 1 || lost[0] != 3 || b.Open(0) != Refused {
 		t.Errorf("dead: lost %v", lost)
 	}
-	if b.Set(Vanished); b.Open(0) != Silent {
+	if b.SetCondition(Vanished); b.Open(0) != Silent {
 		t.Error("vanished boxes are silent")
 	}
 	b.Start(3*time.Second, true)
@@ -181,16 +181,16 @@
 
 func TestReportsAreOld(t *testing.T) {
 	b := testBox(func(s *fleet.Box) { s.Report = fleet.Report{Every: 400 * ms, Delay: 100 * ms} })
-	b.Report(400 * ms)
+	b.ReportedLoad(400 * ms)
 	b.AddJob(450*ms, Job{ID: 1, Work: time.Hour})
-	if l, ok := b.Report(500 * ms); !ok || l.InFlight != 0 {
+	if l, ok := b.ReportedLoad(500 * ms); !ok || l.InFlight != 0 {
 		t.Errorf("just measured: %v", l)
 	}
-	b.Report(800 * ms)
-	if l, _ := b.Report(850 * ms); l.InFlight != 0 {
+	b.ReportedLoad(800 * ms)
+	if l, _ := b.ReportedLoad(850 * ms); l.InFlight != 0 {
 		t.Errorf("measured, but not told yet: %v", l)
 	}
-	if l, _ := b.Report(900 * ms); l.InFlight != 1 {
+	if l, _ := b.ReportedLoad(900 * ms); l.InFlight != 1 {
 		t.Errorf("told: %v", l)
 	}
 }
@@ -204,7 +204,7 @@
 	if x := faults[0]; x.Index != 8 || x.Value != 3 || x.From != 4*time.Second || x.To != 9*time.Second {
 		t.Errorf("%+v", x)
 	}
-	if x := faults[1]; x.Index != 1 || !x.Silent || !x.With || x.To != 20*time.Second {
+	if x := faults[1]; x.Index != 1 || !x.Silent || !x.WithLimiters || x.To != 20*time.Second {
 		t.Errorf("%+v", x)
 	}
 	for text, want := range map[string]string{
@@ -243,7 +243,7 @@
 			break
 		}
 		for _, a := range actions {
-			l, ok := a.(Listed)
+			l, ok := a.(DiscoveryUpdate)
 			if !ok {
 				continue
 			}
@@ -257,7 +257,7 @@
 		if len(told[i]) != 3 || told[i][0] != DrainRequested || told[i][1] != Ready || told[i][2] != Gone {
 			t.Errorf("limiter %d received %v", i, told[i])
 		}
-		if n := len(w.Known(i)); n != 11 {
+		if n := len(w.KnownEntries(i)); n != 11 {
 			t.Errorf("limiter %d knows %d boxes", i, n)
 		}
 	}
@@ -286,7 +286,7 @@
 		accounts[a.Account]++
 		work += a.Work
 	}
-	want := f.Traffic.Rate * (1 + f.Traffic.Heavy*(f.Traffic.HeavyX-1)) * 60
+	want := f.Traffic.Rate * (1 + f.Traffic.HeavyShare*(f.Traffic.HeavyFactor-1)) * 60
 	if float64(n) < want*0.95 || float64(n) > want*1.05 {
 		t.Errorf("%d arrivals, want %.0f", n, want)
 	}
@@ -346,7 +346,7 @@
 	w.Boxes[0].AddJob(w.Now(), Job{ID: 1, Work: time.Hour})
 	w.Inject(w.Now(), faults[2])
 	w.Advance(w.Now() + 6*time.Second)
-	if n := w.Boxes[0].Held(); n != 1 {
+	if n := w.Boxes[0].JobCount(); n != 1 {
 		t.Errorf("a box that was there joined and lost %d of 1 jobs", 1-n)
 	}
 }
