--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -121,7 +121,7 @@
 	Handshake   time.Duration // work to establish a connection
 	ColdShare   float64       // share of the capacity when it starts cold
 	WarmUpTime  time.Duration // longest warm-up
-	WarmAfter   int           // requests after which it is warm; 0: only after ColdFor
+	WarmAfter   int           // requests after which it is warm; 0: only after WarmUpTime
 	Report      Report
 	ErrorRate   float64 // share of requests that fail in normal operation
 }
@@ -169,7 +169,7 @@
 	SpreadMin       float64       // smallest share of the limiters that an account uses
 	ZipfExponent    float64       // Zipf exponent of an account's requests over its limiters: rank k has weight 1/k^Skew
 	Shift           time.Duration // interval at which an account's busiest limiters change
-	HeavyShare      float64       // share of accounts that send HeavyX times their share
+	HeavyShare      float64       // share of accounts that send HeavyFactor times their share
 	HeavyFactor     float64
 }
 
--- a/internal/judge/attempts.go
+++ b/internal/judge/attempts.go
@@ -159,7 +159,7 @@
 	p.reported = over
 }
 
-// measurePush updates Push with the work that arrived at a cold box within PushFor.
+// measurePush updates MaxColdLoad with the work that arrived at a cold box within ColdLoadWindow.
 func (j *Judge) measurePush(now time.Duration, p *coldWork, capacity float64) {
 	if j.settings.ColdLoadWindow <= 0 {
 		return
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -50,7 +50,7 @@
 	DrainGrace     time.Duration
 	FallFactor     float64
 	FallFor        time.Duration
-	ColdLoadWindow time.Duration // window of Judge.Push; 0: not measured
+	ColdLoadWindow time.Duration // window of Judge.MaxColdLoad; 0: not measured
 	ColdLoadLimit  float64
 	CeilingSlack   float64       // tolerated excess, as a share of the ceiling
 	MaxUnits       float64       // units of the largest request
@@ -104,7 +104,7 @@
 	Try     uint64 // 0 if the breach concerns no single try
 	Text    string
 	// LateAnswer marks an answer that came after Due. A driver in real time may know that the machine
-	// caused the delay; see Excuse.
+	// caused the delay; see RemoveExcused.
 	LateAnswer bool
 	// OutOfOrder marks an event at At that had to happen before Due, with a difference of more than
 	// Order or Slack of the settings.
@@ -136,9 +136,9 @@
 	keptCounts      [RuleCount]int // stored in Breaches, without late answers
 	keptLateAnswers int            // late answers stored in Breaches
 
-	// MaxColdLoad is the largest ratio, over all cold boxes, of the work that arrived within PushFor (without
+	// MaxColdLoad is the largest ratio, over all cold boxes, of the work that arrived within ColdLoadWindow (without
 	// its largest job) to the work that the box could do in that time. It is measured at each of
-	// Pushes arrivals; PushedOver of them exceeded PushMost.
+	// ColdLoadChecks arrivals; ColdLoadExceeded of them exceeded ColdLoadLimit.
 	MaxColdLoad                      float64
 	ColdLoadChecks, ColdLoadExceeded int
 
@@ -179,13 +179,13 @@
 	overlapAt  time.Duration
 }
 
-// coldWork is the work sent to one cold box during the last FallFor.
+// coldWork is the work sent to one cold box during the last OverloadDuration.
 type coldWork struct {
 	arrivedAt   []time.Duration
 	amounts     []time.Duration
 	sum         time.Duration
 	reported    bool // the current overload has been recorded as a breach
-	windowStart int  // index of the first arrival within PushFor
+	windowStart int  // index of the first arrival within ColdLoadWindow
 }
 
 // ceiling holds two token buckets of an account, because the tolerance is a share of the ceiling or
@@ -321,7 +321,7 @@
 	}
 }
 
-// WithdrawRequest cancels a Taken: the try did not reach a limiter.
+// WithdrawRequest cancels a RequestAccepted: the try did not reach a limiter.
 func (j *Judge) WithdrawRequest(id uint64) {
 	if t := j.tries[id]; t != nil {
 		t.clientLeft = true
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -396,7 +396,7 @@
 }
 
 // Spent tells the judge of units that were granted for something that no client of
-// the run sent; see judge.Judge.Spent.
+// the run sent; see judge.Judge.UnitsGranted.
 func (r *Run) Spent(q judge.Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -55,7 +55,7 @@
 	// MemoryInterval is the interval at which limiters store their learned state, which they restore when
 	// they restart; 0: never. It applies only to policies that support it.
 	MemoryInterval time.Duration
-	// ExtraMemoryAge is added to the age of a restored memory, and Distort, if set, modifies the memory.
+	// ExtraMemoryAge is added to the age of a restored memory, and AlterMemory, if set, modifies the memory.
 	ExtraMemoryAge time.Duration
 	AlterMemory    func(*limiter.Memory)
 	// OnRefusal, if set, is called at each refusal by a policy, and OnAttempt at each attempt, both before
@@ -70,7 +70,7 @@
 	// OnAction, if set, is called with every action of the world before it is carried out.
 	OnAction func(now time.Duration, a world.Action)
 	// ColdLoadWindow is the window over which the judge measures the load sent to cold boxes, 0 for none, and
-	// PushMost the ratio that it counts as excessive; see judge.Judge.
+	// ColdLoadLimit the ratio that it counts as excessive; see judge.Judge.
 	ColdLoadWindow time.Duration
 	ColdLoadLimit  float64
 	// Unguarded disables the checks that a host makes independently of its policy: attempts at boxes
--- a/internal/world/box.go
+++ b/internal/world/box.go
@@ -64,7 +64,7 @@
 	Silent
 )
 
-// coldWorkSlices is the number of slices of the sliding window (FallFor) over which the work sent to a
+// coldWorkSlices is the number of slices of the sliding window (OverloadDuration) over which the work sent to a
 // cold box is summed.
 const coldWorkSlices = 30
 
@@ -304,7 +304,7 @@
 }
 
 // AddColdWork records work sent to the box and reports whether the box crashes from it. A cold box crashes
-// when the work of the last FallFor exceeds FallFactor times its current capacity; a warm box never
+// when the work of the last OverloadDuration exceeds OverloadFactor times its current capacity; a warm box never
 // does.
 func (b *Box) AddColdWork(now, work time.Duration) bool {
 	if b.Warmth(now) >= 1 {
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -374,7 +374,7 @@
 func (w *World) Disconnect(box int) { w.Boxes[box].Close() }
 
 // DeliverRequest delivers a complete request to a box. It returns false if the box has no running process. If
-// the load crashes a cold box, BoxFalls and BoxResets follow.
+// the load crashes a cold box, BoxCrashes and BoxResets follow.
 func (w *World) DeliverRequest(now time.Duration, box int, j Job) bool {
 	w.now = max(w.now, now)
 	b := w.Boxes[box]
